--- a/crates/hazelspur-server/src/start/logs.rs
+++ b/crates/hazelspur-server/src/config/logs.rs
@@ -1,6 +1,6 @@
 //! Log lines on standard error, printed as text or JSON by libraries, at most so many in a stretch of time.
 
-use crate::start::command::Format;
+use crate::config::command::Format;
 use log::{LevelFilter, Log, Metadata, Record};
 use nix::poll::{PollFd, PollFlags, PollTimeout, poll};
 use std::io::Write;
@@ -9,7 +9,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 const STRETCH_MS: u64 = 10_000;
-const MOST_LINES: u64 = 400;
+const MAX_LINES: u64 = 400;
 const LONGEST_LINE: usize = 1000;
 
 struct Bounded {
@@ -92,14 +92,14 @@
         }
         let stretch = now_ms() / STRETCH_MS;
         if self.stretch.swap(stretch, Ordering::Relaxed) != stretch {
-            let left_out = self.written.swap(0, Ordering::Relaxed).saturating_sub(MOST_LINES)
+            let left_out = self.written.swap(0, Ordering::Relaxed).saturating_sub(MAX_LINES)
                 + self.lost.swap(0, Ordering::Relaxed);
             if left_out > 0 {
                 let text = format_args!("logger lines_left_out={left_out}");
                 self.printer.log(&Record::builder().level(log::Level::Warn).args(text).build());
             }
         }
-        if self.written.fetch_add(1, Ordering::Relaxed) < MOST_LINES || record.level() > log::Level::Info {
+        if self.written.fetch_add(1, Ordering::Relaxed) < MAX_LINES || record.level() > log::Level::Info {
             self.printer.log(record);
         }
     }
--- a/crates/hazelspur-server/src/start/operator.rs
+++ b/crates/hazelspur-server/src/config/operator.rs
@@ -2,9 +2,9 @@
 //! `queue(...)` for each queue. It has no files and no network, its steps and memory are bounded; what it says is decoded
 //! and checked, and every message names the key and the line.
 
-use crate::start::fleet_keys::Fleet;
+use crate::config::fleet_keys::Fleet;
 use garde::Validate;
-use hazelspur::{Catalog, Span};
+use hazelspur::{Catalog, Duration};
 use hazelspur_deliveries::{Rule, Settlement, Table};
 use serde::Deserialize;
 use starlark::any::ProvidesStaticType;
@@ -20,13 +20,13 @@
 
 /// The longest file that is read, in bytes.
 const LONGEST_FILE: u64 = 64 * 1024;
-const MOST_CALLS_DEEP: usize = 32;
+const MAX_CALLS_DEEP: usize = 32;
 /// Steps of the interpreter, which counts loops and calls.
-const MOST_STEPS: u64 = 1_000_000;
-const MOST_MEMORY: usize = 16 * 1024 * 1024;
-pub const MOST_QUEUES: usize = 32;
+const MAX_STEPS: u64 = 1_000_000;
+const MAX_MEMORY: usize = 16 * 1024 * 1024;
+pub const MAX_QUEUES: usize = 32;
 /// Unsettled deliveries of all queues: with 10 KiB kept of each they take 80 MiB at most.
-const MOST_UNSETTLED: usize = 8192;
+const MAX_UNSETTLED: usize = 8192;
 
 /// All that the file says.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Validate)]
@@ -35,7 +35,7 @@
     #[garde(dive)]
     pub amqp: Option<Amqp>,
     #[serde(default)]
-    #[garde(dive, length(max = MOST_QUEUES))]
+    #[garde(dive, length(max = MAX_QUEUES))]
     pub queues: Vec<Queue>,
     #[garde(dive)]
     pub fleet: Option<Fleet>,
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Reload {
-    /// Op types, tenants and some figures of the platform's settings change in place.
+    /// Request classes, tenants and some figures of the platform's settings change in place.
     #[serde(default)]
     pub settings: bool,
 }
@@ -98,10 +98,11 @@
 pub struct Queue {
     #[garde(length(min = 1, max = 255))]
     pub name: String,
-    /// The op type of all its messages; without it each message's `type` property names it.
+    /// The request class of all its messages; without it each message's `type` property names it.
     #[garde(skip)]
-    pub op_type: Option<String>,
-    /// Memory that an op takes, where the message does not say (`x-need-kb`).
+    #[serde(rename = "op_type")]
+    pub request_class: Option<String>,
+    /// Memory that a request takes, where the message does not say (`x-need-kb`).
     #[serde(default = "defaults::need")]
     #[garde(range(min = 0.001, max = 2000.0))]
     pub need_kb: f64,
@@ -231,7 +232,7 @@
     pub fn table(&self) -> Table {
         let mut table = Table {
             most_tries: self.most_tries,
-            failed_pause: Span::from_secs(self.failed_pause_s),
+            failed_pause: Duration::from_secs(self.failed_pause_s),
             ..Table::default()
         };
         for (row, does) in &self.outcomes {
@@ -310,14 +311,14 @@
     let keys = keys.collect::<anyhow::Result<_>>()?;
     let sections = eval.extra.and_then(|extra| extra.downcast_ref::<Sections>());
     let sections = sections.ok_or_else(|| anyhow::anyhow!("called outside the operator's file"))?;
-    if sections.0.borrow().len() > MOST_QUEUES {
-        return Err(anyhow::anyhow!("more than {MOST_QUEUES} queues"));
+    if sections.0.borrow().len() > MAX_QUEUES {
+        return Err(anyhow::anyhow!("more than {MAX_QUEUES} queues"));
     }
     sections.0.borrow_mut().push(Section { name, lines, keys });
     Ok(NoneType)
 }
 
-/// Reads and checks the file; the op types are those of the platform's settings, or none to leave them
+/// Reads and checks the file; the request classes are those of the platform's settings, or none to leave them
 /// unchecked.
 pub fn read(path: &str, catalog: Option<&Catalog>) -> Result<Operator, String> {
     let length = std::fs::metadata(path).map_err(|e| format!("{path}: {e}"))?.len();
@@ -369,16 +370,16 @@
         return Err(format!("{}: there is no amqp(...)", at("queues[0].name")));
     }
     let all: usize = operator.queues.iter().map(|queue| usize::from(queue.most)).sum();
-    if all > MOST_UNSETTLED {
-        return Err(format!("{}: all queues together: over {MOST_UNSETTLED}", at("queues[0].most")));
+    if all > MAX_UNSETTLED {
+        return Err(format!("{}: all queues together: over {MAX_UNSETTLED}", at("queues[0].most")));
     }
     for (i, queue) in operator.queues.iter().enumerate() {
         let key = |name: &str| at(&format!("queues[{i}].{name}"));
         if operator.queues[..i].iter().any(|other| other.name == queue.name) {
             return Err(format!("{}: named twice", key("name")));
         }
-        if let (Some(catalog), Some(op_type)) = (catalog, &queue.op_type)
-            && catalog.find_op_type(op_type).is_none()
+        if let (Some(catalog), Some(request_class)) = (catalog, &queue.request_class)
+            && catalog.find_request_class(request_class).is_none()
         {
             return Err(format!("{}: no such op type in the settings", key("op_type")));
         }
@@ -400,9 +401,9 @@
     Module::with_temp_heap(|module| {
         let mut eval = Evaluator::new(&module);
         eval.extra = Some(&sections);
-        eval.set_max_callstack_size(MOST_CALLS_DEEP).map_err(|e| e.to_string())?;
-        eval.set_max_tick_count(MOST_STEPS).map_err(|e| e.to_string())?;
-        eval.set_max_heap_size(MOST_MEMORY).map_err(|e| e.to_string())?;
+        eval.set_max_callstack_size(MAX_CALLS_DEEP).map_err(|e| e.to_string())?;
+        eval.set_max_tick_count(MAX_STEPS).map_err(|e| e.to_string())?;
+        eval.set_max_heap_size(MAX_MEMORY).map_err(|e| e.to_string())?;
         eval.eval_module(ast, &globals).map(|_| ()).map_err(told)
     })?;
     Ok(sections.0.into_inner())
--- a/crates/hazelspur-server/src/start/phases.rs
+++ b/crates/hazelspur-server/src/config/phases.rs
@@ -5,7 +5,7 @@
 
 #[derive(Clone, Copy, PartialEq)]
 pub enum Phase {
-    /// Listening; the runtime is not up yet and no op can run.
+    /// Listening; the runtime is not up yet and no request can run.
     Waiting,
     Serving,
     /// The leave notice is read; what arrives within the grace still runs.
--- a/crates/hazelspur-server/src/start/reload.rs
+++ b/crates/hazelspur-server/src/config/reload.rs
@@ -2,14 +2,14 @@
 //! says of the parties' addresses holds at once; where the operator's file has `reload(settings = True)`, so does
 //! what has changed of the settings, all of it or nothing of the file. The rest is told at the next start only.
 
-use crate::back::peers::Peers;
-use crate::fronts::queues::Queues;
-use crate::ops::dispatcher::Dispatcher;
-use crate::start::fleet_keys::TENANT;
-use crate::start::operator::{self, Operator};
-use crate::start::startup::{self, Startup};
-use hazelspur::change::{Change, Edit};
-use hazelspur::{Catalog, OpType, Tenant};
+use crate::config::fleet_keys::TENANT;
+use crate::config::operator::{self, Operator};
+use crate::config::startup::{self, Startup};
+use crate::ingress::queues::Queues;
+use crate::request::dispatcher::Dispatcher;
+use crate::upstream::peers::Peers;
+use hazelspur::config::change::{Change, Edit};
+use hazelspur::{Catalog, RequestClass, Tenant};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -30,10 +30,10 @@
     pub named: RefCell<Named>,
 }
 
-/// Op types and tenants that the operator's file names: they can't go before it does not.
+/// Request classes and tenants that the operator's file names: they can't go before it does not.
 #[derive(Default)]
 pub struct Named {
-    op_types: BTreeSet<String>,
+    request_classes: BTreeSet<String>,
     tenants: BTreeSet<String>,
 }
 
@@ -41,16 +41,16 @@
     pub fn by(operator: &Operator) -> Self {
         let shares = operator.fleet.iter().flat_map(|fleet| &fleet.shares);
         Self {
-            op_types: operator.queues.iter().filter_map(|queue| queue.op_type.clone()).collect(),
+            request_classes: operator.queues.iter().filter_map(|queue| queue.request_class.clone()).collect(),
             tenants: shares.filter_map(|key| Some(key.limit.as_str().strip_prefix(TENANT)?.into())).collect(),
         }
     }
 
     fn check(&self, change: &Change) -> Result<(), String> {
         let named = |of: &str, name: &str| Err(format!("{of}: {name}: the operator's file names it"));
-        for edit in &change.op_types {
+        for edit in &change.request_classes {
             match edit {
-                Edit::<OpType>::Remove(name) if self.op_types.contains(&**name) => {
+                Edit::<RequestClass>::Remove(name) if self.request_classes.contains(&**name) => {
                     return named("settings.lanes", name);
                 }
                 _ => {}
@@ -89,7 +89,7 @@
 impl Reloader {
     async fn platform(&self) {
         let read = || startup::reread(|name| std::env::var(name).ok());
-        // Settings that may change may be large ones: ops are answered while they are read.
+        // Settings that may change may be large ones: requests are answered while they are read.
         let read = if self.changes { aside(read).await } else { read() };
         let compared = read.and_then(|read| read.against(&self.catalog.borrow()));
         let taken = compared.and_then(|(new, change)| self.take(&new, &change));
@@ -103,7 +103,7 @@
         match operator::read(file, Some(&self.catalog.borrow())) {
             Ok(new) => {
                 queues.move_to(&new);
-                self.named.borrow_mut().op_types = Named::by(&new).op_types;
+                self.named.borrow_mut().request_classes = Named::by(&new).request_classes;
             }
             Err(why) => log::error!(why; "reload refused, the old operator's file stays"),
         }
@@ -123,8 +123,8 @@
             self.named.borrow().check(change)?;
             let changed = self.dispatcher.change(&self.catalog, change)?;
             let each = |[new, altered, gone]: [usize; 3]| format!("+{new} ~{altered} -{gone}");
-            let (op_types, tenants) = (each(changed.op_types), each(changed.tenants));
-            log::info!(op_types, tenants, figures = changed.facts; "settings changed");
+            let (request_classes, tenants) = (each(changed.request_classes), each(changed.tenants));
+            log::info!(op_types = request_classes, tenants, figures = changed.facts; "settings changed");
         }
         let differ = self.running.fixed_keys_that_differ(new);
         if !differ.is_empty() {
--- a/crates/hazelspur-server/src/start/startup.rs
+++ b/crates/hazelspur-server/src/config/startup.rs
@@ -1,18 +1,18 @@
 //! What the program is told at its start, and again on SIGHUP: the one place where configuration is read,
 //! checked and given defaults. Every message names the key at fault.
 
-use crate::back::peers::Addresses;
-use crate::fronts::requests::{LONG_PAST, TIMEOUT_SLACK};
-use crate::ops::deduplication::Deduplication;
-use hazelspur::catalog::{Entries, Gathered};
-use hazelspur::change::Difference;
-use hazelspur::{Catalog, Change, Facts, Span};
+use crate::ingress::requests::{LONG_PAST, TIMEOUT_SLACK};
+use crate::request::deduplication::Deduplication;
+use crate::upstream::peers::Addresses;
+use hazelspur::config::catalog::{Entries, Gathered};
+use hazelspur::config::change::Difference;
+use hazelspur::{Catalog, Change, Duration, Facts};
 use hazelspur_parsers::{Json, settings};
 use std::io::Read;
 use std::net::SocketAddr;
 
 const LONGEST_STOP: f64 = 600_000.0;
-/// The longest configuration that is read, in bytes: 8,700 op types and 42,000 tenants take 4 MB.
+/// The longest configuration that is read, in bytes: 8,700 request classes and 42,000 tenants take 4 MB.
 pub const LONGEST_FILE: u64 = 8 * 1024 * 1024;
 /// One part in so many of the program's memory may hold results for repeats.
 const RESULTS_PART: usize = 8;
@@ -24,15 +24,15 @@
     pub addresses: Addresses,
     pub seed: u64,
     /// From the leave notice to the end of the process.
-    pub stop: Span,
+    pub stop: Duration,
     pub sockets: usize,
     /// What the program may take of memory, in bytes.
     pub memory: usize,
     pub gauges: Vec<String>,
     /// What arrives later than this after the leave notice does not run.
-    pub grace: Span,
+    pub grace: Duration,
     /// How long the result of a read may serve others.
-    pub coalesce_for: Span,
+    pub coalesce_for: Duration,
 }
 
 impl Startup {
@@ -139,7 +139,7 @@
     facts.0.retain(|name, _| !name.starts_with("server.skip_worth"));
     let gauge = |i: usize| facts.text(&format!("server.meters.{i}")).to_string();
     let gauges = (0..facts.0.len()).map(gauge).take_while(|name| !name.is_empty()).collect();
-    let span = |name: &str| Span::from_us(facts.num(name, 0.0) as u64);
+    let span = |name: &str| Duration::from_us(facts.num(name, 0.0) as u64);
     let seed = match all.get("seed") {
         None => 0,
         Some(seed) => seed
@@ -156,7 +156,7 @@
             control: found("control")?,
         },
         seed,
-        stop: Span::from_secs(number(all.get("stop_ms"), "stop_ms", 3000.0, 1.0..=LONGEST_STOP)? / 1e3),
+        stop: Duration::from_secs(number(all.get("stop_ms"), "stop_ms", 3000.0, 1.0..=LONGEST_STOP)? / 1e3),
         sockets: number(limit("sockets"), "limits.sockets", 1024.0, 32.0..=1e7)? as usize,
         memory: (memory_mb * 1024.0 * 1024.0) as usize,
         gauges,
--- a/crates/hazelspur-server/src/fleet/ask.rs
+++ b/crates/hazelspur-server/src/fleet/ask.rs
@@ -1,10 +1,10 @@
 //! `hazelspur-server fleet FILE`: asks the server that the file sets up for its picture of the fleet. The
 //! question is sealed with the installation's key, so strangers get no answer.
 
-use crate::start::command::Shape;
-use crate::start::fleet_keys::Fleet;
+use crate::config::command::Shape;
+use crate::config::fleet_keys::Fleet;
 use comfy_table::{Table, presets};
-use hazelspur::Moment;
+use hazelspur::Timestamp;
 use hazelspur_fleet::signals::Common;
 use hazelspur_fleet::talk::{self, Body, Datagram, ShownRow};
 use hazelspur_fleet::{Claim, Condition, Generation, LimitName, MemberName, Says, SiteName, Size};
@@ -16,7 +16,7 @@
 const WITHIN: Duration = Duration::from_millis(400);
 const TRIES: u32 = 5;
 /// Rows that are taken; no table of a server holds more.
-const MOST_SHOWN: usize = 8192;
+const MAX_SHOWN: usize = 8192;
 
 #[derive(Serialize)]
 pub struct Shown {
@@ -149,7 +149,7 @@
             choices: Choices::default(),
         });
         shown.members.extend(rows.into_iter().map(Member::from));
-        if next.is_none() || next <= after || shown.members.len() >= MOST_SHOWN {
+        if next.is_none() || next <= after || shown.members.len() >= MAX_SHOWN {
             break;
         }
         after = next;
@@ -190,8 +190,8 @@
     matches!(body, Body::Shown { number, .. } | Body::Choices { number, .. } if *number == asked)
 }
 
-fn now() -> Moment {
-    Moment::from_us(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64)
+fn now() -> Timestamp {
+    Timestamp::from_us(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64)
 }
 
 pub fn print(shown: &Shown, shape: Shape) -> String {
--- a/crates/hazelspur-server/src/fleet/changes.rs
+++ b/crates/hazelspur-server/src/fleet/changes.rs
@@ -1,22 +1,22 @@
 //! Lines about the fleet: one for each change of this server's own condition, one a second at most for
 //! changes of others, one a minute at most for datagrams that were dropped.
 
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::{Condition, Event, Members, Size, Standing, talk::Dropped};
 use std::collections::BTreeMap;
 
-const EACH: Span = Span::from_ms(1000);
-const DROPS_EACH: Span = Span::from_ms(60_000);
+const EACH: Duration = Duration::from_ms(1000);
+const DROPS_EACH: Duration = Duration::from_ms(60_000);
 /// Names in one line.
-const MOST_NAMES: usize = 4;
+const MAX_NAMES: usize = 4;
 
 #[derive(Default)]
 pub struct Changes {
     /// How many changed in which way, and the first of their names.
     gathered: BTreeMap<&'static str, (usize, Vec<String>)>,
-    told: Moment,
+    told: Timestamp,
     dropped: BTreeMap<Dropped, u64>,
-    drops_told: Moment,
+    drops_told: Timestamp,
     conditions: Vec<(Condition, Condition)>,
 }
 
@@ -36,7 +36,7 @@
         };
         let (count, names) = self.gathered.entry(kind).or_default();
         *count += 1;
-        if names.len() < MOST_NAMES {
+        if names.len() < MAX_NAMES {
             names.push(of);
         }
     }
@@ -46,7 +46,7 @@
     }
 
     /// Says what is to be said by now.
-    pub fn tell(&mut self, now: Moment, members: &Members) {
+    pub fn tell(&mut self, now: Timestamp, members: &Members) {
         let Size { least, most } = members.size(None);
         for (from, to) in std::mem::take(&mut self.conditions) {
             let of = |standing| members.standings().filter(|(_, other)| *other == standing).count();
--- a/crates/hazelspur-server/src/fleet/guidance.rs
+++ b/crates/hazelspur-server/src/fleet/guidance.rs
@@ -1,9 +1,9 @@
 //! Between the module and what servers found out together: this server's work is shown to `Joint`, and what
 //! comes of it is told to the module where it has changed.
 
-use crate::ops::dispatcher::Dispatcher;
-use crate::start::fleet_keys::{CALLS, TENANT};
-use hazelspur::{Catalog, Moment, Span, TenantId};
+use crate::config::fleet_keys::{CALLS, TENANT};
+use crate::request::dispatcher::Dispatcher;
+use hazelspur::{Catalog, Duration, GuidanceKey, TenantId, Timestamp};
 use hazelspur_fleet::gate::Change;
 use hazelspur_fleet::guidance::Guidance as Facts;
 use hazelspur_fleet::joint::Seen;
@@ -12,8 +12,8 @@
 use hazelspur_fleet::{At, Joint};
 
 /// This server's own work is looked at so often.
-const LOOK: Span = Span::from_ms(200);
-/// More of a tenant's ops than lately are room to grow.
+const LOOK: Duration = Duration::from_ms(200);
+/// More of a tenant's requests than lately are room to grow.
 const ROOM: f64 = 1.25;
 
 #[derive(Clone, Copy, PartialEq)]
@@ -26,7 +26,7 @@
     together: bool,
     limits: Vec<(String, Of)>,
     facts: Facts,
-    looked: Moment,
+    looked: Timestamp,
     whose: Option<Whose>,
 }
 
@@ -45,14 +45,14 @@
                 }
             };
             let fact = match of {
-                Of::Calls => "joint.calls_bound".to_string(),
-                Of::Tenant(tenant) => format!("joint.tenants.{}.per_s", tenant.0),
+                Of::Calls => GuidanceKey::CallConcurrencyLimit,
+                Of::Tenant(tenant) => GuidanceKey::TenantRate(tenant),
             };
             facts.push((LimitId(at), fact));
             limits.push((name.to_string(), of));
         }
         let facts = Facts::new(together, facts);
-        Ok(Self { together, limits, facts, looked: Moment::default(), whose: None })
+        Ok(Self { together, limits, facts, looked: Timestamp::default(), whose: None })
     }
 
     /// What this server did lately, and what it would use.
@@ -61,7 +61,7 @@
             return;
         }
         self.looked = at.steady;
-        let Some(view) = dispatcher.view() else { return };
+        let Some(view) = dispatcher.load_report() else { return };
         joint.saw(at, Seen { call_secs: view.call_secs, refused: view.refused });
         for (name, of) in &self.limits {
             match of {
--- a/crates/hazelspur-server/src/fleet/talk.rs
+++ b/crates/hazelspur-server/src/fleet/talk.rs
@@ -1,15 +1,15 @@
 //! One UDP socket: what comes is opened and told to `Joint`, what that wants sent goes out, and what servers
 //! found out together goes to the module through the dispatcher.
 
-use crate::back::ledger::Reached;
-use crate::back::peers::Peers;
 use crate::clock::{Clock, long};
+use crate::config::fleet_keys::Fleet;
+use crate::config::phases::{Phase, Phases};
 use crate::fleet::changes::Changes;
 use crate::fleet::guidance::Guidance;
-use crate::ops::dispatcher::Dispatcher;
-use crate::start::fleet_keys::Fleet;
-use crate::start::phases::{Phase, Phases};
-use hazelspur::{Catalog, Span};
+use crate::request::dispatcher::Dispatcher;
+use crate::upstream::ledger::Reached;
+use crate::upstream::peers::Peers;
+use hazelspur::{Catalog, Duration};
 use hazelspur_fleet::{At, Generation, Installation, Joint, Key, MemberName, talk};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -19,11 +19,11 @@
 const IN_ONE_GO: usize = 64;
 /// What this server sees of its own work is looked at so often; a log line that was held back waits no
 /// longer.
-const ROUND: Span = Span::from_ms(250);
+const ROUND: Duration = Duration::from_ms(250);
 /// A try at what nobody reaches: a connection that is made, stands for a moment, and is closed again. What
 /// lies between may take connections for one that is gone, but does not keep them.
-const TRY_WITHIN: Span = Span::from_ms(500);
-const STANDS: Span = Span::from_ms(50);
+const TRY_WITHIN: Duration = Duration::from_ms(500);
+const STANDS: Duration = Duration::from_ms(50);
 
 pub struct Talk {
     socket: UdpSocket,
@@ -132,9 +132,9 @@
                         }
                         _ => false,
                     };
-                    self.call_ended(reached);
+                    self.call_finished(reached);
                 }
-                Some(at) => crate::clock::sleep((at - now).min(Span::from_ms(20))).await,
+                Some(at) => crate::clock::sleep((at - now).min(Duration::from_ms(20))).await,
                 None => crate::clock::sleep(ROUND).await,
             }
         }
@@ -173,14 +173,14 @@
 }
 
 impl Reached for Talk {
-    fn call_ended(&self, reached: bool) {
+    fn call_finished(&self, reached: bool) {
         if !self.together {
             return;
         }
         let at = self.at();
         let mut joint = self.joint.borrow_mut();
         let was_open = joint.gate.is_open();
-        joint.call_ended(at, reached);
+        joint.call_finished(at, reached);
         if joint.gate.is_open() != was_open {
             // The module is to know before the next decision, not with the next round.
             self.guidance.borrow_mut().guide(at, &self.dispatcher, &mut joint);
--- a/crates/hazelspur-server/src/fronts/answers.rs
+++ b/crates/hazelspur-server/src/ingress/answers.rs
@@ -1,9 +1,9 @@
 //! What one connection is owed and what waits to be written on it.
 
 use crate::clock::long;
-use crate::ops::dispatcher::Dispatcher;
-use crate::ops::owed::Front;
-use hazelspur::{Moment, OpId, Span};
+use crate::request::dispatcher::Dispatcher;
+use crate::request::owed::Front;
+use hazelspur::{Duration, RequestId, Timestamp};
 use hazelspur_parsers::rpc::{self, RpcId};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,9 +12,9 @@
 use tokio::net::tcp::WriteHalf;
 use tokio::sync::Notify;
 
-/// After so many errors nothing more on a connection is read, unless ops that the runtime knew came on it: a
-/// gateway's other ops on it are to be answered.
-const MOST_FAULTS: u32 = 4;
+/// After so many errors nothing more on a connection is read, unless requests that the runtime knew came on it: a
+/// gateway's other requests on it are to be answered.
+const MAX_FAULTS: u32 = 4;
 /// What a buffer keeps after a burst.
 const KEPT_ROOM: usize = 16 * 1024;
 
@@ -23,27 +23,27 @@
 pub enum Stage {
     Open,
     /// Farewell is said; what crosses it is still read and answered.
-    Parting(Moment),
+    Parting(Timestamp),
     /// What is there by the last look is answered; then the write side is shut.
     Closing,
-    /// Nothing that comes is read as an op any more.
+    /// Nothing that comes is read as a request any more.
     Shut,
 }
 
 pub struct Answers {
     pub dispatcher: Rc<Dispatcher>,
-    pub open: RefCell<BTreeMap<RpcId, OpId>>,
+    pub open: RefCell<BTreeMap<RpcId, RequestId>>,
     /// Since when nothing is open on it.
-    pub quiet_since: Cell<Moment>,
+    pub quiet_since: Cell<Timestamp>,
     pub stage: Cell<Stage>,
     pub for_health: Cell<bool>,
-    pub since: Moment,
-    /// Whether it has carried something good: an op that could be read, or a health check.
+    pub since: Timestamp,
+    /// Whether it has carried something good: a request that could be read, or a health check.
     pub proven: Cell<bool>,
-    /// Whether the runtime has known an op that came on it.
+    /// Whether the runtime has known a request that came on it.
     pub known: Cell<bool>,
     /// Since when a line on it is not whole.
-    pub partial_since: Cell<Option<Moment>>,
+    pub partial_since: Cell<Option<Timestamp>>,
     /// Found late once, by a look that may only have been the first after the machine stood still.
     pub found_late: Cell<bool>,
     /// How often what came on it was no good, and why the last time.
@@ -122,7 +122,7 @@
     }
 
     /// Comes back once nothing is open any more and all is written, or has not been taken for this long.
-    pub async fn all_out(&self, most: Span) {
+    pub async fn all_out(&self, most: Duration) {
         while !self.open.borrow().is_empty() {
             self.settled.notified().await;
         }
@@ -134,9 +134,9 @@
         let _ = tokio::time::timeout(long(most), written).await;
     }
 
-    /// Nothing more that comes on it is read as an op.
+    /// Nothing more that comes on it is read as a request.
     pub fn shunned(&self) -> bool {
-        self.unreadable.get() || self.faults.get().0 >= MOST_FAULTS && !self.known.get()
+        self.unreadable.get() || self.faults.get().0 >= MAX_FAULTS && !self.known.get()
     }
 
     fn blame(&self, why: &'static str) {
@@ -171,17 +171,17 @@
     }
 }
 
-/// The caller of an op on one of these connections.
+/// The caller of a request on one of these connections.
 pub struct Caller {
     answers: Rc<Answers>,
     id: RpcId,
-    op: OpId,
+    request: RequestId,
 }
 
 impl Caller {
-    pub fn new(answers: Rc<Answers>, id: RpcId, op: OpId) -> Self {
-        answers.open.borrow_mut().insert(id, op);
-        Self { answers, id, op }
+    pub fn new(answers: Rc<Answers>, id: RpcId, request: RequestId) -> Self {
+        answers.open.borrow_mut().insert(id, request);
+        Self { answers, id, request }
     }
 
     fn answer(&mut self, write: impl FnOnce(RpcId, &mut Vec<u8>, Option<f64>)) {
@@ -195,10 +195,10 @@
         self.answer(|id, out, signal| rpc::result(out, id, data, signal));
     }
 
-    fn nacked(&mut self, come_back: Span, nowhere_else: bool) {
-        let holdoff = (come_back > Span::ZERO).then(|| come_back.us().div_ceil(1000) as f64);
+    fn nacked(&mut self, retry_after: Duration, do_not_retry_elsewhere: bool) {
+        let holdoff = (retry_after > Duration::ZERO).then(|| retry_after.us().div_ceil(1000) as f64);
         self.answer(|id, out, signal| {
-            rpc::error(out, Some(id), rpc::NACKED, "refused", holdoff, nowhere_else, signal);
+            rpc::error(out, Some(id), rpc::NACKED, "refused", holdoff, do_not_retry_elsewhere, signal);
         });
     }
 
@@ -222,7 +222,7 @@
     fn gone(&mut self) {
         let answers = &self.answers;
         let mut open = answers.open.borrow_mut();
-        if open.get(&self.id) == Some(&self.op) {
+        if open.get(&self.id) == Some(&self.request) {
             open.remove(&self.id);
         }
         drop(open);
--- a/crates/hazelspur-server/src/fronts/connection.rs
+++ b/crates/hazelspur-server/src/ingress/connection.rs
@@ -3,10 +3,10 @@
 //! side is; what still comes is discarded until the peer's end or a bound), gone from the table.
 
 use crate::clock::sleep;
-use crate::fronts::answers::{Answers, Stage};
-use crate::fronts::gateways::{ConnectionId, Gateways};
-use crate::ops::dispatcher::News;
-use hazelspur::{OpId, Span};
+use crate::ingress::answers::{Answers, Stage};
+use crate::ingress::gateways::{ConnectionId, Gateways};
+use crate::request::dispatcher::News;
+use hazelspur::{Duration, RequestId};
 use hazelspur_parsers::Buffer;
 use std::io::Read;
 use std::rc::Rc;
@@ -15,18 +15,18 @@
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 
 /// From a gateway that does not read this much, nothing more is read either.
-const MOST_UNWRITTEN: usize = 64 * 1024;
+const MAX_UNWRITTEN: usize = 64 * 1024;
 /// After an error nothing more is read for a while, so that errors at full speed don't take up the core.
-const FAULT_PAUSE: Span = Span::from_ms(50);
+const FAULT_PAUSE: Duration = Duration::from_ms(50);
 /// A caller that does not take its last answers is left after this.
-const LAST_WRITE: Span = Span::from_ms(1000);
-/// A peer that goes on sending ops after its farewell is looked at so often, each time so much.
-const MOST_LOOKS: usize = 8;
+const LAST_WRITE: Duration = Duration::from_ms(1000);
+/// A peer that goes on sending requests after its farewell is looked at so often, each time so much.
+const MAX_LOOKS: usize = 8;
 const LOOK: usize = 64 * 1024;
 /// What still comes after the last word is read and dropped, so that a reset does not swallow that word; so
 /// much of it, for so long.
 const DISCARDED: usize = 256 * 1024;
-const DISCARDING: Span = Span::from_ms(300);
+const DISCARDING: Duration = Duration::from_ms(300);
 
 #[derive(Clone, Copy, PartialEq)]
 enum End {
@@ -37,7 +37,7 @@
     Broken,
 }
 
-/// Whatever ends a connection's task, a panic too: its place is free, and its ops know that nobody waits.
+/// Whatever ends a connection's task, a panic too: its place is free, and its requests know that nobody waits.
 struct Settled {
     gateways: Rc<Gateways>,
     connection: ConnectionId,
@@ -47,11 +47,11 @@
 impl Drop for Settled {
     fn drop(&mut self) {
         self.gateways.remove(self.connection);
-        let left: Vec<OpId> = self.answers.open.borrow().values().copied().collect();
+        let left: Vec<RequestId> = self.answers.open.borrow().values().copied().collect();
         if !left.is_empty() {
             log::debug!(open = left.len(); "connection broke");
         }
-        left.into_iter().for_each(|op| self.gateways.services.dispatcher.hand(op, News::Gone));
+        left.into_iter().for_each(|request| self.gateways.services.dispatcher.hand(request, News::Gone));
     }
 }
 
@@ -78,7 +78,7 @@
                 return;
             }
             answers.stage.set(Stage::Closing);
-            for _ in 0..MOST_LOOKS {
+            for _ in 0..MAX_LOOKS {
                 tokio::select! {
                     () = &mut writing => return,
                     () = answers.all_out(LAST_WRITE) => {}
@@ -116,7 +116,7 @@
             } else if faults_now > faults {
                 sleep(FAULT_PAUSE).await;
             }
-            answers.written_below(MOST_UNWRITTEN).await;
+            answers.written_below(MAX_UNWRITTEN).await;
         }
     }
 
--- a/crates/hazelspur-server/src/fronts/gateways.rs
+++ b/crates/hazelspur-server/src/ingress/gateways.rs
@@ -1,11 +1,11 @@
 //! Gateways' connections as a whole: who is accepted, how many there are, which are closed and when.
 
 use crate::clock::sleep;
-use crate::fronts::answers::{Answers, Stage};
-use crate::ops::life::Services;
-use crate::start::descriptors::Descriptors;
-use crate::start::phases::{Phase, Phases};
-use hazelspur::{Catalog, Span};
+use crate::config::descriptors::Descriptors;
+use crate::config::phases::{Phase, Phases};
+use crate::ingress::answers::{Answers, Stage};
+use crate::request::life::Services;
+use hazelspur::{Catalog, Duration};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::future::poll_fn;
@@ -13,25 +13,25 @@
 use std::task::Poll;
 use tokio::net::{TcpListener, TcpStream};
 
-const ROUND: Span = Span::from_ms(100);
-const CLOSING_ROUND: Span = Span::from_ms(10);
+const ROUND: Duration = Duration::from_ms(100);
+const CLOSING_ROUND: Duration = Duration::from_ms(10);
 /// How long a gateway may take to close a connection after a farewell; less in a drain, which has an end.
-const FAREWELL: Span = Span::from_ms(1500);
-const LAST_FAREWELL: Span = Span::from_ms(400);
-const HEALTH_IDLE: Span = Span::from_ms(60_000);
+const FAREWELL: Duration = Duration::from_ms(1500);
+const LAST_FAREWELL: Duration = Duration::from_ms(400);
+const HEALTH_IDLE: Duration = Duration::from_ms(60_000);
 /// So many idle connections are closed at a time when there are too many.
 const EVICTED: usize = 16;
 /// A full table is looked at again after this; a failed accept is tried again after this, and ever later.
-const FULL_PAUSE: Span = Span::from_ms(5);
-const LONGEST_ACCEPT_PAUSE: Span = Span::from_ms(160);
+const FULL_PAUSE: Duration = Duration::from_ms(5);
+const LONGEST_ACCEPT_PAUSE: Duration = Duration::from_ms(160);
 /// Within this a connection has to bring something good; it is told and closed well before 3 s.
-const FIRST_GOOD: Span = Span::from_ms(1800);
+const FIRST_GOOD: Duration = Duration::from_ms(1800);
 /// Within this a line that has begun has to be whole.
-const PARTIAL_LINE: Span = Span::from_ms(2500);
-/// The same where ops that the runtime knew have come: its path may be cut in the middle of an op.
-const KNOWN_PARTIAL_LINE: Span = Span::from_ms(30_000);
+const PARTIAL_LINE: Duration = Duration::from_ms(2500);
+/// The same where requests that the runtime knew have come: its path may be cut in the middle of a request.
+const KNOWN_PARTIAL_LINE: Duration = Duration::from_ms(30_000);
 /// Lines on bad connections in a round; more are told as a number.
-const MOST_TOLD: u32 = 4;
+const MAX_TOLD: u32 = 4;
 
 pub struct Gateways {
     pub services: Rc<Services>,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// How many ops are owed an answer, on how many connections.
+    /// How many requests are owed an answer, on how many connections.
     pub fn figures(&self) -> (usize, usize) {
         let open: usize = self.connections.borrow().values().map(|c| c.open.borrow().len()).sum();
         (open, self.connected())
@@ -94,7 +94,7 @@
         let (faults, why) = answers.faults.get();
         if faults > 0 {
             self.bad.set(self.bad.get() + 1);
-            if self.bad.get() <= MOST_TOLD {
+            if self.bad.get() <= MAX_TOLD {
                 log::warn!(faults, last = why; "bad input");
             }
         }
@@ -222,14 +222,14 @@
                 let idle = if connection.for_health.get() { Some(HEALTH_IDLE) } else { idle };
                 match connection.stage.get() {
                     Stage::Open if closing || idle.is_some_and(|idle| quiet >= idle) => connection.farewell(),
-                    // Half an op is no op yet: its other half is waited for, as long as for any.
+                    // Half a request is no request yet: its other half is waited for, as long as for any.
                     Stage::Parting(at) if now - at >= parting && quiet >= parting && partial.is_none() => {
                         connection.end();
                     }
                     _ => {}
                 }
             }
-            let untold = self.bad.take().saturating_sub(MOST_TOLD);
+            let untold = self.bad.take().saturating_sub(MAX_TOLD);
             if untold > 0 {
                 log::warn!(connections_not_told = untold, connections = self.connected(); "bad input");
             }
--- a/crates/hazelspur-server/src/fronts/mod.rs
+++ b/crates/hazelspur-server/src/ingress/mod.rs
@@ -1,4 +1,4 @@
-//! Where ops are read and answered.
+//! Where requests are read and answered.
 
 pub mod answers;
 pub mod connection;
--- a/crates/hazelspur-server/src/fronts/queues.rs
+++ b/crates/hazelspur-server/src/ingress/queues.rs
@@ -1,15 +1,17 @@
 //! The front that consumes queues over AMQP 0-9-1: one connection, a channel for each queue and one to publish
 //! on. What came is told to `Book`, which decides how each delivery is settled; whether and when it runs is
-//! decided by the module, as for every op.
+//! decided by the module, as for every request.
 
 use crate::clock::{long, sleep};
-use crate::ops::deduplication::{Found, Key, Keyed};
-use crate::ops::dispatcher::News;
-use crate::ops::life::{LONGEST_BODY, Life, Read, Services};
-use crate::ops::owed::{Front, MayRun, Owed};
-use crate::start::operator::{Amqp, Operator, Queue, SentBy, Settle};
-use crate::start::phases::{Phase, Phases};
-use hazelspur::{CallerId, Catalog, Moment, OpId, OpType, OpTypeId, Span, TenantId, UserKey};
+use crate::config::operator::{Amqp, Operator, Queue, SentBy, Settle};
+use crate::config::phases::{Phase, Phases};
+use crate::request::deduplication::{Found, IdempotentWithKey, Key};
+use crate::request::dispatcher::News;
+use crate::request::life::{LONGEST_BODY, Life, Read, Services};
+use crate::request::owed::{Front, MayRun, Owed};
+use hazelspur::{
+    Catalog, ClientId, Duration, RequestClass, RequestClassId, RequestId, SessionKey, TenantId, Timestamp,
+};
 use hazelspur_amqp::session::Phase as Talk;
 use hazelspur_amqp::{Field, Listener, Properties, Session, Table, TableWriter, Terms};
 use hazelspur_deliveries::{
@@ -22,42 +24,42 @@
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, oneshot};
 
-const CONNECTING: Span = Span::from_ms(2000);
+const CONNECTING: Duration = Duration::from_ms(2000);
 /// From a broker that does not read this much, nothing more is read either.
-const MOST_UNWRITTEN: usize = 256 * 1024;
+const MAX_UNWRITTEN: usize = 256 * 1024;
 /// Properties longer than this are not kept: such a message is poison.
 const LONGEST_PROPERTIES: usize = 8 * 1024;
 /// A publisher's time that is so far ahead is not believed.
-const AHEAD: Span = Span::from_ms(2000);
+const AHEAD: Duration = Duration::from_ms(2000);
 /// A queue that was taken from us is asked for again after this, doubled each time up to a bound.
-const AGAIN: Span = Span::from_ms(1000);
-const LONGEST_AGAIN: Span = Span::from_ms(30_000);
+const AGAIN: Duration = Duration::from_ms(1000);
+const LONGEST_AGAIN: Duration = Duration::from_ms(30_000);
 /// Windows and what waits are looked at so often at least.
 /// How often it is looked at how far the windows are used.
-const SAMPLE: Span = Span::from_ms(20);
-const ROUND: Span = Span::from_ms(250);
+const SAMPLE: Duration = Duration::from_ms(20);
+const ROUND: Duration = Duration::from_ms(250);
 /// What is in hand when the brokers change has so long to be settled where it came from.
-const MOVE_WITHIN: Span = Span::from_ms(5000);
+const MOVE_WITHIN: Duration = Duration::from_ms(5000);
 const TRIES: &str = "x-hazelspur-tries";
 const SENT: &str = "x-sent-ms";
 const WAITS: &str = "x-waits-ms";
 
 /// What is kept of a delivery until it is settled.
 struct Parts {
-    op: OpId,
+    request: RequestId,
     queue: QueueId,
     read: Option<Readable>,
     properties: Vec<u8>,
-    sent: Moment,
+    sent: Timestamp,
     body: Rc<[u8]>,
 }
 
-/// A message that can be run as an op.
+/// A message that can be run as a request.
 struct Readable {
-    op_type: OpTypeId,
-    terms: Rc<OpType>,
+    request_class: RequestClassId,
+    terms: Rc<RequestClass>,
     tenant: TenantId,
-    user: Option<UserKey>,
+    user: Option<SessionKey>,
     key: Option<Key>,
     kb: f64,
 }
@@ -77,23 +79,23 @@
     stirred: Notify,
     link: Cell<Link>,
     last_op: Cell<u64>,
-    born: Moment,
+    born: Timestamp,
     counted: Cell<(u32, u32)>,
     /// The broker in use is no longer in the operator's file.
     moving: Cell<bool>,
     leaving: Cell<bool>,
     over: Cell<bool>,
     own: Weak<Self>,
-    sampled: Cell<Moment>,
+    sampled: Cell<Timestamp>,
 }
 
 /// One connection's session with what is to be asked on it again.
 struct Linked {
     session: Session,
     link: Link,
-    again: BTreeMap<u16, (Moment, Span)>,
+    again: BTreeMap<u16, (Timestamp, Duration)>,
     /// Since when it is being left in good order.
-    leaving: Option<Moment>,
+    leaving: Option<Timestamp>,
 }
 
 impl Queues {
@@ -111,7 +113,7 @@
             .iter()
             .map(|queue| book::Terms { table: queue.table(), settle_first: queue.settle == Settle::Before });
         let terms = terms.collect();
-        let memory = Memory::new(Span::from_secs(amqp.memory_s), amqp.memory_entries, amqp.memory_bytes);
+        let memory = Memory::new(Duration::from_secs(amqp.memory_s), amqp.memory_entries, amqp.memory_bytes);
         Rc::new_cyclic(|own| Self {
             own: own.clone(),
             sampled: Cell::new(now),
@@ -119,7 +121,7 @@
             // Instances that start together must not draw the same chances.
             brokers: RefCell::new(Brokers::new(
                 &amqp.brokers,
-                Span::from_secs(amqp.spread_s),
+                Duration::from_secs(amqp.spread_s),
                 seed ^ now.us(),
                 now,
             )),
@@ -163,7 +165,7 @@
         self.stirred.notify_one();
     }
 
-    fn now(&self) -> Moment {
+    fn now(&self) -> Timestamp {
         self.services.dispatcher.clock.now()
     }
 
@@ -234,7 +236,7 @@
 
     fn note_leaving(&self) {
         if left(self.phases.now()) && !self.leaving.replace(true) {
-            self.book.borrow_mut().leave_notice();
+            self.book.borrow_mut().shutdown_notice();
         }
     }
 
@@ -252,7 +254,7 @@
             login: self.amqp.user.clone().map(|user| (user, self.amqp.password.clone())),
             vhost: self.amqp.vhost.clone(),
             name: self.name.clone(),
-            heartbeat: Span::from_secs(self.amqp.heartbeat_s),
+            heartbeat: Duration::from_secs(self.amqp.heartbeat_s),
             longest_frame: self.amqp.longest_frame,
             most_unsettled: self.queues.iter().map(|queue| usize::from(queue.most)).max().unwrap_or(1),
             channels: self.publishing_on(),
@@ -274,7 +276,7 @@
             tokio::select! {
                 biased;
                 // Backpressure: a broker that does not read is not read either.
-                came = read.read_buf(linked.session.room()), if !over && out.len() - written < MOST_UNWRITTEN => {
+                came = read.read_buf(linked.session.room()), if !over && out.len() - written < MAX_UNWRITTEN => {
                     match came {
                         Ok(0) => linked.session.cut("closed without a word"),
                         Ok(_) => self.hear(&mut linked),
@@ -291,7 +293,7 @@
                 // What else is ready to end goes out with it.
                 () = self.stirred.notified(), if !over => tokio::task::yield_now().await,
                 () = self.phases.reached(left), if !over && !self.leaving.get() => {}
-                () = sleep(wait.max(Span::from_ms(1))) => {
+                () = sleep(wait.max(Duration::from_ms(1))) => {
                     if over {
                         break;
                     }
@@ -312,10 +314,10 @@
         (why, !opened && linked.session.phase() == Talk::Over && linked.session.was_refused())
     }
 
-    fn next_look(&self, linked: &Linked) -> Moment {
+    fn next_look(&self, linked: &Linked) -> Timestamp {
         let again = linked.again.values().map(|(at, _)| *at).min();
         let times = [linked.session.next_tick(), self.book.borrow().next_time(), again];
-        times.into_iter().flatten().min().unwrap_or(Moment::from_us(u64::MAX)).min(self.now() + ROUND)
+        times.into_iter().flatten().min().unwrap_or(Timestamp::from_us(u64::MAX)).min(self.now() + ROUND)
     }
 
     /// Takes what came.
@@ -334,7 +336,7 @@
         if opened {
             log::info!(broker:% = self.brokers.borrow().address(), queues = self.queues.len(); "broker open");
             let channels = 1..=self.publishing_on();
-            linked.again = channels.map(|channel| (channel, (now, Span::ZERO))).collect();
+            linked.again = channels.map(|channel| (channel, (now, Duration::ZERO))).collect();
         }
         for channel in ready {
             if channel == self.publishing_on() {
@@ -345,7 +347,7 @@
             linked.again.remove(&channel);
         }
         for (channel, closed, why) in ended {
-            let before = linked.again.get(&channel).map_or(Span::ZERO, |(_, pause)| *pause);
+            let before = linked.again.get(&channel).map_or(Duration::ZERO, |(_, pause)| *pause);
             let pause = (before + before).clamp(AGAIN, LONGEST_AGAIN);
             linked.again.insert(channel, (now + pause, pause));
             let queue = self.queues.get(usize::from(channel) - 1).map_or("(publishing)", |queue| &queue.name);
@@ -427,11 +429,13 @@
             match step {
                 Step::Offer(id) => self.offer(now, id),
                 Step::Withdraw(id) => {
-                    let op = self.parts.borrow().get(&id).map(|parts| parts.op);
-                    op.into_iter().for_each(|op| self.services.dispatcher.hand(op, News::Gone));
+                    let request = self.parts.borrow().get(&id).map(|parts| parts.request);
+                    request
+                        .into_iter()
+                        .for_each(|request| self.services.dispatcher.hand(request, News::Gone));
                 }
                 Step::Begin(id, may) => {
-                    // The op's task may have ended meanwhile.
+                    // The request's task may have ended meanwhile.
                     let begin = self.begins.borrow_mut().remove(&id);
                     let _ = begin.map(|begin| begin.send(may));
                 }
@@ -470,33 +474,35 @@
                 Step::Forget(id, ending) => {
                     let parts = self.parts.borrow_mut().remove(&id);
                     if let Some(parts) = parts.filter(|_| log::log_enabled!(log::Level::Debug)) {
-                        log::debug!(op:% = parts.op, ending = ending.name(); "delivery over");
+                        log::debug!(op:% = parts.request, ending = ending.name(); "delivery over");
                     }
                 }
             }
         }
     }
 
-    /// Begins the life of its op.
-    fn offer(&self, now: Moment, id: DeliveryId) {
+    /// Begins the life of its request.
+    fn offer(&self, now: Timestamp, id: DeliveryId) {
         let parts = self.parts.borrow();
         let Some((parts, read)) = parts.get(&id).and_then(|parts| Some((parts, parts.read.as_ref()?))) else {
             return log::error!("a delivery without its parts");
         };
-        let (dispatcher, op) = (&self.services.dispatcher, parts.op);
-        let Some(news) = dispatcher.enroll(op) else { return log::error!(op:%; "an op id twice") };
+        let (dispatcher, request) = (&self.services.dispatcher, parts.request);
+        let Some(news) = dispatcher.enroll(request) else {
+            return log::error!(op:% = request; "an op id twice");
+        };
         let keyed = read.key.clone().map(|key| {
-            let (of, body) = ((read.tenant, read.op_type), parts.body.clone());
+            let (of, body) = ((read.tenant, read.request_class), parts.body.clone());
             dispatcher
                 .deduplication
                 .borrow_mut()
-                .read(now, Keyed { op, key, of, arrived: now, body, vouched: true })
+                .read(now, IdempotentWithKey { request, key, of, arrived: now, body, vouched: true })
         });
-        let repeat_of = match keyed {
+        let retry_of = match keyed {
             None | Some(Found::First) => None,
             Some(Found::RepeatOf(first)) => read.key.clone().map(|key| (key, first)),
             Some(Found::NotTheSame) => {
-                dispatcher.strike(op);
+                dispatcher.strike(request);
                 log::warn!(queue = self.queues[parts.queue.0].name.as_str(); "another op's message-id");
                 return self.ended(id, Ending::Failed, &[]);
             }
@@ -504,17 +510,17 @@
         let caller = Caller { front: self.this(), id };
         let life = Life {
             services: self.services.clone(),
-            op,
+            request,
             terms: read.terms.clone(),
             body: parts.body.clone(),
-            repeat_of,
+            retry_of,
             ran: false,
             owed: Owed::new(caller, dispatcher.clone()),
             news,
         };
-        let caller = CallerId(u64::MAX - parts.queue.0 as u64);
-        let Readable { op_type, tenant, user, kb, .. } = *read;
-        let read = Read { op_type, tenant, user, caller, due: None, kb, arrived: now };
+        let caller = ClientId(u64::MAX - parts.queue.0 as u64);
+        let Readable { request_class, tenant, user, kb, .. } = *read;
+        let read = Read { request_class, tenant, user, caller, due: None, kb, arrived: now };
         tokio::task::spawn_local(life.begin(&read).live());
     }
 
@@ -536,7 +542,7 @@
     }
 
     /// The message as it came, to come back by the broker's own clock; what it waits for goes on from before.
-    fn retry(&self, session: &mut Session, id: DeliveryId, pause: Span, tries: u32) -> bool {
+    fn retry(&self, session: &mut Session, id: DeliveryId, pause: Duration, tries: u32) -> bool {
         let parts = self.parts.borrow();
         let Some(parts) = parts.get(&id) else { return false };
         let Some(queue) = &self.queues[parts.queue.0].retry_queue else { return false };
@@ -558,38 +564,41 @@
         session.publish(self.publishing_on(), id.0, "", queue, &properties, &parts.body)
     }
 
-    /// Its op has its answer.
+    /// Its request has its answer.
     fn ended(&self, id: DeliveryId, ending: Ending, result: &[u8]) {
         self.begins.borrow_mut().remove(&id);
         self.book.borrow_mut().ended(self.now(), id, ending, &result.into());
         self.stirred.notify_one();
     }
 
-    /// Decodes what was delivered: as an op, or why it is none, and by when it has to begin.
+    /// Decodes what was delivered: as a request, or why it is none, and by when it has to begin.
     fn read(
         &self,
-        now: Moment,
+        now: Timestamp,
         queue: &Queue,
         properties: &Properties<'_>,
         body: &[u8],
-    ) -> (Result<Readable, Ending>, Moment, Option<Moment>, u32) {
+    ) -> (Result<Readable, Ending>, Timestamp, Option<Timestamp>, u32) {
         let header = |name: &str| properties.header(name);
         let ms = |field: Option<Field<'_>>| {
-            field.and_then(Field::count).map(|ms| Span::from_us(ms.saturating_mul(1000)))
+            field.and_then(Field::count).map(|ms| Duration::from_us(ms.saturating_mul(1000)))
         };
         let stamped = match queue.clock {
             SentBy::Reading => None,
             // Whole seconds: the earliest moment that it can stand for.
             SentBy::Publisher => header(SENT)
                 .and_then(Field::count)
-                .map(|ms| Moment::from_us(ms.saturating_mul(1000)))
-                .or(properties.timestamp.map(|s| Moment::from_us(s.saturating_mul(1_000_000)))),
+                .map(|ms| Timestamp::from_us(ms.saturating_mul(1000)))
+                .or(properties.timestamp.map(|s| Timestamp::from_us(s.saturating_mul(1_000_000)))),
         };
         let clock = &self.services.dispatcher.clock;
         let sent = stamped.filter(|sent| clock.stamped(*sent) <= now + AHEAD).unwrap_or(clock.wall());
         let waits = ms(header(WAITS))
-            .or(properties.expiration.and_then(|ms| ms.parse().ok()).map(|ms: u32| Span::from_ms(ms.into())))
-            .or(queue.waits_s.map(Span::from_secs));
+            .or(properties
+                .expiration
+                .and_then(|ms| ms.parse().ok())
+                .map(|ms: u32| Duration::from_ms(ms.into())))
+            .or(queue.waits_s.map(Duration::from_secs));
         let due = waits.map(|waits| clock.stamped(sent) + waits);
         let counted = |name| header(name).and_then(Field::count).unwrap_or(0).min(u64::from(u32::MAX)) as u32;
         let tries = counted(TRIES).max(counted("x-delivery-count"));
@@ -598,9 +607,9 @@
             Some(field) => field.text().map(Some).ok_or(Ending::Poison),
         };
         let readable = || {
-            let name = queue.op_type.as_deref().or(properties.kind).ok_or(Ending::Unknown)?;
+            let name = queue.request_class.as_deref().or(properties.kind).ok_or(Ending::Unknown)?;
             let catalog = self.catalog.borrow();
-            let (op_type, terms) = catalog.find_op_type(name).ok_or(Ending::Unknown)?;
+            let (request_class, terms) = catalog.find_request_class(name).ok_or(Ending::Unknown)?;
             let (tenant, tenant_name) = catalog.find_tenant(text("x-owner")?).ok_or(Ending::Poison)?;
             let kb = match header("x-need-kb") {
                 None => queue.need_kb,
@@ -611,9 +620,9 @@
                 return Err(Ending::Poison);
             }
             let subject = text("x-subject")?;
-            let (user, op_key) = (subject.map(UserKey::of), properties.message_id);
+            let (user, op_key) = (subject.map(SessionKey::of), properties.message_id);
             let key = Key::of(&terms, &tenant_name, op_key, op_key.or(subject));
-            Ok(Readable { op_type, terms, tenant, user, key, kb })
+            Ok(Readable { request_class, terms, tenant, user, key, kb })
         };
         (readable(), sent, due, tries)
     }
@@ -623,10 +632,10 @@
         self.own.upgrade().expect("it is alive: this is its method")
     }
 
-    fn next_op(&self) -> OpId {
+    fn next_op(&self) -> RequestId {
         self.last_op.set(self.last_op.get() + 1);
         let text = format!("q{:x}-{:x}", self.born.us(), self.last_op.get());
-        OpId::padded(&text).expect("under 36 characters")
+        RequestId::padded(&text).expect("under 36 characters")
     }
 }
 
@@ -643,7 +652,7 @@
     }
 }
 
-/// The caller of an op that came as a delivery.
+/// The caller of a request that came as a delivery.
 struct Caller {
     front: Rc<Queues>,
     id: DeliveryId,
@@ -655,8 +664,8 @@
     }
 
     /// Where to try is the broker's choice; when, its settings leave to us.
-    fn nacked(&mut self, come_back: Span, _nowhere_else: bool) {
-        self.front.ended(self.id, Ending::Nacked(come_back.max(LEAST_COME_BACK)), &[]);
+    fn nacked(&mut self, retry_after: Duration, _nowhere_else: bool) {
+        self.front.ended(self.id, Ending::Nacked(retry_after.max(LEAST_COME_BACK)), &[]);
     }
 
     fn failed(&mut self) {
@@ -679,13 +688,13 @@
 }
 
 /// A nacked delivery stays away so long at least, also where the settings tell callers nothing.
-const LEAST_COME_BACK: Span = Span::from_ms(200);
+const LEAST_COME_BACK: Duration = Duration::from_ms(200);
 
 /// Hears one session.
 struct SessionEvents<'a> {
     front: &'a Queues,
     link: Link,
-    now: Moment,
+    now: Timestamp,
     opened: bool,
     ready: Vec<u16>,
     /// Channels whose consumer, or which themselves, were ended by the broker, and why.
@@ -735,7 +744,7 @@
         }
         let id = front.book.borrow_mut().arrived(now, came);
         let parts = Parts {
-            op: front.next_op(),
+            request: front.next_op(),
             queue,
             read: read.ok(),
             properties: if decoded.is_some() { properties.to_vec() } else { Vec::new() },
--- a/crates/hazelspur-server/src/main.rs
+++ b/crates/hazelspur-server/src/main.rs
@@ -1,33 +1,29 @@
 //! The hazelspur server: gateways on one side, the runtime, the ledger and the control plane on the other,
-//! every decision in between made by `hazelspur::Logic`.
+//! every decision in between made by `hazelspur::AdmissionController`.
 
-mod back;
 mod clock;
+mod config;
 mod fleet;
-mod fronts;
-mod ops;
-mod start;
+mod ingress;
+mod request;
 mod supervise;
+mod upstream;
 
-use back::control;
-use back::ledger::Ledger;
-use back::peers::Peers;
-use back::runtime::Link;
 use clap::Parser;
 use clock::{long, sleep};
+use config::command::{Command, Line, Serve, Shape};
+use config::descriptors::Descriptors;
+use config::logs;
+use config::operator::{self, Operator};
+use config::phases::{Phase, Phases};
+use config::reload::{self, Named};
+use config::startup::{self, Startup};
 use fleet::talk::{Around, Talk};
-use fronts::gateways::Gateways;
-use fronts::queues::Queues;
-use hazelspur::{Catalog, Logic, Span};
-use ops::dispatcher::Dispatcher;
-use ops::life::Services;
-use start::command::{Command, Line, Serve, Shape};
-use start::descriptors::Descriptors;
-use start::logs;
-use start::operator::{self, Operator};
-use start::phases::{Phase, Phases};
-use start::reload::{self, Named};
-use start::startup::{self, Startup};
+use hazelspur::{AdmissionController, Catalog, Duration};
+use ingress::gateways::Gateways;
+use ingress::queues::Queues;
+use request::dispatcher::Dispatcher;
+use request::life::Services;
 use std::cell::RefCell;
 use std::io::{Error, ErrorKind};
 use std::net::SocketAddr;
@@ -38,13 +34,17 @@
 use tokio::net::TcpListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::LocalSet;
+use upstream::control;
+use upstream::ledger::Ledger;
+use upstream::peers::Peers;
+use upstream::runtime::Link;
 
 /// So long before it would be killed the process closes whatever is still connected, and ends.
-const ENDING: Span = Span::from_ms(180);
-const STOP_MARGIN: Span = Span::from_ms(40);
+const ENDING: Duration = Duration::from_ms(180);
+const STOP_MARGIN: Duration = Duration::from_ms(40);
 /// How long an address that another process holds is tried again: a start may take 30 s.
-const BIND_FOR: Span = Span::from_ms(20_000);
-const BIND_AGAIN: Span = Span::from_ms(20);
+const BIND_FOR: Duration = Duration::from_ms(20_000);
+const BIND_AGAIN: Duration = Duration::from_ms(20);
 
 fn main() -> ExitCode {
     let line = Line::parse();
@@ -175,8 +175,8 @@
     };
     let gateways = Rc::new(Gateways::new(services, phases.clone(), catalog.clone(), listener, budget));
     let (name, queued) = (startup.name.as_str(), operator.queues.len());
-    let (op_types, tenants) = catalog.borrow().size();
-    log::info!(name, listen:%, stop_ms = stop.us() / 1000, op_types, tenants, queues = queued, connections = budget.gateways,
+    let (request_classes, tenants) = catalog.borrow().size();
+    log::info!(name, listen:%, stop_ms = stop.us() / 1000, op_types = request_classes, tenants, queues = queued, connections = budget.gateways,
         calls = budget.calls; "start");
 
     let reloader = reload::Reloader {
@@ -213,7 +213,7 @@
     };
     if let Some((hot, up)) = known {
         let began = dispatcher.clock.now().back(up);
-        dispatcher.open(Logic::with(catalog, !hot, seed, began));
+        dispatcher.open(AdmissionController::with(catalog, !hot, seed, began));
         log::info!(cold = !hot, up_ms = up.us() / 1000; "runtime known");
     }
     let serving = known.is_some();
@@ -224,7 +224,7 @@
     let noticed = dispatcher.clock.now();
     let stop = noticed + stop;
     if serving {
-        dispatcher.tell(|logic, now| logic.leave_notice(now, stop));
+        dispatcher.tell(|controller, now| controller.shutdown_notice(now, stop));
         phases.enter(Phase::Draining, gateways.figures());
         dispatcher.clock.sleep_until((noticed + grace).min(stop.back(ENDING))).await;
     }
@@ -232,7 +232,7 @@
     for (phase, until) in [(Phase::Closing, stop.back(ENDING)), (Phase::Ending, stop.back(STOP_MARGIN))] {
         phases.enter(phase, gateways.figures());
         while dispatcher.clock.now() < until && !all_ended() {
-            sleep(Span::from_ms(5)).await;
+            sleep(Duration::from_ms(5)).await;
         }
     }
     queues.iter().for_each(|queues| queues.tell_figures());
--- a/crates/hazelspur-server/src/ops/mod.rs
+++ b/crates/hazelspur-server/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! An op between its reading and its answer.
+//! A request between its reading and its answer.
 
 pub mod deduplication;
 pub mod dispatcher;
--- a/crates/hazelspur-server/src/ops/owed.rs
+++ b/crates/hazelspur-server/src/request/owed.rs
@@ -1,36 +1,36 @@
-//! The one answer that an op's caller is owed, whichever front has read the op.
+//! The one answer that a request's caller is owed, whichever front has read the request.
 
-use crate::ops::dispatcher::Dispatcher;
-use hazelspur::Span;
+use crate::request::dispatcher::Dispatcher;
+use hazelspur::Duration;
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// Whether an op whose run was decided may begin.
+/// Whether a request whose run was decided may begin.
 pub enum MayRun {
     Now,
     /// Something has to be shown first; `false`, or nobody there to say, means never.
     Once(oneshot::Receiver<bool>),
 }
 
-/// The front that has read an op, as the op's life sees it. Each op gets one call of these at most.
+/// The front that has read a request, as the request's life sees it. Each request gets one call of these at most.
 pub trait Front {
     fn acked(&mut self, result: &[u8]);
     /// It never ran: when to come back, and whether to try nowhere else.
-    fn nacked(&mut self, come_back: Span, nowhere_else: bool);
+    fn nacked(&mut self, retry_after: Duration, do_not_retry_elsewhere: bool);
     /// It promises nothing: it may have run.
     fn failed(&mut self);
-    /// No worker knows this op; it never ran.
+    /// No worker knows this request; it never ran.
     fn unknown(&mut self);
     /// Its caller is gone: no answer.
     fn gone(&mut self);
     fn may_run(&mut self) -> MayRun {
         MayRun::Now
     }
-    /// The runtime knows this op, so its caller is one of those that ops come from.
+    /// The runtime knows this request, so its caller is one of those that requests come from.
     fn known(&mut self) {}
 }
 
-/// Gives one answer and no second; dropped without one it fails the op.
+/// Gives one answer and no second; dropped without one it fails the request.
 pub struct Owed {
     front: Box<dyn Front>,
     dispatcher: Rc<Dispatcher>,
@@ -61,10 +61,10 @@
         }
     }
 
-    pub fn nacked(&mut self, come_back: Span, nowhere_else: bool) {
+    pub fn nacked(&mut self, retry_after: Duration, do_not_retry_elsewhere: bool) {
         if self.take() {
             self.dispatcher.count(false);
-            self.front.nacked(come_back, nowhere_else);
+            self.front.nacked(retry_after, do_not_retry_elsewhere);
         }
     }
 
--- a/crates/hazelspur-server/src/supervise.rs
+++ b/crates/hazelspur-server/src/supervise.rs
@@ -1,15 +1,15 @@
-//! Tasks that serve all ops: begun again should one fail, ever later if it goes on failing.
+//! Tasks that serve all requests: begun again should one fail, ever later if it goes on failing.
 
 use crate::clock::sleep;
-use hazelspur::Span;
+use hazelspur::Duration;
 use std::rc::Rc;
-use std::time::{Duration, Instant};
+use std::time::{Duration as StdDuration, Instant};
 use tokio::task::spawn_local;
 
-const AGAIN: Span = Span::from_ms(10);
-const LONGEST_AGAIN: Span = Span::from_ms(1000);
+const AGAIN: Duration = Duration::from_ms(10);
+const LONGEST_AGAIN: Duration = Duration::from_ms(1000);
 /// One that has run for so long before it failed is begun again soon.
-const WELL: Duration = Duration::from_secs(10);
+const WELL: StdDuration = StdDuration::from_secs(10);
 
 pub fn supervise<T: 'static, F: Future<Output = ()> + 'static>(
     name: &'static str,
--- a/crates/hazelspur-server/src/back/control.rs
+++ b/crates/hazelspur-server/src/upstream/control.rs
@@ -1,11 +1,11 @@
 //! Reports to the control plane, on which a server's place in the gateways' list rests.
 
-use crate::back::exchange::exchange;
-use crate::back::peers::Peers;
 use crate::clock::{long, sleep};
-use crate::ops::dispatcher::Dispatcher;
-use crate::start::phases::{Phase, Phases};
-use hazelspur::Span;
+use crate::config::phases::{Phase, Phases};
+use crate::request::dispatcher::Dispatcher;
+use crate::upstream::exchange::exchange;
+use crate::upstream::peers::Peers;
+use hazelspur::Duration;
 use hazelspur::pcg::Pcg;
 use hazelspur_parsers::http;
 use std::net::SocketAddr;
@@ -15,15 +15,15 @@
 
 /// The entry lapses 3 s after the last report. Each wait is by chance within these, so that servers which a
 /// list that was gone has brought into step don't stay in step: three hundred would come within 20 ms.
-const EVERY: [Span; 2] = [Span::from_ms(640), Span::from_ms(960)];
-const AGAIN: [Span; 2] = [Span::from_ms(125), Span::from_ms(375)];
+const EVERY: [Duration; 2] = [Duration::from_ms(640), Duration::from_ms(960)];
+const AGAIN: [Duration; 2] = [Duration::from_ms(125), Duration::from_ms(375)];
 /// A dial goes on for so long; beside it others are made that get this long each, since a dial that began
 /// while nothing got through hears of that late.
-const DIALLING: Span = Span::from_ms(10_000);
-const FRESH: Span = Span::from_ms(700);
+const DIALLING: Duration = Duration::from_ms(10_000);
+const FRESH: Duration = Duration::from_ms(700);
 /// How long an answer may take: more after each that took too long.
-const ANSWER: Span = Span::from_ms(700);
-const LONGEST_ANSWER: Span = Span::from_ms(5600);
+const ANSWER: Duration = Duration::from_ms(700);
+const LONGEST_ANSWER: Duration = Duration::from_ms(5600);
 /// A report may count though its answer is missing; only so many in a row are told.
 const MISSED_TO_TELL: u32 = 3;
 const LATE: &str = "no answer in time";
@@ -81,7 +81,7 @@
 
 /// Sends one report, on a connection of its own: nothing that an earlier one left behind can spoil it.
 /// Says how long the answer took.
-async fn put(address: SocketAddr, path: &str, body: &str, patience: Span) -> Result<Span, String> {
+async fn put(address: SocketAddr, path: &str, body: &str, patience: Duration) -> Result<Duration, String> {
     let mut stream = dial(address).await.map_err(|e| e.to_string())?;
     let mut call = Vec::new();
     http::write_call(&mut call, "PUT", path, &address.to_string(), &[], body.as_bytes());
@@ -89,7 +89,7 @@
     match tokio::time::timeout(long(patience), exchange(&mut stream, &call, "")).await {
         Err(_) => Err(LATE.into()),
         Ok(Err(why)) => Err(why),
-        Ok(Ok((204, ..))) => Ok(Span::from_us(asked.elapsed().as_micros() as u64)),
+        Ok(Ok((204, ..))) => Ok(Duration::from_us(asked.elapsed().as_micros() as u64)),
         Ok(Ok((status, ..))) => Err(format!("status {status}")),
     }
 }
--- a/crates/hazelspur-server/src/back/mod.rs
+++ b/crates/hazelspur-server/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! What an op needs to run, and who hears of this server.
+//! What a request needs to run, and who hears of this server.
 
 pub mod control;
 pub mod exchange;
--- a/crates/hazelspur-server/src/back/peers.rs
+++ b/crates/hazelspur-server/src/upstream/peers.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
     pub runtime: SocketAddr,
-    /// Not every installation has one that ops call, or a list of servers.
+    /// Not every installation has one that requests call, or a list of servers.
     pub ledger: Option<SocketAddr>,
     pub control: Option<SocketAddr>,
 }
--- a/crates/hazelspur-server/src/back/runtime.rs
+++ b/crates/hazelspur-server/src/upstream/runtime.rs
@@ -1,9 +1,9 @@
 //! The link to the runtime: commands out, notices in, and what is still unanswered when the link breaks.
 
-use crate::back::peers::Peers;
 use crate::clock::{long, sleep};
-use crate::ops::dispatcher::{Dispatcher, News};
-use hazelspur::{Moment, OpId, Outcome, Span};
+use crate::request::dispatcher::{Dispatcher, News};
+use crate::upstream::peers::Peers;
+use hazelspur::{Duration, Outcome, RequestId, Timestamp};
 use hazelspur_parsers::{Buffer, runtime};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,23 +14,23 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-const PAUSE: Span = Span::from_ms(20);
-const LONGEST_PAUSE: Span = Span::from_ms(500);
+const PAUSE: Duration = Duration::from_ms(20);
+const LONGEST_PAUSE: Duration = Duration::from_ms(500);
 /// How long a dial may take: more after each that took too long. No second one beside it: a new link takes
 /// the place of the one before, also one that nobody uses.
-const DIALLING: Span = Span::from_ms(3000);
-const LONGEST_DIALLING: Span = Span::from_ms(12_000);
+const DIALLING: Duration = Duration::from_ms(3000);
+const LONGEST_DIALLING: Duration = Duration::from_ms(12_000);
 /// The replay is over when the gauges asked for behind it come; they are not waited for longer than this.
 const REPLAYED: &str = "link";
-const REPLAY: Span = Span::from_ms(2000);
+const REPLAY: Duration = Duration::from_ms(2000);
 /// A link that says nothing for so long is made anew.
-const IDLE_TIMEOUT: Span = Span::from_ms(2500);
+const IDLE_TIMEOUT: Duration = Duration::from_ms(2500);
 /// A runtime may come up long after its link was taken, and says nothing until then; whether the link still
 /// leads anywhere is tried so often.
-const UNREADY_TIMEOUT: Span = Span::from_ms(4000);
+const UNREADY_TIMEOUT: Duration = Duration::from_ms(4000);
 /// The module compares gauges with what it knows at that moment, so they are asked for when its timer is due
 /// and used as they come; past this the timer goes without.
-const GAUGES_WITHIN: Span = Span::from_ms(2);
+const GAUGES_WITHIN: Duration = Duration::from_ms(2);
 
 /// A run, and the commands on it that no notice has answered yet.
 struct Run {
@@ -48,7 +48,7 @@
     dispatcher: Rc<Dispatcher>,
     peers: Rc<Peers>,
     gauge_names: Vec<String>,
-    runs: RefCell<BTreeMap<OpId, Run>>,
+    runs: RefCell<BTreeMap<RequestId, Run>>,
     last: Cell<u64>,
     /// Only while this holds do commands go out; else they wait in `runs`.
     up: Cell<bool>,
@@ -65,8 +65,8 @@
     gauges: RefCell<Option<Vec<f64>>>,
     gauges_came: Notify,
     /// When something last came over a link that was up: a runtime that began after that is another.
-    heard_at: Cell<Option<Moment>>,
-    state: Cell<Option<(bool, Span)>>,
+    heard_at: Cell<Option<Timestamp>>,
+    state: Cell<Option<(bool, Duration)>>,
     state_known: Notify,
 }
 
@@ -95,7 +95,7 @@
     }
 
     /// Whether the runtime started hot, and how long it is up; waits until it is.
-    pub async fn ready(&self) -> (bool, Span) {
+    pub async fn ready(&self) -> (bool, Duration) {
         loop {
             if let Some(state) = self.state.get() {
                 return state;
@@ -104,22 +104,22 @@
         }
     }
 
-    pub fn start(&self, op: OpId, class: Arc<str>, body: Rc<[u8]>) {
-        self.send(|out| runtime::start(out, &op.to_string(), &class, &body));
+    pub fn start(&self, request: RequestId, class: Arc<str>, body: Rc<[u8]>) {
+        self.send(|out| runtime::start(out, &request.to_string(), &class, &body));
         let run = Run { class, body, started: true, sent: self.up.get(), given: None, stopped: false };
-        self.runs.borrow_mut().insert(op, run);
+        self.runs.borrow_mut().insert(request, run);
     }
 
-    pub fn stop(&self, op: OpId) {
-        self.send(|out| runtime::stop(out, &op.to_string()));
-        if let Some(run) = self.runs.borrow_mut().get_mut(&op) {
+    pub fn stop(&self, request: RequestId) {
+        self.send(|out| runtime::stop(out, &request.to_string()));
+        if let Some(run) = self.runs.borrow_mut().get_mut(&request) {
             run.stopped = true;
         }
     }
 
-    pub fn give(&self, op: OpId, reply: Vec<u8>) {
-        self.send(|out| runtime::give(out, &op.to_string(), &reply));
-        if let Some(run) = self.runs.borrow_mut().get_mut(&op) {
+    pub fn give(&self, request: RequestId, reply: Vec<u8>) {
+        self.send(|out| runtime::give(out, &request.to_string(), &reply));
+        if let Some(run) = self.runs.borrow_mut().get_mut(&request) {
             run.given = Some((reply, self.tick.get()));
         }
     }
@@ -229,8 +229,8 @@
     /// All replayed notices have been taken: whatever they did not answer goes out again.
     fn resend(&self, out: &mut Vec<u8>) {
         let mut again = 0;
-        for (op, run) in self.runs.borrow_mut().iter_mut() {
-            let (id, before) = (op.to_string(), out.len());
+        for (request, run) in self.runs.borrow_mut().iter_mut() {
+            let (id, before) = (request.to_string(), out.len());
             run.sent = true;
             if run.started {
                 runtime::start(out, &id, &run.class, &run.body);
@@ -260,7 +260,7 @@
             let gauges = tokio::time::timeout(long(GAUGES_WITHIN), self.fresh_gauges()).await;
             let gauges = gauges.unwrap_or_default();
             let named: Vec<(&str, f64)> = self.gauge_names.iter().map(String::as_str).zip(gauges).collect();
-            self.dispatcher.tell(|logic, now| logic.timer(now, &named));
+            self.dispatcher.tell(|controller, now| controller.timer(now, &named));
         }
     }
 
@@ -282,8 +282,8 @@
         let (gone, unsent): (BTreeMap<_, _>, _) = self.runs.take().into_iter().partition(|(_, run)| run.sent);
         self.runs.replace(unsent);
         log::warn!(runs = gone.len(); "runtime restarted");
-        for op in gone.into_keys() {
-            self.dispatcher.hand(op, News::Ended(Outcome::Error, Rc::from([])));
+        for request in gone.into_keys() {
+            self.dispatcher.hand(request, News::Ended(Outcome::Error, Rc::from([])));
         }
     }
 
@@ -300,35 +300,35 @@
 impl runtime::Listener for Notices<'_> {
     fn ready(&mut self, hot: bool, since_ms: u64) {
         let link = self.0;
-        let began = link.dispatcher.clock.steady().back(Span::from_ms(since_ms));
+        let began = link.dispatcher.clock.steady().back(Duration::from_ms(since_ms));
         if link.heard_at.get().is_some_and(|heard| began > heard) {
             link.restarted();
         }
-        if link.state.replace(Some((hot, Span::from_ms(since_ms)))).is_none() {
+        if link.state.replace(Some((hot, Duration::from_ms(since_ms)))).is_none() {
             log::info!(hot, up_ms = since_ms; "runtime ready");
         }
         link.state_known.notify_waiters();
     }
 
     fn end(&mut self, number: u64, id: &str, end: &str, result: &[u8]) {
-        let Some(op) = OpId::padded(id).filter(|_| self.0.unseen(number)) else { return };
-        self.0.runs.borrow_mut().remove(&op);
+        let Some(request) = RequestId::padded(id).filter(|_| self.0.unseen(number)) else { return };
+        self.0.runs.borrow_mut().remove(&request);
         let outcome = match end {
             "complete" => Outcome::Ok,
-            "cancelled" => Outcome::Stopped,
-            "unknown" => Outcome::Moot,
+            "cancelled" => Outcome::Preempted,
+            "unknown" => Outcome::NeverStarted,
             _ => Outcome::Error,
         };
-        self.0.dispatcher.hand(op, News::Ended(outcome, result.into()));
+        self.0.dispatcher.hand(request, News::Ended(outcome, result.into()));
     }
 
     fn wants(&mut self, number: u64, id: &str, body: &[u8]) {
-        let Some(op) = OpId::padded(id).filter(|_| self.0.unseen(number)) else { return };
-        if let Some(run) = self.0.runs.borrow_mut().get_mut(&op) {
+        let Some(request) = RequestId::padded(id).filter(|_| self.0.unseen(number)) else { return };
+        if let Some(run) = self.0.runs.borrow_mut().get_mut(&request) {
             run.started = false;
             run.given = None;
         }
-        self.0.dispatcher.hand(op, News::Wants(body.to_vec()));
+        self.0.dispatcher.hand(request, News::Wants(body.to_vec()));
     }
 
     fn load(&mut self, tag: &str, values: &[f64]) {
@@ -343,11 +343,11 @@
     }
 
     fn nack(&mut self, command: &str, id: &str) {
-        // Anybody may send ops that the runtime does not know: no line for each.
+        // Anybody may send requests that the runtime does not know: no line for each.
         log::debug!(command, id; "runtime nack");
-        let Some(op) = OpId::padded(id) else { return };
-        if command == "start" && self.0.runs.borrow_mut().remove(&op).is_some() {
-            self.0.dispatcher.hand(op, News::Unknown);
+        let Some(request) = RequestId::padded(id) else { return };
+        if command == "start" && self.0.runs.borrow_mut().remove(&request).is_some() {
+            self.0.dispatcher.hand(request, News::Unknown);
         }
     }
 
--- a/crates/hazelspur-server/tests/calls.rs
+++ b/crates/hazelspur-server/tests/calls.rs
@@ -11,11 +11,11 @@
     let (mut town, mut link) = Town::new("refused", "");
     town.ledger = listener().0;
     let mut gateway = town.gateway();
-    town.run(&mut gateway, &mut link, &op(1, 1, "view", ""));
+    town.run(&mut gateway, &mut link, &request(1, 1, "view", ""));
     link.say(&format!("wants 1 {} 3\r\nask\r\n", id(1)));
     gateway.hear(&mut town.trace);
     link.say(&format!("end 2 {} cancelled 300 0\r\n\r\n", id(1)));
-    town.run(&mut gateway, &mut link, &op(2, 2, "view", ""));
+    town.run(&mut gateway, &mut link, &request(2, 2, "view", ""));
     expect_test::expect![[r#"
         runtime < sync 0
         runtime < start 0000000000000001 view 5 hello
@@ -29,7 +29,7 @@
 fn a_broken_call_is_made_again_only_where_that_does_no_harm() {
     let (mut town, mut link) = Town::new("calls", "");
     let mut gateway = town.gateway();
-    town.run(&mut gateway, &mut link, &op(1, 1, "view", ""));
+    town.run(&mut gateway, &mut link, &request(1, 1, "view", ""));
     link.say(&format!("wants 1 {} 3\r\nask\r\n", id(1)));
     let mut ledger = town.ledger();
     ledger.hear_call(&mut town.trace);
@@ -45,7 +45,7 @@
     link.say(&format!("end 2 {} error 5 0\r\n\r\n", id(1)));
     gateway.hear(&mut town.trace);
     std::thread::sleep(Duration::from_millis(20)); // the kept connection could be used again
-    town.run(&mut gateway, &mut link, &op(2, 2, "book", r#","opkey":"k""#));
+    town.run(&mut gateway, &mut link, &request(2, 2, "book", r#","opkey":"k""#));
     link.say(&format!("wants 3 {} 3\r\nask\r\n", id(2)));
     let mut fresh = town.ledger();
     fresh.hear_call(&mut town.trace);
@@ -77,7 +77,7 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nok".into(),
         reply.into(),
     ];
-    town.run(&mut gateway, &mut link, &op(1, 1, "view", ""));
+    town.run(&mut gateway, &mut link, &request(1, 1, "view", ""));
     for (i, reply) in replies.iter().enumerate() {
         if i < 3 {
             link.say(&format!("wants {} {} 2\r\nc{i}\r\n", i + 1, id(1)));
@@ -113,11 +113,11 @@
     };
     let (mut town, mut link) = Town::with("alone", "", edit);
     let mut gateway = town.gateway();
-    town.run(&mut gateway, &mut link, &op(1, 1, "view", ""));
+    town.run(&mut gateway, &mut link, &request(1, 1, "view", ""));
     link.say(&done(1, 1));
     gateway.hear(&mut town.trace);
     // one that calls all the same is told that nobody can be reached
-    town.run(&mut gateway, &mut link, &op(2, 2, "view", ""));
+    town.run(&mut gateway, &mut link, &request(2, 2, "view", ""));
     link.say(&format!("wants 2 {} 3\r\nask\r\n", id(2)));
     gateway.hear(&mut town.trace);
     expect_test::expect![[r#"
@@ -138,7 +138,7 @@
     let (mut town, mut link) = Town::with("skips", "", skips);
     town.ledger = listener().0;
     let (mut gateway, asked) = (town.gateway(), Instant::now());
-    town.run(&mut gateway, &mut link, &op(1, 1, "view", ""));
+    town.run(&mut gateway, &mut link, &request(1, 1, "view", ""));
     link.say(&format!("wants 1 {} 3\r\nask\r\n", id(1)));
     gateway.hear(&mut town.trace);
     let _ = writeln!(town.trace, "long before it is due {}", asked.elapsed() < Duration::from_millis(2500));
--- a/crates/hazelspur-server/tests/changes.rs
+++ b/crates/hazelspur-server/tests/changes.rs
@@ -65,24 +65,24 @@
 fn what_is_new_is_served_at_once_and_what_is_in_hand_goes_on() {
     let (mut town, mut link, lines) = prepared("changes", CHANGES);
     let mut gateway = town.gateway();
-    town.run(&mut gateway, &mut link, &op(1, 1, "pay", ",\"owner\":\"b\""));
+    town.run(&mut gateway, &mut link, &request(1, 1, "pay", ",\"owner\":\"b\""));
     let old = file_of(&town);
     let new =
         old.replace(PAY, STATS).replace(r#"{"name":"b","quota-rps":50}"#, r#"{"name":"c","quota-rps":9}"#);
     town.reload(&new);
     let _ = writeln!(town.trace, "{}", lines.reloaded());
     for (n, class, owner) in [(2, "pay", "a"), (3, "view", "b")] {
-        gateway.say(&format!("{}\n", op(n, n, class, &format!(",\"owner\":\"{owner}\""))));
+        gateway.say(&format!("{}\n", request(n, n, class, &format!(",\"owner\":\"{owner}\""))));
         gateway.hear(&mut town.trace);
     }
-    town.run(&mut gateway, &mut link, &op(4, 4, "stats", ",\"owner\":\"c\""));
+    town.run(&mut gateway, &mut link, &request(4, 4, "stats", ",\"owner\":\"c\""));
     for (number, n) in [(1, 1), (2, 4)] {
         link.say(&done(number, n));
         gateway.hear(&mut town.trace);
     }
     town.reload(&old);
     let _ = writeln!(town.trace, "{}", lines.reloaded());
-    town.run(&mut gateway, &mut link, &op(5, 5, "pay", ",\"owner\":\"b\""));
+    town.run(&mut gateway, &mut link, &request(5, 5, "pay", ",\"owner\":\"b\""));
     expect_test::expect![[r#"
         runtime < sync 0
         runtime < start 0000000000000001 pay 5 hello
@@ -104,7 +104,7 @@
     let mut gateway = town.gateway();
     let old = file_of(&town);
     let keyed = |n: u32, owner: &str, key: &str| {
-        op(n, n, "book", &format!(",\"owner\":\"{owner}\",\"opkey\":\"{key}\""))
+        request(n, n, "book", &format!(",\"owner\":\"{owner}\",\"opkey\":\"{key}\""))
     };
     for (n, owner) in [(1, "a"), (2, "b")] {
         town.run(&mut gateway, &mut link, &keyed(n, owner, "k"));
@@ -184,7 +184,7 @@
             format!("{before}ROUTER_CONFIG: FILE{}", &rest[rest.find(": ").expect("a reason")..])
         });
         let _ = writeln!(town.trace, "{line}");
-        town.run(&mut gateway, &mut link, &op(n, n, "view", ",\"owner\":\"a\""));
+        town.run(&mut gateway, &mut link, &request(n, n, "view", ",\"owner\":\"a\""));
         link.say(&done(n, n));
         gateway.hear(&mut town.trace);
     }
@@ -229,9 +229,9 @@
         town.reload(&new);
         let _ = writeln!(town.trace, "{}", lines.reloaded());
     }
-    gateway.say(&format!("{}\n", op(1, 1, "stats", ",\"owner\":\"a\"")));
+    gateway.say(&format!("{}\n", request(1, 1, "stats", ",\"owner\":\"a\"")));
     gateway.hear(&mut town.trace);
-    town.run(&mut gateway, &mut link, &op(2, 2, "pay", ",\"owner\":\"a\""));
+    town.run(&mut gateway, &mut link, &request(2, 2, "pay", ",\"owner\":\"a\""));
     expect_test::expect![[r#"
         runtime < sync 0
         error reload refused, the file is not this server's keys=settings
@@ -254,7 +254,7 @@
     link.say("ready hot 1000\r\n");
     link.hear(&mut town.trace);
     let mut gateway = town.gateway();
-    town.run(&mut gateway, &mut link, &op(1, 1, "stats", ",\"owner\":\"a\""));
+    town.run(&mut gateway, &mut link, &request(1, 1, "stats", ",\"owner\":\"a\""));
     town.signal("-TERM");
     let _ = writeln!(town.trace, "{}", lines.next(&["mode leaving"]));
     town.reload(&old);
@@ -281,15 +281,15 @@
     config.to_string() + &" ".repeat((8 << 20) + 1 - config.len())
 }
 
-/// Settings with so many op types and tenants in place of those that are there.
-fn large(config: &str, op_types: usize, tenants: usize) -> String {
+/// Settings with so many request classes and tenants in place of those that are there.
+fn large(config: &str, request_classes: usize, tenants: usize) -> String {
     let lane =
         |i| format!(r#"{{"name":"route-{i}","aim-us":3000000,"deadline-us":4000000,"semantics":"safe"}}"#);
     let org = |i| format!(r#"{{"name":"tenant-{i}","quota-rps":50}}"#);
     let list = |count: usize, of: &dyn Fn(usize) -> String| (0..count).map(of).collect::<Vec<_>>().join(",");
     let (before, rest) = config.split_once("\"lanes\":[").expect("lanes");
     let rest = &rest[rest.find("],").expect("their end") + 2..];
-    format!("{before}\"lanes\":[{}],\"orgs\":[{}],{rest}", list(op_types, &lane), list(tenants, &org))
+    format!("{before}\"lanes\":[{}],\"orgs\":[{}],{rest}", list(request_classes, &lane), list(tenants, &org))
 }
 
 #[test]
@@ -298,7 +298,7 @@
     let mut gateway = town.gateway();
     for (n, i) in [(1, 0), (2, 4_096), (3, 8_699)] {
         let owner = format!(",\"owner\":\"tenant-{}\"", i * 41_999 / 8_699);
-        town.run(&mut gateway, &mut link, &op(n, n, &format!("route-{i}"), &owner));
+        town.run(&mut gateway, &mut link, &request(n, n, &format!("route-{i}"), &owner));
         link.say(&done(n, n));
         gateway.hear(&mut town.trace);
     }
--- a/crates/hazelspur-server/tests/choices.rs
+++ b/crates/hazelspur-server/tests/choices.rs
@@ -1,8 +1,8 @@
 //! Servers that choose together, as processes with faults between them: calls at the ledger stay within its
 //! slots at all times, the four rules hold over all, and whoever had stopped calling calls again.
 
-use hazelspur_fleetbed::bed::Plan;
-use hazelspur_fleetbed::play::{Verdict, play};
+use hazelspur_fault_harness::bed::Plan;
+use hazelspur_fault_harness::play::{Verdict, play};
 
 fn case(script: &str) -> Verdict {
     let servers = 24;
@@ -14,7 +14,7 @@
         seed: 1,
         rate: 60.0,
         most: 30,
-        calls: hazelspur_fleetbed::bed::CALLS,
+        calls: hazelspur_fault_harness::bed::CALLS,
         joint: true,
     };
     let verdict = play(plan, &mut |_, _| {}).unwrap_or_else(|why| panic!("{script}: {why:#}"));
--- a/crates/hazelspur-server/tests/configuration.rs
+++ b/crates/hazelspur-server/tests/configuration.rs
@@ -10,7 +10,7 @@
 fn a_new_configuration_moves_the_parties_and_keeps_what_is_in_hand() {
     let (mut town, mut link) = Town::new("reload", "");
     let mut gateway = town.gateway();
-    town.run(&mut gateway, &mut link, &op(1, 1, "view", ""));
+    town.run(&mut gateway, &mut link, &request(1, 1, "view", ""));
     link.say(&format!("wants 1 {} 3\r\nask\r\n", id(1)));
     let mut old_ledger = town.ledger();
     old_ledger.hear_call(&mut town.trace);
@@ -87,7 +87,7 @@
     let others = [config.replace("\"n1\"", "\"n2\""), config.replace("\"n-cores\":2", "\"n-cores\":4")];
     for (n, other) in (1..).zip(others) {
         town.reload(&other);
-        town.run(&mut gateway, &mut link, &op(n, n, "view", ""));
+        town.run(&mut gateway, &mut link, &request(n, n, "view", ""));
         link.say(&done(n, n));
         gateway.hear(&mut town.trace);
     }
@@ -96,7 +96,7 @@
     let mut moved = town.link();
     moved.say("ready hot 2000\r\n");
     moved.hear(&mut town.trace);
-    town.run(&mut gateway, &mut moved, &op(3, 3, "view", ""));
+    town.run(&mut gateway, &mut moved, &request(3, 3, "view", ""));
     expect_test::expect![[r#"
         runtime < sync 0
         runtime < start 0000000000000001 view 5 hello
@@ -135,7 +135,7 @@
             link.say("ready hot 1000\r\n");
             link.hear(&mut town.trace);
             let mut gateway = town.gateway();
-            town.run(&mut gateway, &mut link, &op(1, 1, "view", ""));
+            town.run(&mut gateway, &mut link, &request(1, 1, "view", ""));
             link.say(&done(1, 1));
             gateway.hear(&mut town.trace);
             town.signal("-TERM");
--- a/crates/hazelspur-server/tests/endings.rs
+++ b/crates/hazelspur-server/tests/endings.rs
@@ -11,15 +11,15 @@
 fn leaving_answers_what_is_read_and_says_farewell() {
     let (mut town, mut link) = Town::new("leave", "");
     let (mut gateway, mut idle) = (town.gateway(), town.gateway());
-    town.run(&mut gateway, &mut link, &op(1, 1, "view", ""));
+    town.run(&mut gateway, &mut link, &request(1, 1, "view", ""));
     town.signal("-TERM");
     std::thread::sleep(Duration::from_millis(100));
-    town.run(&mut gateway, &mut link, &op(2, 2, "view", ""));
+    town.run(&mut gateway, &mut link, &request(2, 2, "view", ""));
     idle.hear(&mut town.trace);
     std::thread::sleep(Duration::from_millis(50));
     let refused = TcpStream::connect(&town.listen).is_err();
     let _ = writeln!(town.trace, "refused {refused}");
-    gateway.say(&format!("{}\n", op(3, 3, "view", "")));
+    gateway.say(&format!("{}\n", request(3, 3, "view", "")));
     let late = gateway.hear(&mut String::new());
     let _ = writeln!(town.trace, "late one {}", &late[..47]);
     link.say(&done(1, 1));
@@ -53,7 +53,7 @@
     town.signal("-CONT");
 }
 
-/// The close is due at the moment in which the op is there: of ten connections each is answered.
+/// The close is due at the moment in which the request is there: of ten connections each is answered.
 #[test]
 fn an_op_that_comes_at_the_instant_of_the_close_is_answered() {
     let (mut town, _link) = Town::new("instant", "");
@@ -69,7 +69,7 @@
     }
     while_it_stands(&town, 450, || {
         for (n, end) in resting.iter_mut().enumerate() {
-            end.say(&format!("{}\n", op(2, n as u32 + 2, "view", "")));
+            end.say(&format!("{}\n", request(2, n as u32 + 2, "view", "")));
         }
     });
     for end in &mut resting {
@@ -102,7 +102,7 @@
     gateway.hear(&mut String::new());
     town.signal("-TERM");
     gateway.hear(&mut town.trace);
-    let line = op(2, 2, "view", "");
+    let line = request(2, 2, "view", "");
     gateway.say(&line[..50]);
     wait_until(Instant::now(), 600);
     gateway.say(&format!("{}\n", &line[50..]));
@@ -127,7 +127,7 @@
     gateway.say(check);
     gateway.hear(&mut town.trace);
     while_it_stands(&town, 10, || {
-        gateway.say(&format!("{}{}\n", check.replace(":1,", ":2,"), op(3, 3, "view", "")));
+        gateway.say(&format!("{}{}\n", check.replace(":1,", ":2,"), request(3, 3, "view", "")));
         town.signal("-TERM");
     });
     for _ in 0..4 {
@@ -158,7 +158,7 @@
         wait_until(begun, 350); // past the grace
         for n in 0..10 {
             waiting.push(town.gateway());
-            waiting[n].say(&format!("{}\n", op(1, n as u32 + 1, "view", "")));
+            waiting[n].say(&format!("{}\n", request(1, n as u32 + 1, "view", "")));
         }
     });
     let nacked = |end: &mut End| {
@@ -180,9 +180,9 @@
 fn more_notices_change_nothing_about_a_drain() {
     let (mut town, mut link) = Town::new("notices", "");
     let mut gateway = town.gateway();
-    town.run(&mut gateway, &mut link, &op(1, 1, "view", ""));
+    town.run(&mut gateway, &mut link, &request(1, 1, "view", ""));
     while_it_stands(&town, 10, || ["-TERM", "-HUP", "-TERM"].iter().for_each(|name| town.signal(name)));
-    town.run(&mut gateway, &mut link, &op(2, 2, "view", ""));
+    town.run(&mut gateway, &mut link, &request(2, 2, "view", ""));
     town.signal("-TERM");
     link.say(&format!("{}{}", done(1, 1), done(2, 2)));
     for _ in 0..4 {
@@ -215,7 +215,7 @@
     link.say("ready hot 1000\r\n");
     link.hear(&mut town.trace);
     let mut gateway = town.gateway();
-    town.run(&mut gateway, &mut link, &op(1, 1, "view", ""));
+    town.run(&mut gateway, &mut link, &request(1, 1, "view", ""));
     expect_test::expect![[r#"
         running true
         runtime < sync 0
--- a/crates/hazelspur-server/tests/fleet.rs
+++ b/crates/hazelspur-server/tests/fleet.rs
@@ -1,10 +1,10 @@
 //! Many built servers with faults between them: the hard cases, and scripts drawn from seeds. Waits are for
-//! events with generous ends; what is judged is in `hazelspur_fleetbed::checker`.
+//! events with generous ends; what is judged is in `hazelspur_fault_harness::checker`.
 
-use hazelspur_fleetbed::bed::{Bed, INSTALLATION, KEY, Plan};
-use hazelspur_fleetbed::play::{Verdict, come_up, play};
-use hazelspur_fleetbed::script::Script;
-use hazelspur_fleetbed::watch::Watch;
+use hazelspur_fault_harness::bed::{Bed, INSTALLATION, KEY, Plan};
+use hazelspur_fault_harness::play::{Verdict, come_up, play};
+use hazelspur_fault_harness::script::Script;
+use hazelspur_fault_harness::watch::Watch;
 
 fn played(servers: usize, script: &Script, seed: u64) -> Verdict {
     let plan = Plan {
@@ -15,7 +15,7 @@
         seed,
         rate: 45.0,
         most: servers * 2,
-        calls: hazelspur_fleetbed::bed::CALLS,
+        calls: hazelspur_fault_harness::bed::CALLS,
         joint: false,
     };
     let verdict = play(plan, &mut |_, _| {}).unwrap_or_else(|why| panic!("{script}: {why:#}"));
@@ -74,7 +74,7 @@
         seed: 1,
         rate: 1.0,
         most: 18,
-        calls: hazelspur_fleetbed::bed::CALLS,
+        calls: hazelspur_fault_harness::bed::CALLS,
         joint: false,
     };
     let mut bed = Bed::new(plan).expect("a bed");
--- a/crates/hazelspur-server/tests/helpers/mod.rs
+++ b/crates/hazelspur-server/tests/helpers/mod.rs
@@ -3,11 +3,11 @@
 
 use amq_protocol::protocol::basic::AMQPProperties;
 use amq_protocol::types::{AMQPValue, FieldTable};
-use hazelspur_standins::broker::Broker;
-use hazelspur_standins::checker::Expected;
-use hazelspur_standins::http::Http;
-use hazelspur_standins::now_ms;
-use hazelspur_standins::runtime::{Pace, Runtime};
+use hazelspur_test_doubles::broker::Broker;
+use hazelspur_test_doubles::checker::Expected;
+use hazelspur_test_doubles::http::Http;
+use hazelspur_test_doubles::now_ms;
+use hazelspur_test_doubles::runtime::{Pace, Runtime};
 use std::collections::BTreeMap;
 use std::io::Read;
 use std::path::PathBuf;
@@ -128,11 +128,11 @@
         self.brokers = brokers.iter().map(|broker| broker.address.to_string()).collect();
     }
 
-    /// Publishes an op of this type under a message-id that is its body too.
-    pub fn publish(&mut self, queue: &str, op_type: &str, name: &str, more: Sent) {
+    /// Publishes a request of this type under a message-id that is its body too.
+    pub fn publish(&mut self, queue: &str, request_class: &str, name: &str, more: Sent) {
         let until_ms = more.waits_ms.map(|waits| more.sent_ms.unwrap_or_else(now_ms) + waits);
-        self.expected.insert(name.into(), Expected { once: op_type != "view", until_ms });
-        self.broker.publish(queue, more.properties(op_type, name), name.as_bytes());
+        self.expected.insert(name.into(), Expected { once: request_class != "view", until_ms });
+        self.broker.publish(queue, more.properties(request_class, name), name.as_bytes());
     }
 
     /// Nothing is left for the server to do at the broker.
@@ -171,7 +171,7 @@
     }
 
     pub fn breaches(&self, may_lose: usize) -> Vec<String> {
-        hazelspur_standins::checker::breaches(
+        hazelspur_test_doubles::checker::breaches(
             &self.broker.state(),
             &self.runtime.town(),
             &self.expected,
@@ -215,7 +215,7 @@
     }
 }
 
-/// What a message says beside its op type and name.
+/// What a message says beside its request class and name.
 #[derive(Clone, Copy, Default)]
 pub struct Sent {
     pub sent_ms: Option<u64>,
@@ -225,7 +225,7 @@
 }
 
 impl Sent {
-    pub fn properties(self, op_type: &str, name: &str) -> AMQPProperties {
+    pub fn properties(self, request_class: &str, name: &str) -> AMQPProperties {
         let mut headers = FieldTable::default();
         if let Some(sent) = self.sent_ms {
             headers.insert("x-sent-ms".into(), AMQPValue::LongLongInt(sent as i64));
@@ -233,7 +233,7 @@
         if let Some(waits) = self.waits_ms {
             headers.insert("x-waits-ms".into(), AMQPValue::LongLongInt(waits as i64));
         }
-        let mut properties = AMQPProperties::default().with_type(op_type.into()).with_headers(headers);
+        let mut properties = AMQPProperties::default().with_type(request_class.into()).with_headers(headers);
         if !self.nameless {
             properties = properties.with_message_id(name.into());
         }
--- a/crates/hazelspur-server/tests/input.rs
+++ b/crates/hazelspur-server/tests/input.rs
@@ -12,8 +12,8 @@
 fn bad_input_gets_an_error_and_the_rest_goes_on() {
     let (mut town, mut link) = Town::new("input", "");
     let mut other = town.gateway();
-    town.run(&mut other, &mut link, &op(1, 1, "view", ""));
-    let good = op(9, 9, "view", "");
+    town.run(&mut other, &mut link, &request(1, 1, "view", ""));
+    let good = request(9, 9, "view", "");
     let lines = [
         "{".into(),
         "[]".into(),
@@ -23,9 +23,9 @@
         good.replace("\"2.0\"", "2"),
         good.replace("\"id\":9,", ""),
         good.replace("\"id\":9,", "\"id\":-9,"),
-        op(3, 3, "nothing", ""),
-        op(4, 4, "view", r#","owner":7"#),
-        op(5, 1, "view", ""),
+        request(3, 3, "nothing", ""),
+        request(4, 4, "view", r#","owner":7"#),
+        request(5, 1, "view", ""),
         good.replace("aGVsbG8=", "a*"),
         good.replace("aGVsbG8=", &"QUJD".repeat(683)),
         good.replace("20.5", "2000"),
@@ -45,14 +45,14 @@
         bad.hear(&mut town.trace);
     }
     let mut bad = town.gateway();
-    town.run(&mut bad, &mut link, &op(50, 50, "view", ""));
+    town.run(&mut bad, &mut link, &request(50, 50, "view", ""));
     link.say(&format!("nack start {}\r\n", id(50)));
     bad.hear(&mut town.trace);
-    other.say(&format!("{}\n", op(1, 2, "view", "")));
+    other.say(&format!("{}\n", request(1, 2, "view", "")));
     other.hear(&mut town.trace);
     link.say(&done(1, 1));
     other.hear(&mut town.trace);
-    bad.say(&(1..=60).map(|n| format!("{}\n", op(100 + n, 100 + n, "view", ""))).collect::<String>());
+    bad.say(&(1..=60).map(|n| format!("{}\n", request(100 + n, 100 + n, "view", ""))).collect::<String>());
     let answers = (0..60).map(|_| bad.line()).take_while(|line| line != "(closed)").count();
     let _ = writeln!(town.trace, "of 60 at once {answers} answered, then closed");
     expect_test::expect![[r#"
@@ -96,9 +96,9 @@
     let mut silent: Vec<End> = (0..3).map(|_| town.gateway()).collect();
     let begun = Instant::now();
     silent[1].say("{\"jsonrpc\":");
-    silent[2].say(&format!("{}\n", op(9, 9, "nothing", "")));
+    silent[2].say(&format!("{}\n", request(9, 9, "nothing", "")));
     silent[2].hear(&mut town.trace);
-    town.run(&mut good, &mut link, &op(1, 1, "view", ""));
+    town.run(&mut good, &mut link, &request(1, 1, "view", ""));
     link.say(&done(1, 1));
     good.hear(&mut town.trace);
     for end in &mut silent {
@@ -106,7 +106,7 @@
         end.hear(&mut town.trace);
     }
     let _ = writeln!(town.trace, "in time {}", begun.elapsed() < Duration::from_millis(2900));
-    town.run(&mut good, &mut link, &op(2, 2, "view", ""));
+    town.run(&mut good, &mut link, &request(2, 2, "view", ""));
     link.say(&done(2, 2));
     good.hear(&mut town.trace);
     // Half a line: of one that only asked for health, and of one whose path may have been cut in the middle.
@@ -114,7 +114,7 @@
     checked.say(CHECK);
     checked.hear(&mut town.trace);
     checked.say("{\"jsonrpc\":");
-    let line = op(3, 3, "view", "");
+    let line = request(3, 3, "view", "");
     good.say(&line[..40]);
     checked.hear(&mut town.trace);
     checked.hear(&mut town.trace);
@@ -158,7 +158,7 @@
     let taken = (0..60).take_while(|_| slow.stream.get_ref().write_all(checks.as_bytes()).is_ok()).count();
     let _ = writeln!(town.trace, "all taken {}", taken == 60);
     let mut gateway = town.gateway();
-    town.run(&mut gateway, &mut link, &op(1, 1, "view", ""));
+    town.run(&mut gateway, &mut link, &request(1, 1, "view", ""));
     link.say(&done(1, 1));
     gateway.hear(&mut town.trace);
     expect_test::expect![[r#"
@@ -183,7 +183,7 @@
     }
     let mut crowd: Vec<End> = (0..80).map(|_| town.gateway()).collect();
     crowd[0].hear(&mut town.trace);
-    town.run(&mut gateway, &mut link, &op(1, 1, "view", ""));
+    town.run(&mut gateway, &mut link, &request(1, 1, "view", ""));
     link.say(&done(1, 1));
     gateway.hear(&mut town.trace);
     first.say(&check.replace(":1,", ":2,"));
@@ -210,9 +210,9 @@
     (ticks(11) + ticks(12)) / 100.0
 }
 
-/// An op that calls the ledger is run and answered.
+/// A request that calls the ledger is run and answered.
 fn served(town: &mut Town, link: &mut End, gateway: &mut End, n: u32) {
-    town.run(gateway, link, &op(n, n, "view", ""));
+    town.run(gateway, link, &request(n, n, "view", ""));
     link.say(&format!("wants {} {} 3\r\nask\r\n", 2 * n - 1, id(n)));
     let mut ledger = town.ledger();
     ledger.hear_call(&mut String::new());
@@ -237,11 +237,11 @@
             Town::with(&format!("filled{limit}"), &format!("ulimit -n {limit};"), edit);
         let mut gateway = town.gateway();
         let mut idle: Vec<End> = Vec::new();
-        let mut ops = 0;
+        let mut requests = 0;
         for n in 0..limit + 40 {
             if n % 16 == 0 {
-                ops += 1;
-                served(&mut town, &mut link, &mut gateway, ops);
+                requests += 1;
+                served(&mut town, &mut link, &mut gateway, requests);
             }
             idle.push(town.gateway());
             // Two of three have brought something good; which of them is closed by now is not asked.
@@ -249,7 +249,7 @@
                 let _ = idle[n].stream.get_mut().write_all(CHECK.as_bytes());
             }
         }
-        served(&mut town, &mut link, &mut gateway, ops + 1);
+        served(&mut town, &mut link, &mut gateway, requests + 1);
         let (cpu, since) = (cpu_s(town.server.id()), Instant::now());
         let control = TcpListener::bind(&at).expect("its address is free");
         let mut report = End::over("control", accept(&control));
@@ -291,7 +291,7 @@
             3 => "{\"jsonrpc\":".into(), // half a line
             4 => "x".repeat(40_000),     // one that does not end
             5 => "\u{7f}\0garbage\n".repeat(100),
-            _ => (0..40).map(|_| op(7, 7, "view", "") + "\n").collect(), // ids used twice
+            _ => (0..40).map(|_| request(7, 7, "view", "") + "\n").collect(), // ids used twice
         };
         let _ = stream.write_all(text.as_bytes());
         turns += 1;
@@ -307,7 +307,7 @@
     for (kind, name) in names.iter().enumerate() {
         let (mut town, mut link) = Town::new(&format!("flood{kind}"), "ulimit -n 256;");
         let mut gateway = town.gateway();
-        town.run(&mut gateway, &mut link, &op(1, 1, "view", ""));
+        town.run(&mut gateway, &mut link, &request(1, 1, "view", ""));
         link.say(&done(1, 1));
         gateway.hear(&mut String::new());
         let until = Instant::now() + Duration::from_millis(1200);
@@ -323,7 +323,7 @@
         while Instant::now() < until {
             asked += 1;
             let (n, began) = (asked + 1, Instant::now());
-            gateway.say(&format!("{}\n", op(n, 1000 + n, "view", "")));
+            gateway.say(&format!("{}\n", request(n, 1000 + n, "view", "")));
             loop {
                 let started = link.hear(&mut String::new());
                 notices += 1;
@@ -367,13 +367,13 @@
 }
 
 /// What waits on a link that was cut names a wait that is long from the stamp and over before it is read: no
-/// fault of its connection, whose other ops are answered too.
+/// fault of its connection, whose other requests are answered too.
 #[test]
 fn ops_that_were_long_on_their_way_are_answered_and_their_connection_stays() {
     let (mut town, mut link) = Town::new("overdue", "");
     let mut gateway = town.gateway();
     let late = |n: u32| {
-        let line = op(n, n, "view", "").replace(":4000,", ":8000,");
+        let line = request(n, n, "view", "").replace(":4000,", ":8000,");
         let ts = now_ms();
         line.replace(&format!("\"ts\":{ts}"), &format!("\"ts\":{}", ts - 8000))
     };
@@ -383,7 +383,7 @@
         gateway.say(&format!("{}\n", line.expect("one")));
         gateway.hear(&mut town.trace);
     }
-    town.run(&mut gateway, &mut link, &op(8, 8, "view", ""));
+    town.run(&mut gateway, &mut link, &request(8, 8, "view", ""));
     expect_test::expect![[r#"
         runtime < sync 0
         gateway < {"jsonrpc":"2.0","id":1,"error":{"code":-32011,"message":"refused","data":{"holdoff":40,"nomore":1}}}
--- a/crates/hazelspur-server/tests/keys.rs
+++ b/crates/hazelspur-server/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Keyed ops that come again, and reads that share a result.
+//! IdempotentWithKey requests that come again, and reads that share a result.
 
 mod town;
 
@@ -10,13 +10,13 @@
 fn a_repeat_of_a_kept_op_is_answered_from_the_first() {
     let (mut town, mut link) = Town::new("repeat", "");
     let mut gateway = town.gateway();
-    town.run(&mut gateway, &mut link, &op(1, 1, "book", r#","opkey":"k""#));
-    gateway.say(&format!("{}\n", op(2, 2, "book", r#","opkey":"k""#)));
+    town.run(&mut gateway, &mut link, &request(1, 1, "book", r#","opkey":"k""#));
+    gateway.say(&format!("{}\n", request(2, 2, "book", r#","opkey":"k""#)));
     std::thread::sleep(Duration::from_millis(30));
     link.say(&done(1, 1));
     gateway.hear(&mut town.trace);
     gateway.hear(&mut town.trace);
-    gateway.say(&format!("{}\n", op(3, 3, "book", r#","opkey":"k""#)));
+    gateway.say(&format!("{}\n", request(3, 3, "book", r#","opkey":"k""#)));
     gateway.hear(&mut town.trace);
     expect_test::expect![[r#"
         runtime < sync 0
@@ -33,11 +33,11 @@
     let (mut town, mut link) = Town::new("share", "");
     let mut gateway = town.gateway();
     // from a connection that nobody has vouched for nothing is shared
-    town.run(&mut gateway, &mut link, &op(9, 9, "view", ""));
+    town.run(&mut gateway, &mut link, &request(9, 9, "view", ""));
     link.say(&done(1, 9));
     gateway.hear(&mut town.trace);
     let mut ask = |n: u32| {
-        gateway.say(&format!("{}\n", op(n, n, "view", r#","subject":"s""#)));
+        gateway.say(&format!("{}\n", request(n, n, "view", r#","subject":"s""#)));
         std::thread::sleep(Duration::from_millis(30));
     };
     ask(1);
@@ -76,15 +76,15 @@
 fn a_key_with_another_body_is_nobodys_repeat() {
     let (mut town, mut link) = Town::new("body", "");
     let (mut gateway, mut other) = (town.gateway(), town.gateway());
-    town.run(&mut gateway, &mut link, &op(1, 1, "book", r#","opkey":"k""#));
-    let another = op(2, 2, "book", r#","opkey":"k""#).replace("aGVsbG8=", "b3RoZXI=");
+    town.run(&mut gateway, &mut link, &request(1, 1, "book", r#","opkey":"k""#));
+    let another = request(2, 2, "book", r#","opkey":"k""#).replace("aGVsbG8=", "b3RoZXI=");
     other.say(&format!("{another}\n"));
     other.hear(&mut town.trace);
     link.say(&done(1, 1));
     gateway.hear(&mut town.trace);
     other.say(&format!("{}\n", another.replace(&id(2), &id(3))));
     other.hear(&mut town.trace);
-    gateway.say(&format!("{}\n", op(4, 4, "book", r#","opkey":"k""#)));
+    gateway.say(&format!("{}\n", request(4, 4, "book", r#","opkey":"k""#)));
     gateway.hear(&mut town.trace);
     expect_test::expect![[r#"
         runtime < sync 0
@@ -101,8 +101,8 @@
 fn of_two_tries_that_are_read_together_one_runs() {
     let (mut town, mut link) = Town::new("pair", "");
     let mut gateway = town.gateway();
-    let tries: String = (1..=2).map(|n| op(n, n, "book", r#","opkey":"k""#) + "\n").collect();
-    gateway.say(&format!("{tries}{}\n", op(3, 3, "view", "")));
+    let tries: String = (1..=2).map(|n| request(n, n, "book", r#","opkey":"k""#) + "\n").collect();
+    gateway.say(&format!("{tries}{}\n", request(3, 3, "view", "")));
     link.hear(&mut town.trace);
     link.hear(&mut town.trace);
     link.say(&format!("{}{}", done(1, 1), done(2, 3)));
@@ -125,7 +125,11 @@
     let (mut town, mut link) = Town::with("customers", "", |config| customers(config, 5000));
     let mut gateway = town.gateway();
     for (n, owner) in [(1, "a"), (2, "b")] {
-        town.run(&mut gateway, &mut link, &op(n, n, "book", &format!(r#","opkey":"k","owner":"{owner}""#)));
+        town.run(
+            &mut gateway,
+            &mut link,
+            &request(n, n, "book", &format!(r#","opkey":"k","owner":"{owner}""#)),
+        );
         link.say(&done(n, n));
         gateway.hear(&mut town.trace);
     }
@@ -145,15 +149,15 @@
     let (mut town, mut link) = Town::with("late", "", |config| customers(config, 700));
     let mut gateway = town.gateway();
     let begun = Instant::now();
-    town.run(&mut gateway, &mut link, &op(1, 1, "book", r#","opkey":"k""#));
+    town.run(&mut gateway, &mut link, &request(1, 1, "book", r#","opkey":"k""#));
     link.say(&done(1, 1));
     gateway.hear(&mut town.trace);
     town.signal("-STOP");
-    gateway.say(&format!("{}\n", op(2, 2, "book", r#","opkey":"k""#)));
+    gateway.say(&format!("{}\n", request(2, 2, "book", r#","opkey":"k""#)));
     wait_until(begun, 1000);
     town.signal("-CONT");
     gateway.hear(&mut town.trace);
-    town.run(&mut gateway, &mut link, &op(3, 3, "book", r#","opkey":"k""#));
+    town.run(&mut gateway, &mut link, &request(3, 3, "book", r#","opkey":"k""#));
     expect_test::expect![[r#"
         runtime < sync 0
         runtime < start 0000000000000001 book 5 hello
@@ -169,9 +173,9 @@
     let (mut town, mut link) = Town::with("running", "", |config| customers(config, 300));
     let mut gateway = town.gateway();
     let begun = Instant::now();
-    town.run(&mut gateway, &mut link, &op(1, 1, "book", r#","opkey":"k""#));
+    town.run(&mut gateway, &mut link, &request(1, 1, "book", r#","opkey":"k""#));
     wait_until(begun, 400);
-    gateway.say(&format!("{}\n{}\n", op(2, 2, "book", r#","opkey":"k""#), op(3, 3, "view", "")));
+    gateway.say(&format!("{}\n{}\n", request(2, 2, "book", r#","opkey":"k""#), request(3, 3, "view", "")));
     link.hear(&mut town.trace);
     link.say(&done(1, 1));
     gateway.hear(&mut town.trace);
@@ -190,14 +194,14 @@
 fn what_never_ran_leaves_its_key_and_non_retryable_ops_share_nothing() {
     let (mut town, mut link) = Town::with("unknown", "", |config| customers(config, 5000));
     let mut gateway = town.gateway();
-    town.run(&mut gateway, &mut link, &op(1, 1, "book", r#","opkey":"k""#));
+    town.run(&mut gateway, &mut link, &request(1, 1, "book", r#","opkey":"k""#));
     link.say(&format!("nack start {}\r\n", id(1)));
     gateway.hear(&mut town.trace);
-    town.run(&mut gateway, &mut link, &op(2, 2, "book", r#","opkey":"k""#));
+    town.run(&mut gateway, &mut link, &request(2, 2, "book", r#","opkey":"k""#));
     link.say(&done(1, 2));
     gateway.hear(&mut town.trace);
     for n in 3..5 {
-        gateway.say(&format!("{}\n", op(n, n, "pay", r#","subject":"s""#)));
+        gateway.say(&format!("{}\n", request(n, n, "pay", r#","subject":"s""#)));
     }
     link.hear(&mut town.trace);
     link.hear(&mut town.trace);
@@ -219,12 +223,12 @@
     let (mut town, mut link) = Town::new("twice", "");
     let mut gateway = town.gateway();
     for (n, key, data) in [(1, "a", "4\r\nleft"), (2, "b", "5\r\nright")] {
-        town.run(&mut gateway, &mut link, &op(n, 7, "book", &format!(r#","opkey":"{key}""#)));
+        town.run(&mut gateway, &mut link, &request(n, 7, "book", &format!(r#","opkey":"{key}""#)));
         link.say(&format!("end {n} {} complete 5 {data}\r\n", id(7)));
         gateway.hear(&mut town.trace);
     }
     for (n, key) in [(3, "a"), (4, "b")] {
-        gateway.say(&format!("{}\n", op(n, n, "book", &format!(r#","opkey":"{key}""#))));
+        gateway.say(&format!("{}\n", request(n, n, "book", &format!(r#","opkey":"{key}""#))));
         gateway.hear(&mut town.trace);
     }
     expect_test::expect![[r#"
--- a/crates/hazelspur-server/tests/life.rs
+++ b/crates/hazelspur-server/tests/life.rs
@@ -1,4 +1,4 @@
-//! The life of one op through the built server, step by step.
+//! The life of one request through the built server, step by step.
 
 mod town;
 
@@ -10,7 +10,7 @@
 fn an_op_is_run_calls_and_is_answered() {
     let (mut town, mut link) = Town::new("life", "");
     let mut gateway = town.gateway();
-    let line = op(7, 1, "view", "");
+    let line = request(7, 1, "view", "");
     gateway.say(&line[..40]);
     std::thread::sleep(Duration::from_millis(20));
     gateway.say(&format!("{}\n{{\"jsonrpc\":\"2.0\",\"id\":8,\"method\":\"check\"}}\n", &line[40..]));
@@ -42,7 +42,7 @@
     let check = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n";
     gateway.say(check);
     gateway.hear(&mut town.trace);
-    gateway.say(&format!("{}\n", op(2, 2, "view", "")));
+    gateway.say(&format!("{}\n", request(2, 2, "view", "")));
     gateway.hear(&mut town.trace);
     link.say("ready chilly 0\r\n");
     link.hear(&mut town.trace);
@@ -62,7 +62,7 @@
 fn a_run_that_never_ends_is_answered_in_time_without_gauges() {
     let (mut town, mut link) = Town::new("mute", "");
     let mut gateway = town.gateway();
-    gateway.say(&format!("{}\n", op(1, 1, "view", "").replace(":4000,", ":1500,")));
+    gateway.say(&format!("{}\n", request(1, 1, "view", "").replace(":4000,", ":1500,")));
     let read = Instant::now();
     link.hear(&mut town.trace);
     // meanwhile the link's lines, gauges too, stay unanswered
@@ -83,11 +83,11 @@
 fn a_gateway_that_is_gone_is_told_and_one_that_only_stopped_writing_is_answered() {
     let (mut town, mut link) = Town::new("gone", "");
     let (mut gateway, mut half) = (town.gateway(), town.gateway());
-    town.run(&mut gateway, &mut link, &op(1, 1, "view", ""));
+    town.run(&mut gateway, &mut link, &request(1, 1, "view", ""));
     gateway.say("{\"jsonrpc\":\"2.0\",\"method\":\"interrupt\",\"params\":{\"id\":1}}\n");
     link.hear(&mut town.trace);
     link.say(&format!("end 1 {} cancelled 5 0\r\n\r\n", id(1)));
-    town.run(&mut half, &mut link, &op(2, 2, "view", ""));
+    town.run(&mut half, &mut link, &request(2, 2, "view", ""));
     half.stream.get_ref().shutdown(std::net::Shutdown::Write).expect("half a close");
     std::thread::sleep(Duration::from_millis(30));
     link.say(&done(2, 2));
@@ -108,7 +108,7 @@
 fn a_result_that_came_during_a_pause_is_read_before_time_is_found_to_be_up() {
     let (mut town, mut link) = Town::new("pause", "");
     let mut gateway = town.gateway();
-    gateway.say(&format!("{}\n", op(1, 1, "view", "").replace(":4000,", ":1500,")));
+    gateway.say(&format!("{}\n", request(1, 1, "view", "").replace(":4000,", ":1500,")));
     link.hear(&mut town.trace);
     town.signal("-STOP");
     link.say(&done(1, 1));
--- a/crates/hazelspur-server/tests/link.rs
+++ b/crates/hazelspur-server/tests/link.rs
@@ -9,7 +9,7 @@
 fn after_a_break_of_the_link_only_the_unanswered_goes_out_again() {
     let (mut town, mut link) = Town::new("link", "");
     let mut gateway = town.gateway();
-    gateway.say(&format!("{}\n{}\n", op(1, 1, "view", ""), op(2, 2, "view", "")));
+    gateway.say(&format!("{}\n{}\n", request(1, 1, "view", ""), request(2, 2, "view", "")));
     link.hear(&mut town.trace);
     link.hear(&mut town.trace);
     drop(link);
@@ -24,7 +24,7 @@
     link.say("no notice at all\r\n");
     drop(link);
     let mut link = town.link();
-    gateway.say(&format!("{}\n", op(3, 3, "view", "")));
+    gateway.say(&format!("{}\n", request(3, 3, "view", "")));
     std::thread::sleep(Duration::from_millis(30));
     link.say("ready hot 3000\r\n");
     link.hear(&mut town.trace);
@@ -48,7 +48,7 @@
 fn a_reply_that_was_read_is_not_given_again_and_a_mute_link_is_made_anew() {
     let (mut town, mut link) = Town::new("given", "");
     let mut gateway = town.gateway();
-    town.run(&mut gateway, &mut link, &op(1, 1, "view", ""));
+    town.run(&mut gateway, &mut link, &request(1, 1, "view", ""));
     link.say(&format!("wants 1 {} 3\r\nask\r\n", id(1)));
     let mut ledger = town.ledger();
     ledger.hear_call(&mut town.trace);
@@ -63,7 +63,7 @@
     let mut link = town.link();
     link.say("ready hot 9000\r\n");
     link.hear(&mut town.trace);
-    town.run(&mut gateway, &mut link, &op(2, 2, "view", ""));
+    town.run(&mut gateway, &mut link, &request(2, 2, "view", ""));
     link.say(&format!("end 2 {} complete 5 3\r\none\r\n", id(1)));
     gateway.hear(&mut town.trace);
     town.link(); // the old one is open and mute
@@ -86,7 +86,7 @@
     let (mut town, mut link) = Town::new("restarted", "");
     let mut gateway = town.gateway();
     for n in 1..4 {
-        town.run(&mut gateway, &mut link, &op(n, n, "view", ""));
+        town.run(&mut gateway, &mut link, &request(n, n, "view", ""));
         if n < 3 {
             link.say(&done(n, n));
             gateway.hear(&mut town.trace);
@@ -98,7 +98,7 @@
     link.say("ready chilly 20\r\n");
     gateway.hear(&mut town.trace);
     link.hear(&mut town.trace);
-    town.run(&mut gateway, &mut link, &op(4, 4, "view", ""));
+    town.run(&mut gateway, &mut link, &request(4, 4, "view", ""));
     link.say(&done(1, 4));
     gateway.hear(&mut town.trace);
     expect_test::expect![[r#"
@@ -129,7 +129,7 @@
     while !gateway.hear(&mut String::new()).contains("true") {
         gateway.say(check);
     }
-    town.run(&mut gateway, &mut link, &op(2, 2, "view", ""));
+    town.run(&mut gateway, &mut link, &request(2, 2, "view", ""));
     expect_test::expect![[r#"
         runtime < sync 0
         runtime < sync 0
--- a/crates/hazelspur-server/tests/queues.rs
+++ b/crates/hazelspur-server/tests/queues.rs
@@ -3,10 +3,10 @@
 mod helpers;
 
 use hazelspur::pcg::Pcg;
-use hazelspur_standins::broker::Broker;
-use hazelspur_standins::now_ms;
-use hazelspur_standins::runtime::Pace;
-use hazelspur_standins::script::{self, At, Fault};
+use hazelspur_test_doubles::broker::Broker;
+use hazelspur_test_doubles::now_ms;
+use hazelspur_test_doubles::runtime::Pace;
+use hazelspur_test_doubles::script::{self, At, Fault};
 use helpers::{SOON, Sent, Shop};
 
 const ORDERS: &str = "queue(name = \"orders\", window = \"fixed\", most = 16)\n";
@@ -15,8 +15,8 @@
 fn a_delivery_runs_calls_is_settled_and_answered() {
     let mut shop = Shop::consuming(ORDERS, Pace { calls: true, ..Pace::default() }, "orders");
     shop.broker.declare("answers", None);
-    for (op_type, name) in [("view", "a"), ("set-qty", "b"), ("book", "c"), ("brew", "d")] {
-        shop.publish("orders", op_type, name, Sent { reply: true, ..Sent::default() });
+    for (request_class, name) in [("view", "a"), ("set-qty", "b"), ("book", "c"), ("brew", "d")] {
+        shop.publish("orders", request_class, name, Sent { reply: true, ..Sent::default() });
     }
     assert!(shop.settled(&["orders"]));
     let said = shop.leave();
@@ -60,7 +60,7 @@
     shop.broker.state().scripts.extend((0..4).map(|_| script::random(&mut chance, 4)));
     shop.start();
     for n in 0..30 {
-        let op_type = ["view", "set-qty", "book"][chance.draw() as usize % 3];
+        let request_class = ["view", "set-qty", "book"][chance.draw() as usize % 3];
         let old = chance.draw().is_multiple_of(7);
         let sent = Sent {
             reply: chance.draw().is_multiple_of(3),
@@ -68,7 +68,7 @@
             waits_ms: old.then_some(u64::from(chance.draw() % 1000)),
             nameless: false,
         };
-        shop.publish("orders", op_type, &format!("m{n:02}"), sent);
+        shop.publish("orders", request_class, &format!("m{n:02}"), sent);
     }
     let settled = shop.settled(&["orders", "retry"]);
     if std::env::var("HAZELSPUR_LEAKS").is_ok() {
@@ -146,8 +146,8 @@
     shop.broker.declare("answers", None);
     shop.start_with_stop(3000);
     let reply = Sent { reply: true, ..Sent::default() };
-    for (n, op_type) in ["view", "book", "view", "set-qty"].into_iter().enumerate() {
-        shop.publish("orders", op_type, &format!("m{n}"), reply);
+    for (n, request_class) in ["view", "book", "view", "set-qty"].into_iter().enumerate() {
+        shop.publish("orders", request_class, &format!("m{n}"), reply);
     }
     let mut begun = 0;
     shop.broker.until(SOON, |_| {
--- a/crates/hazelspur-server/tests/restarts.rs
+++ b/crates/hazelspur-server/tests/restarts.rs
@@ -1,8 +1,8 @@
-//! Thirty processes on stand-ins, ended and started again in waves while ops are in flight.
+//! Thirty processes on stand-ins, ended and started again in waves while requests are in flight.
 
-use hazelspur_fleetbed::bed::Plan;
-use hazelspur_fleetbed::play::{Verdict, play};
-use hazelspur_fleetbed::script::Script;
+use hazelspur_fault_harness::bed::Plan;
+use hazelspur_fault_harness::play::{Verdict, play};
+use hazelspur_fault_harness::script::Script;
 
 const SERVERS: usize = 30;
 /// Where the sum of calls is looked at.
@@ -23,7 +23,7 @@
         seed: 5,
         rate: 60.0,
         most: SERVERS * 2,
-        calls: hazelspur_fleetbed::bed::CALLS,
+        calls: hazelspur_fault_harness::bed::CALLS,
         joint: false,
     };
     let verdict = play(plan, &mut |_, _| {}).unwrap_or_else(|why| panic!("{why:#}"));
@@ -31,7 +31,7 @@
     verdict
 }
 
-/// From each start to the moment in which ops are served, by the process's own lines.
+/// From each start to the moment in which requests are served, by the process's own lines.
 fn ready_ms(verdict: &Verdict) -> Vec<u64> {
     let at = |line: &str| line.split(' ').next()?.replace('.', "").parse::<u64>().ok();
     let mut took = Vec::new();
--- a/crates/hazelspur-server/tests/town/mod.rs
+++ b/crates/hazelspur-server/tests/town/mod.rs
@@ -61,7 +61,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis()
 }
 
-pub fn op(id: u32, req: u32, class: &str, more: &str) -> String {
+pub fn request(id: u32, req: u32, class: &str, more: &str) -> String {
     format!(
         r#"{{"jsonrpc":"2.0","id":{id},"method":"{class}","params":{{"req":"{req:016x}","ts":{},"via":1,"timeout":4000,"need":20.5,"level":0.5,"data":"aGVsbG8="{more}}}}}"#,
         now_ms()
@@ -137,9 +137,9 @@
         (runtime, ledger, config)
     }
 
-    /// Sends an op and notes the command that it brings.
-    pub fn run(&mut self, gateway: &mut End, link: &mut End, op: &str) {
-        gateway.say(&format!("{op}\n"));
+    /// Sends a request and notes the command that it brings.
+    pub fn run(&mut self, gateway: &mut End, link: &mut End, request: &str) {
+        gateway.say(&format!("{request}\n"));
         link.hear(&mut self.trace);
     }
 
@@ -248,7 +248,7 @@
     }
 }
 
-/// Settings with a non-retryable op type, tenants, and a window of this length for keyed ops.
+/// Settings with a non-retryable request class, tenants, and a window of this length for keyed requests.
 pub fn customers(config: String, window_ms: u32) -> String {
     let lane = r#"{"name":"pay","aim-us":3000000,"deadline-us":4000000,"semantics":"unsafe"}],"orgs":
         [{"name":"a","quota-rps":50},{"name":"b","quota-rps":50}],"rules""#;
--- a/crates/hazelspur-lab/src/capacity.rs
+++ b/crates/hazelspur-simulator/src/capacity.rs
@@ -1,5 +1,5 @@
 //! The capacity model: figures of the size from a file, slopes from what was measured, and for each thing that
-//! grows whether it is within its budget. `hazelspur-lab capacity` prints it and keeps the tables of
+//! grows whether it is within its budget. `hazelspur-simulator capacity` prints it and keeps the tables of
 //! docs/CAPACITY.md in step with it; CI runs the same check.
 //!
 //! - `size`: the figures of the size, the budgets and what is assumed, each with its reason;
--- a/crates/hazelspur-lab/src/capacity/command.rs
+++ b/crates/hazelspur-simulator/src/capacity/command.rs
@@ -1,4 +1,4 @@
-//! `hazelspur-lab capacity`: reads the size, what was measured and the page, and prints what comes of them.
+//! `hazelspur-simulator capacity`: reads the size, what was measured and the page, and prints what comes of them.
 
 use super::measured::{Measured, Study};
 use super::report::{Known, Report, report};
--- a/crates/hazelspur-lab/src/capacity/constants.rs
+++ b/crates/hazelspur-simulator/src/capacity/constants.rs
@@ -17,10 +17,10 @@
 }
 
 const CATALOG: &str = "src/catalog.rs";
-const CONTROL: &str = "crates/hazelspur-server/src/back/control.rs";
-const DESCRIPTORS: &str = "crates/hazelspur-server/src/start/descriptors.rs";
+const CONTROL: &str = "crates/hazelspur-server/src/upstream/control.rs";
+const DESCRIPTORS: &str = "crates/hazelspur-server/src/config/descriptors.rs";
 const GATE: &str = "crates/hazelspur-fleet/src/gate.rs";
-const KEYS: &str = "crates/hazelspur-server/src/start/fleet_keys.rs";
+const KEYS: &str = "crates/hazelspur-server/src/config/fleet_keys.rs";
 
 /// Mean wait between reports to the list, s: the middle of `EVERY`.
 pub const REPORT_EVERY: Constant =
@@ -31,33 +31,37 @@
 /// Descriptors of the program's own.
 pub const OWN: Constant = constant(DESCRIPTORS, "OWN", "const OWN: usize = 16;", 16.0);
 /// Connections to the ledger, in use or kept.
-pub const CALLS: Constant = constant(DESCRIPTORS, "MOST_CALLS", "const MOST_CALLS: usize = 64;", 64.0);
+pub const CALLS: Constant = constant(DESCRIPTORS, "MAX_CALLS", "const MAX_CALLS: usize = 64;", 64.0);
 /// Gateways' connections on their way out.
-pub const CLOSING: Constant = constant(DESCRIPTORS, "MOST_CLOSING", "const MOST_CLOSING: usize = 64;", 64.0);
+pub const CLOSING: Constant = constant(DESCRIPTORS, "MAX_CLOSING", "const MAX_CLOSING: usize = 64;", 64.0);
 /// `limits.sockets` where the platform says nothing.
 pub const SOCKETS: Constant = constant(
-    "crates/hazelspur-server/src/start/startup.rs",
+    "crates/hazelspur-server/src/config/startup.rs",
     "limits.sockets",
     "number(limit(\"sockets\"), \"limits.sockets\", 1024.0,",
     1024.0,
 );
 /// Idle connections to the ledger that are kept.
-pub const IDLE: Constant =
-    constant("crates/hazelspur-server/src/back/ledger.rs", "MOST_IDLE", "const MOST_IDLE: usize = 16;", 16.0);
+pub const IDLE: Constant = constant(
+    "crates/hazelspur-server/src/upstream/ledger.rs",
+    "MAX_IDLE",
+    "const MAX_IDLE: usize = 16;",
+    16.0,
+);
 /// Callers and users that the decision module remembers.
 pub const SEEN: Constant = constant("src/book.rs", "SEEN_KEPT", "pub const SEEN_KEPT: usize = 4096;", 4096.0);
 /// Op types that are held.
 pub const OP_TYPES: Constant =
-    constant(CATALOG, "MOST_OP_TYPES", "pub const MOST_OP_TYPES: usize = 17_400;", 17_400.0);
+    constant(CATALOG, "MAX_OP_TYPES", "pub const MAX_OP_TYPES: usize = 17_400;", 17_400.0);
 /// Tenants that are held.
 pub const TENANTS: Constant =
-    constant(CATALOG, "MOST_TENANTS", "pub const MOST_TENANTS: usize = 84_000;", 84_000.0);
+    constant(CATALOG, "MAX_TENANTS", "pub const MAX_TENANTS: usize = 84_000;", 84_000.0);
 /// Tenants, and op types, of which something learned is kept.
 pub const LEARNED: Constant =
     constant("src/book.rs", "LEARNED_KEPT", "pub const LEARNED_KEPT: usize = 4096;", 4096.0);
 /// The longest configuration that is read, in bytes.
 pub const LONGEST_FILE: Constant = constant(
-    "crates/hazelspur-server/src/start/startup.rs",
+    "crates/hazelspur-server/src/config/startup.rs",
     "LONGEST_FILE",
     "pub const LONGEST_FILE: u64 = 8 * 1024 * 1024;",
     8_388_608.0,
--- a/crates/hazelspur-lab/src/capacity/rows.rs
+++ b/crates/hazelspur-simulator/src/capacity/rows.rs
@@ -191,9 +191,9 @@
 const TALK: &str = "crates/hazelspur-server/src/fleet/talk.rs Talk";
 const SHARES: &str = "crates/hazelspur-fleet/src/shares/mod.rs Shares";
 const DIVIDER: &str = "crates/hazelspur-fleet/src/shares/divide.rs Divider";
-const REPORT: &str = "crates/hazelspur-server/src/back/control.rs report";
-const RELOAD: &str = "crates/hazelspur-server/src/start/reload.rs Reloader";
-const CHECK: &str = "crates/hazelspur-server/src/start/startup.rs Startup";
+const REPORT: &str = "crates/hazelspur-server/src/upstream/control.rs report";
+const RELOAD: &str = "crates/hazelspur-server/src/config/reload.rs Reloader";
+const CHECK: &str = "crates/hazelspur-server/src/config/startup.rs Startup";
 const CATALOG: &str = "src/catalog.rs Catalog";
 const TABLE: &str = "src/catalog.rs Table";
 const LATELY: &str = "src/book.rs Lately";
@@ -249,12 +249,12 @@
         )
         .formula("one entry for each op type; past the bound the start is refused")
         .computed(FILE.to_string() + " op_types", 1.0, 0.0)
-        .within(code::OP_TYPES.value, "catalog.rs, MOST_OP_TYPES")
+        .within(code::OP_TYPES.value, "catalog.rs, MAX_OP_TYPES")
         .by_mechanism(CATALOG),
         row(Server, "server.settings.tenants", "tenants that a start takes", "entries", tenants)
             .formula("one entry for each tenant; past the bound the start is refused")
             .computed(FILE.to_string() + " tenants", 1.0, 0.0)
-            .within(code::TENANTS.value, "catalog.rs, MOST_TENANTS")
+            .within(code::TENANTS.value, "catalog.rs, MAX_TENANTS")
             .by_mechanism(CATALOG),
         row(Server, "server.settings.file", "the file that is read", "B", tenants)
             .formula("bytes of the file by tenants, with op types in the same proportion")
@@ -311,7 +311,7 @@
             .formula("a server without requests, by tenants")
             .measured(&["server.rest.cpu_share"], &[])
             .within(b.control_cpu_share, CPU)
-            .by_mechanism("crates/hazelspur-server/src/ops/dispatcher.rs Dispatcher"),
+            .by_mechanism("crates/hazelspur-server/src/request/dispatcher.rs Dispatcher"),
         row(Server, "server.talk.cpu", "CPU of members, signals and shares", "of a core", servers)
             .formula("the machines' own code, without sockets")
             .measured_times(&["joint.cpu_us_per_s"], &["rest"], 1e-6, false)
@@ -380,7 +380,7 @@
         row(Server, "server.talk.sites", "sites that an operator is shown", "sites", ("zones", s.zones))
             .formula("one for each zone")
             .computed(FILE.to_string() + " zones", 1.0, 0.0)
-            .within(talk::MOST_SITES as f64, "talk.rs, MOST_SITES")
+            .within(talk::MAX_SITES as f64, "talk.rs, MAX_SITES")
             .by_mechanism("crates/hazelspur-fleet/src/talk.rs Body"),
         row(
             Server,
@@ -392,7 +392,7 @@
         .formula("callers x servers_a_caller_keeps x connections_per_caller_and_server / servers")
         .computed(FILE, kept / s.servers, 0.0)
         .within(gateways, "descriptors.rs, of 1,024")
-        .by_mechanism("crates/hazelspur-server/src/start/descriptors.rs Descriptors"),
+        .by_mechanism("crates/hazelspur-server/src/config/descriptors.rs Descriptors"),
         row(
             Server,
             "server.descriptors.spread",
@@ -403,7 +403,7 @@
         .formula("callers x servers_a_caller_keeps x connections_per_caller_and_server / servers")
         .computed(FILE, s.callers * a.connections_per_caller_and_server / s.servers, 0.0)
         .within(gateways, "descriptors.rs, of 1,024")
-        .by_mechanism("crates/hazelspur-server/src/start/descriptors.rs Descriptors"),
+        .by_mechanism("crates/hazelspur-server/src/config/descriptors.rs Descriptors"),
         row(Server, "server.callers", "callers that the module remembers", "entries", callers)
             .formula("callers x servers_a_caller_keeps / servers")
             .computed(FILE, a.servers_a_caller_keeps / s.servers, 0.0)
@@ -600,7 +600,7 @@
         row(KeeperAndDivider, "shares.limits", "limits that must be shared at one time", "limits", limits)
             .formula("tenants near their quota, and calls")
             .computed(FILE.to_string() + " tenants_near_their_quota", near, 1.0)
-            .within(shares::MOST_LIMITS as f64, "shares/mod.rs, MOST_LIMITS")
+            .within(shares::MAX_LIMITS as f64, "shares/mod.rs, MAX_LIMITS")
             .by_mechanism(SHARES)
             .rests_on(&["config.in_force", "divider.bytes"]),
         row(KeeperAndDivider, "shares.datagram", "bytes of one demand for that many limits", "B", limits)
@@ -690,7 +690,7 @@
         .formula("servers x 64")
         .computed(at(&[&code::CALLS]), code::CALLS.value, 0.0)
         .within(a.dependency_connections, "assumed.dependency_connections")
-        .by_mechanism("crates/hazelspur-server/src/back/ledger.rs Ledger"),
+        .by_mechanism("crates/hazelspur-server/src/upstream/ledger.rs Ledger"),
         row(
             SharedDependency,
             "dependency.connections.idle",
@@ -701,7 +701,7 @@
         .formula("servers x 16")
         .computed(at(&[&code::IDLE]), code::IDLE.value, 0.0)
         .within(a.dependency_connections, "assumed.dependency_connections")
-        .by_mechanism("crates/hazelspur-server/src/back/ledger.rs Ledger"),
+        .by_mechanism("crates/hazelspur-server/src/upstream/ledger.rs Ledger"),
         row(
             SharedDependency,
             "dependency.tries_while_gone",
@@ -818,7 +818,7 @@
     };
     let per_minute = a.changes_in_busiest_minute / 60.0;
     let out = a.out_at_once_share * s.servers;
-    let keepers = shares::MOST_KEEPERS as f64;
+    let keepers = shares::MAX_KEEPERS as f64;
     let region = s.servers * (s.regions - 1.0) / s.regions;
     let zone = s.servers * (s.zones - 1.0) / s.zones;
     let mean = s.servers * a.busiest_minute_over_mean;
@@ -884,7 +884,7 @@
         .formula("restarts_per_deploy x restart_out_s / deploy_min")
         .computed(FILE, a.restart_out_s / (a.deploy_min * 60.0), 0.0)
         .within(out, "assumed.out_at_once_share")
-        .by_mechanism("crates/hazelspur-server/src/start/phases.rs Phases"),
+        .by_mechanism("crates/hazelspur-server/src/config/phases.rs Phases"),
         row(Event, "event.rack_lost.noticed", "a rack gone: noticed, 99 in 100", "s", servers)
             .formula("until a server holds one of them for lost")
             .worst(&["members.noticed_p99_s"], &[])
@@ -899,8 +899,8 @@
             ("keepers", 1.0),
         )
         .formula("one at a time; a minority of 9 may go")
-        .computed("crates/hazelspur-fleet/src/shares/mod.rs MOST_KEEPERS", 1.0, 0.0)
-        .within((keepers - 1.0) / 2.0, "a minority of MOST_KEEPERS")
+        .computed("crates/hazelspur-fleet/src/shares/mod.rs MAX_KEEPERS", 1.0, 0.0)
+        .within((keepers - 1.0) / 2.0, "a minority of MAX_KEEPERS")
         .by_mechanism("crates/hazelspur-fleet/src/shares/vote.rs Keeper"),
         row(
             Event,
--- a/crates/hazelspur-lab/src/cpu.rs
+++ b/crates/hazelspur-simulator/src/cpu.rs
@@ -1,10 +1,10 @@
 //! CPU time of the calling thread, from the kernel's account.
 
-use hazelspur::Span;
+use hazelspur::Duration;
 
 /// What this thread spent on a core so far, in user and system mode; none where the kernel does not say.
-pub fn of_this_thread() -> Option<Span> {
+pub fn of_this_thread() -> Option<Duration> {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").ok()?;
     let ns: u64 = text.split_whitespace().next()?.parse().ok()?;
-    Some(Span::from_us(ns / 1000))
+    Some(Duration::from_us(ns / 1000))
 }
--- a/crates/hazelspur-lab/src/drive/mod.rs
+++ b/crates/hazelspur-simulator/src/drive/mod.rs
@@ -1,4 +1,4 @@
-//! The real `Logic` of many servers between the models, in virtual time. What a server's program does round
+//! The real `AdmissionController` of many servers between the models, in virtual time. What a server's program does round
 //! its module is done here as `hazelspur-server` does it: inputs are reported, decisions pulled until there
 //! is none and carried out.
 
@@ -12,15 +12,18 @@
 use crate::network::{Cut, Network};
 use crate::town::START;
 use hazelspur::pcg::Pcg;
-use hazelspur::{CallerId, Decision, Fact, Facts, Logic, Moment, OpId, OpTypeId, Outcome, Span, TenantId};
+use hazelspur::{
+    AdmissionController, ClientId, Decision, Duration, Fact, Facts, NewRequest, Outcome, RequestClassId,
+    RequestId, TenantId, Timestamp,
+};
 use hazelspur_fleet::Datagram;
 use std::collections::BTreeMap;
 use together::{ORACLE_LATE, Part, Truth};
 
-/// The part of an op's work that comes before its call.
+/// The part of a request's work that comes before its call.
 const BEFORE_CALL: f64 = 0.5;
 /// From a gateway to a server, and back.
-const ONE_WAY: Span = Span::from_us(500);
+const ONE_WAY: Duration = Duration::from_us(500);
 
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
@@ -31,8 +34,8 @@
     pub load: f64,
     /// Slots of the ledger for each server, and calls that each may have out by its settings.
     pub slots_each: f64,
-    pub call: Span,
-    /// The share of all ops that seek out the first third of the servers.
+    pub call: Duration,
+    /// The share of all requests that seek out the first third of the servers.
     pub lean: f64,
     pub way: Way,
     /// The part of shared limits that is each server's for good.
@@ -44,7 +47,7 @@
 impl Plan {
     /// Two cores each, all from the start.
     pub fn new(servers: usize, seed: u64, load: f64) -> Self {
-        let call = Span::from_ms(10);
+        let call = Duration::from_ms(10);
         let way = Way::Apart;
         Self {
             servers,
@@ -92,14 +95,14 @@
 pub enum Turn {
     LedgerDown(bool),
     LedgerSlow(f64),
-    /// Ends at once; its ops are lost.
+    /// Ends at once; its requests are lost.
     Kill(usize),
     /// A new, cold life.
     Start(usize),
     /// How fast its cores are.
     Speed(usize, f64),
     /// Its process stands still for so long; its runs go on.
-    Stop(usize, Span),
+    Stop(usize, Duration),
     /// Its own link to the ledger: so many times as slow, or down.
     LinkSlow(usize, f64),
     LinkDown(usize, bool),
@@ -116,14 +119,14 @@
 
 enum Event {
     Arrives,
-    Reaches(usize, u64, OpId, Asked),
+    Reaches(usize, u64, RequestId, Asked),
     Timer(usize, u64),
-    Cores(usize, u64, Moment),
-    CallEnds(usize, u64, OpId, Moment, Outcome),
+    Cores(usize, u64, Timestamp),
+    CallEnds(usize, u64, RequestId, Timestamp, Outcome),
     Report(usize, u64),
     Again(usize, Asked),
     Turn(Turn),
-    Tick(usize, u64, Moment),
+    Tick(usize, u64, Timestamp),
     Datagram(usize, Box<Datagram>),
     Look(usize, u64),
     Oracle,
@@ -151,17 +154,17 @@
     called: bool,
     answered: bool,
     /// When the call under way began.
-    call: Option<Moment>,
+    call: Option<Timestamp>,
 }
 
 struct Server {
-    logic: Option<Logic>,
+    controller: Option<AdmissionController>,
     life: u64,
     cores: Cores,
-    ops: BTreeMap<OpId, Running>,
+    requests: BTreeMap<RequestId, Running>,
     /// When its cores are to be looked at.
-    look: Option<Moment>,
-    stopped: Option<Moment>,
+    look: Option<Timestamp>,
+    stopped: Option<Timestamp>,
 }
 
 /// What came out, for all servers together.
@@ -184,7 +187,7 @@
     pub by_second: Vec<u32>,
 }
 
-fn count(of: &mut Vec<u32>, now: Moment) {
+fn count(of: &mut Vec<u32>, now: Timestamp) {
     let second = (now - START).us() as usize / 1_000_000;
     if of.len() <= second {
         of.resize(second + 1, 0);
@@ -228,10 +231,10 @@
     num("rules.cold_us", 10e6);
     num("limits.retry_after", 1.0);
     num("limits.max_retry_after_us", 1e6);
-    for (i, importance) in [1.0, 3.0].into_iter().enumerate() {
+    for (i, priority_weight) in [1.0, 3.0].into_iter().enumerate() {
         num(&format!("op_types.{i}.target_latency_us"), 1e6);
         num(&format!("op_types.{i}.op_timeout_us"), 2e6);
-        num(&format!("op_types.{i}.importance"), importance);
+        num(&format!("op_types.{i}.importance"), priority_weight);
     }
     facts.0.insert("server.stop".into(), Fact::Text("drop".into()));
     for (i, repeats) in ["retryable", "non-retryable"].into_iter().enumerate() {
@@ -242,14 +245,14 @@
 
 impl Drive {
     pub fn new(plan: Plan) -> Self {
-        // Two op types, 10 ms of work on average each.
+        // Two request classes, 10 ms of work on average each.
         let work = vec![0.008, 0.012];
         let rate = plan.load * plan.cores * plan.servers as f64 / 0.010;
         let server = |_| Server {
-            logic: None,
+            controller: None,
             life: 0,
             cores: Cores::new(plan.cores, 8.0),
-            ops: BTreeMap::new(),
+            requests: BTreeMap::new(),
             look: None,
             stopped: None,
         };
@@ -257,9 +260,15 @@
             kernel: Kernel::new(START),
             chance: Pcg::new(plan.seed),
             servers: (0..plan.servers).map(server).collect(),
-            gateways: Gateways::new((plan.servers / 2).max(4), plan.servers, rate, Span::from_ms(2000), work),
+            gateways: Gateways::new(
+                (plan.servers / 2).max(4),
+                plan.servers,
+                rate,
+                Duration::from_ms(2000),
+                work,
+            ),
             ledger: Ledger::new(plan.slots_each * plan.servers as f64, plan.call),
-            list: List::new(plan.servers, Span::from_ms(1200)),
+            list: List::new(plan.servers, Duration::from_ms(1200)),
             ids: 0,
             parts: (0..plan.servers).map(|_| None).collect(),
             links: vec![LedgerLink { slow: 1.0, down: false }; plan.servers],
@@ -272,12 +281,12 @@
         if plan.way == Way::Oracle {
             drive.kernel.at(START + ORACLE_LATE, Event::Oracle);
         }
-        drive.kernel.at(START + Span::from_ms(2000), Event::Arrives);
+        drive.kernel.at(START + Duration::from_ms(2000), Event::Arrives);
         drive
     }
 
     /// Does this so long after the start.
-    pub fn script(&mut self, after: Span, turn: Turn) {
+    pub fn script(&mut self, after: Duration, turn: Turn) {
         self.kernel.at(START + after, Event::Turn(turn));
     }
 
@@ -288,11 +297,11 @@
         let seed = u64::from(self.chance.draw()) << 32 | u64::from(self.chance.draw());
         let server = &mut self.servers[of];
         server.life += 1;
-        server.logic = Logic::new(facts, seed, now).ok();
+        server.controller = AdmissionController::new(facts, seed, now).ok();
         let speed = server.cores.speed;
         server.cores = Cores::new(self.plan.cores, 8.0);
         server.cores.speed = speed;
-        server.ops.clear();
+        server.requests.clear();
         server.look = None;
         server.stopped = None;
         let life = server.life;
@@ -309,7 +318,7 @@
         (self.ledger.calls, self.ledger.most_out) = (0, 0);
     }
 
-    pub fn play(&mut self, span: Span) {
+    pub fn play(&mut self, span: Duration) {
         let end = self.kernel.now + span;
         while let Some(event) = self.kernel.next(end) {
             self.take(event);
@@ -344,35 +353,38 @@
             }
             Event::Again(not, asked) => self.send(asked, Some(not)),
             Event::Reaches(of, life, id, asked) => {
-                if self.servers[of].life != life || self.servers[of].logic.is_none() {
+                if self.servers[of].life != life || self.servers[of].controller.is_none() {
                     // A refused connection proves that nothing ran.
-                    return self.again(of, asked, Span::ZERO);
+                    return self.again(of, asked, Duration::ZERO);
                 }
                 let running = Running { asked, called: false, answered: false, call: None };
-                self.servers[of].ops.insert(id, running);
-                let (op_type, caller) = (OpTypeId(asked.op_type), CallerId(asked.gateway as u64));
+                self.servers[of].requests.insert(id, running);
+                let (request_class, caller) =
+                    (RequestClassId(asked.request_class), ClientId(asked.gateway as u64));
                 let (due, age) = (Some(asked.due), ONE_WAY);
-                self.tell(of, |logic| {
-                    logic.op_read(
+                self.tell(of, |controller| {
+                    controller.request_received(
                         now,
-                        id,
-                        op_type,
-                        TenantId(0),
-                        None,
-                        caller,
-                        due,
-                        None,
-                        20.0,
-                        age,
-                        false,
-                        None,
+                        NewRequest {
+                            id,
+                            class: request_class,
+                            tenant: TenantId(0),
+                            session: None,
+                            client: caller,
+                            deadline: due,
+                            cost: None,
+                            size_kb: 20.0,
+                            age,
+                            is_write: false,
+                            retry_of: None,
+                        },
                     );
                 });
             }
             Event::Timer(of, life) => {
                 if self.servers[of].life == life {
                     let on = self.servers[of].cores.on() as f64;
-                    self.tell(of, |logic| logic.timer(now, &[("on_cores", on)]));
+                    self.tell(of, |controller| controller.timer(now, &[("on_cores", on)]));
                 }
             }
             Event::Cores(of, life, at) => {
@@ -381,17 +393,17 @@
                 }
                 self.servers[of].look = None;
                 for id in self.servers[of].cores.done(now) {
-                    let Some(running) = self.servers[of].ops.get_mut(&id) else { continue };
+                    let Some(running) = self.servers[of].requests.get_mut(&id) else { continue };
                     if !running.called {
                         running.called = true;
-                        self.tell(of, |logic| logic.call_wanted(now, id));
+                        self.tell(of, |controller| controller.call_requested(now, id));
                         continue;
                     }
-                    let running = self.servers[of].ops.remove(&id);
+                    let running = self.servers[of].requests.remove(&id);
                     if let Some(running) = running.filter(|running| !running.answered) {
                         self.answered(&running.asked);
                     }
-                    self.tell(of, |logic| logic.run_ended(now, id, Outcome::Ok));
+                    self.tell(of, |controller| controller.run_finished(now, id, Outcome::Ok));
                 }
                 self.look_at_cores(of);
             }
@@ -401,26 +413,28 @@
                     self.reached(of, true);
                 }
                 let server = &mut self.servers[of];
-                let Some(running) = server.ops.get_mut(&id).filter(|_| server.life == life) else { return };
+                let Some(running) = server.requests.get_mut(&id).filter(|_| server.life == life) else {
+                    return;
+                };
                 if running.call.take_if(|at| *at == began).is_none() {
                     return;
                 }
                 if running.answered {
                     // The runtime ends a run at its call once nobody waits for it.
-                    server.ops.remove(&id);
-                    return self.tell(of, |logic| {
-                        logic.call_ended(now, id, outcome);
-                        logic.run_ended(now, id, Outcome::Stopped);
+                    server.requests.remove(&id);
+                    return self.tell(of, |controller| {
+                        controller.call_finished(now, id, outcome);
+                        controller.run_finished(now, id, Outcome::Preempted);
                     });
                 }
                 if outcome == Outcome::Ok {
                     server.cores.put(now, id, running.asked.work * (1.0 - BEFORE_CALL));
                 }
-                self.tell(of, |logic| logic.call_ended(now, id, outcome));
+                self.tell(of, |controller| controller.call_finished(now, id, outcome));
                 self.look_at_cores(of);
             }
             Event::Report(of, life) => {
-                if self.servers[of].life == life && self.servers[of].logic.is_some() {
+                if self.servers[of].life == life && self.servers[of].controller.is_some() {
                     self.list.report(now, of);
                     self.kernel.at(now + REPORT_EVERY, Event::Report(of, life));
                 }
@@ -436,10 +450,11 @@
                 }
                 Turn::Kill(of) => {
                     let server = &mut self.servers[of];
-                    server.logic = None;
+                    server.controller = None;
                     server.life += 1;
                     self.parts[of] = None;
-                    let lost = std::mem::take(&mut server.ops).into_values().filter(|r| !r.answered).count();
+                    let lost =
+                        std::mem::take(&mut server.requests).into_values().filter(|r| !r.answered).count();
                     self.figures.failed += lost as u64;
                 }
                 Turn::Start(of) => self.start(of, true),
@@ -462,12 +477,12 @@
         };
         self.figures.tries += 1;
         self.ids += 1;
-        let id = OpId::padded(&format!("{:x}", self.ids)).expect("under 36 characters");
+        let id = RequestId::padded(&format!("{:x}", self.ids)).expect("under 36 characters");
         self.kernel.at(now + ONE_WAY, Event::Reaches(of, self.servers[of].life, id, asked));
     }
 
     /// What was turned away goes on to another server, if its gateway does that and there is time.
-    fn again(&mut self, not: usize, mut asked: Asked, wait: Span) {
+    fn again(&mut self, not: usize, mut asked: Asked, wait: Duration) {
         let at = self.kernel.now + wait + ONE_WAY;
         if Habits::of(asked.gateway).walk_on && asked.left > 0 && at < asked.due {
             asked.left -= 1;
@@ -497,9 +512,9 @@
         }
     }
 
-    fn tell(&mut self, of: usize, input: impl FnOnce(&mut Logic)) {
-        if let Some(logic) = &mut self.servers[of].logic {
-            input(logic);
+    fn tell(&mut self, of: usize, input: impl FnOnce(&mut AdmissionController)) {
+        if let Some(controller) = &mut self.servers[of].controller {
+            input(controller);
         }
         self.pull(of);
     }
@@ -509,8 +524,8 @@
         let now = self.kernel.now;
         self.end_leases(of);
         loop {
-            let Some(logic) = &mut self.servers[of].logic else { return };
-            let Some(decision) = logic.next_decision(now) else { break };
+            let Some(controller) = &mut self.servers[of].controller else { return };
+            let Some(decision) = controller.next_decision(now) else { break };
             self.carry_out(of, decision);
         }
         self.look_at_cores(of);
@@ -522,67 +537,67 @@
         let life = server.life;
         match decision {
             Decision::Run(id) => {
-                if let Some(running) = server.ops.get(&id) {
+                if let Some(running) = server.requests.get(&id) {
                     server.cores.put(now, id, running.asked.work * BEFORE_CALL);
                 }
             }
-            Decision::Stop(id) => {
+            Decision::Preempt(id) => {
                 server.cores.take(now, id);
-                if server.ops.get(&id).is_some_and(|running| running.answered) {
-                    server.ops.remove(&id);
+                if server.requests.get(&id).is_some_and(|running| running.answered) {
+                    server.requests.remove(&id);
                 }
-                if let Some(logic) = &mut server.logic {
-                    logic.run_ended(now, id, Outcome::Stopped);
+                if let Some(controller) = &mut server.controller {
+                    controller.run_finished(now, id, Outcome::Preempted);
                 }
             }
-            Decision::Nack { op, come_back, nowhere_else } => {
-                let Some(running) = server.ops.remove(&op) else { return };
+            Decision::Reject { request, retry_after, do_not_retry_elsewhere } => {
+                let Some(running) = server.requests.remove(&request) else { return };
                 let habits = Habits::of(running.asked.gateway);
-                if habits.heed && nowhere_else {
+                if habits.heed && do_not_retry_elsewhere {
                     self.figures.refused += 1;
                 } else {
-                    self.again(of, running.asked, if habits.heed { come_back } else { Span::ZERO });
+                    self.again(of, running.asked, if habits.heed { retry_after } else { Duration::ZERO });
                 }
             }
             Decision::Fail(id) => {
-                let Some(running) = server.ops.get_mut(&id) else { return };
+                let Some(running) = server.requests.get_mut(&id) else { return };
                 let waits = !server.cores.has(id) && running.call.is_none();
                 if !std::mem::replace(&mut running.answered, true) {
                     self.figures.failed += 1;
                 }
                 if waits {
-                    server.ops.remove(&id);
-                    if let Some(logic) = &mut server.logic {
-                        logic.run_ended(now, id, Outcome::Stopped);
+                    server.requests.remove(&id);
+                    if let Some(controller) = &mut server.controller {
+                        controller.run_finished(now, id, Outcome::Preempted);
                     }
                 }
             }
-            Decision::Call { op, patience } => {
-                let Some(running) = server.ops.get_mut(&op) else { return };
+            Decision::StartCall { request, timeout } => {
+                let Some(running) = server.requests.get_mut(&request) else { return };
                 let link = self.links[of];
                 let begun = if link.down { None } else { self.ledger.begin() };
                 match begun.map(|takes| takes.scaled(link.slow)) {
                     Some(takes) => {
-                        // A call is given up, and its slot free, when patience is over.
-                        let outcome = if takes <= patience { Outcome::Ok } else { Outcome::TimedOut };
+                        // A call is given up, and its slot free, when its timeout is over.
+                        let outcome = if takes <= timeout { Outcome::Ok } else { Outcome::TimedOut };
                         running.call = Some(now);
-                        let end = now + takes.min(patience);
-                        self.kernel.at(end, Event::CallEnds(of, life, op, now, outcome));
+                        let end = now + takes.min(timeout);
+                        self.kernel.at(end, Event::CallEnds(of, life, request, now, outcome));
                     }
                     None => {
-                        if let Some(logic) = &mut server.logic {
-                            logic.call_ended(now, op, Outcome::Unreached);
+                        if let Some(controller) = &mut server.controller {
+                            controller.call_finished(now, request, Outcome::Unreachable);
                         }
                         self.reached(of, false);
                     }
                 }
             }
             Decision::SkipCall(id) => {
-                if let Some(running) = server.ops.get(&id) {
+                if let Some(running) = server.requests.get(&id) {
                     server.cores.put(now, id, running.asked.work * (1.0 - BEFORE_CALL));
                 }
             }
-            Decision::Wake(at) => self.kernel.at(at, Event::Timer(of, life)),
+            Decision::SetTimer(at) => self.kernel.at(at, Event::Timer(of, life)),
             _ => {}
         }
     }
--- a/crates/hazelspur-lab/src/drive/together.rs
+++ b/crates/hazelspur-simulator/src/drive/together.rs
@@ -3,25 +3,25 @@
 
 use super::{Drive, Event, Way};
 use crate::ways::own::{address, name, number, terms};
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, GuidanceKey, Timestamp};
 use hazelspur_fleet::guidance::{Guidance, Told};
 use hazelspur_fleet::joint::Seen;
 use hazelspur_fleet::shares::{Limit, LimitId, Terms, level};
 use hazelspur_fleet::{At, Datagram, Generation, Joint, LimitName};
 
 /// A server looks at its own work so often; the oracle at that of all, of which it sees the last look.
-const LOOK: Span = Span::from_ms(200);
-pub const ORACLE_LATE: Span = Span::from_ms(250);
+const LOOK: Duration = Duration::from_ms(200);
+pub const ORACLE_LATE: Duration = Duration::from_ms(250);
 const CALLS: &str = "calls";
-const BOUND: &str = "joint.calls_bound";
+const BOUND: GuidanceKey = GuidanceKey::CallConcurrencyLimit;
 
 /// One server's part.
 pub struct Part {
     pub joint: Joint,
     guidance: Guidance,
     /// The tick that is set.
-    set: Moment,
-    leases: Option<(Moment, Vec<(String, f64)>)>,
+    set: Timestamp,
+    leases: Option<(Timestamp, Vec<(GuidanceKey, f64)>)>,
 }
 
 /// The truth a moment ago.
@@ -38,13 +38,13 @@
         name: LimitName::new(CALLS).expect("a short name"),
         total: slots,
         floor,
-        linger: Span::from_ms(500),
+        linger: Duration::from_ms(500),
         whole: None,
     };
     Terms {
         keepers: if servers < 5 { vec![name(0)] } else { (0..5).map(|i| name(i * servers / 5)).collect() },
         most: most(servers),
-        span: Span::from_ms(4000),
+        span: Duration::from_ms(4000),
         limits: vec![calls],
     }
 }
@@ -68,10 +68,10 @@
         }
         let slots = self.plan.slots_each * servers as f64;
         let shares = talks.then(|| share_terms(servers, slots, self.plan.floor));
-        let limits = if talks { vec![(LimitId(0), BOUND.to_string())] } else { Vec::new() };
+        let limits = if talks { vec![(LimitId(0), BOUND)] } else { Vec::new() };
         let joint = Joint::new(members, shares, Generation(at.wall.us() / 1000), seed, at);
         let part =
-            Part { joint, guidance: Guidance::new(true, limits), set: Moment::default(), leases: None };
+            Part { joint, guidance: Guidance::new(true, limits), set: Timestamp::default(), leases: None };
         self.parts[of] = matches!(self.plan.way, Way::Talk | Way::Alone).then_some(part);
         if self.parts[of].is_some() {
             let life = self.servers[of].life;
@@ -85,8 +85,8 @@
     pub(super) fn look(&mut self, of: usize) {
         let (at, now) = (self.at(), self.kernel.now);
         let server = &mut self.servers[of];
-        let (Some(logic), Some(part)) = (&server.logic, &mut self.parts[of]) else { return };
-        let view = logic.view(now);
+        let (Some(controller), Some(part)) = (&server.controller, &mut self.parts[of]) else { return };
+        let view = controller.load_report(now);
         part.joint.saw(at, Seen { call_secs: view.call_secs, refused: view.refused });
         part.joint.want(CALLS, view.calls.unwrap_or(1.0));
         let life = server.life;
@@ -106,13 +106,13 @@
     pub(super) fn ticks(&mut self, of: usize) {
         let at = self.at();
         let Some(part) = &mut self.parts[of] else { return };
-        part.set = Moment::default();
+        part.set = Timestamp::default();
         part.joint.tick(at);
         if part.joint.gate.next_try().is_some_and(|next| next <= at.wall) {
             part.joint.gate.tried(at.wall);
             let reached = !self.ledger.down && !self.links[of].down;
             self.figures.vain += u64::from(!reached);
-            part.joint.call_ended(at, reached);
+            part.joint.call_finished(at, reached);
         }
         self.spoke(of);
         self.guide(of);
@@ -123,7 +123,7 @@
         let at = self.at();
         self.figures.vain += u64::from(!reached);
         let Some(part) = &mut self.parts[of] else { return };
-        part.joint.call_ended(at, reached);
+        part.joint.call_finished(at, reached);
         self.spoke(of);
     }
 
@@ -144,16 +144,16 @@
         }
         while part.joint.members.next_event().is_some() {}
         let next_try = part.joint.gate.next_try().map(|next| next - at.wall);
-        let wait = next_try.into_iter().fold(part.joint.wait(at), Span::min).max(Span::from_us(1));
+        let wait = next_try.into_iter().fold(part.joint.wait(at), Duration::min).max(Duration::from_us(1));
         let next = at.wall + wait;
-        if part.set == Moment::default() || next < part.set || part.set <= at.wall {
+        if part.set == Timestamp::default() || next < part.set || part.set <= at.wall {
             part.set = next;
             let life = self.servers[of].life;
             self.kernel.at(next, Event::Tick(of, life, next));
         }
     }
 
-    pub(super) fn is_set(&self, of: usize, at: Moment) -> bool {
+    pub(super) fn is_set(&self, of: usize, at: Timestamp) -> bool {
         self.parts[of].as_ref().is_some_and(|part| part.set == at)
     }
 
@@ -165,8 +165,8 @@
         if facts.is_empty() {
             return;
         }
-        if let Some(logic) = &mut self.servers[of].logic {
-            facts.iter().for_each(|(name, value)| logic.told(now, name, *value));
+        if let Some(controller) = &mut self.servers[of].controller {
+            facts.iter().for_each(|(name, value)| controller.set_guidance(now, *name, *value));
         }
         self.pull(of);
     }
@@ -177,8 +177,8 @@
         let Some(part) = &mut self.parts[of] else { return };
         let Some((_, floors)) = part.leases.take_if(|(ends, _)| now >= *ends) else { return };
         part.guidance.forget();
-        if let Some(logic) = &mut self.servers[of].logic {
-            floors.iter().for_each(|(name, floor)| logic.told(now, name, Some(*floor)));
+        if let Some(controller) = &mut self.servers[of].controller {
+            floors.iter().for_each(|(name, floor)| controller.set_guidance(now, *name, Some(*floor)));
         }
     }
 
@@ -189,16 +189,19 @@
         let slots = self.plan.slots_each * self.plan.servers as f64;
         let wants = level(slots, truth.wants.clone());
         for of in 0..self.servers.len() {
-            let Some(logic) = &mut self.servers[of].logic else { continue };
+            let Some(controller) = &mut self.servers[of].controller else { continue };
             if let Some(want) = truth.wants.get(of) {
-                logic.told(now, BOUND, Some(want.min(wants).max(0.05)));
+                controller.set_guidance(now, BOUND, Some(want.min(wants).max(0.05)));
             }
-            logic.told(now, "joint.refused", Some(truth.refused));
-            logic.told(now, "joint.breaker_open", truth.down.then_some(1.0));
+            controller.set_guidance(now, GuidanceKey::RejectedShare, Some(truth.refused));
+            controller.set_guidance(now, GuidanceKey::BreakerOpen, truth.down.then_some(1.0));
             self.pull(of);
         }
-        let views: Vec<_> =
-            self.servers.iter().map(|server| server.logic.as_ref().map(|logic| logic.view(now))).collect();
+        let views: Vec<_> = self
+            .servers
+            .iter()
+            .map(|server| server.controller.as_ref().map(|controller| controller.load_report(now)))
+            .collect();
         let here = views.iter().flatten().count().max(1) as f64;
         self.truth = Truth {
             wants: views.iter().map(|v| v.map_or(0.0, |v| v.calls.unwrap_or(1.0))).collect(),
--- a/crates/hazelspur-lab/src/kernel.rs
+++ b/crates/hazelspur-simulator/src/kernel.rs
@@ -1,11 +1,11 @@
 //! What happens when: events in the order of their time, and of their making where that is the same.
 
-use hazelspur::Moment;
+use hazelspur::Timestamp;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 struct Entry<E> {
-    at: Moment,
+    at: Timestamp,
     number: u64,
     event: E,
 }
@@ -31,24 +31,24 @@
 }
 
 pub struct Kernel<E> {
-    pub now: Moment,
+    pub now: Timestamp,
     entries: BinaryHeap<Reverse<Entry<E>>>,
     number: u64,
 }
 
 impl<E> Kernel<E> {
-    pub fn new(now: Moment) -> Self {
+    pub fn new(now: Timestamp) -> Self {
         Self { now, entries: BinaryHeap::new(), number: 0 }
     }
 
     /// What is set for the past happens next.
-    pub fn at(&mut self, at: Moment, event: E) {
+    pub fn at(&mut self, at: Timestamp, event: E) {
         self.number += 1;
         self.entries.push(Reverse(Entry { at: at.max(self.now), number: self.number, event }));
     }
 
     /// The next event up to `end`, to which time goes on where there is none.
-    pub fn next(&mut self, end: Moment) -> Option<E> {
+    pub fn next(&mut self, end: Timestamp) -> Option<E> {
         match self.entries.peek() {
             Some(Reverse(entry)) if entry.at <= end => {
                 let Reverse(entry) = self.entries.pop()?;
--- a/crates/hazelspur-lab/src/lib.rs
+++ b/crates/hazelspur-simulator/src/lib.rs
@@ -5,7 +5,7 @@
 //! - `kernel`: what happens when;
 //! - `network`: datagrams lost, late, doubled, cut one way;
 //! - `town`: many talkers over that network, stopped, killed and started by a script;
-//! - `drive`: the real `Logic` of many servers between `models` of cores, ledger, list and gateways;
+//! - `drive`: the real `AdmissionController` of many servers between `models` of cores, ledger, list and gateways;
 //! - `ways`: the ways of knowing who is here that are compared;
 //! - `studies`: what is measured, as tables;
 //! - `cpu`, `heap`: what a run cost the machine that played it;
--- a/crates/hazelspur-lab/src/main.rs
+++ b/crates/hazelspur-simulator/src/main.rs
@@ -2,22 +2,22 @@
 
 use clap::{Args, Parser, Subcommand};
 use comfy_table::{Table, presets};
-use hazelspur::Span;
-use hazelspur_lab::on_all_cores;
-use hazelspur_lab::studies::who_is_here::{Case, Row, play};
-use hazelspur_lab::ways::Way;
-use hazelspur_lab::ways::beats::Beats;
-use hazelspur_lab::ways::library::Library;
-use hazelspur_lab::ways::own::Own;
+use hazelspur::Duration;
+use hazelspur_simulator::on_all_cores;
+use hazelspur_simulator::studies::who_is_here::{Case, Row, play};
+use hazelspur_simulator::ways::Way;
+use hazelspur_simulator::ways::beats::Beats;
+use hazelspur_simulator::ways::library::Library;
+use hazelspur_simulator::ways::own::Own;
 use std::path::PathBuf;
 use std::time::Instant;
 
 /// What a run holds is counted.
 #[global_allocator]
-static HEAP: hazelspur_lab::heap::Counting = hazelspur_lab::heap::Counting;
+static HEAP: hazelspur_simulator::heap::Counting = hazelspur_simulator::heap::Counting;
 
 #[derive(Parser)]
-#[command(name = "hazelspur-lab", version, about = "Many servers in virtual time")]
+#[command(name = "hazelspur-simulator", version, about = "Many servers in virtual time")]
 struct Line {
     #[command(subcommand)]
     command: Command,
@@ -30,7 +30,7 @@
     /// The real decision modules of many servers, at several sizes.
     Together(Together),
     /// What each role needs at the size in a file, beside its budgets: status 1 where one is passed.
-    Capacity(hazelspur_lab::capacity::command::Asked),
+    Capacity(hazelspur_simulator::capacity::command::Asked),
     /// The hard cases of choices that add up, under each way of choosing.
     Choices(Choices),
     /// Shares of one limit through troubles, without the servers' other work.
@@ -54,8 +54,8 @@
         #[arg(long)]
         text: Option<String>,
     },
-    /// One real server's own path: what it adds to an op, and what it costs, by the size of its settings.
-    Path(hazelspur_lab::path::command::Asked),
+    /// One real server's own path: what it adds to a request, and what it costs, by the size of its settings.
+    Path(hazelspur_simulator::path::command::Asked),
 }
 
 #[derive(Args)]
@@ -171,7 +171,7 @@
     match Line::parse().command {
         Command::WhoIsHere(asked) => who_is_here(&asked),
         Command::Together(asked) => together(&asked),
-        Command::Capacity(asked) => std::process::exit(hazelspur_lab::capacity::command::run(&asked)),
+        Command::Capacity(asked) => std::process::exit(hazelspur_simulator::capacity::command::run(&asked)),
         Command::Choices(asked) => choices(&asked),
         Command::Shares { sizes, seeds } => shares(&sizes, seeds),
         Command::Scale(asked) => {
@@ -183,7 +183,7 @@
         Command::Sums { sizes, json, text } => {
             sums(&sizes);
             if let Some((file, text)) = json.zip(text) {
-                let study = hazelspur_lab::studies::sums::study(&sizes, &text);
+                let study = hazelspur_simulator::studies::sums::study(&sizes, &text);
                 if let Err(why) = std::fs::write(&file, study) {
                     eprintln!("{}: {why}", file.display());
                     std::process::exit(1);
@@ -191,7 +191,7 @@
             }
         }
         Command::Path(asked) => {
-            if let Err(why) = hazelspur_lab::path::command::run(&asked) {
+            if let Err(why) = hazelspur_simulator::path::command::run(&asked) {
                 eprintln!("{why:#}");
                 std::process::exit(2);
             }
@@ -200,9 +200,11 @@
 }
 
 fn scale(asked: &Scale) -> Result<(), String> {
-    use hazelspur_lab::studies::scale::points::{Point, Study, lines};
-    use hazelspur_lab::studies::scale::{Between, Case, Machine, SharesCase, Situation, play, play_shares};
-    use hazelspur_lab::studies::shares::Trouble;
+    use hazelspur_simulator::studies::scale::points::{Point, Study, lines};
+    use hazelspur_simulator::studies::scale::{
+        Between, Case, Machine, SharesCase, Situation, play, play_shares,
+    };
+    use hazelspur_simulator::studies::shares::Trouble;
     enum Run {
         Machine(Case),
         Shares(SharesCase),
@@ -215,9 +217,9 @@
     let situations: Vec<&str> = Situation::ALL.iter().map(|s| s.name()).collect();
     asked.of.iter().try_for_each(|name| known(name, &machines, "of"))?;
     asked.cases.iter().try_for_each(|name| known(name, &situations, "cases"))?;
-    let lag = Span::from_ms(asked.region_lag_ms);
+    let lag = Duration::from_ms(asked.region_lag_ms);
     let between = Between { lag, region_loss: asked.region_loss, loss: asked.loss };
-    let window = Span::from_ms(asked.window_s.max(1) * 1000);
+    let window = Duration::from_ms(asked.window_s.max(1) * 1000);
     let mut runs = Vec::new();
     for (size, seed) in asked.sizes.iter().flat_map(|size| asked.seeds.iter().map(|seed| (*size, *seed))) {
         for machine in Machine::ALL.into_iter().filter(|m| asked.of.iter().any(|name| name == m.name())) {
@@ -280,7 +282,7 @@
         let line: Vec<String> = std::env::args().skip(1).collect();
         let mut study = Study {
             study: "scale".into(),
-            command: format!("cargo run --release -p hazelspur-lab -- {}", line.join(" ")),
+            command: format!("cargo run --release -p hazelspur-simulator -- {}", line.join(" ")),
             text: text_of_the_tree(),
             machine: format!("{cores} cores, simulated, {} runs at once", asked.threads),
             points,
@@ -312,8 +314,8 @@
 }
 
 fn choices(asked: &Choices) {
-    use hazelspur_lab::drive::Way;
-    use hazelspur_lab::studies::choices::{Case, Hard, Outcome, play};
+    use hazelspur_simulator::drive::Way;
+    use hazelspur_simulator::studies::choices::{Case, Hard, Outcome, play};
     let mut table = Table::new();
     table.load_style(presets::ASCII_MARKDOWN);
     table.set_header([
@@ -381,7 +383,7 @@
 }
 
 fn shares(sizes: &[usize], seeds: u64) {
-    use hazelspur_lab::studies::shares::{Case, Outcome, Trouble, play};
+    use hazelspur_simulator::studies::shares::{Case, Outcome, Trouble, play};
     let mut table = Table::new();
     table.load_style(presets::ASCII_MARKDOWN);
     table.set_header([
@@ -423,7 +425,7 @@
 }
 
 fn sums(sizes: &[usize]) {
-    use hazelspur_lab::studies::sums::{Reports, Subsets, reports, subsets, turns};
+    use hazelspur_simulator::studies::sums::{Reports, Subsets, reports, subsets, turns};
     let mut table = Table::new();
     table.load_style(presets::ASCII_MARKDOWN);
     table.set_header(["servers", "reports", "most in 20 ms over the mean", "longest without a place, ms"]);
@@ -463,7 +465,7 @@
         "longest wait, ms",
     ]);
     for size in sizes {
-        let (peak, wait) = turns(*size, 100.0, Span::from_ms(2000));
+        let (peak, wait) = turns(*size, 100.0, Duration::from_ms(2000));
         let name = "slots of a period of 2 s at most";
         table.add_row([size.to_string(), name.into(), format!("{peak:.1}"), (wait.us() / 1000).to_string()]);
     }
@@ -481,8 +483,8 @@
         "server-seconds a second",
     ]);
     for servers in &asked.sizes {
-        let down = Span::from_ms(asked.ledger_down_ms);
-        let case = |seed| hazelspur_lab::studies::together::Case {
+        let down = Duration::from_ms(asked.ledger_down_ms);
+        let case = |seed| hazelspur_simulator::studies::together::Case {
             servers: *servers,
             seed,
             load: asked.load,
@@ -491,9 +493,9 @@
         };
         let cases: Vec<_> = (1..=asked.seeds).map(case).collect();
         let began = Instant::now();
-        let all = on_all_cores(&cases, asked.threads, hazelspur_lab::studies::together::play);
+        let all = on_all_cores(&cases, asked.threads, hazelspur_simulator::studies::together::play);
         let speed = (asked.seconds * asked.seeds) as f64 * *servers as f64 / began.elapsed().as_secs_f64();
-        let mean = |of: &dyn Fn(&hazelspur_lab::drive::Figures) -> f64| {
+        let mean = |of: &dyn Fn(&hazelspur_simulator::drive::Figures) -> f64| {
             all.iter().map(of).sum::<f64>() / all.len().max(1) as f64
         };
         if let Some(first) = all.first().filter(|_| asked.by_second) {
@@ -527,7 +529,7 @@
     if !W::NAME.contains(&asked.way) {
         return None;
     }
-    let (trouble, stop) = (Span::from_ms(asked.minutes * 60_000), Span::from_ms(asked.stop_ms));
+    let (trouble, stop) = (Duration::from_ms(asked.minutes * 60_000), Duration::from_ms(asked.stop_ms));
     let cases: Vec<Case> =
         (1..=asked.seeds).map(|seed| Case { size, seed, trouble, loss: asked.loss, stop }).collect();
     let began = Instant::now();
--- a/crates/hazelspur-lab/src/models/cores.rs
+++ b/crates/hazelspur-simulator/src/models/cores.rs
@@ -1,73 +1,73 @@
 //! A server's cores: what runs shares them equally (processor sharing), and past a crowd of so many times the
 //! cores less gets done, by the crowd over that bound.
 
-use hazelspur::{Moment, OpId};
+use hazelspur::{RequestId, Timestamp};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
 pub struct Cores {
     pub cores: f64,
-    /// Past so many running ops for each core everything gets slower.
+    /// Past so many running requests for each core everything gets slower.
     pub crowd_multiple: f64,
     /// 1 for a well machine; 0.2 for one that is slow by 5.
     pub speed: f64,
     /// Seconds of work left of each.
-    running: BTreeMap<OpId, f64>,
-    since: Moment,
+    running: BTreeMap<RequestId, f64>,
+    since: Timestamp,
 }
 
 impl Cores {
     pub fn new(cores: f64, crowd_multiple: f64) -> Self {
-        Self { cores, crowd_multiple, speed: 1.0, running: BTreeMap::new(), since: Moment::default() }
+        Self { cores, crowd_multiple, speed: 1.0, running: BTreeMap::new(), since: Timestamp::default() }
     }
 
     pub fn on(&self) -> usize {
         self.running.len()
     }
 
-    pub fn has(&self, op: OpId) -> bool {
-        self.running.contains_key(&op)
+    pub fn has(&self, request: RequestId) -> bool {
+        self.running.contains_key(&request)
     }
 
-    /// Work done for each running op in a second.
+    /// Work done for each running request in a second.
     fn share(&self) -> f64 {
         let running = self.running.len().max(1) as f64;
         let crowd = (running / (self.cores * self.crowd_multiple)).max(1.0);
         (self.cores / running).min(1.0) * self.speed / crowd
     }
 
-    fn pass(&mut self, now: Moment) {
+    fn pass(&mut self, now: Timestamp) {
         let done = (now - self.since).secs() * self.share();
         self.running.values_mut().for_each(|left| *left -= done);
         self.since = now;
     }
 
-    pub fn put(&mut self, now: Moment, op: OpId, work: f64) {
+    pub fn put(&mut self, now: Timestamp, request: RequestId, work: f64) {
         self.pass(now);
-        self.running.insert(op, work);
+        self.running.insert(request, work);
     }
 
-    pub fn take(&mut self, now: Moment, op: OpId) -> bool {
+    pub fn take(&mut self, now: Timestamp, request: RequestId) -> bool {
         self.pass(now);
-        self.running.remove(&op).is_some()
+        self.running.remove(&request).is_some()
     }
 
     /// Those whose work is done.
-    pub fn done(&mut self, now: Moment) -> Vec<OpId> {
+    pub fn done(&mut self, now: Timestamp) -> Vec<RequestId> {
         self.pass(now);
-        let done: Vec<OpId> =
-            self.running.iter().filter(|(_, left)| **left <= 1e-9).map(|(op, _)| *op).collect();
-        for op in &done {
-            self.running.remove(op);
+        let done: Vec<RequestId> =
+            self.running.iter().filter(|(_, left)| **left <= 1e-9).map(|(request, _)| *request).collect();
+        for request in &done {
+            self.running.remove(request);
         }
         done
     }
 
     /// When the next one is done, if nothing changes.
-    pub fn next_done(&self) -> Option<Moment> {
+    pub fn next_done(&self) -> Option<Timestamp> {
         let least = self.running.values().copied().min_by(f64::total_cmp)?;
         // A microsecond more, so that it is over then.
         let after = (least.max(0.0) / self.share().max(1e-9) * 1e6).ceil().min(1e15) as u64 + 1;
-        Some(self.since + hazelspur::Span::from_us(after))
+        Some(self.since + hazelspur::Duration::from_us(after))
     }
 }
--- a/crates/hazelspur-lab/src/models/gateways.rs
+++ b/crates/hazelspur-simulator/src/models/gateways.rs
@@ -1,14 +1,14 @@
-//! Gateways with habits: ops come by chance (a Poisson process), go to listed servers in turn or by what they
+//! Gateways with habits: requests come by chance (a Poisson process), go to listed servers in turn or by what they
 //! are about, and are tried again where they are refused.
 
 use hazelspur::pcg::Pcg;
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 
 #[derive(Clone, Copy, Debug)]
 pub struct Habits {
     /// Tries after the first.
     pub retries: u32,
-    /// A refused op goes on to the next server; otherwise it is over.
+    /// A refused request goes on to the next server; otherwise it is over.
     pub walk_on: bool,
     /// It stays away as long as it is told to.
     pub heed: bool,
@@ -25,13 +25,13 @@
     }
 }
 
-/// An op as its client sees it.
+/// A request as its client sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct Asked {
     pub gateway: usize,
-    pub op_type: usize,
-    pub begun: Moment,
-    pub due: Moment,
+    pub request_class: usize,
+    pub begun: Timestamp,
+    pub due: Timestamp,
     pub work: f64,
     pub left: u32,
 }
@@ -39,8 +39,8 @@
 pub struct Gateways {
     pub count: usize,
     pub rate: f64,
-    pub timeout: Span,
-    /// Mean seconds of work of each op type.
+    pub timeout: Duration,
+    /// Mean seconds of work of each request class.
     pub work: Vec<f64>,
     /// Servers there may be.
     all: usize,
@@ -50,20 +50,20 @@
 }
 
 impl Gateways {
-    pub fn new(count: usize, all: usize, rate: f64, timeout: Span, work: Vec<f64>) -> Self {
+    pub fn new(count: usize, all: usize, rate: f64, timeout: Duration, work: Vec<f64>) -> Self {
         Self { count, rate, timeout, work, all, turn: 0, first_turn: 0 }
     }
 
-    pub fn gap(&self, chance: &mut Pcg) -> Span {
-        Span::from_secs(-(1.0 - chance.unit()).ln() / self.rate.max(1e-9))
+    pub fn gap(&self, chance: &mut Pcg) -> Duration {
+        Duration::from_secs(-(1.0 - chance.unit()).ln() / self.rate.max(1e-9))
     }
 
-    pub fn next(&mut self, now: Moment, chance: &mut Pcg) -> Asked {
+    pub fn next(&mut self, now: Timestamp, chance: &mut Pcg) -> Asked {
         let gateway = chance.draw() as usize % self.count;
-        let op_type = chance.draw() as usize % self.work.len();
-        let work = self.work[op_type] * (0.5 + chance.unit());
+        let request_class = chance.draw() as usize % self.work.len();
+        let work = self.work[request_class] * (0.5 + chance.unit());
         let due = now + self.timeout;
-        Asked { gateway, op_type, begun: now, due, work, left: Habits::of(gateway).retries }
+        Asked { gateway, request_class, begun: now, due, work, left: Habits::of(gateway).retries }
     }
 
     /// The next listed server in turn among the first `servers`, other than the one that was just tried.
--- a/crates/hazelspur-lab/src/models/ledger.rs
+++ b/crates/hazelspur-simulator/src/models/ledger.rs
@@ -1,12 +1,12 @@
 //! The shared ledger: so many slots; past them a call takes the square of the crowd over the slots as long,
-//! by the crowd at its beginning. The law is that of `hazelspur_standins::ledger`.
+//! by the crowd at its beginning. The law is that of `hazelspur_test_doubles::ledger`.
 
-use hazelspur::Span;
+use hazelspur::Duration;
 
 #[derive(Clone, Debug)]
 pub struct Ledger {
     pub slots: f64,
-    pub call: Span,
+    pub call: Duration,
     /// By how many times all calls are slower now.
     pub slow: f64,
     pub down: bool,
@@ -16,12 +16,12 @@
 }
 
 impl Ledger {
-    pub fn new(slots: f64, call: Span) -> Self {
+    pub fn new(slots: f64, call: Duration) -> Self {
         Self { slots, call, slow: 1.0, down: false, out: 0, most_out: 0, calls: 0 }
     }
 
     /// How long a call that begins now takes; `None` while nobody answers.
-    pub fn begin(&mut self) -> Option<Span> {
+    pub fn begin(&mut self) -> Option<Duration> {
         if self.down {
             return None;
         }
--- a/crates/hazelspur-lab/src/network.rs
+++ b/crates/hazelspur-simulator/src/network.rs
@@ -3,7 +3,7 @@
 //! Sites may lie in regions, with a lag and a loss of their own between these; there is one region unless told
 //! otherwise.
 
-use hazelspur::Span;
+use hazelspur::Duration;
 use hazelspur::pcg::Pcg;
 
 /// One way, within a site and from site to site, in ms; the tail's mean in ms.
@@ -20,7 +20,7 @@
     /// Site and region of a server go round by its number, so that each region has as many sites.
     pub regions: usize,
     /// One way, from region to region; in place of what is usual from site to site.
-    pub region_lag: Span,
+    pub region_lag: Duration,
     /// The share of datagrams lost from region to region, besides `loss`.
     pub region_loss: f64,
     /// Shares of datagrams.
@@ -31,7 +31,7 @@
 
 impl Network {
     pub fn new(sites: usize) -> Self {
-        let region_lag = Span::from_us((ACROSS_MS * 1000.0) as u64);
+        let region_lag = Duration::from_us((ACROSS_MS * 1000.0) as u64);
         Self { sites, regions: 1, region_lag, region_loss: 0.0, loss: 0.0, doubled: 0.0, cut: None }
     }
 
@@ -44,7 +44,7 @@
     }
 
     /// After how long each copy arrives; none where it is lost.
-    pub fn carry(&self, chance: &mut Pcg, from: usize, to: usize) -> Vec<Span> {
+    pub fn carry(&self, chance: &mut Pcg, from: usize, to: usize) -> Vec<Duration> {
         if self.cut.is_some_and(|cut| cut(from, to)) {
             return Vec::new();
         }
@@ -61,7 +61,7 @@
             let lost = loss > 0.0 && chance.unit() < loss;
             let tail = -TAIL_MS * (1.0 - chance.unit()).ln();
             if !lost {
-                arrive.push(Span::from_us(((base + tail) * 1000.0) as u64));
+                arrive.push(Duration::from_us(((base + tail) * 1000.0) as u64));
             }
         }
         arrive
--- a/crates/hazelspur-lab/src/path/command.rs
+++ b/crates/hazelspur-simulator/src/path/command.rs
@@ -8,28 +8,28 @@
 use anyhow::{Context, ensure};
 use clap::Args;
 use comfy_table::{Table, presets};
-use hazelspur::Span;
+use hazelspur::Duration;
 use hdrhistogram::Histogram;
 use std::path::PathBuf;
 use std::process::Command;
 use std::sync::Arc;
-use std::time::Duration;
+use std::time::Duration as StdDuration;
 
-/// How long the last answers of a play are waited for: longer than any op's timeout.
-const PATIENCE: Duration = Duration::from_millis(3200);
+/// How long the last answers of a play are waited for: longer than any request's timeout.
+const PATIENCE: StdDuration = StdDuration::from_millis(3200);
 /// Played first and not counted, so that connections, code and allocator are warm.
-const WARM_UP: Span = Span::from_ms(1000);
+const WARM_UP: Duration = Duration::from_ms(1000);
 /// The longest play straight to the runtime.
-const STRAIGHT: Span = Span::from_ms(2000);
+const STRAIGHT: Duration = Duration::from_ms(2000);
 /// After a start, before the rest is measured.
-const SETTLE: Duration = Duration::from_millis(700);
-const SMALL: TableSize = TableSize { op_types: 87, tenants: 420 };
-const LARGE: TableSize = TableSize { op_types: 8700, tenants: 42_000 };
-const MOST_ROUNDS: u32 = 20;
-const MOST_RATES: usize = 16;
+const SETTLE: StdDuration = StdDuration::from_millis(700);
+const SMALL: TableSize = TableSize { request_classes: 87, tenants: 420 };
+const LARGE: TableSize = TableSize { request_classes: 8700, tenants: 42_000 };
+const MAX_ROUNDS: u32 = 20;
+const MAX_RATES: usize = 16;
 /// Where more than this share was answered otherwise than by a run, times are no times of runs.
 const OTHERWISE: f64 = 0.01;
-/// A figure of the issue: what one op costs may grow by so much with the tables.
+/// A figure of the issue: what one request costs may grow by so much with the tables.
 const LOOKUP_RATIO: f64 = 1.2;
 
 #[derive(Args, Clone, Debug)]
@@ -37,22 +37,22 @@
     /// The server's program; otherwise the one beside this.
     #[arg(long)]
     pub server: Option<PathBuf>,
-    /// Op types of the large tables.
-    #[arg(long, default_value_t = LARGE.op_types)]
-    pub op_types: usize,
+    /// Request classes of the large tables.
+    #[arg(long, default_value_t = LARGE.request_classes)]
+    pub request_classes: usize,
     /// Tenants of the large tables.
     #[arg(long, default_value_t = LARGE.tenants)]
     pub tenants: usize,
     /// The small tables beside the large ones.
     #[arg(long, default_value_t = SMALL)]
     pub small: TableSize,
-    /// Different op types that are met, spread over the whole table; all without it.
+    /// Different request classes that are met, spread over the whole table; all without it.
     #[arg(long)]
     pub met_op_types: Option<usize>,
     /// Different tenants that are met.
     #[arg(long)]
     pub met_tenants: Option<usize>,
-    /// Ops a second: one server's part of 120,000 over 810 servers at 6, 5 and 3 zones.
+    /// Requests a second: one server's part of 120,000 over 810 servers at 6, 5 and 3 zones.
     #[arg(long, value_delimiter = ',', default_value = "148,178,296")]
     pub rates: Vec<f64>,
     /// How long each rate is played on each size of tables, over all rounds.
@@ -61,13 +61,13 @@
     /// Small and large tables by turns, so often, each time with a fresh server.
     #[arg(long, default_value_t = 2)]
     pub rounds: u32,
-    /// Gateways' connections, each with at most 32 ops open.
+    /// Gateways' connections, each with at most 32 requests open.
     #[arg(long, default_value_t = 8)]
     pub connections: usize,
-    /// What the stand-in runtime takes for an op, in ms; 0 is at once.
+    /// What the stand-in runtime takes for a request, in ms; 0 is at once.
     #[arg(long, default_value_t = 0)]
     pub run_ms: u64,
-    /// Bytes of an op's body.
+    /// Bytes of a request's body.
     #[arg(long, default_value_t = 201)]
     pub body_bytes: usize,
     /// Measures what a server costs that nothing is asked of, by the size of its tables.
@@ -117,14 +117,14 @@
         Server::start(&self.program()?, size, self.servers, self.run_ms, self.seed, word)
     }
 
-    fn plan(&self, size: TableSize, rate: f64, length: Span, part: u64) -> anyhow::Result<Vec<Arrival>> {
-        let met = Met { op_types: self.met_op_types, tenants: self.met_tenants };
+    fn plan(&self, size: TableSize, rate: f64, length: Duration, part: u64) -> anyhow::Result<Vec<Arrival>> {
+        let met = Met { request_classes: self.met_op_types, tenants: self.met_tenants };
         let seed = self.seed.wrapping_mul(1_000_003).wrapping_add(part);
         arrivals(size, met, rate, length, seed).map_err(anyhow::Error::msg)
     }
 
     /// What one call of this takes at most as planned, so that a play is refused rather than cut short.
-    fn planned(&self) -> Duration {
+    fn planned(&self) -> StdDuration {
         let rest = self.rest_seconds + SETTLE.as_secs_f64();
         let seconds = if self.cost {
             self.sizes.len() as f64 * (rest + 1.0)
@@ -134,7 +134,7 @@
             let turn = rest + WARM_UP.secs() + 1.0;
             2.0 * (self.rates.len() as f64 * each + f64::from(self.rounds) * turn)
         };
-        Duration::from_secs_f64(seconds.clamp(0.0, 1e6))
+        StdDuration::from_secs_f64(seconds.clamp(0.0, 1e6))
     }
 
     fn point(&self, figure: &str, case: &str, unit: &str, (by, size): (&str, f64), value: f64) -> Point {
@@ -145,7 +145,7 @@
     fn save(&self, points: Vec<Point>) -> anyhow::Result<()> {
         let Some(file) = &self.json else { return Ok(()) };
         // Without where the program and the file are, which are this machine's.
-        let mut words = vec!["hazelspur-lab path".to_string()];
+        let mut words = vec!["hazelspur-simulator path".to_string()];
         let mut told = std::env::args().skip(2);
         while let Some(word) = told.next() {
             let key = word.split('=').next().unwrap_or_default();
@@ -181,12 +181,12 @@
 /// # Errors
 /// Where the program is missing or does not serve, or more is asked for than fits the time limit.
 pub fn run(asked: &Asked) -> anyhow::Result<()> {
-    ensure!((1..=MOST_ROUNDS).contains(&asked.rounds), "1 to {MOST_ROUNDS} rounds");
-    ensure!((1..=MOST_RATES).contains(&asked.rates.len()), "1 to {MOST_RATES} rates");
+    ensure!((1..=MAX_ROUNDS).contains(&asked.rounds), "1 to {MAX_ROUNDS} rounds");
+    ensure!((1..=MAX_RATES).contains(&asked.rates.len()), "1 to {MAX_RATES} rates");
     ensure!(asked.seconds > 0.0 && asked.rest_seconds > 0.0, "--seconds and --rest-seconds: over 0");
-    let (planned, limit) = (asked.planned(), Duration::from_secs(asked.limit_seconds));
+    let (planned, limit) = (asked.planned(), StdDuration::from_secs(asked.limit_seconds));
     ensure!(
-        planned + Duration::from_secs(5) <= limit,
+        planned + StdDuration::from_secs(5) <= limit,
         "this takes {} s, more than --limit-seconds {}: fewer rates, rounds, seconds or sizes",
         planned.as_secs(),
         limit.as_secs()
@@ -200,12 +200,12 @@
 struct Cell {
     tally: Tally,
     added_us: Histogram<u64>,
-    cpu: Duration,
+    cpu: StdDuration,
 }
 
 impl Default for Cell {
     fn default() -> Self {
-        Self { tally: Tally::default(), added_us: histogram(), cpu: Duration::ZERO }
+        Self { tally: Tally::default(), added_us: histogram(), cpu: StdDuration::ZERO }
     }
 }
 
@@ -214,7 +214,7 @@
         self.cpu.as_secs_f64() * 1e6 / self.tally.planned.max(1) as f64
     }
 
-    /// Whether nearly all ops were run, or had no answer at all, which counts in the latency.
+    /// Whether nearly all requests were run, or had no answer at all, which counts in the latency.
     fn ran(&self) -> bool {
         let Tally { refused, unknown, failed, .. } = self.tally;
         self.tally.share(refused + unknown + failed) <= OTHERWISE
@@ -228,11 +228,11 @@
     size: TableSize,
     cells: Vec<Cell>,
     rest: Vec<f64>,
-    /// CPU of an op in each round, in microseconds.
+    /// CPU of a request in each round, in microseconds.
     rounds: Vec<f64>,
     memory: Memory,
     /// CPU of the whole lives of its servers, by their clock and by `/proc/PID/stat`.
-    cpu: [Duration; 2],
+    cpu: [StdDuration; 2],
 }
 
 impl Side {
@@ -248,9 +248,9 @@
     }
 
     fn cpu_us_per_op(&self) -> f64 {
-        let cpu: Duration = self.cells.iter().map(|cell| cell.cpu).sum();
-        let ops: usize = self.cells.iter().map(|cell| cell.tally.planned).sum();
-        cpu.as_secs_f64() * 1e6 / ops.max(1) as f64
+        let cpu: StdDuration = self.cells.iter().map(|cell| cell.cpu).sum();
+        let requests: usize = self.cells.iter().map(|cell| cell.tally.planned).sum();
+        cpu.as_secs_f64() * 1e6 / requests.max(1) as f64
     }
 
     fn ran(&self) -> bool {
@@ -264,7 +264,7 @@
 }
 
 fn path(asked: &Asked) -> anyhow::Result<()> {
-    let large = TableSize { op_types: asked.op_types, tenants: asked.tenants };
+    let large = TableSize { request_classes: asked.request_classes, tenants: asked.tenants };
     let count = asked.rates.len();
     let mut sides = [Side::new(asked.small, count), Side::new(large, count)];
     let straight = || Straight { latency_us: histogram(), late_us: histogram() };
@@ -295,13 +295,17 @@
     let warm = asked.rates.iter().copied().fold(0.0, f64::max);
     through(next(), &asked.plan(side.size, warm, WARM_UP, u64::MAX)?)?;
     std::thread::sleep(SETTLE);
-    let rest = server.rest_share(Duration::from_secs_f64(asked.rest_seconds))?;
+    let rest = server.rest_share(StdDuration::from_secs_f64(asked.rest_seconds))?;
     side.rest.push(rest);
-    let (mut used, mut ops) = (0.0, 0);
+    let (mut used, mut requests) = (0.0, 0);
     for (i, rate) in asked.rates.iter().enumerate() {
         let part = (u64::from(round) << 8) | i as u64;
-        let plan =
-            asked.plan(side.size, *rate, Span::from_secs(asked.seconds / f64::from(asked.rounds)), part)?;
+        let plan = asked.plan(
+            side.size,
+            *rate,
+            Duration::from_secs(asked.seconds / f64::from(asked.rounds)),
+            part,
+        )?;
         let usual = straight(asked, side.size, *rate, part)?;
         straights[i].latency_us.add(&usual.latency_us)?;
         straights[i].late_us.add(&usual.late_us)?;
@@ -309,13 +313,13 @@
         let played = through(next(), &plan)?;
         let cpu = (server.cpu()? - from).as_secs_f64() - rest * played.took.as_secs_f64();
         used += cpu;
-        ops += played.tally.planned;
+        requests += played.tally.planned;
         let cell = &mut side.cells[i];
-        cell.cpu += Duration::from_secs_f64(cpu.max(0.0));
+        cell.cpu += StdDuration::from_secs_f64(cpu.max(0.0));
         cell.tally.add(&played.tally);
         cell.added_us.add(added(&played.latency_us, &usual.latency_us))?;
     }
-    side.rounds.push(used * 1e6 / f64::from(u32::try_from(ops)?.max(1)));
+    side.rounds.push(used * 1e6 / f64::from(u32::try_from(requests)?.max(1)));
     side.memory = server.memory()?;
     side.cpu[0] += server.cpu()?;
     side.cpu[1] += server.cpu_by_stat()?;
@@ -324,7 +328,7 @@
 
 /// The same arrivals, without a server between this tool and a stand-in runtime.
 fn straight(asked: &Asked, size: TableSize, rate: f64, part: u64) -> anyhow::Result<Played> {
-    let length = Span::from_secs((asked.seconds / f64::from(asked.rounds)).min(STRAIGHT.secs()));
+    let length = Duration::from_secs((asked.seconds / f64::from(asked.rounds)).min(STRAIGHT.secs()));
     let plan = asked.plan(size, rate, length, part)?;
     let runtime = runtime(asked.run_ms);
     let wire: Arc<dyn Wire> = Arc::new(RuntimeWire::new(1, asked.body_bytes));
@@ -390,14 +394,14 @@
     for side in sides {
         let mut met = Vec::new();
         for (round, i) in (0..asked.rounds).flat_map(|r| (0..asked.rates.len()).map(move |i| (r, i))) {
-            let length = Span::from_secs(asked.seconds / f64::from(asked.rounds));
+            let length = Duration::from_secs(asked.seconds / f64::from(asked.rounds));
             met.extend(asked.plan(side.size, asked.rates[i], length, (u64::from(round) << 8) | i as u64)?);
         }
-        let (op_types, tenants) = distinct(&met);
+        let (request_classes, tenants) = distinct(&met);
         let rest = side.rest.iter().sum::<f64>() / side.rest.len().max(1) as f64;
         rows.add_row([
             side.size.to_string(),
-            op_types.to_string(),
+            request_classes.to_string(),
             tenants.to_string(),
             format!("{:.1}", side.cpu_us_per_op()),
             format!("{rest:.4}"),
@@ -508,11 +512,11 @@
         let server = asked.start(*size)?;
         let (after, cpu) = server.until_serving().with_context(|| format!("{size} tables"))?;
         std::thread::sleep(SETTLE);
-        let rest = server.rest_share(Duration::from_secs_f64(asked.rest_seconds))?;
+        let rest = server.rest_share(StdDuration::from_secs_f64(asked.rest_seconds))?;
         let memory = server.memory()?;
-        let (op_type, tenant) = (size.op_types - 1, size.tenants - 1);
-        let probes = [(op_type, 0), (0, tenant), (op_type, tenant)];
-        let answers = probes.map(|(op_type, tenant)| server.probe(op_type, tenant));
+        let (request_class, tenant) = (size.request_classes - 1, size.tenants - 1);
+        let probes = [(request_class, 0), (0, tenant), (request_class, tenant)];
+        let answers = probes.map(|(request_class, tenant)| server.probe(request_class, tenant));
         let mb = |bytes: u64| format!("{:.2}", bytes as f64 / 1e6);
         let mut row = vec![size.to_string(), mb(server.file_bytes), format!("{:.3}", after.as_secs_f64())];
         row.push(format!("{:.3}", cpu.as_secs_f64()));
@@ -536,7 +540,7 @@
         if asked.reloads > 0 {
             let server = asked.start_changing(*size)?;
             server.until_serving().with_context(|| format!("{size} tables"))?;
-            let (mut took, mut cpu, mut stall) = (Duration::ZERO, Duration::ZERO, Duration::ZERO);
+            let (mut took, mut cpu, mut stall) = (StdDuration::ZERO, StdDuration::ZERO, StdDuration::ZERO);
             for n in 0..asked.reloads {
                 let (each, its_cpu, its_stall) = server.reload(n)?;
                 (took, cpu, stall) = (took.max(each), cpu + its_cpu, stall.max(its_stall));
