--- a/crates/hazelspur-lab/src/path/figures.rs
+++ b/crates/hazelspur-simulator/src/path/figures.rs
@@ -79,7 +79,7 @@
     }
 }
 
-/// Each latency less the middle one of ops that went straight to the same runtime, so that what the runtime
+/// Each latency less the middle one of requests that went straight to the same runtime, so that what the runtime
 /// and this tool take at all times is taken out, and whatever is beside that stays in.
 pub fn added(through_us: &Histogram<u64>, straight_us: &Histogram<u64>) -> Histogram<u64> {
     let usual = straight_us.value_at_quantile(0.5);
--- a/crates/hazelspur-lab/src/path/load.rs
+++ b/crates/hazelspur-simulator/src/path/load.rs
@@ -1,39 +1,39 @@
-//! An open loop: each op goes out at its time, whatever became of those before, and its latency counts from
+//! An open loop: each request goes out at its time, whatever became of those before, and its latency counts from
 //! that time, so that a stall is met by all that arrive in it. Called by `command` and by tests; decides
 //! nothing about servers, and ends by itself within the plan's length and `patience`.
 
 use crate::path::plan::Arrival;
 use anyhow::Context;
-use hazelspur::Span;
+use hazelspur::Duration;
 use hdrhistogram::Histogram;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread::{JoinHandle, sleep, spawn};
-use std::time::{Duration, Instant};
+use std::time::{Duration as StdDuration, Instant};
 
-/// Ops open on a connection, by the protocol.
-pub const MOST_OPEN: usize = 32;
-/// Connections of one play, those made anew with them; past these ops are not sent.
-const MOST_LINKS: usize = 4096;
+/// Requests open on a connection, by the protocol.
+pub const MAX_OPEN: usize = 32;
+/// Connections of one play, those made anew with them; past these requests are not sent.
+const MAX_LINKS: usize = 4096;
 /// Unread bytes of a connection; more is no answer of ours.
-const MOST_UNREAD: usize = 1 << 20;
-const CONNECTING: Duration = Duration::from_millis(500);
-const WRITING: Duration = Duration::from_millis(500);
+const MAX_UNREAD: usize = 1 << 20;
+const CONNECTING: StdDuration = StdDuration::from_millis(500);
+const WRITING: StdDuration = StdDuration::from_millis(500);
 /// How often a reader looks whether it is to end, and the end whether all is answered.
-const LOOK: Duration = Duration::from_millis(50);
-const END_LOOK: Duration = Duration::from_millis(2);
+const LOOK: StdDuration = StdDuration::from_millis(50);
+const END_LOOK: StdDuration = StdDuration::from_millis(2);
 /// The last part of a wait is spun, since sleeps end late.
-const SPUN: Duration = Duration::from_micros(150);
+const SPUN: StdDuration = StdDuration::from_micros(150);
 /// Longest latency told.
 const LONGEST_US: u64 = 600_000_000;
 
-/// What an answer says of an op.
+/// What an answer says of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     Acked,
     Refused,
-    /// The server does not know its op type or its tenant.
+    /// The server does not know its request class or its tenant.
     Unknown,
     Failed,
 }
@@ -45,16 +45,16 @@
     Other,
 }
 
-/// How ops are said on a connection; numbers are places in the plan.
+/// How requests are said on a connection; numbers are places in the plan.
 pub trait Wire: Send + Sync {
     /// What goes out first on a connection.
     fn greeting(&self) -> Vec<u8>;
-    fn op(&self, number: usize, arrival: &Arrival) -> Vec<u8>;
+    fn request(&self, number: usize, arrival: &Arrival) -> Vec<u8>;
     /// The first whole message and its length; `None` while it is not all there.
     fn message(&self, unread: &[u8]) -> Option<(usize, Message)>;
 }
 
-/// What became of an op.
+/// What became of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fate {
     /// No connection had a place for it.
@@ -63,13 +63,13 @@
     /// Its connection ended without its answer.
     Broken,
     /// When it was answered, since the beginning.
-    Answered(Answer, Span),
+    Answered(Answer, Duration),
 }
 
 #[derive(Default)]
 struct Link {
     open: usize,
-    /// Whether ops may still go out on it.
+    /// Whether requests may still go out on it.
     takes: bool,
 }
 
@@ -80,7 +80,7 @@
 }
 
 impl Record {
-    fn answered(&mut self, link: usize, number: usize, answer: Answer, at: Span) {
+    fn answered(&mut self, link: usize, number: usize, answer: Answer, at: Duration) {
         if let Some(fate) = self.fates.get_mut(number)
             && *fate == Fate::Open(link)
         {
@@ -125,7 +125,7 @@
         self.unsent += other.unsent;
     }
 
-    /// Of the planned ops.
+    /// Of the planned requests.
     pub fn share(&self, count: usize) -> f64 {
         count as f64 / self.planned.max(1) as f64
     }
@@ -134,12 +134,12 @@
 /// A play that is over.
 pub struct Played {
     pub tally: Tally,
-    /// Microseconds from each op's fixed arrival time to its answer; what was broken, not sent or never answered
+    /// Microseconds from each request's fixed arrival time to its answer; what was broken, not sent or never answered
     /// counts with the time until the end of the play. Other answers than acks are only in the tally.
     pub latency_us: Histogram<u64>,
     /// How late this tool itself sent, in microseconds: part of the latency.
     pub late_us: Histogram<u64>,
-    pub took: Duration,
+    pub took: StdDuration,
 }
 
 pub fn histogram() -> Histogram<u64> {
@@ -158,7 +158,7 @@
 
 impl Loop<'_> {
     fn connect(&mut self, place: usize) -> anyhow::Result<()> {
-        anyhow::ensure!(self.readers.len() < MOST_LINKS, "{MOST_LINKS} connections were made");
+        anyhow::ensure!(self.readers.len() < MAX_LINKS, "{MAX_LINKS} connections were made");
         let mut stream = TcpStream::connect_timeout(&self.address, CONNECTING)?;
         stream.set_nodelay(true)?;
         stream.set_write_timeout(Some(WRITING))?;
@@ -178,7 +178,7 @@
 
     /// Sends at the first place from this one on that has room; false where none has.
     fn send(&mut self, from: usize, number: usize, arrival: &Arrival) -> bool {
-        let bytes = self.wire.op(number, arrival);
+        let bytes = self.wire.request(number, arrival);
         let count = self.places.len();
         for place in (0..count).map(|i| (from + i) % count) {
             let takes = |record: &Record, link: usize| record.links[link].takes;
@@ -189,7 +189,7 @@
             let Some((link, stream)) = &mut self.places[place] else { continue };
             {
                 let mut record = lock(&self.record);
-                if record.links[*link].open >= MOST_OPEN {
+                if record.links[*link].open >= MAX_OPEN {
                     continue;
                 }
                 record.links[*link].open += 1;
@@ -211,7 +211,7 @@
     loop {
         match stream.read(&mut part) {
             Ok(count @ 1..) => {
-                let at = Span::from_us(began.elapsed().as_micros() as u64);
+                let at = Duration::from_us(began.elapsed().as_micros() as u64);
                 unread.extend_from_slice(&part[..count]);
                 while let Some((used, message)) = wire.message(&unread) {
                     unread.drain(..used);
@@ -221,7 +221,7 @@
                         Message::Other => {}
                     }
                 }
-                if unread.len() > MOST_UNREAD {
+                if unread.len() > MAX_UNREAD {
                     break;
                 }
             }
@@ -256,7 +256,7 @@
     address: SocketAddr,
     plan: &[Arrival],
     connections: usize,
-    patience: Duration,
+    patience: StdDuration,
 ) -> anyhow::Result<Played> {
     anyhow::ensure!(address.ip().is_loopback(), "only on loopback");
     let record = Record { fates: vec![Fate::Unsent; plan.len()], links: Vec::new(), over: false };
@@ -268,7 +268,7 @@
         places: (0..connections.max(1)).map(|_| None).collect(),
         readers: Vec::new(),
     };
-    // The connections stand before the first op is due; their time is not part of anyone's latency.
+    // The connections stand before the first request is due; their time is not part of anyone's latency.
     played.began = Instant::now() + LOOK;
     for place in 0..played.places.len() {
         played.connect(place).with_context(|| format!("no connection to {address}"))?;
@@ -276,7 +276,7 @@
     let mut late_us = histogram();
     wait_until(played.began);
     for (number, arrival) in plan.iter().enumerate() {
-        let due = played.began + Duration::from_micros(arrival.at.us());
+        let due = played.began + StdDuration::from_micros(arrival.at.us());
         wait_until(due);
         late_us.saturating_record(due.elapsed().as_micros() as u64);
         played.send(number, number, arrival);
@@ -313,7 +313,7 @@
     tally
 }
 
-fn latencies(fates: &[Fate], plan: &[Arrival], took: Duration) -> Histogram<u64> {
+fn latencies(fates: &[Fate], plan: &[Arrival], took: StdDuration) -> Histogram<u64> {
     let mut all = histogram();
     for (fate, arrival) in fates.iter().zip(plan) {
         let end_us = match fate {
--- a/crates/hazelspur-lab/src/path/mod.rs
+++ b/crates/hazelspur-simulator/src/path/mod.rs
@@ -1,11 +1,11 @@
-//! One real server's own path and cost, by the size of its settings: what it adds to an op beside what the
-//! runtime takes, what CPU an op costs, and what a server costs that does nothing. Called by the command
-//! `hazelspur-lab path`. Everything is on loopback, has a time limit, and ends what it started by process id;
+//! One real server's own path and cost, by the size of its settings: what it adds to a request beside what the
+//! runtime takes, what CPU a request costs, and what a server costs that does nothing. Called by the command
+//! `hazelspur-simulator path`. Everything is on loopback, has a time limit, and ends what it started by process id;
 //! the server is a process and nothing of its code is linked here.
 //!
 //! - `plan`: sizes, the settings file of a size, arrival times fixed by a seed;
-//! - `load`: the open loop that sends at those times, and what became of each op;
-//! - `wires`: how ops go to a server as from a gateway, and straight to a runtime;
+//! - `load`: the open loop that sends at those times, and what became of each request;
+//! - `wires`: how requests go to a server as from a gateway, and straight to a runtime;
 //! - `process`: one server beside its stand-ins, and what /proc says of it;
 //! - `figures`: quantiles of what was added, and the file of measured points;
 //! - `command`: the command line, what is played when, tables.
--- a/crates/hazelspur-lab/src/path/plan.rs
+++ b/crates/hazelspur-simulator/src/path/plan.rs
@@ -1,6 +1,6 @@
 //! What is played: the size of a server's settings, the file that says them, and arrivals fixed beforehand.
 
-use hazelspur::Span;
+use hazelspur::Duration;
 use hazelspur::pcg::Pcg;
 use serde_json::json;
 use std::collections::BTreeSet;
@@ -9,9 +9,9 @@
 use std::str::FromStr;
 
 /// More of either is no size of ours.
-const MOST_ENTRIES: usize = 1_000_000;
+const MAX_ENTRIES: usize = 1_000_000;
 /// Arrivals of one play.
-pub const MOST_ARRIVALS: usize = 1_000_000;
+pub const MAX_ARRIVALS: usize = 1_000_000;
 /// Cores of the runtime by the settings: the server admits by them, and is not to refuse here.
 const CORES: u32 = 16;
 const TARGET_US: u64 = 1_000_000;
@@ -20,16 +20,16 @@
 /// From the notice to leave until the process ends.
 const STOP_MS: u64 = 400;
 
-/// How many op types and tenants a server's settings name.
+/// How many request classes and tenants a server's settings name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TableSize {
-    pub op_types: usize,
+    pub request_classes: usize,
     pub tenants: usize,
 }
 
 impl fmt::Display for TableSize {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}x{}", self.op_types, self.tenants)
+        write!(f, "{}x{}", self.request_classes, self.tenants)
     }
 }
 
@@ -37,11 +37,11 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let wrong = || format!("{text}: not op types x tenants, as in 87x420, each 1 to {MOST_ENTRIES}");
-        let (op_types, tenants) = text.split_once('x').ok_or_else(wrong)?;
-        let number = |text: &str| text.parse().ok().filter(|n| (1..=MOST_ENTRIES).contains(n));
+        let wrong = || format!("{text}: not op types x tenants, as in 87x420, each 1 to {MAX_ENTRIES}");
+        let (request_classes, tenants) = text.split_once('x').ok_or_else(wrong)?;
+        let number = |text: &str| text.parse().ok().filter(|n| (1..=MAX_ENTRIES).contains(n));
         Ok(Self {
-            op_types: number(op_types).ok_or_else(wrong)?,
+            request_classes: number(request_classes).ok_or_else(wrong)?,
             tenants: number(tenants).ok_or_else(wrong)?,
         })
     }
@@ -64,13 +64,13 @@
 }
 
 /// The platform's configuration of a server with tables of this size, in the form of `examples/config.json`
-/// without white space. All op types may be repeated; `servers` is the size of the fleet that quotas are for.
+/// without white space. All request classes may be repeated; `servers` is the size of the fleet that quotas are for.
 pub fn configuration(size: TableSize, around: Around, servers: usize, seed: u64) -> String {
-    let op_type = |i| {
+    let request_class = |i| {
         json!({"name": op_type_name(i), "aim-us": TARGET_US, "deadline-us": OP_TIMEOUT_US,
             "semantics": "safe", "importance": 1 + i % 5})
     };
-    let op_types: Vec<_> = (0..size.op_types).map(op_type).collect();
+    let request_classes: Vec<_> = (0..size.request_classes).map(request_class).collect();
     let tenant = |i| json!({"name": tenant_name(i), "quota-rps": QUOTA_PER_S});
     let tenants: Vec<_> = (0..size.tenants).map(tenant).collect();
     json!({
@@ -81,7 +81,7 @@
             "family-info": {"n-cores": CORES, "mem-limit-kb": 1_000_000, "run-factor": 8, "stop-mode": "drop",
                 "meters": ["core_use", "on_cores", "heap_share", "links"], "calls-out": 1000,
                 "calls-over-us": 5_000_000, "passes-deadline": true},
-            "lanes": op_types,
+            "lanes": request_classes,
             "orgs": tenants,
             "rules": {"fall-multiple": 8, "cold-share": 0.2, "cold-us": 10_000_000, "drain-grace-us": 100_000},
             "limits": {"retry-after": true, "max-retry-after-us": 1_000_000},
@@ -91,37 +91,37 @@
     .to_string()
 }
 
-/// How many distinct op types and tenants are met, spread evenly over the whole tables; all where `None`.
+/// How many distinct request classes and tenants are met, spread evenly over the whole tables; all where `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Met {
-    pub op_types: Option<usize>,
+    pub request_classes: Option<usize>,
     pub tenants: Option<usize>,
 }
 
-/// One op that is to be sent at its time, whatever became of those before.
+/// One request that is to be sent at its time, whatever became of those before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Arrival {
     /// Since the beginning of the play.
-    pub at: Span,
-    pub op_type: usize,
+    pub at: Duration,
+    pub request_class: usize,
     pub tenant: usize,
 }
 
-/// Arrivals of a Poisson stream of `rate` ops a second for so long; op types and tenants evenly drawn. The
+/// Arrivals of a Poisson stream of `rate` requests a second for so long; request classes and tenants evenly drawn. The
 /// times follow from the seed and the rate alone, whatever the size.
 ///
 /// # Errors
-/// A rate or length from which no play follows, or one of more than `MOST_ARRIVALS`.
+/// A rate or length from which no play follows, or one of more than `MAX_ARRIVALS`.
 pub fn arrivals(
     size: TableSize,
     met: Met,
     rate: f64,
-    length: Span,
+    length: Duration,
     seed: u64,
 ) -> Result<Vec<Arrival>, String> {
     let wanted = rate * length.secs();
-    if !(rate > 0.0 && wanted <= MOST_ARRIVALS as f64 * 0.9) {
-        return Err(format!("{rate} ops a second for {} s: not 0 to {MOST_ARRIVALS} ops", length.secs()));
+    if !(rate > 0.0 && wanted <= MAX_ARRIVALS as f64 * 0.9) {
+        return Err(format!("{rate} ops a second for {} s: not 0 to {MAX_ARRIVALS} ops", length.secs()));
     }
     let mut chance = Pcg::new(seed);
     let pick = |of: usize, met: Option<usize>, unit: f64| {
@@ -133,20 +133,20 @@
     let (mut at, mut all) = (0.0, Vec::new());
     loop {
         at -= (1.0 - chance.unit()).ln() / rate;
-        if at >= length.secs() || all.len() >= MOST_ARRIVALS {
+        if at >= length.secs() || all.len() >= MAX_ARRIVALS {
             return Ok(all);
         }
         all.push(Arrival {
-            at: Span::from_secs(at),
-            op_type: pick(size.op_types, met.op_types, chance.unit()),
+            at: Duration::from_secs(at),
+            request_class: pick(size.request_classes, met.request_classes, chance.unit()),
             tenant: pick(size.tenants, met.tenants, chance.unit()),
         });
     }
 }
 
-/// How many different op types and tenants these meet.
+/// How many different request classes and tenants these meet.
 pub fn distinct(arrivals: &[Arrival]) -> (usize, usize) {
-    let op_types: BTreeSet<_> = arrivals.iter().map(|a| a.op_type).collect();
+    let request_classes: BTreeSet<_> = arrivals.iter().map(|a| a.request_class).collect();
     let tenants: BTreeSet<_> = arrivals.iter().map(|a| a.tenant).collect();
-    (op_types.len(), tenants.len())
+    (request_classes.len(), tenants.len())
 }
--- a/crates/hazelspur-lab/src/path/process.rs
+++ b/crates/hazelspur-simulator/src/path/process.rs
@@ -6,8 +6,8 @@
 use crate::path::plan::{Around, Arrival, TableSize, configuration};
 use crate::path::wires::GatewayWire;
 use anyhow::{Context, bail, ensure};
-use hazelspur_standins::control::Control;
-use hazelspur_standins::runtime::{Pace, Runtime};
+use hazelspur_test_doubles::control::Control;
+use hazelspur_test_doubles::runtime::{Pace, Runtime};
 use nix::sys::signal::{Signal, kill};
 use nix::time::ClockId;
 use nix::unistd::Pid;
@@ -30,7 +30,7 @@
 /// Lines of a server's log that are shown where it failed.
 const LAST_LINES: usize = 5;
 /// Notices looked through for a probe's answer.
-const MOST_LINES: usize = 16;
+const MAX_LINES: usize = 16;
 const HEALTH: &[u8] = b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n";
 
 static LIVE: Mutex<BTreeMap<u32, (Child, PathBuf)>> = Mutex::new(BTreeMap::new());
@@ -191,26 +191,26 @@
         Ok(message["result"]["ready"] == true)
     }
 
-    /// Asks for one op by places in the tables; says what was answered, "unknown" among that.
-    pub fn probe(&self, op_type: usize, tenant: usize) -> String {
-        self.ask(op_type, tenant).unwrap_or_else(|why| format!("no answer ({why})"))
+    /// Asks for one request by places in the tables; says what was answered, "unknown" among that.
+    pub fn probe(&self, request_class: usize, tenant: usize) -> String {
+        self.ask(request_class, tenant).unwrap_or_else(|why| format!("no answer ({why})"))
     }
 
-    fn ask(&self, op_type: usize, tenant: usize) -> anyhow::Result<String> {
+    fn ask(&self, request_class: usize, tenant: usize) -> anyhow::Result<String> {
         let wire = GatewayWire::new(RUNS.fetch_add(1, Ordering::Relaxed) | 0x8000_0000, 30);
         let mut stream = TcpStream::connect(self.address)?;
         stream.set_read_timeout(Some(ANSWER))?;
-        let arrival = Arrival { at: hazelspur::Span::ZERO, op_type, tenant };
-        stream.write_all(&wire.op(0, &arrival))?;
+        let arrival = Arrival { at: hazelspur::Duration::ZERO, request_class, tenant };
+        stream.write_all(&wire.request(0, &arrival))?;
         let mut reader = BufReader::new(&stream);
-        for _ in 0..MOST_LINES {
+        for _ in 0..MAX_LINES {
             let mut line = Vec::new();
             ensure!(reader.read_until(b'\n', &mut line)? > 0, "closed");
             if let Some((_, Message::Answer(0, _))) = wire.message(&line) {
                 return Ok(GatewayWire::describe(&line));
             }
         }
-        bail!("none of {MOST_LINES} lines answers it")
+        bail!("none of {MAX_LINES} lines answers it")
     }
 
     /// CPU time of the whole process, user and system, by its CPU clock: the sum that `/proc/PID/stat` shows,
--- a/crates/hazelspur-lab/src/path/wires.rs
+++ b/crates/hazelspur-simulator/src/path/wires.rs
@@ -1,4 +1,4 @@
-//! How an op is said and its answer read: as a gateway says it to a server, and as a server says it to a
+//! How a request is said and its answer read: as a gateway says it to a server, and as a server says it to a
 //! runtime. The second one tells what the stand-in runtime and this tool take by themselves.
 
 use crate::path::load::{Answer, Message, Wire};
@@ -6,10 +6,10 @@
 use serde_json::{Value, json};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// How long a gateway waits, and what it says an op takes of memory.
+/// How long a gateway waits, and what it says a request takes of memory.
 const TIMEOUT_MS: u64 = 2000;
 const NEED_KB: f64 = 24.5;
-/// Different callers that the ops are said to be from.
+/// Different callers that the requests are said to be from.
 const CALLERS: usize = 64;
 
 const NACKED: i64 = -32011;
@@ -17,11 +17,11 @@
 const BAD_PARAMS: i64 = -32602;
 const OWNER_UNKNOWN: &str = "owner is not known";
 
-/// JSON-RPC lines to a server. Op ids carry `play`, so that those of two plays differ.
+/// JSON-RPC lines to a server. Request ids carry `play`, so that those of two plays differ.
 #[derive(Clone, Debug)]
 pub struct GatewayWire {
     play: u32,
-    /// The body of all ops, base64.
+    /// The body of all requests, base64.
     data: String,
 }
 
@@ -58,9 +58,9 @@
         Vec::new()
     }
 
-    fn op(&self, number: usize, arrival: &Arrival) -> Vec<u8> {
+    fn request(&self, number: usize, arrival: &Arrival) -> Vec<u8> {
         let ts = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        let line = json!({"jsonrpc": "2.0", "id": number + 1, "method": op_type_name(arrival.op_type),
+        let line = json!({"jsonrpc": "2.0", "id": number + 1, "method": op_type_name(arrival.request_class),
             "params": {"req": format!("{:08x}{number:08x}", self.play), "ts": ts, "via": number % CALLERS,
                 "timeout": TIMEOUT_MS, "need": NEED_KB, "level": 0.5, "owner": tenant_name(arrival.tenant),
                 "data": self.data}});
@@ -101,8 +101,8 @@
         b"sync 0\r\n".to_vec()
     }
 
-    fn op(&self, number: usize, arrival: &Arrival) -> Vec<u8> {
-        let (name, length) = (op_type_name(arrival.op_type), self.body.len());
+    fn request(&self, number: usize, arrival: &Arrival) -> Vec<u8> {
+        let (name, length) = (op_type_name(arrival.request_class), self.body.len());
         let mut out = format!("start {:08x}{number:08x} {name} {length}\r\n", self.play).into_bytes();
         out.extend_from_slice(&self.body);
         out.extend_from_slice(b"\r\n");
--- a/crates/hazelspur-lab/src/studies/choices.rs
+++ b/crates/hazelspur-simulator/src/studies/choices.rs
@@ -2,15 +2,15 @@
 //! and beside an oracle that sees the true state of all a little late.
 
 use crate::drive::{Drive, Figures, Plan, Turn, Way};
-use hazelspur::Span;
+use hazelspur::Duration;
 
 /// Servers have found each other and shares are held by then; what came before does not count.
-pub const WARM: Span = Span::from_ms(16_000);
-const PLAYED: Span = Span::from_ms(24_000);
+pub const WARM: Duration = Duration::from_ms(16_000);
+const PLAYED: Duration = Duration::from_ms(24_000);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Hard {
-    /// Half of all ops seek out a third of the servers.
+    /// Half of all requests seek out a third of the servers.
     Uneven,
     /// The same, and the ledger is gone for 4 s.
     LedgerGone,
@@ -101,7 +101,7 @@
     let first = if case.hard == Hard::Doubles { n.div_ceil(2) } else { n };
     let plan = Plan {
         slots_each: 4.0,
-        call: Span::from_ms(20),
+        call: Duration::from_ms(20),
         lean,
         way: case.way,
         floor: case.floor,
@@ -114,7 +114,7 @@
     drive.forget();
     let mut most_in_force: f64 = 0.0;
     for _ in 0..PLAYED.us() / 100_000 {
-        drive.play(Span::from_ms(100));
+        drive.play(Duration::from_ms(100));
         most_in_force = most_in_force.max(drive.in_force().0);
     }
     let slots = plan.slots_each * n as f64;
@@ -122,7 +122,7 @@
 }
 
 fn script(drive: &mut Drive, hard: Hard, n: usize) {
-    let at = |ms: u64| WARM + Span::from_ms(ms);
+    let at = |ms: u64| WARM + Duration::from_ms(ms);
     let every = |by: usize| (0..n).filter(move |of| of % by == by / 2);
     match hard {
         Hard::Uneven | Hard::Crowded => {}
@@ -154,7 +154,7 @@
         }
         Hard::Stopped => {
             for of in every(20) {
-                drive.script(at(3000), Turn::Stop(of, Span::from_ms(10_000)));
+                drive.script(at(3000), Turn::Stop(of, Duration::from_ms(10_000)));
             }
         }
         Hard::Doubles => {
--- a/crates/hazelspur-lab/src/studies/scale/mod.rs
+++ b/crates/hazelspur-simulator/src/studies/scale/mod.rs
@@ -1,5 +1,5 @@
 //! What the real machines cost a server as the fleet grows, in two regions of three zones each: traffic of the
-//! mean and of the busiest server, time until all agree, CPU and heap. `hazelspur-lab scale` plays it and the
+//! mean and of the busiest server, time until all agree, CPU and heap. `hazelspur-simulator scale` plays it and the
 //! slope tests take their counts from it; it judges nothing.
 
 pub mod points;
@@ -13,26 +13,26 @@
 use crate::ways::hollow::{Hollow, Rate};
 use crate::ways::zoned::{REGIONS, Together, ZONES, Zoned};
 use crate::{cpu, heap};
-use hazelspur::Span;
+use hazelspur::Duration;
 use points::Point;
 
 /// All start within this.
-const STORM: Span = Span::from_ms(1000);
+const STORM: Duration = Duration::from_ms(1000);
 /// After a storm of starts the fleet is left alone for so long.
-const SETTLE: Span = Span::from_ms(30_000);
+const SETTLE: Duration = Duration::from_ms(30_000);
 /// A minute apart.
-const APART: Span = Span::from_ms(60_000);
+const APART: Duration = Duration::from_ms(60_000);
 /// One in so many restarts in a bunch, within so long, and is away for so long.
 const BUNCH_PART: usize = 40;
-const BUNCH: Span = Span::from_ms(10_000);
-const AWAY: Span = Span::from_ms(1500);
+const BUNCH: Duration = Duration::from_ms(10_000);
+const AWAY: Duration = Duration::from_ms(1500);
 /// CPU is taken over so many server-seconds at least.
 const CPU_SERVER_SECS: f64 = 40_000.0;
 /// How often it is looked whether all agree; traffic's worst second is over so many looks.
-const LOOK: Span = Span::from_ms(250);
+const LOOK: Duration = Duration::from_ms(250);
 const LOOKS_A_SECOND: usize = 4;
 /// Nobody waits longer than this for all to agree.
-const LONGEST: Span = Span::from_ms(180_000);
+const LONGEST: Duration = Duration::from_ms(180_000);
 /// The zone that is lost; its first server is a contact point and a keeper.
 const LOST_ZONE: usize = 0;
 
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Between {
     /// One way, from region to region.
-    pub lag: Span,
+    pub lag: Duration,
     /// Share of datagrams lost from region to region.
     pub region_loss: f64,
     /// Share of all datagrams lost.
@@ -110,7 +110,7 @@
     pub seed: u64,
     pub between: Between,
     /// Traffic is counted for so long from the beginning of each case.
-    pub window: Span,
+    pub window: Duration,
 }
 
 pub fn play(case: &Case) -> Vec<Point> {
@@ -163,7 +163,7 @@
 }
 
 /// Plays for `window`, and on until all agree or three minutes are over.
-fn watch<W: Way>(town: &mut Town<W>, window: Span, size: usize) -> Watched {
+fn watch<W: Way>(town: &mut Town<W>, window: Duration, size: usize) -> Watched {
     let from = town.now();
     let before: Vec<Traffic> = town.traffic().collect();
     let (mut second, mut worst) = (before.clone(), 0);
@@ -197,7 +197,7 @@
 
 /// All start within a second, each at its part of it.
 pub fn start_all<W: Way>(town: &mut Town<W>, numbers: impl ExactSizeIterator<Item = usize>) {
-    let part = Span::from_us(STORM.us() / numbers.len().max(1) as u64);
+    let part = Duration::from_us(STORM.us() / numbers.len().max(1) as u64);
     for of in numbers {
         town.start(of);
         town.play(part);
@@ -226,11 +226,11 @@
 }
 
 /// Counts `town` for so long.
-pub fn rest<W: Way>(town: &mut Town<W>, window: Span, size: usize) -> Rest {
+pub fn rest<W: Way>(town: &mut Town<W>, window: Duration, size: usize) -> Rest {
     let before: Vec<Traffic> = town.traffic().collect();
     let (mut second, mut worst, from) = (before.clone(), 0, town.now());
     while town.now() - from < window {
-        town.play(Span::from_ms(1000));
+        town.play(Duration::from_ms(1000));
         let after: Vec<Traffic> = town.traffic().collect();
         let sent = after.iter().zip(&second).map(|(after, before)| after.bytes_out - before.bytes_out);
         worst = sent.max().unwrap_or(0).max(worst);
@@ -283,7 +283,7 @@
         Situation::Bunch => {
             let before: Vec<Traffic> = town.traffic().collect();
             let many = (size / BUNCH_PART).max(1);
-            let gap = Span::from_us(BUNCH.us() / many as u64);
+            let gap = Duration::from_us(BUNCH.us() / many as u64);
             let mut away = std::collections::VecDeque::new();
             let from = town.now();
             for i in 0..many {
@@ -322,7 +322,7 @@
     let case = out.case;
     let rest = rest(town, case.window, case.size);
     // The kernel counts in steps of some milliseconds: a small fleet is played for longer.
-    let long = case.window.max(Span::from_secs(CPU_SERVER_SECS / case.size as f64));
+    let long = case.window.max(Duration::from_secs(CPU_SERVER_SECS / case.size as f64));
     let before = cpu::of_this_thread();
     town.play(long);
     let spent = before.zip(cpu::of_this_thread()).map(|(before, after)| after - before);
@@ -346,14 +346,14 @@
 }
 
 /// CPU of the laboratory's own queue and network for the same traffic, in microseconds a server-second.
-fn queue_alone(case: &Case, load: &Load, long: Span) -> Option<f64> {
+fn queue_alone(case: &Case, load: &Load, long: Duration) -> Option<f64> {
     let rate = Rate { servers: case.size, datagrams: load.datagrams_out, bytes: load.bytes_out };
     let mut town: Town<Hollow> = Town::new(case.between.network(), case.size, case.seed);
     for of in 0..case.size {
         let hollow = Hollow::new(of, rate, case.seed.wrapping_mul(1_000_003) + of as u64, town.now());
         town.start_as(of, hollow);
     }
-    town.play(Span::from_ms(2000));
+    town.play(Duration::from_ms(2000));
     let before = cpu::of_this_thread()?;
     town.play(long);
     let spent = cpu::of_this_thread()? - before;
--- a/crates/hazelspur-lab/src/studies/shares.rs
+++ b/crates/hazelspur-simulator/src/studies/shares.rs
@@ -8,7 +8,7 @@
 use crate::ways::own::{address, name};
 use crate::ways::zoned::{REGIONS, ZONES};
 use hazelspur::pcg::Pcg;
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::shares::{Life, Limit, LimitId, Print, Shares, Terms, Word, level_of};
 use hazelspur_fleet::{
     Body, Claim, Datagram, Generation, Incarnation, Installation, LimitName, Says, SiteName, talk,
@@ -16,11 +16,11 @@
 use std::collections::VecDeque;
 
 const SLOTS: LimitId = LimitId(0);
-const LINGER: Span = Span::from_ms(500);
-const LOOK: Span = Span::from_ms(100);
+const LINGER: Duration = Duration::from_ms(500);
+const LOOK: Duration = Duration::from_ms(100);
 /// The fleet is at rest by then.
-const FROM: Span = Span::from_ms(20_000);
-const APART: Span = Span::from_ms(60_000);
+const FROM: Duration = Duration::from_ms(20_000);
+const APART: Duration = Duration::from_ms(60_000);
 /// In use over what could be: settled.
 const SETTLED: f64 = 0.9;
 
@@ -58,8 +58,8 @@
     pub const OF_SCALE: [Self; 4] = [Self::None, Self::Replaced, Self::DividerEnds, Self::RegionsApart];
 
     /// How long regions are apart.
-    pub fn apart(self) -> Span {
-        if self == Self::RegionsApart { APART } else { Span::ZERO }
+    pub fn apart(self) -> Duration {
+        if self == Self::RegionsApart { APART } else { Duration::ZERO }
     }
 
     pub fn name(self) -> &'static str {
@@ -111,17 +111,17 @@
     Start(usize),
     End(usize),
     EndDivider,
-    Stop(usize, Span),
+    Stop(usize, Duration),
     Cut(Option<Cut>),
 }
 
 struct Node {
     shares: Option<Shares>,
     life: Life,
-    stopped: Moment,
+    stopped: Timestamp,
     /// What might have been in use at the last looks.
     past: VecDeque<f64>,
-    set: Moment,
+    set: Timestamp,
 }
 
 struct Sim {
@@ -182,9 +182,9 @@
         self.nodes[of] = Node {
             shares: Some(shares),
             life,
-            stopped: Moment::default(),
+            stopped: Timestamp::default(),
             past: VecDeque::new(),
-            set: Moment::default(),
+            set: Timestamp::default(),
         };
         self.spoke(of);
     }
@@ -205,7 +205,7 @@
             }
         }
         while shares.next_event().is_some() {}
-        let next = shares.next_tick().max(now + Span::from_us(1));
+        let next = shares.next_tick().max(now + Duration::from_us(1));
         if next < node.set || node.set <= now {
             node.set = next;
             self.kernel.at(next, Event::Tick(of, node.life.generation.0));
@@ -224,7 +224,7 @@
                     return self.kernel.at(node.stopped, event);
                 }
                 if let Some(shares) = &mut node.shares {
-                    node.set = Moment::default();
+                    node.set = Timestamp::default();
                     shares.tick(now);
                 }
                 self.spoke(of);
@@ -249,7 +249,7 @@
                 let divides = |node: &Node| node.shares.as_ref().is_some_and(|s| s.divides(now).is_some());
                 if let Some(of) = self.nodes.iter().position(divides) {
                     self.nodes[of].shares = None;
-                    self.kernel.at(now + Span::from_ms(3000), Event::Start(of));
+                    self.kernel.at(now + Duration::from_ms(3000), Event::Start(of));
                 }
             }
             Event::Stop(of, span) => self.nodes[of].stopped = now + span,
@@ -300,7 +300,7 @@
     let terms = Terms {
         keepers: (0..5).map(name).collect(),
         most: n + n.div_ceil(4),
-        span: Span::from_ms(4000),
+        span: Duration::from_ms(4000),
         limits: (0..case.limits).map(limit).collect(),
     };
     let mut network = case.between.map_or(Network::new(3), |between| between.network());
@@ -310,9 +310,9 @@
     let gone = || Node {
         shares: None,
         life: Life { name: name(0), generation: Generation(0) },
-        stopped: Moment::default(),
+        stopped: Timestamp::default(),
         past: VecDeque::new(),
-        set: Moment::default(),
+        set: Timestamp::default(),
     };
     let mut sim = Sim {
         kernel: Kernel::new(START),
@@ -327,7 +327,7 @@
     };
     let first = if case.trouble == Trouble::GrowAndShrink { n.min(10) } else { n };
     (0..first).for_each(|of| sim.start(of));
-    let at = |ms: u64| START + FROM + Span::from_ms(ms);
+    let at = |ms: u64| START + FROM + Duration::from_ms(ms);
     let mut over = 0;
     match case.trouble {
         Trouble::None | Trouble::Loss => {}
@@ -361,12 +361,12 @@
         }
         Trouble::Stopped => {
             for of in (0..n).filter(|of| of % 10 == 3) {
-                sim.kernel.at(at(0), Event::Stop(of, Span::from_ms(10_000)));
+                sim.kernel.at(at(0), Event::Stop(of, Duration::from_ms(10_000)));
             }
             over = 10_000;
         }
     }
-    let end = FROM + Span::from_ms(over + 30_000);
+    let end = FROM + Duration::from_ms(over + 30_000);
     let mut out = Outcome { dip: 1.0, ..Outcome::default() };
     let (mut last, mut unsettled, mut tail): (Vec<(f64, f64)>, f64, Vec<f64>) = (Vec::new(), 0.0, Vec::new());
     let mut counted = (0, 0);
@@ -386,7 +386,7 @@
                 unsettled = since + LOOK.secs();
             }
         }
-        if sim.kernel.now + Span::from_ms(10_000) >= START + end {
+        if sim.kernel.now + Duration::from_ms(10_000) >= START + end {
             if tail.is_empty() {
                 counted = (sim.at_divider, sim.bytes_at_divider);
             }
--- a/crates/hazelspur-lab/src/studies/sums.rs
+++ b/crates/hazelspur-simulator/src/studies/sums.rs
@@ -2,7 +2,7 @@
 //! few of many are chosen.
 
 use hazelspur::pcg::Pcg;
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::subsets::{Candidate, first};
 use hazelspur_fleet::{MemberName, SiteName};
 
@@ -16,27 +16,27 @@
 }
 
 impl Reports {
-    pub fn wait(self, missed: bool, chance: &mut Pcg) -> Span {
+    pub fn wait(self, missed: bool, chance: &mut Pcg) -> Duration {
         let (wait, part) = if missed { (250.0, 0.5) } else { (800.0, 0.2) };
         match self {
-            Self::InStep => Span::from_secs(wait / 1000.0),
-            Self::Spread => Span::from_secs(wait * (1.0 - part + 2.0 * part * chance.unit()) / 1000.0),
+            Self::InStep => Duration::from_secs(wait / 1000.0),
+            Self::Spread => Duration::from_secs(wait * (1.0 - part + 2.0 * part * chance.unit()) / 1000.0),
         }
     }
 }
 
 /// Reports of `servers` while the list takes none for 5 s and takes them again: the most within 20 ms over
 /// the mean of the 20 s after that, and the longest that any server's place was without a report.
-pub fn reports(servers: usize, how: Reports, seed: u64) -> (f64, Span) {
+pub fn reports(servers: usize, how: Reports, seed: u64) -> (f64, Duration) {
     const DOWN: std::ops::Range<u64> = 10_000..15_000;
     const BIN: u64 = 20;
     let mut chance = Pcg::new(seed);
-    let (mut bins, mut longest) = (vec![0u32; 40_000 / BIN as usize], Span::ZERO);
+    let (mut bins, mut longest) = (vec![0u32; 40_000 / BIN as usize], Duration::ZERO);
     for _ in 0..servers {
         // A release starts them within a second.
-        let mut at = Span::from_secs(chance.unit());
+        let mut at = Duration::from_secs(chance.unit());
         let mut last = at;
-        while at < Span::from_ms(40_000) {
+        while at < Duration::from_ms(40_000) {
             let ms = at.us() / 1000;
             // Nobody answers while it is gone: a report is given up after 700 ms.
             let missed = DOWN.contains(&ms);
@@ -47,8 +47,11 @@
                 }
                 last = at;
             }
-            let held_up =
-                if missed { Span::from_ms(700).min(Span::from_ms(DOWN.end - ms)) } else { Span::ZERO };
+            let held_up = if missed {
+                Duration::from_ms(700).min(Duration::from_ms(DOWN.end - ms))
+            } else {
+                Duration::ZERO
+            };
             at = at + held_up + how.wait(missed, &mut chance);
         }
     }
@@ -134,22 +137,22 @@
 
 /// Turns without talk: the most in any 100 ms over the mean, and the longest wait, of `servers` that each
 /// take every turn for a minute.
-pub fn turns(servers: usize, per_second: f64, longest: Span) -> (f64, Span) {
+pub fn turns(servers: usize, per_second: f64, longest: Duration) -> (f64, Duration) {
     use hazelspur_fleet::turns::Round;
     let round = Round::new(servers, per_second, longest);
-    let start = Moment::from_us(1_700_000_000_000_000);
+    let start = Timestamp::from_us(1_700_000_000_000_000);
     let mut bins = vec![0u32; 600];
-    let mut wait = Span::ZERO;
+    let mut wait = Duration::ZERO;
     for of in 0..servers {
         let name = MemberName::new(&format!("n{of}")).expect("a name");
         let mut now = start;
-        while now < start + Span::from_ms(60_000) {
+        while now < start + Duration::from_ms(60_000) {
             let next = round.next(name, "ledger", now);
             wait = wait.max(next - now);
             if let Some(bin) = bins.get_mut(((next - start).us() / 100_000) as usize) {
                 *bin += 1;
             }
-            now = next + Span::from_us(1);
+            now = next + Duration::from_us(1);
         }
     }
     let mean = bins.iter().map(|n| f64::from(*n)).sum::<f64>() / bins.len() as f64;
@@ -180,7 +183,7 @@
         }
     }
     let sizes = sizes.iter().map(usize::to_string).collect::<Vec<_>>().join(",");
-    let command = format!("cargo run --release -p hazelspur-lab -- sums --sizes {sizes}");
+    let command = format!("cargo run --release -p hazelspur-simulator -- sums --sizes {sizes}");
     let points = points.join(",\n");
     format!(
         "{{\"study\":\"sums\",\"command\":\"{command}\",\"text\":\"{text}\",\"machine\":\"simulated\",\"points\":[\n\
--- a/crates/hazelspur-lab/src/studies/together.rs
+++ b/crates/hazelspur-simulator/src/studies/together.rs
@@ -1,7 +1,7 @@
 //! The same trouble at several sizes: service, and how long a run takes.
 
 use crate::drive::{Drive, Figures, Plan, Turn};
-use hazelspur::Span;
+use hazelspur::Duration;
 
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
@@ -10,17 +10,17 @@
     pub load: f64,
     pub seconds: u64,
     /// Nobody answers at the ledger from 10 s on, for so long.
-    pub ledger_down: Span,
+    pub ledger_down: Duration,
 }
 
 pub fn play(case: &Case) -> Figures {
     let plan = Plan::new(case.servers, case.seed, case.load);
     let mut drive = Drive::new(plan);
-    if case.ledger_down > Span::ZERO {
-        let from = Span::from_ms(10_000);
+    if case.ledger_down > Duration::ZERO {
+        let from = Duration::from_ms(10_000);
         drive.script(from, Turn::LedgerDown(true));
         drive.script(from + case.ledger_down, Turn::LedgerDown(false));
     }
-    drive.play(Span::from_ms(case.seconds * 1000));
+    drive.play(Duration::from_ms(case.seconds * 1000));
     drive.figures
 }
--- a/crates/hazelspur-lab/src/studies/who_is_here.rs
+++ b/crates/hazelspur-simulator/src/studies/who_is_here.rs
@@ -5,20 +5,20 @@
 use crate::town::{Said, Town};
 use crate::ways::{Notice, Way};
 use hazelspur::pcg::Pcg;
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 use hdrhistogram::Histogram;
 
 /// A quiet fleet is left alone for this long after its start.
-const SETTLE: Span = Span::from_ms(60_000);
+const SETTLE: Duration = Duration::from_ms(60_000);
 
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
     pub size: usize,
     pub seed: u64,
     /// How long stops and loss go on.
-    pub trouble: Span,
+    pub trouble: Duration,
     pub loss: f64,
-    pub stop: Span,
+    pub stop: Duration,
 }
 
 /// Figures of one seed.
@@ -48,14 +48,14 @@
     let mut town: Town<W> = Town::new(Network::new(3), case.size * 2, case.seed);
     for of in 0..case.size {
         town.start(of);
-        town.play(Span::from_us(1_000_000 / case.size as u64));
+        town.play(Duration::from_us(1_000_000 / case.size as u64));
     }
     let storm_s = until_agreed(&mut town, 60.0);
     let storm_datagrams = rate(town.datagrams, case.size, storm_s.unwrap_or(60.0) + 1.0);
     town.play(SETTLE);
 
     let (datagrams, bytes) = (town.datagrams, town.bytes);
-    let rest = Span::from_ms(60_000);
+    let rest = Duration::from_ms(60_000);
     town.play(rest);
     let datagrams = rate(town.datagrams - datagrams, case.size, rest.secs());
     let bytes = rate(town.bytes - bytes, case.size, rest.secs());
@@ -70,13 +70,13 @@
             let of = chance.draw() as usize % case.size;
             town.stop(of, case.stop);
         }
-        town.play(Span::from_ms(10_000));
+        town.play(Duration::from_ms(10_000));
         for said in std::mem::take(&mut town.said) {
             if let Notice::Gone(of) = said.notice
                 && town.runs(of)
             {
                 false_deaths += 1;
-                without_cause += u64::from(said.at - town.last_stop(of) > Span::from_ms(30_000));
+                without_cause += u64::from(said.at - town.last_stop(of) > Duration::from_ms(30_000));
             }
         }
     }
@@ -112,7 +112,7 @@
         if passed >= most_s {
             return None;
         }
-        town.play(Span::from_ms(250));
+        town.play(Duration::from_ms(250));
     }
 }
 
@@ -130,16 +130,16 @@
         town.said.clear();
         town.kill(of);
         let at = town.now();
-        town.play(Span::from_ms(120_000));
+        town.play(Duration::from_ms(120_000));
         let noticed = |said: &&Said| said.notice == Notice::Gone(of);
-        let mut by: Vec<(usize, Moment)> =
+        let mut by: Vec<(usize, Timestamp)> =
             town.said.iter().filter(noticed).map(|said| (said.by, said.at)).collect();
         by.sort_unstable();
         by.dedup_by_key(|(by, _)| *by);
         unnoticed += (town.running() - by.len().min(town.running())) as u64;
         by.iter().for_each(|(_, when)| notice_ms.saturating_record((*when - at).us() / 1000));
         town.start(of);
-        town.play(Span::from_ms(30_000));
+        town.play(Duration::from_ms(30_000));
     }
     (notice_ms, unnoticed)
 }
@@ -147,7 +147,7 @@
 /// Two halves don't hear each other for a minute; how long after it all agree.
 fn halves<W: Way>(town: &mut Town<W>) -> Option<f64> {
     town.network.cut = Some(|from, to| from % 2 != to % 2);
-    town.play(Span::from_ms(60_000));
+    town.play(Duration::from_ms(60_000));
     town.network.cut = None;
     until_agreed(town, 180.0)
 }
--- a/crates/hazelspur-lab/src/town.rs
+++ b/crates/hazelspur-simulator/src/town.rs
@@ -4,12 +4,12 @@
 use crate::network::Network;
 use crate::ways::{Notice, Way};
 use hazelspur::pcg::Pcg;
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 use std::collections::VecDeque;
 
-pub const START: Moment = Moment::from_us(1_700_000_000_000_000);
+pub const START: Timestamp = Timestamp::from_us(1_700_000_000_000_000);
 /// Datagrams that a machine keeps for a process that does not read.
-const MOST_UNREAD: usize = 256;
+const MAX_UNREAD: usize = 256;
 
 enum Event<P> {
     Tick(usize, u64),
@@ -22,11 +22,11 @@
     way: Option<W>,
     life: u64,
     /// Stopped until then; what came waits.
-    stopped: Option<Moment>,
+    stopped: Option<Timestamp>,
     unread: VecDeque<W::Packet>,
     /// The tick that is set.
-    set: Moment,
-    last_stop: Moment,
+    set: Timestamp,
+    last_stop: Timestamp,
     traffic: Traffic,
 }
 
@@ -55,7 +55,7 @@
 /// What was said, when, by whom.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Said {
-    pub at: Moment,
+    pub at: Timestamp,
     pub by: usize,
     pub notice: Notice,
 }
@@ -85,7 +85,7 @@
         }
     }
 
-    pub fn now(&self) -> Moment {
+    pub fn now(&self) -> Timestamp {
         self.kernel.now
     }
 
@@ -105,8 +105,8 @@
                 life: 0,
                 stopped: None,
                 unread: VecDeque::new(),
-                set: Moment::default(),
-                last_stop: Moment::default(),
+                set: Timestamp::default(),
+                last_stop: Timestamp::default(),
                 traffic: Traffic::default(),
             });
         }
@@ -134,7 +134,7 @@
         self.kill(of);
     }
 
-    pub fn stop(&mut self, of: usize, span: Span) {
+    pub fn stop(&mut self, of: usize, span: Duration) {
         let until = self.now() + span;
         let node = &mut self.nodes[of];
         if node.way.is_some() && node.stopped.is_none_or(|at| at < until) {
@@ -153,7 +153,7 @@
     }
 
     /// The last moment of its last stop, zero if there was none.
-    pub fn last_stop(&self, of: usize) -> Moment {
+    pub fn last_stop(&self, of: usize) -> Timestamp {
         self.nodes[of].last_stop
     }
 
@@ -173,7 +173,7 @@
     }
 
     /// Plays on for so long.
-    pub fn play(&mut self, span: Span) {
+    pub fn play(&mut self, span: Duration) {
         let end = self.now() + span;
         while let Some(event) = self.kernel.next(end) {
             let now = self.now();
@@ -193,7 +193,7 @@
                     node.traffic.came += 1;
                     node.traffic.bytes_in += bytes as u64;
                     if node.stopped.is_some() {
-                        if node.unread.len() < MOST_UNREAD {
+                        if node.unread.len() < MAX_UNREAD {
                             node.unread.push_back(packet);
                         }
                         continue;
@@ -239,7 +239,7 @@
         let next = way.next_tick();
         if next != node.set || next <= now {
             node.set = next;
-            self.kernel.at(next.max(now + Span::from_us(1)), Event::Tick(of, node.life));
+            self.kernel.at(next.max(now + Duration::from_us(1)), Event::Tick(of, node.life));
         }
     }
 }
--- a/crates/hazelspur-lab/src/ways/beats.rs
+++ b/crates/hazelspur-simulator/src/ways/beats.rs
@@ -4,15 +4,15 @@
 //! suspicion means gone.
 
 use super::{CONTACTS, Notice, Way};
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-const EVERY: Span = Span::from_ms(1000);
+const EVERY: Duration = Duration::from_ms(1000);
 const SITES: usize = 3;
 const SPEAKERS: usize = 2;
 /// A newcomer is news for so long.
-const FRESH: Span = Span::from_ms(5000);
+const FRESH: Duration = Duration::from_ms(5000);
 /// Bytes of a datagram's head (tag, installation, sender) and of one in a list, by the own machine's
 /// encoding.
 const HEAD: usize = 60;
@@ -23,23 +23,23 @@
 #[derive(Clone)]
 pub struct Beat {
     from: usize,
-    list: Rc<Vec<(usize, Span)>>,
+    list: Rc<Vec<(usize, Duration)>>,
 }
 
 pub struct Beats {
     me: usize,
-    silence: Span,
-    next: Moment,
+    silence: Duration,
+    next: Timestamp,
     /// When each was last known to be alive, and when it was first heard of.
-    seen: BTreeMap<usize, Moment>,
-    met: BTreeMap<usize, Moment>,
-    now: Moment,
+    seen: BTreeMap<usize, Timestamp>,
+    met: BTreeMap<usize, Timestamp>,
+    now: Timestamp,
     out: VecDeque<(usize, Beat, usize)>,
     notices: VecDeque<Notice>,
 }
 
 impl Beats {
-    fn note(&mut self, of: usize, at: Moment) {
+    fn note(&mut self, of: usize, at: Timestamp) {
         if of == self.me {
             return;
         }
@@ -61,7 +61,7 @@
         here
     }
 
-    fn send(&mut self, to: usize, list: Rc<Vec<(usize, Span)>>) {
+    fn send(&mut self, to: usize, list: Rc<Vec<(usize, Duration)>>) {
         let datagrams = (list.len() * EACH).div_ceil(DATAGRAM - HEAD).max(1);
         let bytes = datagrams * HEAD + list.len() * EACH;
         self.out.push_back((to, Beat { from: self.me, list }, bytes));
@@ -72,15 +72,15 @@
     const NAME: &'static str = "heartbeats, two speakers a site";
     type Packet = Beat;
 
-    fn start(me: usize, most: usize, seed: u64, now: Moment) -> Self {
-        let silence = Span::from_secs(4.0 * (most as f64 + 1.0).log10().max(1.0));
-        let next = now + Span::from_us(seed % EVERY.us());
+    fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
+        let silence = Duration::from_secs(4.0 * (most as f64 + 1.0).log10().max(1.0));
+        let next = now + Duration::from_us(seed % EVERY.us());
         let (seen, met) = (BTreeMap::new(), BTreeMap::new());
         let (out, notices) = (VecDeque::new(), VecDeque::new());
         Self { me, silence, next, seen, met, now, out, notices }
     }
 
-    fn heard(&mut self, now: Moment, packet: &Beat) {
+    fn heard(&mut self, now: Timestamp, packet: &Beat) {
         self.now = now;
         self.note(packet.from, now);
         let (list, silence) = (packet.list.clone(), self.silence);
@@ -89,7 +89,7 @@
         }
     }
 
-    fn tick(&mut self, now: Moment) {
+    fn tick(&mut self, now: Timestamp) {
         if now < self.next {
             return;
         }
@@ -103,7 +103,7 @@
             self.notices.push_back(Notice::Gone(of));
         }
         let site = self.me % SITES;
-        let ages = |mine: bool| -> Rc<Vec<(usize, Span)>> {
+        let ages = |mine: bool| -> Rc<Vec<(usize, Duration)>> {
             let listed = self.seen.iter().filter(|(of, _)| (**of % SITES == site) == mine);
             Rc::new(listed.map(|(of, at)| (*of, now - *at)).collect())
         };
@@ -111,11 +111,11 @@
         let speaks = self.speakers(site).contains(&self.me);
         let neighbours: Vec<usize> = self.seen.keys().copied().filter(|of| of % SITES == site).collect();
         let fresh = |of: &usize| self.met.get(of).is_some_and(|met| now - *met < FRESH);
-        let new: Vec<(usize, Span)> = home.iter().filter(|(of, _)| fresh(of)).copied().collect();
+        let new: Vec<(usize, Duration)> = home.iter().filter(|(of, _)| fresh(of)).copied().collect();
         // All hear of newcomers, and newcomers of all.
         let rest = if speaks { away.iter() } else { [].iter() };
-        let usual: Rc<Vec<(usize, Span)>> = Rc::new(rest.chain(&new).copied().collect());
-        let all: Rc<Vec<(usize, Span)>> = Rc::new(home.iter().chain(away.iter()).copied().collect());
+        let usual: Rc<Vec<(usize, Duration)>> = Rc::new(rest.chain(&new).copied().collect());
+        let all: Rc<Vec<(usize, Duration)>> = Rc::new(home.iter().chain(away.iter()).copied().collect());
         let lists: Vec<(usize, bool)> = neighbours.into_iter().map(|of| (of, fresh(&of))).collect();
         for (of, newcomer) in lists {
             self.send(of, if newcomer { all.clone() } else { usual.clone() });
@@ -134,11 +134,11 @@
         }
     }
 
-    fn next_tick(&self) -> Moment {
+    fn next_tick(&self) -> Timestamp {
         self.next
     }
 
-    fn next_out(&mut self, _now: Moment) -> Option<(usize, Beat, usize)> {
+    fn next_out(&mut self, _now: Timestamp) -> Option<(usize, Beat, usize)> {
         self.out.pop_front()
     }
 
--- a/crates/hazelspur-lab/src/ways/hollow.rs
+++ b/crates/hazelspur-simulator/src/ways/hollow.rs
@@ -4,7 +4,7 @@
 use super::own::{address, name};
 use super::{Notice, Way};
 use hazelspur::pcg::Pcg;
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::{Body, Claim, Datagram, Generation, Incarnation, Installation, Says, SiteName, talk};
 
 /// What each sends.
@@ -19,15 +19,15 @@
 pub struct Hollow {
     chance: Pcg,
     servers: usize,
-    every: Span,
-    next: Moment,
+    every: Duration,
+    next: Timestamp,
     waits: bool,
     packet: Datagram,
 }
 
 impl Hollow {
     /// Claims go along until the datagram is as long as is asked for.
-    pub fn new(me: usize, rate: Rate, seed: u64, now: Moment) -> Self {
+    pub fn new(me: usize, rate: Rate, seed: u64, now: Timestamp) -> Self {
         let claim = |of: usize| Claim {
             name: name(of),
             site: SiteName::new("east-1").expect("a short name"),
@@ -46,10 +46,10 @@
             claims: Vec::new(),
         };
         let long = rate.bytes / rate.datagrams.max(1e-9);
-        while (talk::length(&packet) as f64) < long && packet.claims.len() < talk::MOST_CLAIMS {
+        while (talk::length(&packet) as f64) < long && packet.claims.len() < talk::MAX_CLAIMS {
             packet.claims.push(claim(packet.claims.len()));
         }
-        let every = Span::from_secs(1.0 / rate.datagrams.max(1e-3));
+        let every = Duration::from_secs(1.0 / rate.datagrams.max(1e-3));
         let mut chance = Pcg::new(seed);
         let next = now + every.scaled(chance.unit());
         Self { chance, servers: rate.servers, every, next, waits: false, packet }
@@ -60,23 +60,23 @@
     const NAME: &'static str = "no machine";
     type Packet = Datagram;
 
-    fn start(me: usize, most: usize, seed: u64, now: Moment) -> Self {
+    fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
         Self::new(me, Rate { servers: most, datagrams: 10.0, bytes: 1000.0 }, seed, now)
     }
 
-    fn heard(&mut self, _now: Moment, _packet: &Datagram) {}
+    fn heard(&mut self, _now: Timestamp, _packet: &Datagram) {}
 
-    fn tick(&mut self, now: Moment) {
+    fn tick(&mut self, now: Timestamp) {
         if now >= self.next {
             (self.next, self.waits) = (self.next + self.every, true);
         }
     }
 
-    fn next_tick(&self) -> Moment {
+    fn next_tick(&self) -> Timestamp {
         self.next
     }
 
-    fn next_out(&mut self, _now: Moment) -> Option<(usize, Datagram, usize)> {
+    fn next_out(&mut self, _now: Timestamp) -> Option<(usize, Datagram, usize)> {
         if !std::mem::take(&mut self.waits) {
             return None;
         }
--- a/crates/hazelspur-lab/src/ways/library.rs
+++ b/crates/hazelspur-simulator/src/ways/library.rs
@@ -6,12 +6,12 @@
     Config, Foca, Identity, NoCustomBroadcast, Notification, PeriodicParams, PostcardCodec, Runtime, Timer,
 };
 use hazelspur::pcg::Pcg;
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 use std::num::{NonZeroU8, NonZeroUsize};
-use std::time::Duration;
+use std::time::Duration as StdDuration;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Id {
@@ -57,9 +57,9 @@
 
 #[derive(Default)]
 struct Host {
-    now: Moment,
+    now: Timestamp,
     out: VecDeque<(usize, Vec<u8>)>,
-    timers: BinaryHeap<Reverse<(Moment, u64)>>,
+    timers: BinaryHeap<Reverse<(Timestamp, u64)>>,
     set: std::collections::BTreeMap<u64, Timer<Id>>,
     number: u64,
     notices: VecDeque<Notice>,
@@ -78,9 +78,9 @@
         self.out.push_back((to.number.into(), data.to_vec()));
     }
 
-    fn submit_after(&mut self, event: Timer<Id>, after: Duration) {
+    fn submit_after(&mut self, event: Timer<Id>, after: StdDuration) {
         self.number += 1;
-        let at = self.now + Span::from_us(after.as_micros() as u64);
+        let at = self.now + Duration::from_us(after.as_micros() as u64);
         self.timers.push(Reverse((at, self.number)));
         self.set.insert(self.number, event);
     }
@@ -90,7 +90,7 @@
     foca: Foca<Id, PostcardCodec, Chance, NoCustomBroadcast>,
     host: Host,
     me: Id,
-    announce: Moment,
+    announce: Timestamp,
     chance: Pcg,
 }
 
@@ -101,7 +101,7 @@
             let to = Id { number: contact as u16, generation: 0 };
             let _ = self.foca.announce(to, &mut self.host); // tried again
         }
-        self.announce = self.host.now + Span::from_ms(if self.alive() == 0 { 1000 } else { 10_000 });
+        self.announce = self.host.now + Duration::from_ms(if self.alive() == 0 { 1000 } else { 10_000 });
     }
 }
 
@@ -109,20 +109,20 @@
     const NAME: &'static str = "foca";
     type Packet = Vec<u8>;
 
-    fn start(me: usize, most: usize, seed: u64, now: Moment) -> Self {
+    fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
         let id = Id { number: me as u16, generation: now.us() / 1000 };
         let size = (most as f64 + 1.0).log10();
         let each = |ms, members: usize| {
             let num_members = NonZeroUsize::MIN.saturating_add(members - 1);
-            Some(PeriodicParams { frequency: Duration::from_millis(ms), num_members })
+            Some(PeriodicParams { frequency: StdDuration::from_millis(ms), num_members })
         };
         let config = Config {
-            probe_period: Duration::from_millis(1000),
-            probe_rtt: Duration::from_millis(400),
+            probe_period: StdDuration::from_millis(1000),
+            probe_rtt: StdDuration::from_millis(400),
             num_indirect_probes: NonZeroUsize::MIN.saturating_add(2),
             max_transmissions: NonZeroU8::MIN.saturating_add((4.0 * size.ceil()) as u8 - 1),
-            suspect_to_down_after: Duration::from_secs_f64(4.0 * size.max(1.0)),
-            remove_down_after: Some(Duration::from_secs(900)),
+            suspect_to_down_after: StdDuration::from_secs_f64(4.0 * size.max(1.0)),
+            remove_down_after: Some(StdDuration::from_secs(900)),
             max_packet_size: NonZeroUsize::MIN.saturating_add(1182),
             notify_down_members: true,
             periodic_announce: each(10_000, 1),
@@ -141,12 +141,12 @@
         way
     }
 
-    fn heard(&mut self, now: Moment, packet: &Vec<u8>) {
+    fn heard(&mut self, now: Timestamp, packet: &Vec<u8>) {
         self.host.now = now;
         let _ = self.foca.handle_data(packet, &mut self.host); // what is dropped is dropped
     }
 
-    fn tick(&mut self, now: Moment) {
+    fn tick(&mut self, now: Timestamp) {
         self.host.now = now;
         while let Some(Reverse((at, number))) = self.host.timers.peek().copied() {
             if at > now {
@@ -162,11 +162,11 @@
         }
     }
 
-    fn next_tick(&self) -> Moment {
+    fn next_tick(&self) -> Timestamp {
         self.host.timers.peek().map_or(self.announce, |Reverse((at, _))| (*at).min(self.announce))
     }
 
-    fn next_out(&mut self, _now: Moment) -> Option<(usize, Vec<u8>, usize)> {
+    fn next_out(&mut self, _now: Timestamp) -> Option<(usize, Vec<u8>, usize)> {
         let (to, data) = self.host.out.pop_front()?;
         // The same version octet and tag as ours would go before it.
         let bytes = data.len() + 17;
--- a/crates/hazelspur-lab/src/ways/own.rs
+++ b/crates/hazelspur-simulator/src/ways/own.rs
@@ -1,7 +1,7 @@
 //! `hazelspur_fleet::Members`, as the program runs it.
 
 use super::{CONTACTS, Notice, Way};
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::{
     Datagram, Event, Generation, Installation, MemberName, Members, SiteName, Standing, Terms, talk,
 };
@@ -36,8 +36,8 @@
         at: address(me),
         contacts: CONTACTS.iter().map(|of| address(*of)).collect(),
         most,
-        period: Span::from_ms(1000),
-        remember: Span::from_ms(900_000),
+        period: Duration::from_ms(1000),
+        remember: Duration::from_ms(900_000),
     }
 }
 
@@ -45,23 +45,23 @@
     const NAME: &'static str = "own machine";
     type Packet = Datagram;
 
-    fn start(me: usize, most: usize, seed: u64, now: Moment) -> Self {
+    fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
         Self(Members::new(terms(me, most), Generation(now.us() / 1000), seed, now))
     }
 
-    fn heard(&mut self, now: Moment, packet: &Datagram) {
+    fn heard(&mut self, now: Timestamp, packet: &Datagram) {
         let _ = self.0.heard(now, packet); // what is dropped is dropped
     }
 
-    fn tick(&mut self, now: Moment) {
+    fn tick(&mut self, now: Timestamp) {
         self.0.tick(now);
     }
 
-    fn next_tick(&self) -> Moment {
+    fn next_tick(&self) -> Timestamp {
         self.0.next_tick()
     }
 
-    fn next_out(&mut self, now: Moment) -> Option<(usize, Datagram, usize)> {
+    fn next_out(&mut self, now: Timestamp) -> Option<(usize, Datagram, usize)> {
         let (to, datagram) = self.0.next_out(now)?;
         let bytes = talk::length(&datagram);
         Some((number(to), datagram, bytes))
@@ -71,7 +71,7 @@
         notice(&mut self.0)
     }
 
-    fn leave(&mut self, now: Moment) {
+    fn leave(&mut self, now: Timestamp) {
         self.0.left(now);
     }
 
--- a/crates/hazelspur-lab/src/ways/zoned.rs
+++ b/crates/hazelspur-simulator/src/ways/zoned.rs
@@ -3,7 +3,7 @@
 
 use super::own::{Own, alive, name, notice, number, terms as terms_of_three};
 use super::{Notice, Way};
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::joint::Seen;
 use hazelspur_fleet::shares::{Limit, LimitId, Terms as ShareTerms};
 use hazelspur_fleet::{At, Datagram, Generation, Joint, LimitName, Members, SiteName, Terms, talk};
@@ -14,14 +14,14 @@
 /// Voters, one in each of so many zones.
 pub const KEEPERS: usize = 5;
 /// A server looks at its own work so often, as the program does.
-const LOOK: Span = Span::from_ms(200);
+const LOOK: Duration = Duration::from_ms(200);
 /// What it sees there: calls of so many seconds, and nothing refused.
 const CALL_SECS: f64 = 0.02;
 /// Slots of each shared limit for a server.
 const SLOTS_EACH: f64 = 4.0;
 const FLOOR: f64 = 0.2;
-const LINGER: Span = Span::from_ms(500);
-const VOTE_SPAN: Span = Span::from_ms(4000);
+const LINGER: Duration = Duration::from_ms(500);
+const VOTE_SPAN: Duration = Duration::from_ms(4000);
 
 /// As those of three sites, in its zone.
 pub fn terms(me: usize, most: usize) -> Terms {
@@ -49,23 +49,23 @@
     const NAME: &'static str = "members";
     type Packet = Datagram;
 
-    fn start(me: usize, most: usize, seed: u64, now: Moment) -> Self {
+    fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
         Self(Own(Members::new(terms(me, most), Generation(now.us() / 1000), seed, now)))
     }
 
-    fn heard(&mut self, now: Moment, packet: &Datagram) {
+    fn heard(&mut self, now: Timestamp, packet: &Datagram) {
         self.0.heard(now, packet);
     }
 
-    fn tick(&mut self, now: Moment) {
+    fn tick(&mut self, now: Timestamp) {
         self.0.tick(now);
     }
 
-    fn next_tick(&self) -> Moment {
+    fn next_tick(&self) -> Timestamp {
         self.0.next_tick()
     }
 
-    fn next_out(&mut self, now: Moment) -> Option<(usize, Datagram, usize)> {
+    fn next_out(&mut self, now: Timestamp) -> Option<(usize, Datagram, usize)> {
         self.0.next_out(now)
     }
 
@@ -73,7 +73,7 @@
         self.0.next_notice()
     }
 
-    fn leave(&mut self, now: Moment) {
+    fn leave(&mut self, now: Timestamp) {
         self.0.leave(now);
     }
 
@@ -90,12 +90,12 @@
 pub struct Together<const LIMITS: usize> {
     pub joint: Joint,
     /// The last input was then.
-    last: Moment,
-    next_look: Moment,
+    last: Timestamp,
+    next_look: Timestamp,
 }
 
 /// The laboratory's servers agree on the time.
-fn at(now: Moment) -> At {
+fn at(now: Timestamp) -> At {
     At { wall: now, steady: now }
 }
 
@@ -104,7 +104,7 @@
     type Packet = Datagram;
 
     /// A fifth of `most` is room for more servers than there are.
-    fn start(me: usize, most: usize, seed: u64, now: Moment) -> Self {
+    fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
         let shares = share_terms(most * 4 / 5, most, LIMITS);
         let generation = Generation(now.us() / 1000);
         let mut joint = Joint::new(terms(me, most), Some(shares), generation, seed, at(now));
@@ -116,12 +116,12 @@
         Self { joint, last: now, next_look: now + LOOK.scaled((seed % 1000) as f64 / 1000.0) }
     }
 
-    fn heard(&mut self, now: Moment, packet: &Datagram) {
+    fn heard(&mut self, now: Timestamp, packet: &Datagram) {
         self.last = now;
         let _ = self.joint.heard(at(now), packet); // what is dropped is dropped
     }
 
-    fn tick(&mut self, now: Moment) {
+    fn tick(&mut self, now: Timestamp) {
         self.last = now;
         if now >= self.next_look {
             self.next_look = now + LOOK;
@@ -130,11 +130,11 @@
         self.joint.tick(at(now));
     }
 
-    fn next_tick(&self) -> Moment {
+    fn next_tick(&self) -> Timestamp {
         self.next_look.min(self.last + self.joint.wait(at(self.last)))
     }
 
-    fn next_out(&mut self, now: Moment) -> Option<(usize, Datagram, usize)> {
+    fn next_out(&mut self, now: Timestamp) -> Option<(usize, Datagram, usize)> {
         let (to, datagram) = self.joint.next_out(at(now))?;
         let bytes = talk::length(&datagram);
         Some((number(to), datagram, bytes))
@@ -144,7 +144,7 @@
         notice(&mut self.joint.members)
     }
 
-    fn leave(&mut self, now: Moment) {
+    fn leave(&mut self, now: Timestamp) {
         self.joint.leave(at(now));
         self.joint.members.left(now);
     }
@@ -160,7 +160,7 @@
 
 impl<const LIMITS: usize> Together<LIMITS> {
     /// What it may use of a limit.
-    pub fn share(&self, now: Moment, limit: LimitId) -> f64 {
+    pub fn share(&self, now: Timestamp, limit: LimitId) -> f64 {
         self.joint.shares.as_ref().map_or(0.0, |shares| shares.share(now, limit).amount)
     }
 }
--- a/crates/hazelspur-lab/tests/capacity.rs
+++ b/crates/hazelspur-simulator/tests/capacity.rs
@@ -1,14 +1,14 @@
 //! The capacity model: the repository's page is in step, and what is planted is told.
 
 use expect_test::expect;
-use hazelspur_lab::capacity::command::{Told, read_all, summary};
-use hazelspur_lab::capacity::constants;
-use hazelspur_lab::capacity::measured::{Measured, Study};
-use hazelspur_lab::capacity::page::{blocks, differing, filled};
-use hazelspur_lab::capacity::report::{Known, State, Stops, report, report_of};
-use hazelspur_lab::capacity::rows::{Role, row, rows};
-use hazelspur_lab::capacity::size::{Size, figures};
-use hazelspur_lab::capacity::{digits, with_unit};
+use hazelspur_simulator::capacity::command::{Told, read_all, summary};
+use hazelspur_simulator::capacity::constants;
+use hazelspur_simulator::capacity::measured::{Measured, Study};
+use hazelspur_simulator::capacity::page::{blocks, differing, filled};
+use hazelspur_simulator::capacity::report::{Known, State, Stops, report, report_of};
+use hazelspur_simulator::capacity::rows::{Role, row, rows};
+use hazelspur_simulator::capacity::size::{Size, figures};
+use hazelspur_simulator::capacity::{digits, with_unit};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -46,7 +46,7 @@
 
 /// The command's exit status, and what it said on standard error.
 fn run(arguments: &[&Path]) -> (Option<i32>, String) {
-    let output = Command::new(env!("CARGO_BIN_EXE_hazelspur-lab"))
+    let output = Command::new(env!("CARGO_BIN_EXE_hazelspur-simulator"))
         .arg("capacity")
         .args(arguments)
         .current_dir(root())
@@ -74,7 +74,7 @@
     assert_eq!(
         differing,
         Vec::<String>::new(),
-        "run `hazelspur-lab capacity --page docs/CAPACITY.md` and read what changed"
+        "run `hazelspur-simulator capacity --page docs/CAPACITY.md` and read what changed"
     );
 }
 
@@ -90,7 +90,7 @@
         let text = std::fs::read_to_string(root().join(constant.file)).expect(constant.file);
         assert!(
             text.contains(constant.text),
-            "{} is not what {} says any more: mend crates/hazelspur-lab/src/capacity/constants.rs",
+            "{} is not what {} says any more: mend crates/hazelspur-simulator/src/capacity/constants.rs",
             constant.from(),
             constant.text
         );
--- a/crates/hazelspur-lab/tests/path.rs
+++ b/crates/hazelspur-simulator/tests/path.rs
@@ -1,23 +1,23 @@
 //! What `path` plays and works out, without a server's process.
 
 use expect_test::expect;
-use hazelspur::Span;
-use hazelspur_lab::path::figures::{Point, Study, added, ms};
-use hazelspur_lab::path::load::{MOST_OPEN, Message, Played, Tally, Wire, histogram, play};
-use hazelspur_lab::path::plan::{Around, Arrival, Met, TableSize, arrivals, configuration, distinct};
-use hazelspur_lab::path::wires::{GatewayWire, RuntimeWire};
+use hazelspur::Duration;
+use hazelspur_simulator::path::figures::{Point, Study, added, ms};
+use hazelspur_simulator::path::load::{MAX_OPEN, Message, Played, Tally, Wire, histogram, play};
+use hazelspur_simulator::path::plan::{Around, Arrival, Met, TableSize, arrivals, configuration, distinct};
+use hazelspur_simulator::path::wires::{GatewayWire, RuntimeWire};
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread::spawn;
-use std::time::{Duration, Instant};
+use std::time::{Duration as StdDuration, Instant};
 
-const SIZE: TableSize = TableSize { op_types: 8700, tenants: 42_000 };
+const SIZE: TableSize = TableSize { request_classes: 8700, tenants: 42_000 };
 
 fn plan(size: TableSize, rate: f64, secs: f64, seed: u64) -> Vec<Arrival> {
-    arrivals(size, Met::default(), rate, Span::from_secs(secs), seed).expect("a plan")
+    arrivals(size, Met::default(), rate, Duration::from_secs(secs), seed).expect("a plan")
 }
 
 #[test]
@@ -25,7 +25,7 @@
     let shown: Vec<String> = plan(SIZE, 148.0, 10.0, 1)
         .iter()
         .take(6)
-        .map(|a| format!("{} us: op type {}, tenant {}", a.at.us(), a.op_type, a.tenant))
+        .map(|a| format!("{} us: op type {}, tenant {}", a.at.us(), a.request_class, a.tenant))
         .collect();
     expect![[r#"
         2695 us: op type 3628, tenant 1215
@@ -41,7 +41,7 @@
 
 #[test]
 fn times_are_the_same_for_all_sizes_and_gaps_are_those_of_a_poisson_stream() {
-    let small = TableSize { op_types: 87, tenants: 420 };
+    let small = TableSize { request_classes: 87, tenants: 420 };
     let at = |size| plan(size, 296.0, 60.0, 3).iter().map(|a| a.at.us()).collect::<Vec<_>>();
     let all = at(SIZE);
     assert_eq!(all, at(small));
@@ -56,15 +56,15 @@
 
 #[test]
 fn whole_tables_are_met_or_as_many_as_told_with_the_last_entry_among_them() {
-    let small = TableSize { op_types: 87, tenants: 420 };
+    let small = TableSize { request_classes: 87, tenants: 420 };
     assert_eq!(distinct(&plan(small, 300.0, 60.0, 1)), (87, 420));
-    let met = Met { op_types: Some(10), tenants: Some(1) };
-    let some = arrivals(SIZE, met, 300.0, Span::from_secs(5.0), 1).expect("a plan");
+    let met = Met { request_classes: Some(10), tenants: Some(1) };
+    let some = arrivals(SIZE, met, 300.0, Duration::from_secs(5.0), 1).expect("a plan");
     assert_eq!(distinct(&some), (10, 1));
-    assert_eq!(some.iter().map(|a| (a.op_type, a.tenant)).max(), Some((8699, 41_999)));
-    assert_eq!(some.iter().map(|a| a.op_type).min(), Some(0));
-    assert!(arrivals(SIZE, met, 0.0, Span::from_secs(5.0), 1).is_err());
-    assert!(arrivals(SIZE, met, 1e9, Span::from_secs(5.0), 1).is_err());
+    assert_eq!(some.iter().map(|a| (a.request_class, a.tenant)).max(), Some((8699, 41_999)));
+    assert_eq!(some.iter().map(|a| a.request_class).min(), Some(0));
+    assert!(arrivals(SIZE, met, 0.0, Duration::from_secs(5.0), 1).is_err());
+    assert!(arrivals(SIZE, met, 1e9, Duration::from_secs(5.0), 1).is_err());
 }
 
 #[test]
@@ -82,7 +82,7 @@
         assert_eq!((names.len(), names.iter().collect::<BTreeSet<_>>().len()), (wanted, wanted));
     }
     assert!(all["settings"]["lanes"].as_array().expect("a list").iter().all(|l| l["semantics"] == "safe"));
-    let least = TableSize { op_types: 1, tenants: 1 };
+    let least = TableSize { request_classes: 1, tenants: 1 };
     let text = configuration(least, around, 810, 7);
     let all: serde_json::Value = serde_json::from_str(&text).expect("JSON");
     expect![[r#"
@@ -194,7 +194,7 @@
 
 fn played(address: SocketAddr, plan: &[Arrival], connections: usize, patience_ms: u64) -> Played {
     let wire: Arc<dyn Wire> = Arc::new(GatewayWire::new(1, 30));
-    play(&wire, address, plan, connections, Duration::from_millis(patience_ms)).expect("it is played")
+    play(&wire, address, plan, connections, StdDuration::from_millis(patience_ms)).expect("it is played")
 }
 
 #[test]
@@ -203,7 +203,7 @@
     // open, and its latency counts from its own time.
     let slow = peer(|number, line| {
         if number == 60 {
-            std::thread::sleep(Duration::from_millis(300));
+            std::thread::sleep(StdDuration::from_millis(300));
         }
         Some(acked(line))
     });
@@ -215,7 +215,7 @@
     let added = added(&played.latency_us, &straight);
     assert_eq!(added.len(), plan.len() as u64);
     assert!(ms(&added, 0.999) >= 299.0, "{}", ms(&added, 0.999));
-    let behind = plan.iter().filter(|a| a.at > plan[60].at && a.at < plan[60].at + Span::from_ms(200));
+    let behind = plan.iter().filter(|a| a.at > plan[60].at && a.at < plan[60].at + Duration::from_ms(200));
     let waited = added.iter_recorded().filter(|step| step.value_iterated_to() >= 99_000);
     let waited: u64 = waited.map(|step| step.count_at_value()).sum();
     assert!(waited >= behind.count() as u64, "{waited}");
@@ -240,9 +240,9 @@
     let plan = plan(SIZE, 500.0, 0.5, 1);
     let began = Instant::now();
     let Played { tally, latency_us, .. } = played(mute, &plan, 2, 100);
-    assert!(plan.len() > 2 * MOST_OPEN && began.elapsed() < Duration::from_secs(10));
-    let unsent = plan.len() - 2 * MOST_OPEN;
-    let wanted = Tally { planned: plan.len(), unanswered: 2 * MOST_OPEN, unsent, ..Tally::default() };
+    assert!(plan.len() > 2 * MAX_OPEN && began.elapsed() < StdDuration::from_secs(10));
+    let unsent = plan.len() - 2 * MAX_OPEN;
+    let wanted = Tally { planned: plan.len(), unanswered: 2 * MAX_OPEN, unsent, ..Tally::default() };
     assert_eq!(tally, wanted);
     // They are in the histogram with the time until the end, not left out of it.
     assert_eq!(latency_us.len(), plan.len() as u64);
@@ -275,15 +275,15 @@
 fn nobody_there_is_an_error_and_no_play() {
     let gone = TcpListener::bind("127.0.0.1:0").expect("a place").local_addr().expect("an address");
     let wire: Arc<dyn Wire> = Arc::new(GatewayWire::new(1, 30));
-    assert!(play(&wire, gone, &plan(SIZE, 50.0, 0.1, 1), 1, Duration::from_millis(50)).is_err());
+    assert!(play(&wire, gone, &plan(SIZE, 50.0, 0.1, 1), 1, StdDuration::from_millis(50)).is_err());
 }
 
 #[test]
 fn straight_to_a_stand_in_runtime_all_is_acked() {
-    let runtime = hazelspur_lab::path::process::runtime(0);
+    let runtime = hazelspur_simulator::path::process::runtime(0);
     let wire: Arc<dyn Wire> = Arc::new(RuntimeWire::new(9, 201));
     let plan = plan(SIZE, 300.0, 0.5, 2);
-    let played = play(&wire, runtime.address, &plan, 1, Duration::from_secs(2)).expect("it is played");
+    let played = play(&wire, runtime.address, &plan, 1, StdDuration::from_secs(2)).expect("it is played");
     assert_eq!((played.tally.acked, played.tally.planned), (plan.len(), plan.len()));
 }
 
--- a/crates/hazelspur-lab/tests/runs.rs
+++ b/crates/hazelspur-simulator/tests/runs.rs
@@ -1,20 +1,20 @@
 //! What the laboratory promises of its runs.
 
-use hazelspur::Span;
-use hazelspur_lab::drive::{Drive, Figures, Plan, Turn, Way as DriveWay};
-use hazelspur_lab::on_all_cores;
-use hazelspur_lab::studies::choices::{self, Hard};
-use hazelspur_lab::studies::sums::{self, Reports, Subsets};
-use hazelspur_lab::studies::together;
-use hazelspur_lab::studies::who_is_here::{Case, Row, play};
-use hazelspur_lab::ways::Way;
-use hazelspur_lab::ways::beats::Beats;
-use hazelspur_lab::ways::library::Library;
-use hazelspur_lab::ways::own::Own;
+use hazelspur::Duration;
+use hazelspur_simulator::drive::{Drive, Figures, Plan, Turn, Way as DriveWay};
+use hazelspur_simulator::on_all_cores;
+use hazelspur_simulator::studies::choices::{self, Hard};
+use hazelspur_simulator::studies::sums::{self, Reports, Subsets};
+use hazelspur_simulator::studies::together;
+use hazelspur_simulator::studies::who_is_here::{Case, Row, play};
+use hazelspur_simulator::ways::Way;
+use hazelspur_simulator::ways::beats::Beats;
+use hazelspur_simulator::ways::library::Library;
+use hazelspur_simulator::ways::own::Own;
 
 fn cases(size: usize, seeds: u64) -> Vec<Case> {
-    let trouble = Span::from_ms(120_000);
-    let stop = Span::from_ms(2000);
+    let trouble = Duration::from_ms(120_000);
+    let stop = Duration::from_ms(2000);
     (1..=seeds).map(|seed| Case { size, seed, trouble, loss: 0.01, stop }).collect()
 }
 
@@ -48,7 +48,7 @@
 }
 
 fn together(servers: usize, seed: u64, load: f64, down_ms: u64) -> together::Case {
-    together::Case { servers, seed, load, seconds: 18, ledger_down: Span::from_ms(down_ms) }
+    together::Case { servers, seed, load, seconds: 18, ledger_down: Duration::from_ms(down_ms) }
 }
 
 #[test]
@@ -76,8 +76,8 @@
 fn a_site_that_is_killed_costs_service_until_it_is_back_and_slow_cores_cost_less() {
     let run = |turns: &[(u64, Turn)]| {
         let mut drive = Drive::new(Plan::new(6, 1, 0.6));
-        turns.iter().for_each(|(ms, turn)| drive.script(Span::from_ms(*ms), *turn));
-        drive.play(Span::from_ms(20_000));
+        turns.iter().for_each(|(ms, turn)| drive.script(Duration::from_ms(*ms), *turn));
+        drive.play(Duration::from_ms(20_000));
         drive.figures
     };
     let whole = run(&[]);
@@ -138,12 +138,12 @@
     let peak = |how| (1..=5).map(|seed| sums::reports(300, how, seed).0).sum::<f64>() / 5.0;
     assert!(peak(Reports::InStep) > 3.0 * peak(Reports::Spread));
     let longest = (1..=5).map(|seed| sums::reports(300, Reports::Spread, seed).1).max();
-    assert!(longest.is_some_and(|span| span < Span::from_ms(6500)), "{longest:?}");
+    assert!(longest.is_some_and(|span| span < Duration::from_ms(6500)), "{longest:?}");
     let (.., moved, differ) = sums::subsets(100, 4, Subsets::Rendezvous, 1);
     assert!(moved < 0.03 && differ < 0.2, "{moved} {differ}");
     for other in [Subsets::Chance, Subsets::Rounds] {
         assert!(sums::subsets(100, 4, other, 1).2 > 0.5, "{}", other.name());
     }
-    let (peak, wait) = sums::turns(300, 100.0, Span::from_ms(2000));
-    assert!(peak < 2.5 && wait < Span::from_ms(4000), "{peak} {wait:?}");
+    let (peak, wait) = sums::turns(300, 100.0, Duration::from_ms(2000));
+    assert!(peak < 2.5 && wait < Duration::from_ms(4000), "{peak} {wait:?}");
 }
--- a/crates/hazelspur-lab/tests/slopes.rs
+++ b/crates/hazelspur-simulator/tests/slopes.rs
@@ -1,21 +1,23 @@
 //! How what a server sends, holds and is asked grows with the fleet: counts by seed, never times, so that one
 //! text has one verdict. The same checks are put to faults planted here, and must tell them.
 
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::{Datagram, Generation, Members};
-use hazelspur_lab::studies::scale::{Between, Rest, SharesCase, at_rest, most, play_shares, rest, start_all};
-use hazelspur_lab::studies::shares::Trouble;
-use hazelspur_lab::town::Town;
-use hazelspur_lab::ways::own::Own;
-use hazelspur_lab::ways::zoned::{Together, Zoned, terms};
-use hazelspur_lab::ways::{Notice, Way};
+use hazelspur_simulator::studies::scale::{
+    Between, Rest, SharesCase, at_rest, most, play_shares, rest, start_all,
+};
+use hazelspur_simulator::studies::shares::Trouble;
+use hazelspur_simulator::town::Town;
+use hazelspur_simulator::ways::own::Own;
+use hazelspur_simulator::ways::zoned::{Together, Zoned, terms};
+use hazelspur_simulator::ways::{Notice, Way};
 use std::collections::BTreeSet;
 
 const SIZES: [usize; 4] = [50, 100, 200, 400];
-const WINDOW: Span = Span::from_ms(20_000);
+const WINDOW: Duration = Duration::from_ms(20_000);
 
 fn between() -> Between {
-    Between { lag: Span::from_ms(40), region_loss: 0.0, loss: 0.0 }
+    Between { lag: Duration::from_ms(40), region_loss: 0.0, loss: 0.0 }
 }
 
 fn at_sizes<W: Way>(sizes: &[usize]) -> Vec<(usize, Rest)> {
@@ -24,7 +26,7 @@
         assert!(town.agree(), "{size} servers don't agree at rest");
         (*size, rest(&mut town, WINDOW, *size))
     };
-    hazelspur_lab::on_all_cores(sizes, 4, plays)
+    hazelspur_simulator::on_all_cores(sizes, 4, plays)
 }
 
 /// What a growing fleet at rest may cost, against the smallest of the sizes.
@@ -76,26 +78,26 @@
 /// Planted: probes all of its table in each period.
 struct AllToAll {
     own: Own,
-    period: Span,
-    next: Moment,
+    period: Duration,
+    next: Timestamp,
 }
 
 impl Way for AllToAll {
     const NAME: &'static str = "planted: all to all";
     type Packet = Datagram;
 
-    fn start(me: usize, most: usize, seed: u64, now: Moment) -> Self {
+    fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
         let terms = terms(me, most);
         let period = terms.period;
         let own = Own(Members::new(terms, Generation(now.us() / 1000), seed, now));
         Self { own, period, next: now + period }
     }
 
-    fn heard(&mut self, now: Moment, packet: &Datagram) {
+    fn heard(&mut self, now: Timestamp, packet: &Datagram) {
         self.own.heard(now, packet);
     }
 
-    fn tick(&mut self, now: Moment) {
+    fn tick(&mut self, now: Timestamp) {
         self.own.tick(now);
         if now >= self.next {
             self.next = now + self.period;
@@ -106,11 +108,11 @@
         }
     }
 
-    fn next_tick(&self) -> Moment {
+    fn next_tick(&self) -> Timestamp {
         self.own.next_tick().min(self.next)
     }
 
-    fn next_out(&mut self, now: Moment) -> Option<(usize, Datagram, usize)> {
+    fn next_out(&mut self, now: Timestamp) -> Option<(usize, Datagram, usize)> {
         self.own.next_out(now)
     }
 
@@ -144,7 +146,7 @@
 /// Of a fleet of `SIZES[0]`.
 const ENDS: usize = 15;
 /// Past what is remembered: until all have noticed, and what is still told of them goes round.
-const MARGIN: Span = Span::from_ms(180_000);
+const MARGIN: Duration = Duration::from_ms(180_000);
 
 /// Whether those who ended are gone from the tables of all others.
 fn check_forgotten<W: Way>(end: End) -> Result<(), String> {
@@ -189,26 +191,26 @@
     const NAME: &'static str = "planted: a table that is never emptied";
     type Packet = Datagram;
 
-    fn start(me: usize, most: usize, seed: u64, now: Moment) -> Self {
+    fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
         Self { own: Zoned::start(me, most, seed, now), names: BTreeSet::new() }
     }
 
-    fn heard(&mut self, now: Moment, packet: &Datagram) {
+    fn heard(&mut self, now: Timestamp, packet: &Datagram) {
         self.own.heard(now, packet);
         let all = packet.claims.iter().chain([&packet.from]).map(|claim| claim.name);
         let me = self.own.0.0.me().name;
         self.names.extend(all.filter(|name| *name != me).map(|name| name.to_string()));
     }
 
-    fn tick(&mut self, now: Moment) {
+    fn tick(&mut self, now: Timestamp) {
         self.own.tick(now);
     }
 
-    fn next_tick(&self) -> Moment {
+    fn next_tick(&self) -> Timestamp {
         self.own.next_tick()
     }
 
-    fn next_out(&mut self, now: Moment) -> Option<(usize, Datagram, usize)> {
+    fn next_out(&mut self, now: Timestamp) -> Option<(usize, Datagram, usize)> {
         self.own.next_out(now)
     }
 
@@ -216,7 +218,7 @@
         self.own.next_notice()
     }
 
-    fn leave(&mut self, now: Moment) {
+    fn leave(&mut self, now: Timestamp) {
         self.own.leave(now);
     }
 
@@ -257,7 +259,7 @@
             let messages = points.iter().find(|point| point.figure.ends_with("divider_messages_per_s"));
             (*servers, messages.expect("it is measured").value)
         };
-        let of = hazelspur_lab::on_all_cores(&SIZES, 4, plays);
+        let of = hazelspur_simulator::on_all_cores(&SIZES, 4, plays);
         assert!(of.iter().all(|(size, is)| *is > *size as f64), "few ask: {of:?}");
         check_line(&of, DIVIDER.0, DIVIDER.1).unwrap();
     }
@@ -270,7 +272,7 @@
 
 /// Of all servers that a zone is gone: the longest suspicion of so many (50 s), and as long again at most until the last
 /// of the zone is probed and suspected.
-const NOTICED: Span = Span::from_ms(90_000);
+const NOTICED: Duration = Duration::from_ms(90_000);
 
 #[test]
 fn a_zone_that_starts_cold_finds_all_and_is_found() {
@@ -281,6 +283,6 @@
     town.play(NOTICED);
     assert!(town.agree(), "a zone that is gone is not noticed by all");
     start_all(&mut town, zone.into_iter());
-    town.play(Span::from_ms(30_000));
+    town.play(Duration::from_ms(30_000));
     assert!(town.agree(), "a zone that is back is not known to all");
 }
--- a/crates/hazelspur-standins/examples/town.rs
+++ b/crates/hazelspur-test-doubles/examples/town.rs
@@ -3,9 +3,9 @@
 
 use amq_protocol::protocol::basic::AMQPProperties;
 use amq_protocol::types::AMQPValue;
-use hazelspur_standins::broker::Broker;
-use hazelspur_standins::http::Http;
-use hazelspur_standins::runtime::{Pace, Runtime};
+use hazelspur_test_doubles::broker::Broker;
+use hazelspur_test_doubles::http::Http;
+use hazelspur_test_doubles::runtime::{Pace, Runtime};
 use std::thread::sleep;
 use std::time::Duration;
 
--- a/crates/hazelspur-standins/src/broker.rs
+++ b/crates/hazelspur-test-doubles/src/broker.rs
@@ -20,7 +20,7 @@
 
 const TICK: Duration = Duration::from_millis(4);
 /// What a connection may send without it being acted on.
-const MOST_UNREAD: usize = 4 * 1024 * 1024;
+const MAX_UNREAD: usize = 4 * 1024 * 1024;
 
 #[derive(Clone, Debug, Default)]
 pub struct Message {
@@ -252,7 +252,7 @@
         let alive = state.connections[number].alive;
         drop(state);
         shared.1.notify_all();
-        if !alive || unread.len() > MOST_UNREAD {
+        if !alive || unread.len() > MAX_UNREAD {
             break;
         }
     }
--- a/crates/hazelspur-standins/src/gateway.rs
+++ b/crates/hazelspur-test-doubles/src/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway with habits: it sends ops to servers over JSON-RPC, tries again where it is refused, and writes
+//! A gateway with habits: it sends requests to servers over JSON-RPC, tries again where it is refused, and writes
 //! down each try with all answers that came to it. One thread; JSON by a library, so that a mistake in the
 //! project's own parser can't cancel out.
 
@@ -16,22 +16,22 @@
 const TICK: Duration = Duration::from_millis(1);
 const CONNECTING: Duration = Duration::from_millis(300);
 /// Unread bytes of a connection; more is no server of ours.
-const MOST_UNREAD: usize = 1 << 20;
-/// Ops open on a connection, by the protocol.
-const MOST_OPEN: usize = 32;
+const MAX_UNREAD: usize = 1 << 20;
+/// Requests open on a connection, by the protocol.
+const MAX_OPEN: usize = 32;
 
 /// How it picks servers, and what it does with a refusal.
 #[derive(Clone, Copy, Debug)]
 pub struct Habits {
-    /// The server follows from what the op is about, not from whose turn it is.
+    /// The server follows from what the request is about, not from whose turn it is.
     pub by_subject: bool,
     /// Tries after the first.
     pub retries: u32,
-    /// A refused op goes on to the next server at once.
+    /// A refused request goes on to the next server at once.
     pub walk_on: bool,
     /// It stays away as long as it is told to.
     pub heed: bool,
-    /// Ops a second.
+    /// Requests a second.
     pub rate: f64,
     /// How old the list is that it goes by, in ms.
     pub list_late_ms: u64,
@@ -48,8 +48,8 @@
 
 #[derive(Clone, Debug)]
 pub struct Try {
-    /// The op's name, which is its body too.
-    pub op: String,
+    /// The request's name, which is its body too.
+    pub request: String,
     pub req: String,
     pub kind: &'static str,
     pub server: usize,
@@ -126,10 +126,10 @@
     }
 }
 
-/// An op that is to be tried at some time.
+/// A request that is to be tried at some time.
 struct Waiting {
     at_ms: u64,
-    op: String,
+    request: String,
     kind: &'static str,
     tried: BTreeSet<usize>,
     left: u32,
@@ -183,13 +183,13 @@
 
     fn begin(&mut self, now: u64) {
         self.names += 1;
-        let op = format!("g{}-{}", self.number, self.names);
+        let request = format!("g{}-{}", self.number, self.names);
         let kind = KINDS[self.chance.draw() as usize % KINDS.len()];
         let left = self.habits.retries;
-        self.waiting.push(Waiting { at_ms: now, op, kind, tried: BTreeSet::new(), left, last: None });
+        self.waiting.push(Waiting { at_ms: now, request, kind, tried: BTreeSet::new(), left, last: None });
     }
 
-    /// Which server is next for this op; none where none is listed.
+    /// Which server is next for this request; none where none is listed.
     fn pick(&mut self, waiting: &Waiting) -> Option<usize> {
         let listed = (self.list)();
         let fresh: Vec<usize> = listed.iter().copied().filter(|of| !waiting.tried.contains(of)).collect();
@@ -198,7 +198,7 @@
             return None;
         }
         let turn = if self.habits.by_subject {
-            waiting.op.bytes().fold(7usize, |h, b| h.wrapping_mul(31).wrapping_add(b.into()))
+            waiting.request.bytes().fold(7usize, |h, b| h.wrapping_mul(31).wrapping_add(b.into()))
         } else {
             self.next_turn += 1;
             self.next_turn
@@ -208,7 +208,7 @@
 
     fn send(&mut self, now: u64, mut waiting: Waiting) {
         let Some(server) = self.pick(&waiting) else { return };
-        let kept = self.links.get(&server).is_some_and(|link| !link.going && link.open.len() < MOST_OPEN);
+        let kept = self.links.get(&server).is_some_and(|link| !link.going && link.open.len() < MAX_OPEN);
         if !kept {
             // One that is going still has to be read to its end.
             if self.links.get(&server).is_some_and(|link| !link.open.is_empty()) {
@@ -239,15 +239,15 @@
         link.last += 1;
         let req = format!("{:08x}{:08x}", self.chance.draw(), self.chance.draw());
         let mut params = json!({"req": req, "ts": now, "via": self.number, "timeout": self.habits.timeout_ms,
-            "need": 24.5, "level": 0.5, "data": base64(waiting.op.as_bytes())});
+            "need": 24.5, "level": 0.5, "data": base64(waiting.request.as_bytes())});
         if waiting.kind == "set-qty" {
-            params["opkey"] = waiting.op.clone().into();
+            params["opkey"] = waiting.request.clone().into();
         }
         let line = json!({"jsonrpc": "2.0", "id": link.last, "method": waiting.kind, "params": params});
         let wrote = (&link.stream).write_all(format!("{line}\n").as_bytes());
         let mut tries = self.tries.lock().expect("no panic before");
         tries.push(Try {
-            op: waiting.op.clone(),
+            request: waiting.request.clone(),
             req,
             kind: waiting.kind,
             server,
@@ -271,7 +271,7 @@
         }
     }
 
-    /// Sets an op that never ran, or may run again, for its next try.
+    /// Sets a request that never ran, or may run again, for its next try.
     fn again(&mut self, at_ms: u64, mut waiting: Waiting) {
         if waiting.left > 0 {
             waiting.left -= 1;
@@ -317,7 +317,7 @@
                 while let Some(end) = link.unread.iter().position(|b| *b == b'\n') {
                     lines.push(link.unread.drain(..=end).collect::<Vec<u8>>());
                 }
-                if link.unread.len() > MOST_UNREAD {
+                if link.unread.len() > MAX_UNREAD {
                     self.broken(now, server);
                 }
             }
@@ -364,7 +364,7 @@
             let mut tries = self.tries.lock().expect("no panic before");
             let of = &mut tries[number];
             of.answers.push((answer, now));
-            let own = base64(of.op.as_bytes());
+            let own = base64(of.request.as_bytes());
             of.spoilt |= answer == Answer::Acked && message["result"]["data"].as_str() != Some(&own);
         }
         let Some(waiting) = self.take_waiting(number) else { return };
--- a/crates/hazelspur-standins/src/ledger.rs
+++ b/crates/hazelspur-test-doubles/src/ledger.rs
@@ -15,7 +15,7 @@
 const LOOK: Duration = Duration::from_millis(20);
 const LONGEST_CALL: Duration = Duration::from_secs(5);
 /// Changes kept of how many calls are in hand.
-const MOST_CHANGES: usize = 100_000;
+const MAX_CHANGES: usize = 100_000;
 
 #[derive(Debug)]
 pub struct Books {
@@ -28,14 +28,14 @@
     pub most_out: usize,
     /// When the number of calls in hand changed, and to what.
     changes: Vec<(Instant, usize)>,
-    /// Effects by the op they were made for.
+    /// Effects by the request they were made for.
     pub effects: BTreeMap<String, u32>,
 }
 
 impl Books {
     fn change(&mut self, out: usize) {
         (self.out, self.most_out) = (out, self.most_out.max(out));
-        if self.changes.len() < MOST_CHANGES {
+        if self.changes.len() < MAX_CHANGES {
             self.changes.push((Instant::now(), out));
         }
     }
--- a/crates/hazelspur-standins/src/runtime.rs
+++ b/crates/hazelspur-test-doubles/src/runtime.rs
@@ -1,4 +1,4 @@
-//! A runtime: takes the platform's lines, runs each op for a while on so many cores, asks for one call if
+//! A runtime: takes the platform's lines, runs each request for a while on so many cores, asks for one call if
 //! told to, keeps its notices for a link that comes again, and counts how often each body was run.
 
 use crate::{PATIENCE, now_ms};
@@ -15,7 +15,7 @@
 /// Notices kept for a link that is made anew.
 const KEPT: usize = 4096;
 
-/// How ops run here.
+/// How requests run here.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
     pub run_ms: u64,
@@ -50,7 +50,7 @@
     /// For each body: when its runs began.
     pub runs: BTreeMap<Vec<u8>, Vec<u64>>,
     pub ended: u64,
-    /// Runs by the op they were started for, and when.
+    /// Runs by the request they were started for, and when.
     pub started: BTreeMap<String, u64>,
     /// The most that ran at once.
     pub most_running: usize,
--- a/crates/hazelspur-standins/tests/checker.rs
+++ b/crates/hazelspur-test-doubles/tests/checker.rs
@@ -3,9 +3,9 @@
 use amq_protocol::frame::{AMQPFrame, gen_frame, parse_frame};
 use amq_protocol::protocol::basic::{self, AMQPMethod as Basic, AMQPProperties};
 use amq_protocol::protocol::{AMQPClass, channel, connection};
-use hazelspur_standins::broker::{Broker, End};
-use hazelspur_standins::checker::{Expected, breaches};
-use hazelspur_standins::runtime::Town;
+use hazelspur_test_doubles::broker::{Broker, End};
+use hazelspur_test_doubles::checker::{Expected, breaches};
+use hazelspur_test_doubles::runtime::Town;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::TcpStream;
--- a/crates/hazelspur-standins/tests/gateway.rs
+++ b/crates/hazelspur-test-doubles/tests/gateway.rs
@@ -1,13 +1,13 @@
-//! The stand-in gateway knows how its ops ended, whenever its thread comes to look: it reads what came
+//! The stand-in gateway knows how its requests ended, whenever its thread comes to look: it reads what came
 //! before a connection's end, though both come at once.
 
-use hazelspur_standins::gateway::{Answer, Gateway, Habits};
+use hazelspur_test_doubles::gateway::{Answer, Gateway, Habits};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-/// Answers the first op of each connection, or not, says farewell and closes, all at once.
+/// Answers the first request of each connection, or not, says farewell and closes, all at once.
 fn serve(listener: TcpListener, answers: bool, word: Value) {
     for stream in listener.incoming().flatten() {
         let mut line = String::new();
@@ -22,7 +22,7 @@
     }
 }
 
-fn played(answers: bool, word: Value) -> Vec<hazelspur_standins::gateway::Try> {
+fn played(answers: bool, word: Value) -> Vec<hazelspur_test_doubles::gateway::Try> {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("an address");
     std::thread::spawn(move || serve(listener, answers, word));
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,5 +1,5 @@
 //! A toy town for one server started with examples/config.json: a runtime, a ledger and a control plane that do
-//! as little as they can, and a gateway that asks for one op every second and shows the answer.
+//! as little as they can, and a gateway that asks for one request every second and shows the answer.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -26,17 +26,17 @@
     }
 }
 
-/// One op on a connection of its own.
+/// One request on a connection of its own.
 fn ask() -> io::Result<()> {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
     let mut server = TcpStream::connect("127.0.0.1:10080")?;
     server.set_read_timeout(Some(Duration::from_secs(4)))?;
     let class = if now.is_multiple_of(3) { "order" } else { "look" };
-    let op = format!(
+    let request = format!(
         r#"{{"jsonrpc":"2.0","id":1,"method":"{class}","params":{{"req":"{now:016x}","ts":{now},"via":1,"timeout":3000,"need":24.5,"level":0.5,"data":"aGVsbG8="}}}}"#
     );
-    println!("gateway > {op}");
-    writeln!(server, "{op}")?;
+    println!("gateway > {request}");
+    writeln!(server, "{request}")?;
     let mut line = String::new();
     BufReader::new(server).read_line(&mut line)?;
     println!("gateway < {}", line.trim_end());
--- a/src/book.rs
+++ b/src/book.rs
@@ -1,15 +1,15 @@
-//! What is written down about ops and op types, and samples with the figures worked out from them.
+//! What is written down about requests and request classes, and samples with the figures worked out from them.
 
-use crate::catalog::OpType;
-use crate::{CallerId, Moment, OpId, OpTypeId, Span, UserKey};
+use crate::config::catalog::RequestClass;
+use crate::{ClientId, Duration, RequestClassId, RequestId, SessionKey, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// How many users and callers are remembered, runs and calls of an op type, and waits of its callers.
+/// How many users and callers are remembered, runs and calls of a request class, and waits of its callers.
 pub const SEEN_KEPT: usize = 4096;
 pub const SAMPLES: usize = 24;
 pub const WAITS: usize = 32;
-/// Op types and tenants of whom something learned is kept: those seen lately, however many the settings have.
+/// Request classes and tenants of whom something learned is kept: those seen lately, however many the settings have.
 pub const LEARNED_KEPT: usize = 4096;
 
 /// The last few samples of something; figures are worked out when asked for.
@@ -58,7 +58,7 @@
 }
 
 impl<const MOST: usize> Recent<f64, MOST> {
-    /// The mean without the top `share`, so that a few very costly ops don't pass for a slow server.
+    /// The mean without the top `share`, so that a few very costly requests don't pass for a slow server.
     pub fn mean_without_top(&self, share: f64) -> Option<f64> {
         let sorted = sorted(self.samples.iter().copied());
         mean(sorted[..sorted.len() - (sorted.len() as f64 * share) as usize].iter().copied())
@@ -87,13 +87,13 @@
     }
 }
 
-/// What the last acked ops and the last ops read tell of an op type.
+/// What the last acked requests and the last requests read tell of a request class.
 #[derive(Clone, Debug, Default)]
 pub struct Learned {
-    /// Cost told and seconds run (disk waits too), and seconds at calls, of the last acked ops.
+    /// Cost told and seconds run (disk waits too), and seconds at calls, of the last acked requests.
     pub runs: Recent<(f64, f64), SAMPLES>,
     pub calls: Recent<f64, SAMPLES>,
-    /// How long callers of the last ops read would still wait, in steps.
+    /// How long callers of the last requests read would still wait, in steps.
     pub waits: Recent<u64, WAITS>,
 }
 
@@ -164,21 +164,21 @@
 #[derive(Clone, Debug, Default)]
 pub struct Op {
     pub seq: u64,
-    pub op_type: OpTypeId,
+    pub request_class: RequestClassId,
     /// As they were when it was read.
-    pub terms: Rc<OpType>,
-    pub user: Option<UserKey>,
-    pub caller: CallerId,
-    pub arrived: Moment,
-    pub due: Moment,
-    pub target_at: Moment,
+    pub terms: Rc<RequestClass>,
+    pub user: Option<SessionKey>,
+    pub caller: ClientId,
+    pub arrived: Timestamp,
+    pub due: Timestamp,
+    pub target_at: Timestamp,
     pub kb: f64,
     pub cost: f64,
     /// Seconds of running expected when it was read.
     pub expected: f64,
     pub long: bool,
     pub rank: f64,
-    pub repeat_of: Option<OpId>,
+    pub retry_of: Option<RequestId>,
     pub write: bool,
     pub state: State,
     pub listed: bool,
@@ -187,22 +187,22 @@
     pub ran: bool,
     pub paused: bool,
     pub owed: bool,
-    pub began: Moment,
-    pub at_calls: Span,
-    pub call_began: Moment,
+    pub began: Timestamp,
+    pub at_calls: Duration,
+    pub call_began: Timestamp,
     pub call_tries: u32,
     /// Before this no call is made again; once one is out, when it was made.
-    pub call_after: Moment,
-    pub stop_sent: Option<Moment>,
+    pub call_after: Timestamp,
+    pub stop_sent: Option<Timestamp>,
 }
 
 impl Op {
     /// Seconds since it began, less those at calls.
-    pub fn ran_for(&self, now: Moment) -> f64 {
+    pub fn ran_for(&self, now: Timestamp) -> f64 {
         (now - self.began - self.at_calls).secs()
     }
 
-    pub fn call_over(&mut self, now: Moment) {
+    pub fn call_over(&mut self, now: Timestamp) {
         self.at_calls = self.at_calls + (now - self.call_began);
         self.state = State::Running;
     }
@@ -210,18 +210,23 @@
 
 /// What a server says of itself to those it shares with.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct View {
-    /// The bound on calls that its ops of late would need; none before the first call.
+pub struct LoadReport {
+    /// The bound on calls that its requests of late would need; none before the first call.
     pub calls: Option<f64>,
     /// How long calls take now, in seconds.
     pub call_secs: Option<f64>,
-    /// Share of its last ops that it refused.
+    /// Share of its last requests that it refused.
     pub refused: f64,
 }
 
 /// Writes down who was seen now and says when before. Past a number those not seen for `idle` are dropped, and
 /// then ever later ones until half are gone, so that names which are always new take no more room nor time.
-pub fn note<K: Ord>(seen: &mut BTreeMap<K, Moment>, who: K, now: Moment, mut idle: Span) -> Option<Moment> {
+pub fn note<K: Ord>(
+    seen: &mut BTreeMap<K, Timestamp>,
+    who: K,
+    now: Timestamp,
+    mut idle: Duration,
+) -> Option<Timestamp> {
     let most = if seen.len() < SEEN_KEPT { SEEN_KEPT } else { SEEN_KEPT / 2 };
     while seen.len() > most {
         seen.retain(|_, last| now - *last < idle);
@@ -230,11 +235,11 @@
     seen.insert(who, now)
 }
 
-/// An op read: when and from whom, how long after the caller's one before, and the run expected in seconds.
+/// A request read: when and from whom, how long after the caller's one before, and the run expected in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Read {
-    pub at: Moment,
-    pub caller: CallerId,
+    pub at: Timestamp,
+    pub caller: ClientId,
     pub gap: f64,
     pub expected: f64,
 }
@@ -251,10 +256,10 @@
 pub enum Outcome {
     Ok,
     Error,
-    Full,
+    Rejected,
     TimedOut,
-    Unreached,
-    Broken,
-    Stopped,
-    Moot,
+    Unreachable,
+    ConnectionLost,
+    Preempted,
+    NeverStarted,
 }
--- a/src/catalog.rs
+++ b/src/config/catalog.rs
@@ -1,8 +1,9 @@
-//! The settings in force: typed tables of op types and tenants, found by name or id in a time that does not grow
+//! The settings in force: typed tables of request classes and tenants, found by name or id in a time that does not grow
 //! with their number, and the other figures as `Facts`. Fronts look names up in it, the module reads its figures,
 //! and a `Change` alters it in place. It decides nothing and does no I/O.
 
-use crate::{Fact, Facts, Moment, OpTypeId, Span, TenantId};
+use crate::config::facts::{Fact, Facts};
+use crate::{Duration, RequestClassId, TenantId, Timestamp};
 use std::borrow::Borrow;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hash::{BuildHasherDefault, DefaultHasher, Hash};
@@ -10,56 +11,56 @@
 use std::sync::Arc;
 
 /// Twice the 8,700 routes that the fleet is to have in two years.
-pub const MOST_OP_TYPES: usize = 17_400;
+pub const MAX_OP_TYPES: usize = 17_400;
 /// Twice its 42,000 tenants.
-pub const MOST_TENANTS: usize = 84_000;
-/// In bytes; a longer name fits no line of a gateway with an op beside it.
+pub const MAX_TENANTS: usize = 84_000;
+/// In bytes; a longer name fits no line of a gateway with a request beside it.
 pub const LONGEST_NAME: usize = 255;
 /// Figures beside the tables: a hundred times what a deployment has so far.
-pub const MOST_FACTS: usize = 4096;
-/// Keys of one op type or tenant, those included that nobody here goes by.
-pub const MOST_KEYS: usize = 64;
+pub const MAX_FACTS: usize = 4096;
+/// Keys of one request class or tenant, those included that nobody here goes by.
+pub const MAX_KEYS: usize = 64;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Repeats {
-    Retryable,
-    Keyed,
+pub enum Idempotency {
+    Idempotent,
+    IdempotentWithKey,
     #[default]
-    NonRetryable,
+    NonIdempotent,
 }
 
-/// The terms of an op type. Who holds them goes on by them, whatever is in force meanwhile.
+/// The terms of a request class. Who holds them goes on by them, whatever is in force meanwhile.
 #[derive(Clone, Debug, PartialEq)]
-pub struct OpType {
-    /// Empty where the platform names its op types by number.
+pub struct RequestClass {
+    /// Empty where the platform names its request classes by number.
     pub name: Arc<str>,
-    pub target_latency: Span,
+    pub latency_objective: Duration,
     /// Seconds more for each second of cost that is told.
-    pub target_stretch: f64,
-    pub op_timeout: Span,
-    pub importance: f64,
+    pub latency_objective_per_cost: f64,
+    pub request_timeout: Duration,
+    pub priority_weight: f64,
     /// What an ack past the target latency is worth, of one within it.
-    pub late_worth: f64,
+    pub late_value: f64,
     /// What an answer without its call is worth, of one with it.
-    pub skip_worth: f64,
-    pub repeats: Repeats,
-    /// For so long a keyed op's key is kept.
-    pub window: Span,
+    pub degraded_value: f64,
+    pub repeats: Idempotency,
+    /// For so long a keyed request's key is kept.
+    pub window: Duration,
 }
 
-impl Default for OpType {
+impl Default for RequestClass {
     fn default() -> Self {
-        let target = Span::from_ms(1000);
+        let target = Duration::from_ms(1000);
         Self {
             name: "".into(),
-            target_latency: target,
-            target_stretch: 0.0,
-            op_timeout: target.scaled(2.0),
-            importance: 1.0,
-            late_worth: 0.0,
-            skip_worth: 0.0,
-            repeats: Repeats::NonRetryable,
-            window: Span::from_ms(5000),
+            latency_objective: target,
+            latency_objective_per_cost: 0.0,
+            request_timeout: target.scaled(2.0),
+            priority_weight: 1.0,
+            late_value: 0.0,
+            degraded_value: 0.0,
+            repeats: Idempotency::NonIdempotent,
+            window: Duration::from_ms(5000),
         }
     }
 }
@@ -67,11 +68,11 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tenant {
     pub name: Arc<str>,
-    /// Ops a second of the whole fleet; none where nothing is said of it.
+    /// Requests a second of the whole fleet; none where nothing is said of it.
     pub quota_per_s: Option<f64>,
 }
 
-/// A key that no op type, or tenant, has here.
+/// A key that no request class, or tenant, has here.
 fn is_other(known: &[&str], key: &str) -> bool {
     !known.contains(&key.split('.').next().unwrap_or(key))
 }
@@ -120,7 +121,7 @@
     Ok(())
 }
 
-impl OpType {
+impl RequestClass {
     /// From its own keys, such as `target_latency_us`; `at` is the place that errors name.
     pub fn told(of: &Facts, at: &str) -> Result<Self, String> {
         checked(of, at, &["_us", ".target_stretch", ".importance", ".late_worth"])?;
@@ -131,19 +132,19 @@
         let target = of.num("target_latency_us", 0.0);
         Ok(Self {
             name: name(of, at)?,
-            target_latency: Span::from_us(target as u64),
-            target_stretch: of.num("target_stretch", plain.target_stretch),
-            op_timeout: Span::from_us(of.num("op_timeout_us", target * 2.0) as u64),
-            importance: of.num("importance", plain.importance),
-            late_worth: of.num("late_worth", plain.late_worth),
-            skip_worth: plain.skip_worth,
+            latency_objective: Duration::from_us(target as u64),
+            latency_objective_per_cost: of.num("target_stretch", plain.latency_objective_per_cost),
+            request_timeout: Duration::from_us(of.num("op_timeout_us", target * 2.0) as u64),
+            priority_weight: of.num("importance", plain.priority_weight),
+            late_value: of.num("late_worth", plain.late_value),
+            degraded_value: plain.degraded_value,
             repeats: match of.text("repeats") {
-                "retryable" => Repeats::Retryable,
-                "keyed" => Repeats::Keyed,
-                "non-retryable" | "" => Repeats::NonRetryable,
+                "retryable" => Idempotency::Idempotent,
+                "keyed" => Idempotency::IdempotentWithKey,
+                "non-retryable" | "" => Idempotency::NonIdempotent,
                 other => return Err(format!("setting {at}.repeats is not known: {other}")),
             },
-            window: Span::from_us(of.num("window_us", plain.window.us() as f64) as u64),
+            window: Duration::from_us(of.num("window_us", plain.window.us() as f64) as u64),
         })
     }
 }
@@ -223,9 +224,9 @@
     }
 }
 
-/// Takes op types and tenants as they are read, in their order.
+/// Takes request classes and tenants as they are read, in their order.
 pub trait Entries {
-    fn op_type(&mut self, terms: OpType) -> Result<(), String>;
+    fn request_class(&mut self, terms: RequestClass) -> Result<(), String>;
     fn tenant(&mut self, terms: Tenant) -> Result<(), String>;
     /// A key of an entry that nobody here goes by.
     fn other_key(&mut self, key: &str) -> Result<(), String>;
@@ -234,15 +235,15 @@
 /// Entries as they were read, to be compared later; their number is bounded by `EntryOf::fits`.
 #[derive(Clone, Debug, Default)]
 pub struct Gathered {
-    pub(crate) op_types: Vec<OpType>,
+    pub(crate) request_classes: Vec<RequestClass>,
     pub(crate) tenants: Vec<Tenant>,
     pub(crate) other_keys: BTreeSet<String>,
 }
 
 impl Entries for Gathered {
-    fn op_type(&mut self, terms: OpType) -> Result<(), String> {
-        self.op_types.push(terms);
-        EntryOf::OpTypes.fits(self.op_types.len())
+    fn request_class(&mut self, terms: RequestClass) -> Result<(), String> {
+        self.request_classes.push(terms);
+        EntryOf::OpTypes.fits(self.request_classes.len())
     }
 
     fn tenant(&mut self, terms: Tenant) -> Result<(), String> {
@@ -251,40 +252,40 @@
     }
 
     fn other_key(&mut self, key: &str) -> Result<(), String> {
-        if self.other_keys.len() < MOST_KEYS {
+        if self.other_keys.len() < MAX_KEYS {
             self.other_keys.insert(key.to_string());
         }
         Ok(())
     }
 }
 
-/// A keyed op type that was taken away: until then keys of its ops may be asked for.
+/// A keyed request class that was taken away: until then keys of its requests may be asked for.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Gone {
-    pub window: Span,
-    pub until: Moment,
+    pub window: Duration,
+    pub until: Timestamp,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
-    pub(crate) op_types: Table<Rc<OpType>>,
+    pub(crate) request_classes: Table<Rc<RequestClass>>,
     pub(crate) tenants: Table<Tenant>,
     pub(crate) first_tenant: TenantId,
     /// All else that the settings say.
     pub facts: Facts,
     /// Keys of entries that nobody here goes by, as the start's settings had them.
     pub(crate) other_keys: BTreeSet<String>,
-    /// The longest op timeout of the start: results are kept long enough for that.
-    pub(crate) longest_timeout: Span,
+    /// The longest request timeout of the start: results are kept long enough for that.
+    pub(crate) longest_timeout: Duration,
     pub(crate) gone: BTreeMap<Arc<str>, Gone>,
 }
 
 impl Entries for Catalog {
-    fn op_type(&mut self, terms: OpType) -> Result<(), String> {
-        EntryOf::OpTypes.fits(self.op_types.len() + 1)?;
-        let name = free_name(&self.op_types, &terms.name, "lanes")?;
-        self.longest_timeout = self.longest_timeout.max(terms.op_timeout);
-        self.op_types.add(name, Rc::new(terms));
+    fn request_class(&mut self, terms: RequestClass) -> Result<(), String> {
+        EntryOf::OpTypes.fits(self.request_classes.len() + 1)?;
+        let name = free_name(&self.request_classes, &terms.name, "lanes")?;
+        self.longest_timeout = self.longest_timeout.max(terms.request_timeout);
+        self.request_classes.add(name, Rc::new(terms));
         Ok(())
     }
 
@@ -296,7 +297,7 @@
     }
 
     fn other_key(&mut self, key: &str) -> Result<(), String> {
-        if self.other_keys.len() < MOST_KEYS {
+        if self.other_keys.len() < MAX_KEYS {
             self.other_keys.insert(key.to_string());
         }
         Ok(())
@@ -311,7 +312,7 @@
     }
 }
 
-/// Reads one op type or tenant of the settings into whoever takes them; `at` is its number.
+/// Reads one request class or tenant of the settings into whoever takes them; `at` is its number.
 pub fn take_entry(to: &mut impl Entries, table: EntryOf, at: usize, of: &Facts) -> Result<(), String> {
     let (known, place): (&[&str], _) = match table {
         EntryOf::OpTypes => (&OP_TYPE_KEYS, "op_types"),
@@ -322,12 +323,12 @@
         to.other_key(&format!("{place}.{key}"))?;
     }
     match table {
-        EntryOf::OpTypes => to.op_type(OpType::told(of, &at)?),
+        EntryOf::OpTypes => to.request_class(RequestClass::told(of, &at)?),
         EntryOf::Tenants => to.tenant(Tenant::told(of, &at)?),
     }
 }
 
-/// Reads a plain map of dotted names into whoever takes op types and tenants; gives back all else.
+/// Reads a plain map of dotted names into whoever takes request classes and tenants; gives back all else.
 pub fn take_facts(to: &mut impl Entries, facts: Facts) -> Result<Facts, String> {
     let mut rest = Facts::default();
     let mut entries: [BTreeMap<usize, Facts>; 2] = Default::default();
@@ -364,43 +365,43 @@
     /// Whether so many are held; else the key and both numbers.
     pub fn fits(self, count: usize) -> Result<(), String> {
         let (key, most) = match self {
-            Self::OpTypes => ("lanes", MOST_OP_TYPES),
-            Self::Tenants => ("orgs", MOST_TENANTS),
+            Self::OpTypes => ("lanes", MAX_OP_TYPES),
+            Self::Tenants => ("orgs", MAX_TENANTS),
         };
         if count <= most { Ok(()) } else { Err(format!("settings.{key}: {count}, {most} at most")) }
     }
 }
 
 impl Catalog {
-    /// From a plain map of dotted names: `op_types.0.importance`, `tenants.3.quota_per_s`, `server.cores`.
+    /// From a plain map of dotted names: `request_classes.0.importance`, `tenants.3.quota_per_s`, `server.cores`.
     pub fn from_facts(facts: Facts) -> Result<Self, String> {
         let mut catalog = Self::default();
         let rest = take_facts(&mut catalog, facts)?;
         catalog.complete(rest)
     }
 
-    /// With all that is not in a table. The worth of answers without calls goes to the op types.
+    /// With all that is not in a table. The worth of answers without calls goes to the request classes.
     pub fn complete(mut self, mut facts: Facts) -> Result<Self, String> {
         check_facts(&facts)?;
-        for at in 0..self.op_types.len() {
+        for at in 0..self.request_classes.len() {
             if let Some(Fact::Num(worth)) = facts.0.remove(&format!("server.skip_worth.{at}"))
-                && let Some(terms) = self.op_types.get(at)
+                && let Some(terms) = self.request_classes.get(at)
             {
-                let terms = OpType { skip_worth: worth, ..(**terms).clone() };
-                self.op_types.replace(at, Rc::new(terms));
+                let terms = RequestClass { degraded_value: worth, ..(**terms).clone() };
+                self.request_classes.replace(at, Rc::new(terms));
             }
         }
         self.facts = facts;
         Ok(self)
     }
 
-    pub fn op_type(&self, id: OpTypeId) -> Option<&Rc<OpType>> {
-        self.op_types.get(id.0)
+    pub fn request_class(&self, id: RequestClassId) -> Option<&Rc<RequestClass>> {
+        self.request_classes.get(id.0)
     }
 
-    pub fn find_op_type(&self, name: &str) -> Option<(OpTypeId, Rc<OpType>)> {
-        let id = self.op_types.find(name)?;
-        self.op_types.get(id).map(|terms| (OpTypeId(id), terms.clone()))
+    pub fn find_request_class(&self, name: &str) -> Option<(RequestClassId, Rc<RequestClass>)> {
+        let id = self.request_classes.find(name)?;
+        self.request_classes.get(id).map(|terms| (RequestClassId(id), terms.clone()))
     }
 
     pub fn tenant(&self, id: TenantId) -> Option<&Tenant> {
@@ -417,29 +418,33 @@
     }
 
     /// All of them, in the order in which they came.
-    pub fn op_types(&self) -> Vec<(OpTypeId, &OpType)> {
-        self.op_types.in_order().into_iter().map(|(id, terms)| (OpTypeId(id), &**terms)).collect()
+    pub fn request_classes(&self) -> Vec<(RequestClassId, &RequestClass)> {
+        self.request_classes
+            .in_order()
+            .into_iter()
+            .map(|(id, terms)| (RequestClassId(id), &**terms))
+            .collect()
     }
 
     pub fn tenants(&self) -> Vec<(TenantId, &Tenant)> {
         self.tenants.in_order().into_iter().map(|(id, terms)| (TenantId(id), terms)).collect()
     }
 
-    /// How many op types and tenants there are.
+    /// How many request classes and tenants there are.
     pub fn size(&self) -> (usize, usize) {
-        (self.op_types.len(), self.tenants.len())
+        (self.request_classes.len(), self.tenants.len())
     }
 
-    /// The longest op timeout at the start.
-    pub fn longest_timeout(&self) -> Span {
+    /// The longest request timeout at the start.
+    pub fn longest_timeout(&self) -> Duration {
         self.longest_timeout
     }
 }
 
 pub(crate) fn check_facts(facts: &Facts) -> Result<(), String> {
-    if facts.0.len() > MOST_FACTS {
+    if facts.0.len() > MAX_FACTS {
         return Err(format!(
-            "settings: {} figures beside op types and tenants, {MOST_FACTS} at most",
+            "settings: {} figures beside op types and tenants, {MAX_FACTS} at most",
             facts.0.len()
         ));
     }
--- a/src/change.rs
+++ b/src/config/change.rs
@@ -2,19 +2,20 @@
 //! before any of it holds. What two texts can't have side by side yet is refused with its key named, and waits for
 //! the next start.
 
-use crate::catalog::{
-    Catalog, Entries, EntryOf, Gathered, Gone, LONGEST_NAME, OpType, Repeats, Table, Tenant, check_facts,
+use crate::config::catalog::{
+    Catalog, Entries, EntryOf, Gathered, Gone, Idempotency, LONGEST_NAME, RequestClass, Table, Tenant,
+    check_facts,
 };
-use crate::{Fact, Facts, Moment, OpTypeId, TenantId};
+use crate::{Fact, Facts, RequestClassId, TenantId, Timestamp};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::sync::Arc;
 
 /// Entries and figures that one change adds, alters or takes away; more is another file, not a change of this one.
-pub const MOST_EDITS: usize = 4096;
-/// Names of keyed op types that were taken away and whose keys may still be asked for.
-pub const MOST_GONE: usize = 4096;
-/// For so many of the longest op timeouts after its window a repeat may still be read: one it may wait, one and a
+pub const MAX_EDITS: usize = 4096;
+/// Names of keyed request classes that were taken away and whose keys may still be asked for.
+pub const MAX_GONE: usize = 4096;
+/// For so many of the longest request timeouts after its window a repeat may still be read: one it may wait, one and a
 /// half it may say that it waits, one and a half its first try may have run.
 const READ_LATE: f64 = 4.0;
 /// What may differ between servers while a change goes round, since each goes by it for itself alone.
@@ -35,25 +36,28 @@
 
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Change {
-    pub op_types: Vec<Edit<OpType>>,
+    pub request_classes: Vec<Edit<RequestClass>>,
     pub tenants: Vec<Edit<Tenant>>,
     /// What each is from now on; none where it is not said any more.
     pub facts: Vec<(String, Option<Fact>)>,
-    /// Whose ops those are that name no tenant, if that is another one.
+    /// Whose requests those are that name no tenant, if that is another one.
     pub first_tenant: Option<Arc<str>>,
 }
 
-/// What became of a change: how many op types and tenants came, were altered and went, and how many figures.
+/// What became of a change: how many request classes and tenants came, were altered and went, and how many figures.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Changed {
-    pub op_types: [usize; 3],
+    pub request_classes: [usize; 3],
     pub tenants: [usize; 3],
     pub facts: usize,
 }
 
 impl Change {
     pub fn edits(&self) -> usize {
-        self.op_types.len() + self.tenants.len() + self.facts.len() + usize::from(self.first_tenant.is_some())
+        self.request_classes.len()
+            + self.tenants.len()
+            + self.facts.len()
+            + usize::from(self.first_tenant.is_some())
     }
 
     pub fn is_empty(&self) -> bool {
@@ -73,19 +77,22 @@
 }
 
 impl Entries for Difference<'_> {
-    fn op_type(&mut self, terms: OpType) -> Result<(), String> {
-        let table = &self.in_force.op_types;
+    fn request_class(&mut self, terms: RequestClass) -> Result<(), String> {
+        let table = &self.in_force.request_classes;
         let id =
             table.find(&*terms.name).or_else(|| nameless(table, self.read[0], |old| &old.name, &terms.name));
         self.note(0, id, &terms.name, "lanes")?;
         // The worth of answers without calls comes with the facts, which don't change.
         let old = id.and_then(|id| table.get(id));
-        let terms = OpType { skip_worth: old.map_or(terms.skip_worth, |old| old.skip_worth), ..terms };
+        let terms = RequestClass {
+            degraded_value: old.map_or(terms.degraded_value, |old| old.degraded_value),
+            ..terms
+        };
         match old {
             Some(old) if **old == terms => Ok(()),
             _ if terms.name.is_empty() => Err(unnamed("lanes")),
             _ => {
-                self.change.op_types.push(Edit::Put(terms));
+                self.change.request_classes.push(Edit::Put(terms));
                 self.bounded()
             }
         }
@@ -132,8 +139,8 @@
 
     fn bounded(&self) -> Result<(), String> {
         match self.change.edits() {
-            edits if edits > MOST_EDITS => {
-                Err(format!("settings: more than {MOST_EDITS} differences, the most of one change"))
+            edits if edits > MAX_EDITS => {
+                Err(format!("settings: more than {MAX_EDITS} differences, the most of one change"))
             }
             _ => Ok(()),
         }
@@ -143,7 +150,7 @@
     pub fn of(in_force: &'a Catalog, read: Gathered, facts: &Facts) -> Result<Change, String> {
         let mut difference = Self::new(in_force);
         read.other_keys.iter().try_for_each(|key| difference.other_key(key))?;
-        read.op_types.into_iter().try_for_each(|terms| difference.op_type(terms))?;
+        read.request_classes.into_iter().try_for_each(|terms| difference.request_class(terms))?;
         read.tenants.into_iter().try_for_each(|terms| difference.tenant(terms))?;
         difference.complete(facts)
     }
@@ -151,9 +158,9 @@
     /// With what the newer file says beside its entries.
     pub fn complete(mut self, facts: &Facts) -> Result<Change, String> {
         check_facts(facts)?;
-        for (id, terms) in self.in_force.op_types.in_order() {
+        for (id, terms) in self.in_force.request_classes.in_order() {
             if !self.kept[0].contains(&id) {
-                self.change.op_types.push(Edit::Remove(terms.name.clone()));
+                self.change.request_classes.push(Edit::Remove(terms.name.clone()));
                 self.bounded()?;
             }
         }
@@ -177,10 +184,10 @@
 
 impl Catalog {
     /// Whether a change may hold here, all of it; else the key at fault and why.
-    pub fn check(&self, now: Moment, change: &Change) -> Result<(), String> {
-        if change.edits() > MOST_EDITS {
+    pub fn check(&self, now: Timestamp, change: &Change) -> Result<(), String> {
+        if change.edits() > MAX_EDITS {
             return Err(format!(
-                "settings: {} differences, {MOST_EDITS} at most in one change",
+                "settings: {} differences, {MAX_EDITS} at most in one change",
                 change.edits()
             ));
         }
@@ -188,21 +195,28 @@
             if !CHANGEABLE.contains(&key.as_str()) {
                 return Err(format!("settings: {key}: waits for the next start"));
             }
-            if let Some(why) = fact.as_ref().and_then(|fact| crate::catalog::absurd(key, fact)) {
+            if let Some(why) = fact.as_ref().and_then(|fact| crate::config::catalog::absurd(key, fact)) {
                 return Err(format!("settings: {why}"));
             }
         }
-        sized("lanes", &self.op_types, &change.op_types, |terms| &terms.name, EntryOf::OpTypes)?;
+        sized(
+            "lanes",
+            &self.request_classes,
+            &change.request_classes,
+            |terms| &terms.name,
+            EntryOf::OpTypes,
+        )?;
         sized("orgs", &self.tenants, &change.tenants, |terms| &terms.name, EntryOf::Tenants)?;
-        for edit in &change.op_types {
+        for edit in &change.request_classes {
             match edit {
                 Edit::Put(terms) => self.check_op_type(now, terms)?,
                 Edit::Remove(name) => {
-                    let keyed =
-                        self.find_op_type(name).is_some_and(|(_, terms)| terms.repeats == Repeats::Keyed);
-                    if keyed && self.gone.len() >= MOST_GONE {
+                    let keyed = self
+                        .find_request_class(name)
+                        .is_some_and(|(_, terms)| terms.repeats == Idempotency::IdempotentWithKey);
+                    if keyed && self.gone.len() >= MAX_GONE {
                         return Err(format!(
-                            "settings: op_types.{name}: {MOST_GONE} keyed ones went lately, the most"
+                            "settings: op_types.{name}: {MAX_GONE} keyed ones went lately, the most"
                         ));
                     }
                 }
@@ -219,19 +233,19 @@
         }
     }
 
-    /// What an op type may not become while ops of its name may be in hand or have keys that are kept.
-    fn check_op_type(&self, now: Moment, terms: &OpType) -> Result<(), String> {
+    /// What a request class may not become while requests of its name may be in hand or have keys that are kept.
+    fn check_op_type(&self, now: Timestamp, terms: &RequestClass) -> Result<(), String> {
         let refuse = |key: &str, why: &str| Err(format!("settings: op_types.{}.{key}: {why}", terms.name));
-        let keyed = terms.repeats == Repeats::Keyed;
-        if keyed && terms.op_timeout > self.longest_timeout {
+        let keyed = terms.repeats == Idempotency::IdempotentWithKey;
+        if keyed && terms.request_timeout > self.longest_timeout {
             return refuse(
                 "op_timeout_us",
                 "keys are kept for no longer than the start's waits; waits for the next start",
             );
         }
-        let old = self.find_op_type(&terms.name).map(|(_, old)| old);
+        let old = self.find_request_class(&terms.name).map(|(_, old)| old);
         let gone = self.gone.get(&terms.name).filter(|gone| gone.until > now);
-        let kept = old.filter(|old| old.repeats == Repeats::Keyed).map(|old| old.window);
+        let kept = old.filter(|old| old.repeats == Idempotency::IdempotentWithKey).map(|old| old.window);
         let Some(window) = kept.max(gone.map(|gone| gone.window)) else { return Ok(()) };
         if !keyed {
             return refuse(
@@ -249,21 +263,25 @@
     }
 
     /// Makes a change that was checked hold. Ids of what went are given back; who holds terms keeps them.
-    pub fn apply(&mut self, now: Moment, change: &Change) -> (Changed, Vec<OpTypeId>, Vec<TenantId>) {
+    pub fn apply(
+        &mut self,
+        now: Timestamp,
+        change: &Change,
+    ) -> (Changed, Vec<RequestClassId>, Vec<TenantId>) {
         let (mut changed, mut old_types, mut old_tenants) = (Changed::default(), Vec::new(), Vec::new());
         self.gone.retain(|_, gone| gone.until > now);
         let longest = self.longest_timeout;
-        for edit in &change.op_types {
+        for edit in &change.request_classes {
             match edit {
                 Edit::Put(terms) => {
-                    let put = put(&mut self.op_types, &terms.name, Rc::new(terms.clone()));
-                    changed.op_types[put] += 1;
+                    let put = put(&mut self.request_classes, &terms.name, Rc::new(terms.clone()));
+                    changed.request_classes[put] += 1;
                 }
                 Edit::Remove(name) => {
-                    let Some((id, terms)) = self.op_types.remove(&**name) else { continue };
-                    changed.op_types[2] += 1;
-                    old_types.push(OpTypeId(id));
-                    if terms.repeats == Repeats::Keyed {
+                    let Some((id, terms)) = self.request_classes.remove(&**name) else { continue };
+                    changed.request_classes[2] += 1;
+                    old_types.push(RequestClassId(id));
+                    if terms.repeats == Idempotency::IdempotentWithKey {
                         let until = now + terms.window + longest.scaled(READ_LATE);
                         self.gone.insert(name.clone(), Gone { window: terms.window, until });
                     }
--- a/src/facts.rs
+++ b/src/config/facts.rs
@@ -8,7 +8,7 @@
     Text(String),
 }
 
-/// For example `op_types.0.target_latency_us` or `server.cores`; flags are 0 or 1.
+/// For example `request_classes.0.target_latency_us` or `server.cores`; flags are 0 or 1.
 #[derive(Clone, Debug, Default)]
 pub struct Facts(pub BTreeMap<String, Fact>);
 
--- /dev/null
+++ b/src/config/mod.rs
@@ -0,0 +1,6 @@
+//! The settings in force and their changes.
+
+pub mod catalog;
+pub mod change;
+pub mod facts;
+pub mod settings;
--- a/src/decision.rs
+++ b/src/decision.rs
@@ -1,44 +1,58 @@
 //! What the host is to do next.
 
-use crate::{Moment, OpId, Span};
+use crate::{Duration, RequestId, Timestamp};
 
+/// One instruction of the controller to its host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Start a held op, or let a paused one go on.
-    Run(OpId),
-    /// Take a running op off the cores.
-    Stop(OpId),
-    /// Final: turned away, never ran; when to come back, and whether to try nowhere else.
-    Nack {
-        op: OpId,
-        come_back: Span,
-        nowhere_else: bool,
+    /// Start a queued request, or resume a paused one.
+    Run(RequestId),
+    /// Take a running request off the cores.
+    Preempt(RequestId),
+    /// Final response: rejected, never ran.
+    Reject {
+        /// The rejected request.
+        request: RequestId,
+        /// When the client may retry here; zero says nothing about it.
+        retry_after: Duration,
+        /// Whether the client should not retry at another server either.
+        do_not_retry_elsewhere: bool,
     },
-    /// Final: an error that promises nothing.
-    Fail(OpId),
-    /// Serve a held op from the result of the op it repeats.
-    AnswerFrom(OpId),
-    /// Make the call that a running op waits for.
-    Call {
-        op: OpId,
-        patience: Span,
+    /// Final response: an error that says nothing about whether the request took effect.
+    Fail(RequestId),
+    /// Answer a queued retry with the result of the request that it repeats.
+    AnswerFromOriginal(RequestId),
+    /// Make the dependency call that a running request waits for.
+    StartCall {
+        /// The waiting request.
+        request: RequestId,
+        /// The longest time that the call may take.
+        timeout: Duration,
     },
-    /// Go on without the call.
-    SkipCall(OpId),
-    KeepKey {
-        op: OpId,
-        span: Span,
+    /// Continue the request without its dependency call.
+    SkipCall(RequestId),
+    /// Store the idempotency key of a request.
+    StoreKey {
+        /// The request whose key is stored.
+        request: RequestId,
+        /// How long the key is stored.
+        window: Duration,
     },
-    DropKey(OpId),
-    /// The free value that goes out with every answer.
-    Say(f64),
-    Health {
-        good: bool,
-        from_store: bool,
+    /// Remove the stored idempotency key of a request that never ran.
+    RemoveKey(RequestId),
+    /// Send this capacity figure with every response.
+    AdvertiseCapacity(f64),
+    /// Report this server's health.
+    SetHealth {
+        /// Whether the server takes requests.
+        active: bool,
+        /// Whether health checks may be answered from the last report.
+        cached: bool,
     },
-    /// Close connections idle for this long; zero for the longest.
-    CloseIdle(Span),
+    /// Close connections that were idle for this long; zero stands for the longest time.
+    SetIdleTimeout(Duration),
     /// Call `timer` at this time.
-    Wake(Moment),
+    SetTimer(Timestamp),
+    /// Write this line to the log.
     Log(String),
 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -2,11 +2,11 @@
 
 use std::fmt;
 
-/// The characters a front hands over for an op, 36 or fewer, given back unchanged.
+/// The characters a front hands over for a request, 36 or fewer, given back unchanged.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct OpId([u8; 36]);
+pub struct RequestId([u8; 36]);
 
-impl OpId {
+impl RequestId {
     pub fn parse(text: &str) -> Option<Self> {
         text.as_bytes().try_into().ok().map(Self)
     }
@@ -19,23 +19,23 @@
     }
 }
 
-impl fmt::Display for OpId {
+impl fmt::Display for RequestId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(std::str::from_utf8(&self.0).unwrap_or("?").trim_end_matches(' '))
     }
 }
 
-impl fmt::Debug for OpId {
+impl fmt::Debug for RequestId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(self, f)
     }
 }
 
-/// Who or what an op is about, as a 64-bit FNV-1a hash of its text.
+/// Who or what a request is about, as a 64-bit FNV-1a hash of its text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct UserKey(u64);
+pub struct SessionKey(u64);
 
-impl UserKey {
+impl SessionKey {
     pub fn of(text: &str) -> Self {
         let mix = |h: u64, b: &u8| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3);
         Self(text.as_bytes().iter().fold(0xcbf2_9ce4_8422_2325, mix))
@@ -43,10 +43,10 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct OpTypeId(pub usize);
+pub struct RequestClassId(pub usize);
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantId(pub usize);
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct CallerId(pub u64);
+pub struct ClientId(pub u64);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,20 +1,21 @@
-//! Admission and scheduling for a server that sees only what reaches it. See `logic` for the calls.
+//! Admission and scheduling for a server that sees only what reaches it. See `controller` for the calls.
 
 pub mod book;
-pub mod catalog;
-pub mod change;
+pub mod config;
+pub mod controller;
 pub mod decision;
-pub mod facts;
+pub mod guidance;
 pub mod ids;
-pub mod logic;
 pub mod pcg;
 pub mod time;
 
 pub use book::Outcome;
-pub use catalog::{Catalog, OpType, Repeats, Tenant};
-pub use change::Change;
+pub use config::catalog::{Catalog, Idempotency, RequestClass, Tenant};
+pub use config::change::Change;
+pub use config::facts::{Fact, Facts};
+pub use config::settings::ControllerSettings;
+pub use controller::{AdmissionController, NewRequest};
 pub use decision::Decision;
-pub use facts::{Fact, Facts};
-pub use ids::{CallerId, OpId, OpTypeId, TenantId, UserKey};
-pub use logic::Logic;
-pub use time::{Moment, Span, Timeline};
+pub use guidance::{FleetGuidance, GuidanceKey};
+pub use ids::{ClientId, RequestClassId, RequestId, SessionKey, TenantId};
+pub use time::{Duration, Timeline, Timestamp};
--- a/src/time.rs
+++ b/src/time.rs
@@ -3,24 +3,24 @@
 use std::ops::{Add, Sub};
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Moment(u64);
+pub struct Timestamp(u64);
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Span(u64);
+pub struct Duration(u64);
 
-impl Moment {
+impl Timestamp {
     pub const fn from_us(us: u64) -> Self {
         Self(us)
     }
     pub const fn us(self) -> u64 {
         self.0
     }
-    pub const fn back(self, by: Span) -> Self {
+    pub const fn back(self, by: Duration) -> Self {
         Self(self.0.saturating_sub(by.0))
     }
 }
 
-impl Span {
+impl Duration {
     pub const ZERO: Self = Self(0);
     pub const fn from_us(us: u64) -> Self {
         Self(us)
@@ -46,50 +46,50 @@
 /// go by the line, which begins at the Unix time of its making; what others stamp is laid on it by its age.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Timeline {
-    began: Moment,
+    began: Timestamp,
 }
 
 impl Timeline {
-    pub fn new(unix: Moment) -> Self {
+    pub fn new(unix: Timestamp) -> Self {
         Self { began: unix }
     }
 
     /// So long after its making by a clock that nobody sets.
-    pub fn at(self, since: Span) -> Moment {
+    pub fn at(self, since: Duration) -> Timestamp {
         self.began + since
     }
 
     /// Where a stamp of the Unix clock stands, when that clock says `unix` and the line `now`.
-    pub fn stamped(now: Moment, unix: Moment, stamp: Moment) -> Moment {
+    pub fn stamped(now: Timestamp, unix: Timestamp, stamp: Timestamp) -> Timestamp {
         if stamp > unix { now + (stamp - unix) } else { now.back(unix - stamp) }
     }
 }
 
-impl Add<Span> for Moment {
-    type Output = Moment;
-    fn add(self, by: Span) -> Moment {
-        Moment(self.0.saturating_add(by.0))
+impl Add<Duration> for Timestamp {
+    type Output = Timestamp;
+    fn add(self, by: Duration) -> Timestamp {
+        Timestamp(self.0.saturating_add(by.0))
     }
 }
 
 /// The span from `rhs` to `self`; zero when `rhs` is the later one.
-impl Sub for Moment {
-    type Output = Span;
-    fn sub(self, rhs: Moment) -> Span {
-        Span(self.0.saturating_sub(rhs.0))
+impl Sub for Timestamp {
+    type Output = Duration;
+    fn sub(self, rhs: Timestamp) -> Duration {
+        Duration(self.0.saturating_sub(rhs.0))
     }
 }
 
-impl Add for Span {
-    type Output = Span;
-    fn add(self, by: Span) -> Span {
-        Span(self.0.saturating_add(by.0))
+impl Add for Duration {
+    type Output = Duration;
+    fn add(self, by: Duration) -> Duration {
+        Duration(self.0.saturating_add(by.0))
     }
 }
 
-impl Sub for Span {
-    type Output = Span;
-    fn sub(self, by: Span) -> Span {
-        Span(self.0.saturating_sub(by.0))
+impl Sub for Duration {
+    type Output = Duration;
+    fn sub(self, by: Duration) -> Duration {
+        Duration(self.0.saturating_sub(by.0))
     }
 }
--- a/tests/catalog.rs
+++ b/tests/catalog.rs
@@ -3,8 +3,8 @@
 mod helpers;
 
 use hazelspur::book::{LEARNED_KEPT, Lately};
-use hazelspur::catalog::{
-    Catalog, Entries, LONGEST_NAME, MOST_FACTS, MOST_OP_TYPES, MOST_TENANTS, OpType, Table, Tenant,
+use hazelspur::config::catalog::{
+    Catalog, Entries, LONGEST_NAME, MAX_FACTS, MAX_OP_TYPES, MAX_TENANTS, RequestClass, Table, Tenant,
 };
 use hazelspur::{Fact, Facts};
 use std::cell::Cell;
@@ -18,8 +18,8 @@
     catalog
 }
 
-fn op_type(catalog: &mut Catalog, name: Arc<str>) -> Result<(), String> {
-    catalog.op_type(OpType { name, ..OpType::default() })
+fn request_class(catalog: &mut Catalog, name: Arc<str>) -> Result<(), String> {
+    catalog.request_class(RequestClass { name, ..RequestClass::default() })
 }
 
 fn tenant(catalog: &mut Catalog, name: Arc<str>) -> Result<(), String> {
@@ -28,19 +28,21 @@
 
 #[test]
 fn each_bound_is_told_with_both_its_numbers() {
-    let mut routes = named("route", MOST_OP_TYPES, op_type);
-    let mut tenants = named("tenant", MOST_TENANTS, tenant);
-    let last =
-        (routes.find_op_type("route-17399").is_some(), tenants.find_tenant(Some("tenant-83999")).is_some());
+    let mut routes = named("route", MAX_OP_TYPES, request_class);
+    let mut tenants = named("tenant", MAX_TENANTS, tenant);
+    let last = (
+        routes.find_request_class("route-17399").is_some(),
+        tenants.find_tenant(Some("tenant-83999")).is_some(),
+    );
     assert_eq!(last, (true, true), "the last ones are held too");
-    let figures = (0..=MOST_FACTS).map(|i| (format!("new.{i}"), Fact::Num(1.0))).collect();
+    let figures = (0..=MAX_FACTS).map(|i| (format!("new.{i}"), Fact::Num(1.0))).collect();
     let long = |name: &str| {
         let mut facts = helpers::facts("");
         facts.0.insert(name.into(), Fact::Text("x".repeat(LONGEST_NAME + 1)));
         Catalog::from_facts(facts).err().unwrap_or_default()
     };
     let told = [
-        op_type(&mut routes, "one-more".into()).err().unwrap_or_default(),
+        request_class(&mut routes, "one-more".into()).err().unwrap_or_default(),
         tenant(&mut tenants, "one-more".into()).err().unwrap_or_default(),
         Catalog::from_facts(Facts(figures)).err().unwrap_or_default(),
         long("op_types.0.name"),
--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -1,16 +1,16 @@
-//! Settings that change while ops are in hand: what holds for whom, what is refused, what survives.
+//! Settings that change while requests are in hand: what holds for whom, what is refused, what survives.
 
 mod helpers;
 
 use expect_test::expect;
-use hazelspur::change::MOST_EDITS;
+use hazelspur::config::change::MAX_EDITS;
 use hazelspur::pcg::Pcg;
-use hazelspur::{Catalog, Decision, Fact, Outcome, Span};
+use hazelspur::{Catalog, Decision, Duration, Fact, Outcome};
 use helpers::{Play, Read, facts};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// Three op types and two tenants; each word in `edits` replaces what is said of its key.
+/// Three request classes and two tenants; each word in `edits` replaces what is said of its key.
 fn file(edits: &str) -> String {
     let plain = "op_types.0.name=view op_types.1.name=book op_types.1.target_latency_us=1000000 \
         op_types.1.op_timeout_us=4000000 op_types.1.repeats=keyed op_types.1.window_us=5000000 \
@@ -20,7 +20,7 @@
     plain.to_string() + edits
 }
 
-/// The same without some op types or tenants, counted anew.
+/// The same without some request classes or tenants, counted anew.
 fn without(gone: &[&str], edits: &str) -> String {
     let all: Vec<String> = file(edits).split_whitespace().map(String::from).collect();
     let mut out = String::new();
@@ -52,19 +52,19 @@
 fn ops_in_hand_go_on_by_the_terms_under_which_they_were_read() {
     let mut play = play();
     // Two run, two wait by the old terms; a call of the first may be made again, it being retryable.
-    for (name, op_type) in [("one", 0), ("two", 0), ("old-low", 0), ("old-pay", 2)] {
-        play.read(name, Read { op_type, wait_ms: 4000, ..Read::default() });
+    for (name, request_class) in [("one", 0), ("two", 0), ("old-low", 0), ("old-pay", 2)] {
+        play.read(name, Read { request_class, wait_ms: 4000, ..Read::default() });
     }
     play.pull();
-    play.call_wanted("one").pull();
+    play.call_requested("one").pull();
     let changed = play.change(&file(
         "op_types.0.importance=9 op_types.0.op_timeout_us=900000 op_types.0.target_latency_us=800000 \
          op_types.0.repeats=non-retryable tenants.0.quota_per_s=5",
     ));
-    assert_eq!(changed.map(|changed| changed.op_types), Ok([0, 1, 0]));
-    play.read("new-high", Read { op_type: 0, wait_ms: 900, ..Read::default() });
+    assert_eq!(changed.map(|changed| changed.request_classes), Ok([0, 1, 0]));
+    play.read("new-high", Read { request_class: 0, wait_ms: 900, ..Read::default() });
     play.pull();
-    play.call_ended("one", Outcome::Broken).pull();
+    play.call_finished("one", Outcome::ConnectionLost).pull();
     play.at(100).ended("two", Outcome::Ok).pull();
     play.at(860).beat(2.0).pull();
     play.at(960).beat(2.0).pull();
@@ -72,18 +72,18 @@
     expect![[r#"
         0     Run(one)
         0     Run(two)
-        0     Call { op: one, patience: Span(4000000) }
+        0     StartCall { request: one, timeout: Duration(4000000) }
         0     Run(old-low)
-        0     Call { op: one, patience: Span(4000000) }
+        0     StartCall { request: one, timeout: Duration(4000000) }
         100   Run(new-high)
         860   Fail(new-high)
-        860   Stop(new-high)
-        860   Nack { op: old-pay, come_back: Span(168517), nowhere_else: false }
+        860   Preempt(new-high)
+        860   Reject { request: old-pay, retry_after: Duration(168517), do_not_retry_elsewhere: false }
         960   Fail(one)
         960   Fail(old-low)
-        960   Stop(old-low)
-        4000  Stop(old-low)
-        4000  Stop(new-high)
+        960   Preempt(old-low)
+        4000  Preempt(old-low)
+        4000  Preempt(new-high)
     "#]]
     .assert_eq(&play.seen(&[]));
 }
@@ -91,24 +91,24 @@
 #[test]
 fn the_ops_of_a_type_that_went_end_as_they_began_and_new_ones_are_unknown() {
     let mut play = play();
-    play.read("runs", Read { op_type: 2, ..Read::default() });
-    play.read("runs-too", Read { op_type: 0, ..Read::default() });
-    play.read("waits", Read { op_type: 2, ..Read::default() });
+    play.read("runs", Read { request_class: 2, ..Read::default() });
+    play.read("runs-too", Read { request_class: 0, ..Read::default() });
+    play.read("waits", Read { request_class: 2, ..Read::default() });
     play.pull();
     play.change(&without(&["pay"], "")).expect("a sound change");
-    play.read("late", Read { op_type: 2, ..Read::default() });
+    play.read("late", Read { request_class: 2, ..Read::default() });
     play.pull();
     play.at(50).ended("runs", Outcome::Ok).pull();
     play.at(90).ended("waits", Outcome::Ok).pull();
     play.change(&file("")).expect("a sound change");
-    let again = play.catalog.borrow().find_op_type("pay").expect("back").0;
+    let again = play.catalog.borrow().find_request_class("pay").expect("back").0;
     assert_eq!(again.0, 3, "another id than before");
-    play.read("back", Read { op_type: again.0, ..Read::default() });
+    play.read("back", Read { request_class: again.0, ..Read::default() });
     play.pull();
     expect![[r#"
         0     Run(runs)
         0     Run(runs-too)
-        0     Nack { op: late, come_back: Span(0), nowhere_else: true }
+        0     Reject { request: late, retry_after: Duration(0), do_not_retry_elsewhere: true }
         50    Run(waits)
         90    Run(back)
     "#]]
@@ -120,10 +120,10 @@
     let mut play = play();
     let seen = |play: &Play| {
         let catalog = play.catalog.borrow();
-        format!("{:?} {:?} {:?}", catalog.op_types(), catalog.tenants(), catalog.facts)
+        format!("{:?} {:?} {:?}", catalog.request_classes(), catalog.tenants(), catalog.facts)
     };
     let before = seen(&play);
-    let many: String = (2..MOST_EDITS + 4).map(|i| format!(" tenants.{i}.name=n{i}")).collect();
+    let many: String = (2..MAX_EDITS + 4).map(|i| format!(" tenants.{i}.name=n{i}")).collect();
     // With each, something that would be taken by itself.
     let good = "op_types.0.importance=9 tenants.1.quota_per_s=70 ";
     let faults = [
@@ -196,7 +196,7 @@
     play.at(20_999);
     let kept = play.change(&back("retryable")).expect_err("the last repeat may still be read");
     play.at(21_000);
-    let late = play.change(&back("retryable")).map(|changed| changed.op_types);
+    let late = play.change(&back("retryable")).map(|changed| changed.request_classes);
     expect![[r#"
         settings: op_types.book.repeats: its keys are kept, a repeat would run again; waits for the next start
         settings: op_types.book.repeats: its keys are kept, a repeat would run again; waits for the next start
@@ -211,7 +211,7 @@
     let mut seen = [String::new(), String::new()];
     for (play, seen) in [&mut changed, &mut unchanged].into_iter().zip(&mut seen) {
         play.load(8000, 9);
-        play.run = Span::from_ms(300);
+        play.run = Duration::from_ms(300);
         play.load(6000, 20);
         *seen = play.seen(&["mode bound"]);
     }
@@ -224,11 +224,11 @@
     assert_eq!(seen[0], seen[1], "the same lines at the same times");
 }
 
-/// What each op was answered, by the decisions that were pulled.
+/// What each request was answered, by the decisions that were pulled.
 fn answers(all: &mut BTreeMap<String, u32>, decisions: &[Decision]) {
     for decision in decisions {
-        if let Decision::Nack { op, .. } | Decision::Fail(op) = decision {
-            *all.entry(op.to_string()).or_default() += 1;
+        if let Decision::Reject { request, .. } | Decision::Fail(request) = decision {
+            *all.entry(request.to_string()).or_default() += 1;
         }
     }
 }
@@ -246,24 +246,30 @@
             play.change(&without(gone, &more)).expect("a sound change");
         }
         if step == 5500 {
-            play.logic.leave_notice(play.now, play.now + Span::from_ms(4000));
+            play.controller.shutdown_notice(play.now, play.now + Duration::from_ms(4000));
         }
         if step < 5500 {
             for name in ["view", "book", "pay"] {
-                let id = play.catalog.borrow().find_op_type(name).map(|(id, _)| id.0);
-                if let Some(op_type) = id.filter(|_| chance.unit() < 0.08) {
+                let id = play.catalog.borrow().find_request_class(name).map(|(id, _)| id.0);
+                if let Some(request_class) = id.filter(|_| chance.unit() < 0.08) {
                     read += 1;
                     let (user, tenant) = (format!("u{}", read % 50), read % 2);
-                    play.read(&format!("op{read}"), Read { op_type, tenant, user: &user, ..Read::default() });
+                    play.read(
+                        &format!("op{read}"),
+                        Read { request_class, tenant, user: &user, ..Read::default() },
+                    );
                 }
             }
         }
-        let over: Vec<String> =
-            ends.iter().filter(|(_, at)| **at <= step).map(|(op, _): (&String, _)| op.clone()).collect();
-        for op in over {
-            ends.remove(&op);
-            play.ended(&op, Outcome::Ok);
-            *answered.entry(op).or_default() += 1;
+        let over: Vec<String> = ends
+            .iter()
+            .filter(|(_, at)| **at <= step)
+            .map(|(request, _): (&String, _)| request.clone())
+            .collect();
+        for request in over {
+            ends.remove(&request);
+            play.ended(&request, Outcome::Ok);
+            *answered.entry(request).or_default() += 1;
         }
         if step % 4 == 0 {
             play.beat(ends.len() as f64);
@@ -271,30 +277,32 @@
         let decisions = play.pull();
         answers(&mut answered, &decisions);
         for decision in &decisions {
-            let name = |op: &hazelspur::OpId| op.to_string().trim_end_matches('-').to_string();
+            let name = |request: &hazelspur::RequestId| request.to_string().trim_end_matches('-').to_string();
             match decision {
-                Decision::Run(op) => drop(ends.insert(name(op), step + 5 + u64::from(chance.draw() % 40))),
+                Decision::Run(request) => {
+                    drop(ends.insert(name(request), step + 5 + u64::from(chance.draw() % 40)))
+                }
                 // The answer is out already: what ends later is no second one.
-                Decision::Stop(op) => {
-                    ends.remove(&name(op));
-                    play.ended(&name(op), Outcome::Stopped);
+                Decision::Preempt(request) => {
+                    ends.remove(&name(request));
+                    play.ended(&name(request), Outcome::Preempted);
                 }
                 _ => {}
             }
         }
     }
     let answered: BTreeMap<String, u32> =
-        answered.into_iter().fold(BTreeMap::new(), |mut all, (op, n): (String, u32)| {
-            *all.entry(op.trim_end_matches('-').to_string()).or_default() += n;
+        answered.into_iter().fold(BTreeMap::new(), |mut all, (request, n): (String, u32)| {
+            *all.entry(request.trim_end_matches('-').to_string()).or_default() += n;
             all
         });
     assert!(read > 1000, "{read}");
     assert_eq!(answered.len(), read, "each op has an answer");
-    let twice: Vec<&String> = answered.iter().filter(|(_, n)| **n > 1).map(|(op, _)| op).collect();
+    let twice: Vec<&String> = answered.iter().filter(|(_, n)| **n > 1).map(|(request, _)| request).collect();
     assert!(twice.is_empty(), "{twice:?}");
 }
 
-/// A file of some op types and tenants, each with figures, all drawn.
+/// A file of some request classes and tenants, each with figures, all drawn.
 fn drawn(chance: &mut Pcg) -> Vec<(String, Fact)> {
     let mut words: Vec<(String, Fact)> = Vec::new();
     for (table, most) in [("op_types", 9), ("tenants", 7)] {
@@ -339,14 +347,14 @@
             let held = play.catalog.borrow();
             let by_name = |catalog: &Catalog| {
                 let mut all: Vec<String> =
-                    catalog.op_types().iter().map(|(_, of)| format!("{of:?}")).collect();
+                    catalog.request_classes().iter().map(|(_, of)| format!("{of:?}")).collect();
                 all.extend(catalog.tenants().iter().map(|(_, of)| format!("{of:?}")));
                 all.sort();
                 let first = catalog.find_tenant(None).map(|(_, name)| name);
                 (all, catalog.facts.0.clone(), first)
             };
             assert_eq!(by_name(&held), by_name(&fresh), "seed {seed}: {more}");
-            for (id, terms) in held.op_types() {
+            for (id, terms) in held.request_classes() {
                 most_id = most_id.max(id.0);
                 let of = names.entry(id.0).or_insert_with(|| terms.name.to_string());
                 assert_eq!(**of, *terms.name, "an id has one name for good");
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -1,59 +1,60 @@
-//! Feeds a `Logic` by hand and prints what it decides, a line each.
+//! Feeds a `AdmissionController` by hand and prints what it decides, a line each.
 #![allow(dead_code)] // each test file uses its part
 
-use hazelspur::catalog::take_facts;
-use hazelspur::change::{Changed, Difference};
+use hazelspur::config::catalog::take_facts;
+use hazelspur::config::change::{Changed, Difference};
 use hazelspur::{
-    CallerId, Catalog, Decision, Fact, Facts, Logic, Moment, OpId, OpTypeId, Outcome, Span, TenantId, UserKey,
+    AdmissionController, Catalog, ClientId, Decision, Duration, Fact, Facts, GuidanceKey, NewRequest,
+    Outcome, RequestClassId, RequestId, SessionKey, TenantId, Timestamp,
 };
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 pub struct Play {
-    pub logic: Logic,
+    pub controller: AdmissionController,
     pub catalog: Rc<RefCell<Catalog>>,
-    start: Moment,
-    pub now: Moment,
+    start: Timestamp,
+    pub now: Timestamp,
     trace: String,
-    ends: BTreeMap<(Moment, OpId), ()>,
+    ends: BTreeMap<(Timestamp, RequestId), ()>,
     /// How long runs take that `run_for` starts.
-    pub run: Span,
+    pub run: Duration,
     /// What reads add to the crowd on the cores under `load`.
     pub reads: f64,
 }
 
 pub struct Read<'a> {
-    pub op_type: usize,
+    pub request_class: usize,
     pub tenant: usize,
     pub user: &'a str,
     pub caller: u64,
     pub wait_ms: u64,
     pub cost_ms: Option<u64>,
     pub kb: f64,
-    pub repeat_of: Option<&'a str>,
+    pub retry_of: Option<&'a str>,
 }
 
 impl Default for Read<'_> {
     fn default() -> Self {
         Self {
-            op_type: 0,
+            request_class: 0,
             tenant: 0,
             user: "",
             caller: 0,
             wait_ms: 4000,
             cost_ms: None,
             kb: 10.0,
-            repeat_of: None,
+            retry_of: None,
         }
     }
 }
 
-pub fn id(name: &str) -> OpId {
-    OpId::parse(&format!("{name:-<36}")).expect("a short name")
+pub fn id(name: &str) -> RequestId {
+    RequestId::parse(&format!("{name:-<36}")).expect("a short name")
 }
 
-/// Two cores, memory for plenty, one retryable op type with a target of 1 s, then what `more` says.
+/// Two cores, memory for plenty, one retryable request class with a target of 1 s, then what `more` says.
 pub fn facts(more: &str) -> Facts {
     let plain = "server.cores=2 server.memory_kb=100000 server.run_factor=8 server.stop=drop \
         rules.crowd_multiple=5 rules.cold_share=0.2 rules.cold_us=10000000 rules.drain_grace_us=2000000 \
@@ -68,13 +69,22 @@
 
 impl Play {
     pub fn new(more: &str) -> Self {
-        let now = Moment::from_us(50_000_000);
+        let now = Timestamp::from_us(50_000_000);
         let catalog = Catalog::from_facts(facts(more)).expect("sound settings");
         let cold = catalog.facts.num("server.cold", 0.0) > 0.0;
         let catalog = Rc::new(RefCell::new(catalog));
-        let logic = Logic::with(catalog.clone(), cold, 7, now);
-        let run = Span::from_ms(200);
-        Self { logic, catalog, start: now, now, trace: String::new(), ends: BTreeMap::new(), run, reads: 0.0 }
+        let controller = AdmissionController::with(catalog.clone(), cold, 7, now);
+        let run = Duration::from_ms(200);
+        Self {
+            controller,
+            catalog,
+            start: now,
+            now,
+            trace: String::new(),
+            ends: BTreeMap::new(),
+            run,
+            reads: 0.0,
+        }
     }
 
     /// Has the settings become those of a newer file, or says why not.
@@ -85,64 +95,65 @@
             let rest = take_facts(&mut difference, facts(more))?;
             difference.complete(&rest)?
         };
-        self.logic.change(self.now, &change)
+        self.controller.apply_change(self.now, &change)
     }
 
     pub fn at(&mut self, ms: u64) -> &mut Self {
-        self.now = self.start + Span::from_ms(ms);
+        self.now = self.start + Duration::from_ms(ms);
         self
     }
 
     pub fn read(&mut self, name: &str, read: Read) -> &mut Self {
-        let user = (!read.user.is_empty()).then(|| UserKey::of(read.user));
-        let (due, cost) = (self.now + Span::from_ms(read.wait_ms), read.cost_ms.map(Span::from_ms));
-        let (op_type, repeat_of) = (OpTypeId(read.op_type), read.repeat_of.map(id));
-        self.logic.op_read(
-            self.now,
-            id(name),
-            op_type,
-            TenantId(read.tenant),
-            user,
-            CallerId(read.caller),
-            Some(due),
+        let user = (!read.user.is_empty()).then(|| SessionKey::of(read.user));
+        let (due, cost) = (self.now + Duration::from_ms(read.wait_ms), read.cost_ms.map(Duration::from_ms));
+        let (request_class, retry_of) = (RequestClassId(read.request_class), read.retry_of.map(id));
+        let new = NewRequest {
+            id: id(name),
+            class: request_class,
+            tenant: TenantId(read.tenant),
+            session: user,
+            client: ClientId(read.caller),
+            deadline: Some(due),
             cost,
-            read.kb,
-            Span::ZERO,
-            false,
-            repeat_of,
-        );
+            size_kb: read.kb,
+            age: Duration::ZERO,
+            is_write: false,
+            retry_of,
+        };
+        self.controller.request_received(self.now, new);
         self
     }
 
     pub fn ended(&mut self, name: &str, outcome: Outcome) -> &mut Self {
-        self.logic.run_ended(self.now, id(name), outcome);
+        self.controller.run_finished(self.now, id(name), outcome);
         self
     }
 
-    pub fn call_wanted(&mut self, name: &str) -> &mut Self {
-        self.logic.call_wanted(self.now, id(name));
+    pub fn call_requested(&mut self, name: &str) -> &mut Self {
+        self.controller.call_requested(self.now, id(name));
         self
     }
 
-    pub fn call_ended(&mut self, name: &str, outcome: Outcome) -> &mut Self {
-        self.logic.call_ended(self.now, id(name), outcome);
+    pub fn call_finished(&mut self, name: &str, outcome: Outcome) -> &mut Self {
+        self.controller.call_finished(self.now, id(name), outcome);
         self
     }
 
-    pub fn told(&mut self, name: &str, value: Option<f64>) -> &mut Self {
-        self.logic.told(self.now, name, value);
+    pub fn set_guidance(&mut self, key: GuidanceKey, value: Option<f64>) -> &mut Self {
+        self.controller.set_guidance(self.now, key, value);
         self
     }
 
     pub fn beat(&mut self, on_cores: f64) -> &mut Self {
-        self.logic.timer(self.now, &[("on_cores", on_cores)]);
+        self.controller.timer(self.now, &[("on_cores", on_cores)]);
         self
     }
 
     pub fn pull(&mut self) -> Vec<Decision> {
-        let pulled: Vec<Decision> = std::iter::from_fn(|| self.logic.next_decision(self.now)).collect();
-        for decision in
-            pulled.iter().filter(|d| !matches!(d, Decision::Wake(_) | Decision::Health { good: true, .. }))
+        let pulled: Vec<Decision> = std::iter::from_fn(|| self.controller.next_decision(self.now)).collect();
+        for decision in pulled
+            .iter()
+            .filter(|d| !matches!(d, Decision::SetTimer(_) | Decision::SetHealth { active: true, .. }))
         {
             let text = match decision {
                 Decision::Log(line) => format!("log: {line}"),
@@ -154,18 +165,18 @@
         pulled
     }
 
-    /// Reads `per_s` ops a second of ever new users for so long; each run ends after `self.run`.
+    /// Reads `per_s` requests a second of ever new users for so long; each run ends after `self.run`.
     pub fn load(&mut self, ms: u64, per_s: u64) -> &mut Self {
         let from = self.now;
         let mut read = 0;
-        while self.now - from < Span::from_ms(ms) {
-            self.now = self.now + Span::from_ms(10);
-            while let Some(((end, op), ())) = self.ends.first_key_value()
+        while self.now - from < Duration::from_ms(ms) {
+            self.now = self.now + Duration::from_ms(10);
+            while let Some(((end, request), ())) = self.ends.first_key_value()
                 && *end <= self.now
             {
-                let op = *op;
+                let request = *request;
                 self.ends.pop_first();
-                self.logic.run_ended(self.now, op, Outcome::Ok);
+                self.controller.run_finished(self.now, request, Outcome::Ok);
             }
             while read < (self.now - from).us() * per_s / 1_000_000 {
                 read += 1;
@@ -177,10 +188,10 @@
             }
             for decision in self.pull() {
                 match decision {
-                    Decision::Run(op) => drop(self.ends.insert((self.now + self.run, op), ())),
-                    Decision::Stop(op) => {
-                        self.ends.retain(|(_, ends), ()| *ends != op);
-                        self.logic.run_ended(self.now, op, Outcome::Stopped);
+                    Decision::Run(request) => drop(self.ends.insert((self.now + self.run, request), ())),
+                    Decision::Preempt(request) => {
+                        self.ends.retain(|(_, ends), ()| *ends != request);
+                        self.controller.run_finished(self.now, request, Outcome::Preempted);
                     }
                     _ => {}
                 }
--- a/tests/sums.rs
+++ b/tests/sums.rs
@@ -1,20 +1,23 @@
-//! What many cold servers come to in sum at the dependency that all share, in virtual time: each is a `Logic`
+//! What many cold servers come to in sum at the dependency that all share, in virtual time: each is a `AdmissionController`
 //! with its part of the settings, none hears of another, all begin at once and are asked for more than the
 //! dependency takes.
 
 mod helpers;
 
 use hazelspur::pcg::Pcg;
-use hazelspur::{CallerId, Decision, Logic, Moment, OpId, OpTypeId, Outcome, Span, TenantId};
+use hazelspur::{
+    AdmissionController, ClientId, Decision, Duration, NewRequest, Outcome, RequestClassId, RequestId,
+    TenantId, Timestamp,
+};
 use helpers::facts;
 use std::collections::{BTreeMap, VecDeque};
 
-const STEP: Span = Span::from_ms(5);
-const BEGIN: Moment = Moment::from_us(50_000_000);
+const STEP: Duration = Duration::from_ms(5);
+const BEGIN: Timestamp = Timestamp::from_us(50_000_000);
 /// `calls_over_us` of the settings, and how long a call that was given up still counts.
-const OVER: Span = Span::from_ms(5000);
-const LINGERS: Span = Span::from_ms(200);
-const LASTS: Span = Span::from_ms(10_000);
+const OVER: Duration = Duration::from_ms(5000);
+const LINGERS: Duration = Duration::from_ms(200);
+const LASTS: Duration = Duration::from_ms(10_000);
 const SEEDS: u64 = 3;
 
 /// How calls are answered.
@@ -24,21 +27,21 @@
     Well,
     /// In 400 to 1,600 ms.
     Slow,
-    /// Not at all: each call goes on until its patience ends.
+    /// Not at all: each call goes on until its timeout ends.
     Silent,
     /// It turns each second call away.
     Full,
 }
 
 struct Server {
-    logic: Logic,
-    begins: Moment,
-    runs: BTreeMap<OpId, Moment>,
+    controller: AdmissionController,
+    begins: Timestamp,
+    runs: BTreeMap<RequestId, Timestamp>,
     /// When each call comes back, and how.
-    calls: BTreeMap<OpId, (Moment, Outcome)>,
+    calls: BTreeMap<RequestId, (Timestamp, Outcome)>,
     /// Until when a call that was given up still counts.
-    lingering: Vec<Moment>,
-    ops: u64,
+    lingering: Vec<Timestamp>,
+    requests: u64,
 }
 
 /// The most that all had out on average over `OVER`, as a part of the limit, and the most begun within it.
@@ -52,10 +55,11 @@
     );
     let mut all: Vec<Server> = (0..servers)
         .map(|of| {
-            let begins = BEGIN + Span::from_ms(u64::from(chance.draw()) % 50);
-            let logic = Logic::new(facts(&settings), seed ^ of as u64, begins).expect("sound settings");
+            let begins = BEGIN + Duration::from_ms(u64::from(chance.draw()) % 50);
+            let controller =
+                AdmissionController::new(facts(&settings), seed ^ of as u64, begins).expect("sound settings");
             let (runs, calls, lingering) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
-            Server { logic, begins, runs, calls, lingering, ops: 0 }
+            Server { controller, begins, runs, calls, lingering, requests: 0 }
         })
         .collect();
     let (mut out, mut begun) = (VecDeque::new(), VecDeque::new());
@@ -80,79 +84,84 @@
     (most / limit, most_begun)
 }
 
-/// Ops come, runs want calls and end, decisions are carried out; how many calls began.
-fn step(server: &mut Server, of: usize, now: Moment, dependency: Dependency, chance: &mut Pcg) -> usize {
-    let Server { logic, runs, calls, lingering, ops, .. } = server;
+/// Requests come, runs want calls and end, decisions are carried out; how many calls began.
+fn step(server: &mut Server, of: usize, now: Timestamp, dependency: Dependency, chance: &mut Pcg) -> usize {
+    let Server { controller, runs, calls, lingering, requests, .. } = server;
     lingering.retain(|until| *until > now);
     if chance.unit() < 0.15 {
-        *ops += 1;
-        let id = OpId::parse(&format!("{:-<36}", format!("{of}x{ops}"))).expect("a short name");
-        let (user, caller) = (None, CallerId(*ops % 7));
-        logic.op_read(
-            now,
-            id,
-            OpTypeId(0),
-            TenantId(0),
-            user,
-            caller,
-            None,
-            None,
-            10.0,
-            Span::ZERO,
-            false,
-            None,
-        );
+        *requests += 1;
+        let id = RequestId::parse(&format!("{:-<36}", format!("{of}x{requests}"))).expect("a short name");
+        let (user, caller) = (None, ClientId(*requests % 7));
+        let new = NewRequest {
+            id: id,
+            class: RequestClassId(0),
+            tenant: TenantId(0),
+            session: user,
+            client: caller,
+            deadline: None,
+            cost: None,
+            size_kb: 10.0,
+            age: Duration::ZERO,
+            is_write: false,
+            retry_of: None,
+        };
+        controller.request_received(now, new);
     }
-    let came: Vec<(OpId, Outcome)> =
-        calls.iter().filter(|(_, call)| call.0 <= now).map(|(op, call)| (*op, call.1)).collect();
-    for (op, outcome) in came {
-        calls.remove(&op);
+    let came: Vec<(RequestId, Outcome)> =
+        calls.iter().filter(|(_, call)| call.0 <= now).map(|(request, call)| (*request, call.1)).collect();
+    for (request, outcome) in came {
+        calls.remove(&request);
         if outcome == Outcome::TimedOut {
             lingering.push(now + LINGERS);
         }
-        logic.call_ended(now, op, outcome);
+        controller.call_finished(now, request, outcome);
         if outcome == Outcome::Ok {
-            runs.insert(op, now + Span::from_ms(5));
+            runs.insert(request, now + Duration::from_ms(5));
         }
     }
-    let done: Vec<OpId> = runs.iter().filter(|(_, at)| **at <= now).map(|(op, _)| *op).collect();
-    for op in done {
-        runs.remove(&op);
+    let done: Vec<RequestId> =
+        runs.iter().filter(|(_, at)| **at <= now).map(|(request, _)| *request).collect();
+    for request in done {
+        runs.remove(&request);
         // Its first part ends at a call; what is left after that ends the run.
-        if chance.unit() < 0.6 { logic.call_wanted(now, op) } else { logic.run_ended(now, op, Outcome::Ok) }
+        if chance.unit() < 0.6 {
+            controller.call_requested(now, request)
+        } else {
+            controller.run_finished(now, request, Outcome::Ok)
+        }
     }
-    logic.timer(now, &[]);
+    controller.timer(now, &[]);
     let mut begun = 0;
-    while let Some(decision) = logic.next_decision(now) {
+    while let Some(decision) = controller.next_decision(now) {
         match decision {
-            Decision::Run(op) => {
-                runs.insert(op, now + Span::from_ms(20));
+            Decision::Run(request) => {
+                runs.insert(request, now + Duration::from_ms(20));
             }
-            Decision::Call { op, patience } => {
+            Decision::StartCall { request, timeout } => {
                 begun += 1;
                 let ms = |from: u64, to: u64, chance: &mut Pcg| {
-                    Span::from_ms(from + u64::from(chance.draw()) % (to - from))
+                    Duration::from_ms(from + u64::from(chance.draw()) % (to - from))
                 };
                 let (takes, outcome) = match dependency {
                     Dependency::Well => (ms(20, 200, chance), Outcome::Ok),
                     Dependency::Slow => (ms(400, 1600, chance), Outcome::Ok),
                     Dependency::Silent => (LASTS, Outcome::Ok),
-                    Dependency::Full if chance.unit() < 0.5 => (STEP, Outcome::Full),
+                    Dependency::Full if chance.unit() < 0.5 => (STEP, Outcome::Rejected),
                     Dependency::Full => (ms(20, 200, chance), Outcome::Ok),
                 };
-                let end = if takes < patience { (takes, outcome) } else { (patience, Outcome::TimedOut) };
-                calls.insert(op, (now + end.0, end.1));
+                let end = if takes < timeout { (takes, outcome) } else { (timeout, Outcome::TimedOut) };
+                calls.insert(request, (now + end.0, end.1));
             }
-            Decision::Fail(op) | Decision::Nack { op, .. } => {
-                runs.remove(&op);
-                if calls.remove(&op).is_some() {
+            Decision::Fail(request) | Decision::Reject { request, .. } => {
+                runs.remove(&request);
+                if calls.remove(&request).is_some() {
                     lingering.push(now + LINGERS);
                 }
-                logic.run_ended(now, op, Outcome::Stopped);
+                controller.run_finished(now, request, Outcome::Preempted);
             }
-            Decision::Stop(op) => {
-                runs.remove(&op);
-                logic.run_ended(now, op, Outcome::Stopped);
+            Decision::Preempt(request) => {
+                runs.remove(&request);
+                controller.run_finished(now, request, Outcome::Preempted);
             }
             _ => {}
         }
@@ -189,14 +198,15 @@
 fn servers_that_begin_together_do_not_keep_step() {
     let mut chance = Pcg::new(3);
     let began = |of: usize| {
-        let logic = Logic::new(facts("server.cold=1"), 1000 + of as u64, BEGIN).expect("sound settings");
+        let controller = AdmissionController::new(facts("server.cold=1"), 1000 + of as u64, BEGIN)
+            .expect("sound settings");
         let (runs, calls, lingering) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
-        Server { logic, begins: BEGIN, runs, calls, lingering, ops: 0 }
+        Server { controller, begins: BEGIN, runs, calls, lingering, requests: 0 }
     };
     let mut all: Vec<Server> = (0..30).map(began).collect();
     let (mut modes, mut backs) = (BTreeMap::<u64, u32>::new(), BTreeMap::<u64, u32>::new());
     let mut now = BEGIN;
-    while now < BEGIN + Span::from_ms(20_000) {
+    while now < BEGIN + Duration::from_ms(20_000) {
         now = now + STEP;
         for (of, server) in all.iter_mut().enumerate() {
             crowded(server, of, now, &mut chance, &mut modes, &mut backs);
@@ -212,37 +222,51 @@
 fn crowded(
     server: &mut Server,
     of: usize,
-    now: Moment,
+    now: Timestamp,
     chance: &mut Pcg,
     modes: &mut BTreeMap<u64, u32>,
     backs: &mut BTreeMap<u64, u32>,
 ) {
-    let bin = |at: Moment| (at - BEGIN).us() / 100_000;
-    let Server { logic, runs, ops, .. } = server;
+    let bin = |at: Timestamp| (at - BEGIN).us() / 100_000;
+    let Server { controller, runs, requests, .. } = server;
     if chance.unit() < 0.2 {
-        *ops += 1;
-        let id = OpId::parse(&format!("{:-<36}", format!("{of}x{ops}"))).expect("a short name");
-        let (caller, kb) = (CallerId(*ops % 17), 10.0);
-        let (op_type, tenant) = (OpTypeId(0), TenantId(0));
-        logic.op_read(now, id, op_type, tenant, None, caller, None, None, kb, Span::ZERO, false, None);
+        *requests += 1;
+        let id = RequestId::parse(&format!("{:-<36}", format!("{of}x{requests}"))).expect("a short name");
+        let (caller, kb) = (ClientId(*requests % 17), 10.0);
+        let (request_class, tenant) = (RequestClassId(0), TenantId(0));
+        let new = NewRequest {
+            id: id,
+            class: request_class,
+            tenant: tenant,
+            session: None,
+            client: caller,
+            deadline: None,
+            cost: None,
+            size_kb: kb,
+            age: Duration::ZERO,
+            is_write: false,
+            retry_of: None,
+        };
+        controller.request_received(now, new);
     }
-    let done: Vec<OpId> = runs.iter().filter(|(_, at)| **at <= now).map(|(op, _)| *op).collect();
-    for op in done {
-        runs.remove(&op);
-        logic.run_ended(now, op, Outcome::Ok);
+    let done: Vec<RequestId> =
+        runs.iter().filter(|(_, at)| **at <= now).map(|(request, _)| *request).collect();
+    for request in done {
+        runs.remove(&request);
+        controller.run_finished(now, request, Outcome::Ok);
     }
-    logic.timer(now, &[("on_cores", runs.len() as f64)]);
-    while let Some(decision) = logic.next_decision(now) {
+    controller.timer(now, &[("on_cores", runs.len() as f64)]);
+    while let Some(decision) = controller.next_decision(now) {
         match decision {
-            Decision::Run(op) => {
+            Decision::Run(request) => {
                 let crowd = (runs.len() as u64 + 1).max(2);
-                let takes = Span::from_ms((60 + u64::from(chance.draw()) % 200) * crowd / 2);
-                runs.insert(op, now + takes);
+                let takes = Duration::from_ms((60 + u64::from(chance.draw()) % 200) * crowd / 2);
+                runs.insert(request, now + takes);
             }
-            Decision::Nack { come_back, .. } => *backs.entry(bin(now + come_back)).or_default() += 1,
-            Decision::Fail(op) | Decision::Stop(op) => {
-                runs.remove(&op);
-                logic.run_ended(now, op, Outcome::Stopped);
+            Decision::Reject { retry_after, .. } => *backs.entry(bin(now + retry_after)).or_default() += 1,
+            Decision::Fail(request) | Decision::Preempt(request) => {
+                runs.remove(&request);
+                controller.run_finished(now, request, Outcome::Preempted);
             }
             Decision::Log(line) if line.starts_with("mode bound") || line.starts_with("mode open") => {
                 *modes.entry(bin(now)).or_default() += 1;
