--- /dev/null
+++ b/tests/known_failures.rs
@@ -0,0 +1,90 @@
+//! `.ci/judge`: which runs of the tests pass beside a list of known failures.
+
+use std::path::PathBuf;
+use std::process::Command;
+
+/// What a run of two test binaries prints when `fault` fails in the second one.
+const ONE_FAILURE: &str = "\
+running 1 test
+test sound ... ok
+test result: ok. 1 passed; 0 failed
+running 2 tests
+test fault ... FAILED
+test other ... ok
+test result: FAILED. 1 passed; 1 failed
+error: 1 target failed:
+    `-p package --test second`
+";
+const COMPLETE_ENTRY: &str = "fault | cargo test fault, seed 7 | answered twice | 36\n";
+
+struct Verdict {
+    passes: bool,
+    printed: String,
+}
+
+/// Judges a run that printed `output` and ended with `status`, beside `list` as KNOWN-RED.txt if there is one.
+fn judge(name: &str, output: &str, status: u8, list: Option<&str>) -> Verdict {
+    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::create_dir_all(&folder).expect("a folder for the test");
+    let (printed, known) = (folder.join("printed.txt"), folder.join("KNOWN-RED.txt"));
+    std::fs::write(&printed, output).expect("the output is written");
+    let _ = std::fs::remove_file(&known);
+    if let Some(list) = list {
+        std::fs::write(&known, list).expect("the list is written");
+    }
+    let judged = Command::new("bash")
+        .arg(concat!(env!("CARGO_MANIFEST_DIR"), "/.ci/judge"))
+        .arg(&printed)
+        .arg(status.to_string())
+        .arg(&known)
+        .output()
+        .expect("bash runs");
+    Verdict { passes: judged.status.success(), printed: String::from_utf8_lossy(&judged.stdout).into_owned() }
+}
+
+#[test]
+fn a_run_without_failures_passes_and_one_with_an_unlisted_failure_fails() {
+    assert!(judge("sound", "test sound ... ok\ntest result: ok. 1 passed\n", 0, None).passes);
+    let unlisted = judge("unlisted", ONE_FAILURE, 101, None);
+    assert!(!unlisted.passes);
+    assert_eq!(unlisted.printed, "failed: fault\n");
+}
+
+#[test]
+fn a_listed_failure_passes_and_is_printed() {
+    let verdict = judge("listed", ONE_FAILURE, 101, Some(COMPLETE_ENTRY));
+    assert!(verdict.passes);
+    assert_eq!(verdict.printed, "known red: fault: FAILED\n");
+}
+
+#[test]
+fn an_entry_without_all_four_parts_fails_the_run() {
+    for (case, entry) in [
+        ("three", "fault | answered twice | 36\n"),
+        ("blank", "fault | cargo test fault | | 36\n"),
+        ("nameless", " | cargo test fault | answered twice | 36\n"),
+        ("five", "fault | cargo test fault | answered twice | 36 | more\n"),
+    ] {
+        let verdict = judge(case, ONE_FAILURE, 101, Some(entry));
+        assert!(!verdict.passes, "{case}");
+        assert!(verdict.printed.contains("four parts"), "{case}: {}", verdict.printed);
+    }
+}
+
+#[test]
+fn a_listed_test_that_was_not_run_and_a_fourth_entry_fail_the_run() {
+    let gone = judge("gone", ONE_FAILURE, 101, Some("gone | cargo test gone | answered twice | 36\n"));
+    assert!(!gone.passes);
+    assert_eq!(gone.printed, "known red: there is no test 'gone'\n");
+    let four = judge("four", ONE_FAILURE, 101, Some(&COMPLETE_ENTRY.repeat(4)));
+    assert!(!four.passes);
+    assert_eq!(four.printed, "known red: 4 entries, at most 3\n");
+}
+
+#[test]
+fn a_test_binary_that_did_not_end_fails_the_run_beside_a_listed_failure() {
+    let crashed = format!("{ONE_FAILURE}    `-p package --test third`\n");
+    let verdict = judge("crashed", &crashed, 101, Some(COMPLETE_ENTRY));
+    assert!(!verdict.passes);
+    assert!(verdict.printed.contains("failed: 2 test binaries, of which 1 came to an end"));
+}
