--- /dev/null
+++ b/crates/hazelspur-test-doubles/src/broker/mod.rs
@@ -0,0 +1,159 @@
+//! A broker for AMQP 0-9-1 with the `amq-protocol` crate's codec, so that a mistake in the project's own codec
+//! can't cancel out. Queues in memory with dead letters, expiration and a bound; prefetch for each channel;
+//! confirms; and a record of each message, delivery and settlement.
+
+mod connection;
+mod delivery;
+mod message;
+mod methods;
+mod publish;
+mod state;
+
+pub use message::{Delivered, Message, MessageEnd, Queue, SettledBy};
+pub use state::State;
+
+use crate::WRITE_TIMEOUT;
+use amq_protocol::frame::parse_frame;
+use amq_protocol::protocol::basic::AMQPProperties;
+use std::io::Read;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::{Arc, Condvar, Mutex, MutexGuard};
+use std::thread::{sleep, spawn};
+use std::time::{Duration, Instant};
+
+/// How often expirations, heartbeats and blocked connections are looked at.
+const TICK: Duration = Duration::from_millis(4);
+/// Bytes that a connection may send without them being acted on.
+const MAX_UNREAD_BYTES: usize = 4 * 1024 * 1024;
+
+pub struct Broker {
+    pub address: SocketAddr,
+    shared: Arc<(Mutex<State>, Condvar)>,
+}
+
+impl Broker {
+    pub fn start() -> Self {
+        Self::at("127.0.0.1:0".parse().expect("an address"))
+    }
+
+    /// On this address of the loopback range.
+    pub fn at(address: SocketAddr) -> Self {
+        assert!(address.ip().is_loopback(), "stand-ins stay on loopback");
+        let state = State { frame_max: 131_072, beat_s: 20, ..State::default() };
+        let mut broker = Self { address, shared: Arc::new((Mutex::new(state), Condvar::new())) };
+        broker.listen();
+        let shared = Arc::downgrade(&broker.shared);
+        spawn(move || {
+            while let Some(shared) = shared.upgrade() {
+                shared.0.lock().expect("no panic before").tick();
+                shared.1.notify_all();
+                drop(shared);
+                sleep(TICK);
+            }
+        });
+        broker
+    }
+
+    fn listen(&mut self) {
+        let listener = TcpListener::bind(self.address).expect("the address is free");
+        self.address = listener.local_addr().expect("an address");
+        listener.set_nonblocking(true).expect("a mode");
+        let shared = self.shared.clone();
+        spawn(move || {
+            while !shared.0.lock().expect("no panic before").stopped {
+                match listener.accept() {
+                    Ok((stream, _)) => {
+                        let shared = shared.clone();
+                        spawn(move || serve(&shared, stream));
+                    }
+                    Err(_) => sleep(TICK),
+                }
+            }
+        });
+    }
+
+    /// One at a time: a second guard in one statement waits for the first for ever.
+    pub fn state(&self) -> MutexGuard<'_, State> {
+        self.shared.0.lock().expect("no panic before")
+    }
+
+    pub fn declare(&self, name: &str, dead_letters: Option<&str>) {
+        let queue = Queue { dead_letters: dead_letters.map(str::to_string), ..Queue::default() };
+        self.state().queues.insert(name.into(), queue);
+    }
+
+    pub fn publish(&self, queue: &str, properties: AMQPProperties, body: &[u8]) -> u64 {
+        let mut state = self.state();
+        let message = Message { properties, body: body.to_vec(), ..Message::default() };
+        let serial = state.put(queue, message, false).expect("the queue is declared and has room");
+        state.pump();
+        serial
+    }
+
+    /// Waits until something holds; false where it did not in time.
+    pub fn until(&self, within: Duration, mut holds: impl FnMut(&mut State) -> bool) -> bool {
+        let end = Instant::now() + within;
+        let mut state = self.state();
+        while !holds(&mut state) {
+            let Some(left) = end.checked_duration_since(Instant::now()) else { return false };
+            state = self.shared.1.wait_timeout(state, left).expect("no panic before").0;
+        }
+        true
+    }
+
+    /// All connections break and nothing listens; messages stay.
+    pub fn stop(&self) {
+        let mut state = self.state();
+        state.stopped = true;
+        (0..state.connections.len()).for_each(|n| state.drop_connection(n));
+    }
+
+    pub fn restart(&mut self) {
+        // The listener's thread has to see that it is stopped.
+        sleep(TICK * 4);
+        self.state().stopped = false;
+        self.listen();
+    }
+
+    /// Breaks all connections; new ones are taken.
+    pub fn cut(&self) {
+        let mut state = self.state();
+        (0..state.connections.len()).for_each(|n| state.drop_connection(n));
+    }
+}
+
+impl Drop for Broker {
+    fn drop(&mut self) {
+        if !std::thread::panicking() {
+            self.stop();
+        }
+    }
+}
+
+fn serve(shared: &(Mutex<State>, Condvar), mut stream: TcpStream) {
+    let _ = stream.set_nodelay(true);
+    let _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
+    let Ok(write) = stream.try_clone() else { return };
+    let number = shared.0.lock().expect("no panic before").begin(write);
+    let (mut unread, mut part) = (Vec::new(), [0; 16 * 1024]);
+    while let Ok(count @ 1..) = stream.read(&mut part) {
+        unread.extend_from_slice(&part[..count]);
+        let mut state = shared.0.lock().expect("no panic before");
+        let mut used = 0;
+        while state.connections[number].alive {
+            let Ok((rest, frame)) = parse_frame(&unread[used..]) else { break };
+            used = unread.len() - rest.len();
+            state.take(number, frame);
+        }
+        unread.drain(..used);
+        state.pump();
+        let alive = state.connections[number].alive;
+        drop(state);
+        shared.1.notify_all();
+        if !alive || unread.len() > MAX_UNREAD_BYTES {
+            break;
+        }
+    }
+    shared.0.lock().expect("no panic before").drop_connection(number);
+    shared.1.notify_all();
+}
--- /dev/null
+++ b/crates/hazelspur-test-doubles/src/broker/state.rs
@@ -0,0 +1,151 @@
+//! All that the broker knows: queues, deliveries, connections, and counts for tests.
+
+use super::connection::{Channel, Connection};
+use super::message::{Delivered, Message, MessageEnd, Queue, SettledBy, without_expiration};
+use crate::now_ms;
+use crate::script::Script;
+use std::collections::{BTreeMap, VecDeque};
+
+#[derive(Default)]
+pub struct State {
+    pub queues: BTreeMap<String, Queue>,
+    pub deliveries: Vec<Delivered>,
+    /// Each message that ever was, and its end.
+    pub ends: BTreeMap<u64, Option<MessageEnd>>,
+    /// What each message held.
+    pub bodies: BTreeMap<u64, Vec<u8>>,
+    /// What the client did that it may not.
+    pub faults: Vec<String>,
+    /// Connections that began, and those that were opened.
+    pub begun: usize,
+    pub opened: usize,
+    pub opened_ms: Vec<u64>,
+    /// Connections that were closed in good order by the client.
+    pub closed_well: usize,
+    pub heartbeats: u64,
+    /// Scripts for the connections to come; past the last one they behave.
+    pub scripts: VecDeque<Script>,
+    pub login: Option<(String, String)>,
+    pub offers: Option<&'static str>,
+    pub frame_max: u32,
+    pub beat_s: u16,
+    /// Keeps no history of deliveries, for long runs.
+    pub forgetful: bool,
+    pub acks: u64,
+    pub(super) last_serial: u64,
+    pub(super) stopped: bool,
+    pub(super) connections: Vec<Connection>,
+    pub(super) last_delivered: Option<(String, Message)>,
+    pub(super) duplicate: bool,
+}
+
+impl State {
+    /// Messages that are neither acked nor dropped: ready, or delivered and unsettled.
+    pub fn open(&self) -> usize {
+        self.ends.values().filter(|end| end.is_none()).count()
+    }
+
+    pub fn ready(&self, queue: &str) -> usize {
+        self.queues.get(queue).map_or(0, |queue| queue.ready.len())
+    }
+
+    pub fn unsettled(&self) -> usize {
+        self.connections.iter().flat_map(|c| c.channels.values()).map(|channel| channel.unsettled.len()).sum()
+    }
+
+    /// Which consumers there are, by queue.
+    pub fn consumed(&self, queue: &str) -> bool {
+        let of = |channel: &Channel| channel.consumer.as_ref().is_some_and(|c| c.active && c.queue == queue);
+        self.connections.iter().filter(|c| c.alive).flat_map(|c| c.channels.values()).any(of)
+    }
+
+    /// Deletes a queue: its consumers are cancelled, its ready messages dropped.
+    pub fn delete(&mut self, name: &str) {
+        if let Some(queue) = self.queues.get_mut(name) {
+            queue.deleted = true;
+            for message in std::mem::take(&mut queue.ready) {
+                self.ends.insert(message.serial, Some(MessageEnd::Dropped));
+            }
+        }
+        self.cancel_all(Some(name));
+    }
+
+    pub(super) fn requeue_all(&mut self, channel: Channel) {
+        for (_, (delivery, queue, message)) in channel.unsettled.into_iter().rev() {
+            self.settled(delivery, SettledBy::ConnectionLost);
+            self.put_back(&queue, message);
+        }
+    }
+
+    pub(super) fn settled(&mut self, delivery: usize, how: SettledBy) {
+        if let Some(delivered) = self.deliveries.get_mut(delivery) {
+            delivered.settled = Some(how);
+        }
+    }
+
+    pub(super) fn put_back(&mut self, queue: &str, mut message: Message) {
+        message.redelivered = true;
+        match self.queues.get_mut(queue) {
+            Some(queue) if !queue.deleted => queue.ready.push_front(message),
+            _ => drop(self.ends.insert(message.serial, Some(MessageEnd::Dropped))),
+        }
+    }
+
+    /// A new message in a queue; `None` where there is none of that name, or it is full and `bounded`.
+    pub(super) fn put(&mut self, name: &str, mut message: Message, bounded: bool) -> Option<u64> {
+        let queue = self.queues.get_mut(name).filter(|queue| !queue.deleted)?;
+        if bounded && queue.most.is_some_and(|most| queue.ready.len() >= most) {
+            return None;
+        }
+        self.last_serial += 1;
+        message.serial = self.last_serial;
+        message.redelivered = false;
+        let expires = message.properties.expiration().as_ref().and_then(|ms| ms.as_str().parse::<u64>().ok());
+        message.expires_ms = expires.map(|ms| now_ms() + ms);
+        let serial = message.serial;
+        if !self.forgetful {
+            self.bodies.insert(serial, message.body.clone());
+        }
+        queue.ready.push_back(message);
+        self.ends.insert(serial, None);
+        Some(serial)
+    }
+
+    /// Rejected or expired: on to the queue's dead letters, without its expiration, or dropped.
+    pub(super) fn bury(&mut self, queue: &str, mut message: Message) {
+        let to = self.queues.get(queue).and_then(|queue| queue.dead_letters.clone());
+        let (serial, properties) = (message.serial, message.properties.clone());
+        match to.and_then(|to| self.queues.get_mut(&to)) {
+            Some(to) => {
+                message.properties = without_expiration(properties);
+                message.expires_ms = None;
+                message.redelivered = false;
+                to.ready.push_back(message);
+            }
+            None => drop(self.ends.insert(serial, Some(MessageEnd::Dropped))),
+        }
+    }
+
+    /// What time brings: expired messages, heartbeats, connections that are no longer blocked.
+    pub(super) fn tick(&mut self) {
+        let now = now_ms();
+        self.expire(now);
+        self.keep_connections(now);
+        self.pump();
+    }
+
+    fn expire(&mut self, now: u64) {
+        let names: Vec<String> = self.queues.keys().cloned().collect();
+        for name in names {
+            loop {
+                let queue = self.queues.get_mut(&name).expect("named above");
+                let expired = |m: &Message| m.expires_ms.is_some_and(|at| at <= now);
+                if !queue.ready.front().is_some_and(expired) {
+                    break;
+                }
+                let message = queue.ready.pop_front().expect("looked at");
+                self.bury(&name, message);
+            }
+        }
+    }
+}
--- a/crates/hazelspur-test-doubles/src/checker.rs
+++ b/crates/hazelspur-test-doubles/src/checker.rs
@@ -1,6 +1,6 @@
 //! The rules, checked from what the stand-ins counted: independent of the server.
 
-use crate::broker::{End, State};
+use crate::broker::{MessageEnd, SettledBy, State};
 use crate::runtime::Town;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,7 +31,7 @@
     }
     let mut settled: BTreeMap<u64, usize> = BTreeMap::new();
     for delivered in &state.deliveries {
-        if matches!(delivered.settled, Some("ack" | "reject")) {
+        if matches!(delivered.settled, Some(SettledBy::Ack | SettledBy::Reject)) {
             *settled.entry(delivered.serial).or_default() += 1;
         }
     }
@@ -60,11 +60,12 @@
 
 /// Bodies of which every copy was acked, though none ran.
 fn lost<'a>(state: &State, town: &Town, bodies: impl Iterator<Item = &'a Vec<u8>>) -> Vec<&'a Vec<u8>> {
-    let mut ends: BTreeMap<&Vec<u8>, BTreeSet<Option<End>>> = BTreeMap::new();
+    let mut ends: BTreeMap<&Vec<u8>, BTreeSet<Option<MessageEnd>>> = BTreeMap::new();
     for (serial, body) in &state.bodies {
         ends.entry(body).or_default().insert(state.ends.get(serial).copied().flatten());
     }
-    let all_acked =
-        |body: &&Vec<u8>| ends.get(body).is_some_and(|ends| ends.iter().all(|e| *e == Some(End::Acked)));
+    let all_acked = |body: &&Vec<u8>| {
+        ends.get(body).is_some_and(|ends| ends.iter().all(|e| *e == Some(MessageEnd::Acked)))
+    };
     bodies.filter(all_acked).filter(|body| !town.runs.contains_key(*body)).collect()
 }
--- a/crates/hazelspur-test-doubles/src/gateway.rs
+++ b/crates/hazelspur-test-doubles/src/gateway.rs
@@ -16,7 +16,7 @@
 const TICK: Duration = Duration::from_millis(1);
 const CONNECTING: Duration = Duration::from_millis(300);
 /// Unread bytes of a connection; more is no server of ours.
-const MAX_UNREAD: usize = 1 << 20;
+const MAX_UNREAD_BYTES: usize = 1 << 20;
 /// Requests open on a connection, by the protocol.
 const MAX_OPEN: usize = 32;
 
@@ -317,7 +317,7 @@
                 while let Some(end) = link.unread.iter().position(|b| *b == b'\n') {
                     lines.push(link.unread.drain(..=end).collect::<Vec<u8>>());
                 }
-                if link.unread.len() > MAX_UNREAD {
+                if link.unread.len() > MAX_UNREAD_BYTES {
                     self.broken(now, server);
                 }
             }
--- a/crates/hazelspur-test-doubles/src/lib.rs
+++ b/crates/hazelspur-test-doubles/src/lib.rs
@@ -20,4 +20,4 @@
 }
 
 /// How long a stand-in waits for a peer that does not take what is written.
-const PATIENCE: Duration = Duration::from_secs(2);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
--- a/crates/hazelspur-test-doubles/src/runtime.rs
+++ b/crates/hazelspur-test-doubles/src/runtime.rs
@@ -1,7 +1,7 @@
 //! A runtime: takes the platform's lines, runs each request for a while on so many cores, asks for one call if
 //! told to, keeps its notices for a link that comes again, and counts how often each body was run.
 
-use crate::{PATIENCE, now_ms};
+use crate::{WRITE_TIMEOUT, now_ms};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -208,7 +208,7 @@
 
 fn serve(town: &Mutex<Town>, stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
-    let _ = stream.set_write_timeout(Some(PATIENCE));
+    let _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
     let mut lines = BufReader::new(stream);
     let mut line = String::new();
     while lines.read_line(&mut line).is_ok_and(|n| n > 0) {
--- a/crates/hazelspur-test-doubles/tests/checker.rs
+++ b/crates/hazelspur-test-doubles/tests/checker.rs
@@ -3,7 +3,7 @@
 use amq_protocol::frame::{AMQPFrame, gen_frame, parse_frame};
 use amq_protocol::protocol::basic::{self, AMQPMethod as Basic, AMQPProperties};
 use amq_protocol::protocol::{AMQPClass, channel, connection};
-use hazelspur_test_doubles::broker::{Broker, End};
+use hazelspur_test_doubles::broker::{Broker, MessageEnd};
 use hazelspur_test_doubles::checker::{Expected, breaches};
 use hazelspur_test_doubles::runtime::Town;
 use std::collections::BTreeMap;
@@ -115,7 +115,7 @@
     let mut state = broker.state();
     let queue = state.queues.get_mut("orders").expect("declared");
     queue.ready.retain(|message| message.body != b"vanished" && message.body != b"lost");
-    state.ends.insert(3, Some(End::Acked));
+    state.ends.insert(3, Some(MessageEnd::Acked));
     drop(state);
     let once = Expected { once: true, until_ms: None };
     let early = Expected { once: false, until_ms: Some(800) };
