--- a/crates/hazelspur-test-doubles/src/broker/message.rs
+++ b/crates/hazelspur-test-doubles/src/broker/message.rs
@@ -8,10 +8,13 @@
 /// A message in a queue.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
+    /// Its content properties.
     pub properties: AMQPProperties,
+    /// Its body.
     pub body: Vec<u8>,
-    /// Given by the broker.
+    /// Its number, given by the broker.
     pub serial: u64,
+    /// Whether it was delivered before.
     pub redelivered: bool,
     pub(super) expires_ms: Option<u64>,
 }
@@ -19,6 +22,7 @@
 /// Where a message ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MessageEnd {
+    /// Acknowledged by a consumer.
     Acked,
     /// Rejected or expired where no other queue takes such.
     Dropped,
@@ -27,11 +31,13 @@
 /// A queue in memory.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
+    /// Messages to deliver, first in, first out.
     pub ready: VecDeque<Message>,
     /// Where rejected messages go, and expired ones.
     pub dead_letters: Option<String>,
-    /// Past so many ready ones a publish is refused.
+    /// With so many ready messages a publish is refused.
     pub most: Option<usize>,
+    /// Whether it was deleted.
     pub deleted: bool,
 }
 
@@ -62,10 +68,15 @@
 /// One delivery of a message to a consumer.
 #[derive(Clone, Debug)]
 pub struct Delivered {
+    /// The connection, counted from 0.
     pub connection: usize,
+    /// The channel on it.
     pub channel: u16,
+    /// The delivery tag.
     pub tag: u64,
+    /// The message's serial number.
     pub serial: u64,
+    /// When it was delivered, in Unix milliseconds.
     pub at_ms: u64,
     /// How it was settled; `None` while it is not.
     pub settled: Option<SettledBy>,
--- a/crates/hazelspur-test-doubles/src/broker/mod.rs
+++ b/crates/hazelspur-test-doubles/src/broker/mod.rs
@@ -26,19 +26,26 @@
 /// Bytes that a connection may send without them being acted on.
 const MAX_UNREAD_BYTES: usize = 4 * 1024 * 1024;
 
+/// A broker on a loopback address, with its own threads; it stops when dropped.
 pub struct Broker {
+    /// Where it listens.
     pub address: SocketAddr,
     shared: Arc<(Mutex<State>, Condvar)>,
 }
 
 impl Broker {
+    /// Starts on any free port.
     pub fn start() -> Self {
         Self::at("127.0.0.1:0".parse().expect("an address"))
     }
 
-    /// On this address of the loopback range.
+    /// Starts on this address of the loopback range.
+    ///
+    /// # Panics
+    ///
+    /// Where the address is not a loopback address, or is taken.
     pub fn at(address: SocketAddr) -> Self {
-        assert!(address.ip().is_loopback(), "stand-ins stay on loopback");
+        assert!(address.ip().is_loopback(), "test doubles stay on loopback");
         let state = State { frame_max: 131_072, beat_s: 20, ..State::default() };
         let mut broker = Self { address, shared: Arc::new((Mutex::new(state), Condvar::new())) };
         broker.listen();
@@ -72,16 +79,18 @@
         });
     }
 
-    /// One at a time: a second guard in one statement waits for the first for ever.
+    /// The state, locked. A second guard in one statement deadlocks.
     pub fn state(&self) -> MutexGuard<'_, State> {
         self.shared.0.lock().expect("no panic before")
     }
 
+    /// Declares a queue, with the queue that takes its rejected and expired messages if there is one.
     pub fn declare(&self, name: &str, dead_letters: Option<&str>) {
         let queue = Queue { dead_letters: dead_letters.map(str::to_string), ..Queue::default() };
         self.state().queues.insert(name.into(), queue);
     }
 
+    /// Puts a message into a queue, as if a client had published it; its serial number.
     pub fn publish(&self, queue: &str, properties: AMQPProperties, body: &[u8]) -> u64 {
         let mut state = self.state();
         let message = Message { properties, body: body.to_vec(), ..Message::default() };
@@ -90,7 +99,7 @@
         serial
     }
 
-    /// Waits until something holds; false where it did not in time.
+    /// Waits until `holds` is true; false where it was not in time.
     pub fn until(&self, within: Duration, mut holds: impl FnMut(&mut State) -> bool) -> bool {
         let end = Instant::now() + within;
         let mut state = self.state();
@@ -108,6 +117,7 @@
         (0..state.connections.len()).for_each(|n| state.drop_connection(n));
     }
 
+    /// Listens again after `stop`.
     pub fn restart(&mut self) {
         // The listener's thread has to see that it is stopped.
         sleep(TICK * 4);
--- a/crates/hazelspur-test-doubles/src/broker/state.rs
+++ b/crates/hazelspur-test-doubles/src/broker/state.rs
@@ -6,31 +6,42 @@
 use crate::script::Script;
 use std::collections::{BTreeMap, VecDeque};
 
+/// What the broker keeps, and what it counts for tests.
 #[derive(Default)]
 pub struct State {
+    /// Queues by name.
     pub queues: BTreeMap<String, Queue>,
+    /// All deliveries, in their order.
     pub deliveries: Vec<Delivered>,
-    /// Each message that ever was, and its end.
+    /// Where each message ended, by its serial number; `None` while it has not.
     pub ends: BTreeMap<u64, Option<MessageEnd>>,
-    /// What each message held.
+    /// The body of each message, by its serial number.
     pub bodies: BTreeMap<u64, Vec<u8>>,
-    /// What the client did that it may not.
+    /// What clients did against the protocol.
     pub faults: Vec<String>,
-    /// Connections that began, and those that were opened.
+    /// Connections that were accepted.
     pub begun: usize,
+    /// Connections that completed the handshake.
     pub opened: usize,
+    /// When they did, in Unix milliseconds.
     pub opened_ms: Vec<u64>,
     /// Connections that were closed in good order by the client.
     pub closed_well: usize,
+    /// Heartbeats that were read.
     pub heartbeats: u64,
     /// Scripts for the connections to come; past the last one they behave.
     pub scripts: VecDeque<Script>,
+    /// User and password that are asked for; `None` accepts any.
     pub login: Option<(String, String)>,
+    /// Authentication mechanisms that are offered in place of the usual ones.
     pub offers: Option<&'static str>,
+    /// The longest frame that is offered, in bytes.
     pub frame_max: u32,
+    /// The heartbeat interval that is offered, in seconds.
     pub beat_s: u16,
     /// Keeps no history of deliveries, for long runs.
     pub forgetful: bool,
+    /// Messages acknowledged.
     pub acks: u64,
     pub(super) last_serial: u64,
     pub(super) stopped: bool,
@@ -45,15 +56,17 @@
         self.ends.values().filter(|end| end.is_none()).count()
     }
 
+    /// Messages to deliver in a queue.
     pub fn ready(&self, queue: &str) -> usize {
         self.queues.get(queue).map_or(0, |queue| queue.ready.len())
     }
 
+    /// Deliveries that are not settled.
     pub fn unsettled(&self) -> usize {
         self.connections.iter().flat_map(|c| c.channels.values()).map(|channel| channel.unsettled.len()).sum()
     }
 
-    /// Which consumers there are, by queue.
+    /// Whether a queue has an active consumer.
     pub fn consumed(&self, queue: &str) -> bool {
         let of = |channel: &Channel| channel.consumer.as_ref().is_some_and(|c| c.active && c.queue == queue);
         self.connections.iter().filter(|c| c.alive).flat_map(|c| c.channels.values()).any(of)
@@ -70,6 +83,7 @@
         self.cancel_all(Some(name));
     }
 
+    /// Puts the unsettled messages of a channel that ended back into their queues.
     pub(super) fn requeue_all(&mut self, channel: Channel) {
         for (_, (delivery, queue, message)) in channel.unsettled.into_iter().rev() {
             self.settled(delivery, SettledBy::ConnectionLost);
--- a/crates/hazelspur-test-doubles/src/checker.rs
+++ b/crates/hazelspur-test-doubles/src/checker.rs
@@ -1,15 +1,15 @@
-//! The rules, checked from what the stand-ins counted: independent of the server.
+//! Checks the rules against what the test doubles counted, independently of the server.
 
 use crate::broker::{MessageEnd, SettledBy, State};
 use crate::runtime::Town;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is known of a message that was published, by its body.
+/// What must hold for a message that was published, known by its body.
 #[derive(Clone, Debug, Default)]
 pub struct Expected {
-    /// More than one run is a breach.
+    /// Whether more than one run is a breach.
     pub once: bool,
-    /// A run that began after this is a breach.
+    /// A run that began after this breaks the rule, in Unix milliseconds.
     pub until_ms: Option<u64>,
 }
 
--- a/crates/hazelspur-test-doubles/src/control.rs
+++ b/crates/hazelspur-test-doubles/src/control.rs
@@ -1,25 +1,35 @@
-//! A control plane: servers report, gateways read a list that is as late as it is told to be.
+//! A control plane: servers report to it, gateways read the list of servers as it was some time ago.
 
 use crate::now_ms;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{BufReader, Write};
-use std::net::{SocketAddr, TcpListener};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::thread::spawn;
 
-/// A name stays listed for so long after its last report, in ms.
-const LAPSE_MS: u64 = 3000;
+/// How long a name stays listed after its last report, in milliseconds.
+const LISTED_FOR_MS: u64 = 3000;
 /// Reports kept of each name.
-const KEPT: usize = 256;
+const REPORT_CAPACITY: usize = 256;
 
+/// The reports of all servers by name, shared with the control plane's threads.
 #[derive(Clone, Default)]
 pub struct List(Arc<Mutex<BTreeMap<String, VecDeque<u64>>>>);
 
 impl List {
-    /// Who was listed so many ms ago.
+    fn report(&self, name: &str) {
+        let mut all = self.0.lock().expect("no panic before");
+        let reports = all.entry(name.to_string()).or_default();
+        reports.push_back(now_ms());
+        if reports.len() > REPORT_CAPACITY {
+            reports.pop_front();
+        }
+    }
+
+    /// The names that were listed so many milliseconds ago.
     pub fn listed(&self, late_ms: u64) -> BTreeSet<String> {
         let at = now_ms().saturating_sub(late_ms);
-        let there = |reports: &VecDeque<u64>| reports.iter().any(|ms| *ms <= at && *ms + LAPSE_MS > at);
+        let there = |reports: &VecDeque<u64>| reports.iter().any(|ms| *ms <= at && *ms + LISTED_FOR_MS > at);
         let reports = self.0.lock().expect("no panic before");
         reports.iter().filter(|(_, reports)| there(reports)).map(|(name, _)| name.clone()).collect()
     }
@@ -34,41 +44,43 @@
     }
 }
 
+/// A control plane on a loopback address.
 pub struct Control {
+    /// Where it listens.
     pub address: SocketAddr,
+    /// What servers reported.
     pub list: List,
 }
 
 impl Control {
+    /// Starts on this address.
+    ///
+    /// # Panics
+    ///
+    /// Where the address is not a loopback address, or is taken.
     pub fn start(address: &str) -> Self {
         let listener = TcpListener::bind(address).expect("the address is free");
         let address = listener.local_addr().expect("an address");
-        assert!(address.ip().is_loopback(), "stand-ins stay on loopback");
+        assert!(address.ip().is_loopback(), "test doubles stay on loopback");
         let list = List::default();
         let at = list.clone();
         spawn(move || {
             for stream in listener.incoming().flatten() {
-                let at = at.clone();
-                spawn(move || {
-                    let mut reader = BufReader::new(&stream);
-                    while let Some((path, _)) = crate::http::read_call(&mut reader) {
-                        let name = path.rsplit('/').next().unwrap_or_default().to_string();
-                        let mut reports = at.0.lock().expect("no panic before");
-                        let reports = reports.entry(name).or_default();
-                        reports.push_back(now_ms());
-                        if reports.len() > KEPT {
-                            reports.pop_front();
-                        }
-                        if (&stream)
-                            .write_all(b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n")
-                            .is_err()
-                        {
-                            return;
-                        }
-                    }
-                });
+                let reports = at.clone();
+                spawn(move || serve(&reports, &stream));
             }
         });
         Self { address, list }
     }
 }
+
+fn serve(list: &List, stream: &TcpStream) {
+    let mut reader = BufReader::new(stream);
+    while let Some((path, _)) = crate::http::read_call(&mut reader) {
+        list.report(path.rsplit('/').next().unwrap_or_default());
+        let mut writer = stream;
+        if writer.write_all(b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n").is_err() {
+            return;
+        }
+    }
+}
--- a/crates/hazelspur-test-doubles/src/gateway.rs
+++ b/crates/hazelspur-test-doubles/src/gateway.rs
@@ -1,6 +1,5 @@
-//! A gateway with habits: it sends requests to servers over JSON-RPC, tries again where it is refused, and writes
-//! down each try with all answers that came to it. One thread; JSON by a library, so that a mistake in the
-//! project's own parser can't cancel out.
+//! A gateway that sends requests to servers over JSON-RPC, retries where it is rejected, and records each attempt with
+//! all responses to it. One thread; JSON by a library, so that a mistake in the project's own parser can't cancel out.
 
 use crate::now_ms;
 use hazelspur::pcg::Pcg;
@@ -13,58 +12,100 @@
 use std::thread::{JoinHandle, sleep, spawn};
 use std::time::Duration;
 
+/// How often the gateway reads and sends.
 const TICK: Duration = Duration::from_millis(1);
-const CONNECTING: Duration = Duration::from_millis(300);
+/// How long a dial may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Unread bytes of a connection; more is no server of ours.
 const MAX_UNREAD_BYTES: usize = 1 << 20;
 /// Requests open on a connection, by the protocol.
 const MAX_OPEN: usize = 32;
 
-/// How it picks servers, and what it does with a refusal.
+/// How it picks servers, and what it does with a rejection.
 #[derive(Clone, Copy, Debug)]
 pub struct Habits {
-    /// The server follows from what the request is about, not from whose turn it is.
+    /// Picks the server by a hash of the request, not in turn.
     pub by_subject: bool,
-    /// Tries after the first.
+    /// Attempts after the first.
     pub retries: u32,
-    /// A refused request goes on to the next server at once.
+    /// Retries a rejected request at the next server at once.
     pub walk_on: bool,
-    /// It stays away as long as it is told to.
+    /// Heeds Retry-After.
     pub heed: bool,
     /// Requests a second.
     pub rate: f64,
-    /// How old the list is that it goes by, in ms.
+    /// Age of its list of servers, in milliseconds.
     pub list_late_ms: u64,
-    /// How long it waits for a try, in ms.
+    /// The timeout of an attempt, in milliseconds.
     pub timeout_ms: u64,
 }
 
+impl Habits {
+    /// The JSON-RPC line of one attempt.
+    fn line(&self, gateway: usize, id: u64, now: u64, req: &str, waiting: &Waiting) -> Value {
+        let mut params = json!({"req": req, "ts": now, "via": gateway, "timeout": self.timeout_ms,
+            "need": 24.5, "level": 0.5, "data": base64(waiting.request.as_bytes())});
+        if waiting.kind == "set-qty" {
+            params["opkey"] = waiting.request.clone().into();
+        }
+        json!({"jsonrpc": "2.0", "id": id, "method": waiting.kind, "params": params})
+    }
+}
+
+/// A final response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
+    /// The request succeeded.
     Acked,
+    /// It was rejected and never ran.
     Nacked,
+    /// It failed.
     Failed,
 }
 
+/// One attempt at a request, with what came of it.
 #[derive(Clone, Debug)]
 pub struct Try {
     /// The request's name, which is its body too.
     pub request: String,
+    /// The id of this attempt on the wire.
     pub req: String,
+    /// The request class.
     pub kind: &'static str,
+    /// The server, by its number.
     pub server: usize,
+    /// When it was sent, in Unix milliseconds.
     pub sent_ms: u64,
+    /// When the response is due, in Unix milliseconds.
     pub due_ms: u64,
-    /// All final answers that came, and when.
+    /// All final responses that came, and when.
     pub answers: Vec<(Answer, u64)>,
-    /// Its connection ended, and the answer with it.
+    /// When its connection ended before a response, in Unix milliseconds.
     pub broke_ms: Option<u64>,
-    /// It crossed the farewell of its connection, or a word that this closes.
+    /// Whether it crossed the goodbye message of its connection.
     pub crossed: bool,
-    /// An answer that no run can have made.
+    /// Whether a response came that no run can have made.
     pub spoilt: bool,
 }
 
+impl Try {
+    fn sent(waiting: &Waiting, req: String, server: usize, sent_ms: u64, due_ms: u64) -> Self {
+        Self {
+            request: waiting.request.clone(),
+            req,
+            kind: waiting.kind,
+            server,
+            sent_ms,
+            due_ms,
+            answers: Vec::new(),
+            broke_ms: None,
+            crossed: false,
+            spoilt: false,
+        }
+    }
+}
+
+/// Names of the request classes that it sends.
 pub const KINDS: [&str; 3] = ["view", "set-qty", "book"];
 
 struct Link {
@@ -78,9 +119,23 @@
     going: bool,
 }
 
-/// Tells which servers are listed now.
+impl Link {
+    fn new(stream: TcpStream) -> Self {
+        Self {
+            stream,
+            unread: Vec::new(),
+            open: BTreeMap::new(),
+            answered: BTreeMap::new(),
+            last: 0,
+            going: false,
+        }
+    }
+}
+
+/// Gives the numbers of the servers that are listed now.
 pub type Lister = Box<dyn Fn() -> Vec<usize> + Send>;
 
+/// A gateway with a thread of its own.
 pub struct Gateway {
     stop: Arc<AtomicBool>,
     tries: Arc<Mutex<Vec<Try>>>,
@@ -88,9 +143,13 @@
 }
 
 impl Gateway {
-    /// Through which address each server is reached is `servers`; the list names them by number.
+    /// Starts sending. `servers` holds the address of each server; `list` names them by number.
+    ///
+    /// # Panics
+    ///
+    /// Where an address is not a loopback address.
     pub fn start(number: usize, habits: Habits, servers: Vec<SocketAddr>, list: Lister, seed: u64) -> Self {
-        assert!(servers.iter().all(|at| at.ip().is_loopback()), "stand-ins stay on loopback");
+        assert!(servers.iter().all(|at| at.ip().is_loopback()), "test doubles stay on loopback");
         let (stop, tries) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
         let mut desk = Desk {
             number,
@@ -114,11 +173,12 @@
         self.stop.store(true, Ordering::Relaxed);
     }
 
+    /// All attempts so far.
     pub fn tries(&self) -> Vec<Try> {
         self.tries.lock().expect("no panic before").clone()
     }
 
-    /// Waits until all is answered or given up.
+    /// Waits until every attempt has its response or has timed out.
     pub fn end(&mut self) -> Vec<Try> {
         self.stop();
         let _ = self.thread.take().map(JoinHandle::join);
@@ -208,69 +268,52 @@
 
     fn send(&mut self, now: u64, mut waiting: Waiting) {
         let Some(server) = self.pick(&waiting) else { return };
-        let kept = self.links.get(&server).is_some_and(|link| !link.going && link.open.len() < MAX_OPEN);
-        if !kept {
-            // One that is going still has to be read to its end.
-            if self.links.get(&server).is_some_and(|link| !link.open.is_empty()) {
-                waiting.tried.insert(server);
-                return self.again(now, waiting);
-            }
-            let Ok(stream) = TcpStream::connect_timeout(&self.servers[server], CONNECTING) else {
-                // A connection that never was proves that nothing ran.
-                waiting.tried.insert(server);
-                self.again(now, waiting);
-                return;
-            };
-            let _ = stream.set_nodelay(true);
-            let _ = stream.set_nonblocking(true);
-            let link = Link {
-                stream,
-                unread: Vec::new(),
-                open: BTreeMap::new(),
-                answered: BTreeMap::new(),
-                last: 0,
-                going: false,
-            };
-            self.links.insert(server, link);
+        if !self.connect(server) {
+            // A connection that never was proves that nothing ran.
+            waiting.tried.insert(server);
+            return self.again(now, waiting);
         }
         let Some(link) = self.links.get_mut(&server) else { return };
-        // The loop's own time may be old by now: threads of a crowded machine come late.
+        // The loop's own time may be old by now: threads of a busy machine run late.
         let now = now_ms();
         link.last += 1;
         let req = format!("{:08x}{:08x}", self.chance.draw(), self.chance.draw());
-        let mut params = json!({"req": req, "ts": now, "via": self.number, "timeout": self.habits.timeout_ms,
-            "need": 24.5, "level": 0.5, "data": base64(waiting.request.as_bytes())});
-        if waiting.kind == "set-qty" {
-            params["opkey"] = waiting.request.clone().into();
-        }
-        let line = json!({"jsonrpc": "2.0", "id": link.last, "method": waiting.kind, "params": params});
+        let line = self.habits.line(self.number, link.last, now, &req, &waiting);
         let wrote = (&link.stream).write_all(format!("{line}\n").as_bytes());
-        let mut tries = self.tries.lock().expect("no panic before");
-        tries.push(Try {
-            request: waiting.request.clone(),
-            req,
-            kind: waiting.kind,
-            server,
-            sent_ms: now,
-            due_ms: now + self.habits.timeout_ms,
-            answers: Vec::new(),
-            broke_ms: None,
-            crossed: false,
-            spoilt: false,
-        });
-        let number = tries.len() - 1;
-        drop(tries);
+        let number = {
+            let mut tries = self.tries.lock().expect("no panic before");
+            tries.push(Try::sent(&waiting, req, server, now, now + self.habits.timeout_ms));
+            tries.len() - 1
+        };
         waiting.tried.insert(server);
         waiting.last = Some(number);
         link.open.insert(link.last, number);
         self.waiting.push(Waiting { at_ms: u64::MAX, ..waiting });
-        // Where the other end is closed, what it said before that is still to be read; only a line that went
-        // out in part spoils the connection at once.
+        // Where the other end is closed, what it sent before is still to be read; only a line that went out in part
+        // breaks the connection at once.
         if wrote.is_err_and(|e| e.kind() == ErrorKind::WouldBlock) {
             self.broken(now, server);
         }
     }
 
+    /// Whether there is a connection to this server that can carry one more request; dials where there is none.
+    fn connect(&mut self, server: usize) -> bool {
+        if self.links.get(&server).is_some_and(|link| !link.going && link.open.len() < MAX_OPEN) {
+            return true;
+        }
+        // One that is closing still has to be read to its end.
+        if self.links.get(&server).is_some_and(|link| !link.open.is_empty()) {
+            return false;
+        }
+        let Ok(stream) = TcpStream::connect_timeout(&self.servers[server], CONNECT_TIMEOUT) else {
+            return false;
+        };
+        let _ = stream.set_nodelay(true);
+        let _ = stream.set_nonblocking(true);
+        self.links.insert(server, Link::new(stream));
+        true
+    }
+
     /// Sets a request that never ran, or may run again, for its next try.
     fn again(&mut self, at_ms: u64, mut waiting: Waiting) {
         if waiting.left > 0 {
--- a/crates/hazelspur-test-doubles/src/http.rs
+++ b/crates/hazelspur-test-doubles/src/http.rs
@@ -1,4 +1,4 @@
-//! A ledger and a control plane: HTTP/1.1 that answers alike, counted by path and by reference.
+//! An HTTP/1.1 server that gives every call the same reply and counts the calls by reference or path.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -6,18 +6,24 @@
 use std::sync::{Arc, Mutex};
 use std::thread::spawn;
 
+/// The server.
 pub struct Http {
+    /// Where it listens.
     pub address: SocketAddr,
     /// Calls by their `X-Txn-Ref`, or path where there is none.
     calls: Arc<Mutex<BTreeMap<String, u32>>>,
 }
 
 impl Http {
-    /// Answers each call with this status line and body.
+    /// Starts on this address and answers each call with this status line and body.
+    ///
+    /// # Panics
+    ///
+    /// Where the address is not a loopback address, or is taken.
     pub fn start(address: &str, status: &'static str, body: &'static str) -> Self {
         let listener = TcpListener::bind(address).expect("the address is free");
         let address = listener.local_addr().expect("an address");
-        assert!(address.ip().is_loopback(), "stand-ins stay on loopback");
+        assert!(address.ip().is_loopback(), "test doubles stay on loopback");
         let calls = Arc::new(Mutex::new(BTreeMap::new()));
         let counted = calls.clone();
         spawn(move || {
@@ -29,6 +35,7 @@
         Self { address, calls }
     }
 
+    /// How often each reference, or path, was called.
     pub fn calls(&self) -> BTreeMap<String, u32> {
         self.calls.lock().expect("no panic before").clone()
     }
--- a/crates/hazelspur-test-doubles/src/ledger.rs
+++ b/crates/hazelspur-test-doubles/src/ledger.rs
@@ -1,8 +1,6 @@
-//! A ledger that all servers share: so many slots, and a law of slowing down past them. Up to its slots a
-//! call takes its time; past them all calls share the slots, and what is lost by changing between them grows
-//! with their number, so a call takes the square of the crowd over the slots times as long (contention and
-//! coherence of Gunther's Universal Scalability Law, 1993, with the second part only, and steeper, as a
-//! shop's ledger would be).
+//! A dependency that all servers share. Up to its slots a call takes its usual time; past them the time grows with the
+//! square of concurrent calls over slots (the coherence term of Gunther's Universal Scalability Law, 1993, made
+//! steeper).
 
 use std::collections::BTreeMap;
 use std::io::{BufReader, ErrorKind, Write};
@@ -11,24 +9,28 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// How soon it is seen that a caller has given up.
-const LOOK: Duration = Duration::from_millis(20);
-const LONGEST_CALL: Duration = Duration::from_secs(5);
-/// Changes kept of how many calls are in hand.
+/// How soon the end of a caller's connection is noticed.
+const DISCONNECT_POLL: Duration = Duration::from_millis(20);
+/// The longest time that a call takes.
+const MAX_CALL: Duration = Duration::from_secs(5);
+/// Recorded changes of the number of concurrent calls.
 const MAX_CHANGES: usize = 100_000;
 
+/// What the dependency does and has counted.
 #[derive(Debug)]
 pub struct Books {
+    /// Calls that it serves at once without slowing down.
     pub slots: usize,
+    /// The usual time of a call, in milliseconds.
     pub call_ms: f64,
-    /// By how many times all calls are slower now.
+    /// The factor by which all calls are slower now.
     pub slow: f64,
     out: usize,
-    /// The most calls at once so far.
+    /// The highest number of concurrent calls so far.
     pub most_out: usize,
-    /// When the number of calls in hand changed, and to what.
+    /// When the number of concurrent calls changed, and to what.
     changes: Vec<(Instant, usize)>,
-    /// Effects by the request they were made for.
+    /// Calls that took effect, by the reference that they carried.
     pub effects: BTreeMap<String, u32>,
 }
 
@@ -40,7 +42,7 @@
         }
     }
 
-    /// The most calls in hand on average over any stretch of this length.
+    /// The highest mean of concurrent calls over any time of this length.
     pub fn most_on_average(&self, over: Duration) -> f64 {
         let Some((first, _)) = self.changes.first() else { return 0.0 };
         // Call-seconds up to each change: between two changes the number stands.
@@ -62,16 +64,23 @@
     }
 }
 
+/// A shared dependency on a loopback address.
 pub struct Ledger {
+    /// Where it listens.
     pub address: SocketAddr,
     books: Arc<Mutex<Books>>,
 }
 
 impl Ledger {
+    /// Starts on this address.
+    ///
+    /// # Panics
+    ///
+    /// Where the address is not a loopback address, or is taken.
     pub fn start(address: &str, slots: usize, call_ms: f64) -> Self {
         let listener = TcpListener::bind(address).expect("the address is free");
         let address = listener.local_addr().expect("an address");
-        assert!(address.ip().is_loopback(), "stand-ins stay on loopback");
+        assert!(address.ip().is_loopback(), "test doubles stay on loopback");
         let books = Books {
             slots,
             call_ms,
@@ -92,21 +101,22 @@
         Self { address, books }
     }
 
+    /// Its state, locked.
     pub fn books(&self) -> MutexGuard<'_, Books> {
         self.books.lock().expect("no panic before")
     }
 }
 
-/// Waits so long; false as soon as the caller has closed its connection, which gives its call up.
-fn lasts(stream: &TcpStream, takes: Duration) -> bool {
+/// Waits so long; false as soon as the caller has closed its connection, which cancels its call.
+fn wait_for_caller(stream: &TcpStream, takes: Duration) -> bool {
     let until = Instant::now() + takes;
     while let left = until.saturating_duration_since(Instant::now())
         && !left.is_zero()
     {
-        let _ = stream.set_read_timeout(Some(left.clamp(Duration::from_millis(1), LOOK)));
+        let _ = stream.set_read_timeout(Some(left.clamp(Duration::from_millis(1), DISCONNECT_POLL)));
         match stream.peek(&mut [0]) {
             Ok(0) => return false,
-            Ok(_) => sleep(left.min(LOOK)),
+            Ok(_) => sleep(left.min(DISCONNECT_POLL)),
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
             Err(_) => return false,
         }
@@ -126,14 +136,14 @@
             let crowd = (books.out as f64 / books.slots.max(1) as f64).max(1.0);
             Duration::from_secs_f64(books.call_ms * books.slow * crowd * crowd / 1000.0)
         };
-        let given_up = !lasts(stream, takes.min(LONGEST_CALL));
+        let cancelled = !wait_for_caller(stream, takes.min(MAX_CALL));
         {
             let mut books = books.lock().expect("no panic before");
             let out = books.out - 1;
             books.change(out);
             *books.effects.entry(reference).or_default() += 1;
         }
-        if given_up {
+        if cancelled {
             return;
         }
         if (&*stream).write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nnoted").is_err() {
--- a/crates/hazelspur-test-doubles/src/lib.rs
+++ b/crates/hazelspur-test-doubles/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins on loopback for what a server meets, written from public specifications and the platform's
+//! Test doubles on loopback for what a server talks to, written from public specifications and the platform's
 //! pages: a broker, a runtime, a ledger, a control plane and gateways. A script makes them misbehave; they
 //! count what happened, and `checker` says which rule was broken. Bounded, without privileges, never the
 //! server's own code.
@@ -19,5 +19,5 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// How long a stand-in waits for a peer that does not take what is written.
+/// How long a test double waits for a peer that does not take what is written.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
--- a/crates/hazelspur-test-doubles/src/runtime.rs
+++ b/crates/hazelspur-test-doubles/src/runtime.rs
@@ -1,5 +1,5 @@
-//! A runtime: takes the platform's lines, runs each request for a while on so many cores, asks for one call if
-//! told to, keeps its notices for a link that comes again, and counts how often each body was run.
+//! A worker process: reads the platform's lines, runs each request for a while on a number of cores, asks for one
+//! dependency call if configured to, keeps its notices for a link that reconnects, and counts the runs of each body.
 
 use crate::{WRITE_TIMEOUT, now_ms};
 use std::collections::{BTreeMap, VecDeque};
@@ -9,21 +9,25 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
+/// How often the cores are simulated.
 const TICK: Duration = Duration::from_millis(1);
-/// A run that nobody has claimed for so long ends at its call.
-const ORPHANED: Duration = Duration::from_millis(300);
-/// Notices kept for a link that is made anew.
-const KEPT: usize = 4096;
+/// A run that no server has claimed for so long ends at its call.
+const ORPHAN_TIMEOUT: Duration = Duration::from_millis(300);
+/// Notices kept for a link that reconnects.
+const NOTICE_CAPACITY: usize = 4096;
 
 /// How requests run here.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
+    /// Time of a run on a core of its own, in milliseconds.
     pub run_ms: u64,
+    /// Whether each run makes a dependency call.
     pub calls: bool,
-    /// Every nth run ends in an error; none for 0.
+    /// Every nth run ends in an error; 0 stands for none.
     pub fails: u64,
+    /// Cores that the runs share.
     pub cores: usize,
-    /// A run that is at its call this long after it began ends there, since its request is over; never for 0.
+    /// A run that waits for its call this long after it began ends there, in milliseconds; 0 stands for never.
     pub over_ms: u64,
 }
 
@@ -44,15 +48,18 @@
     began: Instant,
 }
 
+/// What the worker runs and has counted.
 #[derive(Default)]
 pub struct Town {
+    /// How requests run now.
     pub pace: Pace,
-    /// For each body: when its runs began.
+    /// When the runs of each body began, in Unix milliseconds.
     pub runs: BTreeMap<Vec<u8>, Vec<u64>>,
+    /// Runs that ended.
     pub ended: u64,
-    /// Runs by the request they were started for, and when.
+    /// When each request's run was started, in Unix milliseconds.
     pub started: BTreeMap<String, u64>,
-    /// The most that ran at once.
+    /// The highest number of concurrent runs so far.
     pub most_running: usize,
     running: Vec<Run>,
     notices: VecDeque<(u64, Vec<u8>)>,
@@ -62,16 +69,23 @@
     pub forgetful: bool,
 }
 
+/// A worker process on a loopback address.
 pub struct Runtime {
+    /// Where it listens.
     pub address: SocketAddr,
     town: Arc<Mutex<Town>>,
 }
 
 impl Runtime {
+    /// Starts on this address.
+    ///
+    /// # Panics
+    ///
+    /// Where the address is not a loopback address, or is taken.
     pub fn start(address: &str, pace: Pace) -> Self {
         let listener = TcpListener::bind(address).expect("the address is free");
         let address = listener.local_addr().expect("an address");
-        assert!(address.ip().is_loopback(), "stand-ins stay on loopback");
+        assert!(address.ip().is_loopback(), "test doubles stay on loopback");
         let town = Arc::new(Mutex::new(Town { pace, ..Town::default() }));
         let at = town.clone();
         spawn(move || {
@@ -93,6 +107,7 @@
         Self { address, town }
     }
 
+    /// Its state, locked.
     pub fn town(&self) -> MutexGuard<'_, Town> {
         self.town.lock().expect("no panic before")
     }
@@ -117,7 +132,7 @@
         let bytes = write(self.number);
         self.say(&bytes);
         self.notices.push_back((self.number, bytes));
-        if self.notices.len() > KEPT {
+        if self.notices.len() > NOTICE_CAPACITY {
             self.notices.pop_front();
         }
     }
@@ -159,7 +174,7 @@
         while at < self.running.len() {
             let run = &mut self.running[at];
             let over = over > Duration::ZERO && run.began.elapsed() >= over;
-            if run.calling && (over || run.orphan.is_some_and(|since| since.elapsed() >= ORPHANED)) {
+            if run.calling && (over || run.orphan.is_some_and(|since| since.elapsed() >= ORPHAN_TIMEOUT)) {
                 // Its request is over: it ends at its call.
                 let id = self.running.swap_remove(at).id;
                 self.notice(|number| format!("end {number} {id} cancelled 0 0\r\n\r\n").into_bytes());
--- a/crates/hazelspur-test-doubles/src/script.rs
+++ b/crates/hazelspur-test-doubles/src/script.rs
@@ -2,6 +2,7 @@
 
 use hazelspur::pcg::Pcg;
 
+/// When a fault strikes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum At {
     /// When the connection is about to send its nth frame, from 1 on.
@@ -10,6 +11,7 @@
     Read(u64),
 }
 
+/// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The connection breaks between two frames.
@@ -38,6 +40,7 @@
     Close,
 }
 
+/// The faults of one connection.
 pub type Script = Vec<(At, Fault)>;
 
 /// Up to `most` faults for a connection of some hundred frames.
