--- a/tests/sums.rs
+++ b/tests/sums.rs
@@ -93,7 +93,7 @@
         let id = RequestId::parse(&format!("{:-<36}", format!("{of}x{requests}"))).expect("a short name");
         let (user, caller) = (None, ClientId(*requests % 7));
         let new = NewRequest {
-            id: id,
+            id,
             class: RequestClassId(0),
             tenant: TenantId(0),
             session: user,
@@ -235,9 +235,9 @@
         let (caller, kb) = (ClientId(*requests % 17), 10.0);
         let (request_class, tenant) = (RequestClassId(0), TenantId(0));
         let new = NewRequest {
-            id: id,
+            id,
             class: request_class,
-            tenant: tenant,
+            tenant,
             session: None,
             client: caller,
             deadline: None,
