--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -280,7 +280,7 @@
             let name = |request: &hazelspur::RequestId| request.to_string().trim_end_matches('-').to_string();
             match decision {
                 Decision::Run(request) => {
-                    drop(ends.insert(name(request), step + 5 + u64::from(chance.draw() % 40)))
+                    _ = ends.insert(name(request), step + 5 + u64::from(chance.draw() % 40));
                 }
                 // The answer is out already: what ends later is no second one.
                 Decision::Preempt(request) => {
