--- a/crates/hazelspur-adapter/src/main.rs
+++ b/crates/hazelspur-adapter/src/main.rs
@@ -3,7 +3,8 @@
 mod wire;
 
 use hazelspur::{
-    AdmissionController, ClientId, Duration, NewRequest, RequestClassId, SessionKey, TenantId, Timestamp,
+    AdmissionController, ClientId, Duration, NewRequest, RequestClassId, RuntimeGauges, SessionKey, TenantId,
+    Timestamp,
 };
 use hazelspur_parsers::{Json, settings};
 use std::any::Any;
@@ -234,9 +235,9 @@
             let gauges: Option<Vec<(String, f64)>> =
                 gauges.split(',').filter(|pair| !pair.is_empty()).map(read).collect();
             let gauges = gauges.ok_or("field telemetry is unreadable")?;
-            let named: Vec<(&str, f64)> =
-                gauges.iter().map(|(name, value)| (name.as_str(), *value)).collect();
-            controller.timer(now, &named);
+            let on_cores = gauges.iter().find(|(name, _)| name == wire::REQUESTS_ON_CORES_GAUGE);
+            let gauges = RuntimeGauges { requests_on_cores: on_cores.map(|(_, value)| *value) };
+            controller.timer_tick(now, gauges);
         }
         "QUIESCE" => controller.shutdown_notice(now, Timestamp::from_us(fields.need("give-up-at-us")?)),
         _ => {}
--- a/crates/hazelspur-adapter/src/wire.rs
+++ b/crates/hazelspur-adapter/src/wire.rs
@@ -3,6 +3,9 @@
 use hazelspur::{Decision, Outcome, RequestId};
 use std::fmt::Write;
 
+/// The name under which the bench gives the requests on the cores.
+pub const REQUESTS_ON_CORES_GAUGE: &str = "on_cores";
+
 /// A message's fields, looked up where they stand.
 #[derive(Clone, Copy)]
 pub struct Fields<'a>(pub &'a str);
@@ -80,7 +83,7 @@
         }
         Decision::SetIdleTimeout(span) => writeln!(reply, "KEEPALIVE hold-for-us={}", span.us()),
         Decision::SetTimer(at) => writeln!(reply, "REMIND fire-at-us={} nonce=beat", at.us()),
-        Decision::Log(text) => writeln!(reply, "RECORD message={text}"),
+        Decision::Log(event) => writeln!(reply, "RECORD message={event}"),
     };
     line.expect("a string takes any text");
 }
--- a/crates/hazelspur-server/src/fleet/guidance.rs
+++ b/crates/hazelspur-server/src/fleet/guidance.rs
@@ -62,11 +62,11 @@
         }
         self.looked = at.steady;
         let Some(view) = dispatcher.load_report() else { return };
-        joint.saw(at, Seen { call_secs: view.call_secs, refused: view.refused });
+        joint.saw(at, Seen { call_secs: view.call_latency_s, refused: view.rejected_share });
         for (name, of) in &self.limits {
             match of {
                 // Until the first call nothing is known: the floor is enough for it.
-                Of::Calls => joint.want(name, view.calls.unwrap_or(1.0)),
+                Of::Calls => joint.want(name, view.needed_call_concurrency.unwrap_or(1.0)),
                 Of::Tenant(tenant) => joint.want(name, dispatcher.tenant_rate(*tenant) * ROOM),
             }
         }
--- a/crates/hazelspur-server/src/request/dispatcher.rs
+++ b/crates/hazelspur-server/src/request/dispatcher.rs
@@ -3,10 +3,10 @@
 
 use crate::clock::Clock;
 use crate::request::deduplication::Deduplication;
-use hazelspur::book::LoadReport;
 use hazelspur::config::change::{Change, Changed};
 use hazelspur::{
-    AdmissionController, Catalog, Decision, Duration, GuidanceKey, Outcome, RequestId, TenantId, Timestamp,
+    AdmissionController, Catalog, Decision, Duration, GuidanceKey, LoadReport, Outcome, RequestId, TenantId,
+    Timestamp,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -201,7 +201,7 @@
                 self.deduplication.borrow_mut().keep(request, self.clock.now() + window);
             }
             Decision::RemoveKey(request) => self.deduplication.borrow_mut().release(request),
-            Decision::Log(text) => log::info!("{text}"),
+            Decision::Log(event) => log::info!("{event}"),
             Decision::SetTimer(at) => {
                 self.wake.set(Some(at));
                 self.wake_set.notify_one();
--- a/crates/hazelspur-server/src/upstream/runtime.rs
+++ b/crates/hazelspur-server/src/upstream/runtime.rs
@@ -3,7 +3,7 @@
 use crate::clock::{long, sleep};
 use crate::request::dispatcher::{Dispatcher, News};
 use crate::upstream::peers::Peers;
-use hazelspur::{Duration, Outcome, RequestId, Timestamp};
+use hazelspur::{Duration, Outcome, RequestId, RuntimeGauges, Timestamp};
 use hazelspur_parsers::{Buffer, runtime};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -31,6 +31,8 @@
 /// The module compares gauges with what it knows at that moment, so they are asked for when its timer is due
 /// and used as they come; past this the timer goes without.
 const GAUGES_WITHIN: Duration = Duration::from_ms(2);
+/// The name under which the runtime gives the requests on its cores.
+const REQUESTS_ON_CORES_GAUGE: &str = "on_cores";
 
 /// A run, and the commands on it that no notice has answered yet.
 struct Run {
@@ -259,8 +261,10 @@
             self.dispatcher.clock.sleep_until(at).await;
             let gauges = tokio::time::timeout(long(GAUGES_WITHIN), self.fresh_gauges()).await;
             let gauges = gauges.unwrap_or_default();
-            let named: Vec<(&str, f64)> = self.gauge_names.iter().map(String::as_str).zip(gauges).collect();
-            self.dispatcher.tell(|controller, now| controller.timer(now, &named));
+            let mut named = self.gauge_names.iter().zip(gauges);
+            let on_cores = named.find(|(name, _)| *name == REQUESTS_ON_CORES_GAUGE);
+            let gauges = RuntimeGauges { requests_on_cores: on_cores.map(|(_, value)| value) };
+            self.dispatcher.tell(|controller, now| controller.timer_tick(now, gauges));
         }
     }
 
--- a/crates/hazelspur-simulator/src/drive/mod.rs
+++ b/crates/hazelspur-simulator/src/drive/mod.rs
@@ -11,6 +11,7 @@
 use crate::models::list::{List, REPORT_EVERY};
 use crate::network::{Cut, Network};
 use crate::town::START;
+use hazelspur::RuntimeGauges;
 use hazelspur::pcg::Pcg;
 use hazelspur::{
     AdmissionController, ClientId, Decision, Duration, Fact, Facts, NewRequest, Outcome, RequestClassId,
@@ -384,7 +385,9 @@
             Event::Timer(of, life) => {
                 if self.servers[of].life == life {
                     let on = self.servers[of].cores.on() as f64;
-                    self.tell(of, |controller| controller.timer(now, &[("on_cores", on)]));
+                    self.tell(of, |controller| {
+                        controller.timer_tick(now, RuntimeGauges::with_requests_on_cores(on))
+                    });
                 }
             }
             Event::Cores(of, life, at) => {
--- /dev/null
+++ b/src/admission/power_test.rs
@@ -0,0 +1,134 @@
+//! The power test (the paper's section III, Algorithm 1): whether the server was congested in a control cycle.
+//!
+//! Power is throughput over response time, both per second of cost. A cycle ends after [`CYCLE_SUCCESSES`] successes or
+//! [`MAX_CYCLE`], whichever comes first, but lasts [`MIN_CYCLE`] at least. Input: successes, started runs, timer ticks.
+//! Output: one [`CycleResult`] a cycle.
+
+use crate::event::CycleFigures;
+use crate::statistics::SampleWindow;
+use crate::{Duration, Timestamp};
+
+/// A cycle whose power is a smaller part of the best power, and whose response time is longer, was congested.
+const MIN_POWER_RATIO: f64 = 0.9;
+/// Successes that end a cycle.
+const CYCLE_SUCCESSES: usize = 60;
+/// The shortest cycle.
+const MIN_CYCLE: Duration = Duration::from_ms(500);
+/// The longest cycle.
+pub(crate) const MAX_CYCLE: Duration = Duration::from_ms(4000);
+/// Cycles among which the best power is found; an older best may come from another mix of requests.
+const CYCLE_CAPACITY: usize = 16;
+/// Below this share of ticks with saturated cores, a limit without queued requests idles the cores.
+const IDLE_CORE_SATURATION: f64 = 0.5;
+/// Keeps figures finite in a cycle without successes.
+const MIN_DIVISOR: f64 = 1e-9;
+
+/// A request answered within its latency objective.
+#[derive(Clone, Copy, Debug)]
+struct Success {
+    cost_s: f64,
+    response_s: f64,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Cycle {
+    power: f64,
+    response: f64,
+}
+
+/// What a control cycle showed.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct CycleResult {
+    /// Whether power fell and response time rose (the paper's oFactor).
+    pub(crate) is_congested: bool,
+    /// Whether admitted requests were queued in at least half of the ticks.
+    pub(crate) had_queue: bool,
+    /// Whether the admission rate kept the cores idle.
+    pub(crate) idles_cores: bool,
+    /// Requests a second that started to run.
+    pub(crate) admitted_per_s: f64,
+    /// The figures for the log.
+    pub(crate) figures: CycleFigures,
+}
+
+/// The control cycle under way and the last ones.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct PowerTest {
+    began: Timestamp,
+    successes: Vec<Success>,
+    started_runs: u32,
+    ticks: u32,
+    ticks_with_queue: u32,
+    cycles: SampleWindow<Cycle, CYCLE_CAPACITY>,
+}
+
+impl PowerTest {
+    /// A test whose first cycle counts as begun at `began`.
+    pub(crate) fn new(began: Timestamp) -> Self {
+        Self { began, ..Self::default() }
+    }
+
+    /// Records a response within the latency objective.
+    pub(crate) fn record_success(&mut self, cost_s: f64, response_s: f64) {
+        self.successes.push(Success { cost_s, response_s });
+    }
+
+    /// Records a run that starts.
+    pub(crate) fn record_started_run(&mut self) {
+        self.started_runs += 1;
+    }
+
+    /// Records a timer tick and whether admitted requests were queued then.
+    pub(crate) fn record_tick(&mut self, has_queue: bool) {
+        self.ticks += 1;
+        self.ticks_with_queue += u32::from(has_queue);
+    }
+
+    /// Ends the cycle if it is over. `is_limited` says whether the admission rate limits now, `core_saturation` is the
+    /// share of recent ticks with all cores taken.
+    pub(crate) fn end_cycle(
+        &mut self,
+        now: Timestamp,
+        is_limited: bool,
+        core_saturation: f64,
+    ) -> Option<CycleResult> {
+        let length = now - self.began;
+        let had_queue = self.ticks_with_queue * 2 >= self.ticks.max(1);
+        let idles_cores = is_limited && !had_queue && core_saturation < IDLE_CORE_SATURATION;
+        let is_complete = self.successes.len() >= CYCLE_SUCCESSES || length >= MAX_CYCLE;
+        if length < MIN_CYCLE || !(is_complete || idles_cores) {
+            return None;
+        }
+        let cycle = self.measure(length);
+        let had_successes = !self.successes.is_empty();
+        let admitted_per_s = f64::from(self.started_runs) / length.secs();
+        self.restart(now);
+        self.cycles.push(cycle);
+        let best = self.cycles.iter().max_by(|a, b| a.power.total_cmp(&b.power))?;
+        let power_ratio = cycle.power / best.power;
+        let is_slower = cycle.response > best.response || !had_successes;
+        Some(CycleResult {
+            is_congested: power_ratio < MIN_POWER_RATIO && is_slower,
+            had_queue,
+            idles_cores,
+            admitted_per_s,
+            figures: CycleFigures { power_ratio, response: cycle.response, best_response: best.response },
+        })
+    }
+
+    fn measure(&self, length: Duration) -> Cycle {
+        let cost_s = self.successes.iter().fold(0.0, |sum, success| sum + success.cost_s);
+        let response_s = self.successes.iter().fold(0.0, |sum, success| sum + success.response_s);
+        let response = response_s / cost_s.max(MIN_DIVISOR);
+        let power = cost_s / length.secs() / response.max(MIN_DIVISOR);
+        Cycle { power, response }
+    }
+
+    fn restart(&mut self, now: Timestamp) {
+        self.began = now;
+        self.successes.clear();
+        self.started_runs = 0;
+        self.ticks = 0;
+        self.ticks_with_queue = 0;
+    }
+}
--- /dev/null
+++ b/src/controller/reports.rs
@@ -0,0 +1,43 @@
+//! What the host reads from the controller between decisions; reading changes nothing.
+
+use super::AdmissionController;
+use crate::load_signal::{self, LoadReport};
+use crate::rejection::RejectionReason;
+use crate::statistics::mean;
+use crate::{TenantId, Timestamp};
+
+impl AdmissionController {
+    /// How many requests in hand could still succeed within their objectives.
+    pub fn spare_capacity(&self, now: Timestamp) -> f64 {
+        let objectives = self.requests.iter().map(|(_, request)| request.class.latency_objective.secs());
+        let mean_objective_s = mean(objectives).unwrap_or(0.0);
+        let target = self.concurrency(now).target;
+        load_signal::spare_capacity(target, mean_objective_s, self.arrivals.mean_expected_run_s())
+    }
+
+    /// What this server reports to the fleet.
+    pub fn load_report(&self, now: Timestamp) -> LoadReport {
+        let observed_s = self.arrivals.observed(now).secs();
+        let arrivals_per_s = load_signal::arrivals_per_s(&self.arrivals, observed_s);
+        let mean_run_s = self.profiles.mean_run_s();
+        let call_latency_s = self.call_budget.usual_latency_s();
+        let needed = |latency_s: f64| {
+            load_signal::needed_call_concurrency(arrivals_per_s, self.cores, mean_run_s, latency_s)
+        };
+        LoadReport {
+            needed_call_concurrency: call_latency_s.map(needed),
+            call_latency_s,
+            rejected_share: self.rejections.rejected_share(),
+        }
+    }
+
+    /// Requests a second of a tenant with a quota, over its last requests.
+    pub fn tenant_rate(&self, now: Timestamp, tenant: TenantId) -> f64 {
+        self.tenants.rate_per_s(now, tenant)
+    }
+
+    /// How many requests a rule has rejected or failed since the start.
+    pub fn rejection_count(&self, reason: RejectionReason) -> u64 {
+        self.rejections.count_of(reason)
+    }
+}
--- /dev/null
+++ b/src/controller/rules.rs
@@ -0,0 +1,280 @@
+//! The rules in the order in which the controller asks them: each gathers the inputs of one policy, asks it, and carries
+//! out what it says.
+
+use super::AdmissionController;
+use crate::admission::session_admission;
+use crate::config::settings::CapacitySignal;
+use crate::dependency::call_budget::CallLimits;
+use crate::dependency::{call_attempts, call_start};
+use crate::idempotency::{IdempotencyRule, IdempotencyStep};
+use crate::memory::MemoryUse;
+use crate::rejection::{Rejection, RejectionReason};
+use crate::request::{Request, RequestState};
+use crate::retry_after::{self, RetryAfter};
+use crate::scheduling::concurrency::Concurrency;
+use crate::scheduling::expiry::Expiry;
+use crate::scheduling::late_rejection::{CallEstimate, LateRejection};
+use crate::scheduling::next_runnable::NextRunnable;
+use crate::scheduling::{TIMER_TICK, preemption, slowdown};
+use crate::{ClientId, Decision, Duration, Timestamp, load_signal};
+
+/// The slowdown factor of a server at its expected speed.
+const EXPECTED_SPEED: f64 = 1.0;
+
+impl AdmissionController {
+    /// Ends the control cycle if it is over, and moves the admission rate by its result.
+    pub(super) fn end_control_cycle(&mut self, now: Timestamp) {
+        let is_limited = self.admission_rate.is_limited();
+        let core_saturation = self.core_usage.saturated_share();
+        let Some(cycle) = self.power_test.end_cycle(now, is_limited, core_saturation) else { return };
+        if let Some(event) = self.admission_rate.adjust(now, &cycle) {
+            self.log(event);
+        }
+    }
+
+    /// Every request is answered before its deadline, whatever has happened to it.
+    pub(super) fn answer_expiring(&mut self, now: Timestamp) -> Option<Decision> {
+        let expiry = Expiry {
+            now,
+            is_stopping: self.shutdown.is_some_and(|shutdown| shutdown.is_stopping(now)),
+            can_preempt: preemption::is_supported(self.settings.preemption),
+        };
+        let rejection = expiry.first(&self.requests)?;
+        self.reject(now, rejection)
+    }
+
+    /// Runs whose client does not wait any more leave the cores.
+    pub(super) fn preempt_unwanted(&mut self, now: Timestamp) -> Option<Decision> {
+        let id = preemption::first_unwanted(&self.requests, now, self.settings.preemption)?;
+        self.requests.get_mut(id)?.preempted_at = Some(now);
+        Some(Decision::Preempt(id))
+    }
+
+    /// Requests and stored keys fit in memory; what ranks last is rejected first.
+    pub(super) fn enforce_memory_limit(&mut self, now: Timestamp) -> Option<Decision> {
+        let rejection = self.memory_use().first_to_reject(&self.requests)?;
+        self.reject(now, rejection)
+    }
+
+    /// The key of a request is stored before it runs, and a retry is answered from its original.
+    pub(super) fn apply_idempotency(&mut self, now: Timestamp) -> Option<Decision> {
+        loop {
+            let rule = IdempotencyRule { now, settings: &self.settings, memory: self.memory_use() };
+            match rule.next_step(&self.requests)? {
+                IdempotencyStep::TreatAsOriginal(id) => self.requests.get_mut(id)?.retry_of = None,
+                IdempotencyStep::SkipKey(id) => self.requests.get_mut(id)?.is_key_stored = true,
+                IdempotencyStep::AnswerFromOriginal(id) => {
+                    self.requests.dequeue(id);
+                    self.requests.get_mut(id)?.state = RequestState::AwaitingOriginal;
+                    return Some(Decision::AnswerFromOriginal(id));
+                }
+                IdempotencyStep::RejectForMemory(request) => {
+                    let reason = RejectionReason::KeyMemoryLimit;
+                    return self.reject(now, Rejection { request, reason });
+                }
+                IdempotencyStep::StoreKey { request, window } => {
+                    self.requests.get_mut(request)?.is_key_stored = true;
+                    self.stored_keys.store(request, now + window);
+                    return Some(Decision::StoreKey { request, window });
+                }
+            }
+        }
+    }
+
+    /// A run whose call is not attempted any more goes on without it or fails.
+    pub(super) fn end_failed_call(&mut self, now: Timestamp) -> Option<Decision> {
+        let id = call_attempts::first_without_attempts(&self.requests, now, self.guidance.breaker_open)?;
+        let request = self.requests.get_mut(id)?;
+        if request.allows_degraded_response() {
+            request.leave_call(now);
+            return Some(Decision::SkipCall(id));
+        }
+        self.reject(now, Rejection { request: id, reason: RejectionReason::CallAttemptsExhausted })
+    }
+
+    /// The time in calls stays within this server's share of what the dependency survives.
+    pub(super) fn start_call(&mut self, now: Timestamp) -> Option<Decision> {
+        if self.guidance.breaker_open {
+            return None;
+        }
+        let limits = self.call_limits();
+        let calls = self.requests.count(RequestState::Calling) + 1.0;
+        let id = call_start::next_call(&self.requests, now, &self.call_budget, limits)?;
+        let lasts = self.call_budget.lasts(limits, calls);
+        let request = self.requests.get_mut(id)?;
+        request.start_call(now);
+        let timeout = call_start::timeout(request, now, &self.call_budget, lasts);
+        Some(Decision::StartCall { request: id, timeout })
+    }
+
+    /// Requests of active sessions pass; new sessions need a token while the rate limits, and are rejected early without.
+    pub(super) fn apply_admission_rate(&mut self, now: Timestamp) -> Option<Decision> {
+        while let Some(id) = session_admission::next_admitted(&self.requests, &self.admission_rate) {
+            self.admission_rate.take_token();
+            self.requests.get_mut(id)?.is_admitted = true;
+        }
+        let rejection = session_admission::first_without_token(&self.requests, now)?;
+        self.reject(now, rejection)
+    }
+
+    /// A request that can't succeed any more is rejected at once.
+    pub(super) fn reject_late(&mut self, now: Timestamp) -> Option<Decision> {
+        let rule = LateRejection {
+            now,
+            slowdown: self.slowdown.factor(now, self.cores, &self.requests),
+            concurrency_target: self.concurrency(now).target,
+            calls: CallEstimate {
+                latency_s: self.call_budget.usual_latency_s().unwrap_or(0.0),
+                available_s: self.call_budget.available_s(),
+                concurrency: self.call_limits().mean_concurrency,
+            },
+            shutdown: self.shutdown,
+            drain_grace_period: self.settings.drain_grace_period,
+            profiles: &self.profiles,
+        };
+        let rejection = rule.first(&self.requests)?;
+        self.reject(now, rejection)
+    }
+
+    /// The best queued request runs while concurrency and memory allow it.
+    pub(super) fn run_next(&mut self, now: Timestamp) -> Option<Decision> {
+        if !self.concurrency(now).allows_another_run(&self.requests) || self.are_calls_backed_up() {
+            return None;
+        }
+        let rule = NextRunnable {
+            now,
+            cores: self.cores,
+            is_breaker_open: self.guidance.breaker_open,
+            free_memory_kb: self.memory_use().free_kb(),
+            run_memory_factor: self.settings.run_memory_factor,
+            profiles: &self.profiles,
+        };
+        let id = rule.choose(&self.requests)?;
+        self.requests.dequeue(id);
+        let request = self.requests.get_mut(id)?;
+        if request.start_run(now) {
+            self.power_test.record_started_run();
+        }
+        if let Some(session) = request.session {
+            self.sessions.record_run(now, session);
+        }
+        self.rejections.record_started();
+        Some(Decision::Run(id))
+    }
+
+    /// Whether runs wait for calls that can't start soon: new runs would only wait too.
+    fn are_calls_backed_up(&self) -> bool {
+        let awaiting_call = self.requests.count(RequestState::AwaitingCall);
+        let is_call_queue_long = awaiting_call > self.cores && !self.guidance.breaker_open;
+        is_call_queue_long || awaiting_call > 0.0 && self.call_budget.is_short(self.call_limits())
+    }
+
+    /// Clients learn how much capacity is left, so that they send no request in vain.
+    pub(super) fn advertise_capacity(&mut self, now: Timestamp) -> Option<Decision> {
+        let rejected_share = self.rejections.rejected_share();
+        let value = match self.settings.capacity_signal {
+            CapacitySignal::Credit => {
+                let clients = self.arrivals.effective_clients();
+                load_signal::credit(self.spare_capacity(now), clients, rejected_share)
+            }
+            CapacitySignal::Weight => load_signal::weight(rejected_share),
+            CapacitySignal::None => return None,
+        };
+        let has_requests = self.requests.len() > 0;
+        let value = self.advertised_capacity.update(value, has_requests)?;
+        Some(Decision::AdvertiseCapacity(value))
+    }
+
+    /// Idle connections close when that costs least; looked at once a timer tick.
+    pub(super) fn set_idle_timeout(&mut self) -> Option<Decision> {
+        if self.next_tick.is_some() {
+            return None;
+        }
+        let core_saturation = self.core_usage.saturated_share();
+        let rejected_share = self.rejections.rejected_share();
+        let client_timeout = self.settings.client_idle_timeout;
+        let connections = &mut self.idle_connections;
+        let timeout = connections.update(&self.arrivals, core_saturation, rejected_share, client_timeout)?;
+        Some(Decision::SetIdleTimeout(timeout))
+    }
+
+    /// The next timer tick is set when none is.
+    pub(super) fn set_timer(&mut self, now: Timestamp) -> Option<Decision> {
+        if self.next_tick.is_some() {
+            return None;
+        }
+        let at = now + TIMER_TICK;
+        self.next_tick = Some(at);
+        Some(Decision::SetTimer(at))
+    }
+
+    /// The final response of a request that won't succeed: rejected if it is queued and never ran, else failed.
+    fn reject(&mut self, now: Timestamp, rejection: Rejection) -> Option<Decision> {
+        let id = rejection.request;
+        let request = self.requests.get(id)?;
+        let (state, client, is_key_stored) = (request.state, request.client, request.is_key_stored);
+        let must_fail = request.has_run || request.retry_of.is_some() || !state.is_queued();
+        let is_too_late = is_too_late_elsewhere(now, request);
+        if request.is_admitted && !request.has_run {
+            self.admission_rate.return_token();
+        }
+        self.rejections.record_rejected(rejection.reason);
+        let retry_after = self.retry_after(now, client);
+        if !state.is_started() {
+            self.requests.remove(id);
+        } else if let Some(request) = self.requests.get_mut(id) {
+            request.awaits_response = false;
+        }
+        if must_fail {
+            return Some(Decision::Fail(id));
+        }
+        if is_key_stored {
+            self.stored_keys.remove(id);
+            self.pending.push_back(Decision::RemoveKey(id));
+        }
+        let do_not_retry_elsewhere = is_too_late || self.is_fleet_overloaded();
+        Some(Decision::Reject { request: id, retry_after, do_not_retry_elsewhere })
+    }
+
+    /// Whether demand is too high for the whole fleet; a server that warms up or drains can't tell.
+    fn is_fleet_overloaded(&self) -> bool {
+        let can_tell = !self.warm_up.is_warming_up() && self.shutdown.is_none();
+        let own_share = self.rejections.rejected_share();
+        can_tell && retry_after::is_demand_too_high(self.guidance.rejected_share.unwrap_or(own_share))
+    }
+
+    fn retry_after(&mut self, now: Timestamp, client: ClientId) -> Duration {
+        if !self.settings.retry_after_supported {
+            return Duration::ZERO;
+        }
+        let queued_s: f64 = self.requests.queued().map(|(_, request)| request.expected_run_s).sum();
+        let running_s = slowdown::remaining_run_s(now, &self.requests, EXPECTED_SPEED);
+        let inputs = RetryAfter {
+            work_s: running_s + queued_s,
+            cores: self.cores,
+            client_gap_s: self.arrivals.mean_gap_s(now, client),
+            max: self.settings.max_retry_after,
+        };
+        inputs.delay(self.random.unit())
+    }
+
+    /// The bounds on dependency calls now.
+    pub(super) fn call_limits(&self) -> CallLimits {
+        CallLimits::new(&self.settings, &self.guidance)
+    }
+
+    /// The bounds on running requests now.
+    pub(super) fn concurrency(&self, now: Timestamp) -> Concurrency {
+        Concurrency::now(now, self.cores, &self.settings, &self.warm_up, &self.core_usage)
+    }
+
+    fn memory_use(&self) -> MemoryUse {
+        MemoryUse::new(&self.requests, self.stored_keys.len(), &self.settings)
+    }
+}
+
+/// Whether a request can't meet its objective at any server.
+fn is_too_late_elsewhere(now: Timestamp, request: &Request) -> bool {
+    let needed = Duration::from_secs(retry_after::min_run_for_retry_s(request.expected_run_s));
+    now + needed > request.objective_at && !request.allows_late_response()
+}
--- a/src/decision.rs
+++ b/src/decision.rs
@@ -1,6 +1,6 @@
-//! What the host is to do next.
+//! Decisions: what the host does next.
 
-use crate::{Duration, RequestId, Timestamp};
+use crate::{ControllerEvent, Duration, RequestId, Timestamp};
 
 /// One instruction of the controller to its host.
 #[derive(Clone, Debug, PartialEq)]
@@ -20,7 +20,7 @@
     },
     /// Final response: an error that says nothing about whether the request took effect.
     Fail(RequestId),
-    /// Answer a queued retry with the result of the request that it repeats.
+    /// Answer a queued retry with the result of the request that it retries.
     AnswerFromOriginal(RequestId),
     /// Make the dependency call that a running request waits for.
     StartCall {
@@ -53,6 +53,6 @@
     SetIdleTimeout(Duration),
     /// Call `timer` at this time.
     SetTimer(Timestamp),
-    /// Write this line to the log.
-    Log(String),
+    /// Write this event to the log.
+    Log(ControllerEvent),
 }
--- /dev/null
+++ b/src/dependency/call_attempts.rs
@@ -0,0 +1,45 @@
+//! How often a call is attempted, when it is retried, and what follows once it may not be retried.
+
+use crate::request::{Request, RequestState};
+use crate::request_table::RequestTable;
+use crate::{Duration, Outcome, RequestId, Timestamp};
+
+/// Attempts of one call.
+const MAX_ATTEMPTS: u32 = 3;
+/// Wait before a retry, for each attempt made, after a rejection.
+const RETRY_DELAY_PER_ATTEMPT: Duration = Duration::from_ms(50);
+
+/// Whether the request waits for a call that may start or end now.
+pub(crate) fn is_ready(request: &Request, now: Timestamp) -> bool {
+    request.state == RequestState::AwaitingCall && request.awaits_response && request.call.not_before <= now
+}
+
+/// The first received request whose call is not attempted any more: its attempts are used up, or the breaker is open and
+/// a degraded response has value.
+pub(crate) fn first_without_attempts(
+    requests: &RequestTable,
+    now: Timestamp,
+    is_breaker_open: bool,
+) -> Option<RequestId> {
+    requests.first_received(|request| {
+        let skips = is_breaker_open && request.allows_degraded_response();
+        is_ready(request, now) && (request.call.attempts >= MAX_ATTEMPTS || skips)
+    })
+}
+
+/// Whether the attempt under way is the last one.
+pub(crate) fn is_last_attempt(request: &Request) -> bool {
+    request.call.attempts >= MAX_ATTEMPTS || !request.is_idempotent()
+}
+
+/// Plans the next attempt after a failed one. Only a call that never ran waits, since only a rejection says something about
+/// load; a call that may have run is repeated only if the request is idempotent.
+pub(crate) fn plan_retry(request: &mut Request, now: Timestamp, outcome: Outcome) {
+    let never_ran = outcome.proves_never_ran();
+    let delays = if never_ran { request.call.attempts } else { 0 };
+    request.state = RequestState::AwaitingCall;
+    request.call.not_before = now + RETRY_DELAY_PER_ATTEMPT.scaled(f64::from(delays));
+    if !never_ran && !request.is_idempotent() {
+        request.call.attempts = MAX_ATTEMPTS;
+    }
+}
--- /dev/null
+++ b/src/idempotency.rs
@@ -0,0 +1,135 @@
+//! Retries run at most once: the key of a request is stored when it arrives, and a retry gets the result of its original.
+//!
+//! This holds for classes with a key, and for idempotent reads where their results are shared. Invariant: a request with a
+//! key never runs before its key is stored.
+
+use crate::config::settings::ControllerSettings;
+use crate::memory::MemoryUse;
+use crate::request::{Request, RequestState};
+use crate::request_table::RequestTable;
+use crate::{Duration, RequestId, Timestamp};
+use std::collections::VecDeque;
+
+#[derive(Clone, Copy, Debug)]
+struct StoredKey {
+    expires_at: Timestamp,
+    request: RequestId,
+}
+
+/// The keys in memory, in the order in which they were stored.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct StoredKeys {
+    keys: VecDeque<StoredKey>,
+}
+
+impl StoredKeys {
+    /// The number of keys.
+    pub(crate) fn len(&self) -> usize {
+        self.keys.len()
+    }
+
+    /// Drops expired keys from the oldest on.
+    pub(crate) fn expire(&mut self, now: Timestamp) {
+        while self.keys.front().is_some_and(|key| key.expires_at <= now) {
+            self.keys.pop_front();
+        }
+    }
+
+    /// Stores the key of a request.
+    pub(crate) fn store(&mut self, request: RequestId, expires_at: Timestamp) {
+        self.keys.push_back(StoredKey { expires_at, request });
+    }
+
+    /// Removes the key of a request.
+    pub(crate) fn remove(&mut self, request: RequestId) {
+        self.keys.retain(|key| key.request != request);
+    }
+}
+
+/// What is done next about the retries and keys of queued requests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum IdempotencyStep {
+    /// Run this request, though it retries one in hand: the two name each other, and it was received first.
+    TreatAsOriginal(RequestId),
+    /// Answer this retry with the result of its original.
+    AnswerFromOriginal(RequestId),
+    /// Reject this request: no memory is left for its key.
+    RejectForMemory(RequestId),
+    /// Run this read without sharing its result: no memory is left for its key.
+    SkipKey(RequestId),
+    /// Store the key of this request.
+    StoreKey {
+        /// The request.
+        request: RequestId,
+        /// How long the key is stored.
+        window: Duration,
+    },
+}
+
+/// The inputs of the rule besides the requests.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct IdempotencyRule<'a> {
+    /// The time now.
+    pub(crate) now: Timestamp,
+    /// The settings in force.
+    pub(crate) settings: &'a ControllerSettings,
+    /// Memory in use.
+    pub(crate) memory: MemoryUse,
+}
+
+impl IdempotencyRule<'_> {
+    /// The next step, for the first received request that needs one.
+    pub(crate) fn next_step(&self, requests: &RequestTable) -> Option<IdempotencyStep> {
+        let id = requests.first_received(|request| self.needs_step(request))?;
+        let request = requests.get(id)?;
+        let Some(original) = request.retry_of else { return Some(self.store_key(id, request)) };
+        Some(if is_original_of_pair(requests, id, request, original) {
+            IdempotencyStep::TreatAsOriginal(id)
+        } else {
+            IdempotencyStep::AnswerFromOriginal(id)
+        })
+    }
+
+    fn needs_step(&self, request: &Request) -> bool {
+        let is_retry = request.retry_of.is_some() && (request.is_keyed() || self.shares_result(request));
+        let lacks_key = self.stores_key(request) && !request.is_key_stored;
+        request.state == RequestState::Queued && !request.has_run && (is_retry || lacks_key)
+    }
+
+    /// Whether the request is a read whose result other requests may get.
+    fn shares_result(&self, request: &Request) -> bool {
+        let is_sharing_on = self.settings.read_sharing_window > Duration::ZERO;
+        is_sharing_on && !request.is_write && request.is_idempotent()
+    }
+
+    fn stores_key(&self, request: &Request) -> bool {
+        request.is_keyed() || (self.shares_result(request) && request.session.is_some())
+    }
+
+    fn store_key(&self, id: RequestId, request: &Request) -> IdempotencyStep {
+        let window = if request.is_keyed() {
+            request.class.window
+        } else {
+            self.settings.read_sharing_window + (request.deadline - self.now)
+        };
+        if self.memory.fits(self.settings.key_memory_kb) {
+            IdempotencyStep::StoreKey { request: id, window }
+        } else if request.is_keyed() {
+            IdempotencyStep::RejectForMemory(id)
+        } else {
+            IdempotencyStep::SkipKey(id)
+        }
+    }
+}
+
+/// Whether two requests received together name each other as original, and this one was received first.
+fn is_original_of_pair(
+    requests: &RequestTable,
+    id: RequestId,
+    request: &Request,
+    original: RequestId,
+) -> bool {
+    requests.get(original).is_some_and(|other| {
+        other.retry_of == Some(id) && request.sequence < other.sequence && !other.has_run
+    })
+}
--- /dev/null
+++ b/src/last_seen.rs
@@ -0,0 +1,42 @@
+//! When each key was last seen, within a bound.
+//!
+//! Invariant: a map past [`LAST_SEEN_CAPACITY`] drops the keys that were idle for longest until at most half of the capacity is
+//! left, so that keys which are always new cost neither memory nor time.
+
+use crate::{Duration, Timestamp};
+use std::collections::BTreeMap;
+
+/// Sessions and clients whose last request is remembered.
+pub(crate) const LAST_SEEN_CAPACITY: usize = 4096;
+
+/// When each key was last seen.
+#[derive(Clone, Debug)]
+pub(crate) struct LastSeen<K> {
+    last: BTreeMap<K, Timestamp>,
+}
+
+impl<K> Default for LastSeen<K> {
+    fn default() -> Self {
+        Self { last: BTreeMap::new() }
+    }
+}
+
+impl<K: Ord> LastSeen<K> {
+    /// Records that a key is seen now and returns when it was seen before. A full map first drops keys that were not
+    /// seen for `idle_timeout`, then for ever shorter times.
+    pub(crate) fn record(&mut self, key: K, now: Timestamp, idle_timeout: Duration) -> Option<Timestamp> {
+        let is_full = self.last.len() >= LAST_SEEN_CAPACITY;
+        let max_len = if is_full { LAST_SEEN_CAPACITY / 2 } else { LAST_SEEN_CAPACITY };
+        let mut idle_timeout = idle_timeout;
+        while self.last.len() > max_len {
+            self.last.retain(|_, last| now - *last < idle_timeout);
+            idle_timeout = idle_timeout.scaled(0.5);
+        }
+        self.last.insert(key, now)
+    }
+
+    /// When a key was last seen.
+    pub(crate) fn get(&self, key: &K) -> Option<Timestamp> {
+        self.last.get(key).copied()
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,21 +1,48 @@
-//! Admission and scheduling for a server that sees only what reaches it. See `controller` for the calls.
+//! Admission control and scheduling for one server behind balancers that it does not control.
+//!
+//! The crate decides and does no I/O: see [`AdmissionController`] for the calls and docs/design.md for the rules.
+//! The policies import only the data modules (`request`, `request_table`, `statistics`); `controller` calls the policies.
 
-pub mod book;
+mod admission;
+mod arrivals;
 pub mod config;
 pub mod controller;
 pub mod decision;
+mod dependency;
+pub mod event;
+pub mod gauges;
 pub mod guidance;
+mod idempotency;
+mod idle_connections;
 pub mod ids;
+mod last_seen;
+pub mod load_signal;
+mod memory;
+pub mod outcome;
 pub mod pcg;
+pub mod recently_seen;
+pub mod rejection;
+pub mod request;
+mod request_table;
+mod retry_after;
+mod scheduling;
+mod shutdown;
+mod statistics;
+mod tenant_quota;
 pub mod time;
 
-pub use book::Outcome;
 pub use config::catalog::{Catalog, Idempotency, RequestClass, Tenant};
 pub use config::change::Change;
 pub use config::facts::{Fact, Facts};
 pub use config::settings::ControllerSettings;
-pub use controller::{AdmissionController, NewRequest};
+pub use controller::AdmissionController;
 pub use decision::Decision;
+pub use event::{ControllerEvent, CycleFigures};
+pub use gauges::RuntimeGauges;
 pub use guidance::{FleetGuidance, GuidanceKey};
 pub use ids::{ClientId, RequestClassId, RequestId, SessionKey, TenantId};
+pub use load_signal::LoadReport;
+pub use outcome::Outcome;
+pub use rejection::RejectionReason;
+pub use request::NewRequest;
 pub use time::{Duration, Timeline, Timestamp};
--- /dev/null
+++ b/src/memory.rs
@@ -0,0 +1,51 @@
+//! The memory of requests and stored keys, and which request gives way when it is short.
+
+use crate::config::settings::ControllerSettings;
+use crate::rejection::{Rejection, RejectionReason};
+use crate::request::{Request, RequestState};
+use crate::request_table::RequestTable;
+use crate::scheduling::queue_order;
+
+/// The part of the runtime's memory that is used.
+const USABLE_SHARE: f64 = 0.92;
+
+/// Memory in use and its bound.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct MemoryUse {
+    used_kb: f64,
+    limit_kb: f64,
+}
+
+impl MemoryUse {
+    /// The memory of these requests and stored keys. A started or paused request takes more than a queued one.
+    pub(crate) fn new(requests: &RequestTable, stored_keys: usize, settings: &ControllerSettings) -> Self {
+        let size_kb = |request: &Request| match request.state {
+            RequestState::Queued | RequestState::AwaitingOriginal => request.size_kb,
+            _ => request.size_kb * settings.run_memory_factor,
+        };
+        let keys_kb = stored_keys as f64 * settings.key_memory_kb;
+        let requests_kb: f64 = requests.iter().map(|(_, request)| size_kb(request)).sum();
+        Self { used_kb: keys_kb + requests_kb, limit_kb: settings.memory_kb * USABLE_SHARE }
+    }
+
+    /// Whether this much more memory can be used, in kB.
+    pub(crate) fn fits(self, additional_kb: f64) -> bool {
+        self.used_kb + additional_kb <= self.limit_kb
+    }
+
+    /// Free memory, in kB; below zero when too much is used.
+    pub(crate) fn free_kb(self) -> f64 {
+        self.limit_kb - self.used_kb
+    }
+
+    /// The queued request that is rejected while too much memory is used: the last one in queue order. Paused requests
+    /// stay, since their work would be lost.
+    pub(crate) fn first_to_reject(self, requests: &RequestTable) -> Option<Rejection> {
+        if self.used_kb <= self.limit_kb {
+            return None;
+        }
+        let queued = requests.queued().filter(|(_, request)| !request.is_paused());
+        let (request, _) = queued.max_by(|(_, a), (_, b)| queue_order::compare(a, b))?;
+        Some(Rejection { request, reason: RejectionReason::MemoryLimit })
+    }
+}
--- /dev/null
+++ b/src/rejection.rs
@@ -0,0 +1,80 @@
+//! Why requests are rejected or failed, and how many were of late.
+
+use crate::RequestId;
+use crate::statistics::SampleWindow;
+use std::collections::BTreeMap;
+
+/// Requests whose outcome is remembered for the rejected share.
+pub(crate) const RECENT_REQUESTS: usize = 64;
+
+/// The rule that ends a request without a successful response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum RejectionReason {
+    /// No settings exist for its class.
+    UnknownClass,
+    /// Its deadline is one timer tick away.
+    DeadlineReached,
+    /// The server is about to stop.
+    ServerStops,
+    /// Its run can't earn anything any more: its objective is one timer tick away.
+    ObjectiveReached,
+    /// Memory is short and it ranks last.
+    MemoryLimit,
+    /// No memory is left for its idempotency key.
+    KeyMemoryLimit,
+    /// Its dependency call failed as often as it may be attempted.
+    CallAttemptsExhausted,
+    /// It opens a session and found no admission token in time.
+    AdmissionRate,
+    /// It arrived after the grace period of the shutdown.
+    ArrivedWhileDraining,
+    /// The work ahead of it would make it late.
+    WouldBeLate,
+    /// Its run was preempted and the work is lost.
+    WorkLost,
+}
+
+/// A request to reject or fail, and the rule that says so.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Rejection {
+    /// The request.
+    pub(crate) request: RequestId,
+    /// The rule.
+    pub(crate) reason: RejectionReason,
+}
+
+/// The outcome of the last requests, and how often each rule rejected one.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct RejectionHistory {
+    /// 1 for a rejected or failed request, 0 for one that ran.
+    recent: SampleWindow<f64, RECENT_REQUESTS>,
+    counts: BTreeMap<RejectionReason, u64>,
+}
+
+impl RejectionHistory {
+    /// Records a request that is rejected or failed.
+    pub(crate) fn record_rejected(&mut self, reason: RejectionReason) {
+        self.recent.push(1.0);
+        self.count(reason);
+    }
+
+    /// Counts a rejection that says nothing about load.
+    pub(crate) fn count(&mut self, reason: RejectionReason) {
+        *self.counts.entry(reason).or_default() += 1;
+    }
+
+    /// Records a request that starts to run.
+    pub(crate) fn record_started(&mut self) {
+        self.recent.push(0.0);
+    }
+
+    /// The rejected requests over [`RECENT_REQUESTS`], from 0 to 1.
+    pub(crate) fn rejected_share(&self) -> f64 {
+        self.recent.iter().sum::<f64>() / RECENT_REQUESTS as f64
+    }
+
+    /// How many requests a rule has rejected since the start.
+    pub(crate) fn count_of(&self, reason: RejectionReason) -> u64 {
+        self.counts.get(&reason).copied().unwrap_or(0)
+    }
+}
--- /dev/null
+++ b/src/scheduling/attempt_age.rs
@@ -0,0 +1,37 @@
+//! How long ago the client made its first attempt, worked out from how long it still waits for this one.
+//!
+//! The waits that are common in a class are those of first attempts. A shorter wait is a retry within the first one's
+//! wait, a longer one a last attempt with all the time that is left. Guards against late successes after retries; says nothing
+//! where clients draw their waits at random.
+
+use crate::Duration;
+use crate::statistics::SampleWindow;
+
+/// Resolution of the waits.
+const WAIT_STEP: Duration = Duration::from_ms(20);
+/// Waits of a class that are remembered.
+const WAIT_CAPACITY: usize = 32;
+/// A wait is common if at least one in this many lies within a step of it.
+const COMMON_WAIT_DIVISOR: usize = 8;
+
+/// How long the clients of the last requests of a class still waited, in steps.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct ClientWaits {
+    steps: SampleWindow<u64, WAIT_CAPACITY>,
+}
+
+impl ClientWaits {
+    /// Records how long a client still waits and estimates the time since its first attempt.
+    pub(crate) fn record(&mut self, remaining: Duration, request_timeout: Duration) -> Duration {
+        let step = remaining.us() / WAIT_STEP.us();
+        self.steps.push(step);
+        let near = |step: u64| self.steps.iter().filter(|other| other.abs_diff(step) <= 1).count();
+        let is_common = |step: &u64| near(*step) * COMMON_WAIT_DIVISOR >= self.steps.len();
+        let common: Vec<u64> = self.steps.iter().filter(is_common).collect();
+        match common.iter().copied().filter(|common| *common + 1 >= step).min() {
+            Some(first) => Duration::from_us(first.saturating_sub(step + 1) * WAIT_STEP.us()),
+            None if !common.is_empty() => request_timeout - remaining,
+            None => Duration::ZERO,
+        }
+    }
+}
--- /dev/null
+++ b/src/scheduling/class_profile.rs
@@ -0,0 +1,102 @@
+//! What the last requests of each class show: run times by cost, time in calls, and the waits of clients.
+
+use crate::recently_seen::{RECENTLY_SEEN_CAPACITY, RecentlySeen};
+use crate::scheduling::attempt_age::ClientWaits;
+use crate::statistics::{SAMPLE_CAPACITY, SampleWindow, mean, mean_without_top};
+use crate::{Duration, RequestClassId};
+
+/// The largest samples, as a share of all, that a mean leaves out: a few very costly requests are no slow server.
+const IGNORED_TOP_SHARE: f64 = 0.125;
+/// Expected run time over the latency objective, of a request without cost in a class without samples.
+const UNKNOWN_RUN_SHARE_OF_OBJECTIVE: f64 = 0.2;
+/// The cost of a request that names none, in seconds.
+pub(crate) const DEFAULT_COST_S: f64 = 1.0;
+/// Costs with a smaller variance, in square seconds, count as equal.
+const MIN_COST_VARIANCE: f64 = 1e-12;
+
+#[derive(Clone, Copy, Debug)]
+struct RunSample {
+    cost_s: f64,
+    run_s: f64,
+}
+
+/// The last successful requests of a class.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct ClassProfile {
+    runs: SampleWindow<RunSample, SAMPLE_CAPACITY>,
+    call_times_s: SampleWindow<f64, SAMPLE_CAPACITY>,
+    client_waits: ClientWaits,
+}
+
+impl ClassProfile {
+    /// The run time expected at a cost, in seconds: linear in the cost, level or rising. Waits for disk don't grow with
+    /// cost, and rough hints say less than they claim.
+    fn expected_run_s(&self, cost_s: f64) -> Option<f64> {
+        let count = self.runs.len().max(1) as f64;
+        let average = |figure: &dyn Fn(RunSample) -> f64| self.runs.iter().map(figure).sum::<f64>() / count;
+        let mean_cost = average(&|sample| sample.cost_s);
+        let mean_run = average(&|sample| sample.run_s);
+        let variance = average(&|sample| (sample.cost_s - mean_cost).powi(2));
+        if variance < MIN_COST_VARIANCE {
+            return mean_without_top(self.runs.iter().map(|sample| sample.run_s), IGNORED_TOP_SHARE);
+        }
+        let covariance = average(&|sample| (sample.cost_s - mean_cost) * (sample.run_s - mean_run));
+        let slope = (covariance / variance).clamp(0.0, mean_run / mean_cost);
+        Some(mean_run + slope * (cost_s - mean_cost))
+    }
+}
+
+/// The profiles of the classes that were requested lately.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct ClassProfiles {
+    profiles: RecentlySeen<RequestClassId, ClassProfile, RECENTLY_SEEN_CAPACITY>,
+}
+
+impl ClassProfiles {
+    /// Records a successful run and the time that it spent in calls.
+    pub(crate) fn record_run(&mut self, class: RequestClassId, cost_s: f64, run_s: f64, call_time_s: f64) {
+        let profile = self.profiles.touch(class);
+        profile.runs.push(RunSample { cost_s, run_s });
+        profile.call_times_s.push(call_time_s);
+    }
+
+    /// Records how long a client still waits; returns the time since its first attempt.
+    pub(crate) fn record_client_wait(
+        &mut self,
+        class: RequestClassId,
+        remaining: Duration,
+        request_timeout: Duration,
+    ) -> Duration {
+        self.profiles.touch(class).client_waits.record(remaining, request_timeout)
+    }
+
+    /// The run time expected of a request, in seconds.
+    pub(crate) fn expected_run_s(
+        &self,
+        class: RequestClassId,
+        latency_objective: Duration,
+        cost_s: f64,
+    ) -> f64 {
+        let has_cost = cost_s != DEFAULT_COST_S;
+        let unknown =
+            if has_cost { cost_s } else { latency_objective.secs() * UNKNOWN_RUN_SHARE_OF_OBJECTIVE };
+        let profile = self.profiles.get(&class);
+        profile.and_then(|profile| profile.expected_run_s(cost_s)).unwrap_or(unknown)
+    }
+
+    /// Seconds that requests of a class spend in calls.
+    pub(crate) fn expected_call_time_s(&self, class: RequestClassId) -> Option<f64> {
+        let profile = self.profiles.get(&class)?;
+        mean_without_top(profile.call_times_s.iter(), IGNORED_TOP_SHARE)
+    }
+
+    /// The mean run time of the last runs of all classes, in seconds.
+    pub(crate) fn mean_run_s(&self) -> Option<f64> {
+        mean(self.profiles.values().flat_map(|profile| profile.runs.iter().map(|sample| sample.run_s)))
+    }
+
+    /// Forgets a class.
+    pub(crate) fn remove(&mut self, class: RequestClassId) {
+        self.profiles.remove(&class);
+    }
+}
--- /dev/null
+++ b/src/tenant_quota.rs
@@ -0,0 +1,54 @@
+//! Tenant quotas: a request of a tenant past its quota on this server has less value.
+
+use crate::recently_seen::{RECENTLY_SEEN_CAPACITY, RecentlySeen};
+use crate::statistics::SampleWindow;
+use crate::{TenantId, Timestamp};
+
+/// Requests of a tenant whose arrival times are remembered.
+const ARRIVAL_CAPACITY: usize = 32;
+/// Arrivals from which the tenant's rate is known well enough to count.
+const MIN_ARRIVALS: usize = ARRIVAL_CAPACITY / 2;
+/// The shortest time over which the rate is taken for the quota, in seconds.
+const MIN_QUOTA_PERIOD_S: f64 = 0.01;
+/// The shortest time over which the rate is taken for reports, in seconds.
+const MIN_REPORT_PERIOD_S: f64 = 0.2;
+
+type Arrivals = SampleWindow<Timestamp, ARRIVAL_CAPACITY>;
+
+/// The last arrivals of each tenant.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct TenantTraffic {
+    arrivals: RecentlySeen<TenantId, Arrivals, RECENTLY_SEEN_CAPACITY>,
+}
+
+impl TenantTraffic {
+    /// Records a request of a tenant with a quota and returns the factor on its value. `quota_per_s` is this server's
+    /// part of the quota, `over_quota_value` the value of a request past the quota, of one within.
+    pub(crate) fn record(
+        &mut self,
+        now: Timestamp,
+        tenant: TenantId,
+        quota_per_s: f64,
+        over_quota_value: f64,
+    ) -> f64 {
+        let arrivals = self.arrivals.touch(tenant);
+        arrivals.push(now);
+        let Some(oldest) = arrivals.oldest().filter(|_| arrivals.len() >= MIN_ARRIVALS) else { return 1.0 };
+        let rate = arrivals.len() as f64 / (now - oldest).secs().max(MIN_QUOTA_PERIOD_S);
+        let share_within = (quota_per_s / rate).min(1.0);
+        share_within + (1.0 - share_within) * over_quota_value
+    }
+
+    /// Requests a second of a tenant with a quota.
+    pub(crate) fn rate_per_s(&self, now: Timestamp, tenant: TenantId) -> f64 {
+        let Some(arrivals) = self.arrivals.get(&tenant) else { return 0.0 };
+        arrivals
+            .oldest()
+            .map_or(0.0, |oldest| arrivals.len() as f64 / (now - oldest).secs().max(MIN_REPORT_PERIOD_S))
+    }
+
+    /// Forgets a tenant.
+    pub(crate) fn remove(&mut self, tenant: TenantId) {
+        self.arrivals.remove(&tenant);
+    }
+}
