--- a/src/admission/admission_rate.rs
+++ b/src/admission/admission_rate.rs
@@ -1,8 +1,9 @@
 //! The admission rate R and its token bucket (the paper's section IV, equation 2).
 //!
 //! R starts to limit after a congested cycle with queued requests, from the rate then admitted. It falls by
-//! [`DECREASE_DIVISOR`] in congested cycles and rises by [`INCREASE_PER_S`] in others, and stops limiting once it is above
-//! the admitted rate or keeps the cores idle. Input: one [`CycleResult`] a cycle. Output: a change of the mode.
+//! [`DECREASE_DIVISOR`] in congested cycles and rises by [`INCREASE_PER_S`] in others, and stops limiting
+//! once it is above the admitted rate or keeps the cores idle. Input: one [`CycleResult`] a cycle. Output: a
+//! change of the mode.
 
 use crate::Timestamp;
 use crate::admission::power_test::CycleResult;
@@ -46,7 +47,8 @@
         self.rate_per_s.is_none() || self.tokens >= TOKENS_PER_ADMISSION
     }
 
-    /// Takes the token of an admitted request. Requests of active sessions take theirs too, so tokens may go below zero.
+    /// Takes the token of an admitted request. Requests of active sessions take theirs too, so tokens may go
+    /// below zero.
     pub(crate) fn take_token(&mut self) {
         self.tokens -= TOKENS_PER_ADMISSION;
     }
--- a/src/admission/power_test.rs
+++ b/src/admission/power_test.rs
@@ -1,8 +1,9 @@
-//! The power test (the paper's section III, Algorithm 1): whether the server was congested in a control cycle.
+//! The power test (the paper's section III, Algorithm 1): whether the server was congested in a control
+//! cycle.
 //!
-//! Power is throughput over response time, both per second of cost. A cycle ends after [`CYCLE_SUCCESSES`] successes or
-//! [`MAX_CYCLE`], whichever comes first, but lasts [`MIN_CYCLE`] at least. Input: successes, started runs, timer ticks.
-//! Output: one [`CycleResult`] a cycle.
+//! Power is throughput over response time, both per second of cost. A cycle ends after [`CYCLE_SUCCESSES`]
+//! successes or [`MAX_CYCLE`], whichever comes first, but lasts [`MIN_CYCLE`] at least. Input: successes,
+//! started runs, timer ticks. Output: one [`CycleResult`] a cycle.
 
 use crate::event::CycleFigures;
 use crate::statistics::SampleWindow;
@@ -84,8 +85,8 @@
         self.ticks_with_queue += u32::from(has_queue);
     }
 
-    /// Ends the cycle if it is over. `is_limited` says whether the admission rate limits now, `core_saturation` is the
-    /// share of recent ticks with all cores taken.
+    /// Ends the cycle if it is over. `is_limited` says whether the admission rate limits now,
+    /// `core_saturation` is the share of recent ticks with all cores taken.
     pub(crate) fn end_cycle(
         &mut self,
         now: Timestamp,
--- a/src/admission/session_admission.rs
+++ b/src/admission/session_admission.rs
@@ -1,7 +1,8 @@
 //! Which queued request passes admission next, and which one has waited for a token for too long.
 //!
-//! Active sessions pass first and always; new sessions pass in queue order while the admission rate allows it. A new
-//! session that finds no token early is rejected early, so that its client can go elsewhere in time.
+//! Active sessions pass first and always; new sessions pass in queue order while the admission rate allows
+//! it. A new session that finds no token early is rejected early, so that its client can go elsewhere in
+//! time.
 
 use crate::admission::admission_rate::AdmissionRate;
 use crate::rejection::{Rejection, RejectionReason};
@@ -15,11 +16,10 @@
     let admits_new_session = rate.admits_new_session();
     let passes =
         |request: &Request| !request.is_admitted && (request.has_active_session || admits_new_session);
-    let passing = requests.queued().filter(|(_, request)| passes(request));
-    let best = passing.min_by(|(_, a), (_, b)| {
-        b.has_active_session.cmp(&a.has_active_session).then(queue_order::compare(a, b))
-    });
-    best.map(|(id, _)| id)
+    let passing = requests.queued().filter(|request| passes(request));
+    let best = passing
+        .min_by(|a, b| b.has_active_session.cmp(&a.has_active_session).then(queue_order::compare(a, b)));
+    best.map(|request| request.id)
 }
 
 /// The first received request that found no token within the early part of its time.
--- a/src/arrivals.rs
+++ b/src/arrivals.rs
@@ -27,7 +27,8 @@
 }
 
 impl RecentArrivals {
-    /// Records a request. Clients idle for `client_idle_timeout` are forgotten first when memory for them is short.
+    /// Records a request. Clients idle for `client_idle_timeout` are forgotten first when memory for them is
+    /// short.
     pub(crate) fn record(
         &mut self,
         now: Timestamp,
--- a/src/controller/inputs.rs
+++ b/src/controller/inputs.rs
@@ -6,7 +6,7 @@
 use crate::config::settings::ControllerSettings;
 use crate::dependency::call_attempts;
 use crate::rejection::RejectionReason;
-use crate::request::{Request, RequestState, RunLength};
+use crate::request::{CallProgress, Request, RequestState, RunLength};
 use crate::scheduling::class_profile::DEFAULT_COST_S;
 use crate::scheduling::queue_order::RequestValue;
 use crate::shutdown::Shutdown;
@@ -29,7 +29,7 @@
         let class = self.catalog.borrow().request_class(new.class).cloned();
         let Some(class) = class else { return self.reject_unknown_class(new.id) };
         let request = self.build_request(now, &new, class);
-        self.requests.insert(new.id, request);
+        self.requests.insert(request);
     }
 
     fn reject_unknown_class(&mut self, request: RequestId) {
@@ -59,6 +59,7 @@
             unit: self.settings.value_unit,
         };
         Request {
+            id: new.id,
             sequence: self.requests.next_sequence(),
             class_id: new.class,
             class,
@@ -74,10 +75,16 @@
             rank: value.rank(),
             retry_of: new.retry_of,
             is_write: new.is_write,
+            state: RequestState::Queued,
             has_active_session,
+            is_admitted: false,
+            is_key_stored: false,
+            has_run: false,
             awaits_response: true,
             started_at: now,
-            ..Request::default()
+            time_in_calls: Duration::ZERO,
+            call: CallProgress::default(),
+            preempted_at: None,
         }
     }
 
@@ -189,7 +196,7 @@
         }
         let running = self.requests.count(RequestState::Running);
         let is_waiting = |request: &Request| request.state.is_queued() && request.is_admitted;
-        let has_queue = self.requests.iter().any(|(_, request)| is_waiting(request));
+        let has_queue = self.requests.iter().any(is_waiting);
         self.core_usage.record(gauges, running, self.cores);
         self.power_test.record_tick(has_queue);
         if let Some(event) = self.warm_up.finish_if_over(now, self.settings.warm_up) {
@@ -210,8 +217,9 @@
         self.guidance.set(key, value);
     }
 
-    /// Puts changed settings into force, all of them or none. Requests in hand keep the settings under which they were
-    /// received; the admission rate, sessions, clients and the profiles of classes that stay remain.
+    /// Puts changed settings into force, all of them or none. Requests in hand keep the settings under which
+    /// they were received; the admission rate, sessions, clients and the profiles of classes that stay
+    /// remain.
     ///
     /// # Errors
     /// Names the key at fault; nothing has changed then.
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -2,9 +2,9 @@
 //!
 //! How to call it: build an [`AdmissionController`] from the settings, report what happens through the inputs
 //! (`request_received`, `request_abandoned`, `run_finished`, `call_requested`, `call_finished`, `timer_tick`,
-//! `shutdown_notice`, `set_guidance`, `apply_change`), which only update what is known, then pull `next_decision(now)` until
-//! it is `None`. It does no I/O, reads no clock and is deterministic: the same inputs and seed give the same decisions.
-//! docs/design.md gives the reasons and lists the rules.
+//! `shutdown_notice`, `set_guidance`, `apply_change`), which only update what is known, then pull
+//! `next_decision(now)` until it is `None`. It does no I/O, reads no clock and is deterministic: the same
+//! inputs and seed give the same decisions. docs/design.md gives the reasons and lists the rules.
 
 mod inputs;
 mod reports;
@@ -116,8 +116,8 @@
         }
     }
 
-    /// The next decision, or `None` until something else is reported. The rules are asked in this order; the first one
-    /// that has a decision makes it.
+    /// The next decision, or `None` until something else is reported. The rules are asked in this order; the
+    /// first one that has a decision makes it.
     pub fn next_decision(&mut self, now: Timestamp) -> Option<Decision> {
         self.refill(now);
         self.end_control_cycle(now);
--- a/src/controller/reports.rs
+++ b/src/controller/reports.rs
@@ -9,7 +9,7 @@
 impl AdmissionController {
     /// How many requests in hand could still succeed within their objectives.
     pub fn spare_capacity(&self, now: Timestamp) -> f64 {
-        let objectives = self.requests.iter().map(|(_, request)| request.class.latency_objective.secs());
+        let objectives = self.requests.iter().map(|request| request.class.latency_objective.secs());
         let mean_objective_s = mean(objectives).unwrap_or(0.0);
         let target = self.concurrency(now).target;
         load_signal::spare_capacity(target, mean_objective_s, self.arrivals.mean_expected_run_s())
--- a/src/controller/rules.rs
+++ b/src/controller/rules.rs
@@ -1,5 +1,5 @@
-//! The rules in the order in which the controller asks them: each gathers the inputs of one policy, asks it, and carries
-//! out what it says.
+//! The rules in the order in which the controller asks them: each gathers the inputs of one policy, asks it,
+//! and carries out what it says.
 
 use super::AdmissionController;
 use crate::admission::session_admission;
@@ -107,7 +107,8 @@
         Some(Decision::StartCall { request: id, timeout })
     }
 
-    /// Requests of active sessions pass; new sessions need a token while the rate limits, and are rejected early without.
+    /// Requests of active sessions pass; new sessions need a token while the rate limits, and are rejected
+    /// early without.
     pub(super) fn apply_admission_rate(&mut self, now: Timestamp) -> Option<Decision> {
         while let Some(id) = session_admission::next_admitted(&self.requests, &self.admission_rate) {
             self.admission_rate.take_token();
@@ -208,7 +209,8 @@
         Some(Decision::SetTimer(at))
     }
 
-    /// The final response of a request that won't succeed: rejected if it is queued and never ran, else failed.
+    /// The final response of a request that won't succeed: rejected if it is queued and never ran, else
+    /// failed.
     fn reject(&mut self, now: Timestamp, rejection: Rejection) -> Option<Decision> {
         let id = rejection.request;
         let request = self.requests.get(id)?;
@@ -247,7 +249,7 @@
         if !self.settings.retry_after_supported {
             return Duration::ZERO;
         }
-        let queued_s: f64 = self.requests.queued().map(|(_, request)| request.expected_run_s).sum();
+        let queued_s: f64 = self.requests.queued().map(|request| request.expected_run_s).sum();
         let running_s = slowdown::remaining_run_s(now, &self.requests, EXPECTED_SPEED);
         let inputs = RetryAfter {
             work_s: running_s + queued_s,
--- a/src/decision.rs
+++ b/src/decision.rs
@@ -51,7 +51,7 @@
     },
     /// Close connections that were idle for this long; zero stands for the longest time.
     SetIdleTimeout(Duration),
-    /// Call `timer` at this time.
+    /// Call `timer_tick` at this time.
     SetTimer(Timestamp),
     /// Write this event to the log.
     Log(ControllerEvent),
--- a/src/dependency/call_attempts.rs
+++ b/src/dependency/call_attempts.rs
@@ -14,8 +14,8 @@
     request.state == RequestState::AwaitingCall && request.awaits_response && request.call.not_before <= now
 }
 
-/// The first received request whose call is not attempted any more: its attempts are used up, or the breaker is open and
-/// a degraded response has value.
+/// The first received request whose call is not attempted any more: its attempts are used up, or the breaker
+/// is open and a degraded response has value.
 pub(crate) fn first_without_attempts(
     requests: &RequestTable,
     now: Timestamp,
@@ -32,8 +32,8 @@
     request.call.attempts >= MAX_ATTEMPTS || !request.is_idempotent()
 }
 
-/// Plans the next attempt after a failed one. Only a call that never ran waits, since only a rejection says something about
-/// load; a call that may have run is repeated only if the request is idempotent.
+/// Plans the next attempt after a failed one. Only a call that never ran waits, since only a rejection says
+/// something about load; a call that may have run is repeated only if the request is idempotent.
 pub(crate) fn plan_retry(request: &mut Request, now: Timestamp, outcome: Outcome) {
     let never_ran = outcome.proves_never_ran();
     let delays = if never_ran { request.call.attempts } else { 0 };
--- a/src/dependency/call_budget.rs
+++ b/src/dependency/call_budget.rs
@@ -1,15 +1,17 @@
 //! The call-time budget: seconds that calls may still take.
 //!
-//! What a dependency survives is a mean over time, summed over all servers, and a server's share can be under one call. So
-//! the time in calls is bounded, not their number. The budget grows by this server's share each second, and calls in progress
-//! use it up; at most [`MAX_SAVED_SHARE`] of what the dependency survives can be saved up.
+//! What a dependency survives is a mean over time, summed over all servers, and a server's share can be under
+//! one call. So the time in calls is bounded, not their number. The budget grows by this server's share each
+//! second, and calls in progress use it up; at most [`MAX_SAVED_SHARE`] of what the dependency survives can
+//! be saved up.
 
 use crate::config::settings::ControllerSettings;
 use crate::guidance::FleetGuidance;
 use crate::statistics::{SAMPLE_CAPACITY, SampleWindow, geometric_median};
 use crate::{Duration, Timestamp};
 
-/// The part of this server's share that calls use on average; with what is saved up they stay within the share.
+/// The part of this server's share that calls use on average; with what is saved up they stay within the
+/// share.
 pub(crate) const MEAN_USE_OF_SHARE: f64 = 0.45;
 /// The part of the call time of the overload tolerance that may be saved up.
 const MAX_SAVED_SHARE: f64 = 0.3;
--- a/src/dependency/call_start.rs
+++ b/src/dependency/call_start.rs
@@ -1,6 +1,7 @@
 //! Which call starts next, and its timeout.
 //!
-//! Guards against slow spells of the dependency; gives up calls for which other servers may have left capacity.
+//! Guards against slow spells of the dependency; gives up calls for which other servers may have left
+//! capacity.
 
 use crate::dependency::call_attempts;
 use crate::dependency::call_budget::{CallBudget, CallLimits};
@@ -9,7 +10,8 @@
 use crate::scheduling::{TIMER_TICK, queue_order};
 use crate::{Duration, RequestId, Timestamp};
 
-/// Calls at once, over the mean concurrency: all servers meet a slow spell together and must not spend all savings at once.
+/// Calls at once, over the mean concurrency: all servers meet a slow spell together and must not spend all
+/// savings at once.
 const MAX_CONCURRENCY_FACTOR: f64 = 2.0;
 /// Calls at once that any server may have.
 const MIN_CONCURRENCY: f64 = 1.0;
@@ -28,12 +30,12 @@
     if budget.is_short(limits) || calls > max_calls {
         return None;
     }
-    let ready = requests.iter().filter(|(_, request)| call_attempts::is_ready(request, now));
-    ready.min_by(|(_, a), (_, b)| queue_order::compare(a, b)).map(|(id, _)| id)
+    let ready = requests.iter().filter(|request| call_attempts::is_ready(request, now));
+    ready.min_by(|a, b| queue_order::compare(a, b)).map(|request| request.id)
 }
 
-/// The timeout of an attempt that starts now: until the deadline, but not longer than the budget lasts, and for an attempt
-/// that may be retried not longer than a few usual calls.
+/// The timeout of an attempt that starts now: until the deadline, but not longer than the budget lasts, and
+/// for an attempt that may be retried not longer than a few usual calls.
 pub(crate) fn timeout(request: &Request, now: Timestamp, budget: &CallBudget, lasts: Duration) -> Duration {
     let usual_s = budget.usual_latency_s().unwrap_or(f64::INFINITY);
     let max_s = if call_attempts::is_last_attempt(request) {
--- a/src/guidance.rs
+++ b/src/guidance.rs
@@ -1,4 +1,4 @@
-//! What the servers of a fleet found out together, as one controller is told it.
+//! Fleet guidance: what the servers of a fleet agreed on, as one controller gets it.
 
 use crate::TenantId;
 use std::collections::BTreeMap;
@@ -30,8 +30,8 @@
 }
 
 impl FleetGuidance {
-    /// Takes a figure, or `None` once it is not known any more; a figure that is no finite number from zero on counts
-    /// as not known.
+    /// Sets a figure, or clears it with `None`. A figure that is not finite, or negative, counts as not
+    /// known.
     pub fn set(&mut self, key: GuidanceKey, value: Option<f64>) {
         let value = value.filter(|n| n.is_finite() && *n >= 0.0);
         match key {
--- a/src/idempotency.rs
+++ b/src/idempotency.rs
@@ -1,7 +1,8 @@
-//! Retries run at most once: the key of a request is stored when it arrives, and a retry gets the result of its original.
+//! Retries run at most once: the key of a request is stored when it arrives, and a retry gets the result of
+//! its original.
 //!
-//! This holds for classes with a key, and for idempotent reads where their results are shared. Invariant: a request with a
-//! key never runs before its key is stored.
+//! This holds for classes with a key, and for idempotent reads where their results are shared. Invariant: a
+//! request with a key never runs before its key is stored.
 
 use crate::config::settings::ControllerSettings;
 use crate::memory::MemoryUse;
--- a/src/idle_connections.rs
+++ b/src/idle_connections.rs
@@ -1,9 +1,9 @@
 //! How long idle connections stay open.
 //!
-//! An open connection costs some of the cores and a place in a table; a new one costs work once. The timeout is the one that
-//! would have cost least for the last requests. Guards against tables full of clients that don't come back. While all cores
-//! are taken all connections are kept, since a full table turns attempts away unread, which stops retry storms; this does harm
-//! where most clients are new.
+//! An open connection costs some of the cores and a place in a table; a new one costs work once. The timeout
+//! is the one that would have cost least for the last requests. Guards against tables full of clients that
+//! don't come back. While all cores are taken all connections are kept, since a full table turns attempts
+//! away unread, which stops retry storms; this does harm where most clients are new.
 
 use crate::Duration;
 use crate::arrivals::{Arrival, RecentArrivals};
@@ -27,8 +27,8 @@
 }
 
 impl IdleConnections {
-    /// The timeout to set, if it changes. `client_idle_timeout` is when clients close idle connections themselves, zero
-    /// where that is not known.
+    /// The timeout to set, if it changes. `client_idle_timeout` is when clients close idle connections
+    /// themselves, zero where that is not known.
     pub(crate) fn update(
         &mut self,
         arrivals: &RecentArrivals,
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -2,20 +2,35 @@
 
 use std::fmt;
 
-/// The characters a front hands over for a request, 36 or fewer, given back unchanged.
+/// The length of a request id in bytes.
+const REQUEST_ID_LENGTH: usize = 36;
+/// Fills up shorter request ids.
+const REQUEST_ID_PADDING: u8 = b' ';
+/// The offset basis of the 64-bit FNV-1a hash.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+/// The prime of the 64-bit FNV-1a hash.
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+
+/// The id that an ingress hands over for a request, 36 characters or fewer, shown unchanged.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct RequestId([u8; 36]);
+pub struct RequestId([u8; REQUEST_ID_LENGTH]);
 
 impl RequestId {
+    /// An id of exactly 36 bytes; `None` for any other length.
     pub fn parse(text: &str) -> Option<Self> {
         text.as_bytes().try_into().ok().map(Self)
     }
 
-    /// A shorter id, filled up with blanks that are not shown again.
+    /// An id of 1 to 36 graphic ASCII characters, padded with blanks that are not shown; `None` for any other
+    /// text.
     pub fn padded(text: &str) -> Option<Self> {
-        let fits = text.len() <= 36 && !text.is_empty() && text.bytes().all(|b| b.is_ascii_graphic());
-        let mut id = [b' '; 36];
-        fits.then(|| id[..text.len()].copy_from_slice(text.as_bytes())).map(|()| Self(id))
+        let is_short = (1..=REQUEST_ID_LENGTH).contains(&text.len());
+        if !is_short || !text.bytes().all(|byte| byte.is_ascii_graphic()) {
+            return None;
+        }
+        let mut id = [REQUEST_ID_PADDING; REQUEST_ID_LENGTH];
+        id[..text.len()].copy_from_slice(text.as_bytes());
+        Some(Self(id))
     }
 }
 
@@ -31,22 +46,26 @@
     }
 }
 
-/// Who or what a request is about, as a 64-bit FNV-1a hash of its text.
+/// The session that a request belongs to, as a 64-bit FNV-1a hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SessionKey(u64);
 
 impl SessionKey {
-    pub fn of(text: &str) -> Self {
-        let mix = |h: u64, b: &u8| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3);
-        Self(text.as_bytes().iter().fold(0xcbf2_9ce4_8422_2325, mix))
+    /// The key of a session's name.
+    pub fn of(name: &str) -> Self {
+        let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
+        Self(name.bytes().fold(FNV_OFFSET_BASIS, mix))
     }
 }
 
+/// The position of a request class in the catalog.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestClassId(pub usize);
 
+/// The position of a tenant in the catalog.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantId(pub usize);
 
+/// The client that sent a request: a gateway, a broker or a connection's peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClientId(pub u64);
--- a/src/last_seen.rs
+++ b/src/last_seen.rs
@@ -1,7 +1,7 @@
 //! When each key was last seen, within a bound.
 //!
-//! Invariant: a map past [`LAST_SEEN_CAPACITY`] drops the keys that were idle for longest until at most half of the capacity is
-//! left, so that keys which are always new cost neither memory nor time.
+//! Invariant: a map past [`LAST_SEEN_CAPACITY`] drops the keys that were idle for longest until at most half
+//! of the capacity is left, so that keys which are always new cost neither memory nor time.
 
 use crate::{Duration, Timestamp};
 use std::collections::BTreeMap;
@@ -22,8 +22,8 @@
 }
 
 impl<K: Ord> LastSeen<K> {
-    /// Records that a key is seen now and returns when it was seen before. A full map first drops keys that were not
-    /// seen for `idle_timeout`, then for ever shorter times.
+    /// Records that a key is seen now and returns when it was seen before. A full map first drops keys that
+    /// were not seen for `idle_timeout`, then for ever shorter times.
     pub(crate) fn record(&mut self, key: K, now: Timestamp, idle_timeout: Duration) -> Option<Timestamp> {
         let is_full = self.last.len() >= LAST_SEEN_CAPACITY;
         let max_len = if is_full { LAST_SEEN_CAPACITY / 2 } else { LAST_SEEN_CAPACITY };
--- a/src/load_signal.rs
+++ b/src/load_signal.rs
@@ -1,10 +1,11 @@
-//! What others learn about this server's load: the capacity advertised to clients and the load report for the fleet.
+//! What others learn about this server's load: the capacity advertised to clients and the load report for the
+//! fleet.
 
 use crate::arrivals::RecentArrivals;
 use crate::dependency::call_budget::MEAN_USE_OF_SHARE;
 
-/// The part of the spare capacity that is advertised: what clients send in vain costs more than the choice among more
-/// requests brings.
+/// The part of the spare capacity that is advertised: what clients send in vain costs more than the choice
+/// among more requests brings.
 const ADVERTISED_SHARE: f64 = 0.65;
 /// The smallest number of requests in hand per running one.
 const MIN_REQUESTS_PER_RUN: f64 = 1.0;
@@ -34,8 +35,8 @@
     pub rejected_share: f64,
 }
 
-/// The call concurrency that requests need at this rate. The rate is bounded by what the cores can run, by runs that were
-/// seen: a class that never got a call would otherwise report for ever that it needs none.
+/// The call concurrency that requests need at this rate. The rate is bounded by what the cores can run, by
+/// runs that were seen: a class that never got a call would otherwise report for ever that it needs none.
 pub(crate) fn needed_call_concurrency(
     arrivals_per_s: f64,
     cores: f64,
@@ -51,7 +52,8 @@
     arrivals.len() as f64 / observed_s.max(MIN_RATE_PERIOD_S)
 }
 
-/// The requests in hand that could still succeed: the runs at once, times what the objectives leave after a run.
+/// The requests in hand that could still succeed: the runs at once, times what the objectives leave after a
+/// run.
 pub(crate) fn spare_capacity(concurrency_target: f64, mean_objective_s: f64, mean_run_s: f64) -> f64 {
     let runs_per_objective = mean_objective_s / mean_run_s.max(MIN_EXPECTED_RUN_S);
     let per_run = (runs_per_objective - 1.0) * ADVERTISED_SHARE;
@@ -76,7 +78,8 @@
     }
 }
 
-/// The requests that one client may have outstanding here. A credit below one is at least the share not rejected.
+/// The requests that one client may have outstanding here. A credit below one is at least the share not
+/// rejected.
 pub(crate) fn credit(spare_capacity: f64, effective_clients: f64, rejected_share: f64) -> f64 {
     (spare_capacity / effective_clients).max(1.0 - rejected_share)
 }
--- a/src/memory.rs
+++ b/src/memory.rs
@@ -17,14 +17,15 @@
 }
 
 impl MemoryUse {
-    /// The memory of these requests and stored keys. A started or paused request takes more than a queued one.
+    /// The memory of these requests and stored keys. A started or paused request takes more than a queued
+    /// one.
     pub(crate) fn new(requests: &RequestTable, stored_keys: usize, settings: &ControllerSettings) -> Self {
         let size_kb = |request: &Request| match request.state {
             RequestState::Queued | RequestState::AwaitingOriginal => request.size_kb,
             _ => request.size_kb * settings.run_memory_factor,
         };
         let keys_kb = stored_keys as f64 * settings.key_memory_kb;
-        let requests_kb: f64 = requests.iter().map(|(_, request)| size_kb(request)).sum();
+        let requests_kb: f64 = requests.iter().map(size_kb).sum();
         Self { used_kb: keys_kb + requests_kb, limit_kb: settings.memory_kb * USABLE_SHARE }
     }
 
@@ -38,14 +39,14 @@
         self.limit_kb - self.used_kb
     }
 
-    /// The queued request that is rejected while too much memory is used: the last one in queue order. Paused requests
-    /// stay, since their work would be lost.
+    /// The queued request that is rejected while too much memory is used: the last one in queue order. Paused
+    /// requests stay, since their work would be lost.
     pub(crate) fn first_to_reject(self, requests: &RequestTable) -> Option<Rejection> {
         if self.used_kb <= self.limit_kb {
             return None;
         }
-        let queued = requests.queued().filter(|(_, request)| !request.is_paused());
-        let (request, _) = queued.max_by(|(_, a), (_, b)| queue_order::compare(a, b))?;
-        Some(Rejection { request, reason: RejectionReason::MemoryLimit })
+        let queued = requests.queued().filter(|request| !request.is_paused());
+        let last = queued.max_by(|a, b| queue_order::compare(a, b))?;
+        Some(Rejection { request: last.id, reason: RejectionReason::MemoryLimit })
     }
 }
--- a/src/request.rs
+++ b/src/request.rs
@@ -40,10 +40,9 @@
 }
 
 /// Where a request stands.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestState {
     /// In a run queue, with nothing of its run kept.
-    #[default]
     Queued,
     /// In a run queue, with the work of its preempted run kept in memory.
     Paused,
@@ -70,10 +69,9 @@
 }
 
 /// Which run queue a request waits in.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunLength {
     /// An ordinary run.
-    #[default]
     Short,
     /// A run far longer than those of the last requests.
     Long,
@@ -93,8 +91,10 @@
 }
 
 /// A request in hand.
-#[derive(Clone, Debug, Default)]
+#[derive(Clone, Debug)]
 pub(crate) struct Request {
+    /// Its id.
+    pub(crate) id: RequestId,
     /// Its place in the order of arrival.
     pub(crate) sequence: u64,
     /// Its class.
--- a/src/request_table.rs
+++ b/src/request_table.rs
@@ -24,7 +24,8 @@
     }
 
     /// Adds a request and queues it.
-    pub(crate) fn insert(&mut self, id: RequestId, request: Request) {
+    pub(crate) fn insert(&mut self, request: Request) {
+        let id = request.id;
         self.requests.insert(id, request);
         self.enqueue(id);
     }
@@ -69,8 +70,8 @@
     }
 
     /// Iterates in the order of ids.
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (RequestId, &Request)> {
-        self.requests.iter().map(|(id, request)| (*id, request))
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &Request> {
+        self.requests.values()
     }
 
     /// Iterates over the requests on the cores, or waiting for disk, in the order of ids.
@@ -79,16 +80,16 @@
     }
 
     /// Iterates over one queue, best first.
-    pub(crate) fn queue(&self, length: RunLength) -> impl Iterator<Item = (RequestId, &Request)> {
+    pub(crate) fn queue(&self, length: RunLength) -> impl Iterator<Item = &Request> {
         let queue = match length {
             RunLength::Short => &self.short_queue,
             RunLength::Long => &self.long_queue,
         };
-        queue.iter().map(|id| (*id, &self.requests[id]))
+        queue.iter().map(|id| &self.requests[id])
     }
 
     /// Iterates over the short queue, then over the long one.
-    pub(crate) fn queued(&self) -> impl Iterator<Item = (RequestId, &Request)> {
+    pub(crate) fn queued(&self) -> impl Iterator<Item = &Request> {
         self.queue(RunLength::Short).chain(self.queue(RunLength::Long))
     }
 
@@ -104,7 +105,7 @@
 
     /// The request received first among those that match.
     pub(crate) fn first_received(&self, matches: impl Fn(&Request) -> bool) -> Option<RequestId> {
-        let matching = self.requests.iter().filter(|(_, request)| matches(request));
-        matching.min_by_key(|(_, request)| request.sequence).map(|(id, _)| *id)
+        let matching = self.requests.values().filter(|request| matches(request));
+        matching.min_by_key(|request| request.sequence).map(|request| request.id)
     }
 }
--- a/src/retry_after.rs
+++ b/src/retry_after.rs
@@ -26,8 +26,9 @@
 }
 
 impl RetryAfter {
-    /// The delay: until the work in hand is done, but not longer than the client's usual gap, so that a rejection keeps
-    /// away about one request. The jitter, from 0 to 1, keeps clients from coming back together.
+    /// The delay: until the work in hand is done, but not longer than the client's usual gap, so that a
+    /// rejection keeps away about one request. The jitter, from 0 to 1, keeps clients from coming back
+    /// together.
     pub(crate) fn delay(self, jitter: f64) -> Duration {
         let factor = MIN_JITTER_FACTOR + JITTER_RANGE * jitter;
         let work_done_s = self.work_s / self.cores;
@@ -40,8 +41,8 @@
     expected_run_s * MIN_RUN_SHARE_FOR_RETRY
 }
 
-/// Whether so many requests are rejected that retries elsewhere would only add load. Guards against retry storms; does
-/// harm where clients seek out only this server.
+/// Whether so many requests are rejected that retries elsewhere would only add load. Guards against retry
+/// storms; does harm where clients seek out only this server.
 pub(crate) fn is_demand_too_high(rejected_share: f64) -> bool {
     rejected_share > MAX_REJECTED_SHARE_FOR_RETRY
 }
--- a/src/scheduling/attempt_age.rs
+++ b/src/scheduling/attempt_age.rs
@@ -1,8 +1,8 @@
 //! How long ago the client made its first attempt, worked out from how long it still waits for this one.
 //!
-//! The waits that are common in a class are those of first attempts. A shorter wait is a retry within the first one's
-//! wait, a longer one a last attempt with all the time that is left. Guards against late successes after retries; says nothing
-//! where clients draw their waits at random.
+//! The waits that are common in a class are those of first attempts. A shorter wait is a retry within the
+//! first one's wait, a longer one a last attempt with all the time that is left. Guards against late
+//! successes after retries; says nothing where clients draw their waits at random.
 
 use crate::Duration;
 use crate::statistics::SampleWindow;
--- a/src/scheduling/class_profile.rs
+++ b/src/scheduling/class_profile.rs
@@ -5,7 +5,8 @@
 use crate::statistics::{SAMPLE_CAPACITY, SampleWindow, mean, mean_without_top};
 use crate::{Duration, RequestClassId};
 
-/// The largest samples, as a share of all, that a mean leaves out: a few very costly requests are no slow server.
+/// The largest samples, as a share of all, that a mean leaves out: a few very costly requests are no slow
+/// server.
 const IGNORED_TOP_SHARE: f64 = 0.125;
 /// Expected run time over the latency objective, of a request without cost in a class without samples.
 const UNKNOWN_RUN_SHARE_OF_OBJECTIVE: f64 = 0.2;
@@ -29,8 +30,8 @@
 }
 
 impl ClassProfile {
-    /// The run time expected at a cost, in seconds: linear in the cost, level or rising. Waits for disk don't grow with
-    /// cost, and rough hints say less than they claim.
+    /// The run time expected at a cost, in seconds: linear in the cost, level or rising. Waits for disk don't
+    /// grow with cost, and rough hints say less than they claim.
     fn expected_run_s(&self, cost_s: f64) -> Option<f64> {
         let count = self.runs.len().max(1) as f64;
         let average = |figure: &dyn Fn(RunSample) -> f64| self.runs.iter().map(figure).sum::<f64>() / count;
--- a/src/scheduling/core_usage.rs
+++ b/src/scheduling/core_usage.rs
@@ -1,4 +1,5 @@
-//! How the cores were used at the last timer ticks: how often all were taken, and how many running requests waited for disk.
+//! How the cores were used at the last timer ticks: how often all were taken, and how many running requests
+//! waited for disk.
 
 use crate::gauges::RuntimeGauges;
 use crate::statistics::{SAMPLE_CAPACITY, SampleWindow};
@@ -6,7 +7,8 @@
 /// Core usage at the last timer ticks.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CoreUsage {
-    /// Running requests less what the gauge saw on the cores; below zero where reads and handshakes were on them.
+    /// Running requests less what the gauge saw on the cores; below zero where reads and handshakes were on
+    /// them.
     off_core: SampleWindow<f64, SAMPLE_CAPACITY>,
     /// 1 for a tick with all cores taken, else 0.
     saturated: SampleWindow<f64, SAMPLE_CAPACITY>,
@@ -27,7 +29,8 @@
         self.saturated.mean().unwrap_or(0.0)
     }
 
-    /// Running requests that wait for disk. Reads and handshakes load the gauge, so only its upper half counts.
+    /// Running requests that wait for disk. Reads and handshakes load the gauge, so only its upper half
+    /// counts.
     pub(crate) fn waiting_for_disk(&self) -> f64 {
         self.off_core.mean_of_upper_half().unwrap_or(0.0).max(0.0)
     }
--- a/src/scheduling/expiry.rs
+++ b/src/scheduling/expiry.rs
@@ -1,4 +1,5 @@
-//! Which request must get its final response now: at its deadline, before the server stops, or when its run is worthless.
+//! Which request must get its final response now: at its deadline, before the server stops, or when its run
+//! is worthless.
 //!
 //! Invariant: every request is answered at least one timer tick before its deadline.
 
--- a/src/scheduling/late_rejection.rs
+++ b/src/scheduling/late_rejection.rs
@@ -1,7 +1,8 @@
 //! Late rejection: which queued request can't succeed any more, by the work ahead of it in queue order.
 //!
-//! A rejected request costs little and can go elsewhere; one that runs in vain takes the cores from others. A new request
-//! needs slack beyond its wait, so that most rejections come early instead of when better requests overtake it.
+//! A rejected request costs little and can go elsewhere; one that runs in vain takes the cores from others. A
+//! new request needs slack beyond its wait, so that most rejections come early instead of when better
+//! requests overtake it.
 
 use crate::rejection::{Rejection, RejectionReason};
 use crate::request::{Request, RequestState};
@@ -9,7 +10,7 @@
 use crate::scheduling::class_profile::ClassProfiles;
 use crate::scheduling::{queue_order, slowdown};
 use crate::shutdown::Shutdown;
-use crate::{Duration, RequestId, Timestamp};
+use crate::{Duration, Timestamp};
 
 /// The first part of the request timeout, in which a request counts as new.
 const EARLY_SHARE_OF_TIMEOUT: f64 = 0.09;
@@ -75,12 +76,12 @@
             run_s: slowdown::remaining_run_s(self.now, requests, self.slowdown),
             requests: requests.count(RequestState::Running),
         };
-        let mut queued: Vec<(RequestId, &Request)> = requests.queued().collect();
-        queued.sort_by(|(_, a), (_, b)| queue_order::compare(a, b));
-        for (id, request) in queued {
+        let mut queued: Vec<&Request> = requests.queued().collect();
+        queued.sort_by(|a, b| queue_order::compare(a, b));
+        for request in queued {
             let wait_s = self.wait_s(ahead, awaiting_call);
             if let Some(reason) = self.reason(request, wait_s) {
-                return Some(Rejection { request: id, reason });
+                return Some(Rejection { request: request.id, reason });
             }
             ahead.run_s += request.expected_run_s * self.slowdown;
             ahead.requests += 1.0;
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -1,5 +1,5 @@
-//! Scheduling: in which order requests run, how many run at once, and which ones can't succeed any more. These rules are
-//! ours; the paper leaves them open.
+//! Scheduling: in which order requests run, how many run at once, and which ones can't succeed any more.
+//! These rules are ours; the paper leaves them open.
 
 use crate::Duration;
 
--- a/src/scheduling/next_runnable.rs
+++ b/src/scheduling/next_runnable.rs
@@ -31,12 +31,12 @@
     pub(crate) fn choose(&self, requests: &RequestTable) -> Option<RequestId> {
         let short = self.first_in_queue(requests, RunLength::Short);
         let long = self.first_in_queue(requests, RunLength::Long);
-        let (Some((short_id, short)), Some((long_id, long))) = (short, long) else {
-            return short.or(long).map(|(id, _)| id);
+        let (Some(short), Some(long)) = (short, long) else {
+            return short.or(long).map(|request| request.id);
         };
         let is_long_better = queue_order::compare(long, short).is_lt();
         let runs_long = is_long_better && self.may_start_long_run(requests);
-        Some(if runs_long { long_id } else { short_id })
+        Some(if runs_long { long.id } else { short.id })
     }
 
     fn may_start_long_run(&self, requests: &RequestTable) -> bool {
@@ -44,12 +44,8 @@
         (long_runs.count() as f64) < self.cores * MAX_LONG_RUN_SHARE_OF_CORES
     }
 
-    fn first_in_queue<'r>(
-        &self,
-        requests: &'r RequestTable,
-        length: RunLength,
-    ) -> Option<(RequestId, &'r Request)> {
-        requests.queue(length).find(|(_, request)| self.is_runnable(request))
+    fn first_in_queue<'r>(&self, requests: &'r RequestTable, length: RunLength) -> Option<&'r Request> {
+        requests.queue(length).find(|request| self.is_runnable(request))
     }
 
     fn is_runnable(&self, request: &Request) -> bool {
--- a/src/scheduling/queue_order.rs
+++ b/src/scheduling/queue_order.rs
@@ -1,4 +1,5 @@
-//! The order of the run queues: value per expected work, in steps, so that near equals run by their objectives.
+//! The order of the run queues: value per expected work, in steps, so that near equals run by their
+//! objectives.
 
 use crate::config::settings::ValueUnit;
 use crate::request::Request;
@@ -25,8 +26,8 @@
 }
 
 impl RequestValue {
-    /// The rank: the logarithm of value per expected work, in whole steps. Where the operator counts value by work,
-    /// requests of any length are worth the same per unit of work.
+    /// The rank: the logarithm of value per expected work, in whole steps. Where the operator counts value by
+    /// work, requests of any length are worth the same per unit of work.
     pub(crate) fn rank(&self) -> f64 {
         let session_factor = if self.has_active_session { ACTIVE_SESSION_FACTOR } else { 1.0 };
         let weight = self.priority_weight * session_factor;
@@ -38,7 +39,8 @@
     }
 }
 
-/// Which of two requests runs first: paused ones, then the higher rank, the earlier objective, the earlier arrival.
+/// Which of two requests runs first: paused ones, then the higher rank, the earlier objective, the earlier
+/// arrival.
 pub(crate) fn compare(a: &Request, b: &Request) -> Ordering {
     let by_pause = b.is_paused().cmp(&a.is_paused());
     let by_rank = b.rank.total_cmp(&a.rank);
--- a/src/scheduling/slowdown.rs
+++ b/src/scheduling/slowdown.rs
@@ -1,8 +1,8 @@
 //! The slowdown factor: how much longer than expected runs take now.
 //!
-//! Guards against a slow or hung server, whose queue would be late before its first late response; and against rejecting
-//! for long after it has recovered, since each class learns from its own runs only. Many small requests in a row can pass
-//! for a fast server.
+//! Guards against a slow or hung server, whose queue would be late before its first late response; and
+//! against rejecting for long after it has recovered, since each class learns from its own runs only. Many
+//! small requests in a row can pass for a fast server.
 
 use crate::Timestamp;
 use crate::request::Request;
@@ -26,8 +26,8 @@
         self.ratios.push(run_s / expected_run_s);
     }
 
-    /// The factor now: above 1 by the median of the cores, free ones counting as on time, so that one costly run is no
-    /// slow server; else below 1 by the last runs.
+    /// The factor now: above 1 by the median of the cores, free ones counting as on time, so that one costly
+    /// run is no slow server; else below 1 by the last runs.
     pub(crate) fn factor(&self, now: Timestamp, cores: f64, requests: &RequestTable) -> f64 {
         let free_cores = (cores as usize).saturating_sub(requests.running().count());
         let ratios = requests
--- a/src/scheduling/warm_up.rs
+++ b/src/scheduling/warm_up.rs
@@ -25,7 +25,8 @@
         self.is_warming_up
     }
 
-    /// The part of a warm server's concurrency limit that is allowed now: grows evenly from the initial share to 1.
+    /// The part of a warm server's concurrency limit that is allowed now: grows evenly from the initial share
+    /// to 1.
     pub(crate) fn allowed_share(&self, now: Timestamp, settings: &ControllerSettings) -> f64 {
         let initial = settings.warm_up_initial_share;
         let progress = (now - self.started_at).secs() / settings.warm_up.secs().max(MIN_WARM_UP_S);
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -1,7 +1,7 @@
 //! Sliding windows of samples and the figures worked out from them on demand.
 //!
-//! A window keeps the newest `CAPACITY` samples. Sums run from the oldest sample to the newest, so that the same samples
-//! always give the same figure.
+//! A window keeps the newest `CAPACITY` samples. Sums run from the oldest sample to the newest, so that the
+//! same samples always give the same figure.
 
 use std::collections::VecDeque;
 
@@ -78,7 +78,8 @@
     Some((sorted[(sorted.len() - 1) / 2] * upper).sqrt())
 }
 
-/// How many equal weights would be as uneven as these (the inverse of their Herfindahl index); 1 without weights.
+/// How many equal weights would be as uneven as these (the inverse of their Herfindahl index); 1 without
+/// weights.
 pub(crate) fn effective_count(weights: impl Iterator<Item = f64>) -> f64 {
     let (sum, squares) =
         weights.fold((0.0, 0.0), |(sum, squares), weight| (sum + weight, squares + weight * weight));
--- a/src/tenant_quota.rs
+++ b/src/tenant_quota.rs
@@ -22,8 +22,8 @@
 }
 
 impl TenantTraffic {
-    /// Records a request of a tenant with a quota and returns the factor on its value. `quota_per_s` is this server's
-    /// part of the quota, `over_quota_value` the value of a request past the quota, of one within.
+    /// Records a request of a tenant with a quota and returns the factor on its value. `quota_per_s` is this
+    /// server's part of the quota, `over_quota_value` the value of a request past the quota, of one within.
     pub(crate) fn record(
         &mut self,
         now: Timestamp,
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,65 +1,93 @@
-//! Points in time and spans, both in whole microseconds; only sums that make sense compile.
+//! Timestamps and durations in whole microseconds. Sums and differences saturate instead of overflowing.
 
 use std::ops::{Add, Sub};
 
+/// Microseconds of a millisecond.
+const US_PER_MS: u64 = 1000;
+/// Microseconds of a second.
+const US_PER_S: f64 = 1e6;
+
+/// A point in time, in microseconds of the clock that the host uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Timestamp(u64);
 
+/// A length of time, in microseconds; never negative.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Duration(u64);
 
 impl Timestamp {
+    /// The timestamp this many microseconds after zero.
     pub const fn from_us(us: u64) -> Self {
         Self(us)
     }
+
+    /// Microseconds since zero.
     pub const fn us(self) -> u64 {
         self.0
     }
+
+    /// The timestamp this much earlier; zero at the earliest.
     pub const fn back(self, by: Duration) -> Self {
         Self(self.0.saturating_sub(by.0))
     }
 }
 
 impl Duration {
+    /// No time at all.
     pub const ZERO: Self = Self(0);
+
+    /// A duration of whole microseconds.
     pub const fn from_us(us: u64) -> Self {
         Self(us)
     }
+
+    /// A duration of whole milliseconds.
     pub const fn from_ms(ms: u64) -> Self {
-        Self(ms * 1000)
+        Self(ms * US_PER_MS)
     }
+
+    /// A duration in seconds, cut to whole microseconds; zero for a negative number, the longest for
+    /// infinity.
     pub fn from_secs(secs: f64) -> Self {
-        Self((secs * 1e6) as u64)
+        Self((secs * US_PER_S) as u64)
     }
+
+    /// Whole microseconds.
     pub const fn us(self) -> u64 {
         self.0
     }
+
+    /// Seconds.
     pub const fn secs(self) -> f64 {
-        self.0 as f64 / 1e6
+        self.0 as f64 / US_PER_S
     }
+
+    /// This duration times a factor, cut to whole microseconds.
     pub fn scaled(self, by: f64) -> Self {
         Self((self.0 as f64 * by) as u64)
     }
 }
 
-/// Moments of the Unix clock on a line that goes on evenly, whoever sets that clock: waits, windows and limits
-/// go by the line, which begins at the Unix time of its making; what others stamp is laid on it by its age.
+/// A monotonic timeline of Unix timestamps. It starts at the Unix time of its creation and advances evenly,
+/// whoever sets the Unix clock; timestamps of others are placed on it by their age.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Timeline {
     began: Timestamp,
 }
 
 impl Timeline {
+    /// A timeline that starts now, at this Unix time.
     pub fn new(unix: Timestamp) -> Self {
         Self { began: unix }
     }
 
-    /// So long after its making by a clock that nobody sets.
+    /// The timestamp after this time on a monotonic clock.
     pub fn at(self, since: Duration) -> Timestamp {
         self.began + since
     }
 
-    /// Where a stamp of the Unix clock stands, when that clock says `unix` and the line `now`.
+    /// Places a timestamp of the Unix clock on the timeline, when that clock shows `unix` and the timeline
+    /// `now`.
     pub fn stamped(now: Timestamp, unix: Timestamp, stamp: Timestamp) -> Timestamp {
         if stamp > unix { now + (stamp - unix) } else { now.back(unix - stamp) }
     }
@@ -72,7 +100,7 @@
     }
 }
 
-/// The span from `rhs` to `self`; zero when `rhs` is the later one.
+/// The time from `rhs` to `self`; zero when `rhs` is the later one.
 impl Sub for Timestamp {
     type Output = Duration;
     fn sub(self, rhs: Timestamp) -> Duration {
