--- a/crates/hazelspur-adapter/src/main.rs
+++ b/crates/hazelspur-adapter/src/main.rs
@@ -7,12 +7,10 @@
 };
 use hazelspur_parsers::{Json, settings};
 use std::any::Any;
-use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
-use std::rc::Rc;
 use wire::Fields;
 
 /// The instances, and what has been read of the batch in hand.
@@ -129,10 +127,8 @@
                 let seed = fields.need("salt")?;
                 let info = fields.rest("boot-info").ok_or("field boot-info is missing")?;
                 let object = Json::parse(info.as_bytes()).ok_or("field boot-info is unreadable")?;
-                let catalog = settings::catalog(object)?;
-                let cold = catalog.facts.num("server.cold", 0.0) > 0.0;
-                let catalog = Rc::new(RefCell::new(catalog));
-                catch_unwind(AssertUnwindSafe(|| AdmissionController::with(catalog, cold, seed, now)))
+                let catalog = settings::catalog(object).map_err(|error| error.to_string())?;
+                catch_unwind(AssertUnwindSafe(|| AdmissionController::new(catalog, seed, now)))
                     .map_err(|p| panic_text(&*p))
             };
             let controller = start().map_err(|text| Trouble { text, instance: Some(server.into()) })?;
--- a/crates/hazelspur-parsers/src/settings.rs
+++ b/crates/hazelspur-parsers/src/settings.rs
@@ -1,122 +1,152 @@
-//! The settings object in the project's words: each of `lanes` is a request class, each of `orgs` a tenant, all else is
-//! flattened: `family-info.n-cores` becomes `server.cores`, and so on. Each entry is handed on as it is read, so that
-//! the whole is never held twice.
+//! Reads the settings object of the wire. Each of `lanes` is a request class and each of `orgs` a tenant, passed on as it
+//! is read, so that the whole is never in memory twice. All other keys become dotted ones: `family-info.n-cores` is
+//! `server.cores`. `hazelspur::config` maps those to typed figures.
 
 use crate::Json;
-use hazelspur::config::catalog::{Catalog, Entries, EntryOf, MAX_FACTS, MAX_KEYS, take_entry};
-use hazelspur::{Fact, Facts};
+use hazelspur::config::catalog::Catalog;
+use hazelspur::config::entries::{EntryVisitor, MAX_ENTRY_KEYS, check_entry_count, read_entry};
+use hazelspur::config::entry_kind::EntryKind;
+use hazelspur::config::flat_settings::MAX_SETTINGS;
+use hazelspur::{ConfigError, FlatSettings, SettingValue};
 
-/// All of it as a catalog.
-pub fn catalog(object: Json) -> Result<Catalog, String> {
+/// Reads the whole object into a catalog.
+///
+/// # Errors
+/// The first key that breaks a rule.
+pub fn catalog(object: Json) -> Result<Catalog, ConfigError> {
     let mut catalog = Catalog::default();
-    let facts = read(object, &mut catalog)?;
-    catalog.complete(facts)
+    let settings = read(object, &mut catalog)?;
+    catalog.complete(settings)
 }
 
-/// Hands request classes and tenants to who takes them, and gives back all else.
-pub fn read(object: Json, to: &mut impl Entries) -> Result<Facts, String> {
-    let (mut rest, mut tables) = (Flat::new(MAX_FACTS), Vec::new());
+/// Passes request classes and tenants to the visitor and returns all other settings, whose values are not checked yet.
+///
+/// # Errors
+/// A table that stands twice or is too long, an entry that breaks a rule, or too many keys.
+pub fn read(object: Json, visitor: &mut impl EntryVisitor) -> Result<FlatSettings, ConfigError> {
+    let mut others = Flattener::new(MAX_SETTINGS);
+    let mut tables_read = Vec::new();
     for (key, value) in object.fields() {
-        let table = match &*key {
-            "lanes" => EntryOf::OpTypes,
-            "orgs" => EntryOf::Tenants,
-            _ => {
-                rest.take(value, our_name(&key));
-                continue;
-            }
+        let Some(table) = EntryKind::ALL.into_iter().find(|table| table.wire_key() == key) else {
+            others.add(value, dotted_key_part(&key));
+            continue;
         };
-        if tables.contains(&table) {
-            return Err(format!("settings.{key}: there twice"));
-        }
-        tables.push(table);
-        table.fits(value.items().count())?;
-        for (at, entry) in value.items().enumerate() {
-            let mut of = Flat::new(MAX_KEYS);
-            of.take(entry, String::new());
-            take_entry(to, table, at, &of.done(&format!("settings.{key}.{at}"))?)?;
+        if tables_read.contains(&table) {
+            return Err(ConfigError::DuplicateTable { table });
         }
+        tables_read.push(table);
+        read_table(value, table, visitor)?;
     }
-    rest.done("settings")
+    others.finish("settings")
 }
 
-/// The whole object as a plain map of dotted names, `most` at most.
-pub fn facts(object: Json, most: usize) -> Result<Facts, String> {
-    let mut flat = Flat::new(most);
-    flat.take(object, String::new());
-    flat.done("settings")
+fn read_table(array: Json, table: EntryKind, visitor: &mut impl EntryVisitor) -> Result<(), ConfigError> {
+    check_entry_count(table, array.items().count())?;
+    for (index, object) in array.items().enumerate() {
+        let mut entry = Flattener::new(MAX_ENTRY_KEYS);
+        entry.add(object, String::new());
+        let path = format!("settings.{}.{index}", table.wire_key());
+        read_entry(visitor, table, index, &entry.finish(&path)?)?;
+    }
+    Ok(())
 }
 
-/// Figures by their dotted names; past the most they are counted and not held.
-struct Flat {
-    facts: Facts,
-    most: usize,
-    over: usize,
+/// Collects values by dotted key; keys past the bound are counted, not stored.
+struct Flattener {
+    settings: FlatSettings,
+    max_keys: usize,
+    excess_keys: usize,
 }
 
-impl Flat {
-    fn new(most: usize) -> Self {
-        Self { facts: Facts::default(), most, over: 0 }
+impl Flattener {
+    fn new(max_keys: usize) -> Self {
+        Self { settings: FlatSettings::default(), max_keys, excess_keys: 0 }
     }
 
-    fn take(&mut self, value: Json, name: String) {
-        let below = |part: &str| if name.is_empty() { part.into() } else { format!("{name}.{part}") };
+    /// Adds a value, and all below it, under a dotted key. Nulls count as absent.
+    fn add(&mut self, value: Json, key: String) {
         if value.is_object() {
-            return value.fields().for_each(|(key, v)| self.take(v, below(&our_name(&key))));
-        }
-        if value.is_array() {
-            return value.items().enumerate().for_each(|(i, v)| self.take(v, below(&i.to_string())));
+            for (part, below) in value.fields() {
+                self.add(below, join(&key, &dotted_key_part(&part)));
+            }
+        } else if value.is_array() {
+            for (index, below) in value.items().enumerate() {
+                self.add(below, join(&key, &index.to_string()));
+            }
+        } else if let Some(value) = setting_value(value) {
+            self.insert(key, value);
         }
-        let fact = match (value.text(), value.flag()) {
-            (Some(text), _) => Fact::Text(our_word(&text).into()),
-            (None, Some(flag)) => Fact::Num(f64::from(u8::from(flag))),
-            _ if value.is_null() => return,
-            _ => Fact::Num(value.number().unwrap_or(f64::NAN)),
-        };
-        if self.facts.0.len() >= self.most && !self.facts.has(&name) {
-            self.over += 1;
+    }
+
+    fn insert(&mut self, key: String, value: SettingValue) {
+        if self.settings.len() >= self.max_keys && !self.settings.contains(&key) {
+            self.excess_keys += 1;
         } else {
-            self.facts.0.insert(name, fact);
+            self.settings.insert(key, value);
         }
     }
 
-    fn done(self, at: &str) -> Result<Facts, String> {
-        match self.over {
-            0 => Ok(self.facts),
-            over => Err(format!("{at}: {} figures, {} at most", self.most + over, self.most)),
+    /// All that was added; `path` is the object's place for the error of too many keys.
+    fn finish(self, path: &str) -> Result<FlatSettings, ConfigError> {
+        if self.excess_keys > 0 {
+            let count = self.max_keys + self.excess_keys;
+            return Err(ConfigError::TooManyKeys { path: path.to_string(), count, max: self.max_keys });
         }
+        Ok(self.settings)
     }
 }
 
-fn our_name(key: &str) -> String {
-    match key {
-        "lanes" => "op_types".into(),
-        "aim-us" => "target_latency_us".into(),
-        "aim-stretch" => "target_stretch".into(),
-        "deadline-us" => "op_timeout_us".into(),
-        "semantics" => "repeats".into(),
-        "memory-span-us" => "window_us".into(),
-        "family-info" => "server".into(),
-        "n-cores" => "cores".into(),
-        "mem-limit-kb" => "memory_kb".into(),
-        "stop-mode" => "stop".into(),
-        "say" => "value".into(),
-        "share-for-us" => "share_reads_us".into(),
-        "calls-out" => "calls_bound".into(),
-        "class-skip-worth" => "skip_worth".into(),
-        "fall-multiple" => "crowd_multiple".into(),
-        "overload-for-us" => "crowd_over_us".into(),
-        "orgs" => "tenants".into(),
-        "quota-rps" => "quota_per_s".into(),
-        _ => key.replace('-', "_"),
+fn join(key: &str, part: &str) -> String {
+    if key.is_empty() { part.to_string() } else { format!("{key}.{part}") }
+}
+
+/// The value of a text, flag or number; none of a null. A number that does not fit counts as no number.
+fn setting_value(value: Json) -> Option<SettingValue> {
+    if let Some(text) = value.text() {
+        return Some(SettingValue::Text(setting_word(&text).to_string()));
+    }
+    if let Some(flag) = value.flag() {
+        return Some(SettingValue::Number(f64::from(u8::from(flag))));
     }
+    if value.is_null() {
+        return None;
+    }
+    Some(SettingValue::Number(value.number().unwrap_or(f64::NAN)))
+}
+
+/// The part of a dotted key that a key of the wire stands for.
+fn dotted_key_part(wire_key: &str) -> String {
+    let part = match wire_key {
+        "lanes" => "op_types",
+        "aim-us" => "target_latency_us",
+        "aim-stretch" => "target_stretch",
+        "deadline-us" => "op_timeout_us",
+        "semantics" => "repeats",
+        "memory-span-us" => "window_us",
+        "family-info" => "server",
+        "n-cores" => "cores",
+        "mem-limit-kb" => "memory_kb",
+        "stop-mode" => "stop",
+        "say" => "value",
+        "share-for-us" => "share_reads_us",
+        "calls-out" => "calls_bound",
+        "class-skip-worth" => "skip_worth",
+        "fall-multiple" => "crowd_multiple",
+        "overload-for-us" => "crowd_over_us",
+        "orgs" => "tenants",
+        "quota-rps" => "quota_per_s",
+        other => return other.replace('-', "_"),
+    };
+    part.to_string()
 }
 
-fn our_word(text: &str) -> &str {
-    match text {
+/// The word of the settings that a word of the wire stands for.
+fn setting_word(wire_word: &str) -> &str {
+    match wire_word {
         "safe" => "retryable",
         "unsafe" => "non-retryable",
         "silent" => "none",
         "request" => "op",
-        _ => text,
+        other => other,
     }
 }
--- a/crates/hazelspur-parsers/tests/texts.rs
+++ b/crates/hazelspur-parsers/tests/texts.rs
@@ -1,7 +1,7 @@
 //! What the parsers make of whole, cut and broken texts.
 
 use hazelspur_parsers::rpc::RpcId;
-use hazelspur_parsers::{Buffer, Json, http, rpc, runtime, settings};
+use hazelspur_parsers::{Buffer, Json, http, rpc, runtime};
 use std::fmt::Write;
 
 #[test]
@@ -52,24 +52,6 @@
     .assert_eq(&seen);
 }
 
-#[test]
-fn settings_come_out_flat_and_in_our_words() {
-    let text = r#"{"lanes":[{"aim-us":1800000,"semantics":"safe"}],"family-info":{"n-cores":6,"cold":true,
-        "below":"silent","new":null,"odd":1e999},"orgs":[{"quota-rps":49.0}]}"#;
-    let facts = settings::facts(Json::parse(text.as_bytes()).expect("good"), 8).expect("few");
-    let seen: String = facts.0.iter().map(|(name, fact)| format!("{name} {fact:?}\n")).collect();
-    expect_test::expect![[r#"
-        op_types.0.repeats Text("retryable")
-        op_types.0.target_latency_us Num(1800000.0)
-        server.below Text("none")
-        server.cold Num(1.0)
-        server.cores Num(6.0)
-        server.odd Num(NaN)
-        tenants.0.quota_per_s Num(49.0)
-    "#]]
-    .assert_eq(&seen);
-}
-
 #[derive(Default)]
 struct Heard(String);
 
--- a/crates/hazelspur-server/src/config/reload.rs
+++ b/crates/hazelspur-server/src/config/reload.rs
@@ -8,7 +8,7 @@
 use crate::ingress::queues::Queues;
 use crate::request::dispatcher::Dispatcher;
 use crate::upstream::peers::Peers;
-use hazelspur::config::change::{Change, Edit};
+use hazelspur::config::change::{Change, Edit, EditCounts};
 use hazelspur::{Catalog, RequestClass, Tenant};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -121,10 +121,10 @@
         }
         if !change.is_empty() {
             self.named.borrow().check(change)?;
-            let changed = self.dispatcher.change(&self.catalog, change)?;
-            let each = |[new, altered, gone]: [usize; 3]| format!("+{new} ~{altered} -{gone}");
+            let changed = self.dispatcher.change(&self.catalog, change).map_err(|error| error.to_string())?;
+            let each = |n: EditCounts| format!("+{} ~{} -{}", n.added, n.replaced, n.removed);
             let (request_classes, tenants) = (each(changed.request_classes), each(changed.tenants));
-            log::info!(op_types = request_classes, tenants, figures = changed.facts; "settings changed");
+            log::info!(op_types = request_classes, tenants, figures = changed.settings; "settings changed");
         }
         let differ = self.running.fixed_keys_that_differ(new);
         if !differ.is_empty() {
--- a/crates/hazelspur-server/src/config/startup.rs
+++ b/crates/hazelspur-server/src/config/startup.rs
@@ -4,9 +4,9 @@
 use crate::ingress::requests::{LONG_PAST, TIMEOUT_SLACK};
 use crate::request::deduplication::Deduplication;
 use crate::upstream::peers::Addresses;
-use hazelspur::config::catalog::{Entries, Gathered};
-use hazelspur::config::change::Difference;
-use hazelspur::{Catalog, Change, Duration, Facts};
+use hazelspur::config::difference::Difference;
+use hazelspur::config::entries::{EntryVisitor, GatheredEntries};
+use hazelspur::{Catalog, Change, ConfigError, ControllerSettings, Duration, FlatSettings};
 use hazelspur_parsers::{Json, settings};
 use std::io::Read;
 use std::net::SocketAddr;
@@ -38,7 +38,7 @@
 impl Startup {
     /// A part of the memory for results; what is read later than any caller waits repeats nothing.
     pub fn deduplication(&self, catalog: &Catalog) -> Deduplication {
-        let read_late = catalog.longest_timeout().scaled(TIMEOUT_SLACK) + LONG_PAST;
+        let read_late = catalog.max_request_timeout().scaled(TIMEOUT_SLACK) + LONG_PAST;
         Deduplication::new(self.coalesce_for, read_late, self.memory / RESULTS_PART)
     }
 
@@ -64,31 +64,31 @@
 pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<(Startup, Catalog), String> {
     let text = text(&variable)?;
     let mut catalog = Catalog::default();
-    let (startup, facts) = check(&text, variable, &mut catalog)?;
-    if catalog.size().0 == 0 {
+    let (startup, flat) = check(&text, variable, &mut catalog)?;
+    if catalog.request_class_count() == 0 {
         return Err("settings.lanes: missing or empty".into());
     }
-    Ok((startup, catalog.complete(facts).map_err(settings_at)?))
+    Ok((startup, catalog.complete(flat).map_err(settings_at)?))
 }
 
 /// A file that was read again, on whatever thread.
 pub struct Reread {
     startup: Startup,
-    entries: Gathered,
-    facts: Facts,
+    entries: GatheredEntries,
+    flat: FlatSettings,
 }
 
 pub fn reread(variable: impl Fn(&str) -> Option<String>) -> Result<Reread, String> {
     let text = text(&variable)?;
-    let mut entries = Gathered::default();
-    let (startup, facts) = check(&text, variable, &mut entries)?;
-    Ok(Reread { startup, entries, facts })
+    let mut entries = GatheredEntries::default();
+    let (startup, flat) = check(&text, variable, &mut entries)?;
+    Ok(Reread { startup, entries, flat })
 }
 
 impl Reread {
     /// What it says of this server, and what its settings change of those in force.
     pub fn against(self, in_force: &Catalog) -> Result<(Startup, Change), String> {
-        let change = Difference::of(in_force, self.entries, &self.facts).map_err(settings_at)?;
+        let change = Difference::of_gathered(in_force, self.entries, &self.flat).map_err(settings_at)?;
         Ok((self.startup, change))
     }
 }
@@ -112,8 +112,8 @@
 fn check(
     text: &[u8],
     variable: impl Fn(&str) -> Option<String>,
-    entries: &mut impl Entries,
-) -> Result<(Startup, Facts), String> {
+    entries: &mut impl EntryVisitor,
+) -> Result<(Startup, FlatSettings), String> {
     let all = Json::parse(text).filter(|all| all.is_object()).ok_or("the configuration is no JSON object")?;
     let word = |key: &str, instead: Option<String>| match all.get(key) {
         Some(value) => value.text().map(|t| t.into_owned()).ok_or(format!("{key}: not a string")),
@@ -134,12 +134,10 @@
     number(limit("cores"), "limits.cores", 1.0, 0.01..=1e4)?;
     let memory_mb = number(limit("memory_mb"), "limits.memory_mb", 192.0, 1.0..=1e7)?;
     let settings = all.get("settings").filter(|s| s.is_object()).ok_or("settings: missing or no object")?;
-    let mut facts = settings::read(settings, entries).map_err(settings_at)?;
+    let mut flat = settings::read(settings, entries).map_err(settings_at)?;
     // On sockets no word tells a runtime to go on without its call.
-    facts.0.retain(|name, _| !name.starts_with("server.skip_worth"));
-    let gauge = |i: usize| facts.text(&format!("server.meters.{i}")).to_string();
-    let gauges = (0..facts.0.len()).map(gauge).take_while(|name| !name.is_empty()).collect();
-    let span = |name: &str| Duration::from_us(facts.num(name, 0.0) as u64);
+    flat.remove_degraded_values();
+    let figures = ControllerSettings::from_flat(&flat);
     let seed = match all.get("seed") {
         None => 0,
         Some(seed) => seed
@@ -159,13 +157,14 @@
         stop: Duration::from_secs(number(all.get("stop_ms"), "stop_ms", 3000.0, 1.0..=LONGEST_STOP)? / 1e3),
         sockets: number(limit("sockets"), "limits.sockets", 1024.0, 32.0..=1e7)? as usize,
         memory: (memory_mb * 1024.0 * 1024.0) as usize,
-        gauges,
-        grace: span("rules.drain_grace_us"),
-        coalesce_for: span("server.share_reads_us"),
+        gauges: figures.gauge_names,
+        grace: figures.drain_grace_period,
+        coalesce_for: figures.read_sharing_window,
     };
-    Ok((startup, facts))
+    Ok((startup, flat))
 }
 
-fn settings_at(why: String) -> String {
+fn settings_at(error: ConfigError) -> String {
+    let why = error.to_string();
     if why.starts_with("settings") { why } else { format!("settings: {why}") }
 }
--- a/crates/hazelspur-server/src/ingress/queues.rs
+++ b/crates/hazelspur-server/src/ingress/queues.rs
@@ -733,7 +733,7 @@
             queue,
             message: known.message_id,
             redelivered,
-            repeats: read.as_ref().map(|read| read.terms.repeats).map_err(|ending| *ending),
+            repeats: read.as_ref().map(|read| read.terms.idempotency).map_err(|ending| *ending),
             due,
             reply: known.reply_to.is_some_and(|to| !to.is_empty()),
             tries,
--- a/crates/hazelspur-server/src/main.rs
+++ b/crates/hazelspur-server/src/main.rs
@@ -175,7 +175,8 @@
     };
     let gateways = Rc::new(Gateways::new(services, phases.clone(), catalog.clone(), listener, budget));
     let (name, queued) = (startup.name.as_str(), operator.queues.len());
-    let (request_classes, tenants) = catalog.borrow().size();
+    let request_classes = catalog.borrow().request_class_count();
+    let tenants = catalog.borrow().tenant_count();
     log::info!(name, listen:%, stop_ms = stop.us() / 1000, op_types = request_classes, tenants, queues = queued, connections = budget.gateways,
         calls = budget.calls; "start");
 
--- a/crates/hazelspur-server/src/request/deduplication.rs
+++ b/crates/hazelspur-server/src/request/deduplication.rs
@@ -37,7 +37,7 @@
         op_key: Option<&str>,
         subject: Option<&str>,
     ) -> Option<Self> {
-        let (scope, text) = match terms.repeats {
+        let (scope, text) = match terms.idempotency {
             Idempotency::IdempotentWithKey => (Scope::IdempotentWithKey, op_key?),
             Idempotency::Idempotent => (Scope::Read, subject?),
             Idempotency::NonIdempotent => return None,
--- a/crates/hazelspur-server/src/request/dispatcher.rs
+++ b/crates/hazelspur-server/src/request/dispatcher.rs
@@ -4,9 +4,10 @@
 use crate::clock::Clock;
 use crate::request::deduplication::Deduplication;
 use hazelspur::book::LoadReport;
-use hazelspur::config::change::{Change, Changed};
+use hazelspur::config::change::{Change, ChangeSummary};
 use hazelspur::{
-    AdmissionController, Catalog, Decision, Duration, GuidanceKey, Outcome, RequestId, TenantId, Timestamp,
+    AdmissionController, Catalog, ConfigError, Decision, Duration, GuidanceKey, Outcome, RequestId, TenantId,
+    Timestamp,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -72,14 +73,14 @@
     }
 
     /// Other settings from now on, all of them or none with the key at fault; also before the module is there.
-    pub fn change(&self, catalog: &RefCell<Catalog>, change: &Change) -> Result<Changed, String> {
+    pub fn change(&self, catalog: &RefCell<Catalog>, change: &Change) -> Result<ChangeSummary, ConfigError> {
         let now = self.clock.now();
         let changed = match self.controller.borrow_mut().as_mut() {
             Some(controller) => controller.apply_change(now, change)?,
             None => {
                 let mut catalog = catalog.borrow_mut();
                 catalog.check(now, change)?;
-                catalog.apply(now, change).0
+                catalog.apply(now, change).summary
             }
         };
         self.stirred.notify_one();
--- a/crates/hazelspur-server/src/request/life.rs
+++ b/crates/hazelspur-server/src/request/life.rs
@@ -160,7 +160,7 @@
                     Some(News::Decided(Decision::StartCall { timeout: patience, .. })) => {
                         let (services, request, wanted) = (services.clone(), self.request, wanted.clone());
                         // Only what is retryable is called again though it may have run.
-                        let fresh = repeated || self.terms.repeats != Idempotency::Idempotent;
+                        let fresh = repeated || self.terms.idempotency != Idempotency::Idempotent;
                         call = Box::pin(async move {
                             services
                                 .ledger
--- a/crates/hazelspur-simulator/src/capacity/constants.rs
+++ b/crates/hazelspur-simulator/src/capacity/constants.rs
@@ -16,7 +16,7 @@
     Constant { file, name, text, value }
 }
 
-const CATALOG: &str = "src/catalog.rs";
+const ENTRY_KIND: &str = "src/config/entry_kind.rs";
 const CONTROL: &str = "crates/hazelspur-server/src/upstream/control.rs";
 const DESCRIPTORS: &str = "crates/hazelspur-server/src/config/descriptors.rs";
 const GATE: &str = "crates/hazelspur-fleet/src/gate.rs";
@@ -52,10 +52,10 @@
 pub const SEEN: Constant = constant("src/book.rs", "SEEN_KEPT", "pub const SEEN_KEPT: usize = 4096;", 4096.0);
 /// Op types that are held.
 pub const OP_TYPES: Constant =
-    constant(CATALOG, "MAX_OP_TYPES", "pub const MAX_OP_TYPES: usize = 17_400;", 17_400.0);
+    constant(ENTRY_KIND, "MAX_REQUEST_CLASSES", "pub const MAX_REQUEST_CLASSES: usize = 17_400;", 17_400.0);
 /// Tenants that are held.
 pub const TENANTS: Constant =
-    constant(CATALOG, "MAX_TENANTS", "pub const MAX_TENANTS: usize = 84_000;", 84_000.0);
+    constant(ENTRY_KIND, "MAX_TENANTS", "pub const MAX_TENANTS: usize = 84_000;", 84_000.0);
 /// Tenants, and op types, of which something learned is kept.
 pub const LEARNED: Constant =
     constant("src/book.rs", "LEARNED_KEPT", "pub const LEARNED_KEPT: usize = 4096;", 4096.0);
--- a/crates/hazelspur-simulator/src/capacity/rows.rs
+++ b/crates/hazelspur-simulator/src/capacity/rows.rs
@@ -194,8 +194,8 @@
 const REPORT: &str = "crates/hazelspur-server/src/upstream/control.rs report";
 const RELOAD: &str = "crates/hazelspur-server/src/config/reload.rs Reloader";
 const CHECK: &str = "crates/hazelspur-server/src/config/startup.rs Startup";
-const CATALOG: &str = "src/catalog.rs Catalog";
-const TABLE: &str = "src/catalog.rs Table";
+const CATALOG: &str = "src/config/catalog.rs Catalog";
+const TABLE: &str = "src/config/table.rs Table";
 const LATELY: &str = "src/book.rs Lately";
 const LOGIC: &str = "src/logic.rs Logic";
 const DAY_S: f64 = 86_400.0;
@@ -249,12 +249,12 @@
         )
         .formula("one entry for each op type; past the bound the start is refused")
         .computed(FILE.to_string() + " op_types", 1.0, 0.0)
-        .within(code::OP_TYPES.value, "catalog.rs, MAX_OP_TYPES")
+        .within(code::OP_TYPES.value, "entry_kind.rs, MAX_REQUEST_CLASSES")
         .by_mechanism(CATALOG),
         row(Server, "server.settings.tenants", "tenants that a start takes", "entries", tenants)
             .formula("one entry for each tenant; past the bound the start is refused")
             .computed(FILE.to_string() + " tenants", 1.0, 0.0)
-            .within(code::TENANTS.value, "catalog.rs, MAX_TENANTS")
+            .within(code::TENANTS.value, "entry_kind.rs, MAX_TENANTS")
             .by_mechanism(CATALOG),
         row(Server, "server.settings.file", "the file that is read", "B", tenants)
             .formula("bytes of the file by tenants, with op types in the same proportion")
@@ -478,7 +478,7 @@
             .rests_on(&["config.in_force"]),
         row(Configuration, "config.overlap", "two revisions at once are safe", "kinds", servers)
             .formula("for each kind of key what old and new can do together")
-            .no_mechanism("for one server alone: src/change.rs Change")
+            .no_mechanism("for one server alone: src/config/change.rs Change")
             .rests_on(&["config.in_force"]),
         row(Configuration, "config.staged", "roll-out in stages, judged by figures", "stages", servers)
             .formula("a part of the servers first")
--- a/crates/hazelspur-simulator/src/drive/mod.rs
+++ b/crates/hazelspur-simulator/src/drive/mod.rs
@@ -11,10 +11,11 @@
 use crate::models::list::{List, REPORT_EVERY};
 use crate::network::{Cut, Network};
 use crate::town::START;
+use hazelspur::config::entries::EntryVisitor;
 use hazelspur::pcg::Pcg;
 use hazelspur::{
-    AdmissionController, ClientId, Decision, Duration, Fact, Facts, NewRequest, Outcome, RequestClassId,
-    RequestId, TenantId, Timestamp,
+    AdmissionController, Catalog, ClientId, ControllerSettings, Decision, Duration, Idempotency, NewRequest,
+    Outcome, RequestClass, RequestClassId, RequestId, TenantId, Timestamp,
 };
 use hazelspur_fleet::Datagram;
 use std::collections::BTreeMap;
@@ -217,30 +218,36 @@
     pub figures: Figures,
 }
 
-fn facts(plan: &Plan) -> Facts {
-    let mut facts = Facts::default();
-    let mut num = |name: &str, n: f64| facts.0.insert(name.into(), Fact::Num(n));
-    num("servers", plan.servers as f64);
-    num("server.cores", plan.cores);
-    num("server.memory_kb", 1e6);
-    num("server.run_factor", 8.0);
-    num("server.calls_bound", plan.slots_each);
-    num("server.calls_over_us", 5e6);
-    num("rules.crowd_multiple", 8.0);
-    num("rules.cold_share", 0.2);
-    num("rules.cold_us", 10e6);
-    num("limits.retry_after", 1.0);
-    num("limits.max_retry_after_us", 1e6);
-    for (i, priority_weight) in [1.0, 3.0].into_iter().enumerate() {
-        num(&format!("op_types.{i}.target_latency_us"), 1e6);
-        num(&format!("op_types.{i}.op_timeout_us"), 2e6);
-        num(&format!("op_types.{i}.importance"), priority_weight);
+/// The configuration of each simulated server: two request classes, one idempotent and one not.
+fn catalog(plan: &Plan, cold: bool) -> Catalog {
+    let settings = ControllerSettings {
+        servers: plan.servers as f64,
+        cores: plan.cores,
+        memory_kb: 1e6,
+        run_memory_factor: 8.0,
+        starts_cold: cold,
+        call_concurrency_limit: plan.slots_each,
+        call_overload_tolerance: Duration::from_ms(5000),
+        concurrency_limit_per_core: 8.0,
+        warm_up_initial_share: 0.2,
+        warm_up: Duration::from_ms(10_000),
+        retry_after_supported: true,
+        max_retry_after: Duration::from_ms(1000),
+        ..ControllerSettings::default()
+    };
+    let request_class = |priority_weight: f64, idempotency: Idempotency| RequestClass {
+        latency_objective: Duration::from_ms(1000),
+        request_timeout: Duration::from_ms(2000),
+        priority_weight,
+        idempotency,
+        ..RequestClass::default()
+    };
+    let mut catalog = Catalog::with_settings(settings);
+    for class in [request_class(1.0, Idempotency::Idempotent), request_class(3.0, Idempotency::NonIdempotent)]
+    {
+        catalog.visit_request_class(class).expect("two request classes are within the bound");
     }
-    facts.0.insert("server.stop".into(), Fact::Text("drop".into()));
-    for (i, repeats) in ["retryable", "non-retryable"].into_iter().enumerate() {
-        facts.0.insert(format!("op_types.{i}.repeats"), Fact::Text(repeats.into()));
-    }
-    facts
+    catalog
 }
 
 impl Drive {
@@ -292,12 +299,11 @@
 
     fn start(&mut self, of: usize, cold: bool) {
         let now = self.kernel.now;
-        let mut facts = facts(&self.plan);
-        facts.0.insert("server.cold".into(), Fact::Num(f64::from(u8::from(cold))));
+        let catalog = catalog(&self.plan, cold);
         let seed = u64::from(self.chance.draw()) << 32 | u64::from(self.chance.draw());
         let server = &mut self.servers[of];
         server.life += 1;
-        server.controller = AdmissionController::new(facts, seed, now).ok();
+        server.controller = Some(AdmissionController::new(catalog, seed, now));
         let speed = server.cores.speed;
         server.cores = Cores::new(self.plan.cores, 8.0);
         server.cores.speed = speed;
--- a/src/book.rs
+++ b/src/book.rs
@@ -1,6 +1,6 @@
 //! What is written down about requests and request classes, and samples with the figures worked out from them.
 
-use crate::config::catalog::RequestClass;
+use crate::config::request_class::RequestClass;
 use crate::{ClientId, Duration, RequestClassId, RequestId, SessionKey, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
--- /dev/null
+++ b/src/config/entries.rs
@@ -0,0 +1,235 @@
+//! Reads the entries of the settings, request classes and tenants, from their dotted keys and passes each one to an
+//! `EntryVisitor`: the catalog at the start, the comparison with the catalog in force at a reload.
+
+use crate::Duration;
+use crate::config::entry_kind::EntryKind;
+use crate::config::error::ConfigError;
+use crate::config::flat_settings::{FlatSettings, SettingValue, check_value};
+use crate::config::request_class::{DEFAULT_TIMEOUT_OBJECTIVES, Idempotency, RequestClass};
+use crate::config::table::MAX_NAME_BYTES;
+use crate::config::tenant::Tenant;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+/// The most keys of one request class or tenant, unknown ones included.
+pub const MAX_ENTRY_KEYS: usize = 64;
+
+/// The keys of a request class.
+const REQUEST_CLASS_KEYS: [&str; 8] = [
+    "name",
+    "target_latency_us",
+    "target_stretch",
+    "op_timeout_us",
+    "importance",
+    "late_worth",
+    "repeats",
+    "window_us",
+];
+/// Ends of a request class's keys whose value must be a number.
+const REQUEST_CLASS_NUMBERS: [&str; 4] = ["_us", ".target_stretch", ".importance", ".late_worth"];
+/// The keys of a tenant.
+const TENANT_KEYS: [&str; 2] = ["name", "quota_per_s"];
+/// Ends of a tenant's keys whose value must be a number.
+const TENANT_NUMBERS: [&str; 1] = [".quota_per_s"];
+
+/// Takes request classes and tenants as they are read, in their order.
+pub trait EntryVisitor {
+    /// Takes a request class.
+    fn visit_request_class(&mut self, class: RequestClass) -> Result<(), ConfigError>;
+    /// Takes a tenant.
+    fn visit_tenant(&mut self, tenant: Tenant) -> Result<(), ConfigError>;
+    /// Takes the dotted key of an entry that nothing here reads, without the entry's index.
+    fn visit_unknown_key(&mut self, key: &str) -> Result<(), ConfigError>;
+}
+
+/// Entries that were read on another thread, to be compared later.
+#[derive(Clone, Debug, Default)]
+pub struct GatheredEntries {
+    pub(crate) request_classes: Vec<RequestClass>,
+    pub(crate) tenants: Vec<Tenant>,
+    pub(crate) unknown_keys: UnknownKeys,
+}
+
+impl EntryVisitor for GatheredEntries {
+    fn visit_request_class(&mut self, class: RequestClass) -> Result<(), ConfigError> {
+        self.request_classes.push(class);
+        check_entry_count(EntryKind::RequestClasses, self.request_classes.len())
+    }
+
+    fn visit_tenant(&mut self, tenant: Tenant) -> Result<(), ConfigError> {
+        self.tenants.push(tenant);
+        check_entry_count(EntryKind::Tenants, self.tenants.len())
+    }
+
+    fn visit_unknown_key(&mut self, key: &str) -> Result<(), ConfigError> {
+        self.unknown_keys.insert(key);
+        Ok(())
+    }
+}
+
+/// The first `MAX_ENTRY_KEYS` unknown keys of entries.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct UnknownKeys(BTreeSet<String>);
+
+impl UnknownKeys {
+    pub(crate) fn insert(&mut self, key: &str) {
+        if self.0.len() < MAX_ENTRY_KEYS {
+            self.0.insert(key.to_string());
+        }
+    }
+
+    pub(crate) fn contains(&self, key: &str) -> bool {
+        self.0.contains(key)
+    }
+
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &str> {
+        self.0.iter().map(String::as_str)
+    }
+}
+
+/// Refuses more entries of a kind than a configuration may have.
+pub fn check_entry_count(table: EntryKind, count: usize) -> Result<(), ConfigError> {
+    let max = table.max_count();
+    if count <= max { Ok(()) } else { Err(ConfigError::TooManyEntries { table, count, max }) }
+}
+
+/// Reads the entry at an index of its table from its own keys and passes it to the visitor.
+pub fn read_entry(
+    visitor: &mut impl EntryVisitor,
+    table: EntryKind,
+    index: usize,
+    entry: &FlatSettings,
+) -> Result<(), ConfigError> {
+    let known_keys: &[&str] = match table {
+        EntryKind::RequestClasses => &REQUEST_CLASS_KEYS,
+        EntryKind::Tenants => &TENANT_KEYS,
+    };
+    let table_key = table.dotted_key();
+    if let Some((key, _)) = entry.iter().find(|(key, _)| is_unknown(known_keys, key)) {
+        visitor.visit_unknown_key(&format!("{table_key}.{key}"))?;
+    }
+    let path = format!("{table_key}.{index}");
+    match table {
+        EntryKind::RequestClasses => visitor.visit_request_class(request_class(entry, &path)?),
+        EntryKind::Tenants => visitor.visit_tenant(tenant(entry, &path)?),
+    }
+}
+
+/// Passes the entries of a map of dotted keys, such as `op_types.0.importance`, to the visitor and returns all other
+/// keys.
+pub fn read_flat_entries(
+    visitor: &mut impl EntryVisitor,
+    settings: FlatSettings,
+) -> Result<FlatSettings, ConfigError> {
+    let mut others = FlatSettings::default();
+    let mut request_classes: BTreeMap<usize, FlatSettings> = BTreeMap::new();
+    let mut tenants: BTreeMap<usize, FlatSettings> = BTreeMap::new();
+    for (key, value) in settings {
+        let Some(entry_key) = EntryKey::parse(&key) else {
+            others.insert(key, value);
+            continue;
+        };
+        let entries = match entry_key.table {
+            EntryKind::RequestClasses => &mut request_classes,
+            EntryKind::Tenants => &mut tenants,
+        };
+        entries.entry(entry_key.index).or_default().insert(entry_key.key.into(), value);
+    }
+    read_table(visitor, EntryKind::RequestClasses, request_classes)?;
+    read_table(visitor, EntryKind::Tenants, tenants)?;
+    Ok(others)
+}
+
+/// A dotted key of an entry, such as `tenants.3.quota_per_s`.
+struct EntryKey<'a> {
+    table: EntryKind,
+    index: usize,
+    key: &'a str,
+}
+
+impl<'a> EntryKey<'a> {
+    fn parse(dotted: &'a str) -> Option<Self> {
+        let (table, below) = dotted.split_once('.')?;
+        let table = EntryKind::from_dotted_key(table)?;
+        let (index, key) = below.split_once('.')?;
+        Some(Self { table, index: index.parse().ok()?, key })
+    }
+}
+
+/// Reads entries by index; the indexes must begin at zero and leave none out.
+fn read_table(
+    visitor: &mut impl EntryVisitor,
+    table: EntryKind,
+    entries: BTreeMap<usize, FlatSettings>,
+) -> Result<(), ConfigError> {
+    check_entry_count(table, entries.len())?;
+    for (expected, (index, entry)) in entries.into_iter().enumerate() {
+        if index != expected {
+            return Err(ConfigError::MissingEntry { table, index: expected });
+        }
+        read_entry(visitor, table, index, &entry)?;
+    }
+    Ok(())
+}
+
+fn request_class(entry: &FlatSettings, path: &str) -> Result<RequestClass, ConfigError> {
+    check_values(entry, path, &REQUEST_CLASS_NUMBERS)?;
+    let Some(objective_us) = entry.number("target_latency_us") else {
+        return Err(ConfigError::MissingKey { key: format!("{path}.target_latency_us") });
+    };
+    let default = RequestClass::default();
+    let number = |key: &str, default: f64| entry.number(key).unwrap_or(default);
+    let duration_us = |key: &str, default_us: f64| Duration::from_us(number(key, default_us) as u64);
+    Ok(RequestClass {
+        name: name(entry, path)?,
+        latency_objective: Duration::from_us(objective_us as u64),
+        latency_objective_per_cost: number("target_stretch", default.latency_objective_per_cost),
+        request_timeout: duration_us("op_timeout_us", objective_us * DEFAULT_TIMEOUT_OBJECTIVES),
+        priority_weight: number("importance", default.priority_weight),
+        late_value: number("late_worth", default.late_value),
+        degraded_value: default.degraded_value,
+        idempotency: idempotency(entry, path)?,
+        deduplication_window: duration_us("window_us", default.deduplication_window.us() as f64),
+    })
+}
+
+fn idempotency(entry: &FlatSettings, path: &str) -> Result<Idempotency, ConfigError> {
+    match entry.text_or_empty("repeats") {
+        "retryable" => Ok(Idempotency::Idempotent),
+        "keyed" => Ok(Idempotency::IdempotentWithKey),
+        "non-retryable" | "" => Ok(Idempotency::NonIdempotent),
+        other => Err(ConfigError::UnknownWord { key: format!("{path}.repeats"), value: other.to_string() }),
+    }
+}
+
+fn tenant(entry: &FlatSettings, path: &str) -> Result<Tenant, ConfigError> {
+    check_values(entry, path, &TENANT_NUMBERS)?;
+    Ok(Tenant { name: name(entry, path)?, quota_per_s: entry.number("quota_per_s") })
+}
+
+fn name(entry: &FlatSettings, path: &str) -> Result<Arc<str>, ConfigError> {
+    let name = entry.text_or_empty("name");
+    if name.len() > MAX_NAME_BYTES {
+        let key = format!("{path}.name");
+        return Err(ConfigError::NameTooLong { key, bytes: name.len(), max_bytes: MAX_NAME_BYTES });
+    }
+    Ok(name.into())
+}
+
+/// Checks each value of an entry, and that keys with one of the ends in `numbers` have no text.
+fn check_values(entry: &FlatSettings, path: &str, numbers: &[&str]) -> Result<(), ConfigError> {
+    for (key, value) in entry.iter() {
+        let key = format!("{path}.{key}");
+        check_value(&key, value)?;
+        let must_be_number = numbers.iter().any(|end| key.ends_with(end));
+        if must_be_number && matches!(value, SettingValue::Text(_)) {
+            return Err(ConfigError::NotANumber { key });
+        }
+    }
+    Ok(())
+}
+
+/// Whether the first part of a key is none of the known ones.
+fn is_unknown(known: &[&str], key: &str) -> bool {
+    !known.contains(&key.split('.').next().unwrap_or(key))
+}
--- /dev/null
+++ b/src/config/flat_settings.rs
@@ -0,0 +1,123 @@
+//! Settings as dotted keys with plain values, such as `server.cores`: what a newer file is compared with, key by key.
+//! `settings` maps the keys to typed figures; nothing else reads a key by its name.
+
+use crate::config::error::ConfigError;
+use std::collections::BTreeMap;
+
+/// The most keys beside request classes and tenants.
+pub const MAX_SETTINGS: usize = 4096;
+
+/// The value of a key.
+#[derive(Clone, Debug, PartialEq)]
+pub enum SettingValue {
+    /// A number; flags are 0 or 1.
+    Number(f64),
+    /// A text.
+    Text(String),
+}
+
+/// Values by dotted key.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct FlatSettings(BTreeMap<String, SettingValue>);
+
+impl FlatSettings {
+    /// Adds a key, or replaces its value.
+    pub fn insert(&mut self, key: String, value: SettingValue) {
+        self.0.insert(key, value);
+    }
+
+    /// Whether the key is present.
+    pub fn contains(&self, key: &str) -> bool {
+        self.0.contains_key(key)
+    }
+
+    /// Number of keys.
+    pub fn len(&self) -> usize {
+        self.0.len()
+    }
+
+    /// Whether there is no key.
+    pub fn is_empty(&self) -> bool {
+        self.0.is_empty()
+    }
+
+    /// Keys and values in the order of the keys.
+    pub fn iter(&self) -> impl Iterator<Item = (&str, &SettingValue)> {
+        self.0.iter().map(|(key, value)| (key.as_str(), value))
+    }
+
+    /// Removes the values of answers without dependency calls (`server.skip_worth`): the host can't skip a call.
+    pub fn remove_degraded_values(&mut self) {
+        self.0.retain(|key, _| !key.starts_with("server.skip_worth"));
+    }
+
+    /// Removes and returns the value of an answer without its dependency call, by index of the request class.
+    pub(crate) fn take_degraded_value(&mut self, class_index: usize) -> Option<f64> {
+        match self.0.remove(&format!("server.skip_worth.{class_index}")) {
+            Some(SettingValue::Number(value)) => Some(value),
+            _ => None,
+        }
+    }
+
+    pub(crate) fn get(&self, key: &str) -> Option<&SettingValue> {
+        self.0.get(key)
+    }
+
+    pub(crate) fn remove(&mut self, key: &str) {
+        self.0.remove(key);
+    }
+
+    /// The number of a key; absent keys and texts have none.
+    pub(crate) fn number(&self, key: &str) -> Option<f64> {
+        match self.0.get(key) {
+            Some(SettingValue::Number(number)) => Some(*number),
+            _ => None,
+        }
+    }
+
+    /// The text of a key; absent keys and numbers have an empty one.
+    pub(crate) fn text_or_empty(&self, key: &str) -> &str {
+        match self.0.get(key) {
+            Some(SettingValue::Text(text)) => text,
+            _ => "",
+        }
+    }
+
+    /// Checks the number of keys and each value.
+    pub(crate) fn check(&self) -> Result<(), ConfigError> {
+        if self.len() > MAX_SETTINGS {
+            return Err(ConfigError::TooManySettings { count: self.len(), max: MAX_SETTINGS });
+        }
+        self.iter().try_for_each(|(key, value)| check_value(key, value))
+    }
+}
+
+impl FromIterator<(String, SettingValue)> for FlatSettings {
+    fn from_iter<I: IntoIterator<Item = (String, SettingValue)>>(pairs: I) -> Self {
+        Self(pairs.into_iter().collect())
+    }
+}
+
+impl IntoIterator for FlatSettings {
+    type Item = (String, SettingValue);
+    type IntoIter = std::collections::btree_map::IntoIter<String, SettingValue>;
+
+    fn into_iter(self) -> Self::IntoIter {
+        self.0.into_iter()
+    }
+}
+
+/// Keys whose number must be above zero.
+const ABOVE_ZERO_KEYS: [&str; 3] = ["server.cores", "server.memory_kb", "server.run_factor"];
+/// Ends of keys whose number must not be negative.
+const NOT_NEGATIVE_KEY_ENDS: [&str; 3] = ["_us", ".importance", ".quota_per_s"];
+
+/// Refuses a number that is not finite, or negative or zero where the key does not allow it.
+pub(crate) fn check_value(key: &str, value: &SettingValue) -> Result<(), ConfigError> {
+    let SettingValue::Number(value) = *value else { return Ok(()) };
+    let must_be_above_zero = ABOVE_ZERO_KEYS.contains(&key);
+    let must_not_be_negative = NOT_NEGATIVE_KEY_ENDS.iter().any(|end| key.ends_with(end));
+    let refused =
+        !value.is_finite() || must_be_above_zero && value <= 0.0 || must_not_be_negative && value < 0.0;
+    if refused { Err(ConfigError::OutOfRange { key: key.into(), value }) } else { Ok(()) }
+}
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,7 +1,28 @@
-//! The settings that the decisions read, as typed figures: one field for each key, with its unit and default.
+//! The settings beside request classes and tenants, as typed figures. This is the one mapping from dotted keys to
+//! fields: unknown keys, and keys whose value is of another kind, are ignored; absent keys keep their defaults.
 
 use crate::Duration;
-use crate::config::facts::Facts;
+use crate::config::flat_settings::{FlatSettings, SettingValue};
+
+/// Keys that a reload may change, since each server applies them to itself alone; all others need a restart.
+pub(crate) const RELOADABLE_KEYS: [&str; 5] = [
+    "limits.max_retry_after_us",
+    "limits.retry_after",
+    "over_share_worth",
+    "rules.crowd_multiple",
+    "servers",
+];
+
+/// Memory of a running request over that of a queued one, by default.
+const DEFAULT_RUN_MEMORY_FACTOR: f64 = 8.0;
+/// The limit of concurrent dependency calls by default, which is none in effect.
+const DEFAULT_CALL_CONCURRENCY_LIMIT: f64 = 1e9;
+/// How long the dependency survives calls over its limit, by default.
+const DEFAULT_CALL_OVERLOAD_TOLERANCE: Duration = Duration::from_ms(5000);
+/// Requests on the cores that they survive, over the number of cores, by default.
+const DEFAULT_CONCURRENCY_LIMIT_PER_CORE: f64 = 3.0;
+/// The part of a warm server's limit that applies at a cold start, by default.
+const DEFAULT_WARM_UP_INITIAL_SHARE: f64 = 0.2;
 
 /// What the runtime does with a running request that is to leave the cores.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -48,6 +69,10 @@
     pub run_memory_factor: f64,
     /// Memory of one stored idempotency key, in kB (`server.key_kb`).
     pub key_memory_kb: f64,
+    /// Whether the server starts cold and warms up (`server.cold`).
+    pub starts_cold: bool,
+    /// Names of the gauges that the runtime reports, in its order (`server.meters.0` and on).
+    pub gauge_names: Vec<String>,
     /// What becomes of preempted work (`server.stop`).
     pub preemption: Preemption,
     /// What the advertised figure means (`server.value`).
@@ -64,7 +89,7 @@
     pub read_sharing_window: Duration,
     /// Requests on the cores that they survive, over the number of cores (`rules.crowd_multiple`).
     pub concurrency_limit_per_core: f64,
-    /// The part of a warm server's limit that holds at a cold start (`rules.cold_share`).
+    /// The part of a warm server's limit that applies at a cold start (`rules.cold_share`).
     pub warm_up_initial_share: f64,
     /// How long a server warms up (`rules.cold_us`).
     pub warm_up: Duration,
@@ -84,46 +109,124 @@
 
 impl Default for ControllerSettings {
     fn default() -> Self {
-        Self::from_facts(&Facts::default())
+        Self {
+            cores: 1.0,
+            memory_kb: f64::MAX,
+            run_memory_factor: DEFAULT_RUN_MEMORY_FACTOR,
+            key_memory_kb: 0.0,
+            starts_cold: false,
+            gauge_names: Vec::new(),
+            preemption: Preemption::default(),
+            capacity_signal: CapacitySignal::default(),
+            client_idle_timeout: Duration::ZERO,
+            call_residual_load: Duration::ZERO,
+            call_concurrency_limit: DEFAULT_CALL_CONCURRENCY_LIMIT,
+            call_overload_tolerance: DEFAULT_CALL_OVERLOAD_TOLERANCE,
+            read_sharing_window: Duration::ZERO,
+            concurrency_limit_per_core: DEFAULT_CONCURRENCY_LIMIT_PER_CORE,
+            warm_up_initial_share: DEFAULT_WARM_UP_INITIAL_SHARE,
+            warm_up: Duration::ZERO,
+            drain_grace_period: Duration::ZERO,
+            retry_after_supported: false,
+            max_retry_after: Duration::ZERO,
+            value_unit: ValueUnit::default(),
+            over_quota_value: 1.0,
+            servers: 1.0,
+        }
     }
 }
 
 impl ControllerSettings {
-    /// Reads the figures; absent keys and keys of another kind give the defaults.
-    pub fn from_facts(facts: &Facts) -> Self {
-        let duration = |name: &str| Duration::from_us(facts.num(name, 0.0) as u64);
-        Self {
-            cores: facts.num("server.cores", 1.0),
-            memory_kb: facts.num("server.memory_kb", f64::MAX),
-            run_memory_factor: facts.num("server.run_factor", 8.0),
-            key_memory_kb: facts.num("server.key_kb", 0.0),
-            preemption: match facts.text("server.stop") {
-                "pause" => Preemption::Pause,
-                "none" => Preemption::Unsupported,
-                _ => Preemption::Drop,
-            },
-            capacity_signal: match facts.text("server.value") {
-                "credit" => CapacitySignal::Credit,
-                "weight" => CapacitySignal::Weight,
-                _ => CapacitySignal::None,
-            },
-            client_idle_timeout: duration("server.caller_idle_us"),
-            call_residual_load: duration("server.lingers_us"),
-            call_concurrency_limit: facts.num("server.calls_bound", 1e9),
-            call_overload_tolerance: Duration::from_us(facts.num("server.calls_over_us", 5e6) as u64),
-            read_sharing_window: duration("server.share_reads_us"),
-            concurrency_limit_per_core: facts.num("rules.crowd_multiple", 3.0),
-            warm_up_initial_share: facts.num("rules.cold_share", 0.2),
-            warm_up: duration("rules.cold_us"),
-            drain_grace_period: duration("rules.drain_grace_us"),
-            retry_after_supported: facts.num("limits.retry_after", 0.0) > 0.0,
-            max_retry_after: duration("limits.max_retry_after_us"),
-            value_unit: match facts.text("counted_by") {
-                "work" => ValueUnit::Work,
-                _ => ValueUnit::Request,
-            },
-            over_quota_value: facts.num("over_share_worth", 1.0),
-            servers: facts.num("servers", 1.0),
+    /// Reads the figures of dotted keys; absent keys and keys whose value is of another kind give the defaults.
+    pub fn from_flat(flat: &FlatSettings) -> Self {
+        Self::default().overridden_by(flat)
+    }
+
+    /// These figures with those of dotted keys in their place.
+    pub fn overridden_by(&self, flat: &FlatSettings) -> Self {
+        let mut settings = self.clone();
+        for (key, value) in flat.iter() {
+            match value {
+                SettingValue::Number(number) => settings.set_number(key, *number),
+                SettingValue::Text(word) => settings.set_word(key, word),
+            }
+        }
+        let gauge_names = gauge_names(flat);
+        if !gauge_names.is_empty() {
+            settings.gauge_names = gauge_names;
+        }
+        settings
+    }
+
+    fn set_number(&mut self, key: &str, number: f64) {
+        let duration = Duration::from_us(number as u64);
+        match key {
+            "server.cores" => self.cores = number,
+            "server.memory_kb" => self.memory_kb = number,
+            "server.run_factor" => self.run_memory_factor = number,
+            "server.key_kb" => self.key_memory_kb = number,
+            "server.cold" => self.starts_cold = number > 0.0,
+            "server.caller_idle_us" => self.client_idle_timeout = duration,
+            "server.lingers_us" => self.call_residual_load = duration,
+            "server.calls_bound" => self.call_concurrency_limit = number,
+            "server.calls_over_us" => self.call_overload_tolerance = duration,
+            "server.share_reads_us" => self.read_sharing_window = duration,
+            "rules.crowd_multiple" => self.concurrency_limit_per_core = number,
+            "rules.cold_share" => self.warm_up_initial_share = number,
+            "rules.cold_us" => self.warm_up = duration,
+            "rules.drain_grace_us" => self.drain_grace_period = duration,
+            "limits.retry_after" => self.retry_after_supported = number > 0.0,
+            "limits.max_retry_after_us" => self.max_retry_after = duration,
+            "over_share_worth" => self.over_quota_value = number,
+            "servers" => self.servers = number,
+            _ => {}
+        }
+    }
+
+    fn set_word(&mut self, key: &str, word: &str) {
+        match key {
+            "server.stop" => self.preemption = Preemption::from_word(word),
+            "server.value" => self.capacity_signal = CapacitySignal::from_word(word),
+            "counted_by" => self.value_unit = ValueUnit::from_word(word),
+            _ => {}
+        }
+    }
+}
+
+/// The names from `server.meters.0` on, up to the first index that is absent, empty or no text.
+fn gauge_names(flat: &FlatSettings) -> Vec<String> {
+    let name = |index: usize| flat.text_or_empty(&format!("server.meters.{index}")).to_string();
+    (0..flat.len()).map(name).take_while(|name| !name.is_empty()).collect()
+}
+
+impl Preemption {
+    /// Reads the setting's word; unknown words stand for the default.
+    fn from_word(word: &str) -> Self {
+        match word {
+            "pause" => Self::Pause,
+            "none" => Self::Unsupported,
+            _ => Self::Drop,
+        }
+    }
+}
+
+impl CapacitySignal {
+    /// Reads the setting's word; unknown words stand for the default.
+    fn from_word(word: &str) -> Self {
+        match word {
+            "credit" => Self::Credit,
+            "weight" => Self::Weight,
+            _ => Self::None,
+        }
+    }
+}
+
+impl ValueUnit {
+    /// Reads the setting's word; unknown words stand for the default.
+    fn from_word(word: &str) -> Self {
+        match word {
+            "work" => Self::Work,
+            _ => Self::Request,
         }
     }
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -7,12 +7,14 @@
     Cycle, LEARNED_KEPT, Lately, Learned, LoadReport, Op, Outcome, Read, Recent, SAMPLES, State, mean,
     middle, note, parts,
 };
-use crate::config::catalog::{Catalog, Idempotency};
-use crate::config::change::{Change, Changed};
+use crate::config::catalog::Catalog;
+use crate::config::change::{Change, ChangeSummary};
+use crate::config::error::ConfigError;
+use crate::config::request_class::Idempotency;
 use crate::config::settings::{CapacitySignal, ControllerSettings, Preemption, ValueUnit};
 use crate::pcg::Pcg;
 use crate::{
-    ClientId, Decision, Duration, Facts, FleetGuidance, GuidanceKey, RequestClassId, RequestId, SessionKey,
+    ClientId, Decision, Duration, FleetGuidance, GuidanceKey, RequestClassId, RequestId, SessionKey,
     TenantId, Timestamp,
 };
 use std::cell::RefCell;
@@ -134,15 +136,14 @@
 }
 
 impl AdmissionController {
-    /// From a plain map of dotted names; whether it starts cold is among them.
-    pub fn new(facts: Facts, seed: u64, now: Timestamp) -> Result<Self, String> {
-        let cold = facts.num("server.cold", 0.0) > 0.0;
-        let catalog = Rc::new(RefCell::new(Catalog::from_facts(facts)?));
-        Ok(Self::with(catalog, cold, seed, now))
+    /// Creates a controller whose settings say whether it starts cold.
+    pub fn new(catalog: Catalog, seed: u64, now: Timestamp) -> Self {
+        let cold = catalog.settings().starts_cold;
+        Self::with(Rc::new(RefCell::new(catalog)), cold, seed, now)
     }
 
     pub fn with(catalog: Rc<RefCell<Catalog>>, cold: bool, seed: u64, now: Timestamp) -> Self {
-        let settings = ControllerSettings::from_facts(&catalog.borrow().facts);
+        let settings = catalog.borrow().settings().clone();
         // Servers that begin in one moment would end their cycles, and so move R, in step for ever.
         let first_cycle = now.back(CYCLE_MAX.scaled(Pcg::new(!seed).unit()));
         let mut out = VecDeque::from([Decision::SetHealth { active: true, cached: true }]);
@@ -327,7 +328,7 @@
         // Only a refusal speaks of load: what broke or never came is made again at once.
         let wait = if never_ran { request.call_tries } else { 0 };
         request.call_after = now + Duration::from_ms(50).scaled(f64::from(wait));
-        if !never_ran && request.terms.repeats != Idempotency::Idempotent {
+        if !never_ran && request.terms.idempotency != Idempotency::Idempotent {
             request.call_tries = CALL_TRIES;
         }
     }
@@ -365,16 +366,16 @@
 
     /// Other settings from now on, all of them or, with the key at fault, none. Requests in hand go on by the terms under
     /// which they were read; R, what was learned of types that stay, users and callers remain.
-    pub fn apply_change(&mut self, now: Timestamp, change: &Change) -> Result<Changed, String> {
+    pub fn apply_change(&mut self, now: Timestamp, change: &Change) -> Result<ChangeSummary, ConfigError> {
         self.refill(now);
         let mut catalog = self.catalog.borrow_mut();
         catalog.check(now, change)?;
-        let (changed, request_classes, tenants) = catalog.apply(now, change);
-        self.settings = ControllerSettings::from_facts(&catalog.facts);
-        request_classes.iter().for_each(|id| self.learned.forget(id));
-        tenants.iter().for_each(|id| self.tenants.forget(id));
-        tenants.iter().for_each(|id| _ = self.guidance.tenant_rates.remove(id));
-        Ok(changed)
+        let applied = catalog.apply(now, change);
+        self.settings = catalog.settings().clone();
+        applied.removed_request_classes.iter().for_each(|id| self.learned.forget(id));
+        applied.removed_tenants.iter().for_each(|id| self.tenants.forget(id));
+        applied.removed_tenants.iter().for_each(|id| _ = self.guidance.tenant_rates.remove(id));
+        Ok(applied.summary)
     }
 
     // ---- decisions, one by one ----
@@ -442,9 +443,10 @@
     /// Rule 2: keyed requests are marked when read, and a repeat is served from the first try, never run.
     fn answer_repeats(&mut self, now: Timestamp) -> Option<Decision> {
         let shares_reads = self.settings.read_sharing_window > Duration::ZERO;
-        let keyed = |request: &Op| request.terms.repeats == Idempotency::IdempotentWithKey;
-        let shares =
-            |request: &Op| shares_reads && !request.write && request.terms.repeats == Idempotency::Idempotent;
+        let keyed = |request: &Op| request.terms.idempotency == Idempotency::IdempotentWithKey;
+        let shares = |request: &Op| {
+            shares_reads && !request.write && request.terms.idempotency == Idempotency::Idempotent
+        };
         let marked = |request: &Op| keyed(request) || (shares(request) && request.user.is_some());
         let id = self.first_by_seq(|request| {
             let repeat = request.retry_of.is_some() && (keyed(request) || shares(request));
@@ -466,7 +468,7 @@
             return self.answer_repeats(now);
         }
         let span = if keyed(request) {
-            request.terms.window
+            request.terms.deduplication_window
         } else {
             self.settings.read_sharing_window + (request.due - now)
         };
@@ -512,7 +514,7 @@
         request.call_after = now;
         request.call_tries += 1;
         // A reply that never comes must not hold its run: only the last try waits for as long as there is.
-        let last = request.call_tries >= CALL_TRIES || request.terms.repeats != Idempotency::Idempotent;
+        let last = request.call_tries >= CALL_TRIES || request.terms.idempotency != Idempotency::Idempotent;
         let usual = Duration::from_secs(if last { f64::INFINITY } else { usual * CALL_PATIENCE });
         Some(Decision::StartCall {
             request: id,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,10 +10,13 @@
 pub mod time;
 
 pub use book::Outcome;
-pub use config::catalog::{Catalog, Idempotency, RequestClass, Tenant};
+pub use config::catalog::Catalog;
 pub use config::change::Change;
-pub use config::facts::{Fact, Facts};
+pub use config::error::ConfigError;
+pub use config::flat_settings::{FlatSettings, SettingValue};
+pub use config::request_class::{Idempotency, RequestClass};
 pub use config::settings::ControllerSettings;
+pub use config::tenant::Tenant;
 pub use controller::{AdmissionController, NewRequest};
 pub use decision::Decision;
 pub use guidance::{FleetGuidance, GuidanceKey};
--- a/tests/catalog.rs
+++ b/tests/catalog.rs
@@ -1,57 +1,70 @@
-//! What is held of the settings: bounds that are told, look-ups that don't grow, ids that are given once.
+//! The catalog's bounds and the text of their errors, the cost of its look-ups, and ids that are never reused.
 
 mod helpers;
 
 use hazelspur::book::{LEARNED_KEPT, Lately};
-use hazelspur::config::catalog::{
-    Catalog, Entries, LONGEST_NAME, MAX_FACTS, MAX_OP_TYPES, MAX_TENANTS, RequestClass, Table, Tenant,
-};
-use hazelspur::{Fact, Facts};
+use hazelspur::config::entries::EntryVisitor;
+use hazelspur::config::entry_kind::{MAX_REQUEST_CLASSES, MAX_TENANTS};
+use hazelspur::config::flat_settings::MAX_SETTINGS;
+use hazelspur::config::table::{Entry, MAX_NAME_BYTES, Table};
+use hazelspur::{Catalog, ConfigError, FlatSettings, RequestClass, SettingValue, Tenant};
 use std::cell::Cell;
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-fn named<T>(table: &str, count: usize, add: impl Fn(&mut Catalog, Arc<str>) -> Result<T, String>) -> Catalog {
+/// A catalog with `count` entries, named by table and number.
+fn filled<T>(
+    table: &str,
+    count: usize,
+    add: impl Fn(&mut Catalog, Arc<str>) -> Result<T, ConfigError>,
+) -> Catalog {
     let mut catalog = Catalog::default();
     (0..count)
         .for_each(|i| drop(add(&mut catalog, format!("{table}-{i}").into()).expect("within its bound")));
     catalog
 }
 
-fn request_class(catalog: &mut Catalog, name: Arc<str>) -> Result<(), String> {
-    catalog.request_class(RequestClass { name, ..RequestClass::default() })
+fn request_class(catalog: &mut Catalog, name: Arc<str>) -> Result<(), ConfigError> {
+    catalog.visit_request_class(RequestClass { name, ..RequestClass::default() })
 }
 
-fn tenant(catalog: &mut Catalog, name: Arc<str>) -> Result<(), String> {
-    catalog.tenant(Tenant { name, quota_per_s: Some(1.0) })
+fn tenant(catalog: &mut Catalog, name: Arc<str>) -> Result<(), ConfigError> {
+    catalog.visit_tenant(Tenant { name, quota_per_s: Some(1.0) })
+}
+
+/// The text of an error; empty where there is none.
+fn text(result: Result<(), ConfigError>) -> String {
+    result.err().map(|error| error.to_string()).unwrap_or_default()
 }
 
 #[test]
-fn each_bound_is_told_with_both_its_numbers() {
-    let mut routes = named("route", MAX_OP_TYPES, request_class);
-    let mut tenants = named("tenant", MAX_TENANTS, tenant);
+fn errors_of_exceeded_bounds_name_the_count_and_the_maximum() {
+    let mut routes = filled("route", MAX_REQUEST_CLASSES, request_class);
+    let mut tenants = filled("tenant", MAX_TENANTS, tenant);
     let last = (
         routes.find_request_class("route-17399").is_some(),
         tenants.find_tenant(Some("tenant-83999")).is_some(),
     );
-    assert_eq!(last, (true, true), "the last ones are held too");
-    let figures = (0..=MAX_FACTS).map(|i| (format!("new.{i}"), Fact::Num(1.0))).collect();
-    let long = |name: &str| {
-        let mut facts = helpers::facts("");
-        facts.0.insert(name.into(), Fact::Text("x".repeat(LONGEST_NAME + 1)));
-        Catalog::from_facts(facts).err().unwrap_or_default()
+    assert_eq!(last, (true, true), "the last entries are found too");
+    let settings = (0..=MAX_SETTINGS).map(|i| (format!("new.{i}"), SettingValue::Number(1.0)));
+    let error_of_flat = |settings: FlatSettings| text(Catalog::from_flat(settings).map(drop));
+    let error_of = |more: &str| error_of_flat(helpers::flat_settings(more));
+    let error_of_long_name = |key: &str| {
+        let mut settings = helpers::flat_settings("");
+        settings.insert(key.into(), SettingValue::Text("x".repeat(MAX_NAME_BYTES + 1)));
+        error_of_flat(settings)
     };
-    let told = [
-        request_class(&mut routes, "one-more".into()).err().unwrap_or_default(),
-        tenant(&mut tenants, "one-more".into()).err().unwrap_or_default(),
-        Catalog::from_facts(Facts(figures)).err().unwrap_or_default(),
-        long("op_types.0.name"),
-        long("tenants.0.name"),
-        Catalog::from_facts(helpers::facts("op_types.2.target_latency_us=1")).err().unwrap_or_default(),
-        Catalog::from_facts(helpers::facts("op_types.1.importance=1")).err().unwrap_or_default(),
-        Catalog::from_facts(helpers::facts("tenants.0.name=a tenants.1.name=a")).err().unwrap_or_default(),
-        Catalog::from_facts(helpers::facts("op_types.0.importance=much")).err().unwrap_or_default(),
-        Catalog::from_facts(helpers::facts("tenants.0.quota_per_s=-1")).err().unwrap_or_default(),
+    let errors = [
+        text(request_class(&mut routes, "one-more".into())),
+        text(tenant(&mut tenants, "one-more".into())),
+        error_of_flat(settings.collect()),
+        error_of_long_name("op_types.0.name"),
+        error_of_long_name("tenants.0.name"),
+        error_of("op_types.2.target_latency_us=1"),
+        error_of("op_types.1.importance=1"),
+        error_of("tenants.0.name=a tenants.1.name=a"),
+        error_of("op_types.0.importance=much"),
+        error_of("tenants.0.quota_per_s=-1"),
     ];
     expect_test::expect![[r#"
         settings.lanes: 17401, 17400 at most
@@ -65,10 +78,10 @@
         setting op_types.0.importance is no number
         setting tenants.0.quota_per_s is absurd: -1
     "#]]
-    .assert_eq(&told.map(|line| line + "\n").concat());
+    .assert_eq(&errors.map(|line| line + "\n").concat());
 }
 
-thread_local!(static LOOKED_AT: Cell<u64> = const { Cell::new(0) });
+thread_local!(static COMPARISONS: Cell<u64> = const { Cell::new(0) });
 
 /// A name that counts how many others it is compared with.
 #[derive(Clone, Debug)]
@@ -76,7 +89,7 @@
 
 impl PartialEq for Counted {
     fn eq(&self, other: &Self) -> bool {
-        LOOKED_AT.set(LOOKED_AT.get() + 1);
+        COMPARISONS.set(COMPARISONS.get() + 1);
         self.0 == other.0
     }
 }
@@ -91,34 +104,36 @@
 
 type Find<'a> = &'a dyn Fn(&Table<u64, Counted>, &Counted) -> Option<usize>;
 
-/// Entries looked at by a hundred look-ups over the whole of a table of this size, a missing name among them.
-fn looked_at(size: u64, find: Find) -> f64 {
+/// Mean number of names compared in a hundred look-ups across a table of this size, one of an absent name included.
+fn comparisons_per_look_up(size: u64, find: Find) -> f64 {
     let mut table = Table::default();
     (0..size).for_each(|i| _ = table.add(Some(Counted(i)), i));
-    LOOKED_AT.set(0);
+    COMPARISONS.set(0);
     for i in 0..100 {
         let name = Counted(i * size / 99);
         assert_eq!(find(&table, &name).is_some(), name.0 < size);
     }
-    LOOKED_AT.get() as f64 / 100.0
+    COMPARISONS.get() as f64 / 100.0
 }
 
 #[test]
-fn a_look_up_does_not_grow_with_the_table_and_a_walk_over_all_would_be_told() {
-    let grows = |find: Find| looked_at(42_000, find) > 1.2 * looked_at(420, find).max(1.0);
+fn look_up_cost_does_not_grow_with_the_table_and_a_scan_is_detected() {
+    let grows = |find: Find| {
+        comparisons_per_look_up(42_000, find) > 1.2 * comparisons_per_look_up(420, find).max(1.0)
+    };
     assert!(!grows(&|table, name| table.find(name)));
-    // planted
-    let walk = |table: &Table<u64, Counted>, name: &Counted| {
-        table.in_order().into_iter().find(|(_, entry)| Counted(**entry) == *name).map(|(id, _)| id)
+    // Shows that the check above would detect a scan of the table.
+    let scan = |table: &Table<u64, Counted>, name: &Counted| {
+        table.in_order().into_iter().find(|entry| Counted(*entry.value) == *name).map(|entry| entry.id)
     };
-    assert!(grows(&walk));
+    assert!(grows(&scan));
 }
 
 #[test]
-fn an_id_is_given_once_and_a_name_goes_with_its_entry() {
+fn ids_are_not_reused_and_a_removed_entry_frees_its_name() {
     let mut table: Table<&str> = Table::default();
     let first = table.add(Some("a".into()), "first");
-    assert_eq!(table.remove("a"), Some((first, "first")));
+    assert_eq!(table.remove("a"), Some(Entry { id: first, value: "first" }));
     assert_eq!((table.find("a"), table.get(first), table.len()), (None, None, 0));
     let second = table.add(Some("a".into()), "second");
     assert!(second > first);
@@ -126,7 +141,7 @@
 }
 
 #[test]
-fn what_is_learned_is_kept_of_those_seen_lately_only() {
+fn learned_values_are_kept_for_recently_seen_keys_only() {
     let mut lately: Lately<u64, u64, LEARNED_KEPT> = Lately::default();
     let mut most = 0;
     for who in 0..200_000 {
--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -1,16 +1,16 @@
-//! Settings that change while requests are in hand: what holds for whom, what is refused, what survives.
+//! Changes of the configuration while requests are in progress: which terms apply, what is refused, what survives.
 
 mod helpers;
 
 use expect_test::expect;
-use hazelspur::config::change::MAX_EDITS;
+use hazelspur::config::change::{EditCounts, MAX_EDITS};
 use hazelspur::pcg::Pcg;
-use hazelspur::{Catalog, Decision, Duration, Fact, Outcome};
-use helpers::{Play, Read, facts};
+use hazelspur::{Catalog, Decision, Duration, Outcome, SettingValue};
+use helpers::{Play, Read, flat_settings};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// Three request classes and two tenants; each word in `edits` replaces what is said of its key.
+/// Three request classes and two tenants; each `key=value` in `edits` replaces that of its key.
 fn file(edits: &str) -> String {
     let plain = "op_types.0.name=view op_types.1.name=book op_types.1.target_latency_us=1000000 \
         op_types.1.op_timeout_us=4000000 op_types.1.repeats=keyed op_types.1.window_us=5000000 \
@@ -20,7 +20,7 @@
     plain.to_string() + edits
 }
 
-/// The same without some request classes or tenants, counted anew.
+/// The same without some request classes or tenants; those left are numbered again.
 fn without(gone: &[&str], edits: &str) -> String {
     let all: Vec<String> = file(edits).split_whitespace().map(String::from).collect();
     let mut out = String::new();
@@ -49,9 +49,9 @@
 }
 
 #[test]
-fn ops_in_hand_go_on_by_the_terms_under_which_they_were_read() {
+fn requests_in_progress_keep_the_terms_under_which_they_were_read() {
     let mut play = play();
-    // Two run, two wait by the old terms; a call of the first may be made again, it being retryable.
+    // Two run and two are queued by the old terms; the first is idempotent, so its call may be retried.
     for (name, request_class) in [("one", 0), ("two", 0), ("old-low", 0), ("old-pay", 2)] {
         play.read(name, Read { request_class, wait_ms: 4000, ..Read::default() });
     }
@@ -61,7 +61,10 @@
         "op_types.0.importance=9 op_types.0.op_timeout_us=900000 op_types.0.target_latency_us=800000 \
          op_types.0.repeats=non-retryable tenants.0.quota_per_s=5",
     ));
-    assert_eq!(changed.map(|changed| changed.request_classes), Ok([0, 1, 0]));
+    assert_eq!(
+        changed.map(|changed| changed.request_classes),
+        Ok(EditCounts { added: 0, replaced: 1, removed: 0 })
+    );
     play.read("new-high", Read { request_class: 0, wait_ms: 900, ..Read::default() });
     play.pull();
     play.call_finished("one", Outcome::ConnectionLost).pull();
@@ -89,19 +92,19 @@
 }
 
 #[test]
-fn the_ops_of_a_type_that_went_end_as_they_began_and_new_ones_are_unknown() {
+fn requests_of_a_removed_class_finish_and_new_ones_are_rejected() {
     let mut play = play();
     play.read("runs", Read { request_class: 2, ..Read::default() });
     play.read("runs-too", Read { request_class: 0, ..Read::default() });
     play.read("waits", Read { request_class: 2, ..Read::default() });
     play.pull();
-    play.change(&without(&["pay"], "")).expect("a sound change");
+    play.change(&without(&["pay"], "")).expect("a valid change");
     play.read("late", Read { request_class: 2, ..Read::default() });
     play.pull();
     play.at(50).ended("runs", Outcome::Ok).pull();
     play.at(90).ended("waits", Outcome::Ok).pull();
-    play.change(&file("")).expect("a sound change");
-    let again = play.catalog.borrow().find_request_class("pay").expect("back").0;
+    play.change(&file("")).expect("a valid change");
+    let again = play.catalog.borrow().find_request_class("pay").expect("in force again").0;
     assert_eq!(again.0, 3, "another id than before");
     play.read("back", Read { request_class: again.0, ..Read::default() });
     play.pull();
@@ -116,16 +119,16 @@
 }
 
 #[test]
-fn what_cannot_be_safe_is_refused_with_its_key_and_nothing_of_it_holds() {
+fn unsafe_changes_are_refused_with_their_key_and_no_part_applies() {
     let mut play = play();
-    let seen = |play: &Play| {
+    let in_force = |play: &Play| {
         let catalog = play.catalog.borrow();
-        format!("{:?} {:?} {:?}", catalog.request_classes(), catalog.tenants(), catalog.facts)
+        format!("{:?} {:?} {:?}", catalog.request_classes(), catalog.tenants(), catalog.flat_settings())
     };
-    let before = seen(&play);
+    let before = in_force(&play);
     let many: String = (2..MAX_EDITS + 4).map(|i| format!(" tenants.{i}.name=n{i}")).collect();
-    // With each, something that would be taken by itself.
-    let good = "op_types.0.importance=9 tenants.1.quota_per_s=70 ";
+    // Stands beside each fault; alone it is accepted.
+    let valid = "op_types.0.importance=9 tenants.1.quota_per_s=70 ";
     let faults = [
         "op_types.1.window_us=4999999",
         "op_types.1.repeats=retryable",
@@ -145,11 +148,11 @@
         "limits.max_retry_after_us=-1",
         &many,
     ];
-    let mut told = String::new();
+    let mut errors = String::new();
     for fault in faults {
-        let why = play.change(&file(&format!("{good}{fault}"))).expect_err(fault);
-        let _ = writeln!(told, "{why}");
-        assert_eq!(seen(&play), before, "{fault}");
+        let why = play.change(&file(&format!("{valid}{fault}"))).expect_err(fault);
+        let _ = writeln!(errors, "{why}");
+        assert_eq!(in_force(&play), before, "{fault}");
     }
     for other in ["op_types.0.name=x op_types.0.target_latency_us=9", "tenants.0.name=x"] {
         let file = file("").replace("view", "x1").replace("book", "x2").replace("pay", "x3");
@@ -158,8 +161,8 @@
         } else {
             self::file("").replace("name=a", "name=c").replace("name=b", "name=d")
         };
-        let _ = writeln!(told, "{}", play.change(&file).expect_err(other));
-        assert_eq!(seen(&play), before, "{other}");
+        let _ = writeln!(errors, "{}", play.change(&file).expect_err(other));
+        assert_eq!(in_force(&play), before, "{other}");
     }
     expect![[r#"
         settings: op_types.book.window_us: shorter than that of ops whose keys are kept; waits for the next start
@@ -181,32 +184,32 @@
         settings: more than 4096 differences, the most of one change
         settings.lanes: none of those in force is left: another installation's file
         settings.orgs: none of those in force is left: another installation's file
-    "#]].assert_eq(&told);
-    play.change(&file(good)).expect("what is good alone");
+    "#]].assert_eq(&errors);
+    play.change(&file(valid)).expect("a valid change");
 }
 
 #[test]
-fn a_keyed_type_that_went_does_not_come_back_with_less_memory_while_keys_are_kept() {
+fn a_removed_class_may_not_return_with_less_deduplication_while_its_keys_are_stored() {
     let mut play = play();
-    play.change(&without(&["book"], "")).expect("a sound change");
+    play.change(&without(&["book"], "")).expect("a valid change");
     let back = |repeats: &str| {
         file("").replace("op_types.1.repeats=keyed", &format!("op_types.1.repeats={repeats}"))
     };
-    let early = play.change(&back("retryable")).expect_err("its keys are kept");
+    let early = play.change(&back("retryable")).expect_err("its keys are stored");
     play.at(20_999);
-    let kept = play.change(&back("retryable")).expect_err("the last repeat may still be read");
+    let before_expiry = play.change(&back("retryable")).expect_err("the last retry may still arrive");
     play.at(21_000);
     let late = play.change(&back("retryable")).map(|changed| changed.request_classes);
     expect![[r#"
         settings: op_types.book.repeats: its keys are kept, a repeat would run again; waits for the next start
         settings: op_types.book.repeats: its keys are kept, a repeat would run again; waits for the next start
-        Ok([1, 0, 0])
+        Ok(EditCounts { added: 1, replaced: 0, removed: 0 })
     "#]]
-    .assert_eq(&format!("{early}\n{kept}\n{late:?}\n"));
+    .assert_eq(&format!("{early}\n{before_expiry}\n{late:?}\n"));
 }
 
 #[test]
-fn the_rate_what_was_learned_and_users_under_way_survive() {
+fn admission_rate_learned_values_and_active_sessions_survive_a_change() {
     let (mut changed, mut unchanged) = (play(), play());
     let mut seen = [String::new(), String::new()];
     for (play, seen) in [&mut changed, &mut unchanged].into_iter().zip(&mut seen) {
@@ -215,7 +218,7 @@
         play.load(6000, 20);
         *seen = play.seen(&["mode bound"]);
     }
-    changed.change(&file("op_types.2.importance=3 tenants.1.quota_per_s=9")).expect("a sound change");
+    changed.change(&file("op_types.2.importance=3 tenants.1.quota_per_s=9")).expect("a valid change");
     for (play, seen) in [&mut changed, &mut unchanged].into_iter().zip(&mut seen) {
         play.load(6000, 20);
         *seen += &play.seen(&["mode"]);
@@ -224,8 +227,8 @@
     assert_eq!(seen[0], seen[1], "the same lines at the same times");
 }
 
-/// What each request was answered, by the decisions that were pulled.
-fn answers(all: &mut BTreeMap<String, u32>, decisions: &[Decision]) {
+/// Counts the final responses of each request among the decisions.
+fn count_responses(all: &mut BTreeMap<String, u32>, decisions: &[Decision]) {
     for decision in decisions {
         if let Decision::Reject { request, .. } | Decision::Fail(request) = decision {
             *all.entry(request.to_string()).or_default() += 1;
@@ -234,7 +237,7 @@
 }
 
 #[test]
-fn thirty_changes_in_a_minute_and_one_in_a_drain_cost_no_answer() {
+fn thirty_changes_in_a_minute_and_one_while_draining_lose_no_response() {
     let mut chance = Pcg::new(5);
     let mut play = play();
     let (mut answered, mut read, mut ends) = (BTreeMap::new(), 0, BTreeMap::new());
@@ -243,7 +246,7 @@
         if step % 200 == 100 {
             let gone: &[&str] = if step % 400 == 100 { &["pay"] } else { &[] };
             let more = format!("op_types.0.importance={} tenants.0.quota_per_s={}", 1 + step % 7, step);
-            play.change(&without(gone, &more)).expect("a sound change");
+            play.change(&without(gone, &more)).expect("a valid change");
         }
         if step == 5500 {
             play.controller.shutdown_notice(play.now, play.now + Duration::from_ms(4000));
@@ -275,14 +278,14 @@
             play.beat(ends.len() as f64);
         }
         let decisions = play.pull();
-        answers(&mut answered, &decisions);
+        count_responses(&mut answered, &decisions);
         for decision in &decisions {
             let name = |request: &hazelspur::RequestId| request.to_string().trim_end_matches('-').to_string();
             match decision {
                 Decision::Run(request) => {
-                    drop(ends.insert(name(request), step + 5 + u64::from(chance.draw() % 40)))
+                    ends.insert(name(request), step + 5 + u64::from(chance.draw() % 40));
                 }
-                // The answer is out already: what ends later is no second one.
+                // The response was sent already: the end of the run is no second one.
                 Decision::Preempt(request) => {
                     ends.remove(&name(request));
                     play.ended(&name(request), Outcome::Preempted);
@@ -297,28 +300,31 @@
             all
         });
     assert!(read > 1000, "{read}");
-    assert_eq!(answered.len(), read, "each op has an answer");
+    assert_eq!(answered.len(), read, "each request has a response");
     let twice: Vec<&String> = answered.iter().filter(|(_, n)| **n > 1).map(|(request, _)| request).collect();
     assert!(twice.is_empty(), "{twice:?}");
 }
 
-/// A file of some request classes and tenants, each with figures, all drawn.
-fn drawn(chance: &mut Pcg) -> Vec<(String, Fact)> {
-    let mut words: Vec<(String, Fact)> = Vec::new();
+/// Random request classes and tenants with random terms.
+fn random_entries(chance: &mut Pcg) -> Vec<(String, SettingValue)> {
+    let mut words: Vec<(String, SettingValue)> = Vec::new();
     for (table, most) in [("op_types", 9), ("tenants", 7)] {
         let mut at = 0;
         for of in 0..most {
-            // The first stays, so that no file is another one altogether.
+            // The first entry stays, so that no change removes a whole table.
             if of > 0 && chance.unit() < 0.4 {
                 continue;
             }
             let mut put = |key: &str, fact| words.push((format!("{table}.{at}.{key}"), fact));
-            put("name", Fact::Text(format!("{table}{of}")));
+            put("name", SettingValue::Text(format!("{table}{of}")));
             if table == "op_types" {
-                put("target_latency_us", Fact::Num(f64::from(chance.draw() % 3 + 1) * 1e5));
-                put("repeats", Fact::Text(["retryable", "non-retryable"][chance.draw() as usize % 2].into()));
+                put("target_latency_us", SettingValue::Number(f64::from(chance.draw() % 3 + 1) * 1e5));
+                put(
+                    "repeats",
+                    SettingValue::Text(["retryable", "non-retryable"][chance.draw() as usize % 2].into()),
+                );
             } else {
-                put("quota_per_s", Fact::Num(f64::from(chance.draw() % 5)));
+                put("quota_per_s", SettingValue::Number(f64::from(chance.draw() % 5)));
             }
             at += 1;
         }
@@ -327,37 +333,37 @@
 }
 
 #[test]
-fn after_any_walk_of_changes_what_holds_is_what_the_last_file_says() {
+fn after_any_sequence_of_changes_the_catalog_equals_the_last_file() {
     let (mut most_id, mut changes) = (0, 0);
     for seed in 0..40 {
         let mut chance = Pcg::new(seed);
         let mut play = Play::new("op_types.0.name=op_types0 tenants.0.name=tenants0");
         let mut names: BTreeMap<usize, String> = BTreeMap::new();
         for _ in 0..40 {
-            let more: String = drawn(&mut chance)
+            let more: String = random_entries(&mut chance)
                 .into_iter()
                 .map(|(key, fact)| match fact {
-                    Fact::Num(n) => format!("{key}={n} "),
-                    Fact::Text(text) => format!("{key}={text} "),
+                    SettingValue::Number(n) => format!("{key}={n} "),
+                    SettingValue::Text(text) => format!("{key}={text} "),
                 })
                 .collect();
-            play.change(&more).expect("a sound change");
+            play.change(&more).expect("a valid change");
             changes += 1;
-            let fresh = Catalog::from_facts(facts(&more)).expect("sound settings");
-            let held = play.catalog.borrow();
+            let fresh = Catalog::from_flat(flat_settings(&more)).expect("valid settings");
+            let in_force = play.catalog.borrow();
             let by_name = |catalog: &Catalog| {
                 let mut all: Vec<String> =
                     catalog.request_classes().iter().map(|(_, of)| format!("{of:?}")).collect();
                 all.extend(catalog.tenants().iter().map(|(_, of)| format!("{of:?}")));
                 all.sort();
                 let first = catalog.find_tenant(None).map(|(_, name)| name);
-                (all, catalog.facts.0.clone(), first)
+                (all, catalog.flat_settings().clone(), first)
             };
-            assert_eq!(by_name(&held), by_name(&fresh), "seed {seed}: {more}");
-            for (id, terms) in held.request_classes() {
+            assert_eq!(by_name(&in_force), by_name(&fresh), "seed {seed}: {more}");
+            for (id, terms) in in_force.request_classes() {
                 most_id = most_id.max(id.0);
                 let of = names.entry(id.0).or_insert_with(|| terms.name.to_string());
-                assert_eq!(**of, *terms.name, "an id has one name for good");
+                assert_eq!(**of, *terms.name, "an id keeps its name");
             }
         }
     }
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -1,11 +1,12 @@
 //! Feeds a `AdmissionController` by hand and prints what it decides, a line each.
 #![allow(dead_code)] // each test file uses its part
 
-use hazelspur::config::catalog::take_facts;
-use hazelspur::config::change::{Changed, Difference};
+use hazelspur::config::change::ChangeSummary;
+use hazelspur::config::difference::Difference;
+use hazelspur::config::entries::read_flat_entries;
 use hazelspur::{
-    AdmissionController, Catalog, ClientId, Decision, Duration, Fact, Facts, GuidanceKey, NewRequest,
-    Outcome, RequestClassId, RequestId, SessionKey, TenantId, Timestamp,
+    AdmissionController, Catalog, ClientId, ConfigError, Decision, Duration, FlatSettings, GuidanceKey,
+    NewRequest, Outcome, RequestClassId, RequestId, SessionKey, SettingValue, TenantId, Timestamp,
 };
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -55,23 +56,26 @@
 }
 
 /// Two cores, memory for plenty, one retryable request class with a target of 1 s, then what `more` says.
-pub fn facts(more: &str) -> Facts {
+pub fn flat_settings(more: &str) -> FlatSettings {
     let plain = "server.cores=2 server.memory_kb=100000 server.run_factor=8 server.stop=drop \
         rules.crowd_multiple=5 rules.cold_share=0.2 rules.cold_us=10000000 rules.drain_grace_us=2000000 \
         limits.retry_after=1 limits.max_retry_after_us=1000000 counted_by=op servers=1 \
         op_types.0.target_latency_us=1000000 op_types.0.op_timeout_us=4000000 op_types.0.repeats=retryable";
     let pair = |pair: &str| {
         let (name, value) = pair.split_once('=').expect("name=value");
-        (name.to_string(), value.parse().map_or_else(|_| Fact::Text(value.into()), Fact::Num))
+        (
+            name.to_string(),
+            value.parse().map_or_else(|_| SettingValue::Text(value.into()), SettingValue::Number),
+        )
     };
-    Facts(plain.split_whitespace().chain(more.split_whitespace()).map(pair).collect())
+    plain.split_whitespace().chain(more.split_whitespace()).map(pair).collect()
 }
 
 impl Play {
     pub fn new(more: &str) -> Self {
         let now = Timestamp::from_us(50_000_000);
-        let catalog = Catalog::from_facts(facts(more)).expect("sound settings");
-        let cold = catalog.facts.num("server.cold", 0.0) > 0.0;
+        let catalog = Catalog::from_flat(flat_settings(more)).expect("sound settings");
+        let cold = catalog.settings().starts_cold;
         let catalog = Rc::new(RefCell::new(catalog));
         let controller = AdmissionController::with(catalog.clone(), cold, 7, now);
         let run = Duration::from_ms(200);
@@ -88,11 +92,11 @@
     }
 
     /// Has the settings become those of a newer file, or says why not.
-    pub fn change(&mut self, more: &str) -> Result<Changed, String> {
+    pub fn change(&mut self, more: &str) -> Result<ChangeSummary, ConfigError> {
         let change = {
             let in_force = self.catalog.borrow();
             let mut difference = Difference::new(&in_force);
-            let rest = take_facts(&mut difference, facts(more))?;
+            let rest = read_flat_entries(&mut difference, flat_settings(more))?;
             difference.complete(&rest)?
         };
         self.controller.apply_change(self.now, &change)
--- a/tests/sums.rs
+++ b/tests/sums.rs
@@ -6,10 +6,10 @@
 
 use hazelspur::pcg::Pcg;
 use hazelspur::{
-    AdmissionController, ClientId, Decision, Duration, NewRequest, Outcome, RequestClassId, RequestId,
-    TenantId, Timestamp,
+    AdmissionController, Catalog, ClientId, Decision, Duration, NewRequest, Outcome, RequestClassId,
+    RequestId, TenantId, Timestamp,
 };
-use helpers::facts;
+use helpers::flat_settings;
 use std::collections::{BTreeMap, VecDeque};
 
 const STEP: Duration = Duration::from_ms(5);
@@ -56,8 +56,11 @@
     let mut all: Vec<Server> = (0..servers)
         .map(|of| {
             let begins = BEGIN + Duration::from_ms(u64::from(chance.draw()) % 50);
-            let controller =
-                AdmissionController::new(facts(&settings), seed ^ of as u64, begins).expect("sound settings");
+            let controller = AdmissionController::new(
+                Catalog::from_flat(flat_settings(&settings)).expect("valid settings"),
+                seed ^ of as u64,
+                begins,
+            );
             let (runs, calls, lingering) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
             Server { controller, begins, runs, calls, lingering, requests: 0 }
         })
@@ -198,8 +201,8 @@
 fn servers_that_begin_together_do_not_keep_step() {
     let mut chance = Pcg::new(3);
     let began = |of: usize| {
-        let controller = AdmissionController::new(facts("server.cold=1"), 1000 + of as u64, BEGIN)
-            .expect("sound settings");
+        let catalog = Catalog::from_flat(flat_settings("server.cold=1")).expect("valid settings");
+        let controller = AdmissionController::new(catalog, 1000 + of as u64, BEGIN);
         let (runs, calls, lingering) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
         Server { controller, begins: BEGIN, runs, calls, lingering, requests: 0 }
     };
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -3,8 +3,8 @@
 mod helpers;
 
 use expect_test::{Expect, expect};
-use hazelspur::{AdmissionController, Duration, GuidanceKey, Outcome, Timestamp};
-use helpers::{Play, Read, facts};
+use hazelspur::{Catalog, Duration, GuidanceKey, Outcome, Timestamp};
+use helpers::{Play, Read, flat_settings};
 
 fn check(play: &mut Play, words: &[&str], expected: &Expect) {
     play.pull();
@@ -691,8 +691,9 @@
 
 #[test]
 fn absurd_settings_are_named() {
-    let told =
-        |more: &str| AdmissionController::new(facts(more), 1, Timestamp::default()).err().unwrap_or_default();
+    let told = |more: &str| {
+        Catalog::from_flat(flat_settings(more)).err().map(|error| error.to_string()).unwrap_or_default()
+    };
     let seen = format!(
         "{}\n{}\n{}\n",
         told("server.cores=0"),
