--- a/src/controller/inputs.rs
+++ b/src/controller/inputs.rs
@@ -1,9 +1,9 @@
 //! The inputs of the controller: each records what happened and decides nothing.
 
 use super::AdmissionController;
-use crate::config::catalog::RequestClass;
-use crate::config::change::{Change, Changed};
-use crate::config::settings::ControllerSettings;
+use crate::config::change::{Change, ChangeSummary};
+use crate::config::error::ConfigError;
+use crate::config::request_class::RequestClass;
 use crate::dependency::call_attempts;
 use crate::rejection::RejectionReason;
 use crate::request::{CallProgress, Request, RequestState, RunLength};
@@ -223,19 +223,19 @@
     ///
     /// # Errors
     /// Names the key at fault; nothing has changed then.
-    pub fn apply_change(&mut self, now: Timestamp, change: &Change) -> Result<Changed, String> {
+    pub fn apply_change(&mut self, now: Timestamp, change: &Change) -> Result<ChangeSummary, ConfigError> {
         self.refill(now);
         let mut catalog = self.catalog.borrow_mut();
         catalog.check(now, change)?;
-        let (changed, classes, tenants) = catalog.apply(now, change);
-        self.settings = ControllerSettings::from_facts(&catalog.facts);
-        for class in classes {
+        let applied = catalog.apply(now, change);
+        self.settings = catalog.settings().clone();
+        for class in applied.removed_request_classes {
             self.profiles.remove(class);
         }
-        for tenant in tenants {
+        for tenant in applied.removed_tenants {
             self.tenants.remove(tenant);
             self.guidance.tenant_rates.remove(&tenant);
         }
-        Ok(changed)
+        Ok(applied.summary)
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -30,14 +30,11 @@
 use crate::scheduling::warm_up::WarmUp;
 use crate::shutdown::Shutdown;
 use crate::tenant_quota::TenantTraffic;
-use crate::{ControllerEvent, Decision, Facts, FleetGuidance, Timestamp};
+use crate::{ControllerEvent, Decision, FleetGuidance, Timestamp};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// The setting that says whether the server starts cold.
-const COLD_START_KEY: &str = "server.cold";
-
 /// Decides about admission, scheduling and dependency calls of one server.
 pub struct AdmissionController {
     settings: ControllerSettings,
@@ -70,19 +67,15 @@
 }
 
 impl AdmissionController {
-    /// Builds a controller from settings by name; whether it starts cold is among them.
-    ///
-    /// # Errors
-    /// Names the key at fault.
-    pub fn new(facts: Facts, seed: u64, now: Timestamp) -> Result<Self, String> {
-        let is_cold = facts.num(COLD_START_KEY, 0.0) > 0.0;
-        let catalog = Rc::new(RefCell::new(Catalog::from_facts(facts)?));
-        Ok(Self::with(catalog, is_cold, seed, now))
+    /// Builds a controller on a catalog of its own; its settings say whether the server starts cold.
+    pub fn new(catalog: Catalog, seed: u64, now: Timestamp) -> Self {
+        let is_cold = catalog.settings().starts_cold;
+        Self::with(Rc::new(RefCell::new(catalog)), is_cold, seed, now)
     }
 
     /// Builds a controller on a catalog that the host shares.
     pub fn with(catalog: Rc<RefCell<Catalog>>, is_cold: bool, seed: u64, now: Timestamp) -> Self {
-        let settings = ControllerSettings::from_facts(&catalog.borrow().facts);
+        let settings = catalog.borrow().settings().clone();
         // Servers that start together would otherwise end their cycles, and so move R, in step for ever.
         let first_cycle_began = now.back(MAX_CYCLE.scaled(Pcg::new(!seed).unit()));
         let mut pending = VecDeque::from([Decision::SetHealth { active: true, cached: true }]);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -32,10 +32,13 @@
 mod tenant_quota;
 pub mod time;
 
-pub use config::catalog::{Catalog, Idempotency, RequestClass, Tenant};
+pub use config::catalog::Catalog;
 pub use config::change::Change;
-pub use config::facts::{Fact, Facts};
+pub use config::error::ConfigError;
+pub use config::flat_settings::{FlatSettings, SettingValue};
+pub use config::request_class::{Idempotency, RequestClass};
 pub use config::settings::ControllerSettings;
+pub use config::tenant::Tenant;
 pub use controller::AdmissionController;
 pub use decision::Decision;
 pub use event::{ControllerEvent, CycleFigures};
--- a/src/request.rs
+++ b/src/request.rs
@@ -7,7 +7,7 @@
 //! ```
 //! Invariant: a paused request has run; a request that awaits its original never has.
 
-use crate::config::catalog::{Idempotency, RequestClass};
+use crate::config::request_class::{Idempotency, RequestClass};
 use crate::config::settings::Preemption;
 use crate::{ClientId, Duration, RequestClassId, RequestId, SessionKey, TenantId, Timestamp};
 use std::rc::Rc;
@@ -160,12 +160,12 @@
 
     /// Whether a retry may run again without harm.
     pub(crate) fn is_idempotent(&self) -> bool {
-        self.class.repeats == Idempotency::Idempotent
+        self.class.idempotency == Idempotency::Idempotent
     }
 
     /// Whether its class identifies retries by a stored key.
     pub(crate) fn is_keyed(&self) -> bool {
-        self.class.repeats == Idempotency::IdempotentWithKey
+        self.class.idempotency == Idempotency::IdempotentWithKey
     }
 
     /// Whether a response without the dependency call has value.
