--- a/crates/hazelspur-deliveries/src/lib.rs
+++ b/crates/hazelspur-deliveries/src/lib.rs
@@ -1,15 +1,28 @@
-//! Decisions of a front that takes deliveries from a broker's queues: how each is settled, how many are taken,
-//! what a repeat is owed, and when to come back to a broker. No I/O and no clock; whether and when a delivery
-//! runs stays with `hazelspur::AdmissionController`.
+//! Decisions of a consumer of a broker's queues: how each delivery is settled, how many deliveries are taken
+//! (prefetch), how a duplicate message is answered, and when to reconnect to which broker.
+//!
+//! No I/O and no clock. Whether and when the request of a delivery runs is decided by
+//! `hazelspur::AdmissionController`.
 
-pub mod book;
-pub mod brokers;
-pub mod memory;
-pub mod settlement;
-pub mod window;
+#![warn(missing_docs, unreachable_pub)]
+#![warn(clippy::too_many_lines, clippy::too_many_arguments, clippy::type_complexity)]
 
-pub use book::{Arrived, Book, DeliveryId, Figures, Link, QueueId, Step, Tag, Terms};
-pub use brokers::Brokers;
-pub use memory::Memory;
-pub use settlement::{Ending, Settlement, Table};
-pub use window::{Rule, Window};
+mod broker_selector;
+mod duty_cycle_gate;
+mod identifiers;
+mod message_cache;
+mod outcome;
+mod prefetch_window;
+mod settlement;
+mod tracker;
+
+pub use broker_selector::BrokerSelector;
+pub use identifiers::{ConnectionNumber, DeliveryId, DeliveryTag, QueueId};
+pub use message_cache::{MessageCache, MessageCacheLimits, MessageState};
+pub use outcome::DeliveryOutcome;
+pub use prefetch_window::{PrefetchRule, PrefetchWindow};
+pub use settlement::{Settlement, SettlementTable, SettlementTableError};
+pub use tracker::{
+    CONFIRM_TIMEOUT, DeliveryAction, DeliveryCounters, DeliveryTracker, EXPIRY_MARGIN, InvariantViolation,
+    MAX_PENDING_REPLIES, QueueSettings, ReceivedDelivery,
+};
--- a/crates/hazelspur-deliveries/src/settlement.rs
+++ b/crates/hazelspur-deliveries/src/settlement.rs
@@ -1,141 +1,173 @@
-//! What is done with a delivery once its ending is known: a table, set for each queue.
+//! Maps the outcome of a delivery to its settlement with the broker, by a table per queue.
 
-use hazelspur::Duration;
-use hazelspur::Idempotency;
+use crate::outcome::DeliveryOutcome;
+use hazelspur::{Duration, Idempotency};
+use thiserror::Error;
 
-/// How a delivery ended here.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    Acked,
-    /// Turned away, never ran; may come back after this.
-    Nacked(Duration),
-    /// It ran, or may have, and brought no result.
-    Failed,
-    /// Its waiting time ran out before it could run.
-    Expired,
-    /// Its request class is not in the settings.
-    Unknown,
-    /// Its bytes can't be read as a request.
-    Poison,
-    /// It may have run before, and may not run twice.
-    Doubtful,
-}
-
-impl Ending {
-    pub fn name(self) -> &'static str {
-        match self {
-            Self::Acked => "acked",
-            Self::Nacked(_) => "nacked",
-            Self::Failed => "failed",
-            Self::Expired => "expired",
-            Self::Unknown => "unknown",
-            Self::Poison => "poison",
-            Self::Doubtful => "doubtful",
-        }
-    }
-}
-
-/// What the broker is told.
+/// How a delivery is settled with the broker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Settlement {
+    /// Acknowledge: the broker removes the message.
     Ack,
-    /// Rejected: to the queue's dead letters where it has such, else dropped by the broker.
+    /// Reject: the broker dead-letters the message where the queue has a dead-letter exchange, else drops it.
     Reject,
-    /// Kept unsettled here until its come-back time, then back to the queue.
-    Later,
-    /// Published to the retry queue with the come-back time as its expiration, then acked.
-    Retry,
+    /// Keep the delivery unsettled for a delay, then requeue it.
+    RequeueLater,
+    /// Publish a copy to the retry queue with the delay as its expiration, then acknowledge.
+    PublishRetry,
 }
 
-/// A queue's settlements by ending.
+impl Settlement {
+    /// Whether the message is delivered again.
+    pub fn redelivers(self) -> bool {
+        matches!(self, Self::RequeueLater | Self::PublishRetry)
+    }
+}
+
+/// The settlements of a queue, one for each outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Table {
-    pub nacked: Settlement,
+pub struct SettlementTable {
+    /// Settlement of a rejected request.
+    pub rejected: Settlement,
+    /// Settlement of a failed request.
     pub failed: Settlement,
+    /// Settlement of an expired request.
     pub expired: Settlement,
-    pub unknown: Settlement,
-    pub poison: Settlement,
-    pub doubtful: Settlement,
-    /// Tried as often as allowed.
+    /// Settlement of a request of an unknown class.
+    pub unknown_class: Settlement,
+    /// Settlement of a message that cannot be decoded.
+    pub malformed: Settlement,
+    /// Settlement of a request that may have run before and must not run twice.
+    pub possible_duplicate: Settlement,
+    /// Settlement of a failed request without attempts left.
     pub exhausted: Settlement,
-    pub most_tries: u32,
-    /// How long a failed delivery stays away before its next try, where it gets one.
-    pub failed_pause: Duration,
+    /// Maximum number of attempts of a failing request.
+    pub max_attempts: u32,
+    /// Delay before the next attempt of a failed request.
+    pub failed_delay: Duration,
 }
 
-impl Default for Table {
+/// A settlement table that cannot be used. The text is the operator's error message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum SettlementTableError {
+    /// The outcome would be redelivered without end.
+    #[error("would come back for ever: only ack or reject")]
+    EndlessRedelivery {
+        /// Key of the outcome in the operator's file.
+        key: &'static str,
+    },
+    /// The outcome needs a retry queue and none is configured.
+    #[error("retry needs retry_queue")]
+    MissingRetryQueue {
+        /// Key of the outcome in the operator's file.
+        key: &'static str,
+    },
+}
+
+impl SettlementTableError {
+    /// Key of the outcome in the operator's file.
+    pub fn key(self) -> &'static str {
+        match self {
+            Self::EndlessRedelivery { key } | Self::MissingRetryQueue { key } => key,
+        }
+    }
+}
+
+/// A row of the table under its key in the operator's file.
+struct Row {
+    key: &'static str,
+    settlement: Settlement,
+    may_redeliver: bool,
+}
+
+impl Default for SettlementTable {
     fn default() -> Self {
         Self {
-            nacked: Settlement::Later,
+            rejected: Settlement::RequeueLater,
             failed: Settlement::Reject,
             expired: Settlement::Reject,
-            unknown: Settlement::Reject,
-            poison: Settlement::Reject,
-            doubtful: Settlement::Reject,
+            unknown_class: Settlement::Reject,
+            malformed: Settlement::Reject,
+            possible_duplicate: Settlement::Reject,
             exhausted: Settlement::Reject,
-            most_tries: 8,
-            failed_pause: Duration::from_ms(1000),
+            max_attempts: 8,
+            failed_delay: Duration::from_ms(1000),
         }
     }
 }
 
-impl Table {
-    /// The row that can't stand and why: what would come back for ever, or goes to a queue that is not named.
-    pub fn check(&self, has_retry_queue: bool) -> Result<(), (&'static str, &'static str)> {
-        use Settlement::{Later, Retry};
-        let rows = [
-            ("nacked", self.nacked),
-            ("failed", self.failed),
-            ("expired", self.expired),
-            ("unknown", self.unknown),
-            ("poison", self.poison),
-            ("doubtful", self.doubtful),
-            ("exhausted", self.exhausted),
-        ];
-        for (row, settlement) in rows {
-            let comes_back = matches!(settlement, Later | Retry);
-            if comes_back && !matches!(row, "nacked" | "failed") {
-                return Err((row, "would come back for ever: only ack or reject"));
+impl SettlementTable {
+    /// Checks that no outcome is redelivered without end and that a retry queue exists where one is needed.
+    ///
+    /// # Errors
+    /// Returns the first row that cannot be used.
+    pub fn check(&self, has_retry_queue: bool) -> Result<(), SettlementTableError> {
+        for Row { key, settlement, may_redeliver } in self.rows() {
+            if settlement.redelivers() && !may_redeliver {
+                return Err(SettlementTableError::EndlessRedelivery { key });
             }
-            if settlement == Retry && !has_retry_queue {
-                return Err((row, "retry needs retry_queue"));
+            if settlement == Settlement::PublishRetry && !has_retry_queue {
+                return Err(SettlementTableError::MissingRetryQueue { key });
             }
         }
         Ok(())
     }
 
-    /// What follows for a delivery that was tried `tries` times before. A copy in the retry queue and the
-    /// original may for a while both be there, should the connection break in between: what must not run twice
-    /// is never copied, and once it may have run it does not come back.
-    pub fn settle(&self, ending: Ending, repeats: Idempotency, tries: u32) -> Settlement {
-        let once = repeats != Idempotency::Idempotent;
-        let row = match ending {
-            Ending::Acked => Settlement::Ack,
-            Ending::Nacked(_) => self.nacked,
-            Ending::Failed if once && matches!(self.failed, Settlement::Later | Settlement::Retry) => {
-                Settlement::Reject
-            }
-            Ending::Failed => self.failed,
-            Ending::Expired => self.expired,
-            Ending::Unknown => self.unknown,
-            Ending::Poison => self.poison,
-            Ending::Doubtful => self.doubtful,
-        };
-        match row {
-            Settlement::Later | Settlement::Retry
-                if tries + 1 >= self.most_tries && ending == Ending::Failed =>
-            {
-                self.exhausted
-            }
-            Settlement::Retry if once => Settlement::Later,
-            row => row,
+    fn rows(&self) -> [Row; 7] {
+        let row = |key, settlement, may_redeliver| Row { key, settlement, may_redeliver };
+        [
+            row("nacked", self.rejected, true),
+            row("failed", self.failed, true),
+            row("expired", self.expired, false),
+            row("unknown", self.unknown_class, false),
+            row("poison", self.malformed, false),
+            row("doubtful", self.possible_duplicate, false),
+            row("exhausted", self.exhausted, false),
+        ]
+    }
+
+    /// Decides the settlement of a delivery with `previous_attempts` attempts before this one.
+    ///
+    /// A retry copy and its original can both exist when the connection breaks between publish and ack. So a
+    /// request that must not run twice is never copied, and is not redelivered once it may have run.
+    pub fn settle(
+        &self,
+        outcome: DeliveryOutcome,
+        idempotency: Idempotency,
+        previous_attempts: u32,
+    ) -> Settlement {
+        let run_once = idempotency != Idempotency::Idempotent;
+        let configured = self.configured(outcome);
+        let failed = outcome == DeliveryOutcome::Failed;
+        if !configured.redelivers() {
+            return configured;
+        }
+        if failed && run_once {
+            return Settlement::Reject;
+        }
+        if failed && previous_attempts + 1 >= self.max_attempts {
+            return self.exhausted;
+        }
+        if run_once { Settlement::RequeueLater } else { configured }
+    }
+
+    fn configured(&self, outcome: DeliveryOutcome) -> Settlement {
+        match outcome {
+            DeliveryOutcome::Succeeded => Settlement::Ack,
+            DeliveryOutcome::Rejected(_) => self.rejected,
+            DeliveryOutcome::Failed => self.failed,
+            DeliveryOutcome::Expired => self.expired,
+            DeliveryOutcome::UnknownClass => self.unknown_class,
+            DeliveryOutcome::Malformed => self.malformed,
+            DeliveryOutcome::PossibleDuplicate => self.possible_duplicate,
         }
     }
 
-    pub fn pause(&self, ending: Ending) -> Duration {
-        match ending {
-            Ending::Nacked(retry_after) => retry_after,
-            _ => self.failed_pause,
+    /// Delay before the redelivery of this outcome.
+    pub fn redelivery_delay(&self, outcome: DeliveryOutcome) -> Duration {
+        match outcome {
+            DeliveryOutcome::Rejected(retry_after) => retry_after,
+            _ => self.failed_delay,
         }
     }
 }
--- /dev/null
+++ b/crates/hazelspur-deliveries/src/tracker/connection_loss.rs
@@ -0,0 +1,56 @@
+//! Loss of a channel or a connection: its tags can no longer be settled.
+
+use super::delivery::{Delivery, DeliveryState, Publication};
+use super::{DeliveryAction, DeliveryTracker, MAX_PENDING_REPLIES};
+use crate::identifiers::{ConnectionNumber, DeliveryId, DeliveryTag};
+
+impl DeliveryTracker {
+    /// The connection and all its channels are lost.
+    pub fn connection_lost(&mut self, connection: ConnectionNumber) {
+        self.tags_lost(|tag| tag.connection == connection);
+    }
+
+    /// One channel of a connection is lost.
+    pub fn channel_lost(&mut self, connection: ConnectionNumber, channel: u16) {
+        self.tags_lost(|tag| tag.connection == connection && tag.channel == channel);
+    }
+
+    fn tags_lost(&mut self, is_lost: impl Fn(&DeliveryTag) -> bool) {
+        self.actions.retain(|action| !action.tag().is_some_and(|tag| is_lost(&tag)));
+        let affected = self.select(|delivery| {
+            let uses_tag = delivery.unsettled || delivery.state == DeliveryState::AwaitingFence;
+            uses_tag && is_lost(&delivery.tag)
+        });
+        affected.into_iter().for_each(|id| self.tag_lost(id));
+        self.drop_excess_replies();
+    }
+
+    fn tag_lost(&mut self, id: DeliveryId) {
+        let Some(delivery) = self.deliveries.get_mut(&id) else { return };
+        delivery.unsettled = false;
+        match delivery.state {
+            DeliveryState::Submitted => {
+                self.actions.push_back(DeliveryAction::Abandon(id));
+                self.leave_to_broker(id);
+            }
+            DeliveryState::AwaitingFence => self.fence_lost(id),
+            DeliveryState::Gated
+            | DeliveryState::DuplicateOf(_)
+            | DeliveryState::RequeueAt(_)
+            | DeliveryState::Publishing { publication: Publication::RetryCopy { .. }, .. } => {
+                self.leave_to_broker(id);
+            }
+            DeliveryState::Running | DeliveryState::Publishing { publication: Publication::Reply, .. } => {}
+        }
+    }
+
+    fn drop_excess_replies(&mut self) {
+        let without_tag = |delivery: &Delivery| !delivery.unsettled && delivery.state.is_publishing();
+        let waiting = self.select(without_tag);
+        let excess = waiting.len().saturating_sub(MAX_PENDING_REPLIES);
+        for id in waiting.into_iter().take(excess) {
+            self.counters.replies_lost += 1;
+            self.settle(id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/hazelspur-deliveries/src/tracker/mod.rs
@@ -0,0 +1,168 @@
+//! Tracks each delivery from its receipt to its one settlement.
+//!
+//! Input: events of the broker's connection and of the requests, with the time. Output: a list of actions that
+//! the caller takes from `next_action` until it is empty and carries out in order.
+//!
+//! A delivery tag is valid on one channel of one connection. When that is lost, requests that have not run are
+//! abandoned, since the broker redelivers their messages. A running request goes on; its outcome waits for the
+//! redelivery of its message or, where a reply is wanted, is published on the next connection.
+//!
+//! A request that must not run twice is settled before its run: ack, a fence that shows that the broker has read
+//! the ack, then the run. So a redelivered message has not run anywhere. The price is that a process that dies
+//! between fence and run loses the message. A queue may be configured to settle after the run; then a
+//! redelivered message that is not in the cache may have run, and is dead-lettered.
+//!
+//! Invariant: `check_invariants`.
+
+mod action;
+mod connection_loss;
+mod counters;
+mod delivery;
+mod invariants;
+mod publishing;
+mod receipt;
+mod run;
+mod settling;
+mod timers;
+
+pub use action::DeliveryAction;
+pub use counters::DeliveryCounters;
+pub use invariants::InvariantViolation;
+pub use receipt::ReceivedDelivery;
+
+use crate::duty_cycle_gate::DutyCycleGate;
+use crate::identifiers::{DeliveryId, QueueId};
+use crate::message_cache::MessageCache;
+use crate::settlement::SettlementTable;
+use delivery::{Delivery, DeliveryState};
+use hazelspur::{Duration, Timestamp};
+use std::collections::{BTreeMap, VecDeque};
+use timers::Timers;
+
+/// A delivery expires this long before its deadline; the admission controller's own timer tick is shorter.
+pub const EXPIRY_MARGIN: Duration = Duration::from_ms(80);
+/// Time within which the broker has to confirm a published message.
+pub const CONFIRM_TIMEOUT: Duration = Duration::from_ms(5000);
+/// Maximum number of replies of lost connections that wait for the next one; the oldest is dropped.
+pub const MAX_PENDING_REPLIES: usize = 1024;
+
+/// How the deliveries of a queue are treated.
+#[derive(Clone, Debug)]
+pub struct QueueSettings {
+    /// Settlement for each outcome.
+    pub settlements: SettlementTable,
+    /// Whether a request that must not run twice is settled before its run (with a fence) instead of after.
+    pub settle_before_run: bool,
+}
+
+/// Whether messages can be published now.
+#[derive(Clone, Copy, Debug, Default)]
+struct PublisherState {
+    channel_ready: bool,
+    blocked_by_broker: bool,
+}
+
+/// The deliveries of all queues.
+#[derive(Clone, Debug)]
+pub struct DeliveryTracker {
+    queues: Vec<QueueSettings>,
+    gates: Vec<DutyCycleGate>,
+    message_cache: MessageCache,
+    deliveries: BTreeMap<DeliveryId, Delivery>,
+    last_id: u64,
+    timers: Timers,
+    actions: VecDeque<DeliveryAction>,
+    publisher: PublisherState,
+    publish_queue: VecDeque<DeliveryId>,
+    shutting_down: bool,
+    counters: DeliveryCounters,
+}
+
+impl DeliveryTracker {
+    /// Creates a tracker for these queues, whose `QueueId` is their index.
+    pub fn new(queues: Vec<QueueSettings>, message_cache: MessageCache) -> Self {
+        Self {
+            gates: queues.iter().map(|_| DutyCycleGate::default()).collect(),
+            queues,
+            message_cache,
+            deliveries: BTreeMap::new(),
+            last_id: 0,
+            timers: Timers::default(),
+            actions: VecDeque::new(),
+            publisher: PublisherState::default(),
+            publish_queue: VecDeque::new(),
+            shutting_down: false,
+            counters: DeliveryCounters::default(),
+        }
+    }
+
+    /// Sets the fraction of the time in which a delivery of this queue may be processed.
+    pub fn set_duty_cycle(&mut self, queue: QueueId, duty_cycle: f64) {
+        self.gates[queue.0].set_duty_cycle(duty_cycle);
+    }
+
+    /// Requeues from now on what is received, and now what waits for its turn or its requeue.
+    pub fn shutdown_notice(&mut self) {
+        self.shutting_down = true;
+        let waits = |d: &Delivery| matches!(d.state, DeliveryState::RequeueAt(_) | DeliveryState::Gated);
+        self.select(waits).into_iter().for_each(|id| self.requeue(id));
+    }
+
+    /// Returns the next action, or `None` until the next event or `next_deadline`.
+    pub fn next_action(&mut self, now: Timestamp) -> Option<DeliveryAction> {
+        loop {
+            if let Some(action) = self.actions.pop_front() {
+                return Some(action);
+            }
+            let progressed = self.run_next_timer(now) || self.open_gates(now) || self.publish_next(now);
+            if !progressed {
+                return None;
+            }
+        }
+    }
+
+    /// When `next_action` may return an action without a further event.
+    pub fn next_deadline(&self) -> Option<Timestamp> {
+        let gates = self.gates.iter().enumerate();
+        let waiting = gates.filter(|(queue, gate)| gate.has_queued() && !self.is_busy(*queue));
+        let gate_opens_at = waiting.map(|(_, gate)| gate.opens_at()).min();
+        [gate_opens_at, self.timers.next()].into_iter().flatten().min()
+    }
+
+    /// Counters since the start.
+    pub fn counters(&self) -> DeliveryCounters {
+        self.counters
+    }
+
+    /// Number of unsettled deliveries of a queue.
+    pub fn unsettled_in(&self, queue: QueueId) -> usize {
+        let unsettled = |delivery: &&Delivery| delivery.unsettled && delivery.queue == queue;
+        self.deliveries.values().filter(unsettled).count()
+    }
+
+    /// Number of deliveries that are not over, settled or not.
+    pub fn active(&self) -> usize {
+        self.deliveries.len()
+    }
+
+    /// Whether a reply waits for a connection, or a running request may want one.
+    pub fn has_pending_replies(&self) -> bool {
+        let pending = |state: DeliveryState| state.is_publishing_reply() || state == DeliveryState::Running;
+        self.deliveries.values().any(|delivery| pending(delivery.state))
+    }
+
+    fn select(&self, condition: impl Fn(&Delivery) -> bool) -> Vec<DeliveryId> {
+        self.deliveries.iter().filter(|(_, delivery)| condition(delivery)).map(|(id, _)| *id).collect()
+    }
+
+    fn settles_before_run(&self, id: DeliveryId) -> bool {
+        self.deliveries.get(&id).is_some_and(|delivery| {
+            delivery.must_run_once() && self.queues[delivery.queue.0].settle_before_run
+        })
+    }
+
+    fn is_expired(&self, now: Timestamp, id: DeliveryId) -> bool {
+        let deadline = self.deliveries.get(&id).and_then(|delivery| delivery.deadline);
+        deadline.is_some_and(|deadline| now + EXPIRY_MARGIN >= deadline)
+    }
+}
--- /dev/null
+++ b/crates/hazelspur-deliveries/src/tracker/publishing.rs
@@ -0,0 +1,110 @@
+//! Publishing of replies and retry copies, which the broker confirms before the delivery is settled.
+
+use super::delivery::{DeliveryState, Publication};
+use super::{CONFIRM_TIMEOUT, DeliveryAction, DeliveryTracker};
+use crate::identifiers::DeliveryId;
+use crate::outcome::DeliveryOutcome;
+use crate::settlement::Settlement;
+use hazelspur::{Duration, Timestamp};
+
+impl DeliveryTracker {
+    pub(super) fn begin_publishing(&mut self, now: Timestamp, id: DeliveryId, publication: Publication) {
+        if let Some(delivery) = self.deliveries.get_mut(&id) {
+            delivery.state = DeliveryState::Publishing { publication, sent_at: None };
+            self.publish_queue.push_back(id);
+            self.set_timer(id, Some(now + CONFIRM_TIMEOUT));
+        }
+    }
+
+    /// Publishes the next message, if any can be published; returns whether the queue advanced.
+    pub(super) fn publish_next(&mut self, now: Timestamp) -> bool {
+        if !self.publisher.channel_ready || self.publisher.blocked_by_broker {
+            return false;
+        }
+        let Some(id) = self.publish_queue.pop_front() else { return false };
+        let Some(delivery) = self.deliveries.get_mut(&id) else { return true };
+        let DeliveryState::Publishing { publication, sent_at } = &mut delivery.state else { return true };
+        *sent_at = Some(now);
+        let action = match *publication {
+            Publication::RetryCopy { delay } => {
+                DeliveryAction::PublishRetry { id, delay, attempts: delivery.previous_attempts + 1 }
+            }
+            Publication::Reply => DeliveryAction::PublishReply {
+                id,
+                outcome: delivery.outcome,
+                result: delivery.result.clone(),
+            },
+        };
+        self.actions.push_back(action);
+        self.set_timer(id, Some(now + CONFIRM_TIMEOUT));
+        true
+    }
+
+    /// The broker has confirmed (`accepted`) or refused what was published for this delivery.
+    pub fn publish_confirmed(&mut self, now: Timestamp, id: DeliveryId, accepted: bool) {
+        let Some(delivery) = self.deliveries.get(&id) else { return };
+        let DeliveryState::Publishing { publication, .. } = delivery.state else { return };
+        let routed = accepted && !delivery.returned;
+        match publication {
+            Publication::RetryCopy { delay } if !routed => self.requeue_instead(now, id, delay),
+            Publication::RetryCopy { .. } => {
+                self.counters.retried += 1;
+                self.settle_as(id, Settlement::Ack);
+            }
+            Publication::Reply => {
+                self.counters.replies_lost += u64::from(!routed);
+                self.settle(id);
+            }
+        }
+    }
+
+    /// The retry queue has no copy, which would have carried the attempt count: the cache keeps it instead.
+    fn requeue_instead(&mut self, now: Timestamp, id: DeliveryId, delay: Duration) {
+        let Some(delivery) = self.deliveries.get(&id) else { return };
+        if delivery.outcome == DeliveryOutcome::Failed {
+            let Some(message_id) = &delivery.message_id else {
+                let exhausted = self.queues[delivery.queue.0].settlements.exhausted;
+                return self.settle_as(id, exhausted);
+            };
+            self.message_cache.record_failed_attempts(now, message_id, delivery.previous_attempts + 1);
+        }
+        self.schedule_requeue(now, id, delay);
+    }
+
+    /// The broker returned what was published for this delivery as unroutable; its confirm follows.
+    pub fn publish_returned(&mut self, id: DeliveryId) {
+        if let Some(delivery) = self.deliveries.get_mut(&id) {
+            delivery.returned = true;
+        }
+    }
+
+    /// The publishing channel is ready, or lost. What is unconfirmed when it is lost is published again.
+    pub fn set_publishing_ready(&mut self, ready: bool) {
+        self.publisher.channel_ready = ready;
+        self.publisher.blocked_by_broker = false;
+        if ready {
+            return;
+        }
+        self.publish_queue.clear();
+        for (id, delivery) in &mut self.deliveries {
+            if let DeliveryState::Publishing { sent_at, .. } = &mut delivery.state {
+                *sent_at = None;
+                delivery.returned = false;
+                self.publish_queue.push_back(*id);
+            }
+        }
+    }
+
+    /// The broker closed the publishing channel: any unconfirmed message may be the cause, so all count as
+    /// refused.
+    pub fn publishing_channel_closed(&mut self, now: Timestamp) {
+        let publishing = self.select(|delivery| delivery.state.is_publishing());
+        publishing.into_iter().for_each(|id| self.publish_confirmed(now, id, false));
+        self.set_publishing_ready(false);
+    }
+
+    /// The broker blocks publishers (`connection.blocked`), or no longer does. Unconfirmed messages stay sent.
+    pub fn set_publishing_blocked(&mut self, blocked: bool) {
+        self.publisher.blocked_by_broker = blocked;
+    }
+}
--- /dev/null
+++ b/crates/hazelspur-deliveries/src/tracker/receipt.rs
@@ -0,0 +1,140 @@
+//! Receipt of a delivery: decides whether its request is submitted or the delivery ends at once.
+
+use super::delivery::{Delivery, DeliveryState};
+use super::{DeliveryAction, DeliveryTracker, EXPIRY_MARGIN};
+use crate::identifiers::{DeliveryId, DeliveryTag, QueueId};
+use crate::message_cache::MessageState;
+use crate::outcome::DeliveryOutcome;
+use hazelspur::{Idempotency, Timestamp};
+use std::rc::Rc;
+
+/// What the tracker needs to know of a delivery.
+#[derive(Clone, Copy, Debug)]
+pub struct ReceivedDelivery<'a> {
+    /// Its tag.
+    pub tag: DeliveryTag,
+    /// Its queue.
+    pub queue: QueueId,
+    /// Its message-id, if any.
+    pub message_id: Option<&'a str>,
+    /// Whether the broker has delivered the message before.
+    pub redelivered: bool,
+    /// Idempotency of its request class, or why the message is not a request.
+    pub idempotency: Result<Idempotency, DeliveryOutcome>,
+    /// By when its request has to begin.
+    pub deadline: Option<Timestamp>,
+    /// Whether the message asks for a reply.
+    pub wants_reply: bool,
+    /// Attempts before this one, according to the message's headers.
+    pub previous_attempts: u32,
+}
+
+impl DeliveryTracker {
+    /// Adds a delivery; returns its id, for which the caller keeps the message until `Release`.
+    pub fn delivery_received(&mut self, now: Timestamp, received: ReceivedDelivery<'_>) -> DeliveryId {
+        self.last_id += 1;
+        self.counters.received += 1;
+        let id = DeliveryId(self.last_id);
+        let delivery = Delivery::new(now, &received);
+        let message_id = delivery.message_id.clone();
+        self.deliveries.insert(id, delivery);
+        if let Err(outcome) = received.idempotency {
+            self.finish(now, id, outcome, &[].into());
+            return id;
+        }
+        let known = message_id.as_deref().and_then(|message_id| self.message_cache.lookup(now, message_id));
+        match known {
+            Some(MessageState::InProgress(first)) if self.deliveries.contains_key(&first) => {
+                self.attach_duplicate(first, id);
+            }
+            Some(MessageState::Finished { outcome, result }) => {
+                self.repeat_outcome(now, id, outcome, &result)
+            }
+            Some(MessageState::FailedAttempts(attempts)) => {
+                self.raise_previous_attempts(id, attempts);
+                self.admit(now, id, received.redelivered);
+            }
+            Some(MessageState::InProgress(_)) | None => self.admit(now, id, received.redelivered),
+        }
+        id
+    }
+
+    /// A requeued message carries no attempt count, so the cache's count applies where it is higher.
+    fn raise_previous_attempts(&mut self, id: DeliveryId, attempts: u32) {
+        if let Some(delivery) = self.deliveries.get_mut(&id) {
+            delivery.previous_attempts = delivery.previous_attempts.max(attempts);
+        }
+    }
+
+    /// Submits a delivery that is no known duplicate, unless it must not or need not run.
+    fn admit(&mut self, now: Timestamp, id: DeliveryId, redelivered: bool) {
+        if self.shutting_down {
+            return self.requeue(id);
+        }
+        if self.is_expired(now, id) {
+            return self.finish(now, id, DeliveryOutcome::Expired, &[].into());
+        }
+        let Some(delivery) = self.deliveries.get(&id) else { return };
+        let settles_before_run = self.queues[delivery.queue.0].settle_before_run;
+        if redelivered && delivery.must_run_once() && !settles_before_run {
+            self.counters.possible_duplicates += 1;
+            return self.finish(now, id, DeliveryOutcome::PossibleDuplicate, &[].into());
+        }
+        let deadline = delivery.deadline;
+        if let Some(message_id) = &delivery.message_id {
+            self.message_cache.begin(message_id, id);
+        }
+        self.set_timer(id, deadline.map(|deadline| deadline.back(EXPIRY_MARGIN)));
+        self.submit_or_queue(now, id);
+    }
+
+    /// The same message is being processed. A running delivery without a tag takes over the new one; otherwise
+    /// the message is here twice and the duplicate ends as the first does.
+    fn attach_duplicate(&mut self, first: DeliveryId, id: DeliveryId) {
+        let settles_before_run = self.settles_before_run(first);
+        let Some(original) = self.deliveries.get_mut(&first) else { return };
+        if !original.unsettled && !settles_before_run && original.state == DeliveryState::Running {
+            return self.take_over_tag(first, id);
+        }
+        original.duplicates.push(id);
+        if let Some(duplicate) = self.deliveries.get_mut(&id) {
+            duplicate.state = DeliveryState::DuplicateOf(first);
+        }
+    }
+
+    /// Settles a duplicate of a finished message: with the reply that is still to be confirmed, or at once.
+    fn repeat_outcome(
+        &mut self,
+        now: Timestamp,
+        id: DeliveryId,
+        outcome: DeliveryOutcome,
+        result: &Rc<[u8]>,
+    ) {
+        self.counters.duplicates += 1;
+        match self.reply_without_tag(id) {
+            Some(first) => self.take_over_tag(first, id),
+            None => self.finish(now, id, outcome, result),
+        }
+    }
+
+    /// A delivery of the same message that lost its tag and whose reply is not confirmed yet.
+    fn reply_without_tag(&self, id: DeliveryId) -> Option<DeliveryId> {
+        let duplicate = self.deliveries.get(&id)?;
+        let same_message = |original: &Delivery| {
+            !original.unsettled
+                && original.state.is_publishing_reply()
+                && original.message_id == duplicate.message_id
+        };
+        let first = self.deliveries.iter().find(|(_, original)| same_message(original));
+        first.map(|(first, _)| *first).filter(|first| !self.settles_before_run(*first))
+    }
+
+    /// The first delivery of a message takes over the tag of a later one, which is over.
+    fn take_over_tag(&mut self, first: DeliveryId, id: DeliveryId) {
+        let tag = self.deliveries.remove(&id).map(|duplicate| duplicate.tag);
+        if let (Some(original), Some(tag)) = (self.deliveries.get_mut(&first), tag) {
+            (original.tag, original.unsettled) = (tag, true);
+        }
+        self.actions.push_back(DeliveryAction::Release { id, outcome: DeliveryOutcome::PossibleDuplicate });
+    }
+}
--- /dev/null
+++ b/crates/hazelspur-deliveries/src/tracker/run.rs
@@ -0,0 +1,124 @@
+//! Submission of a delivery's request and its run.
+
+use super::delivery::DeliveryState;
+use super::{DeliveryAction, DeliveryTracker};
+use crate::identifiers::DeliveryId;
+use crate::outcome::DeliveryOutcome;
+use hazelspur::Timestamp;
+use std::rc::Rc;
+
+impl DeliveryTracker {
+    pub(super) fn submit_or_queue(&mut self, now: Timestamp, id: DeliveryId) {
+        let Some(delivery) = self.deliveries.get_mut(&id) else { return };
+        let gate = &mut self.gates[delivery.queue.0];
+        if gate.is_limiting() {
+            delivery.state = DeliveryState::Gated;
+            return gate.enqueue(id);
+        }
+        self.submit(now, id);
+    }
+
+    fn submit(&mut self, now: Timestamp, id: DeliveryId) {
+        if let Some(delivery) = self.deliveries.get_mut(&id) {
+            (delivery.state, delivery.submitted_at) = (DeliveryState::Submitted, now);
+            self.actions.push_back(DeliveryAction::Submit(id));
+        }
+    }
+
+    /// Whether the admission controller has a request of this queue.
+    pub(super) fn is_busy(&self, queue: usize) -> bool {
+        self.deliveries.values().any(|delivery| delivery.queue.0 == queue && delivery.state.is_submitted())
+    }
+
+    /// Submits the first delivery whose gate lets it pass; returns whether one left its gate.
+    pub(super) fn open_gates(&mut self, now: Timestamp) -> bool {
+        for queue in 0..self.gates.len() {
+            if !self.gates[queue].has_queued() {
+                continue;
+            }
+            let busy = self.gates[queue].is_limiting() && self.is_busy(queue);
+            let Some(id) = self.gates[queue].pop_ready(now, busy) else { continue };
+            if self.deliveries.get(&id).is_some_and(|delivery| delivery.state == DeliveryState::Gated) {
+                self.submit(now, id);
+            }
+            return true;
+        }
+        false
+    }
+
+    /// The admission controller has chosen the request to run; `ResolveRun` answers whether it may.
+    pub fn run_requested(&mut self, now: Timestamp, id: DeliveryId) {
+        let settles_before_run = self.settles_before_run(id);
+        let expired = self.is_expired(now, id);
+        let state = self.deliveries.get(&id).map(|delivery| delivery.state);
+        match state {
+            Some(DeliveryState::Submitted) if expired => self.expire_before_run(now, id),
+            Some(DeliveryState::Submitted) if settles_before_run => self.ack_before_run(now, id),
+            Some(DeliveryState::Submitted | DeliveryState::Running) => self.begin_run(id),
+            _ => self.resolve_run(id, false),
+        }
+    }
+
+    fn ack_before_run(&mut self, now: Timestamp, id: DeliveryId) {
+        let Some(delivery) = self.deliveries.get_mut(&id) else { return };
+        let Some(tag) = delivery.take_tag() else { return self.expire_before_run(now, id) };
+        delivery.state = DeliveryState::AwaitingFence;
+        self.counters.acked += 1;
+        self.actions.extend([DeliveryAction::Ack(tag), DeliveryAction::Fence { tag, id }]);
+    }
+
+    fn begin_run(&mut self, id: DeliveryId) {
+        if let Some(delivery) = self.deliveries.get_mut(&id) {
+            delivery.state = DeliveryState::Running;
+        }
+        self.resolve_run(id, true);
+    }
+
+    fn resolve_run(&mut self, id: DeliveryId, permitted: bool) {
+        self.actions.push_back(DeliveryAction::ResolveRun { id, permitted });
+    }
+
+    fn expire_before_run(&mut self, now: Timestamp, id: DeliveryId) {
+        self.resolve_run(id, false);
+        self.finish(now, id, DeliveryOutcome::Expired, &[].into());
+    }
+
+    fn awaits_fence(&self, id: DeliveryId) -> bool {
+        self.deliveries.get(&id).is_some_and(|delivery| delivery.state == DeliveryState::AwaitingFence)
+    }
+
+    /// The broker has read the ack that was sent before the run.
+    pub fn fence_answered(&mut self, now: Timestamp, id: DeliveryId) {
+        if !self.awaits_fence(id) {
+            return;
+        }
+        if self.is_expired(now, id) {
+            // It cannot be dead-lettered any more: its ack is sent.
+            self.counters.acked_without_run += 1;
+            return self.expire_before_run(now, id);
+        }
+        self.begin_run(id);
+    }
+
+    /// The fence could not be sent, or its channel is lost: the request never runs.
+    pub fn fence_lost(&mut self, id: DeliveryId) {
+        if self.awaits_fence(id) {
+            self.counters.acked_without_run += 1;
+            self.resolve_run(id, false);
+            self.leave_to_broker(id);
+        }
+    }
+
+    /// The request has its final outcome.
+    pub fn request_finished(
+        &mut self,
+        now: Timestamp,
+        id: DeliveryId,
+        outcome: DeliveryOutcome,
+        result: &Rc<[u8]>,
+    ) {
+        if self.deliveries.get(&id).is_some_and(|delivery| delivery.state.is_submitted()) {
+            self.finish(now, id, outcome, result);
+        }
+    }
+}
--- /dev/null
+++ b/crates/hazelspur-deliveries/src/tracker/settling.rs
@@ -0,0 +1,139 @@
+//! From the outcome of a delivery to its settlement and its end.
+
+use super::delivery::{Delivery, DeliveryState, Publication};
+use super::{DeliveryAction, DeliveryTracker};
+use crate::identifiers::DeliveryId;
+use crate::outcome::DeliveryOutcome;
+use crate::settlement::{Settlement, SettlementTable};
+use hazelspur::{Duration, Timestamp};
+use std::rc::Rc;
+
+/// Without a message-id nobody counts the attempts of a requeued message: it would be redelivered for ever.
+fn settlement_of(table: &SettlementTable, delivery: &Delivery, outcome: DeliveryOutcome) -> Settlement {
+    let settlement = table.settle(outcome, delivery.idempotency, delivery.previous_attempts);
+    let requeues_failed = outcome == DeliveryOutcome::Failed && settlement == Settlement::RequeueLater;
+    if requeues_failed && delivery.message_id.is_none() { table.exhausted } else { settlement }
+}
+
+impl DeliveryTracker {
+    /// Records the outcome of a delivery and begins its settlement by the queue's table.
+    pub(super) fn finish(
+        &mut self,
+        now: Timestamp,
+        id: DeliveryId,
+        outcome: DeliveryOutcome,
+        result: &Rc<[u8]>,
+    ) {
+        let Some(delivery) = self.deliveries.get_mut(&id) else { return };
+        let table = &self.queues[delivery.queue.0].settlements;
+        let delay = table.redelivery_delay(outcome);
+        let bars_duplicates = delivery.bars_duplicates(outcome);
+        let duplicates = std::mem::take(&mut delivery.duplicates);
+        (delivery.outcome, delivery.result) = (outcome, result.clone());
+        delivery.settlement = settlement_of(table, delivery, outcome);
+        if delivery.state.is_submitted() {
+            self.gates[delivery.queue.0].delivery_finished(now, delivery.submitted_at);
+        }
+        self.update_message_cache(now, id);
+        self.counters.expired += u64::from(outcome == DeliveryOutcome::Expired);
+        self.begin_settlement(now, id, delay);
+        for duplicate in duplicates {
+            if bars_duplicates {
+                self.counters.duplicates += 1;
+                self.finish(now, duplicate, outcome, result);
+            } else {
+                self.schedule_requeue(now, duplicate, delay);
+            }
+        }
+    }
+
+    fn update_message_cache(&mut self, now: Timestamp, id: DeliveryId) {
+        let Some(delivery) = self.deliveries.get(&id) else { return };
+        let Some(message_id) = &delivery.message_id else { return };
+        let failed = delivery.outcome == DeliveryOutcome::Failed;
+        if delivery.bars_duplicates(delivery.outcome) {
+            let result = delivery.result.clone();
+            self.message_cache.record_finished(now, message_id, delivery.outcome, result);
+        } else if failed && delivery.settlement == Settlement::RequeueLater {
+            self.message_cache.record_failed_attempts(now, message_id, delivery.previous_attempts + 1);
+        } else {
+            self.message_cache.release(message_id, id);
+        }
+    }
+
+    fn begin_settlement(&mut self, now: Timestamp, id: DeliveryId, delay: Duration) {
+        let Some(delivery) = self.deliveries.get(&id) else { return };
+        let settled_before_run = !delivery.unsettled;
+        match delivery.settlement {
+            Settlement::RequeueLater | Settlement::PublishRetry if settled_before_run => self.settle(id),
+            Settlement::RequeueLater => self.schedule_requeue(now, id, delay),
+            Settlement::PublishRetry => self.begin_publishing(now, id, Publication::RetryCopy { delay }),
+            Settlement::Ack | Settlement::Reject if delivery.wants_reply => {
+                self.begin_publishing(now, id, Publication::Reply);
+            }
+            Settlement::Ack | Settlement::Reject => self.settle(id),
+        }
+    }
+
+    pub(super) fn schedule_requeue(&mut self, now: Timestamp, id: DeliveryId, delay: Duration) {
+        let Some(delivery) = self.deliveries.get_mut(&id) else { return };
+        if !delivery.unsettled || self.shutting_down {
+            return self.requeue(id);
+        }
+        let at = now + delay;
+        delivery.state = DeliveryState::RequeueAt(at);
+        self.set_timer(id, Some(at));
+    }
+
+    pub(super) fn requeue(&mut self, id: DeliveryId) {
+        let Some(delivery) = self.deliveries.get_mut(&id) else { return };
+        if let Some(tag) = delivery.take_tag() {
+            self.counters.requeued += 1;
+            self.actions.push_back(DeliveryAction::Requeue(tag));
+        }
+        self.release(id);
+    }
+
+    /// Settles as the table says for the outcome.
+    pub(super) fn settle(&mut self, id: DeliveryId) {
+        let Some(delivery) = self.deliveries.get(&id) else { return };
+        let settlement = delivery.settlement;
+        self.settle_as(id, settlement);
+    }
+
+    /// Settles the tag unless that has been done before the run, and ends the delivery.
+    pub(super) fn settle_as(&mut self, id: DeliveryId, settlement: Settlement) {
+        let Some(delivery) = self.deliveries.get_mut(&id) else { return };
+        match (delivery.take_tag(), settlement) {
+            (Some(tag), Settlement::Reject) => {
+                self.counters.rejected += 1;
+                self.actions.push_back(DeliveryAction::Reject(tag));
+            }
+            (Some(tag), _) => {
+                self.counters.acked += 1;
+                self.actions.push_back(DeliveryAction::Ack(tag));
+            }
+            (None, _) => {}
+        }
+        self.release(id);
+    }
+
+    /// Ends a delivery that never ran here and can no longer be settled.
+    pub(super) fn leave_to_broker(&mut self, id: DeliveryId) {
+        self.counters.left_to_broker += u64::from(self.deliveries.contains_key(&id));
+        self.release(id);
+    }
+
+    /// Removes a delivery. Duplicates that waited for its outcome never ran and are requeued.
+    fn release(&mut self, id: DeliveryId) {
+        let Some(mut delivery) = self.deliveries.remove(&id) else { return };
+        self.timers.cancel(id, &mut delivery);
+        if let Some(message_id) = &delivery.message_id {
+            self.message_cache.release(message_id, id);
+        }
+        for duplicate in delivery.duplicates {
+            self.requeue(duplicate);
+        }
+        self.actions.push_back(DeliveryAction::Release { id, outcome: delivery.outcome });
+    }
+}
--- /dev/null
+++ b/crates/hazelspur-deliveries/tests/tracker/event_orders.rs
@@ -0,0 +1,274 @@
+//! Explores all orders of events, up to a depth, for two copies of one message on a broker that loses connections
+//! and redelivers. After each event the invariants hold, and a request that must not run twice has not.
+
+use crate::helpers::{at, new_tracker, received, tag};
+use hazelspur::{Duration, Idempotency, Timestamp};
+use hazelspur_deliveries::{
+    ConnectionNumber, DeliveryAction, DeliveryId, DeliveryOutcome, DeliveryTracker, ReceivedDelivery,
+    SettlementTable,
+};
+use std::collections::BTreeSet;
+
+/// The tracker with the broker and the runtime around it, as far as they matter for one message.
+#[derive(Clone)]
+struct BrokerModel {
+    tracker: DeliveryTracker,
+    connection: u64,
+    connected: bool,
+    last_tag: u64,
+    /// Copies of the message in the queue: whether each is a redelivery.
+    queued_copies: Vec<bool>,
+    unsettled_tags: BTreeSet<u64>,
+    /// What the client has sent and the broker has not read.
+    unread: Vec<DeliveryAction>,
+    submitted: BTreeSet<DeliveryId>,
+    awaiting_run: BTreeSet<DeliveryId>,
+    running: BTreeSet<DeliveryId>,
+    pending_fences: Vec<DeliveryId>,
+    pending_confirms: Vec<DeliveryId>,
+    run_count: u32,
+    removed_count: u32,
+    ms: u64,
+    events: Vec<String>,
+}
+
+#[derive(Clone, Copy, Debug)]
+enum Event {
+    Deliver,
+    /// The broker reads the oldest method that was sent.
+    BrokerReads,
+    ChooseRun,
+    RejectRequest,
+    FinishRun,
+    AnswerFence,
+    ConfirmPublish,
+    ConnectionLost,
+    Reconnect,
+    TimePasses,
+}
+
+const EVENTS: [Event; 10] = [
+    Event::Deliver,
+    Event::BrokerReads,
+    Event::ChooseRun,
+    Event::RejectRequest,
+    Event::FinishRun,
+    Event::AnswerFence,
+    Event::ConfirmPublish,
+    Event::ConnectionLost,
+    Event::Reconnect,
+    Event::TimePasses,
+];
+
+#[derive(Clone, Copy)]
+struct Case {
+    idempotency: Idempotency,
+    settle_before_run: bool,
+    wants_reply: bool,
+    /// Fault injection: the tracker is not notified of the lost connection, so it uses a stale tag.
+    stale_tag_fault: bool,
+}
+
+impl BrokerModel {
+    fn new(case: Case) -> Self {
+        Self {
+            tracker: new_tracker(SettlementTable::default(), case.settle_before_run),
+            connection: 1,
+            connected: true,
+            last_tag: 0,
+            queued_copies: vec![false, false],
+            unsettled_tags: BTreeSet::new(),
+            unread: Vec::new(),
+            submitted: BTreeSet::new(),
+            awaiting_run: BTreeSet::new(),
+            running: BTreeSet::new(),
+            pending_fences: Vec::new(),
+            pending_confirms: Vec::new(),
+            run_count: 0,
+            removed_count: 0,
+            ms: 0,
+            events: Vec::new(),
+        }
+    }
+
+    /// Returns false where the event is not possible now.
+    fn apply(&mut self, case: Case, event: Event) -> bool {
+        let now = at(self.ms);
+        match event {
+            Event::Deliver if self.connected && !self.queued_copies.is_empty() => {
+                self.deliver(case, now);
+            }
+            Event::BrokerReads if self.connected && !self.unread.is_empty() => {
+                let action = self.unread.remove(0);
+                self.broker_reads(action);
+            }
+            Event::ChooseRun => {
+                let Some(id) = self.submitted.pop_first() else { return false };
+                self.awaiting_run.insert(id);
+                self.tracker.run_requested(now, id);
+            }
+            Event::RejectRequest => {
+                let Some(id) = self.submitted.pop_first() else { return false };
+                self.tracker.request_finished(
+                    now,
+                    id,
+                    DeliveryOutcome::Rejected(Duration::from_ms(10)),
+                    &[].into(),
+                );
+            }
+            Event::FinishRun => {
+                let Some(id) = self.running.pop_first() else { return false };
+                self.tracker.request_finished(now, id, DeliveryOutcome::Succeeded, &(*b"ok").into());
+            }
+            Event::AnswerFence if self.connected && !self.pending_fences.is_empty() => {
+                let id = self.pending_fences.remove(0);
+                self.tracker.fence_answered(now, id);
+            }
+            Event::ConfirmPublish if self.connected && !self.pending_confirms.is_empty() => {
+                let id = self.pending_confirms.remove(0);
+                self.tracker.publish_confirmed(now, id, true);
+            }
+            Event::ConnectionLost if self.connected => {
+                self.lose_connection(case);
+            }
+            Event::Reconnect if !self.connected => {
+                self.connected = true;
+                self.connection += 1;
+                self.last_tag = 0;
+            }
+            Event::TimePasses if self.ms == 0 => self.ms = 20,
+            _ => return false,
+        }
+        if self.connected {
+            self.tracker.set_publishing_ready(true);
+        }
+        self.events.push(format!("{event:?}"));
+        self.run_actions();
+        true
+    }
+
+    fn deliver(&mut self, case: Case, now: Timestamp) {
+        let redelivered = self.queued_copies.pop().expect("not empty");
+        self.last_tag += 1;
+        self.unsettled_tags.insert(self.last_tag);
+        let delivery = received(tag(self.connection, self.last_tag), "m", case.idempotency);
+        let delivery = ReceivedDelivery { redelivered, wants_reply: case.wants_reply, ..delivery };
+        self.tracker.delivery_received(now, delivery);
+    }
+
+    fn lose_connection(&mut self, case: Case) {
+        self.connected = false;
+        self.unread.clear();
+        self.pending_fences.clear();
+        self.pending_confirms.clear();
+        let returned = std::mem::take(&mut self.unsettled_tags).len();
+        self.queued_copies.extend(std::iter::repeat_n(true, returned));
+        if !case.stale_tag_fault {
+            self.tracker.connection_lost(ConnectionNumber(self.connection));
+        }
+        self.tracker.set_publishing_ready(false);
+    }
+
+    fn run_actions(&mut self) {
+        while let Some(action) = self.tracker.next_action(at(self.ms)) {
+            match action {
+                DeliveryAction::Submit(id) => drop(self.submitted.insert(id)),
+                DeliveryAction::Abandon(id) => drop(self.submitted.remove(&id)),
+                DeliveryAction::ResolveRun { id, permitted } => {
+                    assert!(
+                        self.awaiting_run.remove(&id),
+                        "resolved a run that was not requested: {:?}",
+                        self.events
+                    );
+                    if permitted {
+                        self.run_count += 1;
+                        self.running.insert(id);
+                    }
+                }
+                DeliveryAction::Release { .. } => {}
+                DeliveryAction::Ack(tag) | DeliveryAction::Reject(tag) | DeliveryAction::Requeue(tag)
+                    if tag.connection.0 != self.connection =>
+                {
+                    panic!("a stale tag is used: {:?}", self.events)
+                }
+                action if self.connected => self.unread.push(action),
+                _ => {}
+            }
+        }
+        self.tracker.check_invariants().unwrap_or_else(|violation| panic!("{violation}: {:?}", self.events));
+    }
+
+    /// The broker's reaction to a method.
+    fn broker_reads(&mut self, action: DeliveryAction) {
+        match action {
+            DeliveryAction::Ack(tag) | DeliveryAction::Reject(tag) => {
+                assert!(self.unsettled_tags.remove(&tag.tag), "settled twice: {:?}", self.events);
+                self.removed_count += 1;
+            }
+            DeliveryAction::Requeue(tag) => {
+                assert!(self.unsettled_tags.remove(&tag.tag), "settled twice: {:?}", self.events);
+                self.queued_copies.push(true);
+            }
+            DeliveryAction::Fence { id, .. } => self.pending_fences.push(id),
+            DeliveryAction::PublishReply { id, .. } | DeliveryAction::PublishRetry { id, .. } => {
+                self.pending_confirms.push(id)
+            }
+            _ => {}
+        }
+    }
+}
+
+fn explore(case: Case, depth: u32) -> u64 {
+    fn count_paths(case: Case, model: &BrokerModel, depth: u32) -> u64 {
+        if depth == 0 {
+            return 1;
+        }
+        let mut paths = 0;
+        for event in EVENTS {
+            let mut next = model.clone();
+            if !next.apply(case, event) {
+                continue;
+            }
+            let copies = next.queued_copies.len() + next.unsettled_tags.len() + next.removed_count as usize;
+            assert_eq!(copies, 2, "a copy was lost or duplicated: {:?}", next.events);
+            // Both copies are one message.
+            let once = case.idempotency != Idempotency::Idempotent;
+            assert!(!once || next.run_count <= 1, "ran {} times: {:?}", next.run_count, next.events);
+            paths += count_paths(case, &next, depth - 1);
+        }
+        paths
+    }
+    count_paths(case, &BrokerModel::new(case), depth)
+}
+
+#[test]
+fn no_event_order_settles_a_tag_twice_or_runs_a_non_idempotent_request_twice() {
+    let mut seen = String::new();
+    for idempotency in [Idempotency::Idempotent, Idempotency::IdempotentWithKey, Idempotency::NonIdempotent] {
+        for settle_before_run in [true, false] {
+            for wants_reply in [true, false] {
+                let paths =
+                    explore(Case { idempotency, settle_before_run, wants_reply, stale_tag_fault: false }, 9);
+                assert!(paths > 1000);
+                seen += &format!(
+                    "{idempotency:?} settle_before_run {settle_before_run} wants_reply {wants_reply}: {paths} orders\n"
+                );
+            }
+        }
+    }
+    println!("{seen}");
+}
+
+#[test]
+#[should_panic(expected = "a stale tag is used")]
+fn exploration_detects_the_use_of_a_stale_tag() {
+    explore(
+        Case {
+            idempotency: Idempotency::Idempotent,
+            settle_before_run: false,
+            wants_reply: false,
+            stale_tag_fault: true,
+        },
+        6,
+    );
+}
--- /dev/null
+++ b/crates/hazelspur-deliveries/tests/tracker/main.rs
@@ -0,0 +1,5 @@
+//! The delivery tracker: traces of its actions, and all orders of events up to a depth.
+
+mod event_orders;
+mod helpers;
+mod traces;
--- /dev/null
+++ b/crates/hazelspur-deliveries/tests/tracker/traces.rs
@@ -0,0 +1,268 @@
+//! Traces of the actions that the tracker decides.
+
+use crate::helpers::{actions, at, finish, new_tracker, received, tag};
+use hazelspur::Duration;
+use hazelspur::Idempotency::{Idempotent, IdempotentWithKey, NonIdempotent};
+use hazelspur_deliveries::{
+    ConnectionNumber, DeliveryId, DeliveryOutcome, QueueId, ReceivedDelivery, Settlement, SettlementTable,
+};
+
+const REJECTED: DeliveryOutcome = DeliveryOutcome::Rejected(Duration::from_ms(300));
+
+#[test]
+fn a_rejected_delivery_is_requeued_later_and_a_failed_one_is_dead_lettered() {
+    let mut tracker = new_tracker(SettlementTable::default(), false);
+    let rejected = tracker.delivery_received(at(0), received(tag(1, 1), "a", Idempotent));
+    let failed = tracker.delivery_received(at(0), received(tag(1, 2), "b", Idempotent));
+    let mut seen = actions(&mut tracker, 0);
+    seen += &finish(&mut tracker, 5, rejected, REJECTED);
+    seen += &finish(&mut tracker, 6, failed, DeliveryOutcome::Failed);
+    seen += &format!("next deadline {:?}\n", tracker.next_deadline().map(|time| (time - at(0)).us() / 1000));
+    seen += &actions(&mut tracker, 304);
+    seen += &actions(&mut tracker, 305);
+    expect_test::expect![[r#"
+        0 Submit((1))
+        0 Submit((2))
+        6 Reject(Tag {(1), channel: 1, tag: 2 })
+        6 Release { id: (2), outcome: Failed }
+        next deadline Some(305)
+        305 Requeue(Tag {(1), channel: 1, tag: 1 })
+        305 Release { id: (1), outcome: Rejected(Duration(300000)) }
+    "#]]
+    .assert_eq(&seen);
+}
+
+#[test]
+fn a_non_idempotent_request_is_acked_and_fenced_before_its_run() {
+    let mut tracker = new_tracker(SettlementTable::default(), true);
+    let id = tracker.delivery_received(at(0), received(tag(1, 1), "a", NonIdempotent));
+    let mut seen = actions(&mut tracker, 0);
+    tracker.run_requested(at(1), id);
+    seen += &actions(&mut tracker, 1);
+    tracker.fence_answered(at(2), id);
+    seen += &actions(&mut tracker, 2);
+    seen += &finish(&mut tracker, 3, id, DeliveryOutcome::Succeeded);
+    let again = ReceivedDelivery { redelivered: true, ..received(tag(2, 1), "a", NonIdempotent) };
+    tracker.delivery_received(at(4), again);
+    seen += &format!("again\n{}", actions(&mut tracker, 4));
+    expect_test::expect![[r#"
+        0 Submit((1))
+        1 Ack(Tag {(1), channel: 1, tag: 1 })
+        1 Fence { tag: Tag {(1), channel: 1, tag: 1 }, id: (1) }
+        2 ResolveRun { id: (1), permitted: true }
+        3 Release { id: (1), outcome: Succeeded }
+        again
+        4 Ack(Tag {(2), channel: 1, tag: 1 })
+        4 Release { id: (2), outcome: Succeeded }
+    "#]]
+    .assert_eq(&seen);
+}
+
+#[test]
+fn with_settlement_after_the_run_an_unknown_redelivery_is_a_possible_duplicate() {
+    let mut tracker = new_tracker(SettlementTable::default(), false);
+    let again = ReceivedDelivery { redelivered: true, ..received(tag(1, 1), "a", NonIdempotent) };
+    tracker.delivery_received(at(0), again);
+    tracker.delivery_received(
+        at(0),
+        ReceivedDelivery { idempotency: Ok(Idempotent), message_id: Some("b"), tag: tag(1, 2), ..again },
+    );
+    expect_test::expect![[r#"
+        0 Reject(Tag {(1), channel: 1, tag: 1 })
+        0 Release { id: (1), outcome: PossibleDuplicate }
+        0 Submit((2))
+    "#]]
+    .assert_eq(&actions(&mut tracker, 0));
+}
+
+#[test]
+fn an_expired_delivery_never_runs_in_whatever_state_it_expires() {
+    let mut tracker = new_tracker(SettlementTable::default(), true);
+    let expiring =
+        |ms, n, name| ReceivedDelivery { deadline: Some(at(ms)), ..received(tag(1, n), name, NonIdempotent) };
+    tracker.delivery_received(at(0), expiring(70, 1, "before reading"));
+    tracker.delivery_received(at(0), expiring(500, 2, "while submitted"));
+    let chosen = tracker.delivery_received(at(0), expiring(600, 3, "before its run"));
+    let fenced = tracker.delivery_received(at(0), expiring(700, 4, "at the fence"));
+    let mut seen = actions(&mut tracker, 0);
+    tracker.run_requested(at(300), fenced);
+    seen += &actions(&mut tracker, 300);
+    seen += &actions(&mut tracker, 420);
+    tracker.run_requested(at(521), chosen);
+    seen += &actions(&mut tracker, 521);
+    tracker.fence_answered(at(650), fenced);
+    seen += &actions(&mut tracker, 650);
+    seen += &format!("acked without run: {}\n", tracker.counters().acked_without_run);
+    expect_test::expect![[r#"
+        0 Reject(Tag {(1), channel: 1, tag: 1 })
+        0 Release { id: (1), outcome: Expired }
+        0 Submit((2))
+        0 Submit((3))
+        0 Submit((4))
+        300 Ack(Tag {(1), channel: 1, tag: 4 })
+        300 Fence { tag: Tag {(1), channel: 1, tag: 4 }, id: (4) }
+        420 Abandon((2))
+        420 Reject(Tag {(1), channel: 1, tag: 2 })
+        420 Release { id: (2), outcome: Expired }
+        521 ResolveRun { id: (3), permitted: false }
+        521 Reject(Tag {(1), channel: 1, tag: 3 })
+        521 Release { id: (3), outcome: Expired }
+        650 ResolveRun { id: (4), permitted: false }
+        650 Release { id: (4), outcome: Expired }
+        acked without run: 1
+    "#]]
+    .assert_eq(&seen);
+}
+
+#[test]
+fn a_lost_connection_abandons_requests_that_have_not_run_and_its_tags_are_not_used() {
+    let mut tracker = new_tracker(SettlementTable::default(), false);
+    let submitted = tracker.delivery_received(at(0), received(tag(1, 1), "submitted", Idempotent));
+    let running = tracker.delivery_received(
+        at(0),
+        ReceivedDelivery { wants_reply: true, ..received(tag(1, 2), "running", Idempotent) },
+    );
+    let requeued = tracker.delivery_received(at(0), received(tag(1, 3), "requeued", Idempotent));
+    let mut seen = actions(&mut tracker, 0);
+    tracker.run_requested(at(1), running);
+    seen += &finish(&mut tracker, 1, requeued, REJECTED);
+    // Decided on the old connection and not carried out before it broke.
+    tracker.request_finished(at(2), submitted, DeliveryOutcome::Failed, &[].into());
+    tracker.connection_lost(ConnectionNumber(1));
+    tracker.set_publishing_ready(false);
+    seen += &format!("lost\n{}", actions(&mut tracker, 2));
+    seen += &finish(&mut tracker, 3, running, DeliveryOutcome::Succeeded);
+    tracker.set_publishing_ready(true);
+    seen += &format!("up\n{}", actions(&mut tracker, 4));
+    let again = ReceivedDelivery {
+        redelivered: true,
+        wants_reply: true,
+        ..received(tag(2, 1), "running", Idempotent)
+    };
+    tracker.delivery_received(at(5), again);
+    seen += &actions(&mut tracker, 5);
+    tracker.publish_confirmed(at(6), running, true);
+    seen += &format!("confirmed\n{}active {}\n", actions(&mut tracker, 6), tracker.active());
+    expect_test::expect![[r#"
+        0 Submit((1))
+        0 Submit((2))
+        0 Submit((3))
+        1 ResolveRun { id: (2), permitted: true }
+        lost
+        2 Release { id: (1), outcome: Failed }
+        2 Release { id: (3), outcome: Rejected(Duration(300000)) }
+        up
+        4 PublishReply { id: (2), outcome: Succeeded, result: [100, 111, 110, 101] }
+        5 Release { id: (4), outcome: PossibleDuplicate }
+        confirmed
+        6 Ack(Tag {(2), channel: 1, tag: 1 })
+        6 Release { id: (2), outcome: Succeeded }
+        active 0
+    "#]]
+    .assert_eq(&seen);
+}
+
+#[test]
+fn duplicates_of_a_message_run_once_and_are_settled_alike() {
+    let mut tracker = new_tracker(SettlementTable::default(), false);
+    let first = tracker.delivery_received(at(0), received(tag(1, 1), "a", IdempotentWithKey));
+    tracker.delivery_received(at(0), received(tag(1, 2), "a", IdempotentWithKey));
+    let mut seen = actions(&mut tracker, 0);
+    tracker.run_requested(at(1), first);
+    seen += &finish(&mut tracker, 2, first, DeliveryOutcome::Succeeded);
+    expect_test::expect![[r#"
+        0 Submit((1))
+        2 ResolveRun { id: (1), permitted: true }
+        2 Ack(Tag {(1), channel: 1, tag: 1 })
+        2 Release { id: (1), outcome: Succeeded }
+        2 Ack(Tag {(1), channel: 1, tag: 2 })
+        2 Release { id: (2), outcome: Succeeded }
+    "#]]
+    .assert_eq(&seen);
+}
+
+#[test]
+fn a_retry_copy_that_is_not_confirmed_is_requeued_later_instead() {
+    let table = SettlementTable { rejected: Settlement::PublishRetry, ..SettlementTable::default() };
+    let mut tracker = new_tracker(table, false);
+    tracker.set_publishing_ready(true);
+    let mut seen = String::new();
+    for (n, confirm) in ["refused", "returned", "never confirmed", "taken"].into_iter().enumerate() {
+        let id = tracker.delivery_received(at(0), received(tag(1, n as u64 + 1), confirm, Idempotent));
+        actions(&mut tracker, 0);
+        seen += &format!("{confirm}\n{}", finish(&mut tracker, 1, id, REJECTED));
+        match confirm {
+            "refused" => tracker.publish_confirmed(at(2), id, false),
+            "returned" => {
+                tracker.publish_returned(id);
+                tracker.publish_confirmed(at(2), id, true);
+            }
+            "taken" => tracker.publish_confirmed(at(2), id, true),
+            _ => {}
+        }
+        seen += &actions(&mut tracker, 2);
+    }
+    seen += &format!("later\n{}{}", actions(&mut tracker, 5001), actions(&mut tracker, 5301));
+    expect_test::expect![[r#"
+        refused
+        1 PublishRetry { id: (1), delay: Duration(300000), attempts: 1 }
+        returned
+        1 PublishRetry { id: (2), delay: Duration(300000), attempts: 1 }
+        never confirmed
+        1 PublishRetry { id: (3), delay: Duration(300000), attempts: 1 }
+        taken
+        1 PublishRetry { id: (4), delay: Duration(300000), attempts: 1 }
+        2 Ack(Tag {(1), channel: 1, tag: 4 })
+        2 Release { id: (4), outcome: Rejected(Duration(300000)) }
+        later
+        5001 Requeue(Tag {(1), channel: 1, tag: 1 })
+        5001 Release { id: (1), outcome: Rejected(Duration(300000)) }
+        5001 Requeue(Tag {(1), channel: 1, tag: 2 })
+        5001 Release { id: (2), outcome: Rejected(Duration(300000)) }
+        5301 Requeue(Tag {(1), channel: 1, tag: 3 })
+        5301 Release { id: (3), outcome: Rejected(Duration(300000)) }
+    "#]]
+    .assert_eq(&seen);
+}
+
+#[test]
+fn below_a_window_of_one_deliveries_are_spaced_by_the_duty_cycle() {
+    let mut tracker = new_tracker(SettlementTable::default(), false);
+    tracker.set_duty_cycle(QueueId(0), 0.25);
+    let ids: Vec<DeliveryId> = (1..=3)
+        .map(|n| {
+            tracker.delivery_received(at(0), received(tag(1, n), ["a", "b", "c"][n as usize - 1], Idempotent))
+        })
+        .collect();
+    let mut seen = actions(&mut tracker, 0);
+    tracker.run_requested(at(0), ids[0]);
+    seen += &finish(&mut tracker, 20, ids[0], DeliveryOutcome::Succeeded);
+    seen += &format!("next deadline {:?}\n", tracker.next_deadline().map(|time| (time - at(0)).us() / 1000));
+    seen += &actions(&mut tracker, 79);
+    seen += &actions(&mut tracker, 80);
+    seen += &format!("next deadline {:?}\n", tracker.next_deadline());
+    tracker.set_duty_cycle(QueueId(0), 1.0);
+    seen += &actions(&mut tracker, 81);
+    tracker.set_duty_cycle(QueueId(0), 0.25);
+    tracker.delivery_received(at(82), received(tag(1, 4), "d", Idempotent));
+    tracker.connection_lost(ConnectionNumber(1));
+    seen += &format!("lost\n{}active {}\n", actions(&mut tracker, 83), tracker.active());
+    expect_test::expect![[r#"
+        0 Submit((1))
+        20 ResolveRun { id: (1), permitted: true }
+        20 Ack(Tag {(1), channel: 1, tag: 1 })
+        20 Release { id: (1), outcome: Succeeded }
+        next deadline Some(80)
+        80 Submit((2))
+        next deadline None
+        81 Submit((3))
+        lost
+        83 Abandon((2))
+        83 Release { id: (2), outcome: Expired }
+        83 Abandon((3))
+        83 Release { id: (3), outcome: Expired }
+        83 Release { id: (4), outcome: Expired }
+        active 0
+    "#]]
+    .assert_eq(&seen);
+}
--- a/crates/hazelspur-server/src/config/operator.rs
+++ b/crates/hazelspur-server/src/config/operator.rs
@@ -5,7 +5,7 @@
 use crate::config::fleet_keys::Fleet;
 use garde::Validate;
 use hazelspur::{Catalog, Duration};
-use hazelspur_deliveries::{Rule, Settlement, Table};
+use hazelspur_deliveries::{PrefetchRule, Settlement, SettlementTable};
 use serde::Deserialize;
 use starlark::any::ProvidesStaticType;
 use starlark::environment::{Globals, GlobalsBuilder, Module};
@@ -221,34 +221,34 @@
 }
 
 impl Queue {
-    pub fn rule(&self) -> Rule {
+    pub fn rule(&self) -> PrefetchRule {
         match self.window {
-            WindowRule::Fixed => Rule::Fixed,
-            WindowRule::Room => Rule::Room,
-            WindowRule::Step => Rule::Step,
+            WindowRule::Fixed => PrefetchRule::Fixed,
+            WindowRule::Room => PrefetchRule::SpareCapacity,
+            WindowRule::Step => PrefetchRule::Adaptive,
         }
     }
 
-    pub fn table(&self) -> Table {
-        let mut table = Table {
-            most_tries: self.most_tries,
-            failed_pause: Duration::from_secs(self.failed_pause_s),
-            ..Table::default()
+    pub fn table(&self) -> SettlementTable {
+        let mut table = SettlementTable {
+            max_attempts: self.most_tries,
+            failed_delay: Duration::from_secs(self.failed_pause_s),
+            ..SettlementTable::default()
         };
         for (row, does) in &self.outcomes {
             let to = match does {
                 Does::Ack => Settlement::Ack,
                 Does::Reject => Settlement::Reject,
-                Does::Later => Settlement::Later,
-                Does::Retry => Settlement::Retry,
+                Does::Later => Settlement::RequeueLater,
+                Does::Retry => Settlement::PublishRetry,
             };
             match row {
-                Row::Nacked => table.nacked = to,
+                Row::Nacked => table.rejected = to,
                 Row::Failed => table.failed = to,
                 Row::Expired => table.expired = to,
-                Row::Unknown => table.unknown = to,
-                Row::Poison => table.poison = to,
-                Row::Doubtful => table.doubtful = to,
+                Row::Unknown => table.unknown_class = to,
+                Row::Poison => table.malformed = to,
+                Row::Doubtful => table.possible_duplicate = to,
                 Row::Exhausted => table.exhausted = to,
             }
         }
@@ -383,8 +383,8 @@
         {
             return Err(format!("{}: no such op type in the settings", key("op_type")));
         }
-        if let Err((row, why)) = queue.table().check(queue.retry_queue.is_some()) {
-            return Err(format!("{}: {why}", key(&format!("outcomes.{row}"))));
+        if let Err(error) = queue.table().check(queue.retry_queue.is_some()) {
+            return Err(format!("{}: {error}", key(&format!("outcomes.{}", error.key()))));
         }
     }
     Ok(operator)
--- a/crates/hazelspur-server/src/ingress/queues.rs
+++ b/crates/hazelspur-server/src/ingress/queues.rs
@@ -1,5 +1,5 @@
 //! The front that consumes queues over AMQP 0-9-1: one connection, a channel for each queue and one to publish
-//! on. What came is told to `Book`, which decides how each delivery is settled; whether and when it runs is
+//! on. What came is told to `DeliveryTracker`, which decides how each delivery is settled; whether and when it runs is
 //! decided by the module, as for every request.
 
 use crate::clock::{long, sleep};
@@ -15,7 +15,9 @@
 use hazelspur_amqp::session::Phase as Talk;
 use hazelspur_amqp::{Field, Listener, Properties, Session, Table, TableWriter, Terms};
 use hazelspur_deliveries::{
-    Arrived, Book, Brokers, DeliveryId, Ending, Link, Memory, QueueId, Step, Tag, Window, book,
+    BrokerSelector, ConnectionNumber, DeliveryAction, DeliveryId, DeliveryOutcome, DeliveryTag,
+    DeliveryTracker, MessageCache, MessageCacheLimits, PrefetchWindow, QueueId, QueueSettings,
+    ReceivedDelivery,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -71,13 +73,13 @@
     amqp: Amqp,
     queues: Vec<Queue>,
     name: String,
-    book: RefCell<Book>,
-    brokers: RefCell<Brokers>,
-    windows: RefCell<Vec<Window>>,
+    book: RefCell<DeliveryTracker>,
+    brokers: RefCell<BrokerSelector>,
+    windows: RefCell<Vec<PrefetchWindow>>,
     parts: RefCell<BTreeMap<DeliveryId, Parts>>,
     begins: RefCell<BTreeMap<DeliveryId, oneshot::Sender<bool>>>,
     stirred: Notify,
-    link: Cell<Link>,
+    link: Cell<ConnectionNumber>,
     last_op: Cell<u64>,
     born: Timestamp,
     counted: Cell<(u32, u32)>,
@@ -92,7 +94,7 @@
 /// One connection's session with what is to be asked on it again.
 struct Linked {
     session: Session,
-    link: Link,
+    link: ConnectionNumber,
     again: BTreeMap<u16, (Timestamp, Duration)>,
     /// Since when it is being left in good order.
     leaving: Option<Timestamp>,
@@ -109,23 +111,30 @@
     ) -> Rc<Self> {
         let now = services.dispatcher.clock.now();
         let queues = operator.queues.clone();
-        let terms = queues
-            .iter()
-            .map(|queue| book::Terms { table: queue.table(), settle_first: queue.settle == Settle::Before });
+        let terms = queues.iter().map(|queue| QueueSettings {
+            settlements: queue.table(),
+            settle_before_run: queue.settle == Settle::Before,
+        });
         let terms = terms.collect();
-        let memory = Memory::new(Duration::from_secs(amqp.memory_s), amqp.memory_entries, amqp.memory_bytes);
+        let memory = MessageCache::new(MessageCacheLimits {
+            retention: Duration::from_secs(amqp.memory_s),
+            max_entries: amqp.memory_entries,
+            max_bytes: amqp.memory_bytes,
+        });
         Rc::new_cyclic(|own| Self {
             own: own.clone(),
             sampled: Cell::new(now),
-            book: RefCell::new(Book::new(terms, memory)),
+            book: RefCell::new(DeliveryTracker::new(terms, memory)),
             // Instances that start together must not draw the same chances.
-            brokers: RefCell::new(Brokers::new(
+            brokers: RefCell::new(BrokerSelector::new(
                 &amqp.brokers,
                 Duration::from_secs(amqp.spread_s),
                 seed ^ now.us(),
                 now,
             )),
-            windows: RefCell::new(queues.iter().map(|q| Window::new(q.rule(), q.most, now)).collect()),
+            windows: RefCell::new(
+                queues.iter().map(|q| PrefetchWindow::new(q.rule(), q.most, now)).collect(),
+            ),
             parts: RefCell::default(),
             begins: RefCell::default(),
             stirred: Notify::new(),
@@ -159,7 +168,7 @@
         if plain(amqp) != plain(&self.amqp) || operator.queues != self.queues {
             log::warn!("reload leaves to the next start: amqp and queues but for amqp.brokers");
         }
-        let moved = self.brokers.borrow_mut().move_to(self.now(), &amqp.brokers);
+        let moved = self.brokers.borrow_mut().replace_addresses(self.now(), &amqp.brokers);
         self.moving.set(self.moving.get() || moved);
         log::info!(brokers = amqp.brokers.len(), moved; "brokers reloaded");
         self.stirred.notify_one();
@@ -187,14 +196,15 @@
                 Ok(Err(e)) => (e.to_string(), false),
                 Err(_) => ("no connection in time".into(), false),
             };
-            if self.leaving.get() && self.book.borrow().in_hand() == 0 {
+            if self.leaving.get() && self.book.borrow().active() == 0 {
                 break;
             }
-            let (open, figures) = (self.book.borrow().in_hand(), self.book.borrow().figures);
-            let moved_on = !self.moving.take() && self.brokers.borrow_mut().lost(self.now(), refused);
-            let wait_ms = (self.brokers.borrow().next_try() - self.now()).us() / 1000;
+            let (open, figures) = (self.book.borrow().active(), self.book.borrow().counters());
+            let moved_on =
+                !self.moving.take() && self.brokers.borrow_mut().connection_failed(self.now(), refused);
+            let wait_ms = (self.brokers.borrow().next_attempt() - self.now()).us() / 1000;
             let next = self.brokers.borrow().address();
-            log::warn!(address:%, why:%, in_hand = open, read = figures.read, next:%, moved_on, wait_ms;
+            log::warn!(address:%, why:%, in_hand = open, read = figures.received, next:%, moved_on, wait_ms;
                 "broker lost");
         }
         self.over.set(true);
@@ -202,9 +212,9 @@
 
     /// What became of all that was read, in one line.
     pub fn tell_figures(&self) {
-        let (figures, in_hand) = (self.book.borrow().figures, self.book.borrow().in_hand());
-        log::info!(in_hand, read = figures.read, acked = figures.acked, rejected = figures.rejected,
-            requeued = figures.requeued, retried = figures.retried, replies_lost = figures.replies_lost, unproven = figures.unproven;
+        let (figures, in_hand) = (self.book.borrow().counters(), self.book.borrow().active());
+        log::info!(in_hand, read = figures.received, acked = figures.acked, rejected = figures.rejected,
+            requeued = figures.requeued, retried = figures.retried, replies_lost = figures.replies_lost, unproven = figures.acked_without_run;
             "queues left");
     }
 
@@ -214,14 +224,14 @@
             self.note_leaving();
             self.pull(None);
             let leaving = self.leaving.get();
-            if leaving && self.book.borrow().in_hand() == 0 {
+            if leaving && self.book.borrow().active() == 0 {
                 return false;
             }
-            let wanted = !leaving || self.book.borrow().owes_replies();
+            let wanted = !leaving || self.book.borrow().has_pending_replies();
             if leaving {
-                self.brokers.borrow_mut().hurry(self.now());
+                self.brokers.borrow_mut().hasten(self.now());
             }
-            let (now, at) = (self.now(), self.brokers.borrow().next_try());
+            let (now, at) = (self.now(), self.brokers.borrow().next_attempt());
             if wanted && at <= now {
                 return true;
             }
@@ -242,14 +252,14 @@
 
     fn lose(&self) {
         let mut book = self.book.borrow_mut();
-        book.lost(self.link.get(), None);
-        book.can_publish(false);
+        book.connection_lost(self.link.get());
+        book.set_publishing_ready(false);
     }
 
     /// Talks with one broker until the connection ends; why it did, and whether the broker won't have us.
     async fn serve(&self, mut stream: TcpStream) -> (String, bool) {
         let _ = stream.set_nodelay(true);
-        self.link.set(Link(self.link.get().0 + 1));
+        self.link.set(ConnectionNumber(self.link.get().0 + 1));
         let terms = Terms {
             login: self.amqp.user.clone().map(|user| (user, self.amqp.password.clone())),
             vhost: self.amqp.vhost.clone(),
@@ -302,7 +312,7 @@
             }
             if linked.session.phase() == Talk::Open && !opened {
                 opened = true;
-                self.brokers.borrow_mut().up(self.now());
+                self.brokers.borrow_mut().connected(self.now());
             }
         }
         if linked.session.stale > 0 {
@@ -316,7 +326,7 @@
 
     fn next_look(&self, linked: &Linked) -> Timestamp {
         let again = linked.again.values().map(|(at, _)| *at).min();
-        let times = [linked.session.next_tick(), self.book.borrow().next_time(), again];
+        let times = [linked.session.next_tick(), self.book.borrow().next_deadline(), again];
         times.into_iter().flatten().min().unwrap_or(Timestamp::from_us(u64::MAX)).min(self.now() + ROUND)
     }
 
@@ -340,7 +350,7 @@
         }
         for channel in ready {
             if channel == self.publishing_on() {
-                self.book.borrow_mut().can_publish(true);
+                self.book.borrow_mut().set_publishing_ready(true);
             } else {
                 log::info!(queue = self.queues[usize::from(channel) - 1].name.as_str(); "queue consumed");
             }
@@ -354,9 +364,9 @@
             let again_ms = pause.us() / 1000;
             log::warn!(queue, closed, why:%, again_ms; "queue taken away");
             if closed && channel == self.publishing_on() {
-                self.book.borrow_mut().publishing_refused(now);
+                self.book.borrow_mut().publishing_channel_closed(now);
             } else if closed {
-                self.book.borrow_mut().lost(linked.link, Some(channel));
+                self.book.borrow_mut().channel_lost(linked.link, channel);
             }
         }
     }
@@ -373,10 +383,10 @@
             if linked.leaving.is_none() {
                 linked.leaving = Some(now);
                 (1..self.publishing_on()).for_each(|channel| linked.session.cancel(channel));
-                log::info!(in_hand = self.book.borrow().in_hand(), moving = self.moving.get();
+                log::info!(in_hand = self.book.borrow().active(), moving = self.moving.get();
                     "no more deliveries are taken");
             }
-            let settled = self.book.borrow().in_hand() == 0;
+            let settled = self.book.borrow().active() == 0;
             let waited = linked.leaving.is_some_and(|since| now - since >= MOVE_WITHIN);
             if settled || (self.moving.get() && waited) {
                 linked.session.close(now);
@@ -393,7 +403,7 @@
             }
             match self.queues.get(usize::from(channel) - 1) {
                 Some(queue) => {
-                    let window = self.windows.borrow()[usize::from(channel) - 1].size();
+                    let window = self.windows.borrow()[usize::from(channel) - 1].window();
                     linked.session.resume(channel);
                     linked.session.consume(channel, &queue.name, window);
                 }
@@ -408,11 +418,11 @@
         self.counted.set(counts);
         let (mut book, spare) = (self.book.borrow_mut(), self.services.dispatcher.spare());
         for (i, window) in self.windows.borrow_mut().iter_mut().enumerate() {
-            window.outcomes(counts.0.wrapping_sub(before.0), counts.1.wrapping_sub(before.1));
-            let open = book.open_in(QueueId(i));
-            window.open(open);
-            let size = window.next(now, spare + open as f64);
-            book.duty(QueueId(i), window.duty());
+            window.record_outcomes(counts.0.wrapping_sub(before.0), counts.1.wrapping_sub(before.1));
+            let open = book.unsettled_in(QueueId(i));
+            window.record_unsettled(open);
+            let size = window.update(now, spare + open as f64);
+            book.set_duty_cycle(QueueId(i), window.duty_cycle());
             if let Some(size) = size {
                 log::debug!(queue = self.queues[i].name.as_str(), size; "window");
                 linked.session.window(i as u16 + 1, size);
@@ -420,61 +430,61 @@
         }
     }
 
-    /// Pulls what `Book` decides and does it; without a connection nothing can be settled.
+    /// Pulls what `DeliveryTracker` decides and does it; without a connection nothing can be settled.
     fn pull(&self, mut linked: Option<&mut Linked>) {
         loop {
             let now = self.now();
-            let Some(step) = self.book.borrow_mut().next_step(now) else { return };
+            let Some(step) = self.book.borrow_mut().next_action(now) else { return };
             log::trace!("delivery step {step:?}");
             match step {
-                Step::Offer(id) => self.offer(now, id),
-                Step::Withdraw(id) => {
+                DeliveryAction::Submit(id) => self.offer(now, id),
+                DeliveryAction::Abandon(id) => {
                     let request = self.parts.borrow().get(&id).map(|parts| parts.request);
                     request
                         .into_iter()
                         .for_each(|request| self.services.dispatcher.hand(request, News::Gone));
                 }
-                Step::Begin(id, may) => {
+                DeliveryAction::ResolveRun { id, permitted: may } => {
                     // The request's task may have ended meanwhile.
                     let begin = self.begins.borrow_mut().remove(&id);
                     let _ = begin.map(|begin| begin.send(may));
                 }
-                Step::Ack(tag) => on(&mut linked, tag, |session| session.ack(tag.channel, tag.tag)),
-                Step::Reject(tag) => {
+                DeliveryAction::Ack(tag) => on(&mut linked, tag, |session| session.ack(tag.channel, tag.tag)),
+                DeliveryAction::Reject(tag) => {
                     on(&mut linked, tag, |session| session.reject(tag.channel, tag.tag, false));
                 }
-                Step::Requeue(tag) => {
+                DeliveryAction::Requeue(tag) => {
                     on(&mut linked, tag, |session| session.reject(tag.channel, tag.tag, true));
                 }
-                Step::Fence(tag, id) => {
+                DeliveryAction::Fence { tag, id } => {
                     let mut out = false;
                     on(&mut linked, tag, |session| {
                         out = session.fence(tag.channel, id.0);
                         out
                     });
                     if !out {
-                        self.book.borrow_mut().unfenced(id);
+                        self.book.borrow_mut().fence_lost(id);
                     }
                 }
-                Step::Reply(id, ending, result) => {
+                DeliveryAction::PublishReply { id, outcome: ending, result } => {
                     let sent = linked
                         .as_deref_mut()
                         .is_some_and(|l| self.reply(&mut l.session, id, ending, &result));
                     if !sent {
-                        self.book.borrow_mut().confirmed(now, id, false);
+                        self.book.borrow_mut().publish_confirmed(now, id, false);
                     }
                 }
-                Step::Retry(id, pause, tries) => {
+                DeliveryAction::PublishRetry { id, delay: pause, attempts: tries } => {
                     let sent =
                         linked.as_deref_mut().is_some_and(|l| self.retry(&mut l.session, id, pause, tries));
                     if !sent {
-                        self.book.borrow_mut().confirmed(now, id, false);
+                        self.book.borrow_mut().publish_confirmed(now, id, false);
                     }
                 }
-                Step::Forget(id, ending) => {
+                DeliveryAction::Release { id, outcome: ending } => {
                     let parts = self.parts.borrow_mut().remove(&id);
                     if let Some(parts) = parts.filter(|_| log::log_enabled!(log::Level::Debug)) {
-                        log::debug!(op:% = parts.request, ending = ending.name(); "delivery over");
+                        log::debug!(op:% = parts.request, ending = ending.wire_name(); "delivery over");
                     }
                 }
             }
@@ -504,7 +514,7 @@
             Some(Found::NotTheSame) => {
                 dispatcher.strike(request);
                 log::warn!(queue = self.queues[parts.queue.0].name.as_str(); "another op's message-id");
-                return self.ended(id, Ending::Failed, &[]);
+                return self.ended(id, DeliveryOutcome::Failed, &[]);
             }
         };
         let caller = Caller { front: self.this(), id };
@@ -524,12 +534,12 @@
         tokio::task::spawn_local(life.begin(&read).live());
     }
 
-    fn reply(&self, session: &mut Session, id: DeliveryId, ending: Ending, result: &[u8]) -> bool {
+    fn reply(&self, session: &mut Session, id: DeliveryId, ending: DeliveryOutcome, result: &[u8]) -> bool {
         let parts = self.parts.borrow();
         let Some(parts) = parts.get(&id) else { return false };
         let Ok(asked) = Properties::read(&parts.properties) else { return false };
         let Some(to) = asked.reply_to else { return false };
-        let headers = TableWriter::default().text("x-outcome", ending.name());
+        let headers = TableWriter::default().text("x-outcome", ending.wire_name());
         let properties = Properties {
             headers: Some(headers.done()),
             delivery_mode: Some(2),
@@ -565,9 +575,9 @@
     }
 
     /// Its request has its answer.
-    fn ended(&self, id: DeliveryId, ending: Ending, result: &[u8]) {
+    fn ended(&self, id: DeliveryId, ending: DeliveryOutcome, result: &[u8]) {
         self.begins.borrow_mut().remove(&id);
-        self.book.borrow_mut().ended(self.now(), id, ending, &result.into());
+        self.book.borrow_mut().request_finished(self.now(), id, ending, &result.into());
         self.stirred.notify_one();
     }
 
@@ -578,7 +588,7 @@
         queue: &Queue,
         properties: &Properties<'_>,
         body: &[u8],
-    ) -> (Result<Readable, Ending>, Timestamp, Option<Timestamp>, u32) {
+    ) -> (Result<Readable, DeliveryOutcome>, Timestamp, Option<Timestamp>, u32) {
         let header = |name: &str| properties.header(name);
         let ms = |field: Option<Field<'_>>| {
             field.and_then(Field::count).map(|ms| Duration::from_us(ms.saturating_mul(1000)))
@@ -604,20 +614,23 @@
         let tries = counted(TRIES).max(counted("x-delivery-count"));
         let text = |name: &str| match header(name) {
             None => Ok(None),
-            Some(field) => field.text().map(Some).ok_or(Ending::Poison),
+            Some(field) => field.text().map(Some).ok_or(DeliveryOutcome::Malformed),
         };
         let readable = || {
-            let name = queue.request_class.as_deref().or(properties.kind).ok_or(Ending::Unknown)?;
+            let name =
+                queue.request_class.as_deref().or(properties.kind).ok_or(DeliveryOutcome::UnknownClass)?;
             let catalog = self.catalog.borrow();
-            let (request_class, terms) = catalog.find_request_class(name).ok_or(Ending::Unknown)?;
-            let (tenant, tenant_name) = catalog.find_tenant(text("x-owner")?).ok_or(Ending::Poison)?;
+            let (request_class, terms) =
+                catalog.find_request_class(name).ok_or(DeliveryOutcome::UnknownClass)?;
+            let (tenant, tenant_name) =
+                catalog.find_tenant(text("x-owner")?).ok_or(DeliveryOutcome::Malformed)?;
             let kb = match header("x-need-kb") {
                 None => queue.need_kb,
                 Some(Field::Number(kb)) => kb,
-                Some(field) => field.count().map(|kb| kb as f64).ok_or(Ending::Poison)?,
+                Some(field) => field.count().map(|kb| kb as f64).ok_or(DeliveryOutcome::Malformed)?,
             };
             if body.len() > LONGEST_BODY || !(kb > 0.0 && kb < 2000.0) {
-                return Err(Ending::Poison);
+                return Err(DeliveryOutcome::Malformed);
             }
             let subject = text("x-subject")?;
             let (user, op_key) = (subject.map(SessionKey::of), properties.message_id);
@@ -644,8 +657,8 @@
 }
 
 /// Does it on the connection that the tag is of; on any other the tag means nothing.
-fn on(linked: &mut Option<&mut Linked>, tag: Tag, act: impl FnOnce(&mut Session) -> bool) {
-    if let Some(linked) = linked.as_deref_mut().filter(|linked| linked.link == tag.link)
+fn on(linked: &mut Option<&mut Linked>, tag: DeliveryTag, act: impl FnOnce(&mut Session) -> bool) {
+    if let Some(linked) = linked.as_deref_mut().filter(|linked| linked.link == tag.connection)
         && !act(&mut linked.session)
     {
         log::debug!("not open any more: {tag:?}");
@@ -660,20 +673,20 @@
 
 impl Front for Caller {
     fn acked(&mut self, result: &[u8]) {
-        self.front.ended(self.id, Ending::Acked, result);
+        self.front.ended(self.id, DeliveryOutcome::Succeeded, result);
     }
 
     /// Where to try is the broker's choice; when, its settings leave to us.
     fn nacked(&mut self, retry_after: Duration, _nowhere_else: bool) {
-        self.front.ended(self.id, Ending::Nacked(retry_after.max(LEAST_COME_BACK)), &[]);
+        self.front.ended(self.id, DeliveryOutcome::Rejected(retry_after.max(LEAST_COME_BACK)), &[]);
     }
 
     fn failed(&mut self) {
-        self.front.ended(self.id, Ending::Failed, &[]);
+        self.front.ended(self.id, DeliveryOutcome::Failed, &[]);
     }
 
     fn unknown(&mut self) {
-        self.front.ended(self.id, Ending::Unknown, &[]);
+        self.front.ended(self.id, DeliveryOutcome::UnknownClass, &[]);
     }
 
     fn gone(&mut self) {}
@@ -681,7 +694,7 @@
     fn may_run(&mut self) -> MayRun {
         let (begin, begins) = oneshot::channel();
         self.front.begins.borrow_mut().insert(self.id, begin);
-        self.front.book.borrow_mut().run_decided(self.front.now(), self.id);
+        self.front.book.borrow_mut().run_requested(self.front.now(), self.id);
         self.front.stirred.notify_one();
         MayRun::Once(begins)
     }
@@ -693,7 +706,7 @@
 /// Hears one session.
 struct SessionEvents<'a> {
     front: &'a Queues,
-    link: Link,
+    link: ConnectionNumber,
     now: Timestamp,
     opened: bool,
     ready: Vec<u16>,
@@ -725,24 +738,24 @@
         let known = decoded.unwrap_or_default();
         let (mut read, sent, due, tries) = front.read(now, settings, &known, body.unwrap_or_default());
         if decoded.is_none() || body.is_none() {
-            read = Err(Ending::Poison);
+            read = Err(DeliveryOutcome::Malformed);
         }
-        let tag = Tag { link: self.link, channel, tag };
-        let came = Arrived {
+        let tag = DeliveryTag { connection: self.link, channel, tag };
+        let came = ReceivedDelivery {
             tag,
             queue,
-            message: known.message_id,
+            message_id: known.message_id,
             redelivered,
-            repeats: read.as_ref().map(|read| read.terms.repeats).map_err(|ending| *ending),
-            due,
-            reply: known.reply_to.is_some_and(|to| !to.is_empty()),
-            tries,
+            idempotency: read.as_ref().map(|read| read.terms.repeats).map_err(|ending| *ending),
+            deadline: due,
+            wants_reply: known.reply_to.is_some_and(|to| !to.is_empty()),
+            previous_attempts: tries,
         };
         if let Err(ending) = &read {
             let (size, queue) = (body.map_or(0, <[u8]>::len), settings.name.as_str());
-            log::warn!(queue, ending = ending.name(), size; "a delivery that is no op");
+            log::warn!(queue, ending = ending.wire_name(), size; "a delivery that is no op");
         }
-        let id = front.book.borrow_mut().arrived(now, came);
+        let id = front.book.borrow_mut().delivery_received(now, came);
         let parts = Parts {
             request: front.next_op(),
             queue,
@@ -755,15 +768,15 @@
     }
 
     fn fenced(&mut self, _channel: u16, fence: u64) {
-        self.front.book.borrow_mut().fenced(self.now, DeliveryId(fence));
+        self.front.book.borrow_mut().fence_answered(self.now, DeliveryId(fence));
     }
 
     fn confirmed(&mut self, number: u64, taken: bool) {
-        self.front.book.borrow_mut().confirmed(self.now, DeliveryId(number), taken);
+        self.front.book.borrow_mut().publish_confirmed(self.now, DeliveryId(number), taken);
     }
 
     fn returned(&mut self, number: u64) {
-        self.front.book.borrow_mut().returned(DeliveryId(number));
+        self.front.book.borrow_mut().publish_returned(DeliveryId(number));
     }
 
     fn cancelled(&mut self, channel: u16) {
@@ -775,7 +788,7 @@
     }
 
     fn blocked(&mut self, why: Option<&str>) {
-        self.front.book.borrow_mut().blocked(why.is_some());
+        self.front.book.borrow_mut().set_publishing_blocked(why.is_some());
         match why {
             Some(why) => log::warn!(why; "broker blocks publishers"),
             None => log::info!("broker takes from publishers again"),
