--- a/crates/hazelspur-amqp/src/lib.rs
+++ b/crates/hazelspur-amqp/src/lib.rs
@@ -1,16 +1,26 @@
-//! AMQP 0-9-1 as a client speaks it, without I/O and without a clock: `Session` takes bytes, points in time and
-//! commands, calls a `Listener` with what came and gathers the bytes that are to go out.
+//! AMQP 0-9-1 as a client speaks it, without I/O and without a clock: `Connection` takes bytes, times and
+//! commands, calls a `ConnectionHandler` for each event and collects the bytes to send.
 //!
-//! Facts of the wire are from the AMQP 0-9-1 specification (sections 2.3, 4.2 and the XML description of classes
-//! and methods) and from its published errata and extensions (nack, confirms, `connection.blocked`, field types).
+//! Based on the AMQP 0-9-1 specification (sections 2.3, 4.2 and the XML description of classes and methods), its
+//! published errata and extensions (nack, confirms, `connection.blocked`, field types).
 
-pub mod frames;
-pub mod properties;
-pub mod session;
+#![warn(missing_docs, unreachable_pub)]
+#![warn(clippy::too_many_lines, clippy::too_many_arguments, clippy::type_complexity)]
+
+pub mod connection;
+mod error;
+pub mod frame;
+mod method;
+mod properties;
 pub mod table;
 pub mod wire;
 
+pub use connection::{
+    Connection, ConnectionHandler, ConnectionSettings, ConnectionState, Credentials, IncomingDelivery,
+    OutgoingMessage,
+};
+pub use error::{ConnectionEnd, DecodeError, ProtocolError};
+pub use method::Method;
 pub use properties::Properties;
-pub use session::{Listener, Session, Terms};
-pub use table::{Field, Table, TableWriter};
-pub use wire::{Malformed, Wire};
+pub use table::{FieldTable, FieldValue, TableField, TableWriter};
+pub use wire::WireReader;
--- a/crates/hazelspur-amqp/src/table.rs
+++ b/crates/hazelspur-amqp/src/table.rs
@@ -1,187 +1,211 @@
-//! Field tables: checked whole when they are read, then looked up in place.
+//! Field tables: validated as a whole when they are read, then looked up in place.
 
-use crate::wire::{Malformed, Wire, put_long_bytes, put_short_text};
+use crate::error::DecodeError;
+use crate::wire::{WireReader, put_long_string, put_short_string};
 
-/// Tables and arrays within each other; deeper ones are refused before they are entered.
+/// Maximum nesting of tables and arrays; deeper ones are refused before they are entered.
 pub const MAX_DEPTH: usize = 8;
-/// Fields in one table with all that it holds.
+/// Maximum number of fields in a table, nested ones included.
 pub const MAX_FIELDS: usize = 512;
+/// Bytes of a decimal value: scale and number.
+const DECIMAL_BYTES: usize = 5;
 
-/// A table that has been found well-formed.
+/// A field of a table.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct TableField<'a> {
+    /// Its name.
+    pub name: &'a str,
+    /// Its value.
+    pub value: FieldValue<'a>,
+    /// Name and value as encoded.
+    pub encoded: &'a [u8],
+}
+
+/// A table that has been validated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Table<'a>(&'a [u8]);
+pub struct FieldTable<'a>(&'a [u8]);
 
-/// A field's value, as far as this project reads it.
+/// Value of a field.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Field<'a> {
-    Flag(bool),
-    Whole(i64),
-    Number(f64),
+pub enum FieldValue<'a> {
+    /// A boolean.
+    Boolean(bool),
+    /// An integer of any size.
+    Integer(i64),
+    /// A floating-point number of any size.
+    Float(f64),
+    /// A long string or a byte array.
     Bytes(&'a [u8]),
-    Table(Table<'a>),
+    /// A nested table.
+    Table(FieldTable<'a>),
     /// Seconds since 1970.
     Timestamp(u64),
-    /// An array, a decimal or nothing.
-    Other,
+    /// A value that is not decoded: an array, a decimal or void.
+    Undecoded,
 }
 
-impl<'a> Field<'a> {
+impl<'a> FieldValue<'a> {
+    /// The value as text, where it is a string of UTF-8.
     pub fn text(self) -> Option<&'a str> {
         match self {
-            Field::Bytes(bytes) => std::str::from_utf8(bytes).ok(),
+            FieldValue::Bytes(bytes) => std::str::from_utf8(bytes).ok(),
             _ => None,
         }
     }
 
-    /// A whole number from 0 up, also where it is written as text.
-    pub fn count(self) -> Option<u64> {
+    /// The value as an integer from 0 up, also where it is written as text.
+    pub fn unsigned(self) -> Option<u64> {
         match self {
-            Field::Whole(n) => u64::try_from(n).ok(),
-            Field::Timestamp(n) => Some(n),
-            Field::Bytes(_) => self.text()?.parse().ok(),
+            FieldValue::Integer(n) => u64::try_from(n).ok(),
+            FieldValue::Timestamp(n) => Some(n),
+            FieldValue::Bytes(_) => self.text()?.parse().ok(),
             _ => None,
         }
     }
 }
 
-impl<'a> Table<'a> {
-    /// Reads a table's length and then the table.
-    pub fn read(wire: &mut Wire<'a>) -> Result<Self, Malformed> {
-        let table = Table(wire.long_bytes()?);
-        table.check(0, &mut MAX_FIELDS.clone())?;
+impl<'a> FieldTable<'a> {
+    /// Reads a table's length and the table, and validates it.
+    ///
+    /// # Errors
+    /// Returns what cannot be decoded, or `NestedTooDeep` or `TooManyFields`.
+    pub fn read(reader: &mut WireReader<'a>) -> Result<Self, DecodeError> {
+        let table = FieldTable(reader.long_string()?);
+        let mut fields_left = MAX_FIELDS;
+        table.validate(0, &mut fields_left)?;
         Ok(table)
     }
 
-    fn check(self, depth: usize, fields_left: &mut usize) -> Result<(), Malformed> {
-        let mut wire = Wire(self.0);
-        while !wire.0.is_empty() {
-            wire.short_text()?;
-            check_value(&mut wire, depth, fields_left)?;
+    fn validate(self, depth: usize, fields_left: &mut usize) -> Result<(), DecodeError> {
+        let mut reader = WireReader::new(self.0);
+        while !reader.remaining().is_empty() {
+            reader.short_string()?;
+            validate_value(&mut reader, depth, fields_left)?;
         }
         Ok(())
     }
 
-    pub fn get(self, name: &str) -> Option<Field<'a>> {
-        self.fields().find(|(other, ..)| *other == name).map(|(_, field, _)| field)
+    /// The value of the first field of this name.
+    pub fn get(self, name: &str) -> Option<FieldValue<'a>> {
+        self.fields().find(|field| field.name == name).map(|field| field.value)
     }
 
-    /// Each field's name and value, and the bytes of both.
-    pub fn fields(self) -> impl Iterator<Item = (&'a str, Field<'a>, &'a [u8])> {
-        let mut wire = Wire(self.0);
+    /// The fields in order.
+    pub fn fields(self) -> impl Iterator<Item = TableField<'a>> {
+        let mut reader = WireReader::new(self.0);
         std::iter::from_fn(move || {
-            let before = wire.0;
-            let name = wire.short_text().ok()?;
-            let field = value(&mut wire).ok()?;
-            Some((name, field, &before[..before.len() - wire.0.len()]))
+            let before = reader.remaining();
+            let name = reader.short_string().ok()?;
+            let value = read_value(&mut reader).ok()?;
+            let encoded = &before[..before.len() - reader.remaining().len()];
+            Some(TableField { name, value, encoded })
         })
     }
 
-    pub fn is_empty(self) -> bool {
-        self.0.is_empty()
-    }
-
+    /// Appends the table with its length.
     pub fn put(self, out: &mut Vec<u8>) {
-        put_long_bytes(out, self.0);
+        put_long_string(out, self.0);
     }
 }
 
-fn check_value(wire: &mut Wire<'_>, depth: usize, fields_left: &mut usize) -> Result<(), Malformed> {
-    *fields_left = fields_left.checked_sub(1).ok_or(Malformed("too many fields in a table"))?;
-    match wire.0.first() {
-        Some(b'F' | b'A') if depth + 1 >= MAX_DEPTH => Err(Malformed("a table is nested too deep")),
+fn validate_value(
+    reader: &mut WireReader<'_>,
+    depth: usize,
+    fields_left: &mut usize,
+) -> Result<(), DecodeError> {
+    *fields_left = fields_left.checked_sub(1).ok_or(DecodeError::TooManyFields)?;
+    match reader.remaining().first() {
+        Some(b'F' | b'A') if depth + 1 >= MAX_DEPTH => Err(DecodeError::NestedTooDeep),
         Some(b'F') => {
-            wire.u8()?;
-            Table(wire.long_bytes()?).check(depth + 1, fields_left)
+            reader.u8()?;
+            FieldTable(reader.long_string()?).validate(depth + 1, fields_left)
         }
         Some(b'A') => {
-            wire.u8()?;
-            let mut items = Wire(wire.long_bytes()?);
-            while !items.0.is_empty() {
-                check_value(&mut items, depth + 1, fields_left)?;
+            reader.u8()?;
+            let mut items = WireReader::new(reader.long_string()?);
+            while !items.remaining().is_empty() {
+                validate_value(&mut items, depth + 1, fields_left)?;
             }
             Ok(())
         }
-        _ => value(wire).map(|_| ()),
+        _ => read_value(reader).map(|_| ()),
     }
 }
 
-/// One value; what a table or an array holds is passed over.
-fn value<'a>(wire: &mut Wire<'a>) -> Result<Field<'a>, Malformed> {
-    Ok(match wire.u8()? {
-        b't' => Field::Flag(wire.u8()? != 0),
-        b'b' => Field::Whole(i64::from(wire.u8()? as i8)),
-        b'B' => Field::Whole(i64::from(wire.u8()?)),
-        b's' | b'U' => Field::Whole(i64::from(wire.u16()? as i16)),
-        b'u' => Field::Whole(i64::from(wire.u16()?)),
-        b'I' => Field::Whole(i64::from(wire.u32()? as i32)),
-        b'i' => Field::Whole(i64::from(wire.u32()?)),
-        b'l' | b'L' => Field::Whole(wire.u64()? as i64),
-        b'f' => Field::Number(f64::from(f32::from_bits(wire.u32()?))),
-        b'd' => Field::Number(f64::from_bits(wire.u64()?)),
+/// Reads one value; the contents of tables and arrays are skipped.
+fn read_value<'a>(reader: &mut WireReader<'a>) -> Result<FieldValue<'a>, DecodeError> {
+    Ok(match reader.u8()? {
+        b't' => FieldValue::Boolean(reader.u8()? != 0),
+        b'b' => FieldValue::Integer(i64::from(reader.u8()? as i8)),
+        b'B' => FieldValue::Integer(i64::from(reader.u8()?)),
+        b's' | b'U' => FieldValue::Integer(i64::from(reader.u16()? as i16)),
+        b'u' => FieldValue::Integer(i64::from(reader.u16()?)),
+        b'I' => FieldValue::Integer(i64::from(reader.u32()? as i32)),
+        b'i' => FieldValue::Integer(i64::from(reader.u32()?)),
+        b'l' | b'L' => FieldValue::Integer(reader.u64()? as i64),
+        b'f' => FieldValue::Float(f64::from(f32::from_bits(reader.u32()?))),
+        b'd' => FieldValue::Float(f64::from_bits(reader.u64()?)),
         b'D' => {
-            wire.bytes(5)?;
-            Field::Other
+            reader.bytes(DECIMAL_BYTES)?;
+            FieldValue::Undecoded
         }
-        b'S' | b'x' => Field::Bytes(wire.long_bytes()?),
+        b'S' | b'x' => FieldValue::Bytes(reader.long_string()?),
         b'A' => {
-            wire.long_bytes()?;
-            Field::Other
+            reader.long_string()?;
+            FieldValue::Undecoded
         }
-        b'T' => Field::Timestamp(wire.u64()?),
-        b'F' => Field::Table(Table(wire.long_bytes()?)),
-        b'V' => Field::Other,
-        _ => return Err(Malformed("a field of an unknown type")),
+        b'T' => FieldValue::Timestamp(reader.u64()?),
+        b'F' => FieldValue::Table(FieldTable(reader.long_string()?)),
+        b'V' => FieldValue::Undecoded,
+        _ => return Err(DecodeError::UnknownFieldType),
     })
 }
 
-/// Writes a table's fields one by one.
+/// Writes a table field by field.
 #[derive(Default)]
 pub struct TableWriter(Vec<u8>);
 
 impl TableWriter {
+    /// Appends a long string.
     pub fn text(mut self, name: &str, text: &str) -> Self {
-        put_short_text(&mut self.0, name);
+        put_short_string(&mut self.0, name);
         self.0.push(b'S');
-        put_long_bytes(&mut self.0, text.as_bytes());
+        put_long_string(&mut self.0, text.as_bytes());
         self
     }
 
-    pub fn flag(mut self, name: &str, flag: bool) -> Self {
-        put_short_text(&mut self.0, name);
-        self.0.extend([b't', u8::from(flag)]);
+    /// Appends a boolean.
+    pub fn boolean(mut self, name: &str, value: bool) -> Self {
+        put_short_string(&mut self.0, name);
+        self.0.extend([b't', u8::from(value)]);
         self
     }
 
-    pub fn whole(mut self, name: &str, n: i64) -> Self {
-        put_short_text(&mut self.0, name);
+    /// Appends an integer of 64 bits.
+    pub fn integer(mut self, name: &str, value: i64) -> Self {
+        put_short_string(&mut self.0, name);
         self.0.push(b'l');
-        self.0.extend_from_slice(&n.to_be_bytes());
+        self.0.extend_from_slice(&value.to_be_bytes());
         self
     }
 
-    pub fn table(mut self, name: &str, table: Table<'_>) -> Self {
-        put_short_text(&mut self.0, name);
+    /// Appends a nested table.
+    pub fn table(mut self, name: &str, table: FieldTable<'_>) -> Self {
+        put_short_string(&mut self.0, name);
         self.0.push(b'F');
         table.put(&mut self.0);
         self
     }
 
-    /// A field as `Table::fields` gave it.
-    pub fn raw(mut self, field: &[u8]) -> Self {
-        self.0.extend_from_slice(field);
-        self
-    }
-
-    /// All fields of another table but those of this name.
-    pub fn all_but(mut self, table: Table<'_>, name: &str) -> Self {
-        table
-            .fields()
-            .filter(|(other, ..)| *other != name)
-            .for_each(|(.., raw)| self.0.extend_from_slice(raw));
+    /// Appends all fields of another table but those of these names.
+    pub fn fields_except(mut self, table: FieldTable<'_>, names: &[&str]) -> Self {
+        let kept = table.fields().filter(|field| !names.contains(&field.name));
+        kept.for_each(|field| self.0.extend_from_slice(field.encoded));
         self
     }
 
-    pub fn done(&self) -> Table<'_> {
-        Table(&self.0)
+    /// The table as written so far.
+    pub fn finish(&self) -> FieldTable<'_> {
+        FieldTable(&self.0)
     }
 }
--- a/crates/hazelspur-amqp/src/wire.rs
+++ b/crates/hazelspur-amqp/src/wire.rs
@@ -1,67 +1,110 @@
-//! Numbers and texts of the wire: all in network order, every length checked before it is used.
+//! Integers and strings on the wire: network byte order, every length checked before it is used.
 
-/// What came is no AMQP; the text says what was being read.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Malformed(pub &'static str);
+use crate::error::DecodeError;
 
-/// Bytes that are read from the front.
+/// Longest short string, in bytes.
+const MAX_SHORT_STRING_BYTES: usize = 255;
+
+/// Reads values from the front of a slice.
 #[derive(Clone, Copy, Debug)]
-pub struct Wire<'a>(pub &'a [u8]);
+pub struct WireReader<'a>(&'a [u8]);
+
+impl<'a> WireReader<'a> {
+    /// Creates a reader of these bytes.
+    pub fn new(bytes: &'a [u8]) -> Self {
+        Self(bytes)
+    }
+
+    /// The bytes that are not read yet.
+    pub fn remaining(&self) -> &'a [u8] {
+        self.0
+    }
 
-impl<'a> Wire<'a> {
-    pub fn bytes(&mut self, count: usize) -> Result<&'a [u8], Malformed> {
-        let (taken, rest) = self.0.split_at_checked(count).ok_or(Malformed("too short"))?;
+    /// Reads this many bytes.
+    ///
+    /// # Errors
+    /// `TooShort` where fewer are left.
+    pub fn bytes(&mut self, count: usize) -> Result<&'a [u8], DecodeError> {
+        let (taken, rest) = self.0.split_at_checked(count).ok_or(DecodeError::TooShort)?;
         self.0 = rest;
         Ok(taken)
     }
 
-    fn array<const N: usize>(&mut self) -> Result<[u8; N], Malformed> {
-        let (taken, rest) = self.0.split_first_chunk().ok_or(Malformed("too short"))?;
+    fn array<const N: usize>(&mut self) -> Result<[u8; N], DecodeError> {
+        let (taken, rest) = self.0.split_first_chunk().ok_or(DecodeError::TooShort)?;
         self.0 = rest;
         Ok(*taken)
     }
 
-    pub fn u8(&mut self) -> Result<u8, Malformed> {
+    /// Reads an octet.
+    ///
+    /// # Errors
+    /// `TooShort`.
+    pub fn u8(&mut self) -> Result<u8, DecodeError> {
         self.array().map(|[byte]| byte)
     }
 
-    pub fn u16(&mut self) -> Result<u16, Malformed> {
+    /// Reads a short integer.
+    ///
+    /// # Errors
+    /// `TooShort`.
+    pub fn u16(&mut self) -> Result<u16, DecodeError> {
         self.array().map(u16::from_be_bytes)
     }
 
-    pub fn u32(&mut self) -> Result<u32, Malformed> {
+    /// Reads a long integer.
+    ///
+    /// # Errors
+    /// `TooShort`.
+    pub fn u32(&mut self) -> Result<u32, DecodeError> {
         self.array().map(u32::from_be_bytes)
     }
 
-    pub fn u64(&mut self) -> Result<u64, Malformed> {
+    /// Reads a long long integer.
+    ///
+    /// # Errors
+    /// `TooShort`.
+    pub fn u64(&mut self) -> Result<u64, DecodeError> {
         self.array().map(u64::from_be_bytes)
     }
 
-    /// At most 255 bytes of UTF-8.
-    pub fn short_text(&mut self) -> Result<&'a str, Malformed> {
+    /// Reads a short string: at most 255 bytes of UTF-8.
+    ///
+    /// # Errors
+    /// `TooShort` or `InvalidUtf8`.
+    pub fn short_string(&mut self) -> Result<&'a str, DecodeError> {
         let length = usize::from(self.u8()?);
-        std::str::from_utf8(self.bytes(length)?).map_err(|_| Malformed("a short string is no UTF-8"))
+        std::str::from_utf8(self.bytes(length)?).map_err(|_| DecodeError::InvalidUtf8)
     }
 
-    /// A length of 32 bits and so many bytes, which must be there already: nothing is reserved for it.
-    pub fn long_bytes(&mut self) -> Result<&'a [u8], Malformed> {
+    /// Reads a long string: a length of 32 bits and its bytes. Nothing is allocated for the length.
+    ///
+    /// # Errors
+    /// `TooShort`.
+    pub fn long_string(&mut self) -> Result<&'a [u8], DecodeError> {
         let length = self.u32()?;
         self.bytes(length as usize)
     }
 
-    pub fn end(&self) -> Result<(), Malformed> {
-        if self.0.is_empty() { Ok(()) } else { Err(Malformed("something behind the end")) }
+    /// Checks that all bytes are read.
+    ///
+    /// # Errors
+    /// `TrailingBytes`.
+    pub fn end(&self) -> Result<(), DecodeError> {
+        if self.0.is_empty() { Ok(()) } else { Err(DecodeError::TrailingBytes) }
     }
 }
 
-/// Cut to 255 bytes at a character's edge.
-pub fn put_short_text(out: &mut Vec<u8>, text: &str) {
-    let length = (0..=text.len().min(255)).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
+/// Writes a short string, truncated to 255 bytes at a character boundary.
+pub fn put_short_string(out: &mut Vec<u8>, text: &str) {
+    let max_length = text.len().min(MAX_SHORT_STRING_BYTES);
+    let length = (0..=max_length).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
     out.push(length as u8);
     out.extend_from_slice(&text.as_bytes()[..length]);
 }
 
-pub fn put_long_bytes(out: &mut Vec<u8>, bytes: &[u8]) {
+/// Writes a long string.
+pub fn put_long_string(out: &mut Vec<u8>, bytes: &[u8]) {
     out.extend_from_slice(&(bytes.len() as u32).to_be_bytes());
     out.extend_from_slice(bytes);
 }
--- a/crates/hazelspur-amqp/tests/codecs.rs
+++ b/crates/hazelspur-amqp/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The codec against the other one, both ways, and against bytes from nowhere.
+//! The codec against another one (amq-protocol), both ways, and against random bytes.
 
 mod helpers;
 
@@ -6,8 +6,9 @@
 use amq_protocol::protocol::basic::AMQPProperties;
 use amq_protocol::types::{AMQPValue, DecimalValue, FieldArray, FieldTable, ShortString};
 use hazelspur::pcg::Pcg;
-use hazelspur_amqp::{Field, Properties, Session, Table, TableWriter, Wire, frames, table};
-use helpers::{Ears, at, bytes, feed, terms};
+use hazelspur_amqp::frame::{self, FrameKind};
+use hazelspur_amqp::{Connection, FieldValue, Properties, TableWriter, WireReader, table};
+use helpers::{EventLog, at, bytes, feed, settings};
 use proptest::prelude::*;
 
 fn value() -> impl Strategy<Value = AMQPValue> {
@@ -42,26 +43,28 @@
         .prop_map(FieldTable::from)
 }
 
-/// The same value, as far as ours tells values apart.
-fn same(field: Field<'_>, value: &AMQPValue) -> bool {
+/// Whether both are the same value, as far as ours decodes it.
+fn same(field: FieldValue<'_>, value: &AMQPValue) -> bool {
     match (field, value) {
-        (Field::Flag(a), AMQPValue::Boolean(b)) => a == *b,
-        (Field::Whole(a), AMQPValue::ShortShortInt(b)) => a == i64::from(*b),
-        (Field::Whole(a), AMQPValue::ShortShortUInt(b)) => a == i64::from(*b),
-        (Field::Whole(a), AMQPValue::ShortUInt(b)) => a == i64::from(*b),
-        (Field::Whole(a), AMQPValue::LongInt(b)) => a == i64::from(*b),
-        (Field::Whole(a), AMQPValue::LongUInt(b)) => a == i64::from(*b),
-        (Field::Whole(a), AMQPValue::LongLongInt(b)) => a == *b,
-        (Field::Number(a), AMQPValue::Float(b)) => a == f64::from(*b),
-        (Field::Number(a), AMQPValue::Double(b)) => a == *b,
-        (Field::Bytes(a), AMQPValue::LongString(b)) => a == b.as_bytes(),
-        (Field::Timestamp(a), AMQPValue::Timestamp(b)) => a == *b,
-        (Field::Table(a), AMQPValue::FieldTable(b)) => {
+        (FieldValue::Boolean(a), AMQPValue::Boolean(b)) => a == *b,
+        (FieldValue::Integer(a), AMQPValue::ShortShortInt(b)) => a == i64::from(*b),
+        (FieldValue::Integer(a), AMQPValue::ShortShortUInt(b)) => a == i64::from(*b),
+        (FieldValue::Integer(a), AMQPValue::ShortUInt(b)) => a == i64::from(*b),
+        (FieldValue::Integer(a), AMQPValue::LongInt(b)) => a == i64::from(*b),
+        (FieldValue::Integer(a), AMQPValue::LongUInt(b)) => a == i64::from(*b),
+        (FieldValue::Integer(a), AMQPValue::LongLongInt(b)) => a == *b,
+        (FieldValue::Float(a), AMQPValue::Float(b)) => a == f64::from(*b),
+        (FieldValue::Float(a), AMQPValue::Double(b)) => a == *b,
+        (FieldValue::Bytes(a), AMQPValue::LongString(b)) => a == b.as_bytes(),
+        (FieldValue::Timestamp(a), AMQPValue::Timestamp(b)) => a == *b,
+        (FieldValue::Table(a), AMQPValue::FieldTable(b)) => {
             a.fields().count() == b.inner().len()
                 && b.into_iter()
                     .all(|(name, value)| a.get(name.as_str()).is_some_and(|field| same(field, value)))
         }
-        (Field::Other, AMQPValue::DecimalValue(_) | AMQPValue::FieldArray(_) | AMQPValue::Void) => true,
+        (FieldValue::Undecoded, AMQPValue::DecimalValue(_) | AMQPValue::FieldArray(_) | AMQPValue::Void) => {
+            true
+        }
         _ => false,
     }
 }
@@ -74,7 +77,7 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_the_other_codec_writes_is_read(
+    fn frames_of_the_other_codec_are_decoded(
         headers in proptest::option::of(headers()), id in short(), reply in short(), kind in short(),
         expiration in short(), timestamp in proptest::option::of(any::<u64>()), mode in proptest::option::of(any::<u8>()),
     ) {
@@ -87,35 +90,36 @@
         if let Some(timestamp) = timestamp { theirs = theirs.with_timestamp(timestamp); }
         if let Some(mode) = mode { theirs = theirs.with_delivery_mode(mode); }
         let frame = bytes(&AMQPFrame::Header(3, AMQPContentHeader { class_id: 60, body_size: 9, properties: theirs }));
-        let (kind_read, channel, payload, used) = frames::first(&frame, 1 << 20).unwrap().unwrap();
-        prop_assert_eq!((kind_read, channel, used), (frames::HEADER, 3, frame.len()));
+        let read = frame::read_first(&frame, 1 << 20).unwrap().unwrap();
+        prop_assert_eq!((read.kind, read.channel, read.frame_bytes), (FrameKind::Header, 3, frame.len()));
+        let payload = read.payload;
         let ours = Properties::read(&payload[12..]).unwrap();
         prop_assert_eq!(ours.message_id, id.as_deref());
         prop_assert_eq!(ours.reply_to, reply.as_deref());
-        prop_assert_eq!(ours.kind, kind.as_deref());
+        prop_assert_eq!(ours.message_type, kind.as_deref());
         prop_assert_eq!(ours.expiration, expiration.as_deref());
         prop_assert_eq!((ours.timestamp, ours.delivery_mode), (timestamp, mode));
-        let read = headers.map(|headers| same(Field::Table(ours.headers.unwrap()), &AMQPValue::FieldTable(headers)));
+        let read = headers.map(|headers| same(FieldValue::Table(ours.headers.unwrap()), &AMQPValue::FieldTable(headers)));
         prop_assert_eq!(read.unwrap_or(true), true);
-        // Written again it is the same to the byte.
+        // Encoded again it is the same to the byte.
         let mut again = Vec::new();
         ours.put(&mut again);
         prop_assert_eq!(&again[..], &payload[12..]);
     }
 
     #[test]
-    fn what_ours_writes_the_other_codec_reads(
+    fn the_other_codec_decodes_our_frames(
         id in short(), to in short(), text in "[ -~]{0,300}", n in any::<i64>(), flag in any::<bool>(), body in any::<Vec<u8>>(),
     ) {
-        let headers = TableWriter::default().text("t", &text).whole("n", n).flag("f", flag);
-        let ours = Properties { headers: Some(headers.done()), message_id: id.as_deref(), reply_to: to.as_deref(), ..Properties::default() };
+        let headers = TableWriter::default().text("t", &text).integer("n", n).boolean("f", flag);
+        let ours = Properties { headers: Some(headers.finish()), message_id: id.as_deref(), reply_to: to.as_deref(), ..Properties::default() };
         let mut frame = Vec::new();
-        frames::put(&mut frame, frames::HEADER, 7, |out| {
+        frame::put(&mut frame, FrameKind::Header, 7, |out| {
             out.extend([0, 60, 0, 0]);
             out.extend_from_slice(&(body.len() as u64).to_be_bytes());
             ours.put(out);
         });
-        frames::put(&mut frame, frames::BODY, 7, |out| out.extend_from_slice(&body));
+        frame::put(&mut frame, FrameKind::Body, 7, |out| out.extend_from_slice(&body));
         let (rest, header) = parse_frame(&frame[..]).unwrap();
         let AMQPFrame::Header(7, header) = header else { panic!("another frame") };
         let theirs = header.properties.headers().clone().unwrap();
@@ -144,7 +148,9 @@
     let read = |fields: &[u8]| {
         let mut whole = (fields.len() as u32).to_be_bytes().to_vec();
         whole.extend_from_slice(fields);
-        Table::read(&mut Wire(&whole)).map(|table| table.fields().count())
+        table::FieldTable::read(&mut WireReader::new(&whole))
+            .map(|table| table.fields().count())
+            .map_err(|error| error.to_string())
     };
     let many: Vec<u8> = (0..=table::MAX_FIELDS).flat_map(|_| [1, b'a', b't', 1]).collect();
     let seen = format!(
@@ -155,57 +161,61 @@
         read(&many),
         read(&[1, b'a', b'S', 0xFF, 0xFF, 0xFF, 0xFF]),
         read(&[1, b'a', b'q', 0]),
-        Table::read(&mut Wire(&[0xFF, 0xFF, 0xFF, 0xFF, 1])),
+        table::FieldTable::read(&mut WireReader::new(&[0xFF, 0xFF, 0xFF, 0xFF, 1]))
+            .map_err(|error| error.to_string()),
     );
     expect_test::expect![[r#"
         Ok(1)
-        Err(Malformed("a table is nested too deep"))
-        Err(Malformed("a table is nested too deep"))
-        Err(Malformed("too many fields in a table"))
-        Err(Malformed("too short"))
-        Err(Malformed("a field of an unknown type"))
-        Err(Malformed("too short"))
+        Err("a table is nested too deep")
+        Err("a table is nested too deep")
+        Err("too many fields in a table")
+        Err("too short")
+        Err("a field of an unknown type")
+        Err("too short")
     "#]]
     .assert_eq(&seen);
 }
 
-/// A fixed number of inputs from a seed: good frames with bytes changed, and bytes alone. Nothing panics, nothing
-/// grows past what came, and a session that is over stays so.
+/// A fixed number of inputs from a seed: valid frames with changed, removed and inserted bytes. Nothing panics, the
+/// output is bounded by the input, and a connection that is over stays over.
 #[test]
-fn bytes_from_nowhere_end_a_session_and_nothing_else() {
-    let mut chance = Pcg::new(11);
-    let good = helpers_frames();
+fn random_bytes_end_a_connection_and_nothing_else() {
+    let mut random = Pcg::new(11);
+    let valid = handshake_frames();
     let mut ended = 0;
     for _ in 0..20_000 {
-        let mut input: Vec<u8> = good.iter().flatten().copied().collect();
-        for _ in 0..1 + chance.draw() % 4 {
-            let at = chance.draw() as usize % input.len().max(1);
-            match chance.draw() % 4 {
-                0 if !input.is_empty() => input[at] = chance.draw() as u8,
+        let mut input: Vec<u8> = valid.iter().flatten().copied().collect();
+        for _ in 0..1 + random.draw() % 4 {
+            let at = random.draw() as usize % input.len().max(1);
+            match random.draw() % 4 {
+                0 if !input.is_empty() => input[at] = random.draw() as u8,
                 1 => input.truncate(at.max(1)),
                 2 if input.len() > 1 => drop(input.remove(at)),
-                _ => input.insert(at, chance.draw() as u8),
+                _ => input.insert(at, random.draw() as u8),
             }
         }
-        let mut session = Session::new(terms(), at(0));
-        let mut ears = Ears::default();
+        let mut connection = Connection::new(settings(), at(0));
+        let mut events = EventLog::default();
         let whole = input.len();
-        feed(&mut session, &mut ears, 1, &input, 1 + chance.draw() as usize % whole);
-        if ears.0.contains("open\n") {
-            session.consume(1, "q", 4);
-            feed(&mut session, &mut ears, 1, &input, 64);
+        feed(&mut connection, &mut events, 1, &input, 1 + random.draw() as usize % whole);
+        if events.0.contains("open\n") {
+            connection.consume(1, "q", 4);
+            feed(&mut connection, &mut events, 1, &input, 64);
         }
-        session.tick(at(15_000));
-        session.tick(at(40_000));
-        session.tick(at(41_000));
-        assert!(session.out(at(41_000)).len() < 8 * 1024 + whole, "a short input makes a long output");
-        ended += u32::from(session.ended().is_some());
+        connection.tick(at(15_000));
+        connection.tick(at(40_000));
+        connection.tick(at(41_000));
+        assert!(
+            connection.take_output(at(41_000)).len() < 8 * 1024 + whole,
+            "a short input makes a long output"
+        );
+        ended += u32::from(connection.end().is_some());
     }
-    assert!(ended > 15_000, "{ended} sessions ended");
+    assert!(ended > 15_000, "{ended} connections ended");
 }
 
 /// What a broker sends from its first frame to the answer of `connection.open`.
-fn helpers_frames() -> Vec<Vec<u8>> {
+fn handshake_frames() -> Vec<Vec<u8>> {
     use amq_protocol::protocol::AMQPClass::Connection;
     use amq_protocol::protocol::connection::{AMQPMethod, OpenOk, Start, Tune};
     let start = Start {
--- a/crates/hazelspur-amqp/tests/sessions.rs
+++ b/crates/hazelspur-amqp/tests/connection.rs
@@ -1,4 +1,4 @@
-//! Sessions step by step, with a broker's frames made by the other codec.
+//! Connections step by step, with the broker's frames made by another codec (amq-protocol).
 
 mod helpers;
 
@@ -8,72 +8,82 @@
 use amq_protocol::protocol::channel::{self, AMQPMethod as OnChannel};
 use amq_protocol::protocol::confirm::{self, AMQPMethod as Confirm};
 use amq_protocol::protocol::connection::{self, AMQPMethod as OnConnection};
-use hazelspur_amqp::session::MAX_BODY;
-use hazelspur_amqp::{Properties, Session, Terms};
-use helpers::{Ears, at, bytes, feed, shown, terms, written};
+use hazelspur_amqp::connection::MAX_BODY_BYTES;
+use hazelspur_amqp::{Connection, ConnectionSettings, OutgoingMessage, Properties};
+use helpers::{EventLog, at, bytes, feed, settings, shown, written};
 
-struct Talk {
-    session: Session,
-    ears: Ears,
+struct BrokerScript {
+    connection: Connection,
+    events: EventLog,
     seen: String,
     ms: u64,
 }
 
-impl Talk {
-    fn new(terms: Terms) -> Self {
-        Self { session: Session::new(terms, at(0)), ears: Ears::default(), seen: String::new(), ms: 0 }
+impl BrokerScript {
+    fn new(settings: ConnectionSettings) -> Self {
+        Self {
+            connection: Connection::new(settings, at(0)),
+            events: EventLog::default(),
+            seen: String::new(),
+            ms: 0,
+        }
     }
 
-    /// The broker says this; what was heard and what goes out is written down.
-    fn hear(&mut self, frames: &[AMQPFrame]) {
+    /// Sends these frames to the connection and records its events and its output.
+    fn receive(&mut self, frames: &[AMQPFrame]) {
         let all: Vec<u8> = frames.iter().flat_map(bytes).collect();
-        self.hear_bytes(&all);
+        self.receive_bytes(&all);
     }
 
-    fn hear_bytes(&mut self, all: &[u8]) {
-        feed(&mut self.session, &mut self.ears, self.ms, all, 7);
-        self.seen += &std::mem::take(&mut self.ears.0);
-        self.seen += &shown(&written(&mut self.session, self.ms));
-        if let Some(why) = self.session.ended() {
-            self.seen += &format!("ended: {why}\n");
+    fn receive_bytes(&mut self, all: &[u8]) {
+        feed(&mut self.connection, &mut self.events, self.ms, all, 7);
+        self.seen += &std::mem::take(&mut self.events.0);
+        self.seen += &shown(&written(&mut self.connection, self.ms));
+        if let Some(end) = self.connection.end() {
+            self.seen += &format!("ended: {end}\n");
         }
     }
 
     fn tick(&mut self, ms: u64) {
         self.ms = ms;
-        self.session.tick(at(ms));
-        self.seen += &format!("at {ms}: {:?}\n", self.session.ended());
-        self.seen += &shown(&written(&mut self.session, ms));
+        self.connection.tick(at(ms));
+        let end = self.connection.end().map(ToString::to_string);
+        self.seen += &format!("at {ms}: {end:?}\n");
+        self.seen += &shown(&written(&mut self.connection, ms));
     }
 
     fn open(heartbeat: u16) -> Self {
-        let mut talk = Self::new(terms());
-        written(&mut talk.session, 0);
-        talk.hear(&[start("PLAIN AMQPLAIN")]);
-        talk.hear(&[tune(8192, heartbeat)]);
-        talk.hear(&[on(0, OnConnection::OpenOk(connection::OpenOk {}))]);
-        talk
+        let mut script = Self::new(settings());
+        written(&mut script.connection, 0);
+        script.receive(&[start("PLAIN AMQPLAIN")]);
+        script.receive(&[tune(8192, heartbeat)]);
+        script.receive(&[on(0, OnConnection::OpenOk(connection::OpenOk {}))]);
+        script
     }
 
     /// Channel 1 consumes, channel 2 publishes.
     fn consuming() -> Self {
-        let mut talk = Self::open(0);
-        talk.session.consume(1, "orders", 3);
-        talk.session.publish_on(2);
+        let mut script = Self::open(0);
+        script.connection.consume(1, "orders", 3);
+        script.connection.open_publishing_channel(2);
         let open_ok = |n| channel_frame(n, OnChannel::OpenOk(channel::OpenOk {}));
-        talk.hear(&[open_ok(1), open_ok(2)]);
-        talk.hear(&[
+        script.receive(&[open_ok(1), open_ok(2)]);
+        script.receive(&[
             basic_frame(1, Basic::QosOk(basic::QosOk {})),
             AMQPFrame::Method(2, AMQPClass::Confirm(Confirm::SelectOk(confirm::SelectOk {}))),
         ]);
-        talk.hear(&[basic_frame(
+        script.receive(&[basic_frame(
             1,
             Basic::ConsumeOk(basic::ConsumeOk { consumer_tag: "hazelspur-1".into() }),
         )]);
-        talk
+        script
     }
 }
 
+fn reply(number: u64, body: &[u8]) -> OutgoingMessage<'_> {
+    OutgoingMessage { number, queue: "answers", properties: Properties::default(), body }
+}
+
 fn on(channel: u16, method: OnConnection) -> AMQPFrame {
     AMQPFrame::Method(channel, AMQPClass::Connection(method))
 }
@@ -119,22 +129,28 @@
 
 #[test]
 fn a_connection_opens_consumes_settles_and_closes() {
-    let mut talk = Talk::consuming();
-    talk.hear(&message(1, b"forty loaves", 5));
-    talk.hear(&message(2, b"", 5));
-    assert!(talk.session.fence(1, 77) && talk.session.ack(1, 1) && talk.session.reject(1, 2, true));
-    talk.hear(&[basic_frame(1, Basic::QosOk(basic::QosOk {}))]);
-    let said = format!("again {} other channel {}", talk.session.ack(1, 1), talk.session.ack(2, 2));
+    let mut script = BrokerScript::consuming();
+    script.receive(&message(1, b"forty loaves", 5));
+    script.receive(&message(2, b"", 5));
+    assert!(
+        script.connection.send_fence(1, 77)
+            && script.connection.ack(1, 1)
+            && script.connection.reject(1, 2, true)
+    );
+    script.receive(&[basic_frame(1, Basic::QosOk(basic::QosOk {}))]);
+    let settled =
+        format!("again {} other channel {}", script.connection.ack(1, 1), script.connection.ack(2, 2));
     let body = vec![7; 20_000];
-    talk.session.publish(2, 5, "", "answers", &Properties::default(), &body);
-    talk.session.publish(2, 6, "", "answers", &Properties::default(), b"");
+    script.connection.publish(2, &reply(5, &body));
+    script.connection.publish(2, &reply(6, b""));
     let ack = basic::Ack { delivery_tag: 2, multiple: true };
-    talk.hear(&[basic_frame(2, Basic::Ack(ack))]);
-    talk.session.cancel(1);
-    talk.hear(&[basic_frame(1, Basic::CancelOk(basic::CancelOk { consumer_tag: "hazelspur-1".into() }))]);
-    talk.session.close(at(1));
-    talk.hear(&[on(0, OnConnection::CloseOk(connection::CloseOk {}))]);
-    let seen = format!("{}{said}, stale {}\n", talk.seen, talk.session.stale);
+    script.receive(&[basic_frame(2, Basic::Ack(ack))]);
+    script.connection.cancel_consumer(1);
+    script
+        .receive(&[basic_frame(1, Basic::CancelOk(basic::CancelOk { consumer_tag: "hazelspur-1".into() }))]);
+    script.connection.close(at(1));
+    script.receive(&[on(0, OnConnection::CloseOk(connection::CloseOk {}))]);
+    let seen = format!("{}{settled}, stale {}\n", script.seen, script.connection.stale_settlements());
     expect_test::expect![[r#"
         < 0 Connection(StartOk(StartOk
         < 0 Connection(TuneOk(TuneOk
@@ -147,9 +163,9 @@
         ready 2
         < 1 Basic(Consume(Consume
         ready 1
-        delivered 1:1 again false key orders id m1 body Some((12, 1246))
-        delivered 1:2 again true key orders id m2 body Some((0, 0))
-        fenced 1 77
+        delivered 1:1 redelivered false key orders id m1 body Some((12, 1246))
+        delivered 1:2 redelivered true key orders id m2 body Some((0, 0))
+        fence answered 1 77
         < 1 Basic(Qos(Qos
         < 1 Basic(Ack(Ack
         < 1 Basic(Reject(Reject
@@ -171,36 +187,38 @@
 }
 
 #[test]
-fn a_broker_that_lies_gets_one_close() {
+fn each_protocol_error_of_the_broker_is_answered_with_one_close() {
     let mut seen = String::new();
-    let mut lie = |name: &str, tell: &dyn Fn(&mut Talk)| {
-        let mut talk = Talk::consuming();
-        talk.seen.clear();
-        tell(&mut talk);
-        seen += &format!("{name}\n{}", talk.seen);
+    let mut violation = |name: &str, send: &dyn Fn(&mut BrokerScript)| {
+        let mut script = BrokerScript::consuming();
+        script.seen.clear();
+        send(&mut script);
+        seen += &format!("{name}\n{}", script.seen);
     };
-    lie("a wrong end octet", &|talk| {
+    violation("a wrong end octet", &|script| {
         let mut frame = bytes(&AMQPFrame::Heartbeat);
         *frame.last_mut().expect("an end") = 0;
-        talk.hear_bytes(&frame);
+        script.receive_bytes(&frame);
+    });
+    violation("a huge frame", &|script| script.receive_bytes(&[3, 0, 1, 0xFF, 0xFF, 0xFF, 0xFF, 1, 2]));
+    violation("a body that does not end", &|script| {
+        script.receive(&deliver(1, 5));
+        script.receive(&[AMQPFrame::Body(1, vec![1; 3]), AMQPFrame::Body(1, vec![])]);
     });
-    lie("a huge frame", &|talk| talk.hear_bytes(&[3, 0, 1, 0xFF, 0xFF, 0xFF, 0xFF, 1, 2]));
-    lie("a body that does not end", &|talk| {
-        talk.hear(&deliver(1, 5));
-        talk.hear(&[AMQPFrame::Body(1, vec![1; 3]), AMQPFrame::Body(1, vec![])]);
+    violation("a body too long", &|script| {
+        script.receive(&deliver(1, 2));
+        script.receive(&[AMQPFrame::Body(1, vec![1; 3])]);
     });
-    lie("a body too long", &|talk| {
-        talk.hear(&deliver(1, 2));
-        talk.hear(&[AMQPFrame::Body(1, vec![1; 3])]);
+    violation("a tag twice", &|script| {
+        script.receive(&message(1, b"a", 9));
+        script.receive(&message(1, b"a", 9));
     });
-    lie("a tag twice", &|talk| {
-        talk.hear(&message(1, b"a", 9));
-        talk.hear(&message(1, b"a", 9));
+    violation("more than was asked for", &|script| {
+        (1..=5).for_each(|tag| script.receive(&message(tag, b"a", 9)))
     });
-    lie("more than was asked for", &|talk| (1..=5).for_each(|tag| talk.hear(&message(tag, b"a", 9))));
-    lie("content from nowhere", &|talk| talk.hear(&[AMQPFrame::Body(1, vec![1])]));
-    lie("a channel that is not open", &|talk| {
-        talk.hear(
+    violation("content from nowhere", &|script| script.receive(&[AMQPFrame::Body(1, vec![1])]));
+    violation("a channel that is not open", &|script| {
+        script.receive(
             &message(1, b"a", 9)
                 .iter()
                 .map(|frame| match frame {
@@ -210,10 +228,10 @@
                 .collect::<Vec<_>>(),
         )
     });
-    lie("a confirm for nothing", &|talk| {
-        talk.hear(&[basic_frame(2, Basic::Ack(basic::Ack { delivery_tag: 4, multiple: false }))]);
+    violation("a confirm for nothing", &|script| {
+        script.receive(&[basic_frame(2, Basic::Ack(basic::Ack { delivery_tag: 4, multiple: false }))]);
     });
-    lie("a second tune", &|talk| talk.hear(&[tune(8192, 1)]));
+    violation("a second tune", &|script| script.receive(&[tune(8192, 1)]));
     expect_test::expect![[r#"
         a wrong end octet
         < 0 Connection(Close(Close
@@ -228,14 +246,14 @@
         < 0 Connection(Close(Close
         ended: fault of the broker: a body that does not fit its header
         a tag twice
-        delivered 1:1 again false key orders id m1 body Some((1, 97))
+        delivered 1:1 redelivered false key orders id m1 body Some((1, 97))
         < 0 Connection(Close(Close
         ended: fault of the broker: a delivery tag that is in use
         more than was asked for
-        delivered 1:1 again false key orders id m1 body Some((1, 97))
-        delivered 1:2 again true key orders id m2 body Some((1, 97))
-        delivered 1:3 again true key orders id m3 body Some((1, 97))
-        delivered 1:4 again true key orders id m4 body Some((1, 97))
+        delivered 1:1 redelivered false key orders id m1 body Some((1, 97))
+        delivered 1:2 redelivered true key orders id m2 body Some((1, 97))
+        delivered 1:3 redelivered true key orders id m3 body Some((1, 97))
+        delivered 1:4 redelivered true key orders id m4 body Some((1, 97))
         < 0 Connection(Close(Close
         ended: fault of the broker: more deliveries than were asked for
         content from nowhere
@@ -255,20 +273,20 @@
 }
 
 #[test]
-fn errors_of_a_channel_are_not_those_of_a_connection() {
-    let mut talk = Talk::consuming();
-    talk.seen.clear();
+fn a_channel_error_does_not_end_the_connection() {
+    let mut script = BrokerScript::consuming();
+    script.seen.clear();
     let (reply_code, reply_text, class_id, method_id) = (404, "no such queue".into(), 60, 20);
-    talk.hear(&[channel_frame(
+    script.receive(&[channel_frame(
         1,
         OnChannel::Close(channel::Close { reply_code, reply_text, class_id, method_id }),
     )]);
-    talk.session.consume(1, "orders", 3);
-    talk.hear(&[channel_frame(1, OnChannel::OpenOk(channel::OpenOk {}))]);
-    talk.hear(&[on(0, OnConnection::Blocked(connection::Blocked { reason: "memory".into() }))]);
-    talk.hear(&[on(0, OnConnection::Unblocked(connection::Unblocked {}))]);
+    script.connection.consume(1, "orders", 3);
+    script.receive(&[channel_frame(1, OnChannel::OpenOk(channel::OpenOk {}))]);
+    script.receive(&[on(0, OnConnection::Blocked(connection::Blocked { reason: "memory".into() }))]);
+    script.receive(&[on(0, OnConnection::Unblocked(connection::Unblocked {}))]);
     let reply_text = "shutting down".into();
-    talk.hear(&[on(
+    script.receive(&[on(
         0,
         OnConnection::Close(connection::Close { reply_code: 320, reply_text, class_id, method_id }),
     )]);
@@ -282,38 +300,38 @@
         < 0 Connection(CloseOk(CloseOk))
         ended: closed by the broker: 320 shutting down
     "#]]
-    .assert_eq(&talk.seen);
+    .assert_eq(&script.seen);
 }
 
 #[test]
-fn a_body_past_the_bound_is_counted_and_not_kept() {
-    let mut talk = Talk::consuming();
-    talk.seen.clear();
-    let body = vec![1; MAX_BODY + 1];
+fn an_oversized_body_is_counted_and_not_kept() {
+    let mut script = BrokerScript::consuming();
+    script.seen.clear();
+    let body = vec![1; MAX_BODY_BYTES + 1];
     let frames = message(1, &body, 8000);
     let all: Vec<u8> = frames.iter().flat_map(bytes).collect();
-    feed(&mut talk.session, &mut talk.ears, 0, &all, 4096);
-    talk.hear(&message(2, b"a", 9));
+    feed(&mut script.connection, &mut script.events, 0, &all, 4096);
+    script.receive(&message(2, b"a", 9));
     expect_test::expect![[r#"
-        delivered 1:1 again false key orders id m1 body None
-        delivered 1:2 again true key orders id m2 body Some((1, 97))
+        delivered 1:1 redelivered false key orders id m1 body None
+        delivered 1:2 redelivered true key orders id m2 body Some((1, 97))
     "#]]
-    .assert_eq(&talk.seen);
+    .assert_eq(&script.seen);
 }
 
 #[test]
-fn silence_is_answered_with_heartbeats_and_ended_after_a_second_look() {
-    let mut talk = Talk::open(2);
-    talk.seen.clear();
-    talk.tick(500);
-    talk.tick(1000);
-    // The machine stood still: what has come meanwhile is read before the connection is given up.
-    talk.tick(9000);
-    talk.hear(&[AMQPFrame::Heartbeat]);
-    talk.tick(9300);
-    talk.tick(13_500);
-    talk.tick(13_700);
-    talk.tick(13_800);
+fn silence_is_answered_with_heartbeats_and_ends_the_connection_at_the_second_check() {
+    let mut script = BrokerScript::open(2);
+    script.seen.clear();
+    script.tick(500);
+    script.tick(1000);
+    // After a suspension of the process, input that waits is read before the connection is given up.
+    script.tick(9000);
+    script.receive(&[AMQPFrame::Heartbeat]);
+    script.tick(9300);
+    script.tick(13_500);
+    script.tick(13_700);
+    script.tick(13_800);
     expect_test::expect![[r#"
         at 500: None
         at 1000: None
@@ -326,29 +344,29 @@
         at 13700: None
         at 13800: Some("no heartbeat")
     "#]]
-    .assert_eq(&talk.seen);
+    .assert_eq(&script.seen);
 }
 
 #[test]
-fn a_handshake_that_leads_nowhere_ends_in_time_and_says_why() {
+fn a_handshake_without_success_ends_in_time_with_a_reason() {
     let mut seen = String::new();
-    let mut try_it = |name: &str, terms: Terms, frames: &[AMQPFrame]| {
-        let mut talk = Talk::new(terms);
-        written(&mut talk.session, 0);
-        frames.iter().for_each(|frame| talk.hear(std::slice::from_ref(frame)));
-        talk.tick(10_000);
-        talk.tick(12_000);
-        seen += &format!("{name}, refused {}\n{}", talk.session.was_refused(), talk.seen);
+    let mut handshake = |name: &str, settings: ConnectionSettings, frames: &[AMQPFrame]| {
+        let mut script = BrokerScript::new(settings);
+        written(&mut script.connection, 0);
+        frames.iter().for_each(|frame| script.receive(std::slice::from_ref(frame)));
+        script.tick(10_000);
+        script.tick(12_000);
+        seen += &format!("{name}, refused {}\n{}", script.connection.was_refused(), script.seen);
     };
-    let external = Terms { login: None, ..terms() };
-    try_it("silence", terms(), &[]);
-    try_it("another mechanism", external.clone(), &[start("PLAIN")]);
-    try_it("small frames", external, &[start("EXTERNAL"), tune(1000, 0)]);
+    let external = ConnectionSettings { credentials: None, ..settings() };
+    handshake("silence", settings(), &[]);
+    handshake("another mechanism", external.clone(), &[start("PLAIN")]);
+    handshake("small frames", external, &[start("EXTERNAL"), tune(1000, 0)]);
     let (reply_text, class_id, method_id) = ("ACCESS_REFUSED".into(), 10, 11);
     let close = connection::Close { reply_code: 403, reply_text, class_id, method_id };
-    try_it("wrong password", terms(), &[start("PLAIN"), on(0, OnConnection::Close(close))]);
+    handshake("wrong password", settings(), &[start("PLAIN"), on(0, OnConnection::Close(close))]);
     let secure = || on(0, OnConnection::Secure(connection::Secure { challenge: "who".into() }));
-    try_it("two challenges", terms(), &[start("PLAIN"), secure(), secure()]);
+    handshake("two challenges", settings(), &[start("PLAIN"), secure(), secure()]);
     expect_test::expect![[r#"
         silence, refused false
         at 10000: Some("no answer in time")
--- a/crates/hazelspur-amqp/tests/helpers/mod.rs
+++ b/crates/hazelspur-amqp/tests/helpers/mod.rs
@@ -1,9 +1,11 @@
-//! A listener that writes down what it hears, and frames made with the other codec.
+//! A handler that records the events, and frames made with another codec (amq-protocol).
 #![allow(dead_code)]
 
 use amq_protocol::frame::{AMQPFrame, gen_frame};
 use hazelspur::{Duration, Timestamp};
-use hazelspur_amqp::{Listener, Properties, Session, Terms};
+use hazelspur_amqp::{
+    Connection, ConnectionHandler, ConnectionSettings, Credentials, IncomingDelivery, Properties,
+};
 
 pub fn at(ms: u64) -> Timestamp {
     Timestamp::from_us(1_000_000_000 + ms * 1000)
@@ -13,71 +15,76 @@
     gen_frame(frame)(Vec::new().into()).expect("a frame that can be written").into_inner().0
 }
 
-pub fn terms() -> Terms {
-    Terms {
-        login: Some(("u".into(), "p".into())),
-        vhost: "/".into(),
-        name: "n1".into(),
+pub fn settings() -> ConnectionSettings {
+    ConnectionSettings {
+        credentials: Some(Credentials { user: "u".into(), password: "p".into() }),
+        virtual_host: "/".into(),
+        connection_name: "n1".into(),
         heartbeat: Duration::from_ms(10_000),
-        longest_frame: 65_536,
-        most_unsettled: 4,
-        channels: 2,
+        max_frame_bytes: 65_536,
+        max_unsettled: 4,
+        max_channel: 2,
     }
 }
 
 #[derive(Default)]
-pub struct Ears(pub String);
+pub struct EventLog(pub String);
 
-impl Ears {
+impl EventLog {
     fn note(&mut self, line: String) {
         self.0 += &line;
         self.0.push('\n');
     }
 }
 
-impl Listener for Ears {
-    fn open(&mut self) {
+impl ConnectionHandler for EventLog {
+    fn connection_open(&mut self) {
         self.note("open".into());
     }
-    fn ready(&mut self, channel: u16) {
+    fn channel_ready(&mut self, channel: u16) {
         self.note(format!("ready {channel}"));
     }
-    fn delivered(&mut self, channel: u16, tag: u64, again: bool, key: &str, p: &[u8], body: Option<&[u8]>) {
-        let id = Properties::read(p).ok().and_then(|p| p.message_id).unwrap_or("none");
-        let body = body.map(|body| (body.len(), body.iter().map(|b| u64::from(*b)).sum::<u64>()));
-        self.note(format!("delivered {channel}:{tag} again {again} key {key} id {id} body {body:?}"));
+    fn delivered(&mut self, delivery: &IncomingDelivery<'_>) {
+        let IncomingDelivery { channel, tag, redelivered, routing_key, .. } = delivery;
+        let properties = Properties::read(delivery.properties).ok();
+        let id = properties.and_then(|properties| properties.message_id).unwrap_or("none");
+        let checksum = |body: &[u8]| body.iter().map(|b| u64::from(*b)).sum::<u64>();
+        let body = delivery.body.map(|body| (body.len(), checksum(body)));
+        self.note(format!(
+            "delivered {channel}:{tag} redelivered {redelivered} key {routing_key} id {id} body {body:?}"
+        ));
     }
-    fn fenced(&mut self, channel: u16, fence: u64) {
-        self.note(format!("fenced {channel} {fence}"));
+    fn fence_answered(&mut self, channel: u16, fence: u64) {
+        self.note(format!("fence answered {channel} {fence}"));
     }
-    fn confirmed(&mut self, number: u64, taken: bool) {
-        self.note(format!("confirmed {number} {taken}"));
+    fn publish_confirmed(&mut self, number: u64, accepted: bool) {
+        self.note(format!("confirmed {number} {accepted}"));
     }
-    fn returned(&mut self, number: u64) {
+    fn publish_returned(&mut self, number: u64) {
         self.note(format!("returned {number}"));
     }
-    fn cancelled(&mut self, channel: u16) {
+    fn consumer_cancelled(&mut self, channel: u16) {
         self.note(format!("cancelled {channel}"));
     }
-    fn channel_closed(&mut self, channel: u16, code: u16, why: &str) {
-        self.note(format!("channel {channel} closed {code} {why}"));
+    fn channel_closed(&mut self, channel: u16, reply_code: u16, reply_text: &str) {
+        self.note(format!("channel {channel} closed {reply_code} {reply_text}"));
     }
-    fn blocked(&mut self, why: Option<&str>) {
-        self.note(format!("blocked {why:?}"));
+    fn publishers_blocked(&mut self, reason: Option<&str>) {
+        self.note(format!("blocked {reason:?}"));
     }
 }
 
-/// Feeds bytes in, however they are cut.
-pub fn feed(session: &mut Session, ears: &mut Ears, ms: u64, bytes: &[u8], part: usize) {
+/// Passes bytes to the connection in parts of this size.
+pub fn feed(connection: &mut Connection, events: &mut EventLog, ms: u64, bytes: &[u8], part: usize) {
     for part in bytes.chunks(part.max(1)) {
-        session.room().extend_from_slice(part);
-        session.take(at(ms), ears);
+        connection.input_buffer().extend_from_slice(part);
+        connection.process_input(at(ms), events);
     }
 }
 
 /// All frames that the session wants to write, as the other codec reads them: `channel name`, a line each.
-pub fn written(session: &mut Session, ms: u64) -> Vec<AMQPFrame> {
-    let out = session.out(at(ms));
+pub fn written(connection: &mut Connection, ms: u64) -> Vec<AMQPFrame> {
+    let out = connection.take_output(at(ms));
     let (mut rest, mut frames) = (&out[..], Vec::new());
     while !rest.is_empty() {
         let (left, frame) = amq_protocol::frame::parse_frame(rest).expect("the other codec reads it");
--- a/crates/hazelspur-server/src/ingress/queues.rs
+++ b/crates/hazelspur-server/src/ingress/queues.rs
@@ -12,8 +12,10 @@
 use hazelspur::{
     Catalog, ClientId, Duration, RequestClass, RequestClassId, RequestId, SessionKey, TenantId, Timestamp,
 };
-use hazelspur_amqp::session::Phase as Talk;
-use hazelspur_amqp::{Field, Listener, Properties, Session, Table, TableWriter, Terms};
+use hazelspur_amqp::{
+    Connection, ConnectionHandler, ConnectionSettings, ConnectionState, Credentials, FieldValue,
+    IncomingDelivery, OutgoingMessage, Properties, TableWriter,
+};
 use hazelspur_deliveries::{
     BrokerSelector, ConnectionNumber, DeliveryAction, DeliveryId, DeliveryOutcome, DeliveryTag,
     DeliveryTracker, MessageCache, MessageCacheLimits, PrefetchWindow, QueueId, QueueSettings,
@@ -93,7 +95,7 @@
 
 /// One connection's session with what is to be asked on it again.
 struct Linked {
-    session: Session,
+    session: Connection,
     link: ConnectionNumber,
     again: BTreeMap<u16, (Timestamp, Duration)>,
     /// Since when it is being left in good order.
@@ -260,25 +262,27 @@
     async fn serve(&self, mut stream: TcpStream) -> (String, bool) {
         let _ = stream.set_nodelay(true);
         self.link.set(ConnectionNumber(self.link.get().0 + 1));
-        let terms = Terms {
-            login: self.amqp.user.clone().map(|user| (user, self.amqp.password.clone())),
-            vhost: self.amqp.vhost.clone(),
-            name: self.name.clone(),
+        let credentials =
+            self.amqp.user.clone().map(|user| Credentials { user, password: self.amqp.password.clone() });
+        let terms = ConnectionSettings {
+            credentials,
+            virtual_host: self.amqp.vhost.clone(),
+            connection_name: self.name.clone(),
             heartbeat: Duration::from_secs(self.amqp.heartbeat_s),
-            longest_frame: self.amqp.longest_frame,
-            most_unsettled: self.queues.iter().map(|queue| usize::from(queue.most)).max().unwrap_or(1),
-            channels: self.publishing_on(),
+            max_frame_bytes: self.amqp.longest_frame,
+            max_unsettled: self.queues.iter().map(|queue| usize::from(queue.most)).max().unwrap_or(1),
+            max_channel: self.publishing_on(),
         };
-        let session = Session::new(terms, self.now());
+        let session = Connection::new(terms, self.now());
         let mut linked = Linked { session, link: self.link.get(), again: BTreeMap::new(), leaving: None };
         let (mut read, mut write) = stream.split();
         let (mut out, mut written, mut opened) = (Vec::new(), 0, false);
-        while linked.session.phase() != Talk::Over || written < out.len() {
+        while linked.session.state() != ConnectionState::Over || written < out.len() {
             self.steer(&mut linked);
             if written == out.len() {
-                (out, written) = (linked.session.out(self.now()), 0);
+                (out, written) = (linked.session.take_output(self.now()), 0);
             }
-            let over = linked.session.phase() == Talk::Over;
+            let over = linked.session.state() == ConnectionState::Over;
             if over && out.is_empty() {
                 break;
             }
@@ -286,17 +290,17 @@
             tokio::select! {
                 biased;
                 // Backpressure: a broker that does not read is not read either.
-                came = read.read_buf(linked.session.room()), if !over && out.len() - written < MAX_UNWRITTEN => {
+                came = read.read_buf(linked.session.input_buffer()), if !over && out.len() - written < MAX_UNWRITTEN => {
                     match came {
-                        Ok(0) => linked.session.cut("closed without a word"),
+                        Ok(0) => linked.session.transport_closed("closed without a word"),
                         Ok(_) => self.hear(&mut linked),
-                        Err(e) => linked.session.cut(&e.to_string()),
+                        Err(e) => linked.session.transport_closed(&e.to_string()),
                     }
                 }
                 wrote = write.write(&out[written..]), if written < out.len() => match wrote {
                     Ok(count) => written += count,
                     Err(e) => {
-                        linked.session.cut(&e.to_string());
+                        linked.session.transport_closed(&e.to_string());
                         written = out.len();
                     }
                 },
@@ -310,18 +314,18 @@
                     linked.session.tick(self.now());
                 }
             }
-            if linked.session.phase() == Talk::Open && !opened {
+            if linked.session.state() == ConnectionState::Open && !opened {
                 opened = true;
                 self.brokers.borrow_mut().connected(self.now());
             }
         }
-        if linked.session.stale > 0 {
-            log::error!(count = linked.session.stale; "tags that were not open any more were not settled");
+        if linked.session.stale_settlements() > 0 {
+            log::error!(count = linked.session.stale_settlements(); "tags that were not open any more were not settled");
         }
         self.lose();
         self.pull(None);
-        let why = linked.session.ended().unwrap_or("closed").to_string();
-        (why, !opened && linked.session.phase() == Talk::Over && linked.session.was_refused())
+        let why = linked.session.end().map_or_else(|| "closed".into(), ToString::to_string);
+        (why, !opened && linked.session.state() == ConnectionState::Over && linked.session.was_refused())
     }
 
     fn next_look(&self, linked: &Linked) -> Timestamp {
@@ -341,7 +345,7 @@
             ready: Vec::new(),
             ended: Vec::new(),
         };
-        linked.session.take(now, &mut ears);
+        linked.session.process_input(now, &mut ears);
         let SessionEvents { opened, ready, ended, .. } = ears;
         if opened {
             log::info!(broker:% = self.brokers.borrow().address(), queues = self.queues.len(); "broker open");
@@ -375,14 +379,14 @@
     fn steer(&self, linked: &mut Linked) {
         self.note_leaving();
         self.pull(Some(linked));
-        if linked.session.phase() != Talk::Open {
+        if linked.session.state() != ConnectionState::Open {
             return;
         }
         let now = self.now();
         if self.leaving.get() || self.moving.get() {
             if linked.leaving.is_none() {
                 linked.leaving = Some(now);
-                (1..self.publishing_on()).for_each(|channel| linked.session.cancel(channel));
+                (1..self.publishing_on()).for_each(|channel| linked.session.cancel_consumer(channel));
                 log::info!(in_hand = self.book.borrow().active(), moving = self.moving.get();
                     "no more deliveries are taken");
             }
@@ -404,10 +408,10 @@
             match self.queues.get(usize::from(channel) - 1) {
                 Some(queue) => {
                     let window = self.windows.borrow()[usize::from(channel) - 1].window();
-                    linked.session.resume(channel);
+                    linked.session.resume_consumer(channel);
                     linked.session.consume(channel, &queue.name, window);
                 }
-                None => linked.session.publish_on(channel),
+                None => linked.session.open_publishing_channel(channel),
             }
         }
         if now - self.sampled.get() < SAMPLE {
@@ -425,7 +429,7 @@
             book.set_duty_cycle(QueueId(i), window.duty_cycle());
             if let Some(size) = size {
                 log::debug!(queue = self.queues[i].name.as_str(), size; "window");
-                linked.session.window(i as u16 + 1, size);
+                linked.session.set_prefetch(i as u16 + 1, size);
             }
         }
     }
@@ -459,7 +463,7 @@
                 DeliveryAction::Fence { tag, id } => {
                     let mut out = false;
                     on(&mut linked, tag, |session| {
-                        out = session.fence(tag.channel, id.0);
+                        out = session.send_fence(tag.channel, id.0);
                         out
                     });
                     if !out {
@@ -534,44 +538,50 @@
         tokio::task::spawn_local(life.begin(&read).live());
     }
 
-    fn reply(&self, session: &mut Session, id: DeliveryId, ending: DeliveryOutcome, result: &[u8]) -> bool {
+    fn reply(
+        &self,
+        session: &mut Connection,
+        id: DeliveryId,
+        ending: DeliveryOutcome,
+        result: &[u8],
+    ) -> bool {
         let parts = self.parts.borrow();
         let Some(parts) = parts.get(&id) else { return false };
         let Ok(asked) = Properties::read(&parts.properties) else { return false };
         let Some(to) = asked.reply_to else { return false };
         let headers = TableWriter::default().text("x-outcome", ending.wire_name());
         let properties = Properties {
-            headers: Some(headers.done()),
+            headers: Some(headers.finish()),
             delivery_mode: Some(2),
             correlation_id: asked.correlation_id.or(asked.message_id),
             message_id: asked.message_id,
-            kind: asked.kind,
+            message_type: asked.message_type,
             ..Properties::default()
         };
-        session.publish(self.publishing_on(), id.0, "", to, &properties, result)
+        let message = OutgoingMessage { number: id.0, queue: to, properties, body: result };
+        session.publish(self.publishing_on(), &message)
     }
 
     /// The message as it came, to come back by the broker's own clock; what it waits for goes on from before.
-    fn retry(&self, session: &mut Session, id: DeliveryId, pause: Duration, tries: u32) -> bool {
+    fn retry(&self, session: &mut Connection, id: DeliveryId, pause: Duration, tries: u32) -> bool {
         let parts = self.parts.borrow();
         let Some(parts) = parts.get(&id) else { return false };
         let Some(queue) = &self.queues[parts.queue.0].retry_queue else { return false };
         let Ok(came) = Properties::read(&parts.properties) else { return false };
-        let rest = |table: Table<'_>| {
-            let kept = table.fields().filter(|(name, ..)| ![TRIES, SENT].contains(name));
-            kept.fold(TableWriter::default(), |out, (.., raw)| out.raw(raw))
-        };
-        let mut headers = rest(came.headers.unwrap_or_default())
-            .whole(TRIES, i64::from(tries))
-            .whole(SENT, (parts.sent.us() / 1000) as i64);
+        let mut headers = TableWriter::default()
+            .fields_except(came.headers.unwrap_or_default(), &[TRIES, SENT])
+            .integer(TRIES, i64::from(tries))
+            .integer(SENT, (parts.sent.us() / 1000) as i64);
         if came.header(WAITS).is_none()
             && let Some(waits) = came.expiration.and_then(|ms| ms.parse().ok())
         {
-            headers = headers.whole(WAITS, waits);
+            headers = headers.integer(WAITS, waits);
         }
         let expiration = (pause.us() / 1000).max(1).to_string();
-        let properties = Properties { headers: Some(headers.done()), expiration: Some(&expiration), ..came };
-        session.publish(self.publishing_on(), id.0, "", queue, &properties, &parts.body)
+        let properties =
+            Properties { headers: Some(headers.finish()), expiration: Some(&expiration), ..came };
+        let message = OutgoingMessage { number: id.0, queue, properties, body: &parts.body };
+        session.publish(self.publishing_on(), &message)
     }
 
     /// Its request has its answer.
@@ -590,14 +600,14 @@
         body: &[u8],
     ) -> (Result<Readable, DeliveryOutcome>, Timestamp, Option<Timestamp>, u32) {
         let header = |name: &str| properties.header(name);
-        let ms = |field: Option<Field<'_>>| {
-            field.and_then(Field::count).map(|ms| Duration::from_us(ms.saturating_mul(1000)))
+        let ms = |field: Option<FieldValue<'_>>| {
+            field.and_then(FieldValue::unsigned).map(|ms| Duration::from_us(ms.saturating_mul(1000)))
         };
         let stamped = match queue.clock {
             SentBy::Reading => None,
             // Whole seconds: the earliest moment that it can stand for.
             SentBy::Publisher => header(SENT)
-                .and_then(Field::count)
+                .and_then(FieldValue::unsigned)
                 .map(|ms| Timestamp::from_us(ms.saturating_mul(1000)))
                 .or(properties.timestamp.map(|s| Timestamp::from_us(s.saturating_mul(1_000_000)))),
         };
@@ -610,15 +620,19 @@
                 .map(|ms: u32| Duration::from_ms(ms.into())))
             .or(queue.waits_s.map(Duration::from_secs));
         let due = waits.map(|waits| clock.stamped(sent) + waits);
-        let counted = |name| header(name).and_then(Field::count).unwrap_or(0).min(u64::from(u32::MAX)) as u32;
+        let counted =
+            |name| header(name).and_then(FieldValue::unsigned).unwrap_or(0).min(u64::from(u32::MAX)) as u32;
         let tries = counted(TRIES).max(counted("x-delivery-count"));
         let text = |name: &str| match header(name) {
             None => Ok(None),
             Some(field) => field.text().map(Some).ok_or(DeliveryOutcome::Malformed),
         };
         let readable = || {
-            let name =
-                queue.request_class.as_deref().or(properties.kind).ok_or(DeliveryOutcome::UnknownClass)?;
+            let name = queue
+                .request_class
+                .as_deref()
+                .or(properties.message_type)
+                .ok_or(DeliveryOutcome::UnknownClass)?;
             let catalog = self.catalog.borrow();
             let (request_class, terms) =
                 catalog.find_request_class(name).ok_or(DeliveryOutcome::UnknownClass)?;
@@ -626,8 +640,8 @@
                 catalog.find_tenant(text("x-owner")?).ok_or(DeliveryOutcome::Malformed)?;
             let kb = match header("x-need-kb") {
                 None => queue.need_kb,
-                Some(Field::Number(kb)) => kb,
-                Some(field) => field.count().map(|kb| kb as f64).ok_or(DeliveryOutcome::Malformed)?,
+                Some(FieldValue::Float(kb)) => kb,
+                Some(field) => field.unsigned().map(|kb| kb as f64).ok_or(DeliveryOutcome::Malformed)?,
             };
             if body.len() > LONGEST_BODY || !(kb > 0.0 && kb < 2000.0) {
                 return Err(DeliveryOutcome::Malformed);
@@ -657,7 +671,7 @@
 }
 
 /// Does it on the connection that the tag is of; on any other the tag means nothing.
-fn on(linked: &mut Option<&mut Linked>, tag: DeliveryTag, act: impl FnOnce(&mut Session) -> bool) {
+fn on(linked: &mut Option<&mut Linked>, tag: DeliveryTag, act: impl FnOnce(&mut Connection) -> bool) {
     if let Some(linked) = linked.as_deref_mut().filter(|linked| linked.link == tag.connection)
         && !act(&mut linked.session)
     {
@@ -714,24 +728,17 @@
     ended: Vec<(u16, bool, String)>,
 }
 
-impl Listener for SessionEvents<'_> {
-    fn open(&mut self) {
+impl ConnectionHandler for SessionEvents<'_> {
+    fn connection_open(&mut self) {
         self.opened = true;
     }
 
-    fn ready(&mut self, channel: u16) {
+    fn channel_ready(&mut self, channel: u16) {
         self.ready.push(channel);
     }
 
-    fn delivered(
-        &mut self,
-        channel: u16,
-        tag: u64,
-        redelivered: bool,
-        _routing_key: &str,
-        properties: &[u8],
-        body: Option<&[u8]>,
-    ) {
+    fn delivered(&mut self, delivery: &IncomingDelivery<'_>) {
+        let IncomingDelivery { channel, tag, redelivered, properties, body, .. } = *delivery;
         let (front, now, queue) = (self.front, self.now, QueueId(usize::from(channel) - 1));
         let Some(settings) = front.queues.get(queue.0) else { return };
         let decoded = Properties::read(properties).ok().filter(|_| properties.len() <= LONGEST_PROPERTIES);
@@ -767,19 +774,19 @@
         front.parts.borrow_mut().insert(id, parts);
     }
 
-    fn fenced(&mut self, _channel: u16, fence: u64) {
+    fn fence_answered(&mut self, _channel: u16, fence: u64) {
         self.front.book.borrow_mut().fence_answered(self.now, DeliveryId(fence));
     }
 
-    fn confirmed(&mut self, number: u64, taken: bool) {
+    fn publish_confirmed(&mut self, number: u64, taken: bool) {
         self.front.book.borrow_mut().publish_confirmed(self.now, DeliveryId(number), taken);
     }
 
-    fn returned(&mut self, number: u64) {
+    fn publish_returned(&mut self, number: u64) {
         self.front.book.borrow_mut().publish_returned(DeliveryId(number));
     }
 
-    fn cancelled(&mut self, channel: u16) {
+    fn consumer_cancelled(&mut self, channel: u16) {
         self.ended.push((channel, false, "cancelled by the broker".into()));
     }
 
@@ -787,7 +794,7 @@
         self.ended.push((channel, true, format!("{code} {why}")));
     }
 
-    fn blocked(&mut self, why: Option<&str>) {
+    fn publishers_blocked(&mut self, why: Option<&str>) {
         self.front.book.borrow_mut().set_publishing_blocked(why.is_some());
         match why {
             Some(why) => log::warn!(why; "broker blocks publishers"),
