--- a/crates/hazelspur-server/src/clock.rs
+++ b/crates/hazelspur-server/src/clock.rs
@@ -1,35 +1,56 @@
-//! Three clocks. `now` is the one to wait and to reckon by: it began at the Unix time of the program's start
-//! and goes on evenly, so that a system clock that is set changes no wait, window or due time. `wall` is the
-//! Unix clock as others see it, kept from going back. `steady` says nothing of the time of day.
+//! The clocks of the process.
+//!
+//! `now` is the one to wait and to calculate by: it starts at the Unix time of the process's start and advances
+//! evenly, so that setting the system clock changes no timeout, window or deadline. `wall` is the Unix clock as
+//! other servers see it, never going back. `monotonic` has no relation to the time of day.
 
 use hazelspur::{Duration, Timeline, Timestamp};
 use std::cell::{Cell, OnceCell};
 use std::time::{Duration as StdDuration, Instant, SystemTime, UNIX_EPOCH};
 
+/// What `Clock::monotonic` shows at first: above zero, so that earlier times exist.
+const MONOTONIC_START: Timestamp = Timestamp::from_us(1_000_000);
+/// Microseconds in a millisecond.
+const US_PER_MS: i64 = 1000;
+
+/// When a clock was first read.
+struct Origin {
+    instant: Instant,
+    /// Starts at the Unix time of that instant.
+    timeline: Timeline,
+}
+
+impl Origin {
+    fn elapsed(&self) -> Duration {
+        Duration::from_us(self.instant.elapsed().as_micros() as u64)
+    }
+}
+
+/// The clocks of one process.
 #[derive(Default)]
 pub struct Clock {
     last_wall: Cell<Timestamp>,
-    /// By how many milliseconds the Unix clock is set apart from the system's.
-    apart_ms: Cell<i64>,
-    /// When this was first asked for, and what the Unix clock said then.
-    began: OnceCell<(Instant, Timeline)>,
+    wall_offset_ms: Cell<i64>,
+    origin: OnceCell<Origin>,
 }
 
 impl Clock {
-    fn began(&self) -> &(Instant, Timeline) {
-        self.began.get_or_init(|| (Instant::now(), Timeline::new(self.unix())))
+    fn origin(&self) -> &Origin {
+        self.origin.get_or_init(|| Origin { instant: Instant::now(), timeline: Timeline::new(self.unix()) })
     }
 
+    /// The time to wait and to calculate by.
     pub fn now(&self) -> Timestamp {
-        let (began, line) = self.began();
-        line.at(Duration::from_us(began.elapsed().as_micros() as u64))
+        let origin = self.origin();
+        origin.timeline.at(origin.elapsed())
     }
 
-    /// When something happened that is stamped by the Unix clock.
-    pub fn stamped(&self, stamp: Timestamp) -> Timestamp {
+    /// The time by `now` of something that another machine stamped with its Unix clock.
+    pub fn local_time_of(&self, stamp: Timestamp) -> Timestamp {
         Timeline::stamped(self.now(), self.unix(), stamp)
     }
 
+    /// The Unix time; never earlier than at the last call.
     pub fn wall(&self) -> Timestamp {
         let wall = self.unix().max(self.last_wall.get());
         self.last_wall.set(wall);
@@ -38,20 +59,22 @@
 
     fn unix(&self) -> Timestamp {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let now = (since.as_micros() as i64).saturating_add(self.apart_ms.get().saturating_mul(1000));
-        Timestamp::from_us(now.max(0) as u64)
+        let offset_us = self.wall_offset_ms.get().saturating_mul(US_PER_MS);
+        let now_us = (since.as_micros() as i64).saturating_add(offset_us);
+        Timestamp::from_us(now_us.max(0) as u64)
     }
 
-    /// Since this was first asked for, and a second more.
-    pub fn steady(&self) -> Timestamp {
-        Timestamp::from_us(1_000_000 + self.began().0.elapsed().as_micros() as u64)
+    /// The time since the clock was first read.
+    pub fn monotonic(&self) -> Timestamp {
+        MONOTONIC_START + self.origin().elapsed()
     }
 
-    /// Before anything is asked of it.
-    pub fn set_apart(&self, ms: i64) {
-        self.apart_ms.set(ms);
+    /// Sets the Unix clock apart from the system's, before it is first read.
+    pub fn set_wall_offset_ms(&self, ms: i64) {
+        self.wall_offset_ms.set(ms);
     }
 
+    /// Sleeps until a time by `now`.
     pub async fn sleep_until(&self, at: Timestamp) {
         // Timers may be a little early by this clock.
         while self.now() < at {
@@ -60,10 +83,12 @@
     }
 }
 
-pub async fn sleep(span: Duration) {
-    tokio::time::sleep(long(span)).await;
+/// Sleeps for this long.
+pub async fn sleep(duration: Duration) {
+    tokio::time::sleep(to_std(duration)).await;
 }
 
-pub fn long(span: Duration) -> StdDuration {
-    StdDuration::from_micros(span.us())
+/// The standard library's form of a duration.
+pub fn to_std(duration: Duration) -> StdDuration {
+    StdDuration::from_micros(duration.us())
 }
--- /dev/null
+++ b/crates/hazelspur-server/src/commands.rs
@@ -0,0 +1,48 @@
+//! The commands that do not serve: checking an operator's file, showing the fleet.
+
+use crate::config::command::Shape;
+use crate::config::operator::{self, OperatorConfig, OperatorError};
+use crate::fleet;
+use crate::process::error;
+use std::fmt::Display;
+use std::process::ExitCode;
+
+/// Prints what an operator's file sets, or what is wrong with it.
+pub fn check(file: &str) -> ExitCode {
+    match operator::read(file, None) {
+        Ok(operator) => {
+            print_summary(file, &operator);
+            ExitCode::SUCCESS
+        }
+        Err(why) => refuse(why),
+    }
+}
+
+fn print_summary(file: &str, operator: &OperatorConfig) {
+    let brokers = operator.amqp.as_ref().map_or(0, |amqp| amqp.brokers.len());
+    let fleet = operator.fleet.as_ref().map_or("none".into(), |fleet| fleet.site.to_string());
+    println!("{file}: good: brokers={brokers} queues={} fleet={fleet}", operator.queues.len());
+}
+
+/// Prints the view of the fleet of the server that this operator's file sets up.
+pub fn show_fleet(file: &str, shape: Shape) -> ExitCode {
+    let config = operator::read(file, None);
+    let fleet =
+        config.and_then(|config| config.fleet.ok_or(OperatorError::NoFleet { path: file.to_string() }));
+    let fleet = match fleet {
+        Ok(fleet) => fleet,
+        Err(why) => return refuse(why),
+    };
+    match fleet::ask::ask(&fleet) {
+        Ok(shown) => {
+            print!("{}", fleet::ask::print(&shown, shape));
+            ExitCode::SUCCESS
+        }
+        Err(why) => refuse(why),
+    }
+}
+
+fn refuse(why: impl Display) -> ExitCode {
+    eprintln!("{why}");
+    error::refused()
+}
--- a/crates/hazelspur-server/src/config/command.rs
+++ b/crates/hazelspur-server/src/config/command.rs
@@ -1,21 +1,27 @@
-//! The command line. Exit statuses: 0 served and left in good order, or checked and found good; 1 the server
-//! ended by a fault; 2 a fault in the command line or in what the program is told.
+//! The command line. Exit statuses: 0 served and shut down in order, or a file checked and found good; 1 the
+//! server failed; 2 a fault in the command line, the configuration or the operator's file.
 
-use clap::{Args, Parser, Subcommand};
+use clap::{Args, Parser, Subcommand, ValueEnum};
 
+/// The command line.
 #[derive(Parser)]
 #[command(name = "hazelspur-server", version, about = "Admission and scheduling behind others' balancers")]
-pub struct Line {
+pub struct CommandLine {
+    /// The options of `serve`, which is the default command.
     #[command(flatten)]
-    pub serve: Serve,
+    pub serve: ServeOptions,
+    /// The command.
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
+// The `///` comments of clap's items below are the program's help text.
+
+/// A command.
 #[derive(Subcommand)]
 pub enum Command {
     /// Serve; the same as no word at all. The platform's JSON is named by ROUTER_CONFIG.
-    Serve(Serve),
+    Serve(ServeOptions),
     /// Check an operator's file and say what it sets.
     Check {
         /// The file, such as deploy/hazelspur.star.
@@ -31,27 +37,30 @@
     },
 }
 
+/// The options of `serve`.
 #[derive(Args, Clone, Default)]
-pub struct Serve {
+pub struct ServeOptions {
     /// The operator's file; without it only gateways are served.
     #[arg(long, env = "HAZELSPUR_FILE", value_name = "FILE")]
     pub file: Option<String>,
     /// How log lines are printed.
     #[arg(long, env = "HAZELSPUR_LOG_FORMAT", value_name = "FORMAT", default_value = "text")]
-    pub log_format: Format,
+    pub log_format: LogFormat,
     /// For rehearsals: this server's wall clock is so many milliseconds apart from the machine's.
     #[arg(long, value_name = "MS", default_value_t = 0, hide = true, allow_negative_numbers = true)]
     pub clock_apart_ms: i64,
 }
 
-#[derive(clap::ValueEnum, Clone, Copy, Default, PartialEq)]
-pub enum Format {
+/// How log lines are printed.
+#[derive(ValueEnum, Clone, Copy, Default, PartialEq)]
+pub enum LogFormat {
     #[default]
     Text,
     Json,
 }
 
-#[derive(clap::ValueEnum, Clone, Copy, Default, PartialEq)]
+/// How the view of the fleet is printed.
+#[derive(ValueEnum, Clone, Copy, Default, PartialEq)]
 pub enum Shape {
     #[default]
     Table,
--- a/crates/hazelspur-server/src/config/mod.rs
+++ b/crates/hazelspur-server/src/config/mod.rs
@@ -1,10 +1,8 @@
-//! What the program is told, and its phases from start to exit.
+//! The command line, the platform's configuration, the operator's file and their reload.
 
 pub mod command;
-pub mod descriptors;
+pub mod error;
 pub mod fleet_keys;
-pub mod logs;
 pub mod operator;
-pub mod phases;
 pub mod reload;
-pub mod startup;
+pub mod server_config;
--- /dev/null
+++ b/crates/hazelspur-server/src/config/operator/amqp.rs
@@ -0,0 +1,88 @@
+//! `amqp(...)` of the operator's file: the brokers and what is stored of messages.
+
+use super::error::OperatorError;
+use garde::Validate;
+use serde::Deserialize;
+use std::net::SocketAddr;
+
+/// The brokers, how to log in, and what is stored of messages.
+#[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
+#[serde(deny_unknown_fields)]
+pub struct AmqpConfig {
+    /// The brokers' addresses, in the order of preference.
+    #[garde(length(min = 1, max = 16))]
+    pub brokers: Vec<SocketAddr>,
+    /// The user; without one the transport authenticates the server (EXTERNAL).
+    #[garde(inner(length(min = 1, max = 255)))]
+    pub user: Option<String>,
+    /// The password.
+    #[serde(default)]
+    #[garde(length(max = 255))]
+    pub password: String,
+    /// A file whose first line is the password.
+    #[garde(skip)]
+    pub password_file: Option<String>,
+    /// The virtual host.
+    #[serde(default = "defaults::vhost")]
+    #[garde(length(min = 1, max = 255))]
+    pub vhost: String,
+    /// The heartbeat interval, in seconds; zero for none.
+    #[serde(default = "defaults::heartbeat_s")]
+    #[garde(range(min = 0.0, max = 600.0))]
+    pub heartbeat_s: f64,
+    /// The longest frame, in bytes.
+    #[serde(rename = "longest_frame", default = "defaults::max_frame_bytes")]
+    #[garde(range(min = 4096, max = 1_048_576))]
+    pub max_frame_bytes: u32,
+    /// The longest random wait before a reconnect, in seconds: a fleet's reconnects spread over it.
+    #[serde(rename = "spread_s", default = "defaults::reconnect_spread_s")]
+    #[garde(range(min = 0.0, max = 600.0))]
+    pub reconnect_spread_s: f64,
+    /// How long message ids and results are stored, in seconds.
+    #[serde(default = "defaults::memory_s")]
+    #[garde(range(min = 1.0, max = 604_800.0))]
+    pub memory_s: f64,
+    /// How many message ids are stored.
+    #[serde(default = "defaults::memory_entries")]
+    #[garde(range(min = 1, max = 1_000_000))]
+    pub memory_entries: usize,
+    /// How many bytes message ids and results may take.
+    #[serde(default = "defaults::memory_bytes")]
+    #[garde(range(min = 1024, max = 1_073_741_824))]
+    pub memory_bytes: usize,
+}
+
+impl AmqpConfig {
+    /// Takes the password from its file, if the file names one.
+    pub fn read_password(&mut self) -> Result<(), OperatorError> {
+        let Some(file) = &self.password_file else { return Ok(()) };
+        let text = std::fs::read_to_string(file)
+            .map_err(|source| OperatorError::PasswordFile { file: file.clone(), source })?;
+        self.password = text.lines().next().unwrap_or_default().to_string();
+        Ok(())
+    }
+}
+
+mod defaults {
+    pub(super) fn vhost() -> String {
+        "/".into()
+    }
+    pub(super) fn heartbeat_s() -> f64 {
+        20.0
+    }
+    pub(super) fn max_frame_bytes() -> u32 {
+        131_072
+    }
+    pub(super) fn reconnect_spread_s() -> f64 {
+        8.0
+    }
+    pub(super) fn memory_s() -> f64 {
+        3600.0
+    }
+    pub(super) fn memory_entries() -> usize {
+        20_000
+    }
+    pub(super) fn memory_bytes() -> usize {
+        8 * 1024 * 1024
+    }
+}
--- /dev/null
+++ b/crates/hazelspur-server/src/config/operator/checks.rs
@@ -0,0 +1,100 @@
+//! Checks of the operator's file as a whole: bounds of single keys, and what concerns several.
+
+use super::error::{KeyFault, OperatorError};
+use super::source::Source;
+use super::{OperatorConfig, QueueConfig};
+use garde::Validate;
+use hazelspur::Catalog;
+
+/// The most unsettled deliveries of all queues: with 10 KiB stored of each they take 80 MiB at most.
+const MAX_UNSETTLED: usize = 8192;
+
+/// Checks what was decoded; the error is that of the first fault.
+pub(super) fn check(
+    operator: &OperatorConfig,
+    source: &Source<'_>,
+    catalog: Option<&Catalog>,
+) -> Result<(), OperatorError> {
+    check_bounds(operator, source)?;
+    check_fleet(operator, source)?;
+    check_brokers(operator, source)?;
+    check_unsettled(operator, source)?;
+    for index in 0..operator.queues.len() {
+        check_queue(&operator.queues, index, catalog)
+            .map_err(|error| source.error(&format!("queues[{index}].{}", error.key), error.fault))?;
+    }
+    Ok(())
+}
+
+fn check_bounds(operator: &OperatorConfig, source: &Source<'_>) -> Result<(), OperatorError> {
+    let Err(report) = operator.validate() else { return Ok(()) };
+    let first = report.iter().next();
+    let (key, why) = first.map(|(key, why)| (key.to_string(), why.to_string())).unwrap_or_default();
+    Err(source.error(&key_of_path(&key), KeyFault::OutOfBounds(why)))
+}
+
+/// The key of the file that a path of fields stands for, as `queues[0].most` for `queues[0].max_unsettled`.
+fn key_of_path(path: &str) -> String {
+    match path.rsplit_once('.') {
+        Some((parents, field)) => format!("{parents}.{}", key_of_field(field)),
+        None => path.into(),
+    }
+}
+
+/// The key of a field that has another name in the file, by its `serde(rename)`; `garde` reports fields.
+fn key_of_field(field: &str) -> &str {
+    match field {
+        "max_frame_bytes" => "longest_frame",
+        "reconnect_spread_s" => "spread_s",
+        "max_unsettled" => "most",
+        "max_wait_s" => "waits_s",
+        "max_attempts" => "most_tries",
+        "retry_pause_s" => "failed_pause_s",
+        other => other,
+    }
+}
+
+fn check_fleet(operator: &OperatorConfig, source: &Source<'_>) -> Result<(), OperatorError> {
+    let Some(fleet) = &operator.fleet else { return Ok(()) };
+    match fleet.share_terms() {
+        Ok(_) => Ok(()),
+        Err((key, why)) => Err(source.error(&format!("fleet.{key}"), KeyFault::Shares(why))),
+    }
+}
+
+fn check_brokers(operator: &OperatorConfig, source: &Source<'_>) -> Result<(), OperatorError> {
+    if operator.amqp.is_none() && !operator.queues.is_empty() {
+        return Err(source.error("queues[0].name", KeyFault::NoBrokers));
+    }
+    Ok(())
+}
+
+fn check_unsettled(operator: &OperatorConfig, source: &Source<'_>) -> Result<(), OperatorError> {
+    let unsettled: usize = operator.queues.iter().map(|queue| usize::from(queue.max_unsettled)).sum();
+    if unsettled > MAX_UNSETTLED {
+        return Err(source.error("queues[0].most", KeyFault::TooManyUnsettled { max: MAX_UNSETTLED }));
+    }
+    Ok(())
+}
+
+/// A fault of one queue's key.
+struct QueueError {
+    key: String,
+    fault: KeyFault,
+}
+
+fn check_queue(queues: &[QueueConfig], index: usize, catalog: Option<&Catalog>) -> Result<(), QueueError> {
+    let queue = &queues[index];
+    if queues[..index].iter().any(|other| other.name == queue.name) {
+        return Err(QueueError { key: "name".into(), fault: KeyFault::DuplicateQueue });
+    }
+    if let (Some(catalog), Some(request_class)) = (catalog, &queue.request_class)
+        && catalog.find_request_class(request_class).is_none()
+    {
+        return Err(QueueError { key: "op_type".into(), fault: KeyFault::UnknownRequestClass });
+    }
+    queue.table().check(queue.retry_queue.is_some()).map_err(|(outcome, why)| QueueError {
+        key: format!("outcomes.{outcome}"),
+        fault: KeyFault::UnsuitableAction(why),
+    })
+}
--- a/crates/hazelspur-server/src/config/reload.rs
+++ b/crates/hazelspur-server/src/config/reload.rs
@@ -1,44 +1,59 @@
-//! A new configuration while the program runs: SIGHUP has the file read and checked as at the start. What it
-//! says of the parties' addresses holds at once; where the operator's file has `reload(settings = True)`, so does
-//! what has changed of the settings, all of it or nothing of the file. The rest is told at the next start only.
+//! Reload on SIGHUP: the platform's configuration and the operator's file are read and checked as at the start.
+//!
+//! New addresses of upstream endpoints take effect at once; so do changed settings where the operator's file
+//! has `reload(settings = True)`. A file takes effect whole or not at all; other keys wait for the next start.
 
+use crate::config::error::ConfigError;
 use crate::config::fleet_keys::TENANT;
-use crate::config::operator::{self, Operator};
-use crate::config::startup::{self, Startup};
+use crate::config::operator::{self, OperatorConfig};
+use crate::config::server_config::{self, ReloadedChanges, ServerConfig};
 use crate::ingress::queues::Queues;
 use crate::request::dispatcher::Dispatcher;
-use crate::upstream::peers::Peers;
-use hazelspur::config::change::{Change, Edit};
+use crate::upstream::endpoints::UpstreamEndpoints;
+use hazelspur::config::change::{Change, Changed, Edit};
 use hazelspur::{Catalog, RequestClass, Tenant};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
+use thiserror::Error;
 use tokio::signal::unix::Signal;
 use tokio::sync::oneshot;
 
-/// What a reload compares with and changes.
-pub struct Reloader {
-    pub peers: Rc<Peers>,
-    pub running: Rc<Startup>,
-    pub dispatcher: Rc<Dispatcher>,
-    pub catalog: Rc<RefCell<Catalog>>,
-    /// The operator's file, and the consumer that goes by it.
-    pub file: Option<String>,
-    pub queues: Option<Rc<Queues>>,
-    /// Whether settings change in place.
-    pub changes: bool,
-    pub named: RefCell<Named>,
+/// Why a configuration did not take effect.
+#[derive(Debug, Error)]
+pub enum ReloadError {
+    /// The file can't be read, or is at fault.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The thread that reads the file can't start.
+    #[error("no thread to read it: {0}")]
+    NoThread(std::io::Error),
+    /// The thread that reads the file panicked.
+    #[error("reading it failed")]
+    ReaderPanicked,
+    /// The change removes what the operator's file refers to.
+    #[error("{table}: {name}: the operator's file names it")]
+    Referenced {
+        /// The table of the settings.
+        table: &'static str,
+        /// The entry's name.
+        name: String,
+    },
+    /// The change does not fit the settings in force; the text names the key at fault.
+    #[error("{0}")]
+    Change(String),
 }
 
-/// Request classes and tenants that the operator's file names: they can't go before it does not.
+/// Request classes and tenants that the operator's file refers to; a change may not remove them.
 #[derive(Default)]
-pub struct Named {
+pub struct References {
     request_classes: BTreeSet<String>,
     tenants: BTreeSet<String>,
 }
 
-impl Named {
-    pub fn by(operator: &Operator) -> Self {
+impl References {
+    /// What this file refers to.
+    pub fn of(operator: &OperatorConfig) -> Self {
         let shares = operator.fleet.iter().flat_map(|fleet| &fleet.shares);
         Self {
             request_classes: operator.queues.iter().filter_map(|queue| queue.request_class.clone()).collect(),
@@ -46,98 +61,130 @@
         }
     }
 
-    fn check(&self, change: &Change) -> Result<(), String> {
-        let named = |of: &str, name: &str| Err(format!("{of}: {name}: the operator's file names it"));
+    fn check(&self, change: &Change) -> Result<(), ReloadError> {
         for edit in &change.request_classes {
-            match edit {
-                Edit::<RequestClass>::Remove(name) if self.request_classes.contains(&**name) => {
-                    return named("settings.lanes", name);
-                }
-                _ => {}
+            if let Edit::<RequestClass>::Remove(name) = edit
+                && self.request_classes.contains(&**name)
+            {
+                return Err(ReloadError::Referenced { table: "settings.lanes", name: name.to_string() });
             }
         }
         for edit in &change.tenants {
-            match edit {
-                Edit::<Tenant>::Remove(name) if self.tenants.contains(&**name) => {
-                    return named("settings.orgs", name);
-                }
-                _ => {}
+            if let Edit::<Tenant>::Remove(name) = edit
+                && self.tenants.contains(&**name)
+            {
+                return Err(ReloadError::Referenced { table: "settings.orgs", name: name.to_string() });
             }
         }
         Ok(())
     }
 }
 
+/// What a reload compares with and changes.
+pub struct Reloader {
+    /// The addresses of upstream endpoints.
+    pub endpoints: Rc<UpstreamEndpoints>,
+    /// The configuration that the process started with.
+    pub running: Rc<ServerConfig>,
+    /// Host of the controller.
+    pub dispatcher: Rc<Dispatcher>,
+    /// The settings in force.
+    pub catalog: Rc<RefCell<Catalog>>,
+    /// The operator's file, if there is one.
+    pub operator_file: Option<String>,
+    /// The consumer that the operator's file configures.
+    pub queues: Option<Rc<Queues>>,
+    /// Whether settings change in place.
+    pub settings_may_change: bool,
+    /// What the operator's file refers to.
+    pub references: RefCell<References>,
+}
+
+/// Reloads at each SIGHUP.
 pub async fn on_hangup(hangup: Rc<RefCell<Signal>>, reloader: Rc<Reloader>) {
-    // Nobody else borrows it: one task listens, or the next after that one failed.
+    // Nobody else borrows the signal: one task listens, or its successor after it panicked.
     while std::future::poll_fn(|context| hangup.borrow_mut().poll_recv(context)).await.is_some() {
-        reloader.platform().await;
-        reloader.operator();
+        reloader.reload_platform().await;
+        reloader.reload_operator();
     }
 }
 
-/// Done on a thread of its own, for which the end of the process does not wait.
-async fn aside<T: Send + 'static>(
-    work: impl FnOnce() -> Result<T, String> + Send + 'static,
-) -> Result<T, String> {
-    let (to, from) = oneshot::channel();
+/// Reads the configuration on a thread of its own, for which the end of the process does not wait.
+async fn read_on_thread<T: Send + 'static>(
+    read: impl FnOnce() -> Result<T, ConfigError> + Send + 'static,
+) -> Result<T, ReloadError> {
+    let (sender, receiver) = oneshot::channel();
     let thread = std::thread::Builder::new().name("reload".into());
-    thread.spawn(move || drop(to.send(work()))).map_err(|e| format!("no thread to read it: {e}"))?;
-    from.await.unwrap_or_else(|_| Err("reading it failed".into()))
+    thread.spawn(move || drop(sender.send(read()))).map_err(ReloadError::NoThread)?;
+    Ok(receiver.await.map_err(|_| ReloadError::ReaderPanicked)??)
 }
 
 impl Reloader {
-    async fn platform(&self) {
-        let read = || startup::reread(|name| std::env::var(name).ok());
-        // Settings that may change may be large ones: requests are answered while they are read.
-        let read = if self.changes { aside(read).await } else { read() };
-        let compared = read.and_then(|read| read.against(&self.catalog.borrow()));
-        let taken = compared.and_then(|(new, change)| self.take(&new, &change));
-        if let Err(why) = taken {
-            log::error!(why; "reload refused, the old configuration stays");
+    async fn reload_platform(&self) {
+        if let Err(why) = self.apply_platform().await {
+            log::error!(why:%; "reload refused, the old configuration stays");
         }
     }
 
-    fn operator(&self) {
-        let (Some(file), Some(queues)) = (&self.file, &self.queues) else { return };
+    async fn apply_platform(&self) -> Result<(), ReloadError> {
+        let read = || server_config::reload(|name| std::env::var(name).ok());
+        // Settings may be large: requests are served while they are read.
+        let reloaded = if self.settings_may_change { read_on_thread(read).await? } else { read()? };
+        let ReloadedChanges { config, change } = reloaded.compare(&self.catalog.borrow())?;
+        self.apply(&config, &change)
+    }
+
+    fn reload_operator(&self) {
+        let (Some(file), Some(queues)) = (&self.operator_file, &self.queues) else { return };
         match operator::read(file, Some(&self.catalog.borrow())) {
             Ok(new) => {
                 queues.move_to(&new);
-                self.named.borrow_mut().request_classes = Named::by(&new).request_classes;
+                self.references.borrow_mut().request_classes = References::of(&new).request_classes;
             }
-            Err(why) => log::error!(why; "reload refused, the old operator's file stays"),
+            Err(why) => log::error!(why:%; "reload refused, the old operator's file stays"),
         }
     }
 
-    fn take(&self, new: &Startup, change: &Change) -> Result<(), String> {
-        let mut others = self.running.others_keys(new);
-        if !self.changes && !change.is_empty() {
-            others.push("settings");
+    fn apply(&self, new: &ServerConfig, change: &Change) -> Result<(), ReloadError> {
+        let mut foreign_keys = self.running.foreign_keys(new);
+        if !self.settings_may_change && !change.is_empty() {
+            foreign_keys.push("settings");
         }
-        if !others.is_empty() {
-            // Whole: its addresses lead to another server's parties.
-            log::error!(keys = others.join(" "); "reload refused, the file is not this server's");
+        if !foreign_keys.is_empty() {
+            // Refused whole: the addresses lead to another server's endpoints.
+            log::error!(keys = foreign_keys.join(" "); "reload refused, the file is not this server's");
             return Ok(());
         }
         if !change.is_empty() {
-            self.named.borrow().check(change)?;
-            let changed = self.dispatcher.change(&self.catalog, change)?;
-            let each = |[new, altered, gone]: [usize; 3]| format!("+{new} ~{altered} -{gone}");
-            let (request_classes, tenants) = (each(changed.request_classes), each(changed.tenants));
-            log::info!(op_types = request_classes, tenants, figures = changed.facts; "settings changed");
+            self.apply_settings(change)?;
         }
-        let differ = self.running.fixed_keys_that_differ(new);
-        if !differ.is_empty() {
-            log::warn!(keys = differ.join(" "); "reload leaves to the next start");
+        let waiting_keys = self.running.changed_fixed_keys(new);
+        if !waiting_keys.is_empty() {
+            log::warn!(keys = waiting_keys.join(" "); "reload leaves to the next start");
         }
-        let (old, new) = (self.peers.now(), new.addresses);
+        self.move_endpoints(new);
+        Ok(())
+    }
+
+    fn apply_settings(&self, change: &Change) -> Result<(), ReloadError> {
+        self.references.borrow().check(change)?;
+        let changed = self.dispatcher.apply_change(&self.catalog, change);
+        let Changed { request_classes, tenants, facts } =
+            changed.map_err(|why| ReloadError::Change(why.to_string()))?;
+        let counts = |[added, altered, removed]: [usize; 3]| format!("+{added} ~{altered} -{removed}");
+        log::info!(op_types = counts(request_classes), tenants = counts(tenants), figures = facts;
+            "settings changed");
+        Ok(())
+    }
+
+    fn move_endpoints(&self, new: &ServerConfig) {
+        let (old, new) = (self.endpoints.current(), new.addresses);
         log::info!(
-            runtime_moved = old.runtime != new.runtime,
-            ledger_moved = old.ledger != new.ledger,
-            control_moved = old.control != new.control;
+            runtime_moved = old.worker != new.worker,
+            ledger_moved = old.dependency != new.dependency,
+            control_moved = old.registry != new.registry;
             "reload"
         );
-        self.peers.move_to(new);
-        Ok(())
+        self.endpoints.move_to(new);
     }
 }
--- a/crates/hazelspur-server/src/fleet/guidance.rs
+++ b/crates/hazelspur-server/src/fleet/guidance.rs
@@ -2,7 +2,7 @@
 //! comes of it is told to the module where it has changed.
 
 use crate::config::fleet_keys::{CALLS, TENANT};
-use crate::request::dispatcher::Dispatcher;
+use crate::request::dispatcher::{Dispatcher, LeaseExpiry};
 use hazelspur::{Catalog, Duration, GuidanceKey, TenantId, Timestamp};
 use hazelspur_fleet::gate::Change;
 use hazelspur_fleet::guidance::Guidance as Facts;
@@ -74,12 +74,14 @@
 
     /// Tells the module what has changed, and the dispatcher when leases end.
     pub fn guide(&mut self, at: At, dispatcher: &Dispatcher, joint: &mut Joint) {
-        if dispatcher.is_open() {
-            if dispatcher.has_lapsed() {
+        if dispatcher.is_started() {
+            if dispatcher.take_leases_expired() {
                 self.facts.forget();
             }
             let told = self.facts.next(at, joint);
-            dispatcher.guide(told.facts, told.leases);
+            let expiry =
+                told.leases.map(|(at, floors)| LeaseExpiry { at, guaranteed: floors.into_iter().collect() });
+            dispatcher.set_guidance(told.facts, expiry);
         }
         self.say(at, joint);
     }
--- a/crates/hazelspur-server/src/fleet/talk.rs
+++ b/crates/hazelspur-server/src/fleet/talk.rs
@@ -1,14 +1,14 @@
 //! One UDP socket: what comes is opened and told to `Joint`, what that wants sent goes out, and what servers
 //! found out together goes to the module through the dispatcher.
 
-use crate::clock::{Clock, long};
+use crate::clock::{Clock, to_std};
 use crate::config::fleet_keys::Fleet;
-use crate::config::phases::{Phase, Phases};
 use crate::fleet::changes::Changes;
 use crate::fleet::guidance::Guidance;
+use crate::process::phases::{Phase, Phases};
 use crate::request::dispatcher::Dispatcher;
-use crate::upstream::ledger::Reached;
-use crate::upstream::peers::Peers;
+use crate::upstream::dependency::ReachabilityObserver;
+use crate::upstream::endpoints::UpstreamEndpoints;
 use hazelspur::{Catalog, Duration};
 use hazelspur_fleet::{At, Generation, Installation, Joint, Key, MemberName, talk};
 use std::cell::{Cell, RefCell};
@@ -35,7 +35,7 @@
     /// Whether calls and tries go by the gate.
     together: bool,
     dispatcher: Rc<Dispatcher>,
-    peers: Rc<Peers>,
+    endpoints: Rc<UpstreamEndpoints>,
     phases: Rc<Phases>,
     leaving: Cell<bool>,
 }
@@ -43,7 +43,7 @@
 /// Whom a talk serves, and with what.
 pub struct Around {
     pub dispatcher: Rc<Dispatcher>,
-    pub peers: Rc<Peers>,
+    pub endpoints: Rc<UpstreamEndpoints>,
     pub phases: Rc<Phases>,
     pub catalog: Rc<RefCell<Catalog>>,
 }
@@ -51,14 +51,14 @@
 impl Talk {
     /// Listens from here on. Errors name the key at fault.
     pub async fn new(fleet: &Fleet, (name, seed): (&str, u64), around: Around) -> Result<Self, String> {
-        let Around { dispatcher, peers, phases, catalog } = around;
+        let Around { dispatcher, endpoints, phases, catalog } = around;
         let name = MemberName::new(name).ok_or("name: longer than 31 characters, or not visible ones")?;
         let key = fleet.key.clone().ok_or("fleet.key_file: not read")?;
         let shares = fleet.share_terms().map_err(|(key, why)| format!("fleet.{key}: {why}"))?;
         let guidance = Guidance::new(fleet.together, shares.as_ref(), &catalog.borrow())?;
         let listen = fleet.listen.unwrap_or(fleet.at);
         let socket = UdpSocket::bind(listen).await.map_err(|e| format!("fleet.listen: {listen}: {e}"))?;
-        let at = At { wall: dispatcher.clock.wall(), steady: dispatcher.clock.steady() };
+        let at = At { wall: dispatcher.clock.wall(), steady: dispatcher.clock.monotonic() };
         // Servers that start together must not draw the same chances.
         let (generation, seed) = (Generation(at.wall.us() / 1000), seed ^ at.wall.us());
         log::info!(site:% = fleet.site, at:% = fleet.at, contacts = fleet.contacts.len(), most = fleet.most,
@@ -73,7 +73,7 @@
             guidance: RefCell::new(guidance),
             together: fleet.together,
             dispatcher,
-            peers,
+            endpoints,
             phases,
             leaving: Cell::new(false),
         })
@@ -84,7 +84,7 @@
     }
 
     fn at(&self) -> At {
-        At { wall: self.clock().wall(), steady: self.clock().steady() }
+        At { wall: self.clock().wall(), steady: self.clock().monotonic() }
     }
 
     pub async fn run(self: Rc<Self>) {
@@ -107,7 +107,7 @@
                     self.act();
                     tokio::task::yield_now().await;
                 }
-                () = tokio::time::sleep(long(wait)) => {}
+                () = tokio::time::sleep(to_std(wait)) => {}
                 () = self.phases.reached(left), if !self.leaving.get() => {
                     self.leaving.set(true);
                     self.joint.borrow_mut().leave(self.at());
@@ -124,11 +124,11 @@
             match next {
                 Some(at) if at <= now => {
                     self.joint.borrow_mut().gate.tried(now);
-                    let Some(to) = self.peers.now().ledger else { continue };
-                    let connecting = tokio::time::timeout(long(TRY_WITHIN), TcpStream::connect(to)).await;
+                    let Some(to) = self.endpoints.current().dependency else { continue };
+                    let connecting = tokio::time::timeout(to_std(TRY_WITHIN), TcpStream::connect(to)).await;
                     let reached = match connecting {
                         Ok(Ok(stream)) => {
-                            tokio::time::timeout(long(STANDS), stream.readable()).await.is_err()
+                            tokio::time::timeout(to_std(STANDS), stream.readable()).await.is_err()
                         }
                         _ => false,
                     };
@@ -172,7 +172,7 @@
     }
 }
 
-impl Reached for Talk {
+impl ReachabilityObserver for Talk {
     fn call_finished(&self, reached: bool) {
         if !self.together {
             return;
@@ -190,6 +190,6 @@
 
 /// Keeps the socket's and the tries' tasks up.
 pub fn begin(talk: &Rc<Talk>) {
-    crate::supervise::supervise("fleet", talk, Talk::run);
-    crate::supervise::supervise("tries", talk, Talk::try_again);
+    crate::process::supervise::supervise("fleet", talk, Talk::run);
+    crate::process::supervise::supervise("tries", talk, Talk::try_again);
 }
--- a/crates/hazelspur-server/src/ingress/answers.rs
+++ b/crates/hazelspur-server/src/ingress/answers.rs
@@ -1,8 +1,8 @@
 //! What one connection is owed and what waits to be written on it.
 
-use crate::clock::long;
+use crate::clock::to_std;
 use crate::request::dispatcher::Dispatcher;
-use crate::request::owed::Front;
+use crate::request::responder::ResponseSink;
 use hazelspur::{Duration, RequestId, Timestamp};
 use hazelspur_parsers::rpc::{self, RpcId};
 use std::cell::{Cell, RefCell};
@@ -131,7 +131,7 @@
                 self.settled.notified().await;
             }
         };
-        let _ = tokio::time::timeout(long(most), written).await;
+        let _ = tokio::time::timeout(to_std(most), written).await;
     }
 
     /// Nothing more that comes on it is read as a request.
@@ -185,17 +185,17 @@
     }
 
     fn answer(&mut self, write: impl FnOnce(RpcId, &mut Vec<u8>, Option<f64>)) {
-        self.answers.put(|out| write(self.id, out, self.answers.dispatcher.signal.get()));
-        self.gone();
+        self.answers.put(|out| write(self.id, out, self.answers.dispatcher.advertised_capacity.get()));
+        self.client_gone();
     }
 }
 
-impl Front for Caller {
-    fn acked(&mut self, data: &[u8]) {
+impl ResponseSink for Caller {
+    fn success(&mut self, data: &[u8]) {
         self.answer(|id, out, signal| rpc::result(out, id, data, signal));
     }
 
-    fn nacked(&mut self, retry_after: Duration, do_not_retry_elsewhere: bool) {
+    fn rejected(&mut self, retry_after: Duration, do_not_retry_elsewhere: bool) {
         let holdoff = (retry_after > Duration::ZERO).then(|| retry_after.us().div_ceil(1000) as f64);
         self.answer(|id, out, signal| {
             rpc::error(out, Some(id), rpc::NACKED, "refused", holdoff, do_not_retry_elsewhere, signal);
@@ -209,17 +209,17 @@
     }
 
     /// What its connection brings is not to be relied on.
-    fn unknown(&mut self) {
+    fn unknown_to_worker(&mut self) {
         self.answers.proven.set(false);
         self.answers.blame("the runtime does not know the op");
         self.failed();
     }
 
-    fn known(&mut self) {
+    fn known_to_worker(&mut self) {
         self.answers.known.set(true);
     }
 
-    fn gone(&mut self) {
+    fn client_gone(&mut self) {
         let answers = &self.answers;
         let mut open = answers.open.borrow_mut();
         if open.get(&self.id) == Some(&self.request) {
--- a/crates/hazelspur-server/src/ingress/connection.rs
+++ b/crates/hazelspur-server/src/ingress/connection.rs
@@ -5,7 +5,7 @@
 use crate::clock::sleep;
 use crate::ingress::answers::{Answers, Stage};
 use crate::ingress::gateways::{ConnectionId, Gateways};
-use crate::request::dispatcher::News;
+use crate::request::event::RequestEvent;
 use hazelspur::{Duration, RequestId};
 use hazelspur_parsers::Buffer;
 use std::io::Read;
@@ -51,7 +51,8 @@
         if !left.is_empty() {
             log::debug!(open = left.len(); "connection broke");
         }
-        left.into_iter().for_each(|request| self.gateways.services.dispatcher.hand(request, News::Gone));
+        left.into_iter()
+            .for_each(|request| self.gateways.services.dispatcher.deliver(request, RequestEvent::ClientGone));
     }
 }
 
--- a/crates/hazelspur-server/src/ingress/gateways.rs
+++ b/crates/hazelspur-server/src/ingress/gateways.rs
@@ -1,10 +1,10 @@
 //! Gateways' connections as a whole: who is accepted, how many there are, which are closed and when.
 
 use crate::clock::sleep;
-use crate::config::descriptors::Descriptors;
-use crate::config::phases::{Phase, Phases};
 use crate::ingress::answers::{Answers, Stage};
-use crate::request::life::Services;
+use crate::process::descriptors::Descriptors;
+use crate::process::phases::{Phase, Phases};
+use crate::request::lifecycle::Services;
 use hazelspur::{Catalog, Duration};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -198,7 +198,7 @@
             let phase = self.phases.now();
             let closing = matches!(phase, Phase::Closing | Phase::Ending);
             let now = self.services.dispatcher.clock.now();
-            let idle = self.services.dispatcher.keep_idle.get();
+            let idle = self.services.dispatcher.idle_timeout.get();
             for connection in self.connections.borrow().values() {
                 let open = !connection.open.borrow().is_empty();
                 let partial = connection.partial_since.get();
--- a/crates/hazelspur-server/src/ingress/queues.rs
+++ b/crates/hazelspur-server/src/ingress/queues.rs
@@ -2,13 +2,14 @@
 //! on. What came is told to `Book`, which decides how each delivery is settled; whether and when it runs is
 //! decided by the module, as for every request.
 
-use crate::clock::{long, sleep};
-use crate::config::operator::{Amqp, Operator, Queue, SentBy, Settle};
-use crate::config::phases::{Phase, Phases};
-use crate::request::deduplication::{Found, IdempotentWithKey, Key};
-use crate::request::dispatcher::News;
-use crate::request::life::{LONGEST_BODY, Life, Read, Services};
-use crate::request::owed::{Front, MayRun, Owed};
+use crate::clock::{sleep, to_std};
+use crate::config::operator::{AmqpConfig, OperatorConfig, QueueConfig, SentTimeSource, SettleOrder};
+use crate::process::phases::{Phase, Phases};
+use crate::request::deduplication::{DeduplicationKey, Lookup, Owner, ReceivedAttempt};
+use crate::request::dispatcher::ResponseCounts;
+use crate::request::event::RequestEvent;
+use crate::request::lifecycle::{MAX_BODY_LENGTH, ReceivedRequest, RequestLifecycle, RetryOf, Services};
+use crate::request::responder::{Responder, ResponseSink, RunPermission};
 use hazelspur::{
     Catalog, ClientId, Duration, RequestClass, RequestClassId, RequestId, SessionKey, TenantId, Timestamp,
 };
@@ -60,7 +61,7 @@
     terms: Rc<RequestClass>,
     tenant: TenantId,
     user: Option<SessionKey>,
-    key: Option<Key>,
+    key: Option<DeduplicationKey>,
     kb: f64,
 }
 
@@ -68,8 +69,8 @@
     services: Rc<Services>,
     phases: Rc<Phases>,
     catalog: Rc<RefCell<Catalog>>,
-    amqp: Amqp,
-    queues: Vec<Queue>,
+    amqp: AmqpConfig,
+    queues: Vec<QueueConfig>,
     name: String,
     book: RefCell<Book>,
     brokers: RefCell<Brokers>,
@@ -80,7 +81,7 @@
     link: Cell<Link>,
     last_op: Cell<u64>,
     born: Timestamp,
-    counted: Cell<(u32, u32)>,
+    counted: Cell<ResponseCounts>,
     /// The broker in use is no longer in the operator's file.
     moving: Cell<bool>,
     leaving: Cell<bool>,
@@ -103,15 +104,16 @@
         services: Rc<Services>,
         phases: Rc<Phases>,
         catalog: Rc<RefCell<Catalog>>,
-        amqp: &Amqp,
-        operator: &Operator,
+        amqp: &AmqpConfig,
+        operator: &OperatorConfig,
         (name, seed): (&str, u64),
     ) -> Rc<Self> {
         let now = services.dispatcher.clock.now();
         let queues = operator.queues.clone();
-        let terms = queues
-            .iter()
-            .map(|queue| book::Terms { table: queue.table(), settle_first: queue.settle == Settle::Before });
+        let terms = queues.iter().map(|queue| book::Terms {
+            table: queue.table(),
+            settle_first: queue.settle == SettleOrder::Before,
+        });
         let terms = terms.collect();
         let memory = Memory::new(Duration::from_secs(amqp.memory_s), amqp.memory_entries, amqp.memory_bytes);
         Rc::new_cyclic(|own| Self {
@@ -121,11 +123,13 @@
             // Instances that start together must not draw the same chances.
             brokers: RefCell::new(Brokers::new(
                 &amqp.brokers,
-                Duration::from_secs(amqp.spread_s),
+                Duration::from_secs(amqp.reconnect_spread_s),
                 seed ^ now.us(),
                 now,
             )),
-            windows: RefCell::new(queues.iter().map(|q| Window::new(q.rule(), q.most, now)).collect()),
+            windows: RefCell::new(
+                queues.iter().map(|q| Window::new(q.rule(), q.max_unsettled, now)).collect(),
+            ),
             parts: RefCell::default(),
             begins: RefCell::default(),
             stirred: Notify::new(),
@@ -151,11 +155,11 @@
     }
 
     /// Other brokers hold from now on; what is in hand is settled where it came from, if that goes quickly.
-    pub fn move_to(&self, operator: &Operator) {
+    pub fn move_to(&self, operator: &OperatorConfig) {
         let Some(amqp) = &operator.amqp else {
             return log::warn!("the consumer stays as it is until the next start: no amqp(...) in the file");
         };
-        let plain = |a: &Amqp| Amqp { brokers: Vec::new(), ..a.clone() };
+        let plain = |a: &AmqpConfig| AmqpConfig { brokers: Vec::new(), ..a.clone() };
         if plain(amqp) != plain(&self.amqp) || operator.queues != self.queues {
             log::warn!("reload leaves to the next start: amqp and queues but for amqp.brokers");
         }
@@ -181,7 +185,7 @@
         self.lose();
         while self.until_next_try().await {
             let address = self.brokers.borrow().address();
-            let connecting = tokio::time::timeout(long(CONNECTING), TcpStream::connect(address));
+            let connecting = tokio::time::timeout(to_std(CONNECTING), TcpStream::connect(address));
             let (why, refused) = match connecting.await {
                 Ok(Ok(stream)) => self.serve(stream).await,
                 Ok(Err(e)) => (e.to_string(), false),
@@ -255,8 +259,13 @@
             vhost: self.amqp.vhost.clone(),
             name: self.name.clone(),
             heartbeat: Duration::from_secs(self.amqp.heartbeat_s),
-            longest_frame: self.amqp.longest_frame,
-            most_unsettled: self.queues.iter().map(|queue| usize::from(queue.most)).max().unwrap_or(1),
+            longest_frame: self.amqp.max_frame_bytes,
+            most_unsettled: self
+                .queues
+                .iter()
+                .map(|queue| usize::from(queue.max_unsettled))
+                .max()
+                .unwrap_or(1),
             channels: self.publishing_on(),
         };
         let session = Session::new(terms, self.now());
@@ -404,11 +413,14 @@
             return;
         }
         self.sampled.set(now);
-        let (counts, before) = (self.services.dispatcher.counts.get(), self.counted.get());
+        let (counts, before) = (self.services.dispatcher.response_counts.get(), self.counted.get());
         self.counted.set(counts);
-        let (mut book, spare) = (self.book.borrow_mut(), self.services.dispatcher.spare());
+        let (mut book, spare) = (self.book.borrow_mut(), self.services.dispatcher.spare_capacity());
         for (i, window) in self.windows.borrow_mut().iter_mut().enumerate() {
-            window.outcomes(counts.0.wrapping_sub(before.0), counts.1.wrapping_sub(before.1));
+            window.outcomes(
+                counts.succeeded.wrapping_sub(before.succeeded),
+                counts.rejected.wrapping_sub(before.rejected),
+            );
             let open = book.open_in(QueueId(i));
             window.open(open);
             let size = window.next(now, spare + open as f64);
@@ -430,9 +442,9 @@
                 Step::Offer(id) => self.offer(now, id),
                 Step::Withdraw(id) => {
                     let request = self.parts.borrow().get(&id).map(|parts| parts.request);
-                    request
-                        .into_iter()
-                        .for_each(|request| self.services.dispatcher.hand(request, News::Gone));
+                    request.into_iter().for_each(|request| {
+                        self.services.dispatcher.deliver(request, RequestEvent::ClientGone)
+                    });
                 }
                 Step::Begin(id, may) => {
                     // The request's task may have ended meanwhile.
@@ -488,40 +500,49 @@
             return log::error!("a delivery without its parts");
         };
         let (dispatcher, request) = (&self.services.dispatcher, parts.request);
-        let Some(news) = dispatcher.enroll(request) else {
+        let Some(news) = dispatcher.register(request) else {
             return log::error!(op:% = request; "an op id twice");
         };
         let keyed = read.key.clone().map(|key| {
-            let (of, body) = ((read.tenant, read.request_class), parts.body.clone());
+            let owner = Owner { tenant: read.tenant, request_class: read.request_class };
+            let body = parts.body.clone();
             dispatcher
                 .deduplication
                 .borrow_mut()
-                .read(now, IdempotentWithKey { request, key, of, arrived: now, body, vouched: true })
+                .received(now, ReceivedAttempt { request, key, owner, sent_at: now, body, trusted: true })
         });
         let retry_of = match keyed {
-            None | Some(Found::First) => None,
-            Some(Found::RepeatOf(first)) => read.key.clone().map(|key| (key, first)),
-            Some(Found::NotTheSame) => {
-                dispatcher.strike(request);
+            None | Some(Lookup::First) => None,
+            Some(Lookup::RetryOf(first)) => read.key.clone().map(|key| RetryOf { key, original: first }),
+            Some(Lookup::Conflict) => {
+                dispatcher.remove(request);
                 log::warn!(queue = self.queues[parts.queue.0].name.as_str(); "another op's message-id");
                 return self.ended(id, Ending::Failed, &[]);
             }
         };
         let caller = Caller { front: self.this(), id };
-        let life = Life {
+        let life = RequestLifecycle {
             services: self.services.clone(),
             request,
-            terms: read.terms.clone(),
+            class: read.terms.clone(),
             body: parts.body.clone(),
             retry_of,
-            ran: false,
-            owed: Owed::new(caller, dispatcher.clone()),
-            news,
+            may_have_run: false,
+            responder: Responder::new(caller, dispatcher.clone()),
+            events: news,
         };
         let caller = ClientId(u64::MAX - parts.queue.0 as u64);
         let Readable { request_class, tenant, user, kb, .. } = *read;
-        let read = Read { request_class, tenant, user, caller, due: None, kb, arrived: now };
-        tokio::task::spawn_local(life.begin(&read).live());
+        let received = ReceivedRequest {
+            request_class,
+            tenant,
+            session: user,
+            client: caller,
+            deadline: None,
+            size_kb: kb,
+            sent_at: now,
+        };
+        tokio::task::spawn_local(life.admit(&received).run());
     }
 
     fn reply(&self, session: &mut Session, id: DeliveryId, ending: Ending, result: &[u8]) -> bool {
@@ -575,7 +596,7 @@
     fn read(
         &self,
         now: Timestamp,
-        queue: &Queue,
+        queue: &QueueConfig,
         properties: &Properties<'_>,
         body: &[u8],
     ) -> (Result<Readable, Ending>, Timestamp, Option<Timestamp>, u32) {
@@ -583,23 +604,23 @@
         let ms = |field: Option<Field<'_>>| {
             field.and_then(Field::count).map(|ms| Duration::from_us(ms.saturating_mul(1000)))
         };
-        let stamped = match queue.clock {
-            SentBy::Reading => None,
+        let stamped = match queue.sent_time {
+            SentTimeSource::Receipt => None,
             // Whole seconds: the earliest moment that it can stand for.
-            SentBy::Publisher => header(SENT)
+            SentTimeSource::Publisher => header(SENT)
                 .and_then(Field::count)
                 .map(|ms| Timestamp::from_us(ms.saturating_mul(1000)))
                 .or(properties.timestamp.map(|s| Timestamp::from_us(s.saturating_mul(1_000_000)))),
         };
         let clock = &self.services.dispatcher.clock;
-        let sent = stamped.filter(|sent| clock.stamped(*sent) <= now + AHEAD).unwrap_or(clock.wall());
+        let sent = stamped.filter(|sent| clock.local_time_of(*sent) <= now + AHEAD).unwrap_or(clock.wall());
         let waits = ms(header(WAITS))
             .or(properties
                 .expiration
                 .and_then(|ms| ms.parse().ok())
                 .map(|ms: u32| Duration::from_ms(ms.into())))
-            .or(queue.waits_s.map(Duration::from_secs));
-        let due = waits.map(|waits| clock.stamped(sent) + waits);
+            .or(queue.max_wait_s.map(Duration::from_secs));
+        let due = waits.map(|waits| clock.local_time_of(sent) + waits);
         let counted = |name| header(name).and_then(Field::count).unwrap_or(0).min(u64::from(u32::MAX)) as u32;
         let tries = counted(TRIES).max(counted("x-delivery-count"));
         let text = |name: &str| match header(name) {
@@ -616,12 +637,12 @@
                 Some(Field::Number(kb)) => kb,
                 Some(field) => field.count().map(|kb| kb as f64).ok_or(Ending::Poison)?,
             };
-            if body.len() > LONGEST_BODY || !(kb > 0.0 && kb < 2000.0) {
+            if body.len() > MAX_BODY_LENGTH || !(kb > 0.0 && kb < 2000.0) {
                 return Err(Ending::Poison);
             }
             let subject = text("x-subject")?;
             let (user, op_key) = (subject.map(SessionKey::of), properties.message_id);
-            let key = Key::of(&terms, &tenant_name, op_key, op_key.or(subject));
+            let key = DeduplicationKey::of(&terms, &tenant_name, op_key, op_key.or(subject));
             Ok(Readable { request_class, terms, tenant, user, key, kb })
         };
         (readable(), sent, due, tries)
@@ -658,13 +679,13 @@
     id: DeliveryId,
 }
 
-impl Front for Caller {
-    fn acked(&mut self, result: &[u8]) {
+impl ResponseSink for Caller {
+    fn success(&mut self, result: &[u8]) {
         self.front.ended(self.id, Ending::Acked, result);
     }
 
     /// Where to try is the broker's choice; when, its settings leave to us.
-    fn nacked(&mut self, retry_after: Duration, _nowhere_else: bool) {
+    fn rejected(&mut self, retry_after: Duration, _nowhere_else: bool) {
         self.front.ended(self.id, Ending::Nacked(retry_after.max(LEAST_COME_BACK)), &[]);
     }
 
@@ -672,18 +693,18 @@
         self.front.ended(self.id, Ending::Failed, &[]);
     }
 
-    fn unknown(&mut self) {
+    fn unknown_to_worker(&mut self) {
         self.front.ended(self.id, Ending::Unknown, &[]);
     }
 
-    fn gone(&mut self) {}
+    fn client_gone(&mut self) {}
 
-    fn may_run(&mut self) -> MayRun {
+    fn run_permission(&mut self) -> RunPermission {
         let (begin, begins) = oneshot::channel();
         self.front.begins.borrow_mut().insert(self.id, begin);
         self.front.book.borrow_mut().run_decided(self.front.now(), self.id);
         self.front.stirred.notify_one();
-        MayRun::Once(begins)
+        RunPermission::Awaiting(begins)
     }
 }
 
@@ -749,7 +770,7 @@
             read: read.ok(),
             properties: if decoded.is_some() { properties.to_vec() } else { Vec::new() },
             sent,
-            body: body.filter(|body| body.len() <= LONGEST_BODY).unwrap_or_default().into(),
+            body: body.filter(|body| body.len() <= MAX_BODY_LENGTH).unwrap_or_default().into(),
         };
         front.parts.borrow_mut().insert(id, parts);
     }
--- a/crates/hazelspur-server/src/ingress/requests.rs
+++ b/crates/hazelspur-server/src/ingress/requests.rs
@@ -2,10 +2,10 @@
 
 use crate::ingress::answers::{Answers, Caller};
 use crate::ingress::gateways::Gateways;
-use crate::request::deduplication::{Found, IdempotentWithKey, Key};
-use crate::request::dispatcher::News;
-use crate::request::life::{LONGEST_BODY, Life, Read};
-use crate::request::owed::Owed;
+use crate::request::deduplication::{DeduplicationKey, Lookup, Owner, ReceivedAttempt};
+use crate::request::event::RequestEvent;
+use crate::request::lifecycle::{MAX_BODY_LENGTH, ReceivedRequest, RequestLifecycle, RetryOf};
+use crate::request::responder::Responder;
 use hazelspur::{ClientId, Duration, RequestId, SessionKey, Timestamp};
 use hazelspur_parsers::rpc::{self, RpcId};
 use hazelspur_parsers::{Buffer, Json};
@@ -68,7 +68,9 @@
                 answers.proven.set(true);
                 answers.quiet_since.set(self.services.dispatcher.clock.now());
                 let dispatcher = &self.services.dispatcher;
-                answers.put(|out| rpc::check(out, id, dispatcher.good.get(), dispatcher.signal.get()));
+                answers.put(|out| {
+                    rpc::check(out, id, dispatcher.healthy.get(), dispatcher.advertised_capacity.get())
+                });
             }
             (class, Some(id)) => {
                 // What is open under this id has its own answer.
@@ -95,7 +97,7 @@
             open.retain(|_, other| *other != request); // its place is free for the next line already
             drop(open);
             answers.quiet_since.set(self.services.dispatcher.clock.now());
-            self.services.dispatcher.hand(request, News::Gone);
+            self.services.dispatcher.deliver(request, RequestEvent::ClientGone);
         }
     }
 
@@ -128,9 +130,9 @@
             params.get("subject").map(|s| s.text().ok_or(bad("subject is no string"))).transpose()?;
         let opkey = params.get("opkey").map(|k| k.text().ok_or(bad("opkey is no string"))).transpose()?;
         let body = params.get("data").map_or(Some(Vec::new()), |data| rpc::body(&data.text()?));
-        let body = body.filter(|body| body.len() <= LONGEST_BODY).ok_or(bad("data is no body"))?;
+        let body = body.filter(|body| body.len() <= MAX_BODY_LENGTH).ok_or(bad("data is no body"))?;
         let now = dispatcher.clock.now();
-        let arrived = dispatcher.clock.stamped(Timestamp::from_us(ts.saturating_mul(1000)));
+        let arrived = dispatcher.clock.local_time_of(Timestamp::from_us(ts.saturating_mul(1000)));
         let due = timeout.map(|ms| arrived + Duration::from_secs(ms / 1000.0));
         // From now on: one that was long on its way may name a wait that is long from its stamp.
         let longest = now + terms.request_timeout.scaled(TIMEOUT_SLACK);
@@ -145,34 +147,52 @@
         if open >= MAX_OPEN || is_open {
             return Err((rpc::NOT_VALID, "too many open, or this id is"));
         }
-        if !dispatcher.is_open() {
+        if !dispatcher.is_started() {
             return Err((rpc::NACKED, "not serving yet"));
         }
         if due.unwrap_or(arrived + terms.request_timeout) + LONG_PAST <= now {
             return Err((rpc::NACKED, "its time was over long ago"));
         }
-        let news = dispatcher.enroll(request).ok_or(bad("this req is in hand"))?;
+        let news = dispatcher.register(request).ok_or(bad("this req is in hand"))?;
         let user = subject.as_deref().map(SessionKey::of);
         let body: Rc<[u8]> = body.into();
-        let key = Key::of(&terms, &tenant_name, opkey.as_deref(), subject.as_deref());
-        let found = key.clone().map_or(Found::First, |key| {
-            let (of, body, vouched) = ((tenant, request_class), body.clone(), answers.known.get());
-            let keyed = IdempotentWithKey { request, key, of, arrived, body, vouched };
-            dispatcher.deduplication.borrow_mut().read(now, keyed)
+        let key = DeduplicationKey::of(&terms, &tenant_name, opkey.as_deref(), subject.as_deref());
+        let found = key.clone().map_or(Lookup::First, |key| {
+            let owner = Owner { tenant, request_class };
+            let (body, trusted) = (body.clone(), answers.known.get());
+            let keyed = ReceivedAttempt { request, key, owner, sent_at: arrived, body, trusted };
+            dispatcher.deduplication.borrow_mut().received(now, keyed)
         });
         let retry_of = match found {
-            Found::First => None,
-            Found::RepeatOf(first) => key.map(|key| (key, first)),
-            Found::NotTheSame => {
-                dispatcher.strike(request);
+            Lookup::First => None,
+            Lookup::RetryOf(first) => key.map(|key| RetryOf { key, original: first }),
+            Lookup::Conflict => {
+                dispatcher.remove(request);
                 return Err(bad("this opkey is another op's"));
             }
         };
-        let owed = Owed::new(Caller::new(answers.clone(), id, request), dispatcher.clone());
+        let responder = Responder::new(Caller::new(answers.clone(), id, request), dispatcher.clone());
         let services = self.services.clone();
-        let life = Life { services, request, terms, body, retry_of, ran: false, owed, news };
-        let read = Read { request_class, tenant, user, caller: ClientId(via), due, kb: need, arrived };
-        tokio::task::spawn_local(life.begin(&read).live());
+        let life = RequestLifecycle {
+            services,
+            request,
+            class: terms,
+            body,
+            retry_of,
+            may_have_run: false,
+            responder,
+            events: news,
+        };
+        let received = ReceivedRequest {
+            request_class,
+            tenant,
+            session: user,
+            client: ClientId(via),
+            deadline: due,
+            size_kb: need,
+            sent_at: arrived,
+        };
+        tokio::task::spawn_local(life.admit(&received).run());
         Ok(())
     }
 }
--- /dev/null
+++ b/crates/hazelspur-server/src/process/mod.rs
@@ -0,0 +1,11 @@
+//! The process: its phases, its tasks and its descriptors.
+
+pub mod descriptors;
+pub mod error;
+mod listener;
+pub mod phases;
+mod server;
+mod shutdown;
+pub mod supervise;
+
+pub use server::{Signals, StartInputs, serve};
--- a/crates/hazelspur-server/src/config/phases.rs
+++ b/crates/hazelspur-server/src/process/phases.rs
@@ -1,20 +1,22 @@
-//! The program's phases from start to exit, as named states of one object.
+//! The phases of the process from start to exit.
 
 use std::cell::Cell;
 use tokio::sync::Notify;
 
+/// A phase of the process. `Waiting` comes first; each next one is entered in this order.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Phase {
-    /// Listening; the runtime is not up yet and no request can run.
+    /// Listening; the worker is not up yet and no request can run.
     Waiting,
+    /// Requests run.
     Serving,
-    /// The leave notice is read; what arrives within the grace still runs.
+    /// The shutdown notice came; requests that arrive within the grace period still run.
     Draining,
-    /// The grace is over, or nothing could run: no new connections, farewells go out, what is read is
-    /// answered.
+    /// No new connections; goodbye messages go out and received requests are answered.
     Closing,
-    /// The stop is near: every connection is closed, with what is there by then answered.
+    /// The end is near: every connection is closed once its received requests are answered.
     Ending,
+    /// Nothing is open any more.
     Over,
 }
 
@@ -31,6 +33,7 @@
     }
 }
 
+/// The phase in force, and a notification of its change.
 pub struct Phases {
     phase: Cell<Phase>,
     changed: Notify,
@@ -43,21 +46,22 @@
 }
 
 impl Phases {
+    /// The phase in force.
     pub fn now(&self) -> Phase {
         self.phase.get()
     }
 
-    /// One line for the change, with its figures.
+    /// Enters a phase and logs it with the number of open requests and of gateways' connections.
     pub fn enter(&self, phase: Phase, (open, connections): (usize, usize)) {
         log::info!(open, connections; "phase {}", phase.name());
         self.phase.set(phase);
         self.changed.notify_waiters();
     }
 
-    /// Comes back once `wanted` holds.
-    pub async fn reached(&self, wanted: impl Fn(Phase) -> bool) {
-        // One thread: nothing changes between the look and the wait.
-        while !wanted(self.phase.get()) {
+    /// Completes once the phase fulfils the condition.
+    pub async fn reached(&self, condition: impl Fn(Phase) -> bool) {
+        // Single-threaded: the phase can't change between the check and the wait.
+        while !condition(self.phase.get()) {
             self.changed.notified().await;
         }
     }
--- /dev/null
+++ b/crates/hazelspur-server/src/process/server.rs
@@ -0,0 +1,222 @@
+//! Wires the process together and takes it from the start through its phases to the exit.
+
+use super::descriptors::Descriptors;
+use super::error::{ProcessError, StartError};
+use super::listener::bind;
+use super::phases::{Phase, Phases};
+use super::shutdown;
+use super::supervise::supervise;
+use crate::config::command::ServeOptions;
+use crate::config::operator::OperatorConfig;
+use crate::config::reload::{self, References, Reloader};
+use crate::config::server_config::{Loaded, ServerConfig};
+use crate::fleet::talk::{self, Around, Talk};
+use crate::ingress::gateways::Gateways;
+use crate::ingress::queues::Queues;
+use crate::ingress::requests::{LONG_PAST, TIMEOUT_SLACK};
+use crate::request::deduplication::Deduplication;
+use crate::request::dispatcher::Dispatcher;
+use crate::request::lifecycle::Services;
+use crate::upstream::dependency::DependencyClient;
+use crate::upstream::endpoints::UpstreamEndpoints;
+use crate::upstream::registry::HealthReporter;
+use crate::upstream::worker::{WorkerLink, WorkerState};
+use hazelspur::{AdmissionController, Catalog};
+use std::cell::RefCell;
+use std::rc::Rc;
+use tokio::net::TcpListener;
+use tokio::signal::unix::{Signal, SignalKind, signal};
+
+/// One part in this many of the process's memory may store results for retries.
+const RESULT_MEMORY_DIVISOR: usize = 8;
+
+/// The signals that the process handles.
+pub struct Signals {
+    hangup: Signal,
+    terminate: Signal,
+}
+
+impl Signals {
+    /// Handles SIGHUP and SIGTERM from now on; without a handler either would end the process.
+    pub fn register() -> std::io::Result<Self> {
+        let hangup = signal(SignalKind::hangup())?;
+        let terminate = signal(SignalKind::terminate())?;
+        Ok(Self { hangup, terminate })
+    }
+}
+
+/// What a process starts with.
+pub struct StartInputs {
+    /// The platform's configuration.
+    pub loaded: Loaded,
+    /// What the operator's file sets.
+    pub operator: OperatorConfig,
+    /// The command line's options.
+    pub options: ServeOptions,
+}
+
+/// The parts of the process.
+pub(super) struct Server {
+    pub(super) config: Rc<ServerConfig>,
+    pub(super) phases: Rc<Phases>,
+    pub(super) services: Rc<Services>,
+    pub(super) queues: Option<Rc<Queues>>,
+    pub(super) talk: Option<Rc<Talk>>,
+    catalog: Rc<RefCell<Catalog>>,
+    endpoints: Rc<UpstreamEndpoints>,
+    descriptors: Descriptors,
+}
+
+/// Serves until the shutdown notice and its end.
+pub async fn serve(inputs: StartInputs, mut signals: Signals) -> Result<(), ProcessError> {
+    let StartInputs { loaded, operator, options } = inputs;
+    let server = Server::new(loaded, &operator, options.clock_apart_ms).await?;
+    // From here on connections may be accepted: whatever ends the process ends them first.
+    let listener = tokio::select! {
+        bound = bind(server.config.listen) => bound?,
+        _ = signals.terminate.recv() => return Ok(()),
+    };
+    let gateways = server.gateways(listener);
+    server.log_start(&operator);
+    let reloader = server.reloader(&operator, options.file);
+    server.spawn_tasks(&gateways, signals.hangup, reloader);
+    let serves = tokio::select! {
+        worker = server.services.worker.ready() => {
+            server.start_controller(worker);
+            true
+        }
+        _ = signals.terminate.recv() => false,
+    };
+    if serves {
+        server.phases.enter(Phase::Serving, gateways.figures());
+        signals.terminate.recv().await;
+    }
+    shutdown::shut_down(&server, &gateways, serves).await;
+    Ok(())
+}
+
+impl Server {
+    async fn new(
+        loaded: Loaded,
+        operator: &OperatorConfig,
+        clock_offset_ms: i64,
+    ) -> Result<Self, StartError> {
+        let Loaded { config, catalog } = loaded;
+        let descriptors = Descriptors::allowed(config.max_sockets);
+        let phases = Rc::new(Phases::default());
+        let dispatcher = Rc::new(Dispatcher::default());
+        dispatcher.clock.set_wall_offset_ms(clock_offset_ms);
+        dispatcher.deduplication.replace(deduplication(&config, &catalog));
+        let endpoints = Rc::new(UpstreamEndpoints::new(config.addresses));
+        let gauge_names = config.gauge_names.clone();
+        let services = Rc::new(Services {
+            dispatcher: dispatcher.clone(),
+            worker: Rc::new(WorkerLink::new(dispatcher, endpoints.clone(), gauge_names)),
+            dependency: Rc::new(DependencyClient::new(endpoints.clone(), descriptors.calls)),
+        });
+        let mut server = Self {
+            config: Rc::new(config),
+            phases,
+            services,
+            queues: None,
+            talk: None,
+            catalog: Rc::new(RefCell::new(catalog)),
+            endpoints,
+            descriptors,
+        };
+        server.queues = server.queue_consumer(operator);
+        server.talk = server.join_fleet(operator).await?;
+        Ok(server)
+    }
+
+    fn queue_consumer(&self, operator: &OperatorConfig) -> Option<Rc<Queues>> {
+        let amqp = operator.amqp.as_ref()?;
+        let (services, phases) = (self.services.clone(), self.phases.clone());
+        let identity = (self.config.name.as_str(), self.config.seed);
+        Some(Queues::new(services, phases, self.catalog.clone(), amqp, operator, identity))
+    }
+
+    async fn join_fleet(&self, operator: &OperatorConfig) -> Result<Option<Rc<Talk>>, StartError> {
+        let Some(fleet) = &operator.fleet else { return Ok(None) };
+        let context = Around {
+            dispatcher: self.services.dispatcher.clone(),
+            endpoints: self.endpoints.clone(),
+            phases: self.phases.clone(),
+            catalog: self.catalog.clone(),
+        };
+        let identity = (self.config.name.as_str(), self.config.seed);
+        let talk = Talk::new(fleet, identity, context).await;
+        let talk = Rc::new(talk.map_err(|why| StartError::Fleet(why.to_string()))?);
+        self.services.dependency.observe(talk.clone());
+        Ok(Some(talk))
+    }
+
+    fn gateways(&self, listener: TcpListener) -> Rc<Gateways> {
+        let (services, phases) = (self.services.clone(), self.phases.clone());
+        Rc::new(Gateways::new(services, phases, self.catalog.clone(), listener, self.descriptors))
+    }
+
+    fn reloader(&self, operator: &OperatorConfig, operator_file: Option<String>) -> Rc<Reloader> {
+        Rc::new(Reloader {
+            endpoints: self.endpoints.clone(),
+            running: self.config.clone(),
+            dispatcher: self.services.dispatcher.clone(),
+            catalog: self.catalog.clone(),
+            operator_file,
+            queues: self.queues.clone(),
+            settings_may_change: operator.reload.settings,
+            references: RefCell::new(References::of(operator)),
+        })
+    }
+
+    fn log_start(&self, operator: &OperatorConfig) {
+        let ServerConfig { name, listen, stop, .. } = &*self.config;
+        let (request_classes, tenants) = self.catalog.borrow().size();
+        log::info!(name = name.as_str(), listen:%, stop_ms = stop.us() / 1000, op_types = request_classes,
+            tenants, queues = operator.queues.len(), connections = self.descriptors.gateways,
+            calls = self.descriptors.calls; "start");
+    }
+
+    fn spawn_tasks(&self, gateways: &Rc<Gateways>, hangup: Signal, reloader: Rc<Reloader>) {
+        let Services { dispatcher, worker, .. } = &*self.services;
+        let hangup = Rc::new(RefCell::new(hangup));
+        supervise("reload", &hangup, move |hangup| reload::on_hangup(hangup, reloader.clone()));
+        if let Some(queues) = &self.queues {
+            supervise("queues", queues, Queues::run);
+        }
+        if let Some(talk) = &self.talk {
+            talk::begin(talk);
+        }
+        supervise("accept", gateways, Gateways::accept);
+        supervise("connections", gateways, Gateways::tick);
+        supervise("runtime", worker, WorkerLink::run);
+        supervise("tick", worker, WorkerLink::run_timer);
+        supervise("dispatcher", dispatcher, Dispatcher::run);
+        self.spawn_health_reporter();
+    }
+
+    fn spawn_health_reporter(&self) {
+        let (config, endpoints) = (self.config.clone(), self.endpoints.clone());
+        let dispatcher = self.services.dispatcher.clone();
+        supervise("control", &self.phases, move |phases| {
+            let (endpoints, dispatcher) = (endpoints.clone(), dispatcher.clone());
+            HealthReporter::new(&config.name, config.seed, endpoints, dispatcher, phases).run()
+        });
+    }
+
+    fn start_controller(&self, worker: WorkerState) {
+        let WorkerState { is_warm, uptime } = worker;
+        let dispatcher = &self.services.dispatcher;
+        let started_at = dispatcher.clock.now().back(uptime);
+        let catalog = self.catalog.clone();
+        dispatcher.start(AdmissionController::with(catalog, !is_warm, self.config.seed, started_at));
+        log::info!(cold = !is_warm, up_ms = uptime.us() / 1000; "worker known, requests are admitted");
+    }
+}
+
+/// The store of idempotency keys and shared reads; it covers the longest time that any client waits.
+fn deduplication(config: &ServerConfig, catalog: &Catalog) -> Deduplication {
+    let receipt_delay = catalog.longest_timeout().scaled(TIMEOUT_SLACK) + LONG_PAST;
+    let max_bytes = config.max_memory_bytes / RESULT_MEMORY_DIVISOR;
+    Deduplication::new(config.read_freshness, receipt_delay, max_bytes)
+}
--- /dev/null
+++ b/crates/hazelspur-server/src/process/shutdown.rs
@@ -0,0 +1,46 @@
+//! The phases from the shutdown notice to the exit. All of them end within the configured stop time.
+
+use super::phases::Phase;
+use super::server::Server;
+use crate::clock::sleep;
+use crate::ingress::gateways::Gateways;
+use hazelspur::{Duration, Timestamp};
+
+/// How long before the stop every connection is closed.
+const ENDING_MARGIN: Duration = Duration::from_ms(180);
+/// How long before the stop the process exits, whatever is open.
+const STOP_MARGIN: Duration = Duration::from_ms(40);
+/// How often it is checked whether everything is closed.
+const CHECK_INTERVAL: Duration = Duration::from_ms(5);
+
+/// Drains, closes and ends; a server that never served has nothing to drain.
+pub(super) async fn shut_down(server: &Server, gateways: &Gateways, serves: bool) {
+    let dispatcher = &server.services.dispatcher;
+    let noticed_at = dispatcher.clock.now();
+    let stop_at = noticed_at + server.config.stop;
+    let end_at = stop_at.back(ENDING_MARGIN);
+    if serves {
+        dispatcher.report(|controller, now| controller.shutdown_notice(now, stop_at));
+        server.phases.enter(Phase::Draining, gateways.figures());
+        let grace_ends_at = noticed_at + server.config.grace_period;
+        dispatcher.clock.sleep_until(grace_ends_at.min(end_at)).await;
+    }
+    run_phase(server, gateways, Phase::Closing, end_at).await;
+    run_phase(server, gateways, Phase::Ending, stop_at.back(STOP_MARGIN)).await;
+    if let Some(queues) = &server.queues {
+        queues.tell_figures();
+    }
+    if let Some(talk) = &server.talk {
+        talk.left();
+    }
+    server.phases.enter(Phase::Over, gateways.figures());
+}
+
+/// Stays in a phase until its end, or until everything is closed.
+async fn run_phase(server: &Server, gateways: &Gateways, phase: Phase, until: Timestamp) {
+    server.phases.enter(phase, gateways.figures());
+    let all_closed = || gateways.over() && server.queues.as_ref().is_none_or(|queues| queues.over());
+    while server.services.dispatcher.clock.now() < until && !all_closed() {
+        sleep(CHECK_INTERVAL).await;
+    }
+}
--- a/crates/hazelspur-server/src/request/deduplication.rs
+++ b/crates/hazelspur-server/src/request/deduplication.rs
@@ -1,6 +1,10 @@
-//! Deduplication of keyed requests and coalescing of reads: which try holds a key, what came of it, and who waits
-//! to hear. A key is held from the moment its request is read, so that of two tries read together one runs.
+//! Deduplication of requests with an idempotency key and coalescing of reads: which attempt holds a key, what
+//! came of it, and which retries await its completion.
+//!
+//! An attempt holds its key from its receipt on, so that of two attempts received together only one runs.
 
+use crate::request::event::Completion;
+use crate::request::lifecycle::RetryOf;
 use hazelspur::{
     Duration, Idempotency, Outcome, RequestClass, RequestClassId, RequestId, TenantId, Timestamp,
 };
@@ -8,236 +12,297 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// What an entry takes beside its texts.
-const ENTRY: usize = 256;
+/// What an entry takes beside its texts, in bytes.
+const ENTRY_OVERHEAD_BYTES: usize = 256;
 
+/// What a key protects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scope {
-    /// A keyed request keeps its key however it ends: what may have run does not run again.
+    /// An idempotency key: what may have run does not run again, whatever its outcome.
     IdempotentWithKey,
-    /// A read shares only a good result, and only while that is fresh.
+    /// The subject of a read: only a successful result is shared, while it is fresh.
     Read,
 }
 
-/// Whole texts are compared: a hash could hand out another request's result. Tenants share nothing. By name, so that a
-/// repeat is known though its request class or tenant went and came back meanwhile.
+/// What makes two requests attempts at the same thing. Texts are compared whole, since a hash collision would
+/// return another request's result; names, so that a retry is recognized after its class was removed and added.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Key {
+pub struct DeduplicationKey {
+    /// The tenant's name; tenants share nothing.
     pub tenant: Arc<str>,
+    /// The request class's name.
     pub request_class: Arc<str>,
+    /// What the key protects.
     pub scope: Scope,
+    /// The idempotency key, or the subject of a read.
     pub text: Rc<str>,
 }
 
-impl Key {
-    /// What a repeat of this request would name: its request key, or as a read what it is about.
+impl DeduplicationKey {
+    /// The key of a request of this class: its idempotency key, or for a read its subject.
     pub fn of(
-        terms: &RequestClass,
+        class: &RequestClass,
         tenant: &Arc<str>,
-        op_key: Option<&str>,
+        idempotency_key: Option<&str>,
         subject: Option<&str>,
     ) -> Option<Self> {
-        let (scope, text) = match terms.repeats {
-            Idempotency::IdempotentWithKey => (Scope::IdempotentWithKey, op_key?),
+        let (scope, text) = match class.repeats {
+            Idempotency::IdempotentWithKey => (Scope::IdempotentWithKey, idempotency_key?),
             Idempotency::Idempotent => (Scope::Read, subject?),
             Idempotency::NonIdempotent => return None,
         };
-        Some(Self { tenant: tenant.clone(), request_class: terms.name.clone(), scope, text: text.into() })
+        Some(Self { tenant: tenant.clone(), request_class: class.name.clone(), scope, text: text.into() })
     }
 }
 
-/// Which tenant and request class a request is of: those that went and came back under their names are others.
-pub type Of = (TenantId, RequestClassId);
+/// The tenant and request class of a request. One that was removed and added again under its name has another
+/// id, and gets no result of the one before.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Owner {
+    /// The tenant.
+    pub tenant: TenantId,
+    /// The request class.
+    pub request_class: RequestClassId,
+}
 
-/// A request that is read, as far as its key goes.
-pub struct IdempotentWithKey {
+/// A received request, as far as its deduplication goes.
+pub struct ReceivedAttempt {
+    /// Its id.
     pub request: RequestId,
-    pub key: Key,
-    pub of: Of,
-    pub arrived: Timestamp,
+    /// Its key.
+    pub key: DeduplicationKey,
+    /// Its tenant and class.
+    pub owner: Owner,
+    /// When its client sent it.
+    pub sent_at: Timestamp,
+    /// Its body.
     pub body: Rc<[u8]>,
-    /// The runtime has known a request of its connection. Anybody may name a subject: no other gets a shared
-    /// result, nor do others wait for its run.
-    pub vouched: bool,
+    /// Whether the worker has known a request of its connection. Only such clients share reads: anybody may
+    /// name a subject.
+    pub trusted: bool,
 }
 
+/// Whether a received attempt repeats another.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum Lookup {
+    /// It is the first with its key, or shares nothing.
     First,
-    RepeatOf(RequestId),
-    /// The key is another request's: a repeat is the same in all that it asks for.
-    NotTheSame,
+    /// It repeats this one.
+    RetryOf(RequestId),
+    /// Its key belongs to a request that asks for something else.
+    Conflict,
 }
 
-type End = (Outcome, Rc<[u8]>);
-
-/// What holds a key.
+/// The attempt that holds a key.
 struct Entry {
     request: RequestId,
-    of: Of,
-    /// What a repeat has to ask for too; not kept once its result could not be.
+    owner: Owner,
+    /// What a retry must ask for too; dropped when its result could not be stored.
     body: Option<Rc<[u8]>>,
-    until: Option<Timestamp>,
-    end: Option<End>,
+    expires_at: Option<Timestamp>,
+    completion: Option<Completion>,
 }
 
-fn weight(key: &Key, entry: &Entry) -> usize {
-    let result = entry.end.as_ref().map_or(0, |(_, result)| result.len());
-    ENTRY + key.text.len() + entry.body.as_ref().map_or(0, |body| body.len()) + result
+impl Entry {
+    fn size_bytes(&self, key: &DeduplicationKey) -> usize {
+        let body = self.body.as_ref().map_or(0, |body| body.len());
+        let result = self.completion.as_ref().map_or(0, |completion| completion.result.len());
+        ENTRY_OVERHEAD_BYTES + key.text.len() + body + result
+    }
+
+    /// Whether the entry still counts; the window of an attempt in progress lasts until that has finished.
+    fn is_in_force(&self, at: Timestamp) -> bool {
+        self.completion.is_none() || self.expires_at.is_some_and(|expires_at| expires_at > at)
+    }
+
+    /// What a new attempt with the same key is; `None` where the entry does not concern it.
+    fn compare(&self, new: &ReceivedAttempt) -> Option<Lookup> {
+        let is_read = new.key.scope == Scope::Read;
+        let same_request = is_read || self.body.as_ref().is_none_or(|body| *body == new.body);
+        if self.owner == new.owner && same_request {
+            return Some(Lookup::RetryOf(self.request));
+        }
+        // What may have run under a tenant or class of the same name must not run again; a read may.
+        if self.owner != new.owner && is_read { None } else { Some(Lookup::Conflict) }
+    }
 }
 
-/// A try that is not over. Only among these is a request's id its own: one that is over may come again.
-struct Live {
-    key: Key,
+/// An attempt in progress. Request ids are unique only among these: a finished one's may be used again.
+struct Attempt {
+    key: DeduplicationKey,
     waiting: Vec<RequestId>,
 }
 
+/// All keys in force, within a bound of memory.
 #[derive(Default)]
 pub struct Deduplication {
-    /// How long the result of a read may serve others.
-    share: Duration,
-    /// So long after its window a repeat that came within it may still be read.
-    read_late: Duration,
+    /// How long the result of a read is fresh.
+    read_freshness: Duration,
+    /// How long after its window a retry that was sent within it may still be received.
+    receipt_delay: Duration,
     /// What results and bodies may take in all.
-    most_bytes: usize,
+    max_bytes: usize,
     bytes: usize,
-    entries: BTreeMap<Key, Entry>,
-    live: BTreeMap<RequestId, Live>,
-    /// When each entry whose try has ended is forgotten.
-    expiry: BTreeSet<(Timestamp, Key)>,
+    entries: BTreeMap<DeduplicationKey, Entry>,
+    attempts: BTreeMap<RequestId, Attempt>,
+    /// When the entries of finished attempts are removed.
+    removals: BTreeSet<(Timestamp, DeduplicationKey)>,
 }
 
 impl Deduplication {
-    pub fn new(share: Duration, read_late: Duration, most_bytes: usize) -> Self {
-        Self { share, read_late, most_bytes, ..Self::default() }
+    /// Shares reads for `read_freshness`, stores keys for `receipt_delay` past their window, results and bodies
+    /// up to `max_bytes`.
+    pub fn new(read_freshness: Duration, receipt_delay: Duration, max_bytes: usize) -> Self {
+        Self { read_freshness, receipt_delay, max_bytes, ..Self::default() }
     }
 
-    /// Notes a try that is read; says whether it repeats one that holds its key.
-    pub fn read(&mut self, now: Timestamp, new: IdempotentWithKey) -> Found {
-        self.expire(now);
-        let IdempotentWithKey { request, key, of, arrived, body, vouched } = new;
-        if key.scope == Scope::Read && (self.share == Duration::ZERO || !vouched) {
-            return Found::First;
+    /// Records a received attempt; says whether it repeats the one that holds its key.
+    pub fn received(&mut self, now: Timestamp, new: ReceivedAttempt) -> Lookup {
+        self.remove_expired(now);
+        let is_read = new.key.scope == Scope::Read;
+        if is_read && (self.read_freshness == Duration::ZERO || !new.trusted) {
+            return Lookup::First;
         }
-        if let Some(held) = self.entries.get(&key) {
-            // A window that ends while its try still runs goes on until that has ended.
-            let since = if key.scope == Scope::IdempotentWithKey { arrived } else { now };
-            if held.end.is_none() || held.until.is_some_and(|until| until > since) {
-                // A result never passes to another tenant or request class of the same name; what may have run under
-                // the one before does not run again.
-                let asks = key.scope == Scope::Read || held.body.as_ref().is_none_or(|first| *first == body);
-                match (held.of == of, key.scope) {
-                    (true, _) if asks => return Found::RepeatOf(held.request),
-                    (false, Scope::Read) => {}
-                    _ => return Found::NotTheSame,
-                }
+        if let Some(entry) = self.entries.get(&new.key) {
+            let at = if is_read { now } else { new.sent_at };
+            if entry.is_in_force(at)
+                && let Some(found) = entry.compare(&new)
+            {
+                return found;
             }
-            self.forget(&key);
+            self.remove(&new.key);
         }
-        let body = Some(body).filter(|_| key.scope == Scope::IdempotentWithKey);
-        let entry = Entry { request, of, body, until: None, end: None };
-        self.bytes += weight(&key, &entry);
+        self.insert(new);
+        Lookup::First
+    }
+
+    fn insert(&mut self, new: ReceivedAttempt) {
+        let ReceivedAttempt { request, key, owner, body, .. } = new;
+        let body = (key.scope == Scope::IdempotentWithKey).then_some(body);
+        let entry = Entry { request, owner, body, expires_at: None, completion: None };
+        self.bytes += entry.size_bytes(&key);
         self.entries.insert(key.clone(), entry);
-        self.live.insert(request, Live { key, waiting: Vec::new() });
-        Found::First
+        self.attempts.insert(request, Attempt { key, waiting: Vec::new() });
     }
 
-    /// What a live try holds.
-    fn held_by(&mut self, request: RequestId) -> Option<(&Key, &mut Entry)> {
-        let key = &self.live.get(&request)?.key;
-        self.entries
-            .get_mut(key)
-            .filter(|held| held.request == request && held.end.is_none())
-            .map(|held| (key, held))
+    /// The key that an attempt in progress holds, and its entry.
+    fn entry_of(&mut self, request: RequestId) -> Option<KeyAndEntry<'_>> {
+        let key = &self.attempts.get(&request)?.key;
+        let entry = self.entries.get_mut(key)?;
+        (entry.request == request && entry.completion.is_none()).then_some(KeyAndEntry { key, entry })
     }
 
-    pub fn keep(&mut self, request: RequestId, until: Timestamp) {
-        if let Some((_, held)) = self.held_by(request) {
-            held.until = Some(until);
+    /// Stores the key of an attempt in progress until this time.
+    pub fn store_until(&mut self, request: RequestId, expires_at: Timestamp) {
+        if let Some(found) = self.entry_of(request) {
+            found.entry.expires_at = Some(expires_at);
         }
     }
 
-    /// Its key is free for the next try; who waits for this one is still told of its end.
+    /// Frees an attempt's key for the next one; the retries that await this one are still notified.
     pub fn release(&mut self, request: RequestId) {
-        if let Some(key) = self.held_by(request).map(|(key, _)| key.clone()) {
-            self.forget(&key);
+        if let Some(key) = self.entry_of(request).map(|found| found.key.clone()) {
+            self.remove(&key);
         }
     }
 
-    /// How the try that holds this key ended, if it has; else `op` is told later.
-    pub fn wait_for(&mut self, key: &Key, first: RequestId, request: RequestId) -> Option<End> {
-        let end =
-            self.entries.get(key).filter(|held| held.request == first).and_then(|held| held.end.clone());
-        match self.live.get_mut(&first).filter(|live| end.is_none() && live.key == *key) {
-            Some(first) => {
-                first.waiting.push(request);
+    /// The completion of the original attempt, if that has finished; else `request` is notified of it later.
+    pub fn subscribe(&mut self, retry: &RetryOf, request: RequestId) -> Option<Completion> {
+        let RetryOf { key, original } = retry;
+        let entry = self.entries.get(key).filter(|entry| entry.request == *original);
+        if let Some(completion) = entry.and_then(|entry| entry.completion.clone()) {
+            return Some(completion);
+        }
+        match self.attempts.get_mut(original).filter(|attempt| attempt.key == *key) {
+            Some(attempt) => {
+                attempt.waiting.push(request);
                 None
             }
-            None => end.or_else(|| Some((Outcome::Error, Rc::from([])))),
+            None => Some(Completion::failed()),
         }
     }
 
-    /// A try is over for good; returns who waits to hear of it. Only the first end counts.
-    pub fn ended(
+    /// Ends an attempt; returns the retries to notify. Only the first call for an attempt counts.
+    pub fn finished(
         &mut self,
         now: Timestamp,
         request: RequestId,
-        outcome: Outcome,
-        result: &Rc<[u8]>,
+        completion: &Completion,
     ) -> Vec<RequestId> {
-        let (share, read_late, room) =
-            (self.share, self.read_late, self.most_bytes.saturating_sub(self.bytes));
-        let mut bytes = self.bytes;
-        let kept = self.held_by(request).and_then(|(key, held)| {
-            let forget_at = match (key.scope, outcome) {
-                (Scope::IdempotentWithKey, _) => held.until? + read_late,
-                (Scope::Read, Outcome::Ok) => held.until?.min(now + share),
-                (Scope::Read, _) => return None,
-            };
-            if key.scope == Scope::Read {
-                held.until = Some(forget_at);
-            }
-            if result.len() <= room {
-                held.end = Some((outcome, result.clone()));
-                bytes += result.len();
-            } else {
-                // That it ran must not be forgotten: its repeats fail.
-                bytes -= held.body.take().map_or(0, |body| body.len());
-                held.end = Some((Outcome::Error, Rc::from([])));
-            }
-            Some((forget_at, key.clone()))
-        });
-        self.bytes = bytes;
-        match kept {
-            Some(kept) => drop(self.expiry.insert(kept)),
-            None => self.release(request),
+        if self.store_completion(now, request, completion).is_none() {
+            self.release(request);
         }
-        self.live.remove(&request).map(|live| live.waiting).unwrap_or_default()
+        self.end_attempt(request)
     }
 
-    /// A try is over that never ran: the next one may. Returns who waits to hear of it.
+    /// Stores a completion for later retries; `None` where nothing is stored.
+    fn store_completion(
+        &mut self,
+        now: Timestamp,
+        request: RequestId,
+        completion: &Completion,
+    ) -> Option<()> {
+        let fresh_until = now + self.read_freshness;
+        let receipt_delay = self.receipt_delay;
+        let spare_bytes = self.max_bytes.saturating_sub(self.bytes);
+        let KeyAndEntry { key, entry } = self.entry_of(request)?;
+        let remove_at = match (key.scope, completion.outcome) {
+            (Scope::IdempotentWithKey, _) => entry.expires_at? + receipt_delay,
+            (Scope::Read, Outcome::Ok) => entry.expires_at?.min(fresh_until),
+            (Scope::Read, _) => return None,
+        };
+        if key.scope == Scope::Read {
+            entry.expires_at = Some(remove_at);
+        }
+        let key = key.clone();
+        let size_before = entry.size_bytes(&key);
+        if completion.result.len() <= spare_bytes {
+            entry.completion = Some(completion.clone());
+        } else {
+            // That it ran must stay known: its retries fail.
+            entry.body = None;
+            entry.completion = Some(Completion::failed());
+        }
+        let size_after = entry.size_bytes(&key);
+        self.bytes = self.bytes - size_before + size_after;
+        self.removals.insert((remove_at, key));
+        Some(())
+    }
+
+    /// Ends an attempt that never ran, so that the next may; returns the retries to notify.
     pub fn never_ran(&mut self, request: RequestId) -> Vec<RequestId> {
         self.release(request);
-        self.live.remove(&request).map(|live| live.waiting).unwrap_or_default()
+        self.end_attempt(request)
+    }
+
+    fn end_attempt(&mut self, request: RequestId) -> Vec<RequestId> {
+        self.attempts.remove(&request).map(|attempt| attempt.waiting).unwrap_or_default()
     }
 
-    fn expire(&mut self, now: Timestamp) {
-        while let Some((at, key)) = self.expiry.first().cloned()
+    fn remove_expired(&mut self, now: Timestamp) {
+        while let Some((at, key)) = self.removals.first().cloned()
             && at <= now
         {
-            self.forget(&key);
-            self.expiry.remove(&(at, key));
+            self.remove(&key);
+            self.removals.remove(&(at, key));
         }
     }
 
-    fn forget(&mut self, key: &Key) {
-        if let Some(gone) = self.entries.remove(key) {
-            self.bytes -= weight(key, &gone);
-            if let Some(until) = gone.until.filter(|_| gone.end.is_some()) {
-                let late =
-                    if key.scope == Scope::IdempotentWithKey { self.read_late } else { Duration::ZERO };
-                self.expiry.remove(&(until + late, key.clone()));
-            }
+    fn remove(&mut self, key: &DeduplicationKey) {
+        let Some(entry) = self.entries.remove(key) else { return };
+        self.bytes -= entry.size_bytes(key);
+        if let Some(expires_at) = entry.expires_at.filter(|_| entry.completion.is_some()) {
+            let delay = match key.scope {
+                Scope::IdempotentWithKey => self.receipt_delay,
+                Scope::Read => Duration::ZERO,
+            };
+            self.removals.remove(&(expires_at + delay, key.clone()));
         }
     }
 }
+
+/// The key that an attempt in progress holds, and its entry.
+struct KeyAndEntry<'a> {
+    key: &'a DeduplicationKey,
+    entry: &'a mut Entry,
+}
--- a/crates/hazelspur-server/src/request/dispatcher.rs
+++ b/crates/hazelspur-server/src/request/dispatcher.rs
@@ -1,12 +1,15 @@
-//! The dispatcher owns the `AdmissionController`: tasks report inputs, it pulls decisions once all that has come in is told,
-//! and hands each to the request's task or to its owner.
+//! Host of the `AdmissionController`: tasks report inputs, the dispatcher pulls decisions and carries them out.
+//!
+//! Decisions are pulled only after every ready task has reported its inputs. Each decision about a request goes
+//! to the request's task; the others are stored here for the tasks that read them.
 
 use crate::clock::Clock;
 use crate::request::deduplication::Deduplication;
+use crate::request::event::{Completion, RequestEvent};
 use hazelspur::book::LoadReport;
 use hazelspur::config::change::{Change, Changed};
 use hazelspur::{
-    AdmissionController, Catalog, Decision, Duration, GuidanceKey, Outcome, RequestId, TenantId, Timestamp,
+    AdmissionController, Catalog, Decision, Duration, GuidanceKey, RequestId, TenantId, Timestamp,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -15,64 +18,84 @@
 use tokio::sync::Notify;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// What the task of a request hears.
-pub enum News {
-    Decided(Decision),
-    Wants(Vec<u8>),
-    Ended(Outcome, Rc<[u8]>),
-    /// The runtime knows no such request.
-    Unknown,
-    /// Nobody waits for it any more.
-    Gone,
+/// What the controller goes by once the first of its quota leases expires.
+pub struct LeaseExpiry {
+    /// When that lease expires, by the monotonic clock.
+    pub at: Timestamp,
+    /// The guaranteed minimum of each leased quota.
+    pub guaranteed: BTreeMap<GuidanceKey, f64>,
 }
 
-/// When the first lease that the module goes by ends, and what holds from then on.
-pub type Leases = (Timestamp, Vec<(GuidanceKey, f64)>);
+/// A final response that is counted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Response {
+    /// The request ran to its end.
+    Success,
+    /// The request never ran.
+    Rejected,
+}
+
+/// Final responses since the start, over every ingress; the counts wrap.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ResponseCounts {
+    /// Requests that succeeded.
+    pub succeeded: u32,
+    /// Requests that were rejected.
+    pub rejected: u32,
+}
 
+/// Owns the controller, the table of requests in progress and what the controller decided for the whole server.
 #[derive(Default)]
 pub struct Dispatcher {
+    /// The clock that every task goes by.
     pub clock: Clock,
     controller: RefCell<Option<AdmissionController>>,
-    requests: RefCell<BTreeMap<RequestId, UnboundedSender<News>>>,
+    requests: RefCell<BTreeMap<RequestId, UnboundedSender<RequestEvent>>>,
+    /// Idempotency keys and shared reads.
     pub deduplication: RefCell<Deduplication>,
-    /// Requests acked and nacked since the start, on all fronts.
-    pub counts: Cell<(u32, u32)>,
-    stirred: Notify,
-    /// What the last decisions for nobody's request said, for those who go by them.
-    pub good: Cell<bool>,
-    pub signal: Cell<Option<f64>>,
-    pub keep_idle: Cell<Option<Duration>>,
-    pub wake: Cell<Option<Timestamp>>,
-    pub wake_set: Notify,
-    /// When leases that the module goes by end, by the steady clock, and what holds then.
-    leases: RefCell<Option<Leases>>,
-    /// They ended, and the module goes by what holds then.
-    lapsed: Cell<bool>,
+    /// Final responses since the start.
+    pub response_counts: Cell<ResponseCounts>,
+    input_notification: Notify,
+    /// Whether the controller last reported the server as healthy.
+    pub healthy: Cell<bool>,
+    /// The capacity figure that goes out with every response, if any.
+    pub advertised_capacity: Cell<Option<f64>>,
+    /// After how long idle connections are closed, if the controller decided it.
+    pub idle_timeout: Cell<Option<Duration>>,
+    /// When the controller's timer is due; taken by the task that waits for it.
+    pub timer: Cell<Option<Timestamp>>,
+    /// Notified whenever `timer` is set.
+    pub timer_set: Notify,
+    lease_expiry: RefCell<Option<LeaseExpiry>>,
+    leases_expired: Cell<bool>,
 }
 
 impl Dispatcher {
-    pub fn open(&self, controller: AdmissionController) {
+    /// From now on this controller decides.
+    pub fn start(&self, controller: AdmissionController) {
         *self.controller.borrow_mut() = Some(controller);
-        self.stirred.notify_one();
+        self.input_notification.notify_one();
     }
 
-    pub fn is_open(&self) -> bool {
+    /// Whether there is a controller yet.
+    pub fn is_started(&self) -> bool {
         self.controller.borrow().is_some()
     }
 
-    /// Reports an input. A failure inside the module is logged and leaves the rest of the program going.
-    pub fn tell(&self, input: impl FnOnce(&mut AdmissionController, Timestamp)) {
+    /// Reports an input. A panic inside the controller is logged and leaves the rest of the program running.
+    pub fn report(&self, input: impl FnOnce(&mut AdmissionController, Timestamp)) {
         let now = self.clock.now();
         if let Some(controller) = self.controller.borrow_mut().as_mut()
             && catch_unwind(AssertUnwindSafe(|| input(controller, now))).is_err()
         {
-            log::error!(at = "input"; "module failed");
+            log::error!(at = "input"; "controller panicked");
         }
-        self.stirred.notify_one();
+        self.input_notification.notify_one();
     }
 
-    /// Other settings from now on, all of them or none with the key at fault; also before the module is there.
-    pub fn change(&self, catalog: &RefCell<Catalog>, change: &Change) -> Result<Changed, String> {
+    /// Applies a change of the settings whole, also before the start. The error names the key at fault, and
+    /// nothing is changed then.
+    pub fn apply_change(&self, catalog: &RefCell<Catalog>, change: &Change) -> Result<Changed, String> {
         let now = self.clock.now();
         let changed = match self.controller.borrow_mut().as_mut() {
             Some(controller) => controller.apply_change(now, change)?,
@@ -82,111 +105,134 @@
                 catalog.apply(now, change).0
             }
         };
-        self.stirred.notify_one();
+        self.input_notification.notify_one();
         Ok(changed)
     }
 
-    /// What servers found out together, for the module. Of leases: when they end, and what holds then.
-    pub fn guide(&self, told: Vec<(GuidanceKey, Option<f64>)>, leases: Option<Leases>) {
-        *self.leases.borrow_mut() = leases;
-        if !told.is_empty() {
-            self.tell(|controller, now| {
-                told.iter().for_each(|(name, value)| controller.set_guidance(now, *name, *value))
-            });
+    /// Sets guidance from the fleet, `None` to take a figure back, and what applies once a lease expires.
+    pub fn set_guidance(
+        &self,
+        guidance: impl IntoIterator<Item = (GuidanceKey, Option<f64>)>,
+        expiry: Option<LeaseExpiry>,
+    ) {
+        *self.lease_expiry.borrow_mut() = expiry;
+        let mut guidance = guidance.into_iter().peekable();
+        if guidance.peek().is_none() {
+            return;
         }
+        self.report(|controller, now| {
+            for (key, value) in guidance {
+                controller.set_guidance(now, key, value);
+            }
+        });
     }
 
-    /// After a standstill the end of a lease comes before anything that would go by it.
-    fn end_leases(&self) {
-        let over = self.leases.borrow().as_ref().is_some_and(|(ends, _)| self.clock.steady() >= *ends);
-        let Some((_, floors)) = over.then(|| self.leases.take()).flatten() else { return };
+    /// Applies the expiry of a lease before any decision that would rely on the lease, as after a suspension.
+    fn expire_leases(&self) {
+        let now = self.clock.monotonic();
+        let Some(expiry) = self.lease_expiry.borrow_mut().take_if(|expiry| now >= expiry.at) else { return };
         let now = self.clock.now();
         if let Some(controller) = self.controller.borrow_mut().as_mut() {
-            floors.iter().for_each(|(name, floor)| controller.set_guidance(now, *name, Some(*floor)));
+            for (key, value) in expiry.guaranteed {
+                controller.set_guidance(now, key, Some(value));
+            }
         }
-        self.lapsed.set(true);
+        self.leases_expired.set(true);
     }
 
-    /// Whether leases have ended here since this was last asked.
-    pub fn has_lapsed(&self) -> bool {
-        self.lapsed.take()
+    /// Whether leases expired here since the last call.
+    pub fn take_leases_expired(&self) -> bool {
+        self.leases_expired.take()
     }
 
+    /// The load of this server for its fleet; none before the start.
     pub fn load_report(&self) -> Option<LoadReport> {
         self.controller.borrow().as_ref().map(|controller| controller.load_report(self.clock.now()))
     }
 
+    /// The request rate of a tenant, in requests per second.
     pub fn tenant_rate(&self, tenant: TenantId) -> f64 {
         let now = self.clock.now();
         self.controller.borrow().as_ref().map_or(0.0, |controller| controller.tenant_rate(now, tenant))
     }
 
-    pub fn count(&self, acked: bool) {
-        let (acks, nacks) = self.counts.get();
-        self.counts.set((acks.wrapping_add(u32::from(acked)), nacks.wrapping_add(u32::from(!acked))));
+    /// Counts a final response.
+    pub fn count_response(&self, response: Response) {
+        let mut counts = self.response_counts.get();
+        let count = match response {
+            Response::Success => &mut counts.succeeded,
+            Response::Rejected => &mut counts.rejected,
+        };
+        *count = count.wrapping_add(1);
+        self.response_counts.set(counts);
     }
 
-    /// How many more requests the module would have room for.
-    pub fn spare(&self) -> f64 {
-        let room = self
-            .controller
-            .borrow()
-            .as_ref()
-            .map_or(0.0, |controller| controller.spare_capacity(self.clock.now()));
-        room - self.requests.borrow().len() as f64
+    /// How many more requests the controller has capacity for, beside those in progress.
+    pub fn spare_capacity(&self) -> f64 {
+        let now = self.clock.now();
+        let capacity =
+            self.controller.borrow().as_ref().map_or(0.0, |controller| controller.spare_capacity(now));
+        capacity - self.requests.borrow().len() as f64
     }
 
-    /// From now on what concerns this request goes to the receiver; `None` where a request has this id already.
-    pub fn enroll(&self, request: RequestId) -> Option<UnboundedReceiver<News>> {
-        let (to, from) = unbounded_channel();
+    /// Registers a request; its events go to the receiver. `None` where a request with this id is in progress.
+    pub fn register(&self, request: RequestId) -> Option<UnboundedReceiver<RequestEvent>> {
+        let (sender, receiver) = unbounded_channel();
         let mut requests = self.requests.borrow_mut();
         if requests.contains_key(&request) {
             return None;
         }
-        requests.insert(request, to);
-        Some(from)
+        requests.insert(request, sender);
+        Some(receiver)
     }
 
-    pub fn strike(&self, request: RequestId) {
+    /// Removes a request that is finished.
+    pub fn remove(&self, request: RequestId) {
         self.requests.borrow_mut().remove(&request);
     }
 
-    pub fn hand(&self, request: RequestId, news: News) {
-        if let Some(to) = self.requests.borrow().get(&request) {
-            let _ = to.send(news); // its task may just have ended
+    /// Delivers an event to the request's task, if there still is one.
+    pub fn deliver(&self, request: RequestId, event: RequestEvent) {
+        if let Some(sender) = self.requests.borrow().get(&request) {
+            // The task may just have ended.
+            let _ = sender.send(event);
         }
     }
 
-    /// Tells those that wait for this try how it ended.
-    pub fn try_ended(&self, request: RequestId, outcome: Outcome, result: &Rc<[u8]>) {
-        let waiting = self.deduplication.borrow_mut().ended(self.clock.now(), request, outcome, result);
-        waiting.into_iter().for_each(|request| self.hand(request, News::Ended(outcome, result.clone())));
+    /// Notifies the retries that await this attempt of its completion.
+    pub fn attempt_finished(&self, request: RequestId, completion: &Completion) {
+        let waiting = self.deduplication.borrow_mut().finished(self.clock.now(), request, completion);
+        for retry in waiting {
+            self.deliver(retry, RequestEvent::Finished(completion.clone()));
+        }
     }
 
-    /// Tells them that it is over without a run; its key is free.
-    pub fn try_never_ran(&self, request: RequestId) {
+    /// Notifies the retries that await this attempt that it ended without a run; its key is free.
+    pub fn attempt_never_ran(&self, request: RequestId) {
         let waiting = self.deduplication.borrow_mut().never_ran(request);
-        waiting.into_iter().for_each(|request| self.hand(request, News::Ended(Outcome::Error, Rc::from([]))));
+        for retry in waiting {
+            self.deliver(retry, RequestEvent::Finished(Completion::failed()));
+        }
     }
 
-    /// Pulls whenever something was reported, but only after everything else that is ready has run.
+    /// Pulls decisions whenever something was reported, after every other ready task has run.
     pub async fn run(self: Rc<Self>) {
         loop {
-            self.stirred.notified().await;
+            self.input_notification.notified().await;
             tokio::task::yield_now().await;
-            while let Some(decision) = self.pull() {
+            while let Some(decision) = self.next_decision() {
                 self.carry_out(decision);
             }
         }
     }
 
-    fn pull(&self) -> Option<Decision> {
-        self.end_leases();
+    fn next_decision(&self) -> Option<Decision> {
+        self.expire_leases();
         let now = self.clock.now();
         let mut controller = self.controller.borrow_mut();
         let controller = controller.as_mut()?;
         catch_unwind(AssertUnwindSafe(|| controller.next_decision(now))).unwrap_or_else(|_| {
-            log::error!(at = "decision"; "module failed");
+            log::error!(at = "decision"; "controller panicked");
             None
         })
     }
@@ -194,17 +240,17 @@
     fn carry_out(&self, decision: Decision) {
         log::trace!("decided {decision:?}");
         match decision {
-            Decision::AdvertiseCapacity(value) => self.signal.set(Some(value)),
-            Decision::SetHealth { active, .. } => self.good.set(active),
-            Decision::SetIdleTimeout(span) => self.keep_idle.set(Some(span)),
+            Decision::AdvertiseCapacity(value) => self.advertised_capacity.set(Some(value)),
+            Decision::SetHealth { active, .. } => self.healthy.set(active),
+            Decision::SetIdleTimeout(timeout) => self.idle_timeout.set(Some(timeout)),
             Decision::StoreKey { request, window } => {
-                self.deduplication.borrow_mut().keep(request, self.clock.now() + window);
+                self.deduplication.borrow_mut().store_until(request, self.clock.now() + window);
             }
             Decision::RemoveKey(request) => self.deduplication.borrow_mut().release(request),
             Decision::Log(text) => log::info!("{text}"),
             Decision::SetTimer(at) => {
-                self.wake.set(Some(at));
-                self.wake_set.notify_one();
+                self.timer.set(Some(at));
+                self.timer_set.notify_one();
             }
             Decision::Run(request)
             | Decision::Preempt(request)
@@ -212,7 +258,7 @@
             | Decision::Fail(request)
             | Decision::AnswerFromOriginal(request)
             | Decision::StartCall { request, .. }
-            | Decision::SkipCall(request) => self.hand(request, News::Decided(decision)),
+            | Decision::SkipCall(request) => self.deliver(request, RequestEvent::Decided(decision)),
         }
     }
 }
--- /dev/null
+++ b/crates/hazelspur-server/src/request/lifecycle.rs
@@ -0,0 +1,343 @@
+//! The lifecycle of one request: queued, running with its dependency calls, finished.
+//!
+//! Inputs are `RequestEvent`s, outputs are commands to the worker, dependency calls and the final response.
+//! Whatever happens, the client gets at most one response and the controller is notified of the end.
+
+use crate::request::deduplication::DeduplicationKey;
+use crate::request::dispatcher::Dispatcher;
+use crate::request::event::{Completion, RequestEvent};
+use crate::request::responder::{Responder, RunPermission};
+use crate::upstream::dependency::{Call, CallResult, DependencyClient};
+use crate::upstream::worker::WorkerLink;
+use hazelspur::{
+    ClientId, Decision, Duration, Idempotency, NewRequest, Outcome, RequestClass, RequestClassId, RequestId,
+    SessionKey, TenantId, Timestamp,
+};
+use std::future::{Future, pending};
+use std::pin::Pin;
+use std::rc::Rc;
+use tokio::sync::mpsc::UnboundedReceiver;
+
+/// The largest body of a request, in bytes.
+pub const MAX_BODY_LENGTH: usize = 2048;
+
+/// What the task of a request works with.
+pub struct Services {
+    /// Host of the controller.
+    pub dispatcher: Rc<Dispatcher>,
+    /// The link to the worker process.
+    pub worker: Rc<WorkerLink>,
+    /// The client of the shared dependency.
+    pub dependency: Rc<DependencyClient>,
+}
+
+/// The earlier attempt that a request repeats.
+#[derive(Clone)]
+pub struct RetryOf {
+    /// The key that both attempts have.
+    pub key: DeduplicationKey,
+    /// The attempt that held the key when this one was received.
+    pub original: RequestId,
+}
+
+/// What a received request states, besides its body.
+pub struct ReceivedRequest {
+    /// The request class that it names.
+    pub request_class: RequestClassId,
+    /// The tenant that it is from.
+    pub tenant: TenantId,
+    /// The session that it belongs to, if any.
+    pub session: Option<SessionKey>,
+    /// The client that sent it.
+    pub client: ClientId,
+    /// By when it has to begin; else the class's request timeout applies.
+    pub deadline: Option<Timestamp>,
+    /// The memory that its run takes, in KiB.
+    pub size_kb: f64,
+    /// When the client sent it.
+    pub sent_at: Timestamp,
+}
+
+/// One request from its receipt to its final response.
+pub struct RequestLifecycle {
+    /// What its task works with.
+    pub services: Rc<Services>,
+    /// Its id.
+    pub request: RequestId,
+    /// Its class as configured when it was received, whatever changed since.
+    pub class: Rc<RequestClass>,
+    /// The body that the worker gets.
+    pub body: Rc<[u8]>,
+    /// The attempt that it repeats, if any.
+    pub retry_of: Option<RetryOf>,
+    /// Whether it may have run; if so, no other attempt with its key may run.
+    pub may_have_run: bool,
+    /// Sends its final response.
+    pub responder: Responder,
+    /// Its inputs.
+    pub events: UnboundedReceiver<RequestEvent>,
+}
+
+/// How far a request has come.
+enum State {
+    /// The controller has not decided yet, or preempted the run.
+    Queued,
+    /// The response of the original attempt will be this request's too.
+    AwaitingOriginal,
+    /// The worker runs it.
+    Running(Run),
+    /// Nothing is left to do.
+    Finished,
+}
+
+type CallInProgress = Pin<Box<dyn Future<Output = CallResult>>>;
+
+/// A run in the worker and its dependency call.
+struct Run {
+    call_body: Rc<[u8]>,
+    call_was_attempted: bool,
+    /// Never completes while no call is made.
+    call: CallInProgress,
+}
+
+impl Run {
+    fn new() -> Self {
+        Self { call_body: Rc::from([]), call_was_attempted: false, call: Box::pin(pending()) }
+    }
+
+    fn cancel_call(&mut self) {
+        self.call = Box::pin(pending());
+    }
+}
+
+impl RequestLifecycle {
+    /// Passes the request to the controller at once, so that no change of configuration comes in between.
+    pub fn admit(self, received: &ReceivedRequest) -> Self {
+        let (request, retry_of) = (self.request, self.retry_of.as_ref().map(|retry| retry.original));
+        self.services.dispatcher.report(|controller, now| {
+            let new = NewRequest {
+                id: request,
+                class: received.request_class,
+                tenant: received.tenant,
+                session: received.session,
+                client: received.client,
+                deadline: received.deadline,
+                cost: None,
+                size_kb: received.size_kb,
+                age: now - received.sent_at,
+                is_write: false,
+                retry_of,
+            };
+            controller.request_received(now, new);
+        });
+        self
+    }
+
+    /// Handles events until the request is finished.
+    pub async fn run(mut self) {
+        let mut state = State::Queued;
+        loop {
+            state = match state {
+                State::Queued | State::AwaitingOriginal => self.advance_queued(state).await,
+                State::Running(run) => self.advance_running(run).await,
+                State::Finished => return,
+            };
+        }
+    }
+
+    async fn advance_queued(&mut self, state: State) -> State {
+        let Some(event) = self.events.recv().await else { return State::Finished };
+        match event {
+            RequestEvent::Decided(Decision::Run(_)) => self.start_if_permitted().await,
+            RequestEvent::Decided(Decision::AnswerFromOriginal(_)) => self.await_original(),
+            RequestEvent::Decided(decision) => self.respond_while_queued(&decision, state),
+            RequestEvent::ClientGone => self.client_gone_while_queued(),
+            RequestEvent::Finished(original) if matches!(state, State::AwaitingOriginal) => {
+                self.respond_as_original(&original)
+            }
+            RequestEvent::CallRequested(_) | RequestEvent::Finished(_) | RequestEvent::UnknownToWorker => {
+                state
+            }
+        }
+    }
+
+    async fn advance_running(&mut self, mut run: Run) -> State {
+        let event = tokio::select! {
+            biased;
+            event = self.events.recv() => event,
+            result = &mut run.call => {
+                run.cancel_call();
+                self.call_finished(result);
+                return State::Running(run);
+            }
+        };
+        match event {
+            None => return State::Finished,
+            Some(RequestEvent::Finished(completion)) => return self.run_finished(&completion),
+            Some(RequestEvent::UnknownToWorker) => return self.unknown_to_worker(),
+            Some(RequestEvent::CallRequested(body)) => self.call_requested(&mut run, body),
+            Some(RequestEvent::Decided(decision)) => self.decided_while_running(&mut run, &decision),
+            Some(RequestEvent::ClientGone) => {
+                // The run goes on, its call does not.
+                self.abandon();
+                run.cancel_call();
+            }
+        }
+        State::Running(run)
+    }
+
+    /// Starts the run once the ingress permits it; without permission it never runs.
+    async fn start_if_permitted(&mut self) -> State {
+        if let RunPermission::Awaiting(permitted) = self.responder.run_permission()
+            && !permitted.await.unwrap_or(false)
+        {
+            let request = self.request;
+            self.services.dispatcher.report(|controller, now| {
+                controller.request_abandoned(request);
+                controller.run_finished(now, request, Outcome::NeverStarted);
+            });
+            self.responder.release();
+            return State::Finished;
+        }
+        self.may_have_run = true;
+        self.services.worker.start(self.request, self.class.name.clone(), self.body.clone());
+        State::Running(Run::new())
+    }
+
+    fn await_original(&self) -> State {
+        let dispatcher = &self.services.dispatcher;
+        let completion = match &self.retry_of {
+            None => Some(Completion::failed()),
+            Some(retry) => dispatcher.deduplication.borrow_mut().subscribe(retry, self.request),
+        };
+        if let Some(completion) = completion {
+            dispatcher.deliver(self.request, RequestEvent::Finished(completion));
+        }
+        State::AwaitingOriginal
+    }
+
+    fn respond_while_queued(&mut self, decision: &Decision, state: State) -> State {
+        self.respond_as_decided(decision);
+        if self.responder.is_pending() { state } else { State::Finished }
+    }
+
+    fn client_gone_while_queued(&mut self) -> State {
+        self.abandon();
+        // Guards against a run that was just decided and would count as running for ever.
+        self.report_run_finished(Outcome::NeverStarted);
+        State::Finished
+    }
+
+    fn respond_as_original(&mut self, original: &Completion) -> State {
+        self.report_run_finished(original.outcome);
+        if original.outcome == Outcome::Ok {
+            self.responder.success(&original.result);
+        } else {
+            self.responder.failed();
+        }
+        State::Finished
+    }
+
+    fn call_requested(&mut self, run: &mut Run, body: Vec<u8>) {
+        self.responder.known_to_worker();
+        run.call_body = body.into();
+        run.call_was_attempted = false;
+        let request = self.request;
+        self.services.dispatcher.report(|controller, now| controller.call_requested(now, request));
+    }
+
+    fn decided_while_running(&mut self, run: &mut Run, decision: &Decision) {
+        match decision {
+            Decision::StartCall { timeout, .. } => self.start_call(run, *timeout),
+            Decision::Preempt(_) => self.services.worker.stop(self.request),
+            _ => {
+                // The run goes on after its response, its call does not.
+                self.respond_as_decided(decision);
+                run.cancel_call();
+            }
+        }
+    }
+
+    fn start_call(&self, run: &mut Run, timeout: Duration) {
+        let (services, request, body) = (self.services.clone(), self.request, run.call_body.clone());
+        // A reused connection may break after the call ran: only idempotent requests may use one.
+        let new_connection = run.call_was_attempted || self.class.repeats != Idempotency::Idempotent;
+        run.call = Box::pin(async move {
+            let call = Call { request, timeout, body: &body, new_connection };
+            services.dependency.call(&services.dispatcher.clock, call).await
+        });
+        run.call_was_attempted = true;
+    }
+
+    fn call_finished(&self, result: CallResult) {
+        let (request, outcome) = (self.request, result.outcome);
+        if outcome == Outcome::Ok {
+            self.services.worker.give(request, result.reply);
+        }
+        self.services.dispatcher.report(|controller, now| controller.call_finished(now, request, outcome));
+    }
+
+    fn run_finished(&mut self, completion: &Completion) -> State {
+        let Completion { outcome, result } = completion;
+        self.report_run_finished(*outcome);
+        self.may_have_run &= *outcome != Outcome::NeverStarted;
+        match outcome {
+            Outcome::Ok => {
+                self.responder.known_to_worker();
+                self.services.dispatcher.attempt_finished(self.request, completion);
+                self.responder.success(result);
+            }
+            Outcome::Preempted if self.responder.is_pending() => return State::Queued,
+            _ => self.responder.failed(),
+        }
+        State::Finished
+    }
+
+    fn unknown_to_worker(&mut self) -> State {
+        self.may_have_run = false;
+        self.report_run_finished(Outcome::Error);
+        self.responder.unknown_to_worker();
+        State::Finished
+    }
+
+    fn report_run_finished(&self, outcome: Outcome) {
+        let request = self.request;
+        self.services.dispatcher.report(|controller, now| controller.run_finished(now, request, outcome));
+    }
+
+    fn abandon(&mut self) {
+        let request = self.request;
+        self.services.dispatcher.report(|controller, _| controller.request_abandoned(request));
+        self.responder.release();
+    }
+
+    /// Sends the response that a decision stands for.
+    fn respond_as_decided(&mut self, decision: &Decision) {
+        match decision {
+            Decision::Reject { retry_after, do_not_retry_elsewhere, .. } => {
+                self.responder.rejected(*retry_after, *do_not_retry_elsewhere)
+            }
+            Decision::Fail(_) => self.responder.failed(),
+            _ => log::warn!(decision:?; "decision does not apply to the request's state"),
+        }
+    }
+}
+
+impl Drop for RequestLifecycle {
+    fn drop(&mut self) {
+        if self.responder.is_pending() {
+            log::error!(op:% = self.request; "request ended without a response");
+            self.responder.failed();
+            self.abandon();
+        }
+        if std::thread::panicking() {
+            self.report_run_finished(Outcome::Error);
+        }
+        if self.may_have_run {
+            self.services.dispatcher.attempt_finished(self.request, &Completion::failed());
+        } else {
+            self.services.dispatcher.attempt_never_ran(self.request);
+        }
+        self.services.dispatcher.remove(self.request);
+    }
+}
--- a/crates/hazelspur-server/src/request/mod.rs
+++ b/crates/hazelspur-server/src/request/mod.rs
@@ -1,6 +1,7 @@
-//! A request between its reading and its answer.
+//! A request between its receipt and its final response.
 
 pub mod deduplication;
 pub mod dispatcher;
-pub mod life;
-pub mod owed;
+pub mod event;
+pub mod lifecycle;
+pub mod responder;
--- a/crates/hazelspur-server/src/upstream/mod.rs
+++ b/crates/hazelspur-server/src/upstream/mod.rs
@@ -1,7 +1,7 @@
-//! What a request needs to run, and who hears of this server.
+//! Connections that the server makes: the worker process, the shared dependency, the registry.
 
-pub mod control;
-pub mod exchange;
-pub mod ledger;
-pub mod peers;
-pub mod runtime;
+pub mod dependency;
+pub mod endpoints;
+pub mod http_exchange;
+pub mod registry;
+pub mod worker;
--- /dev/null
+++ b/crates/hazelspur-server/src/upstream/worker/link.rs
@@ -0,0 +1,307 @@
+//! Keeps one connection to the worker process: connects, waits for the replay of notices, re-sends unanswered
+//! commands, and does so again after each break or move.
+//!
+//! Invariant: commands go out only while the connection is synchronized; until then they wait in the run table.
+
+use super::gauges::GaugeQuery;
+use super::notices::Notices;
+use super::replay::Replay;
+use super::runs::RunTable;
+use crate::clock::{sleep, to_std};
+use crate::request::dispatcher::Dispatcher;
+use crate::request::event::{Completion, RequestEvent};
+use crate::upstream::endpoints::UpstreamEndpoints;
+use hazelspur::{Duration, RequestId, Timestamp};
+use hazelspur_parsers::{Buffer, runtime};
+use std::cell::{Cell, RefCell};
+use std::convert::Infallible;
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+use thiserror::Error;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::net::tcp::{ReadHalf, WriteHalf};
+use tokio::sync::Notify;
+use tokio::time::timeout;
+
+/// The first pause before a reconnect; doubled after each.
+const RECONNECT_PAUSE: Duration = Duration::from_ms(20);
+/// The longest pause before a reconnect.
+const MAX_RECONNECT_PAUSE: Duration = Duration::from_ms(500);
+/// How long a connection attempt may take at first; doubled after each that timed out. There is one attempt at
+/// a time, since the worker closes its connection when another arrives.
+const CONNECT_TIMEOUT: Duration = Duration::from_ms(3000);
+/// The longest time that a connection attempt may take.
+const MAX_CONNECT_TIMEOUT: Duration = Duration::from_ms(12_000);
+/// How long a replay may take.
+const REPLAY_TIMEOUT: Duration = Duration::from_ms(2000);
+/// How long a synchronized connection may be silent; gauges are queried more often than that.
+const IDLE_TIMEOUT: Duration = Duration::from_ms(2500);
+/// How long a connection may be silent before the worker is up, to find out whether it still leads anywhere.
+const UNREADY_IDLE_TIMEOUT: Duration = Duration::from_ms(4000);
+/// How long the controller's timer waits for gauges.
+const GAUGES_TIMEOUT: Duration = Duration::from_ms(2);
+
+/// Why a connection ended.
+#[derive(Debug, Error)]
+enum LinkError {
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+    #[error("closed")]
+    Closed,
+    #[error("{0}")]
+    InvalidNotice(String),
+    #[error("no end of the replay")]
+    ReplayTimedOut,
+}
+
+/// What the worker last stated about itself.
+#[derive(Clone, Copy, Debug)]
+pub struct WorkerState {
+    /// Whether it started warm.
+    pub is_warm: bool,
+    /// How long it was up then.
+    pub uptime: Duration,
+}
+
+/// The link to the worker process.
+pub struct WorkerLink {
+    pub(super) dispatcher: Rc<Dispatcher>,
+    endpoints: Rc<UpstreamEndpoints>,
+    gauge_names: Vec<String>,
+    pub(super) runs: RefCell<RunTable>,
+    pub(super) gauge_query: GaugeQuery,
+    pub(super) replay: Replay,
+    last_notice: Cell<u64>,
+    /// Whether the connection's replay has ended and commands go out.
+    is_synchronized: Cell<bool>,
+    out: RefCell<Vec<u8>>,
+    out_notification: Notify,
+    /// When something last came over a synchronized connection: a worker that started later is another one.
+    last_received: Cell<Option<Timestamp>>,
+    state: Cell<Option<WorkerState>>,
+    state_notification: Notify,
+}
+
+impl WorkerLink {
+    /// A link that asks for these gauges, which the worker names in this order.
+    pub fn new(
+        dispatcher: Rc<Dispatcher>,
+        endpoints: Rc<UpstreamEndpoints>,
+        gauge_names: Vec<String>,
+    ) -> Self {
+        Self {
+            dispatcher,
+            endpoints,
+            gauge_names,
+            runs: RefCell::default(),
+            gauge_query: GaugeQuery::default(),
+            replay: Replay::default(),
+            last_notice: Cell::new(0),
+            is_synchronized: Cell::new(false),
+            out: RefCell::default(),
+            out_notification: Notify::new(),
+            last_received: Cell::new(None),
+            state: Cell::new(None),
+            state_notification: Notify::new(),
+        }
+    }
+
+    /// The worker's state, once it is up.
+    pub async fn ready(&self) -> WorkerState {
+        loop {
+            if let Some(state) = self.state.get() {
+                return state;
+            }
+            self.state_notification.notified().await;
+        }
+    }
+
+    /// Starts a run.
+    pub fn start(&self, request: RequestId, class: Arc<str>, body: Rc<[u8]>) {
+        self.send(|out| runtime::start(out, &request.to_string(), &class, &body));
+        self.runs.borrow_mut().start(request, class, body, self.is_synchronized.get());
+    }
+
+    /// Stops a run.
+    pub fn stop(&self, request: RequestId) {
+        self.send(|out| runtime::stop(out, &request.to_string()));
+        self.runs.borrow_mut().stop(request);
+    }
+
+    /// Gives a run the reply of its call.
+    pub fn give(&self, request: RequestId, reply: Vec<u8>) {
+        self.send(|out| runtime::give(out, &request.to_string(), &reply));
+        self.runs.borrow_mut().give(request, reply, self.gauge_query.latest());
+    }
+
+    fn send(&self, write: impl FnOnce(&mut Vec<u8>)) {
+        if self.is_synchronized.get() {
+            write(&mut self.out.borrow_mut());
+            self.out_notification.notify_one();
+        }
+    }
+
+    /// Keeps the link up for ever; follows the worker's address at once when a new configuration moves it.
+    pub async fn run(self: Rc<Self>) {
+        loop {
+            let address = self.endpoints.current().worker;
+            tokio::select! {
+                () = self.keep_connected(address) => {}
+                () = self.endpoints.moved_from(|at| at.worker, address) => {
+                    self.is_synchronized.set(false);
+                    let to = self.endpoints.current().worker;
+                    log::info!(last = self.last_notice.get(), to:%; "worker link moves");
+                }
+            }
+        }
+    }
+
+    async fn keep_connected(&self, address: SocketAddr) {
+        let mut pause = RECONNECT_PAUSE;
+        let mut connect_timeout = CONNECT_TIMEOUT;
+        loop {
+            match timeout(to_std(connect_timeout), TcpStream::connect(address)).await {
+                Ok(Ok(stream)) => {
+                    pause = RECONNECT_PAUSE;
+                    let why = self.serve(stream).await;
+                    self.is_synchronized.set(false);
+                    log::warn!(last = self.last_notice.get(), why:%; "worker link broke");
+                }
+                Ok(Err(_)) => log::debug!("worker link refused"),
+                Err(_) => connect_timeout = (connect_timeout + connect_timeout).min(MAX_CONNECT_TIMEOUT),
+            }
+            sleep(pause).await;
+            pause = (pause + pause).min(MAX_RECONNECT_PAUSE);
+        }
+    }
+
+    /// Serves one connection until it ends.
+    async fn serve(&self, mut stream: TcpStream) -> LinkError {
+        let _ = stream.set_nodelay(true);
+        let connection = self.replay.begin();
+        let (read, mut write) = stream.split();
+        // The buffer's capacity stays in use; commands from before are in the run table.
+        let mut out = std::mem::take(&mut *self.out.borrow_mut());
+        out.clear();
+        runtime::sync(&mut out, self.last_notice.get());
+        if let Err(why) = write.write_all(&out).await {
+            return why.into();
+        }
+        let result = tokio::select! {
+            result = self.read_notices(read) => result,
+            result = self.write_commands(write, connection) => result,
+        };
+        match result {
+            Ok(never) => match never {},
+            Err(why) => why,
+        }
+    }
+
+    async fn read_notices(&self, mut read: ReadHalf<'_>) -> Result<Infallible, LinkError> {
+        let mut buffer = Buffer::default();
+        loop {
+            let idle_timeout = if self.is_synchronized.get() { IDLE_TIMEOUT } else { UNREADY_IDLE_TIMEOUT };
+            let reading = timeout(to_std(idle_timeout), read.read_buf(buffer.room()));
+            let count = reading.await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()))?;
+            if count == 0 {
+                return Err(LinkError::Closed);
+            }
+            if self.is_synchronized.get() {
+                self.last_received.set(Some(self.dispatcher.clock.monotonic()));
+            }
+            self.handle_notices(&mut buffer)?;
+        }
+    }
+
+    fn handle_notices(&self, buffer: &mut Buffer) -> Result<(), LinkError> {
+        loop {
+            let read = runtime::read(buffer.unread(), &mut Notices(self));
+            match read.map_err(|why| LinkError::InvalidNotice(why.to_string()))? {
+                Some(length) => buffer.take(length),
+                None => return Ok(()),
+            }
+        }
+    }
+
+    async fn write_commands(
+        &self,
+        mut write: WriteHalf<'_>,
+        connection: u64,
+    ) -> Result<Infallible, LinkError> {
+        self.ready().await;
+        let mut out = Vec::new();
+        runtime::gauges(&mut out, &Replay::tag(connection));
+        write.write_all(&out).await?;
+        out.clear();
+        let replay = timeout(to_std(REPLAY_TIMEOUT), self.replay.ended(connection));
+        replay.await.map_err(|_| LinkError::ReplayTimedOut)?;
+        self.resend(&mut out);
+        self.is_synchronized.set(true);
+        loop {
+            write.write_all(&out).await?;
+            out.clear();
+            self.out_notification.notified().await;
+            tokio::task::yield_now().await;
+            std::mem::swap(&mut out, &mut *self.out.borrow_mut());
+        }
+    }
+
+    /// Writes the commands that the replayed notices did not answer.
+    fn resend(&self, out: &mut Vec<u8>) {
+        let mut runs = self.runs.borrow_mut();
+        let again = runs.resend(out, self.gauge_query.last_answered());
+        log::info!(last = self.last_notice.get(), runs = runs.len(), again; "worker link up");
+    }
+
+    /// Calls the controller's timer whenever it is due, with gauges if they come in time.
+    pub async fn run_timer(self: Rc<Self>) {
+        loop {
+            let Some(at) = self.dispatcher.timer.take() else {
+                self.dispatcher.timer_set.notified().await;
+                continue;
+            };
+            self.dispatcher.clock.sleep_until(at).await;
+            let values = timeout(to_std(GAUGES_TIMEOUT), self.query_gauges()).await.unwrap_or_default();
+            let gauges: Vec<_> = self.gauge_names.iter().map(String::as_str).zip(values).collect();
+            self.dispatcher.report(|controller, now| controller.timer(now, &gauges));
+        }
+    }
+
+    async fn query_gauges(&self) -> Vec<f64> {
+        let query = self.gauge_query.begin();
+        self.send(|out| runtime::gauges(out, &query.to_string()));
+        self.gauge_query.values().await
+    }
+
+    /// Takes the worker's state; one that started after the last notice is another process.
+    pub(super) fn worker_ready(&self, state: WorkerState) {
+        let started = self.dispatcher.clock.monotonic().back(state.uptime);
+        if self.last_received.get().is_some_and(|last_received| started > last_received) {
+            self.worker_restarted();
+        }
+        if self.state.replace(Some(state)).is_none() {
+            log::info!(hot = state.is_warm, up_ms = to_std(state.uptime).as_millis() as u64; "worker ready");
+        }
+        self.state_notification.notify_waiters();
+    }
+
+    /// The new process numbers its notices from 1, and what the former one was sent may have run.
+    fn worker_restarted(&self) {
+        self.last_notice.set(0);
+        let failed = self.runs.borrow_mut().take_sent();
+        log::warn!(runs = failed.len(); "worker restarted");
+        for request in failed {
+            self.dispatcher.deliver(request, RequestEvent::Finished(Completion::failed()));
+        }
+    }
+
+    /// Whether a notice is new; one that a replay repeats is not.
+    pub(super) fn is_new_notice(&self, number: u64) -> bool {
+        let is_new = number > self.last_notice.get();
+        self.last_notice.set(number.max(self.last_notice.get()));
+        is_new
+    }
+}
--- /dev/null
+++ b/crates/hazelspur-server/src/upstream/worker/notices.rs
@@ -0,0 +1,66 @@
+//! Handles the worker's notices as they are decoded.
+
+use super::link::{WorkerLink, WorkerState};
+use crate::request::event::{Completion, RequestEvent};
+use hazelspur::{Duration, Outcome, RequestId};
+use hazelspur_parsers::runtime::Listener;
+
+/// The notices of one connection.
+pub(super) struct Notices<'a>(pub(super) &'a WorkerLink);
+
+impl Notices<'_> {
+    /// The request of a notice; `None` if the notice was received before, over this connection or another.
+    fn request_of_new_notice(&self, number: u64, id: &str) -> Option<RequestId> {
+        let request = RequestId::padded(id)?;
+        self.0.is_new_notice(number).then_some(request)
+    }
+}
+
+impl Listener for Notices<'_> {
+    fn ready(&mut self, hot: bool, since_ms: u64) {
+        self.0.worker_ready(WorkerState { is_warm: hot, uptime: Duration::from_ms(since_ms) });
+    }
+
+    fn end(&mut self, number: u64, id: &str, end: &str, result: &[u8]) {
+        let Some(request) = self.request_of_new_notice(number, id) else { return };
+        let completion = Completion { outcome: outcome(end), result: result.into() };
+        self.0.runs.borrow_mut().remove(request);
+        self.0.dispatcher.deliver(request, RequestEvent::Finished(completion));
+    }
+
+    fn wants(&mut self, number: u64, id: &str, body: &[u8]) {
+        let Some(request) = self.request_of_new_notice(number, id) else { return };
+        self.0.runs.borrow_mut().call_requested(request);
+        self.0.dispatcher.deliver(request, RequestEvent::CallRequested(body.to_vec()));
+    }
+
+    fn load(&mut self, tag: &str, values: &[f64]) {
+        if !self.0.replay.answered(tag) {
+            self.0.gauge_query.answer(tag, values);
+        }
+    }
+
+    fn nack(&mut self, command: &str, id: &str) {
+        // At debug level only: anybody may send requests that the worker does not know.
+        log::debug!(command, id; "worker rejected a command");
+        let Some(request) = RequestId::padded(id) else { return };
+        if command == "start" && self.0.runs.borrow_mut().remove(request) {
+            self.0.dispatcher.deliver(request, RequestEvent::UnknownToWorker);
+        }
+    }
+
+    fn info(&mut self, number: u64, text: &str) {
+        if self.0.is_new_notice(number) {
+            log::debug!("worker info {text}");
+        }
+    }
+}
+
+fn outcome(end: &str) -> Outcome {
+    match end {
+        "complete" => Outcome::Ok,
+        "cancelled" => Outcome::Preempted,
+        "unknown" => Outcome::NeverStarted,
+        _ => Outcome::Error,
+    }
+}
--- /dev/null
+++ b/crates/hazelspur-server/src/upstream/worker/runs.rs
@@ -0,0 +1,111 @@
+//! The runs that were started and have not ended, with the commands that no notice has answered yet.
+//!
+//! Invariant: after a new connection has replayed its notices, exactly these commands go out again.
+
+use hazelspur::RequestId;
+use hazelspur_parsers::runtime;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::sync::Arc;
+
+/// The reply that a run was last given.
+struct GivenReply {
+    reply: Vec<u8>,
+    /// The gauge query that was the latest then; its answer shows that the worker has read the reply.
+    gauge_query: u64,
+}
+
+/// A run and its unanswered commands.
+struct Run {
+    class: Arc<str>,
+    body: Rc<[u8]>,
+    start_unanswered: bool,
+    /// Whether its start was sent over any connection.
+    start_sent: bool,
+    given: Option<GivenReply>,
+    stopped: bool,
+}
+
+impl Run {
+    /// Writes the commands that the worker has not answered and may not have read.
+    fn resend(&mut self, out: &mut Vec<u8>, request: RequestId, answered_gauge_query: u64) {
+        let id = request.to_string();
+        self.start_sent = true;
+        if self.start_unanswered {
+            runtime::start(out, &id, &self.class, &self.body);
+        }
+        // A reply that was read must not be given again: the run may have made another call since.
+        if let Some(given) = &self.given
+            && given.gauge_query >= answered_gauge_query
+        {
+            runtime::give(out, &id, &given.reply);
+        }
+        if self.stopped {
+            runtime::stop(out, &id);
+        }
+    }
+}
+
+/// All runs that have not ended.
+#[derive(Default)]
+pub(super) struct RunTable {
+    runs: BTreeMap<RequestId, Run>,
+}
+
+impl RunTable {
+    /// How many runs there are.
+    pub(super) fn len(&self) -> usize {
+        self.runs.len()
+    }
+
+    /// Records the start of a run, and whether it was sent.
+    pub(super) fn start(&mut self, request: RequestId, class: Arc<str>, body: Rc<[u8]>, start_sent: bool) {
+        let run = Run { class, body, start_unanswered: true, start_sent, given: None, stopped: false };
+        self.runs.insert(request, run);
+    }
+
+    /// Records that a run was told to stop.
+    pub(super) fn stop(&mut self, request: RequestId) {
+        if let Some(run) = self.runs.get_mut(&request) {
+            run.stopped = true;
+        }
+    }
+
+    /// Records a reply for a run, and the latest gauge query.
+    pub(super) fn give(&mut self, request: RequestId, reply: Vec<u8>, gauge_query: u64) {
+        if let Some(run) = self.runs.get_mut(&request) {
+            run.given = Some(GivenReply { reply, gauge_query });
+        }
+    }
+
+    /// Records that a run asked for a call, which answers all commands but a stop.
+    pub(super) fn call_requested(&mut self, request: RequestId) {
+        if let Some(run) = self.runs.get_mut(&request) {
+            run.start_unanswered = false;
+            run.given = None;
+        }
+    }
+
+    /// Removes a run that ended; says whether it was there.
+    pub(super) fn remove(&mut self, request: RequestId) -> bool {
+        self.runs.remove(&request).is_some()
+    }
+
+    /// Removes all runs whose start was sent, and returns their ids in order.
+    pub(super) fn take_sent(&mut self) -> Vec<RequestId> {
+        let sent = self.runs.iter().filter(|(_, run)| run.start_sent).map(|(request, _)| *request).collect();
+        self.runs.retain(|_, run| !run.start_sent);
+        sent
+    }
+
+    /// Writes every unanswered command; returns of how many runs.
+    pub(super) fn resend(&mut self, out: &mut Vec<u8>, answered_gauge_query: u64) -> usize {
+        let mut resent = 0;
+        for (request, run) in &mut self.runs {
+            let length_before = out.len();
+            run.resend(out, *request, answered_gauge_query);
+            resent += usize::from(out.len() > length_before);
+        }
+        resent
+    }
+}
