--- a/crates/hazelspur-server/src/ingress/queues.rs
+++ b/crates/hazelspur-server/src/ingress/queues.rs
@@ -1,21 +1,26 @@
 //! The front that consumes queues over AMQP 0-9-1: one connection, a channel for each queue and one to publish
-//! on. What came is told to `Book`, which decides how each delivery is settled; whether and when it runs is
+//! on. What came is told to `DeliveryTracker`, which decides how each delivery is settled; whether and when it runs is
 //! decided by the module, as for every request.
 
-use crate::clock::{long, sleep};
-use crate::config::operator::{Amqp, Operator, Queue, SentBy, Settle};
-use crate::config::phases::{Phase, Phases};
-use crate::request::deduplication::{Found, IdempotentWithKey, Key};
-use crate::request::dispatcher::News;
-use crate::request::life::{LONGEST_BODY, Life, Read, Services};
-use crate::request::owed::{Front, MayRun, Owed};
+use crate::clock::{sleep, to_std};
+use crate::config::operator::{AmqpConfig, OperatorConfig, QueueConfig, SentTimeSource, SettleOrder};
+use crate::process::phases::{Phase, Phases};
+use crate::request::deduplication::{DeduplicationKey, Lookup, Owner, ReceivedAttempt};
+use crate::request::dispatcher::ResponseCounts;
+use crate::request::event::RequestEvent;
+use crate::request::lifecycle::{MAX_BODY_LENGTH, ReceivedRequest, RequestLifecycle, RetryOf, Services};
+use crate::request::responder::{Responder, ResponseSink, RunPermission};
 use hazelspur::{
     Catalog, ClientId, Duration, RequestClass, RequestClassId, RequestId, SessionKey, TenantId, Timestamp,
 };
-use hazelspur_amqp::session::Phase as Talk;
-use hazelspur_amqp::{Field, Listener, Properties, Session, Table, TableWriter, Terms};
+use hazelspur_amqp::{
+    Connection, ConnectionHandler, ConnectionSettings, ConnectionState, Credentials, FieldValue,
+    IncomingDelivery, OutgoingMessage, Properties, TableWriter,
+};
 use hazelspur_deliveries::{
-    Arrived, Book, Brokers, DeliveryId, Ending, Link, Memory, QueueId, Step, Tag, Window, book,
+    BrokerSelector, ConnectionNumber, DeliveryAction, DeliveryId, DeliveryOutcome, DeliveryTag,
+    DeliveryTracker, MessageCache, MessageCacheLimits, PrefetchWindow, QueueId, QueueSettings,
+    ReceivedDelivery,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -60,7 +65,7 @@
     terms: Rc<RequestClass>,
     tenant: TenantId,
     user: Option<SessionKey>,
-    key: Option<Key>,
+    key: Option<DeduplicationKey>,
     kb: f64,
 }
 
@@ -68,19 +73,19 @@
     services: Rc<Services>,
     phases: Rc<Phases>,
     catalog: Rc<RefCell<Catalog>>,
-    amqp: Amqp,
-    queues: Vec<Queue>,
+    amqp: AmqpConfig,
+    queues: Vec<QueueConfig>,
     name: String,
-    book: RefCell<Book>,
-    brokers: RefCell<Brokers>,
-    windows: RefCell<Vec<Window>>,
+    book: RefCell<DeliveryTracker>,
+    brokers: RefCell<BrokerSelector>,
+    windows: RefCell<Vec<PrefetchWindow>>,
     parts: RefCell<BTreeMap<DeliveryId, Parts>>,
     begins: RefCell<BTreeMap<DeliveryId, oneshot::Sender<bool>>>,
     stirred: Notify,
-    link: Cell<Link>,
+    link: Cell<ConnectionNumber>,
     last_op: Cell<u64>,
     born: Timestamp,
-    counted: Cell<(u32, u32)>,
+    counted: Cell<ResponseCounts>,
     /// The broker in use is no longer in the operator's file.
     moving: Cell<bool>,
     leaving: Cell<bool>,
@@ -91,8 +96,8 @@
 
 /// One connection's session with what is to be asked on it again.
 struct Linked {
-    session: Session,
-    link: Link,
+    session: Connection,
+    link: ConnectionNumber,
     again: BTreeMap<u16, (Timestamp, Duration)>,
     /// Since when it is being left in good order.
     leaving: Option<Timestamp>,
@@ -103,29 +108,36 @@
         services: Rc<Services>,
         phases: Rc<Phases>,
         catalog: Rc<RefCell<Catalog>>,
-        amqp: &Amqp,
-        operator: &Operator,
+        amqp: &AmqpConfig,
+        operator: &OperatorConfig,
         (name, seed): (&str, u64),
     ) -> Rc<Self> {
         let now = services.dispatcher.clock.now();
         let queues = operator.queues.clone();
-        let terms = queues
-            .iter()
-            .map(|queue| book::Terms { table: queue.table(), settle_first: queue.settle == Settle::Before });
+        let terms = queues.iter().map(|queue| QueueSettings {
+            settlements: queue.table(),
+            settle_before_run: queue.settle == SettleOrder::Before,
+        });
         let terms = terms.collect();
-        let memory = Memory::new(Duration::from_secs(amqp.memory_s), amqp.memory_entries, amqp.memory_bytes);
+        let memory = MessageCache::new(MessageCacheLimits {
+            retention: Duration::from_secs(amqp.memory_s),
+            max_entries: amqp.memory_entries,
+            max_bytes: amqp.memory_bytes,
+        });
         Rc::new_cyclic(|own| Self {
             own: own.clone(),
             sampled: Cell::new(now),
-            book: RefCell::new(Book::new(terms, memory)),
+            book: RefCell::new(DeliveryTracker::new(terms, memory)),
             // Instances that start together must not draw the same chances.
-            brokers: RefCell::new(Brokers::new(
+            brokers: RefCell::new(BrokerSelector::new(
                 &amqp.brokers,
-                Duration::from_secs(amqp.spread_s),
+                Duration::from_secs(amqp.reconnect_spread_s),
                 seed ^ now.us(),
                 now,
             )),
-            windows: RefCell::new(queues.iter().map(|q| Window::new(q.rule(), q.most, now)).collect()),
+            windows: RefCell::new(
+                queues.iter().map(|q| PrefetchWindow::new(q.rule(), q.max_unsettled, now)).collect(),
+            ),
             parts: RefCell::default(),
             begins: RefCell::default(),
             stirred: Notify::new(),
@@ -151,15 +163,15 @@
     }
 
     /// Other brokers hold from now on; what is in hand is settled where it came from, if that goes quickly.
-    pub fn move_to(&self, operator: &Operator) {
+    pub fn move_to(&self, operator: &OperatorConfig) {
         let Some(amqp) = &operator.amqp else {
             return log::warn!("the consumer stays as it is until the next start: no amqp(...) in the file");
         };
-        let plain = |a: &Amqp| Amqp { brokers: Vec::new(), ..a.clone() };
+        let plain = |a: &AmqpConfig| AmqpConfig { brokers: Vec::new(), ..a.clone() };
         if plain(amqp) != plain(&self.amqp) || operator.queues != self.queues {
             log::warn!("reload leaves to the next start: amqp and queues but for amqp.brokers");
         }
-        let moved = self.brokers.borrow_mut().move_to(self.now(), &amqp.brokers);
+        let moved = self.brokers.borrow_mut().replace_addresses(self.now(), &amqp.brokers);
         self.moving.set(self.moving.get() || moved);
         log::info!(brokers = amqp.brokers.len(), moved; "brokers reloaded");
         self.stirred.notify_one();
@@ -181,20 +193,21 @@
         self.lose();
         while self.until_next_try().await {
             let address = self.brokers.borrow().address();
-            let connecting = tokio::time::timeout(long(CONNECTING), TcpStream::connect(address));
+            let connecting = tokio::time::timeout(to_std(CONNECTING), TcpStream::connect(address));
             let (why, refused) = match connecting.await {
                 Ok(Ok(stream)) => self.serve(stream).await,
                 Ok(Err(e)) => (e.to_string(), false),
                 Err(_) => ("no connection in time".into(), false),
             };
-            if self.leaving.get() && self.book.borrow().in_hand() == 0 {
+            if self.leaving.get() && self.book.borrow().active() == 0 {
                 break;
             }
-            let (open, figures) = (self.book.borrow().in_hand(), self.book.borrow().figures);
-            let moved_on = !self.moving.take() && self.brokers.borrow_mut().lost(self.now(), refused);
-            let wait_ms = (self.brokers.borrow().next_try() - self.now()).us() / 1000;
+            let (open, figures) = (self.book.borrow().active(), self.book.borrow().counters());
+            let moved_on =
+                !self.moving.take() && self.brokers.borrow_mut().connection_failed(self.now(), refused);
+            let wait_ms = (self.brokers.borrow().next_attempt() - self.now()).us() / 1000;
             let next = self.brokers.borrow().address();
-            log::warn!(address:%, why:%, in_hand = open, read = figures.read, next:%, moved_on, wait_ms;
+            log::warn!(address:%, why:%, in_hand = open, read = figures.received, next:%, moved_on, wait_ms;
                 "broker lost");
         }
         self.over.set(true);
@@ -202,9 +215,9 @@
 
     /// What became of all that was read, in one line.
     pub fn tell_figures(&self) {
-        let (figures, in_hand) = (self.book.borrow().figures, self.book.borrow().in_hand());
-        log::info!(in_hand, read = figures.read, acked = figures.acked, rejected = figures.rejected,
-            requeued = figures.requeued, retried = figures.retried, replies_lost = figures.replies_lost, unproven = figures.unproven;
+        let (figures, in_hand) = (self.book.borrow().counters(), self.book.borrow().active());
+        log::info!(in_hand, read = figures.received, acked = figures.acked, rejected = figures.rejected,
+            requeued = figures.requeued, retried = figures.retried, replies_lost = figures.replies_lost, unproven = figures.acked_without_run;
             "queues left");
     }
 
@@ -214,14 +227,14 @@
             self.note_leaving();
             self.pull(None);
             let leaving = self.leaving.get();
-            if leaving && self.book.borrow().in_hand() == 0 {
+            if leaving && self.book.borrow().active() == 0 {
                 return false;
             }
-            let wanted = !leaving || self.book.borrow().owes_replies();
+            let wanted = !leaving || self.book.borrow().has_pending_replies();
             if leaving {
-                self.brokers.borrow_mut().hurry(self.now());
+                self.brokers.borrow_mut().hasten(self.now());
             }
-            let (now, at) = (self.now(), self.brokers.borrow().next_try());
+            let (now, at) = (self.now(), self.brokers.borrow().next_attempt());
             if wanted && at <= now {
                 return true;
             }
@@ -242,33 +255,40 @@
 
     fn lose(&self) {
         let mut book = self.book.borrow_mut();
-        book.lost(self.link.get(), None);
-        book.can_publish(false);
+        book.connection_lost(self.link.get());
+        book.set_publishing_ready(false);
     }
 
     /// Talks with one broker until the connection ends; why it did, and whether the broker won't have us.
     async fn serve(&self, mut stream: TcpStream) -> (String, bool) {
         let _ = stream.set_nodelay(true);
-        self.link.set(Link(self.link.get().0 + 1));
-        let terms = Terms {
-            login: self.amqp.user.clone().map(|user| (user, self.amqp.password.clone())),
-            vhost: self.amqp.vhost.clone(),
-            name: self.name.clone(),
+        self.link.set(ConnectionNumber(self.link.get().0 + 1));
+        let credentials =
+            self.amqp.user.clone().map(|user| Credentials { user, password: self.amqp.password.clone() });
+        let terms = ConnectionSettings {
+            credentials,
+            virtual_host: self.amqp.vhost.clone(),
+            connection_name: self.name.clone(),
             heartbeat: Duration::from_secs(self.amqp.heartbeat_s),
-            longest_frame: self.amqp.longest_frame,
-            most_unsettled: self.queues.iter().map(|queue| usize::from(queue.most)).max().unwrap_or(1),
-            channels: self.publishing_on(),
+            max_frame_bytes: self.amqp.max_frame_bytes,
+            max_unsettled: self
+                .queues
+                .iter()
+                .map(|queue| usize::from(queue.max_unsettled))
+                .max()
+                .unwrap_or(1),
+            max_channel: self.publishing_on(),
         };
-        let session = Session::new(terms, self.now());
+        let session = Connection::new(terms, self.now());
         let mut linked = Linked { session, link: self.link.get(), again: BTreeMap::new(), leaving: None };
         let (mut read, mut write) = stream.split();
         let (mut out, mut written, mut opened) = (Vec::new(), 0, false);
-        while linked.session.phase() != Talk::Over || written < out.len() {
+        while linked.session.state() != ConnectionState::Over || written < out.len() {
             self.steer(&mut linked);
             if written == out.len() {
-                (out, written) = (linked.session.out(self.now()), 0);
+                (out, written) = (linked.session.take_output(self.now()), 0);
             }
-            let over = linked.session.phase() == Talk::Over;
+            let over = linked.session.state() == ConnectionState::Over;
             if over && out.is_empty() {
                 break;
             }
@@ -276,17 +296,17 @@
             tokio::select! {
                 biased;
                 // Backpressure: a broker that does not read is not read either.
-                came = read.read_buf(linked.session.room()), if !over && out.len() - written < MAX_UNWRITTEN => {
+                came = read.read_buf(linked.session.input_buffer()), if !over && out.len() - written < MAX_UNWRITTEN => {
                     match came {
-                        Ok(0) => linked.session.cut("closed without a word"),
+                        Ok(0) => linked.session.transport_closed("closed without a word"),
                         Ok(_) => self.hear(&mut linked),
-                        Err(e) => linked.session.cut(&e.to_string()),
+                        Err(e) => linked.session.transport_closed(&e.to_string()),
                     }
                 }
                 wrote = write.write(&out[written..]), if written < out.len() => match wrote {
                     Ok(count) => written += count,
                     Err(e) => {
-                        linked.session.cut(&e.to_string());
+                        linked.session.transport_closed(&e.to_string());
                         written = out.len();
                     }
                 },
@@ -300,23 +320,23 @@
                     linked.session.tick(self.now());
                 }
             }
-            if linked.session.phase() == Talk::Open && !opened {
+            if linked.session.state() == ConnectionState::Open && !opened {
                 opened = true;
-                self.brokers.borrow_mut().up(self.now());
+                self.brokers.borrow_mut().connected(self.now());
             }
         }
-        if linked.session.stale > 0 {
-            log::error!(count = linked.session.stale; "tags that were not open any more were not settled");
+        if linked.session.stale_settlements() > 0 {
+            log::error!(count = linked.session.stale_settlements(); "tags that were not open any more were not settled");
         }
         self.lose();
         self.pull(None);
-        let why = linked.session.ended().unwrap_or("closed").to_string();
-        (why, !opened && linked.session.phase() == Talk::Over && linked.session.was_refused())
+        let why = linked.session.end().map_or_else(|| "closed".into(), ToString::to_string);
+        (why, !opened && linked.session.state() == ConnectionState::Over && linked.session.was_refused())
     }
 
     fn next_look(&self, linked: &Linked) -> Timestamp {
         let again = linked.again.values().map(|(at, _)| *at).min();
-        let times = [linked.session.next_tick(), self.book.borrow().next_time(), again];
+        let times = [linked.session.next_tick(), self.book.borrow().next_deadline(), again];
         times.into_iter().flatten().min().unwrap_or(Timestamp::from_us(u64::MAX)).min(self.now() + ROUND)
     }
 
@@ -331,7 +351,7 @@
             ready: Vec::new(),
             ended: Vec::new(),
         };
-        linked.session.take(now, &mut ears);
+        linked.session.process_input(now, &mut ears);
         let SessionEvents { opened, ready, ended, .. } = ears;
         if opened {
             log::info!(broker:% = self.brokers.borrow().address(), queues = self.queues.len(); "broker open");
@@ -340,7 +360,7 @@
         }
         for channel in ready {
             if channel == self.publishing_on() {
-                self.book.borrow_mut().can_publish(true);
+                self.book.borrow_mut().set_publishing_ready(true);
             } else {
                 log::info!(queue = self.queues[usize::from(channel) - 1].name.as_str(); "queue consumed");
             }
@@ -354,9 +374,9 @@
             let again_ms = pause.us() / 1000;
             log::warn!(queue, closed, why:%, again_ms; "queue taken away");
             if closed && channel == self.publishing_on() {
-                self.book.borrow_mut().publishing_refused(now);
+                self.book.borrow_mut().publishing_channel_closed(now);
             } else if closed {
-                self.book.borrow_mut().lost(linked.link, Some(channel));
+                self.book.borrow_mut().channel_lost(linked.link, channel);
             }
         }
     }
@@ -365,18 +385,18 @@
     fn steer(&self, linked: &mut Linked) {
         self.note_leaving();
         self.pull(Some(linked));
-        if linked.session.phase() != Talk::Open {
+        if linked.session.state() != ConnectionState::Open {
             return;
         }
         let now = self.now();
         if self.leaving.get() || self.moving.get() {
             if linked.leaving.is_none() {
                 linked.leaving = Some(now);
-                (1..self.publishing_on()).for_each(|channel| linked.session.cancel(channel));
-                log::info!(in_hand = self.book.borrow().in_hand(), moving = self.moving.get();
+                (1..self.publishing_on()).for_each(|channel| linked.session.cancel_consumer(channel));
+                log::info!(in_hand = self.book.borrow().active(), moving = self.moving.get();
                     "no more deliveries are taken");
             }
-            let settled = self.book.borrow().in_hand() == 0;
+            let settled = self.book.borrow().active() == 0;
             let waited = linked.leaving.is_some_and(|since| now - since >= MOVE_WITHIN);
             if settled || (self.moving.get() && waited) {
                 linked.session.close(now);
@@ -393,88 +413,91 @@
             }
             match self.queues.get(usize::from(channel) - 1) {
                 Some(queue) => {
-                    let window = self.windows.borrow()[usize::from(channel) - 1].size();
-                    linked.session.resume(channel);
+                    let window = self.windows.borrow()[usize::from(channel) - 1].window();
+                    linked.session.resume_consumer(channel);
                     linked.session.consume(channel, &queue.name, window);
                 }
-                None => linked.session.publish_on(channel),
+                None => linked.session.open_publishing_channel(channel),
             }
         }
         if now - self.sampled.get() < SAMPLE {
             return;
         }
         self.sampled.set(now);
-        let (counts, before) = (self.services.dispatcher.counts.get(), self.counted.get());
+        let (counts, before) = (self.services.dispatcher.response_counts.get(), self.counted.get());
         self.counted.set(counts);
-        let (mut book, spare) = (self.book.borrow_mut(), self.services.dispatcher.spare());
+        let (mut book, spare) = (self.book.borrow_mut(), self.services.dispatcher.spare_capacity());
         for (i, window) in self.windows.borrow_mut().iter_mut().enumerate() {
-            window.outcomes(counts.0.wrapping_sub(before.0), counts.1.wrapping_sub(before.1));
-            let open = book.open_in(QueueId(i));
-            window.open(open);
-            let size = window.next(now, spare + open as f64);
-            book.duty(QueueId(i), window.duty());
+            window.record_outcomes(
+                counts.succeeded.wrapping_sub(before.succeeded),
+                counts.rejected.wrapping_sub(before.rejected),
+            );
+            let open = book.unsettled_in(QueueId(i));
+            window.record_unsettled(open);
+            let size = window.update(now, spare + open as f64);
+            book.set_duty_cycle(QueueId(i), window.duty_cycle());
             if let Some(size) = size {
                 log::debug!(queue = self.queues[i].name.as_str(), size; "window");
-                linked.session.window(i as u16 + 1, size);
+                linked.session.set_prefetch(i as u16 + 1, size);
             }
         }
     }
 
-    /// Pulls what `Book` decides and does it; without a connection nothing can be settled.
+    /// Pulls what `DeliveryTracker` decides and does it; without a connection nothing can be settled.
     fn pull(&self, mut linked: Option<&mut Linked>) {
         loop {
             let now = self.now();
-            let Some(step) = self.book.borrow_mut().next_step(now) else { return };
+            let Some(step) = self.book.borrow_mut().next_action(now) else { return };
             log::trace!("delivery step {step:?}");
             match step {
-                Step::Offer(id) => self.offer(now, id),
-                Step::Withdraw(id) => {
+                DeliveryAction::Submit(id) => self.offer(now, id),
+                DeliveryAction::Abandon(id) => {
                     let request = self.parts.borrow().get(&id).map(|parts| parts.request);
-                    request
-                        .into_iter()
-                        .for_each(|request| self.services.dispatcher.hand(request, News::Gone));
+                    request.into_iter().for_each(|request| {
+                        self.services.dispatcher.deliver(request, RequestEvent::ClientGone)
+                    });
                 }
-                Step::Begin(id, may) => {
+                DeliveryAction::ResolveRun { id, permitted: may } => {
                     // The request's task may have ended meanwhile.
                     let begin = self.begins.borrow_mut().remove(&id);
                     let _ = begin.map(|begin| begin.send(may));
                 }
-                Step::Ack(tag) => on(&mut linked, tag, |session| session.ack(tag.channel, tag.tag)),
-                Step::Reject(tag) => {
+                DeliveryAction::Ack(tag) => on(&mut linked, tag, |session| session.ack(tag.channel, tag.tag)),
+                DeliveryAction::Reject(tag) => {
                     on(&mut linked, tag, |session| session.reject(tag.channel, tag.tag, false));
                 }
-                Step::Requeue(tag) => {
+                DeliveryAction::Requeue(tag) => {
                     on(&mut linked, tag, |session| session.reject(tag.channel, tag.tag, true));
                 }
-                Step::Fence(tag, id) => {
+                DeliveryAction::Fence { tag, id } => {
                     let mut out = false;
                     on(&mut linked, tag, |session| {
-                        out = session.fence(tag.channel, id.0);
+                        out = session.send_fence(tag.channel, id.0);
                         out
                     });
                     if !out {
-                        self.book.borrow_mut().unfenced(id);
+                        self.book.borrow_mut().fence_lost(id);
                     }
                 }
-                Step::Reply(id, ending, result) => {
+                DeliveryAction::PublishReply { id, outcome: ending, result } => {
                     let sent = linked
                         .as_deref_mut()
                         .is_some_and(|l| self.reply(&mut l.session, id, ending, &result));
                     if !sent {
-                        self.book.borrow_mut().confirmed(now, id, false);
+                        self.book.borrow_mut().publish_confirmed(now, id, false);
                     }
                 }
-                Step::Retry(id, pause, tries) => {
+                DeliveryAction::PublishRetry { id, delay: pause, attempts: tries } => {
                     let sent =
                         linked.as_deref_mut().is_some_and(|l| self.retry(&mut l.session, id, pause, tries));
                     if !sent {
-                        self.book.borrow_mut().confirmed(now, id, false);
+                        self.book.borrow_mut().publish_confirmed(now, id, false);
                     }
                 }
-                Step::Forget(id, ending) => {
+                DeliveryAction::Release { id, outcome: ending } => {
                     let parts = self.parts.borrow_mut().remove(&id);
                     if let Some(parts) = parts.filter(|_| log::log_enabled!(log::Level::Debug)) {
-                        log::debug!(op:% = parts.request, ending = ending.name(); "delivery over");
+                        log::debug!(op:% = parts.request, ending = ending.wire_name(); "delivery over");
                     }
                 }
             }
@@ -488,86 +511,101 @@
             return log::error!("a delivery without its parts");
         };
         let (dispatcher, request) = (&self.services.dispatcher, parts.request);
-        let Some(news) = dispatcher.enroll(request) else {
+        let Some(news) = dispatcher.register(request) else {
             return log::error!(op:% = request; "an op id twice");
         };
         let keyed = read.key.clone().map(|key| {
-            let (of, body) = ((read.tenant, read.request_class), parts.body.clone());
+            let owner = Owner { tenant: read.tenant, request_class: read.request_class };
+            let body = parts.body.clone();
             dispatcher
                 .deduplication
                 .borrow_mut()
-                .read(now, IdempotentWithKey { request, key, of, arrived: now, body, vouched: true })
+                .received(now, ReceivedAttempt { request, key, owner, sent_at: now, body, trusted: true })
         });
         let retry_of = match keyed {
-            None | Some(Found::First) => None,
-            Some(Found::RepeatOf(first)) => read.key.clone().map(|key| (key, first)),
-            Some(Found::NotTheSame) => {
-                dispatcher.strike(request);
+            None | Some(Lookup::First) => None,
+            Some(Lookup::RetryOf(first)) => read.key.clone().map(|key| RetryOf { key, original: first }),
+            Some(Lookup::Conflict) => {
+                dispatcher.remove(request);
                 log::warn!(queue = self.queues[parts.queue.0].name.as_str(); "another op's message-id");
-                return self.ended(id, Ending::Failed, &[]);
+                return self.ended(id, DeliveryOutcome::Failed, &[]);
             }
         };
         let caller = Caller { front: self.this(), id };
-        let life = Life {
+        let life = RequestLifecycle {
             services: self.services.clone(),
             request,
-            terms: read.terms.clone(),
+            class: read.terms.clone(),
             body: parts.body.clone(),
             retry_of,
-            ran: false,
-            owed: Owed::new(caller, dispatcher.clone()),
-            news,
+            may_have_run: false,
+            responder: Responder::new(caller, dispatcher.clone()),
+            events: news,
         };
         let caller = ClientId(u64::MAX - parts.queue.0 as u64);
         let Readable { request_class, tenant, user, kb, .. } = *read;
-        let read = Read { request_class, tenant, user, caller, due: None, kb, arrived: now };
-        tokio::task::spawn_local(life.begin(&read).live());
+        let received = ReceivedRequest {
+            request_class,
+            tenant,
+            session: user,
+            client: caller,
+            deadline: None,
+            size_kb: kb,
+            sent_at: now,
+        };
+        tokio::task::spawn_local(life.admit(&received).run());
     }
 
-    fn reply(&self, session: &mut Session, id: DeliveryId, ending: Ending, result: &[u8]) -> bool {
+    fn reply(
+        &self,
+        session: &mut Connection,
+        id: DeliveryId,
+        ending: DeliveryOutcome,
+        result: &[u8],
+    ) -> bool {
         let parts = self.parts.borrow();
         let Some(parts) = parts.get(&id) else { return false };
         let Ok(asked) = Properties::read(&parts.properties) else { return false };
         let Some(to) = asked.reply_to else { return false };
-        let headers = TableWriter::default().text("x-outcome", ending.name());
+        let headers = TableWriter::default().text("x-outcome", ending.wire_name());
         let properties = Properties {
-            headers: Some(headers.done()),
+            headers: Some(headers.finish()),
             delivery_mode: Some(2),
             correlation_id: asked.correlation_id.or(asked.message_id),
             message_id: asked.message_id,
-            kind: asked.kind,
+            message_type: asked.message_type,
             ..Properties::default()
         };
-        session.publish(self.publishing_on(), id.0, "", to, &properties, result)
+        let message = OutgoingMessage { number: id.0, queue: to, properties, body: result };
+        session.publish(self.publishing_on(), &message)
     }
 
     /// The message as it came, to come back by the broker's own clock; what it waits for goes on from before.
-    fn retry(&self, session: &mut Session, id: DeliveryId, pause: Duration, tries: u32) -> bool {
+    fn retry(&self, session: &mut Connection, id: DeliveryId, pause: Duration, tries: u32) -> bool {
         let parts = self.parts.borrow();
         let Some(parts) = parts.get(&id) else { return false };
         let Some(queue) = &self.queues[parts.queue.0].retry_queue else { return false };
         let Ok(came) = Properties::read(&parts.properties) else { return false };
-        let rest = |table: Table<'_>| {
-            let kept = table.fields().filter(|(name, ..)| ![TRIES, SENT].contains(name));
-            kept.fold(TableWriter::default(), |out, (.., raw)| out.raw(raw))
-        };
-        let mut headers = rest(came.headers.unwrap_or_default())
-            .whole(TRIES, i64::from(tries))
-            .whole(SENT, (parts.sent.us() / 1000) as i64);
+        let mut headers = TableWriter::default()
+            .fields_except(came.headers.unwrap_or_default(), &[TRIES, SENT])
+            .integer(TRIES, i64::from(tries))
+            .integer(SENT, (parts.sent.us() / 1000) as i64);
         if came.header(WAITS).is_none()
             && let Some(waits) = came.expiration.and_then(|ms| ms.parse().ok())
         {
-            headers = headers.whole(WAITS, waits);
+            headers = headers.integer(WAITS, waits);
         }
         let expiration = (pause.us() / 1000).max(1).to_string();
-        let properties = Properties { headers: Some(headers.done()), expiration: Some(&expiration), ..came };
-        session.publish(self.publishing_on(), id.0, "", queue, &properties, &parts.body)
+        let properties =
+            Properties { headers: Some(headers.finish()), expiration: Some(&expiration), ..came };
+        let message = OutgoingMessage { number: id.0, queue, properties, body: &parts.body };
+        session.publish(self.publishing_on(), &message)
     }
 
     /// Its request has its answer.
-    fn ended(&self, id: DeliveryId, ending: Ending, result: &[u8]) {
+    fn ended(&self, id: DeliveryId, ending: DeliveryOutcome, result: &[u8]) {
         self.begins.borrow_mut().remove(&id);
-        self.book.borrow_mut().ended(self.now(), id, ending, &result.into());
+        self.book.borrow_mut().request_finished(self.now(), id, ending, &result.into());
         self.stirred.notify_one();
     }
 
@@ -575,53 +613,60 @@
     fn read(
         &self,
         now: Timestamp,
-        queue: &Queue,
+        queue: &QueueConfig,
         properties: &Properties<'_>,
         body: &[u8],
-    ) -> (Result<Readable, Ending>, Timestamp, Option<Timestamp>, u32) {
+    ) -> (Result<Readable, DeliveryOutcome>, Timestamp, Option<Timestamp>, u32) {
         let header = |name: &str| properties.header(name);
-        let ms = |field: Option<Field<'_>>| {
-            field.and_then(Field::count).map(|ms| Duration::from_us(ms.saturating_mul(1000)))
+        let ms = |field: Option<FieldValue<'_>>| {
+            field.and_then(FieldValue::unsigned).map(|ms| Duration::from_us(ms.saturating_mul(1000)))
         };
-        let stamped = match queue.clock {
-            SentBy::Reading => None,
+        let stamped = match queue.sent_time {
+            SentTimeSource::Receipt => None,
             // Whole seconds: the earliest moment that it can stand for.
-            SentBy::Publisher => header(SENT)
-                .and_then(Field::count)
+            SentTimeSource::Publisher => header(SENT)
+                .and_then(FieldValue::unsigned)
                 .map(|ms| Timestamp::from_us(ms.saturating_mul(1000)))
                 .or(properties.timestamp.map(|s| Timestamp::from_us(s.saturating_mul(1_000_000)))),
         };
         let clock = &self.services.dispatcher.clock;
-        let sent = stamped.filter(|sent| clock.stamped(*sent) <= now + AHEAD).unwrap_or(clock.wall());
+        let sent = stamped.filter(|sent| clock.local_time_of(*sent) <= now + AHEAD).unwrap_or(clock.wall());
         let waits = ms(header(WAITS))
             .or(properties
                 .expiration
                 .and_then(|ms| ms.parse().ok())
                 .map(|ms: u32| Duration::from_ms(ms.into())))
-            .or(queue.waits_s.map(Duration::from_secs));
-        let due = waits.map(|waits| clock.stamped(sent) + waits);
-        let counted = |name| header(name).and_then(Field::count).unwrap_or(0).min(u64::from(u32::MAX)) as u32;
+            .or(queue.max_wait_s.map(Duration::from_secs));
+        let due = waits.map(|waits| clock.local_time_of(sent) + waits);
+        let counted =
+            |name| header(name).and_then(FieldValue::unsigned).unwrap_or(0).min(u64::from(u32::MAX)) as u32;
         let tries = counted(TRIES).max(counted("x-delivery-count"));
         let text = |name: &str| match header(name) {
             None => Ok(None),
-            Some(field) => field.text().map(Some).ok_or(Ending::Poison),
+            Some(field) => field.text().map(Some).ok_or(DeliveryOutcome::Malformed),
         };
         let readable = || {
-            let name = queue.request_class.as_deref().or(properties.kind).ok_or(Ending::Unknown)?;
+            let name = queue
+                .request_class
+                .as_deref()
+                .or(properties.message_type)
+                .ok_or(DeliveryOutcome::UnknownClass)?;
             let catalog = self.catalog.borrow();
-            let (request_class, terms) = catalog.find_request_class(name).ok_or(Ending::Unknown)?;
-            let (tenant, tenant_name) = catalog.find_tenant(text("x-owner")?).ok_or(Ending::Poison)?;
+            let (request_class, terms) =
+                catalog.find_request_class(name).ok_or(DeliveryOutcome::UnknownClass)?;
+            let (tenant, tenant_name) =
+                catalog.find_tenant(text("x-owner")?).ok_or(DeliveryOutcome::Malformed)?;
             let kb = match header("x-need-kb") {
                 None => queue.need_kb,
-                Some(Field::Number(kb)) => kb,
-                Some(field) => field.count().map(|kb| kb as f64).ok_or(Ending::Poison)?,
+                Some(FieldValue::Float(kb)) => kb,
+                Some(field) => field.unsigned().map(|kb| kb as f64).ok_or(DeliveryOutcome::Malformed)?,
             };
-            if body.len() > LONGEST_BODY || !(kb > 0.0 && kb < 2000.0) {
-                return Err(Ending::Poison);
+            if body.len() > MAX_BODY_LENGTH || !(kb > 0.0 && kb < 2000.0) {
+                return Err(DeliveryOutcome::Malformed);
             }
             let subject = text("x-subject")?;
             let (user, op_key) = (subject.map(SessionKey::of), properties.message_id);
-            let key = Key::of(&terms, &tenant_name, op_key, op_key.or(subject));
+            let key = DeduplicationKey::of(&terms, &tenant_name, op_key, op_key.or(subject));
             Ok(Readable { request_class, terms, tenant, user, key, kb })
         };
         (readable(), sent, due, tries)
@@ -644,8 +689,8 @@
 }
 
 /// Does it on the connection that the tag is of; on any other the tag means nothing.
-fn on(linked: &mut Option<&mut Linked>, tag: Tag, act: impl FnOnce(&mut Session) -> bool) {
-    if let Some(linked) = linked.as_deref_mut().filter(|linked| linked.link == tag.link)
+fn on(linked: &mut Option<&mut Linked>, tag: DeliveryTag, act: impl FnOnce(&mut Connection) -> bool) {
+    if let Some(linked) = linked.as_deref_mut().filter(|linked| linked.link == tag.connection)
         && !act(&mut linked.session)
     {
         log::debug!("not open any more: {tag:?}");
@@ -658,32 +703,32 @@
     id: DeliveryId,
 }
 
-impl Front for Caller {
-    fn acked(&mut self, result: &[u8]) {
-        self.front.ended(self.id, Ending::Acked, result);
+impl ResponseSink for Caller {
+    fn success(&mut self, result: &[u8]) {
+        self.front.ended(self.id, DeliveryOutcome::Succeeded, result);
     }
 
     /// Where to try is the broker's choice; when, its settings leave to us.
-    fn nacked(&mut self, retry_after: Duration, _nowhere_else: bool) {
-        self.front.ended(self.id, Ending::Nacked(retry_after.max(LEAST_COME_BACK)), &[]);
+    fn rejected(&mut self, retry_after: Duration, _nowhere_else: bool) {
+        self.front.ended(self.id, DeliveryOutcome::Rejected(retry_after.max(LEAST_COME_BACK)), &[]);
     }
 
     fn failed(&mut self) {
-        self.front.ended(self.id, Ending::Failed, &[]);
+        self.front.ended(self.id, DeliveryOutcome::Failed, &[]);
     }
 
-    fn unknown(&mut self) {
-        self.front.ended(self.id, Ending::Unknown, &[]);
+    fn unknown_to_worker(&mut self) {
+        self.front.ended(self.id, DeliveryOutcome::UnknownClass, &[]);
     }
 
-    fn gone(&mut self) {}
+    fn client_gone(&mut self) {}
 
-    fn may_run(&mut self) -> MayRun {
+    fn run_permission(&mut self) -> RunPermission {
         let (begin, begins) = oneshot::channel();
         self.front.begins.borrow_mut().insert(self.id, begin);
-        self.front.book.borrow_mut().run_decided(self.front.now(), self.id);
+        self.front.book.borrow_mut().run_requested(self.front.now(), self.id);
         self.front.stirred.notify_one();
-        MayRun::Once(begins)
+        RunPermission::Awaiting(begins)
     }
 }
 
@@ -693,7 +738,7 @@
 /// Hears one session.
 struct SessionEvents<'a> {
     front: &'a Queues,
-    link: Link,
+    link: ConnectionNumber,
     now: Timestamp,
     opened: bool,
     ready: Vec<u16>,
@@ -701,72 +746,65 @@
     ended: Vec<(u16, bool, String)>,
 }
 
-impl Listener for SessionEvents<'_> {
-    fn open(&mut self) {
+impl ConnectionHandler for SessionEvents<'_> {
+    fn connection_open(&mut self) {
         self.opened = true;
     }
 
-    fn ready(&mut self, channel: u16) {
+    fn channel_ready(&mut self, channel: u16) {
         self.ready.push(channel);
     }
 
-    fn delivered(
-        &mut self,
-        channel: u16,
-        tag: u64,
-        redelivered: bool,
-        _routing_key: &str,
-        properties: &[u8],
-        body: Option<&[u8]>,
-    ) {
+    fn delivered(&mut self, delivery: &IncomingDelivery<'_>) {
+        let IncomingDelivery { channel, tag, redelivered, properties, body, .. } = *delivery;
         let (front, now, queue) = (self.front, self.now, QueueId(usize::from(channel) - 1));
         let Some(settings) = front.queues.get(queue.0) else { return };
         let decoded = Properties::read(properties).ok().filter(|_| properties.len() <= LONGEST_PROPERTIES);
         let known = decoded.unwrap_or_default();
         let (mut read, sent, due, tries) = front.read(now, settings, &known, body.unwrap_or_default());
         if decoded.is_none() || body.is_none() {
-            read = Err(Ending::Poison);
+            read = Err(DeliveryOutcome::Malformed);
         }
-        let tag = Tag { link: self.link, channel, tag };
-        let came = Arrived {
+        let tag = DeliveryTag { connection: self.link, channel, tag };
+        let came = ReceivedDelivery {
             tag,
             queue,
-            message: known.message_id,
+            message_id: known.message_id,
             redelivered,
-            repeats: read.as_ref().map(|read| read.terms.idempotency).map_err(|ending| *ending),
-            due,
-            reply: known.reply_to.is_some_and(|to| !to.is_empty()),
-            tries,
+            idempotency: read.as_ref().map(|read| read.terms.idempotency).map_err(|ending| *ending),
+            deadline: due,
+            wants_reply: known.reply_to.is_some_and(|to| !to.is_empty()),
+            previous_attempts: tries,
         };
         if let Err(ending) = &read {
             let (size, queue) = (body.map_or(0, <[u8]>::len), settings.name.as_str());
-            log::warn!(queue, ending = ending.name(), size; "a delivery that is no op");
+            log::warn!(queue, ending = ending.wire_name(), size; "a delivery that is no op");
         }
-        let id = front.book.borrow_mut().arrived(now, came);
+        let id = front.book.borrow_mut().delivery_received(now, came);
         let parts = Parts {
             request: front.next_op(),
             queue,
             read: read.ok(),
             properties: if decoded.is_some() { properties.to_vec() } else { Vec::new() },
             sent,
-            body: body.filter(|body| body.len() <= LONGEST_BODY).unwrap_or_default().into(),
+            body: body.filter(|body| body.len() <= MAX_BODY_LENGTH).unwrap_or_default().into(),
         };
         front.parts.borrow_mut().insert(id, parts);
     }
 
-    fn fenced(&mut self, _channel: u16, fence: u64) {
-        self.front.book.borrow_mut().fenced(self.now, DeliveryId(fence));
+    fn fence_answered(&mut self, _channel: u16, fence: u64) {
+        self.front.book.borrow_mut().fence_answered(self.now, DeliveryId(fence));
     }
 
-    fn confirmed(&mut self, number: u64, taken: bool) {
-        self.front.book.borrow_mut().confirmed(self.now, DeliveryId(number), taken);
+    fn publish_confirmed(&mut self, number: u64, taken: bool) {
+        self.front.book.borrow_mut().publish_confirmed(self.now, DeliveryId(number), taken);
     }
 
-    fn returned(&mut self, number: u64) {
-        self.front.book.borrow_mut().returned(DeliveryId(number));
+    fn publish_returned(&mut self, number: u64) {
+        self.front.book.borrow_mut().publish_returned(DeliveryId(number));
     }
 
-    fn cancelled(&mut self, channel: u16) {
+    fn consumer_cancelled(&mut self, channel: u16) {
         self.ended.push((channel, false, "cancelled by the broker".into()));
     }
 
@@ -774,8 +812,8 @@
         self.ended.push((channel, true, format!("{code} {why}")));
     }
 
-    fn blocked(&mut self, why: Option<&str>) {
-        self.front.book.borrow_mut().blocked(why.is_some());
+    fn publishers_blocked(&mut self, why: Option<&str>) {
+        self.front.book.borrow_mut().set_publishing_blocked(why.is_some());
         match why {
             Some(why) => log::warn!(why; "broker blocks publishers"),
             None => log::info!("broker takes from publishers again"),
