--- a/crates/hazelspur-fleet/src/shares/terms.rs
+++ b/crates/hazelspur-fleet/src/shares/terms.rs
@@ -112,7 +112,25 @@
     }
 
     pub fn print(&self) -> Print {
-        let text = format!("{self:?}");
-        Print(xxhash_rust::xxh3::xxh3_64(text.as_bytes()))
+        Print(xxhash_rust::xxh3::xxh3_64(self.canonical_text().as_bytes()))
+    }
+
+    /// The text that the fingerprint covers. Servers of other versions hash the same text: it must never change.
+    fn canonical_text(&self) -> String {
+        let Self { keepers, most, span, limits } = self;
+        let limits: Vec<String> = limits.iter().map(Limit::canonical_text).collect();
+        let (span, limits) = (span.us(), limits.join(", "));
+        format!("Terms {{ keepers: {keepers:?}, most: {most}, span: Span({span}), limits: [{limits}] }}")
+    }
+}
+
+impl Limit {
+    fn canonical_text(&self) -> String {
+        let Self { name, total, floor, linger, whole } = self;
+        let linger = linger.us();
+        let whole = whole.map_or("None".into(), |whole| format!("Some(Span({}))", whole.us()));
+        format!(
+            "Limit {{ name: {name}, total: {total:?}, floor: {floor:?}, linger: Span({linger}), whole: {whole} }}"
+        )
     }
 }
