--- a/crates/hazelspur-fleet/src/guidance.rs
+++ b/crates/hazelspur-fleet/src/guidance.rs
@@ -53,9 +53,9 @@
         }
         if self.together {
             if let Some(common) = joint.common() {
-                now.insert(GuidanceKey::RejectedShare, common.refused);
+                now.insert(GuidanceKey::RejectedShare, common.rejected_fraction);
             }
-            if !joint.gate.is_open() {
+            if !joint.breaker.is_closed() {
                 now.insert(GuidanceKey::BreakerOpen, 1.0);
             }
         }
--- a/crates/hazelspur-fleet/src/joint.rs
+++ b/crates/hazelspur-fleet/src/joint.rs
@@ -4,12 +4,12 @@
 //! Two clocks are handed in: the wall's, by which servers that can't talk find common turns and datagrams
 //! show their age, and a steady one that nobody sets, by which leases are counted.
 
-use crate::gate::{CHOSEN, Gate};
+use crate::circuit_breaker::{CircuitBreaker, DESIGNATED_PROBERS, PeerView};
+use crate::load_reports::{AggregatedLoad, FaultScope, LatencyRatioTracker, LoadReportTable, PeerLoadReport};
 use crate::members::{Members, Terms as MemberTerms};
 use crate::names::Generation;
 use crate::shares::{Life, LimitId, Print, Share, Shares, Terms as ShareTerms};
-use crate::signals::{Board, Common, Pace, Whose, Word};
-use crate::subsets::{Candidate, over_sites};
+use crate::subset::{WeightedMember, select_across_sites};
 use crate::talk::{Body, Datagram, Dropped, Shown};
 use hazelspur::{Duration, Timestamp};
 use std::net::SocketAddr;
@@ -46,13 +46,13 @@
 pub struct Joint {
     pub members: Members,
     pub shares: Option<Shares>,
-    pub gate: Gate,
+    pub breaker: CircuitBreaker,
     print: Option<Print>,
-    board: Board,
-    pace: Pace,
-    word: Word,
-    common: Option<Common>,
-    whose: Whose,
+    board: LoadReportTable,
+    latency_ratio: LatencyRatioTracker,
+    word: PeerLoadReport,
+    common: Option<AggregatedLoad>,
+    whose: FaultScope,
     /// Share of the last calls that reached nobody; the last one for three tenths of it.
     unreached: f64,
     called: Timestamp,
@@ -75,12 +75,12 @@
         Self {
             print: shares.as_ref().map(ShareTerms::print),
             shares: shares.map(|terms| Shares::new(terms, me, seed, at.steady)),
-            gate: Gate::new(me.name, "ledger", most),
-            board: Board::new(most * 2, period.scaled(WORDS_LAST)),
-            pace: Pace::default(),
-            word: Word::default(),
+            breaker: CircuitBreaker::new(me.name, "ledger", most),
+            board: LoadReportTable::new(most * 2, period.scaled(WORDS_LAST)),
+            latency_ratio: LatencyRatioTracker::default(),
+            word: PeerLoadReport::default(),
             common: None,
-            whose: Whose::None,
+            whose: FaultScope::None,
             unreached: 0.0,
             called: Timestamp::default(),
             period,
@@ -103,9 +103,9 @@
             return Ok(());
         }
         if let Some(word) = came.word {
-            self.board.heard(at.steady, came.from.name, came.from.site, word);
-            if word.sound() && word.unreached.is_some_and(|n| n < 0.5) {
-                self.gate.hint(at.wall);
+            self.board.receive(at.steady, came.from.name, came.from.site, word);
+            if word.is_valid() && word.is_reachable() {
+                self.breaker.recovery_hint(at.wall);
             }
         }
         if let (Body::Share { print, word }, Some(shares)) = (&came.body, &mut self.shares) {
@@ -124,23 +124,27 @@
     pub fn saw(&mut self, at: At, seen: Seen) {
         let lately = at.steady - self.called < LATELY;
         let share = |n: f64| if n.is_finite() { n.clamp(0.0, 1.0) as f32 } else { 0.0 };
-        self.word = Word {
-            pace: seen.call_secs.map_or(0.0, |secs| self.pace.seen(at.steady, secs)),
-            unreached: if self.gate.is_open() { lately.then(|| share(self.unreached)) } else { Some(1.0) },
-            refused: share(seen.refused),
+        self.word = PeerLoadReport {
+            latency_ratio: seen.call_secs.map_or(0.0, |secs| self.latency_ratio.observe(at.steady, secs)),
+            unreachable_fraction: if self.breaker.is_closed() {
+                lately.then(|| share(self.unreached))
+            } else {
+                Some(1.0)
+            },
+            rejected_fraction: share(seen.refused),
         };
         self.members.says(self.word);
     }
 
     /// A call to what all share is over, or a try while the gate was shut: whether anybody was reached.
     pub fn call_finished(&mut self, at: At, reached: bool) {
-        let was_open = self.gate.is_open();
+        let was_open = self.breaker.is_closed();
         self.called = at.steady;
         self.unreached += LAST_CALL * (f64::from(u8::from(!reached)) - self.unreached);
-        self.gate.ended(at.wall, reached);
-        if !was_open && self.gate.is_open() {
+        self.breaker.call_finished(at.wall, reached);
+        if !was_open && self.breaker.is_closed() {
             self.unreached = 0.0;
-            self.word.unreached = Some(0.0);
+            self.word.unreachable_fraction = Some(0.0);
             self.members.says(self.word);
             self.members.push(HERALDS);
         }
@@ -198,21 +202,21 @@
     }
 
     /// What all said, by the last look, which is a period old at most.
-    pub fn common(&self) -> Option<Common> {
+    pub fn common(&self) -> Option<AggregatedLoad> {
         self.common
     }
 
-    pub fn word(&self) -> Word {
+    pub fn word(&self) -> PeerLoadReport {
         self.word
     }
 
-    /// Whose the trouble is that calls have here, by the last look.
-    pub fn whose(&self) -> Whose {
+    /// FaultScope the trouble is that calls have here, by the last look.
+    pub fn whose(&self) -> FaultScope {
         self.whose
     }
 
     pub fn absurd(&self) -> u64 {
-        self.board.absurd
+        self.board.invalid_reports
     }
 
     pub fn check(&self, at: At) -> Result<(), String> {
@@ -231,7 +235,7 @@
     pub fn shown(&self, at: At) -> Shown {
         let left = |until: Timestamp| ((until - at.steady).us() / 1000).min(u64::from(u32::MAX)) as u32;
         let mut shown = Shown {
-            shut: !self.gate.is_open(),
+            shut: !self.breaker.is_closed(),
             whose: self.whose,
             word: self.word,
             common: self.common,
@@ -252,22 +256,24 @@
     // ---- inside ----
 
     fn look(&mut self, at: At) {
-        let common = self.board.common(at.steady);
+        let common = self.board.aggregate(at.steady);
         self.common = common;
-        self.whose = self.board.whose(at.steady, &self.word);
+        self.whose = FaultScope::of(&self.word, common.as_ref());
         let told = common.map(|common| {
-            let unreached = common.unreached >= 0.5;
             // Only who is shut needs to know whether it is chosen.
-            (!self.gate.is_open() && self.is_chosen(at), unreached)
+            PeerView {
+                designated: !self.breaker.is_closed() && self.is_chosen(at),
+                mostly_unreachable: common.is_unreachable(),
+            }
         });
-        self.gate.common(at.wall, told);
+        self.breaker.set_peer_view(at.wall, told);
     }
 
     fn is_chosen(&self, at: At) -> bool {
-        let all = self.members.alive().map(|(name, site)| Candidate { name, site, weight: 1.0 });
+        let all = self.members.alive().map(|(name, site)| WeightedMember { name, site, weight: 1.0 });
         let round = at.wall.us() / CHOSEN_FOR_US;
         let me = self.members.me().name;
-        over_sites("ledger", round, CHOSEN, all).iter().any(|chosen| chosen.name == me)
+        select_across_sites("ledger", round, DESIGNATED_PROBERS, all).iter().any(|chosen| chosen.name == me)
     }
 
     fn pass_on(&mut self) {
--- a/crates/hazelspur-fleet/src/lib.rs
+++ b/crates/hazelspur-fleet/src/lib.rs
@@ -13,22 +13,22 @@
 //! - `gate`: who tries what nobody reaches;
 //! - `joint`: all of it as one server has it; `guidance`: what the decision module is told of that.
 
+pub mod anti_replay;
+pub mod circuit_breaker;
 pub mod claim;
 pub mod doubt;
-pub mod gate;
 pub mod guidance;
 mod hash;
 pub mod joint;
+pub mod load_reports;
 pub mod members;
 pub mod names;
 pub mod news;
 pub mod picture;
-pub mod replay;
 pub mod shares;
-pub mod signals;
-pub mod subsets;
+pub mod subset;
 pub mod talk;
-pub mod turns;
+pub mod time_slots;
 
 pub use claim::{Claim, Says};
 pub use doubt::Condition;
--- /dev/null
+++ b/crates/hazelspur-fleet/src/load_reports/latency_ratio.rs
@@ -0,0 +1,47 @@
+//! Measures the latency of calls over the best that is remembered. The best is that of a bounded number of windows, as the
+//! paper remembers the best power of its last cycles, so a latency that stays high becomes the normal one.
+
+use super::MAX_LATENCY_RATIO;
+use hazelspur::{Duration, Timestamp};
+use std::collections::VecDeque;
+
+/// Length of one window.
+const WINDOW: Duration = Duration::from_ms(8000);
+/// Past windows whose best latency is remembered.
+const REMEMBERED_WINDOWS: usize = 16;
+
+/// The best latency of the last windows.
+#[derive(Clone, Debug, Default)]
+pub struct LatencyRatioTracker {
+    /// Best latency of each past window, in seconds, oldest first.
+    past_best_secs: VecDeque<f64>,
+    /// Best latency of the current window, in seconds; zero before the first.
+    current_best_secs: f64,
+    current_began: Timestamp,
+}
+
+impl LatencyRatioTracker {
+    /// Notes the mean latency of calls, in seconds, and returns it over the best; zero for what is no latency.
+    pub fn observe(&mut self, now: Timestamp, latency_secs: f64) -> f32 {
+        if !(latency_secs.is_finite() && latency_secs > 0.0) {
+            return 0.0;
+        }
+        if self.current_best_secs == 0.0 || now - self.current_began >= WINDOW {
+            self.begin_window(now, latency_secs);
+        }
+        self.current_best_secs = self.current_best_secs.min(latency_secs);
+        let best_secs = self.past_best_secs.iter().copied().fold(self.current_best_secs, f64::min);
+        (latency_secs / best_secs).min(f64::from(MAX_LATENCY_RATIO)) as f32
+    }
+
+    fn begin_window(&mut self, now: Timestamp, latency_secs: f64) {
+        if self.current_best_secs > 0.0 {
+            self.past_best_secs.push_back(self.current_best_secs);
+        }
+        if self.past_best_secs.len() > REMEMBERED_WINDOWS {
+            self.past_best_secs.pop_front();
+        }
+        self.current_best_secs = latency_secs;
+        self.current_began = now;
+    }
+}
--- a/crates/hazelspur-fleet/src/members/hearing.rs
+++ b/crates/hazelspur-fleet/src/members/hearing.rs
@@ -1,10 +1,10 @@
 //! What is heard: from a member itself, from others about it, and about this process.
 
 use super::{ACCUSERS, AHEAD_MS, Entry, Event, FRESH, Members, RELAYS, Relay};
+use crate::anti_replay::AntiReplayWindow;
 use crate::claim::{Claim, Says};
 use crate::names::{Generation, Incarnation, MemberName};
 use crate::picture::Standing;
-use crate::replay::Seen;
 use crate::talk::{Body, Datagram, Dropped};
 use hazelspur::Timestamp;
 
@@ -17,14 +17,14 @@
             if known > from.generation || known == from.generation && gone {
                 return Err(Dropped::Old);
             }
-            if known == from.generation && !entry.seen.first(came.number) {
+            if known == from.generation && !entry.seen.accept(came.number) {
                 return Err(Dropped::Old);
             }
         }
         self.merge(now, from, name);
         let Some(entry) = self.table.get_mut(&name) else { return Err(Dropped::Old) };
-        if entry.heard.is_none() || entry.seen.first(came.number) {
-            entry.seen.first(came.number);
+        if entry.heard.is_none() || entry.seen.accept(came.number) {
+            entry.seen.accept(came.number);
         }
         (entry.heard, entry.word, entry.by) = (Some(now), now, name);
         entry.said_left |= from.says == Says::Left;
@@ -58,7 +58,7 @@
         if claim.beats(&entry.claim) {
             let (restarted, was) = (claim.generation > entry.claim.generation, entry.standing);
             if restarted {
-                (entry.seen, entry.heard, entry.said_left) = (Seen::default(), None, false);
+                (entry.seen, entry.heard, entry.said_left) = (AntiReplayWindow::default(), None, false);
             }
             (entry.claim, entry.by, entry.word) = (*claim, by, now);
             self.news.add(claim.name);
@@ -136,7 +136,7 @@
             standing: Standing::Alive,
             since: now,
             heard: None,
-            seen: Seen::default(),
+            seen: AntiReplayWindow::default(),
             said_left: false,
             accusers: Vec::new(),
             until: Timestamp::default(),
--- a/crates/hazelspur-fleet/src/members/mod.rs
+++ b/crates/hazelspur-fleet/src/members/mod.rs
@@ -13,13 +13,13 @@
 mod rounds;
 mod telling;
 
+use crate::anti_replay::AntiReplayWindow;
 use crate::claim::{Claim, Says};
 use crate::doubt::{Condition, Doubt};
+use crate::load_reports;
 use crate::names::{Generation, Incarnation, Installation, MemberName, SiteName};
 use crate::news::News;
 use crate::picture::{Picture, Row, Size, Standing};
-use crate::replay::Seen;
-use crate::signals;
 use crate::talk::{self, Body, Datagram, Dropped, MAX_CLAIMS, MAX_ROWS, ShownRow};
 use hazelspur::pcg::Pcg;
 use hazelspur::{Duration, Timestamp};
@@ -127,7 +127,7 @@
     standing: Standing,
     since: Timestamp,
     heard: Option<Timestamp>,
-    seen: Seen,
+    seen: AntiReplayWindow,
     /// It said itself that it has left; hearsay of that is believed only until it speaks.
     said_left: bool,
     accusers: Vec<MemberName>,
@@ -201,7 +201,7 @@
     out: VecDeque<Out>,
     events: VecDeque<Event>,
     /// Goes along with each datagram.
-    word: Option<signals::Word>,
+    word: Option<load_reports::PeerLoadReport>,
     pub figures: Figures,
 }
 
@@ -322,7 +322,7 @@
     }
 
     /// What this server says of what all depend on, with each datagram from here on.
-    pub fn says(&mut self, word: signals::Word) {
+    pub fn says(&mut self, word: load_reports::PeerLoadReport) {
         self.word = Some(word);
     }
 
--- a/crates/hazelspur-fleet/src/talk.rs
+++ b/crates/hazelspur-fleet/src/talk.rs
@@ -4,10 +4,10 @@
 
 use crate::claim::Claim;
 use crate::doubt::Condition;
+use crate::load_reports::{AggregatedLoad, FaultScope};
 use crate::names::{Installation, LimitName, MemberName, SiteName};
 use crate::picture::{Size, Standing};
-use crate::signals::{Common, Whose};
-use crate::{shares, signals};
+use crate::{load_reports, shares};
 use hazelspur::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -71,9 +71,9 @@
     /// Name, amount, floor and how many ms the lease still lasts.
     pub shares: Vec<(LimitName, f32, f32, Option<u32>)>,
     pub shut: bool,
-    pub whose: Whose,
-    pub word: signals::Word,
-    pub common: Option<Common>,
+    pub whose: FaultScope,
+    pub word: load_reports::PeerLoadReport,
+    pub common: Option<AggregatedLoad>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -142,7 +142,7 @@
     pub sent_ms: u64,
     pub body: Body,
     /// What the sender says of what all depend on.
-    pub word: Option<signals::Word>,
+    pub word: Option<load_reports::PeerLoadReport>,
     pub claims: Vec<Claim>,
 }
 
--- /dev/null
+++ b/crates/hazelspur-fleet/tests/circuit_breaker.rs
@@ -0,0 +1,67 @@
+//! The circuit breaker: when it opens, when it probes, and that only this server's own calls close it.
+
+mod helpers;
+
+use expect_test::expect;
+use hazelspur::{Duration, Timestamp};
+use hazelspur_fleet::circuit_breaker::{BreakerChange, CircuitBreaker, PeerView};
+use helpers::{START, name};
+
+fn ms(ms: u64) -> Timestamp {
+    START + Duration::from_ms(ms)
+}
+
+/// Times in ms of the probes of an open breaker while the dependency is unreachable, from 1 s to `until_s`.
+fn probes(breaker: &mut CircuitBreaker, until_s: u64) -> Vec<u64> {
+    (0..6).for_each(|i| breaker.call_finished(ms(1000 + i * 50), false));
+    let mut at = Vec::new();
+    while let Some(next) = breaker.next_probe().filter(|next| *next < ms(until_s * 1000)) {
+        at.push((next - START).us() / 1000);
+        breaker.probe_sent(next);
+        breaker.call_finished(next, false);
+    }
+    at
+}
+
+#[test]
+fn an_open_breaker_probes_in_its_slots_and_closes_with_the_first_success() {
+    let mut alone = CircuitBreaker::new(name(3), "ledger", 300);
+    assert!(alone.next_probe().is_none());
+    let by_slots = probes(&mut alone, 21);
+    assert!(!alone.is_closed() && (9..=21).contains(&by_slots.len()), "{by_slots:?}");
+    alone.call_finished(ms(21_000), true);
+    assert!(alone.is_closed() && alone.next_probe().is_none());
+    expect!["[Opened, Closed { after: Duration(19750000) }]"].assert_eq(&format!(
+        "{:?}",
+        std::iter::from_fn(|| alone.next_change()).collect::<Vec<BreakerChange>>()
+    ));
+
+    let mut designated = CircuitBreaker::new(name(3), "ledger", 300);
+    designated.set_peer_view(ms(900), Some(PeerView { designated: true, mostly_unreachable: true }));
+    assert!((70..=110).contains(&probes(&mut designated, 21).len()));
+    let mut other = CircuitBreaker::new(name(3), "ledger", 300);
+    other.set_peer_view(ms(900), Some(PeerView { designated: false, mostly_unreachable: true }));
+    let few = probes(&mut other, 21).len();
+    assert!((3..=8).contains(&few), "{few}");
+    // A hint brings the next probe forward, once for all hints of a second.
+    (0..50).for_each(|i| other.recovery_hint(ms(21_000 + i)));
+    let next = other.next_probe().expect("it is open");
+    assert!(next < ms(21_400), "{next:?}");
+    other.probe_sent(next);
+    other.call_finished(next, false);
+    other.recovery_hint(ms(21_500));
+    assert!(other.next_probe().expect("it is open") > ms(22_000));
+    assert!(!other.is_closed(), "a hint of another server does not close it");
+}
+
+#[test]
+fn few_failures_open_the_breaker_only_if_most_others_fail_too() {
+    let mut breaker = CircuitBreaker::new(name(1), "ledger", 10);
+    (0..5).for_each(|i| breaker.call_finished(ms(i * 100), false));
+    breaker.call_finished(ms(600), true);
+    (0..20).for_each(|i| breaker.call_finished(ms(700 + i), false));
+    assert!(breaker.is_closed(), "the failures spread over too short a time");
+    breaker.set_peer_view(ms(721), Some(PeerView { designated: false, mostly_unreachable: true }));
+    breaker.call_finished(ms(722), false);
+    assert!(!breaker.is_closed());
+}
--- a/crates/hazelspur-fleet/tests/helpers/mod.rs
+++ b/crates/hazelspur-fleet/tests/helpers/mod.rs
@@ -26,11 +26,15 @@
     usize::from(at.ip().octets()[2]) << 8 | usize::from(at.ip().octets()[3])
 }
 
+pub fn site(of: usize) -> SiteName {
+    SiteName::new(["east", "west", "north"][of % 3]).expect("a name")
+}
+
 pub fn terms(of: usize, most: usize) -> Terms {
     Terms {
         installation: Installation::new("bread").expect("a name"),
         name: name(of),
-        site: SiteName::new(["east", "west", "north"][of % 3]).expect("a name"),
+        site: site(of),
         at: address(of),
         contacts: vec![address(0), address(1)],
         most,
--- /dev/null
+++ b/crates/hazelspur-fleet/tests/load_reports.rs
@@ -0,0 +1,87 @@
+//! Aggregated load reports, the scope of a fault, and the latency ratio.
+
+mod helpers;
+
+use expect_test::expect;
+use hazelspur::Duration;
+use hazelspur_fleet::load_reports::{
+    FaultScope, LatencyRatioTracker, LoadReportTable, PeerLoadReport, median,
+};
+use helpers::{START, name, site};
+
+fn report(latency_ratio: f32, unreachable: f32) -> PeerLoadReport {
+    PeerLoadReport { latency_ratio, unreachable_fraction: Some(unreachable), rejected_fraction: 0.0 }
+}
+
+fn table(reports: &[(usize, PeerLoadReport)]) -> LoadReportTable {
+    let mut table = LoadReportTable::new(64, Duration::from_ms(5000));
+    reports.iter().for_each(|(of, report)| table.receive(START, name(*of), site(*of), *report));
+    table
+}
+
+#[test]
+fn one_false_report_or_one_site_moves_the_median_by_one_place_at_most() {
+    let normal: Vec<(usize, PeerLoadReport)> =
+        (0..30).map(|of| (of, report(1.0 + of as f32 / 100.0, 0.0))).collect();
+    let ratio = |table: &LoadReportTable| {
+        table.aggregate(START).and_then(|all| all.latency_ratio).unwrap_or(f64::NAN)
+    };
+    let before = ratio(&table(&normal));
+    let false_reports = [f32::NAN, -3.0, 1000.0, 1e30, f32::INFINITY].map(|ratio_reported| {
+        let mut reports = normal.clone();
+        reports[7].1 = report(ratio_reported, 0.0);
+        let table = table(&reports);
+        (ratio(&table), table.invalid_reports)
+    });
+    for (after, _) in false_reports {
+        assert!((after - before).abs() < 0.05, "{before} {false_reports:?}");
+    }
+    assert_eq!(false_reports.map(|(_, invalid)| invalid), [1, 1, 0, 1, 1]);
+    // A whole site that reports ten times the latency, then another one that is silent.
+    let mut reports = normal.clone();
+    reports.iter_mut().filter(|(of, _)| of % 3 == 1).for_each(|(_, report)| report.latency_ratio *= 10.0);
+    assert!((ratio(&table(&reports)) - before).abs() < 0.3);
+    reports.retain(|(of, _)| of % 3 != 0);
+    assert!(ratio(&table(&reports)) > 3.0, "half of the reporters say so");
+    // Expired reports do not count, and two reporters are too few.
+    assert_eq!(table(&normal).aggregate(START + Duration::from_ms(5001)), None);
+    assert_eq!(table(&normal[..2]).aggregate(START), None);
+}
+
+#[test]
+fn a_local_fault_is_told_from_a_shared_one() {
+    let scope = |others: PeerLoadReport, own: PeerLoadReport| {
+        let table = table(&[(1, others), (2, others), (3, others)]);
+        FaultScope::of(&own, table.aggregate(START).as_ref())
+    };
+    let cases = [
+        scope(report(1.0, 0.0), report(1.1, 0.0)),
+        scope(report(1.0, 0.0), report(3.0, 0.0)),
+        scope(report(3.0, 0.0), report(3.0, 0.0)),
+        scope(report(0.0, 1.0), report(0.0, 1.0)),
+        scope(report(1.0, 0.0), report(0.0, 1.0)),
+        scope(report(1.7, 0.0), report(3.0, 0.0)),
+        FaultScope::of(&report(3.0, 0.0), table(&[]).aggregate(START).as_ref()),
+    ];
+    expect!["none mine shared shared mine unknown unknown"].assert_eq(&cases.map(FaultScope::name).join(" "));
+    assert_eq!(
+        [median(vec![]), median(vec![3.0, 1.0]), median(vec![1.0, 9.0, 2.0])],
+        [None, Some(2.0), Some(2.0)]
+    );
+}
+
+#[test]
+fn the_latency_ratio_is_over_the_best_of_the_remembered_windows() {
+    let mut latency = LatencyRatioTracker::default();
+    let mut seen = Vec::new();
+    for second in 0..200u64 {
+        let secs = if (20..30).contains(&second) || second >= 50 { 0.03 } else { 0.01 };
+        let now = START + Duration::from_ms(second * 1000);
+        let ratio = latency.observe(now, secs);
+        if [10, 25, 40, 60, 150, 199].contains(&second) {
+            seen.push(format!("{second}:{ratio:.1}"));
+        }
+    }
+    expect!["10:1.0 25:3.0 40:1.0 60:3.0 150:3.0 199:1.0"].assert_eq(&seen.join(" "));
+    assert_eq!([latency.observe(START, f64::NAN), latency.observe(START, -1.0)], [0.0, 0.0]);
+}
--- /dev/null
+++ b/crates/hazelspur-fleet/tests/subset.rs
@@ -0,0 +1,53 @@
+//! Subset selection by weighted rendezvous hashing.
+
+mod helpers;
+
+use hazelspur_fleet::subset::{WeightedMember, select, select_across_sites};
+use hazelspur_fleet::{MemberName, SiteName};
+use helpers::{name, site};
+use std::collections::{BTreeMap, BTreeSet};
+
+fn member(of: usize) -> WeightedMember {
+    WeightedMember { name: name(of), site: site(of), weight: 1.0 }
+}
+
+fn names(of: &[WeightedMember]) -> BTreeSet<MemberName> {
+    of.iter().map(|member| member.name).collect()
+}
+
+#[test]
+fn a_member_that_joins_or_leaves_changes_one_place_of_a_subset_at_most() {
+    for n in [5, 40, 300] {
+        let all = |n: usize| (0..n).map(member);
+        let (before, after) = (select("try", 1, 4, all(n)), select("try", 1, 4, all(n + 1)));
+        assert!(names(&before).difference(&names(&after)).count() <= 1, "{n}");
+        let without = all(n).filter(|c| c.name != before[0].name);
+        assert_eq!(names(&before).difference(&names(&select("try", 1, 4, without))).count(), 1, "{n}");
+        assert_ne!(names(&before), names(&select("try", 2, 4, all(n))), "{n}: the same subset in each round");
+    }
+    let none = [f64::NAN, 0.0, -1.0, f64::INFINITY].map(|weight| WeightedMember { weight, ..member(1) });
+    assert_eq!(select("try", 1, 4, none.into_iter()), vec![]);
+}
+
+#[test]
+fn members_are_selected_by_weight_and_sites_in_turn() {
+    let weighted = |of: usize| WeightedMember { weight: if of < 10 { 3.0 } else { 1.0 }, ..member(of) };
+    let mut selected_by_weight: BTreeMap<bool, usize> = BTreeMap::new();
+    for round in 0..4000 {
+        let selected = select("load", round, 1, (0..40).map(weighted));
+        *selected_by_weight.entry(selected[0].weight > 1.0).or_default() += 1;
+    }
+    // Ten members of weight 3 beside thirty of weight 1: half of all selections each.
+    assert!((1850..2150).contains(&selected_by_weight[&true]), "{selected_by_weight:?}");
+    for round in 0..50 {
+        let selected = select_across_sites("try", round, 6, (0..200).map(member));
+        let sites = selected.iter().fold(BTreeMap::new(), |mut sites: BTreeMap<SiteName, usize>, c| {
+            *sites.entry(c.site).or_default() += 1;
+            sites
+        });
+        assert!(sites.len() == 3 && sites.values().all(|n| *n == 2), "{sites:?}");
+    }
+    // A site of one server fills one place.
+    let uneven = (0..9).filter(|of| of % 3 == 0).map(member).chain([member(1)]);
+    assert_eq!(select_across_sites("try", 0, 3, uneven).len(), 3);
+}
--- a/crates/hazelspur-fleet/tests/wire.rs
+++ b/crates/hazelspur-fleet/tests/wire.rs
@@ -2,8 +2,8 @@
 //! versions run beside each other while an installation is upgraded, so neither may change by accident.
 
 use hazelspur::{Duration, Timestamp};
+use hazelspur_fleet::load_reports::{AggregatedLoad, FaultScope, PeerLoadReport};
 use hazelspur_fleet::shares::{Limit, Print, Terms, Word as ShareWord};
-use hazelspur_fleet::signals::{Common, Whose, Word};
 use hazelspur_fleet::talk::{self, Shown, ShownRow};
 use hazelspur_fleet::{
     Body, Claim, Condition, Datagram, Generation, Incarnation, Installation, Key, LimitName, MemberName,
@@ -49,7 +49,9 @@
     let other = "[2001:db8::7]:7001".parse().expect("an address");
     let v6 = Claim { at: other, ..claim("n5", Says::Suspected(member("n4"))) };
     let claims = [v6, claim("n6", Says::Leaving), claim("n7", Says::Left), claim("n8", Says::Alive)];
-    let word = |unreached| Some(Word { pace: 1.5, unreached, refused: 0.25 });
+    let word = |unreached| {
+        Some(PeerLoadReport { latency_ratio: 1.5, unreachable_fraction: unreached, rejected_fraction: 0.25 })
+    };
     vec![
         ("ping", datagram(Body::Ping { number: 70_000, to: Some(member("n2")) })),
         ("ping-unknown", datagram(Body::Ping { number: 1, to: None })),
@@ -97,8 +99,14 @@
         rows,
         next: Some(member("n9")),
     };
-    let common =
-        Common { pace: Some(2.5), unreached: 0.25, refused: 0.125, voices: 7, sites: 3, oldest_ms: 900 };
+    let common = AggregatedLoad {
+        latency_ratio: Some(2.5),
+        unreachable_fraction: 0.25,
+        rejected_fraction: 0.125,
+        reporters: 7,
+        sites: 3,
+        oldest_age_ms: 900,
+    };
     let choices = |whose| Shown {
         divider: Some(member("n2")),
         given: Some((12.5, 4)),
@@ -108,7 +116,7 @@
         ],
         shut: true,
         whose,
-        word: Word { pace: 3.0, unreached: Some(1.0), refused: 0.5 },
+        word: PeerLoadReport { latency_ratio: 3.0, unreachable_fraction: Some(1.0), rejected_fraction: 0.5 },
         common: Some(common),
     };
     let choices = |whose| datagram(Body::Choices { number: 12, shown: choices(whose) });
@@ -121,10 +129,10 @@
         ("shown-doubtful", datagram(shown(Condition::Doubtful, vec![row(Standing::Lost, None)]))),
         ("shown-cut-off", datagram(shown(Condition::CutOff, vec![]))),
         ("shown-leaving", datagram(shown(Condition::Leaving, vec![]))),
-        ("choices-none", choices(Whose::None)),
-        ("choices-mine", choices(Whose::Mine)),
-        ("choices-shared", choices(Whose::Shared)),
-        ("choices-unknown", choices(Whose::Unknown)),
+        ("choices-none", choices(FaultScope::None)),
+        ("choices-mine", choices(FaultScope::Local)),
+        ("choices-shared", choices(FaultScope::Shared)),
+        ("choices-unknown", choices(FaultScope::Unknown)),
         ("choices-empty", datagram(Body::Choices { number: 13, shown: Shown::default() })),
     ]
 }
@@ -177,8 +185,14 @@
 /// `hazelspur-server fleet FILE --shape json` shows these; scripts of operators read them.
 #[test]
 fn figures_for_an_operator_have_the_same_json_as_ever() {
-    let common =
-        Common { pace: Some(2.5), unreached: 0.25, refused: 0.125, voices: 7, sites: 3, oldest_ms: 900 };
+    let common = AggregatedLoad {
+        latency_ratio: Some(2.5),
+        unreachable_fraction: 0.25,
+        rejected_fraction: 0.125,
+        reporters: 7,
+        sites: 3,
+        oldest_age_ms: 900,
+    };
     let conditions =
         [Condition::Joining, Condition::Whole, Condition::Doubtful, Condition::CutOff, Condition::Leaving];
     let json = |value: serde_json::Result<String>| value.expect("it is written");
--- a/crates/hazelspur-server/src/fleet/ask.rs
+++ b/crates/hazelspur-server/src/fleet/ask.rs
@@ -5,7 +5,7 @@
 use crate::config::fleet_keys::Fleet;
 use comfy_table::{Table, presets};
 use hazelspur::Timestamp;
-use hazelspur_fleet::signals::Common;
+use hazelspur_fleet::load_reports::AggregatedLoad;
 use hazelspur_fleet::talk::{self, Body, Datagram, ShownRow};
 use hazelspur_fleet::{Claim, Condition, Generation, LimitName, MemberName, Says, SiteName, Size};
 use serde::Serialize;
@@ -42,7 +42,7 @@
     trouble: &'static str,
     pace: f32,
     refused: f32,
-    common: Option<Common>,
+    common: Option<AggregatedLoad>,
 }
 
 #[derive(Serialize)]
@@ -68,8 +68,8 @@
             shares: shown.shares.into_iter().map(share).collect(),
             ledger: if shown.shut { "out of reach" } else { "in reach" },
             trouble: shown.whose.name(),
-            pace: shown.word.pace,
-            refused: shown.word.refused,
+            pace: shown.word.latency_ratio,
+            refused: shown.word.rejected_fraction,
             common: shown.common,
         }
     }
@@ -215,11 +215,11 @@
             if let Some(common) = &choices.common {
                 text += &format!(
                     "; of {} servers in {} sites: pace {:.1}, unreached {:.2}, refused {:.2}",
-                    common.voices,
+                    common.reporters,
                     common.sites,
-                    common.pace.unwrap_or(0.0),
-                    common.unreached,
-                    common.refused
+                    common.latency_ratio.unwrap_or(0.0),
+                    common.unreachable_fraction,
+                    common.rejected_fraction
                 );
             }
             text += "\n";
--- a/crates/hazelspur-server/src/fleet/guidance.rs
+++ b/crates/hazelspur-server/src/fleet/guidance.rs
@@ -4,11 +4,11 @@
 use crate::config::fleet_keys::{CALLS, TENANT};
 use crate::request::dispatcher::Dispatcher;
 use hazelspur::{Catalog, Duration, GuidanceKey, TenantId, Timestamp};
-use hazelspur_fleet::gate::Change;
+use hazelspur_fleet::circuit_breaker::BreakerChange;
 use hazelspur_fleet::guidance::Guidance as Facts;
 use hazelspur_fleet::joint::Seen;
+use hazelspur_fleet::load_reports::FaultScope;
 use hazelspur_fleet::shares::{Event, LimitId, Shares, Terms};
-use hazelspur_fleet::signals::Whose;
 use hazelspur_fleet::{At, Joint};
 
 /// This server's own work is looked at so often.
@@ -27,7 +27,7 @@
     limits: Vec<(String, Of)>,
     facts: Facts,
     looked: Timestamp,
-    whose: Option<Whose>,
+    whose: Option<FaultScope>,
 }
 
 impl Guidance {
@@ -86,21 +86,23 @@
 
     /// A line for each change of mode, with figures.
     fn say(&mut self, at: At, joint: &mut Joint) {
-        while let Some(change) = joint.gate.next_change() {
+        while let Some(change) = joint.breaker.next_change() {
             match change {
-                Change::Shut => log::warn!(tries = joint.gate.tries; "ledger out of reach, calls wait"),
-                Change::Opened(after) => {
-                    log::info!(after_ms = after.us() / 1000, tries = joint.gate.tries; "ledger reached again");
+                BreakerChange::Opened => {
+                    log::warn!(tries = joint.breaker.probe_attempts; "ledger out of reach, calls wait")
+                }
+                BreakerChange::Closed { after } => {
+                    log::info!(after_ms = after.us() / 1000, tries = joint.breaker.probe_attempts; "ledger reached again");
                 }
             }
         }
         if self.together && self.whose != Some(joint.whose()) {
             let (was, is) = (self.whose.replace(joint.whose()), joint.whose());
-            if let (Some(common), true) = (joint.common(), was.is_some() || is != Whose::None) {
+            if let (Some(common), true) = (joint.common(), was.is_some() || is != FaultScope::None) {
                 let word = joint.word();
-                log::info!(whose = is.name(), pace = word.pace, unreached = word.unreached.unwrap_or(0.0),
-                    common_pace = common.pace.unwrap_or(0.0), common_unreached = common.unreached,
-                    voices = common.voices, sites = common.sites; "ledger trouble");
+                log::info!(whose = is.name(), pace = word.latency_ratio, unreached = word.unreachable_fraction.unwrap_or(0.0),
+                    common_pace = common.latency_ratio.unwrap_or(0.0), common_unreached = common.unreachable_fraction,
+                    voices = common.reporters, sites = common.sites; "ledger trouble");
             }
         }
         while let Some(event) = joint.shares.as_mut().and_then(Shares::next_event) {
--- a/crates/hazelspur-server/src/fleet/talk.rs
+++ b/crates/hazelspur-server/src/fleet/talk.rs
@@ -119,11 +119,11 @@
     /// Tries what nobody reaches, when it is this server's turn.
     pub async fn try_again(self: Rc<Self>) {
         loop {
-            let next = self.joint.borrow().gate.next_try().filter(|_| self.together);
+            let next = self.joint.borrow().breaker.next_probe().filter(|_| self.together);
             let now = self.clock().wall();
             match next {
                 Some(at) if at <= now => {
-                    self.joint.borrow_mut().gate.tried(now);
+                    self.joint.borrow_mut().breaker.probe_sent(now);
                     let Some(to) = self.peers.now().ledger else { continue };
                     let connecting = tokio::time::timeout(long(TRY_WITHIN), TcpStream::connect(to)).await;
                     let reached = match connecting {
@@ -179,9 +179,9 @@
         }
         let at = self.at();
         let mut joint = self.joint.borrow_mut();
-        let was_open = joint.gate.is_open();
+        let was_open = joint.breaker.is_closed();
         joint.call_finished(at, reached);
-        if joint.gate.is_open() != was_open {
+        if joint.breaker.is_closed() != was_open {
             // The module is to know before the next decision, not with the next round.
             self.guidance.borrow_mut().guide(at, &self.dispatcher, &mut joint);
         }
--- a/crates/hazelspur-simulator/src/capacity/constants.rs
+++ b/crates/hazelspur-simulator/src/capacity/constants.rs
@@ -19,7 +19,7 @@
 const CATALOG: &str = "src/catalog.rs";
 const CONTROL: &str = "crates/hazelspur-server/src/upstream/control.rs";
 const DESCRIPTORS: &str = "crates/hazelspur-server/src/config/descriptors.rs";
-const GATE: &str = "crates/hazelspur-fleet/src/gate.rs";
+const CIRCUIT_BREAKER: &str = "crates/hazelspur-fleet/src/circuit_breaker.rs";
 const KEYS: &str = "crates/hazelspur-server/src/config/fleet_keys.rs";
 
 /// Mean wait between reports to the list, s: the middle of `EVERY`.
@@ -79,15 +79,23 @@
 pub const RENEWAL: Constant = constant(
     "crates/hazelspur-fleet/src/shares/terms.rs",
     "Terms::renewal",
-    "pub fn renewal(&self) -> Span {\n        self.span.scaled(0.25)",
+    "pub fn renewal(&self) -> Duration {\n        self.span.scaled(0.25)",
     0.25,
 );
 /// How often a chosen server tries a ledger that is gone, s.
-pub const CHOSEN_EVERY: Constant =
-    constant(GATE, "CHOSEN_EVERY", "const CHOSEN_EVERY: Span = Span::from_ms(250);", 0.25);
+pub const CHOSEN_EVERY: Constant = constant(
+    CIRCUIT_BREAKER,
+    "DESIGNATED_PROBE_INTERVAL",
+    "const DESIGNATED_PROBE_INTERVAL: Duration = Duration::from_ms(250);",
+    0.25,
+);
 /// The same of the others, s.
-pub const OTHERS_EVERY: Constant =
-    constant(GATE, "OTHERS_EVERY", "const OTHERS_EVERY: Span = Span::from_ms(4000);", 4.0);
+pub const OTHERS_EVERY: Constant = constant(
+    CIRCUIT_BREAKER,
+    "OTHER_PROBE_INTERVAL",
+    "const OTHER_PROBE_INTERVAL: Duration = Duration::from_ms(4000);",
+    4.0,
+);
 /// Parts of the list that one server answers in a period.
 pub const PAGES: Constant =
     constant("crates/hazelspur-fleet/src/members/mod.rs", "PAGES", "const PAGES: usize = 64;", 64.0);
--- a/crates/hazelspur-simulator/src/capacity/rows.rs
+++ b/crates/hazelspur-simulator/src/capacity/rows.rs
@@ -5,7 +5,7 @@
 use super::constants::Constant;
 use super::measured::Seeds;
 use super::size::Size;
-use hazelspur_fleet::{gate, shares, talk};
+use hazelspur_fleet::{circuit_breaker, shares, talk};
 
 /// Whose cost a row is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -436,7 +436,7 @@
             .formula("4 of all by rendezvous, as many choosers as servers")
             .measured(&["subsets.most_over_mean"], &["rendezvous"])
             .within(a.most_over_mean_load, "assumed.most_over_mean_load")
-            .by_mechanism("crates/hazelspur-fleet/src/subsets.rs first"),
+            .by_mechanism("crates/hazelspur-fleet/src/subset.rs select"),
         row(
             Caller,
             "caller.tries",
@@ -667,7 +667,7 @@
     let (s, a) = (&size.size, &size.assumed);
     let servers = ("servers", s.servers);
     let (chosen, rest) = (1.0 / code::CHOSEN_EVERY.value, 1.0 / code::OTHERS_EVERY.value);
-    let few = gate::CHOSEN as f64;
+    let few = circuit_breaker::DESIGNATED_PROBERS as f64;
     vec![
         row(
             SharedDependency,
@@ -712,7 +712,7 @@
         .formula("6 chosen every 0.25 s, all others every 4 s")
         .computed(at(&[&code::CHOSEN_EVERY, &code::OTHERS_EVERY]), rest, few * (chosen - rest))
         .within(a.tries_at_a_lost_dependency_per_s, "assumed.tries_at_a_lost_dependency_per_s")
-        .by_mechanism("crates/hazelspur-fleet/src/gate.rs Gate"),
+        .by_mechanism("crates/hazelspur-fleet/src/circuit_breaker.rs CircuitBreaker"),
         row(
             SharedDependency,
             "dependency.return",
@@ -722,7 +722,7 @@
         )
         .formula("as simulated")
         .measured(&["dependency.first_second_over_usual"], &[])
-        .by_mechanism("crates/hazelspur-fleet/src/gate.rs Gate"),
+        .by_mechanism("crates/hazelspur-fleet/src/circuit_breaker.rs CircuitBreaker"),
     ]
 }
 
--- a/crates/hazelspur-simulator/src/drive/together.rs
+++ b/crates/hazelspur-simulator/src/drive/together.rs
@@ -108,8 +108,8 @@
         let Some(part) = &mut self.parts[of] else { return };
         part.set = Timestamp::default();
         part.joint.tick(at);
-        if part.joint.gate.next_try().is_some_and(|next| next <= at.wall) {
-            part.joint.gate.tried(at.wall);
+        if part.joint.breaker.next_probe().is_some_and(|next| next <= at.wall) {
+            part.joint.breaker.probe_sent(at.wall);
             let reached = !self.ledger.down && !self.links[of].down;
             self.figures.vain += u64::from(!reached);
             part.joint.call_finished(at, reached);
@@ -143,7 +143,7 @@
             }
         }
         while part.joint.members.next_event().is_some() {}
-        let next_try = part.joint.gate.next_try().map(|next| next - at.wall);
+        let next_try = part.joint.breaker.next_probe().map(|next| next - at.wall);
         let wait = next_try.into_iter().fold(part.joint.wait(at), Duration::min).max(Duration::from_us(1));
         let next = at.wall + wait;
         if part.set == Timestamp::default() || next < part.set || part.set <= at.wall {
--- a/crates/hazelspur-simulator/src/studies/sums.rs
+++ b/crates/hazelspur-simulator/src/studies/sums.rs
@@ -3,7 +3,7 @@
 
 use hazelspur::pcg::Pcg;
 use hazelspur::{Duration, Timestamp};
-use hazelspur_fleet::subsets::{Candidate, first};
+use hazelspur_fleet::subset::{WeightedMember, select};
 use hazelspur_fleet::{MemberName, SiteName};
 
 /// How a server waits between its reports to the list.
@@ -103,8 +103,8 @@
             Self::Rendezvous => {
                 let site = SiteName::new("one").expect("a name");
                 let named = |of: &usize| MemberName::new(&format!("n{of}")).expect("a name");
-                let all = known.iter().map(|of| Candidate { name: named(of), site, weight: 1.0 });
-                let chosen = first(&format!("client {me}"), seed, k, all);
+                let all = known.iter().map(|of| WeightedMember { name: named(of), site, weight: 1.0 });
+                let chosen = select(&format!("client {me}"), seed, k, all);
                 chosen.iter().filter_map(|c| c.name.as_str()[1..].parse().ok()).collect()
             }
         }
@@ -138,8 +138,8 @@
 /// Turns without talk: the most in any 100 ms over the mean, and the longest wait, of `servers` that each
 /// take every turn for a minute.
 pub fn turns(servers: usize, per_second: f64, longest: Duration) -> (f64, Duration) {
-    use hazelspur_fleet::turns::Round;
-    let round = Round::new(servers, per_second, longest);
+    use hazelspur_fleet::time_slots::SlotSchedule;
+    let schedule = SlotSchedule::new(servers, per_second, longest);
     let start = Timestamp::from_us(1_700_000_000_000_000);
     let mut bins = vec![0u32; 600];
     let mut wait = Duration::ZERO;
@@ -147,7 +147,7 @@
         let name = MemberName::new(&format!("n{of}")).expect("a name");
         let mut now = start;
         while now < start + Duration::from_ms(60_000) {
-            let next = round.next(name, "ledger", now);
+            let next = schedule.next_slot(name, "ledger", now);
             wait = wait.max(next - now);
             if let Some(bin) = bins.get_mut(((next - start).us() / 100_000) as usize) {
                 *bin += 1;
