--- a/crates/hazelspur-fault-harness/src/hollow/member.rs
+++ b/crates/hazelspur-fault-harness/src/hollow/member.rs
@@ -8,7 +8,7 @@
 use hazelspur::{Duration, GuidanceKey, Timestamp};
 use hazelspur_fleet::guidance::Guidance;
 use hazelspur_fleet::joint::Seen;
-use hazelspur_fleet::shares::LimitId;
+use hazelspur_fleet::quota::LimitId;
 use hazelspur_fleet::{At, Generation, Installation, Joint, Key, talk};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
--- a/crates/hazelspur-fault-harness/src/hollow/mod.rs
+++ b/crates/hazelspur-fault-harness/src/hollow/mod.rs
@@ -23,7 +23,7 @@
 use figures::{Figures, Reading};
 use hazelspur::Duration;
 use hazelspur::pcg::Pcg;
-use hazelspur_fleet::shares::{Limit, Terms as ShareTerms};
+use hazelspur_fleet::quota::{QuotaConfig, SharedLimit};
 use hazelspur_fleet::{Condition, Installation, LimitName, MemberName, SiteName, Size, Standing, Terms};
 use member::{Order, Task};
 use processes::{Hollow, Reals};
@@ -226,18 +226,18 @@
         }
     }
 
-    pub fn share_terms(&self) -> ShareTerms {
+    pub fn share_terms(&self) -> QuotaConfig {
         let keepers = self.keepers();
-        ShareTerms {
-            keepers: keepers.iter().map(|name| MemberName::new(name).expect("a short name")).collect(),
-            most: self.most(),
-            span: Duration::from_secs(LEASE_S as f64),
-            limits: vec![Limit {
+        QuotaConfig {
+            voters: keepers.iter().map(|name| MemberName::new(name).expect("a short name")).collect(),
+            max_servers: self.most(),
+            vote_duration: Duration::from_secs(LEASE_S as f64),
+            limits: vec![SharedLimit {
                 name: LimitName::new(CALLS).expect("a short name"),
                 total: self.slots(),
-                floor: FLOOR,
-                linger: Duration::from_secs(LINGER_S),
-                whole: None,
+                guaranteed_fraction: FLOOR,
+                residual_duration: Duration::from_secs(LINGER_S),
+                max_turn: None,
             }],
         }
     }
--- a/crates/hazelspur-fleet/src/guidance.rs
+++ b/crates/hazelspur-fleet/src/guidance.rs
@@ -2,7 +2,7 @@
 //! a lease ends. The program and the laboratory tell their modules the same by this.
 
 use crate::joint::{At, Joint};
-use crate::shares::LimitId;
+use crate::quota::LimitId;
 use hazelspur::{GuidanceKey, Timestamp};
 use std::collections::BTreeMap;
 
@@ -40,14 +40,14 @@
     pub fn next(&mut self, at: At, joint: &Joint) -> Told {
         let mut now: BTreeMap<GuidanceKey, f64> = BTreeMap::new();
         let mut leases: Option<(Timestamp, Vec<(GuidanceKey, f64)>)> = None;
-        if let Some(shares) = &joint.shares {
+        if let Some(shares) = &joint.quota {
             for (limit, name) in &self.limits {
                 let share = shares.share(at.steady, *limit);
                 now.insert(*name, share.amount);
-                if let Some(until) = share.until {
+                if let Some(until) = share.expires {
                     let (ends, floors) = leases.get_or_insert((until, Vec::new()));
                     *ends = until.min(*ends);
-                    floors.push((*name, share.floor));
+                    floors.push((*name, share.guaranteed));
                 }
             }
         }
--- a/crates/hazelspur-fleet/src/joint.rs
+++ b/crates/hazelspur-fleet/src/joint.rs
@@ -7,8 +7,8 @@
 use crate::circuit_breaker::{CircuitBreaker, DESIGNATED_PROBERS, PeerView};
 use crate::load_reports::{AggregatedLoad, FaultScope, LatencyRatioTracker, LoadReportTable, PeerLoadReport};
 use crate::members::{Members, Terms as MemberTerms};
-use crate::names::Generation;
-use crate::shares::{Life, LimitId, Print, Share, Shares, Terms as ShareTerms};
+use crate::names::{Generation, ProcessIncarnation};
+use crate::quota::{ConfigFingerprint, LimitId, QuotaConfig, QuotaManager, QuotaShare};
 use crate::subset::{WeightedMember, select_across_sites};
 use crate::talk::{Body, Datagram, Dropped, Shown};
 use hazelspur::{Duration, Timestamp};
@@ -38,22 +38,22 @@
 pub struct Seen {
     /// How long calls to what all share take now; none where there were none.
     pub call_secs: Option<f64>,
-    /// Share of the last requests that it refused.
+    /// QuotaShare of the last requests that it refused.
     pub refused: f64,
 }
 
 #[derive(Clone, Debug)]
 pub struct Joint {
     pub members: Members,
-    pub shares: Option<Shares>,
+    pub quota: Option<QuotaManager>,
     pub breaker: CircuitBreaker,
-    print: Option<Print>,
+    print: Option<ConfigFingerprint>,
     board: LoadReportTable,
     latency_ratio: LatencyRatioTracker,
     word: PeerLoadReport,
     common: Option<AggregatedLoad>,
     whose: FaultScope,
-    /// Share of the last calls that reached nobody; the last one for three tenths of it.
+    /// QuotaShare of the last calls that reached nobody; the last one for three tenths of it.
     unreached: f64,
     called: Timestamp,
     period: Duration,
@@ -65,16 +65,16 @@
 impl Joint {
     pub fn new(
         members: MemberTerms,
-        shares: Option<ShareTerms>,
+        shares: Option<QuotaConfig>,
         generation: Generation,
         seed: u64,
         at: At,
     ) -> Self {
-        let me = Life { name: members.name, generation };
+        let me = ProcessIncarnation { name: members.name, generation };
         let (period, most) = (members.period, members.most);
         Self {
-            print: shares.as_ref().map(ShareTerms::print),
-            shares: shares.map(|terms| Shares::new(terms, me, seed, at.steady)),
+            print: shares.as_ref().map(QuotaConfig::fingerprint),
+            quota: shares.map(|terms| QuotaManager::new(terms, me, seed, at.steady)),
             breaker: CircuitBreaker::new(me.name, "ledger", most),
             board: LoadReportTable::new(most * 2, period.scaled(WORDS_LAST)),
             latency_ratio: LatencyRatioTracker::default(),
@@ -108,10 +108,10 @@
                 self.breaker.recovery_hint(at.wall);
             }
         }
-        if let (Body::Share { print, word }, Some(shares)) = (&came.body, &mut self.shares) {
-            if Some(*print) == self.print {
-                let from = Life { name: came.from.name, generation: came.from.generation };
-                shares.heard(at.steady, from, word);
+        if let (Body::Quota { fingerprint, message }, Some(shares)) = (&came.body, &mut self.quota) {
+            if Some(*fingerprint) == self.print {
+                let from = ProcessIncarnation { name: came.from.name, generation: came.from.generation };
+                shares.receive(at.steady, from, message);
             } else {
                 self.other_terms += 1;
             }
@@ -152,7 +152,7 @@
 
     pub fn tick(&mut self, at: At) {
         self.members.tick(at.wall);
-        if let Some(shares) = &mut self.shares
+        if let Some(shares) = &mut self.quota
             && at.steady >= shares.next_tick()
         {
             shares.tick(at.steady);
@@ -168,7 +168,7 @@
     /// From now on nothing new is taken.
     pub fn leave(&mut self, at: At) {
         self.members.leave(at.wall);
-        if let Some(shares) = &mut self.shares {
+        if let Some(shares) = &mut self.quota {
             shares.leave(at.steady);
         }
         self.pass_on();
@@ -178,7 +178,7 @@
 
     /// After how long `tick` is to be called.
     pub fn wait(&self, at: At) -> Duration {
-        let rest = [Some(self.next_round), self.shares.as_ref().map(Shares::next_tick)];
+        let rest = [Some(self.next_round), self.quota.as_ref().map(QuotaManager::next_tick)];
         let rest = rest.into_iter().flatten().map(|next| next - at.steady);
         rest.fold(self.members.next_tick() - at.wall, Duration::min)
     }
@@ -188,16 +188,16 @@
     }
 
     /// What may be used of a limit at this moment; none where it is not shared.
-    pub fn share(&self, at: At, limit: &str) -> Option<Share> {
-        let shares = self.shares.as_ref()?;
-        shares.terms().find(limit).map(|limit| shares.share(at.steady, limit))
+    pub fn share(&self, at: At, limit: &str) -> Option<QuotaShare> {
+        let shares = self.quota.as_ref()?;
+        shares.config().find(limit).map(|limit| shares.share(at.steady, limit))
     }
 
     pub fn want(&mut self, limit: &str, amount: f64) {
-        if let Some(shares) = &mut self.shares
-            && let Some(limit) = shares.terms().find(limit)
+        if let Some(shares) = &mut self.quota
+            && let Some(limit) = shares.config().find(limit)
         {
-            shares.want(limit, amount);
+            shares.set_demand(limit, amount);
         }
     }
 
@@ -219,15 +219,15 @@
         self.board.invalid_reports
     }
 
-    pub fn check(&self, at: At) -> Result<(), String> {
+    pub fn check(&self, at: At) -> Result<(), crate::invariant::InvariantViolation> {
         self.members.check()?;
-        self.shares.as_ref().map_or(Ok(()), |shares| shares.check(at.steady))
+        self.quota.as_ref().map_or(Ok(()), |shares| shares.check_invariants(at.steady))
     }
 
     /// All limits with their shares, in the order of the terms.
-    pub fn all_shares(&self, at: At) -> Vec<(String, Share)> {
-        let Some(shares) = &self.shares else { return Vec::new() };
-        let limits = shares.terms().limits.iter().enumerate();
+    pub fn all_shares(&self, at: At) -> Vec<(String, QuotaShare)> {
+        let Some(shares) = &self.quota else { return Vec::new() };
+        let limits = shares.config().limits.iter().enumerate();
         limits.map(|(i, limit)| (limit.name.to_string(), shares.share(at.steady, LimitId(i)))).collect()
     }
 
@@ -241,14 +241,14 @@
             common: self.common,
             ..Shown::default()
         };
-        let Some(shares) = &self.shares else { return shown };
-        shown.divider = shares.divider(at.steady);
+        let Some(shares) = &self.quota else { return shown };
+        shown.divider = shares.allocator(at.steady);
         shown.given =
-            shares.given(at.steady, LimitId(0)).map(|(given, holders, _)| (given as f32, holders as u32));
-        for (i, limit) in shares.terms().limits.iter().enumerate() {
+            shares.allocation(at.steady, LimitId(0)).map(|all| (all.granted as f32, all.lessees as u32));
+        for (i, limit) in shares.config().limits.iter().enumerate() {
             let share = shares.share(at.steady, LimitId(i));
-            let amounts = (share.amount as f32, share.floor as f32);
-            shown.shares.push((limit.name, amounts.0, amounts.1, share.until.map(left)));
+            let amounts = (share.amount as f32, share.guaranteed as f32);
+            shown.shares.push((limit.name, amounts.0, amounts.1, share.expires.map(left)));
         }
         shown
     }
@@ -277,10 +277,10 @@
     }
 
     fn pass_on(&mut self) {
-        let (Some(shares), Some(print)) = (&mut self.shares, self.print) else { return };
-        while let Some((to, word)) = shares.next_out() {
+        let (Some(shares), Some(print)) = (&mut self.quota, self.print) else { return };
+        while let Some((to, message)) = shares.next_message() {
             // Who is not known yet is not reached, like anybody whose datagram is lost.
-            let _ = self.members.send_word(to, Body::Share { print, word });
+            let _ = self.members.send_word(to, Body::Quota { fingerprint: print, message });
         }
     }
 }
--- a/crates/hazelspur-fleet/src/members/mod.rs
+++ b/crates/hazelspur-fleet/src/members/mod.rs
@@ -16,6 +16,7 @@
 use crate::anti_replay::AntiReplayWindow;
 use crate::claim::{Claim, Says};
 use crate::doubt::{Condition, Doubt};
+use crate::invariant::InvariantViolation;
 use crate::load_reports;
 use crate::names::{Generation, Incarnation, Installation, MemberName, SiteName};
 use crate::news::News;
@@ -450,29 +451,36 @@
         }
     }
 
-    /// What must hold after each input; the text names what does not.
-    pub fn check(&self) -> Result<(), String> {
+    /// Checks what must be true after each input.
+    ///
+    /// # Errors
+    /// Returns the first invariant that does not hold.
+    pub fn check(&self) -> Result<(), InvariantViolation> {
         for (name, entry) in &self.table {
-            let listed = self.suspects.contains(&(entry.until, *name));
-            if (entry.standing == Standing::Lost) != self.lost.contains(name) {
-                return Err(format!("{name}: {:?}, not so among the lost", entry.standing));
-            }
-            if (entry.standing == Standing::Suspected) != listed {
-                return Err(format!("{name}: {:?}, among the suspects: {listed}", entry.standing));
-            }
-            if entry.said_left && entry.standing != Standing::Left {
-                return Err(format!("{name}: has left, stands as {:?}", entry.standing));
-            }
+            self.check_entry(*name, entry)?;
         }
-        if self.suspects.len() > self.table.len()
-            || self.table.len() > self.room()
-            || self.all.len() != self.table.len()
-        {
-            return Err(format!("{} members, room for {}", self.table.len(), self.room()));
+        let (members, capacity) = (self.table.len(), self.room());
+        if self.suspects.len() > members || members > capacity || self.all.len() != members {
+            return Err(InvariantViolation::MemberTable { members, capacity });
+        }
+        let (size, outgoing) = (self.size(None), self.out.len());
+        if size.least > size.most || outgoing > MAX_OUT {
+            return Err(InvariantViolation::SizeOrQueue { size, outgoing });
+        }
+        Ok(())
+    }
+
+    fn check_entry(&self, member: MemberName, entry: &Entry) -> Result<(), InvariantViolation> {
+        let status = entry.standing;
+        if (status == Standing::Lost) != self.lost.contains(&member) {
+            return Err(InvariantViolation::DeadSet { member, status });
+        }
+        let queued = self.suspects.contains(&(entry.until, member));
+        if (status == Standing::Suspected) != queued {
+            return Err(InvariantViolation::SuspicionQueue { member, status, queued });
         }
-        let size = self.size(None);
-        if size.least > size.most || self.out.len() > MAX_OUT {
-            return Err(format!("{size:?}, {} datagrams wait", self.out.len()));
+        if entry.said_left && status != Standing::Left {
+            return Err(InvariantViolation::NotLeft { member, status });
         }
         Ok(())
     }
--- a/crates/hazelspur-fleet/src/names.rs
+++ b/crates/hazelspur-fleet/src/names.rs
@@ -94,3 +94,13 @@
 /// How often a member has spoken up for itself within a generation. Only the member itself raises it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u32);
+
+/// One run of a process, by the server's name and the generation of its start. Not SWIM's incarnation number, which a
+/// member raises several times within one run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ProcessIncarnation {
+    /// The server's name.
+    pub name: MemberName,
+    /// The generation of this run.
+    pub generation: Generation,
+}
--- /dev/null
+++ b/crates/hazelspur-fleet/src/quota/allocator.rs
@@ -0,0 +1,287 @@
+//! The allocator's table: what each lessee demands, what it was granted, and until when it may still use that.
+//!
+//! Invariant: the outstanding leases of a limit never exceed its shared pool. An allocator that takes over grants each
+//! lessee no more than the lessee already has until the leases of its predecessor have expired.
+
+use super::config::{LimitId, QuotaConfig, SharedLimit};
+use super::fair_share::fair_level;
+use super::manager::QuotaStats;
+use super::message::LeaseRequest;
+use super::outstanding::OutstandingLeases;
+use crate::names::ProcessIncarnation;
+use hazelspur::{Duration, Timestamp};
+use std::collections::BTreeMap;
+
+/// Lessees up to which levels and sums are computed with each request.
+const MAX_LESSEES_EXACT: usize = 48;
+/// Time between two computations of levels and sums with more lessees; in between sums only grow.
+const REFRESH_INTERVAL: Duration = Duration::from_ms(100);
+/// Factor by which rounding may raise a lessee's figures above their bound.
+const ROUNDING_TOLERANCE: f64 = 1.001;
+/// Part of the vote duration after which a silent lessee no longer waits for a turn.
+const SILENT_FRACTION: f64 = 0.75;
+/// Largest number of lessees in the table over the largest number of servers: restarts add incarnations.
+pub(super) const CAPACITY_OVER_SERVERS: usize = 2;
+
+/// A lessee's place in the order of exclusive turns.
+#[derive(Clone, Copy, Debug, Default)]
+struct Turn {
+    waiting_since: Option<Timestamp>,
+    granted_at: Option<Timestamp>,
+}
+
+#[derive(Clone, Debug, Default)]
+struct Demand {
+    /// What the lessee would use beyond its guaranteed minimum.
+    amount: f64,
+    outstanding: OutstandingLeases,
+    turn: Turn,
+}
+
+#[derive(Clone, Debug)]
+struct Lessee {
+    last_request: u32,
+    last_request_at: Timestamp,
+    /// By limit.
+    demands: Vec<Demand>,
+}
+
+/// The leader that grants leases of the shared pools.
+#[derive(Clone, Debug)]
+pub(super) struct Allocator {
+    lessees: BTreeMap<ProcessIncarnation, Lessee>,
+    /// Level of max-min fairness, by limit.
+    levels: Vec<f64>,
+    /// Sum of outstanding leases, by limit.
+    sums: Vec<f64>,
+    refreshed_at: Timestamp,
+    /// Leases of the previous allocator may be in use until then.
+    takeover_ends: Timestamp,
+}
+
+impl Allocator {
+    pub(super) fn new(limits: usize, takeover_ends: Timestamp) -> Self {
+        Self {
+            lessees: BTreeMap::new(),
+            levels: vec![0.0; limits],
+            sums: vec![0.0; limits],
+            refreshed_at: Timestamp::default(),
+            takeover_ends,
+        }
+    }
+
+    pub(super) fn lessees(&self) -> usize {
+        self.lessees.len()
+    }
+
+    /// Sum of the outstanding leases of a limit.
+    pub(super) fn granted(&self, now: Timestamp, limit: usize) -> f64 {
+        let demands = self.lessees.values().filter_map(|lessee| lessee.demands.get(limit));
+        demands.map(|demand| demand.outstanding.amount(now)).sum()
+    }
+
+    /// Grants leases: the amount of each shared pool for the configured lease duration. `None` for a request that is
+    /// malformed or no newer than the last one, and where the table is full.
+    pub(super) fn grant(
+        &mut self,
+        now: Timestamp,
+        config: &QuotaConfig,
+        from: ProcessIncarnation,
+        request: &LeaseRequest,
+        stats: &mut QuotaStats,
+    ) -> Option<Vec<f32>> {
+        let limits = config.limits.len();
+        if request.demands.len() != limits || request.retained.len() != limits {
+            stats.invalid_demands += 1;
+            return None;
+        }
+        if !self.has_capacity_for(now, config, from) {
+            stats.rejected_lessees += 1;
+            return None;
+        }
+        let lessee = self.lessees.entry(from).or_insert_with(|| Lessee::new(now, limits));
+        if request.number <= lessee.last_request {
+            return None;
+        }
+        lessee.update(now, config, request, stats);
+        self.refresh(now, config);
+        let grant_limit =
+            |index| self.grant_limit(now, config, from, LimitId(index), request.retained[index]);
+        Some((0..limits).map(grant_limit).collect())
+    }
+
+    fn has_capacity_for(&mut self, now: Timestamp, config: &QuotaConfig, from: ProcessIncarnation) -> bool {
+        if self.lessees.contains_key(&from) {
+            return true;
+        }
+        self.remove_silent(now, config);
+        self.lessees.len() < config.max_servers * CAPACITY_OVER_SERVERS
+    }
+
+    fn grant_limit(
+        &mut self,
+        now: Timestamp,
+        config: &QuotaConfig,
+        from: ProcessIncarnation,
+        limit: LimitId,
+        retained: f32,
+    ) -> f32 {
+        let shared_limit = &config.limits[limit.0];
+        let pool = config.shared_pool(limit);
+        let demand = &self.lessees[&from].demands[limit.0];
+        let (demanded, own) = (demand.amount, demand.outstanding.amount(now));
+        let free = (pool - self.sums[limit.0]).max(0.0);
+        let fair = demanded.min(self.levels[limit.0]).min(own + free);
+        let in_takeover = now < self.takeover_ends;
+        let held = valid_amount(retained, pool * ROUNDING_TOLERANCE);
+        let amount = match shared_limit.max_turn {
+            Some(_) if in_takeover => f64::from(u8::from(held >= 1.0 && own + free >= 1.0)),
+            Some(max_turn) => self.grant_turn(now, from, limit, max_turn, free),
+            None if in_takeover => fair.min(held),
+            None => fair,
+        };
+        // Rounded down: the message must not grant more than the table counts.
+        let granted = rounded_down(amount);
+        let expires = now + config.lease_duration() + shared_limit.residual_duration;
+        self.record_lease(now, from, limit, f64::from(granted), expires);
+        granted
+    }
+
+    fn record_lease(
+        &mut self,
+        now: Timestamp,
+        to: ProcessIncarnation,
+        limit: LimitId,
+        amount: f64,
+        expires: Timestamp,
+    ) {
+        let Some(lessee) = self.lessees.get_mut(&to) else { return };
+        let outstanding = &mut lessee.demands[limit.0].outstanding;
+        let before = outstanding.amount(now);
+        outstanding.add(now, amount, expires);
+        self.sums[limit.0] += outstanding.amount(now) - before;
+    }
+
+    /// Grants a whole turn (1) or none (0). A turn lasts `max_turn` at most; a free one goes to who has waited longest.
+    fn grant_turn(
+        &mut self,
+        now: Timestamp,
+        from: ProcessIncarnation,
+        limit: LimitId,
+        max_turn: Duration,
+        free: f64,
+    ) -> f64 {
+        let demand = &self.lessees[&from].demands[limit.0];
+        let Some(waiting_since) = demand.turn.waiting_since else { return 0.0 };
+        if let Some(granted_at) = demand.turn.granted_at {
+            let is_over = now - granted_at >= max_turn;
+            if is_over {
+                self.set_turn(from, limit, Turn { waiting_since: Some(now), granted_at: None });
+            }
+            return if is_over { 0.0 } else { 1.0 };
+        }
+        // A lessee whose last turn has not expired gets no other one meanwhile.
+        let uses_last_turn = demand.outstanding.amount(now) >= 1.0;
+        if uses_last_turn || free < (self.waiting_ahead(from, limit, waiting_since) + 1) as f64 {
+            return 0.0;
+        }
+        self.set_turn(from, limit, Turn { waiting_since: Some(waiting_since), granted_at: Some(now) });
+        1.0
+    }
+
+    fn waiting_ahead(&self, from: ProcessIncarnation, limit: LimitId, waiting_since: Timestamp) -> usize {
+        let is_ahead = |(other, lessee): &(&ProcessIncarnation, &Lessee)| {
+            let turn = lessee.demands[limit.0].turn;
+            **other != from
+                && turn.granted_at.is_none()
+                && turn.waiting_since.is_some_and(|since| (since, **other) < (waiting_since, from))
+        };
+        self.lessees.iter().filter(is_ahead).count()
+    }
+
+    fn set_turn(&mut self, lessee: ProcessIncarnation, limit: LimitId, turn: Turn) {
+        if let Some(lessee) = self.lessees.get_mut(&lessee) {
+            lessee.demands[limit.0].turn = turn;
+        }
+    }
+
+    /// Computes levels and sums anew.
+    fn refresh(&mut self, now: Timestamp, config: &QuotaConfig) {
+        if self.lessees.len() > MAX_LESSEES_EXACT && now - self.refreshed_at < REFRESH_INTERVAL {
+            return;
+        }
+        self.refreshed_at = now;
+        self.remove_silent(now, config);
+        for index in 0..config.limits.len() {
+            self.sums[index] = self.granted(now, index);
+            let recent = self.lessees.values().filter(|l| now - l.last_request_at < config.vote_duration);
+            let demands = recent.map(|lessee| lessee.demands[index].amount).collect();
+            self.levels[index] = fair_level(config.shared_pool(LimitId(index)), demands);
+        }
+    }
+
+    /// Removes silent lessees without leases; silent lessees with leases no longer wait for turns.
+    fn remove_silent(&mut self, now: Timestamp, config: &QuotaConfig) {
+        let silent_after = config.vote_duration.scaled(SILENT_FRACTION);
+        self.lessees.retain(|_, lessee| {
+            let silent = now - lessee.last_request_at >= silent_after;
+            if silent {
+                lessee.demands.iter_mut().for_each(|demand| demand.turn = Turn::default());
+            }
+            !silent || lessee.demands.iter().any(|demand| demand.outstanding.amount(now) > 0.0)
+        });
+    }
+}
+
+impl Lessee {
+    fn new(now: Timestamp, limits: usize) -> Self {
+        Self { last_request: 0, last_request_at: now, demands: vec![Demand::default(); limits] }
+    }
+
+    fn update(
+        &mut self,
+        now: Timestamp,
+        config: &QuotaConfig,
+        request: &LeaseRequest,
+        stats: &mut QuotaStats,
+    ) {
+        (self.last_request, self.last_request_at) = (request.number, now);
+        for (index, limit) in config.limits.iter().enumerate() {
+            let demanded = f64::from(request.demands[index]);
+            stats.invalid_demands += u64::from(!(0.0..=limit.total * ROUNDING_TOLERANCE).contains(&demanded));
+            let demanded = if demanded.is_finite() { demanded.clamp(0.0, limit.total) } else { 0.0 };
+            let beyond_minimum = (demanded - config.guaranteed_minimum(LimitId(index))).max(0.0);
+            self.demands[index].update(now, limit, beyond_minimum, f64::from(request.retained[index]));
+        }
+    }
+}
+
+impl Demand {
+    fn update(&mut self, now: Timestamp, limit: &SharedLimit, amount: f64, retained: f64) {
+        self.amount = amount;
+        // A figure that is no amount promises nothing.
+        if retained.is_finite() && retained >= 0.0 {
+            self.outstanding.reduce(now, retained, now + limit.residual_duration);
+        }
+        if limit.max_turn.is_some() {
+            let waits = amount >= 1.0;
+            self.turn.waiting_since = waits.then(|| self.turn.waiting_since.unwrap_or(now));
+            if self.outstanding.amount(now) < 1.0 {
+                self.turn.granted_at = None;
+            }
+        }
+    }
+}
+
+/// What a lessee says it retains, if that is possible; otherwise nothing.
+fn valid_amount(retained: f32, max: f64) -> f64 {
+    let retained = f64::from(retained);
+    if (0.0..=max).contains(&retained) { retained } else { 0.0 }
+}
+
+/// The largest `f32` that is not above the amount.
+fn rounded_down(amount: f64) -> f32 {
+    let amount = amount.max(0.0);
+    let nearest = amount as f32;
+    if f64::from(nearest) > amount { f32::from_bits(nearest.to_bits().saturating_sub(1)) } else { nearest }
+}
--- /dev/null
+++ b/crates/hazelspur-fleet/src/quota/manager.rs
@@ -0,0 +1,403 @@
+//! One server's part in the quota protocol: it is a lessee, and if the configuration names it, a voter, a candidate and at
+//! times the allocator.
+
+use super::CLOCK_DRIFT;
+use super::allocator::{Allocator, CAPACITY_OVER_SERVERS};
+use super::config::{LimitId, QuotaConfig};
+use super::election::{Candidate, Quorum, Voter};
+use super::lessee::Lessee;
+use super::message::{LeaseGrant, LeaseRequest, QuotaMessage, VoteResponse};
+use crate::invariant::InvariantViolation;
+use crate::names::{MemberName, ProcessIncarnation};
+use hazelspur::Timestamp;
+use hazelspur::pcg::Pcg;
+use std::collections::VecDeque;
+
+/// Part of the renewal interval after which a server without a lease requests one again.
+const RETRY_FRACTION: f64 = 0.25;
+/// Smallest factor by which the time to the next request varies.
+const MIN_REQUEST_JITTER: f64 = 0.9;
+/// Width of the range of factors by which the time to the next request varies.
+const REQUEST_JITTER_RANGE: f64 = 0.2;
+/// Smallest part of the renewal interval between a failed ballot and the next.
+const MIN_BALLOT_BACKOFF: f64 = 0.3;
+/// Width of the range of parts of the renewal interval between a failed ballot and the next.
+const BALLOT_BACKOFF_RANGE: f64 = 0.7;
+/// Relative rounding error of a sum of leases.
+const RELATIVE_TOLERANCE: f64 = 1e-6;
+/// Absolute rounding error of a sum of leases.
+const ABSOLUTE_TOLERANCE: f64 = 1e-9;
+/// Mixed into the seed, so that membership and quota draw different numbers.
+const SEED_SALT: u64 = 0x5ba5;
+/// Messages that wait to be sent; more are dropped, as a network would.
+const MAX_OUTGOING: usize = 64;
+/// Events that wait to be read; more are dropped.
+const MAX_EVENTS: usize = 64;
+
+/// What a server may use now.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct QuotaShare {
+    /// The guaranteed minimum and the lease together.
+    pub amount: f64,
+    /// What remains after the lease expires.
+    pub guaranteed: f64,
+    /// When the lease expires; none without a lease.
+    pub expires: Option<Timestamp>,
+}
+
+/// What the allocator has granted of one limit.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Allocation {
+    /// Sum of the outstanding leases.
+    pub granted: f64,
+    /// Lessees in the allocator's table.
+    pub lessees: usize,
+    /// The shared pool.
+    pub pool: f64,
+}
+
+/// A state change for the log.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum QuotaEvent {
+    /// This server is elected and allocates from now on.
+    StartedAllocating,
+    /// This server no longer allocates.
+    StoppedAllocating,
+    /// This server has a lease again, granted by this allocator.
+    LeaseAcquired(MemberName),
+    /// The last lease expired without renewal: guaranteed minimums only.
+    LeaseExpired,
+}
+
+/// Counters since the start of the process.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct QuotaStats {
+    /// Lease requests of this server.
+    pub requests: u64,
+    /// Leases that this server received.
+    pub leases_received: u64,
+    /// Leases that this server granted as allocator.
+    pub leases_granted: u64,
+    /// Demands outside their range.
+    pub invalid_demands: u64,
+    /// Lessees for which the allocator's table had no capacity.
+    pub rejected_lessees: u64,
+}
+
+/// A message and its receiver.
+#[derive(Clone, Debug)]
+struct Outgoing {
+    to: MemberName,
+    message: QuotaMessage,
+}
+
+/// One server's part in the quota protocol.
+#[derive(Clone, Debug)]
+pub struct QuotaManager {
+    me: ProcessIncarnation,
+    config: QuotaConfig,
+    random: Pcg,
+    voter: Option<Voter>,
+    candidate: Option<Candidate>,
+    allocator: Option<Allocator>,
+    lessee: Lessee,
+    outgoing: VecDeque<Outgoing>,
+    events: VecDeque<QuotaEvent>,
+    /// Counters since the start of the process.
+    pub stats: QuotaStats,
+}
+
+impl QuotaManager {
+    /// A new process incarnation, with a configuration that has passed `QuotaConfig::check`.
+    pub fn new(config: QuotaConfig, me: ProcessIncarnation, seed: u64, now: Timestamp) -> Self {
+        let mut random = Pcg::new(seed ^ SEED_SALT);
+        let is_voter = config.voters.contains(&me.name);
+        let renewal = config.renewal_interval();
+        let first_request = now + renewal.scaled(RETRY_FRACTION * random.unit());
+        let first_ballot = is_voter.then(|| now + config.vote_duration + renewal.scaled(random.unit()));
+        Self {
+            voter: is_voter.then(|| Voter::new(now, config.vote_duration)),
+            candidate: first_ballot.map(Candidate::new),
+            allocator: None,
+            lessee: Lessee::new(config.limits.len(), first_request),
+            me,
+            config,
+            random,
+            outgoing: VecDeque::new(),
+            events: VecDeque::new(),
+            stats: QuotaStats::default(),
+        }
+    }
+
+    /// The configuration.
+    pub fn config(&self) -> &QuotaConfig {
+        &self.config
+    }
+
+    // ---- inputs ----
+
+    /// Sets what this server would use of a limit if it could; what is no number counts as zero.
+    pub fn set_demand(&mut self, limit: LimitId, amount: f64) {
+        self.lessee.set_demand(&self.config, limit, amount);
+    }
+
+    /// Takes a message; the caller vouches for the sender.
+    pub fn receive(&mut self, now: Timestamp, from: ProcessIncarnation, message: &QuotaMessage) {
+        match message {
+            QuotaMessage::VoteRequest { ballot } => self.receive_vote_request(now, from, *ballot),
+            QuotaMessage::VoteResponse(response) => self.receive_vote(now, from.name, response),
+            QuotaMessage::VoteRelease { ballot } => {
+                if let Some(voter) = &mut self.voter {
+                    voter.release(from, *ballot);
+                }
+            }
+            QuotaMessage::LeaseRequest(request) => self.receive_lease_request(now, from, request),
+            QuotaMessage::LeaseGrant(grant) => self.receive_lease_grant(now, from.name, grant),
+            QuotaMessage::NotLeader { number, allocator } => {
+                if let Some(to) = self.lessee.receive_redirection(from.name, *number, *allocator) {
+                    self.request_leases(now, to, true);
+                }
+            }
+        }
+    }
+
+    /// Acts on timers: to be called when the time of `next_tick` has come.
+    pub fn tick(&mut self, now: Timestamp) {
+        self.campaign(now);
+        if self.lessee.lease_change(now) == Some(false) {
+            self.push_event(QuotaEvent::LeaseExpired);
+        }
+        if now >= self.lessee.next_request {
+            match self.request_target(now) {
+                Some(to) => self.request_leases(now, to, false),
+                None => self.lessee.next_request = now + self.config.renewal_interval(),
+            }
+        }
+    }
+
+    /// Gives all leases back, because the process is about to end.
+    pub fn leave(&mut self, now: Timestamp) {
+        for index in 0..self.config.limits.len() {
+            self.set_demand(LimitId(index), 0.0);
+        }
+        if let Some(to) = self.request_target(now) {
+            self.request_leases(now, to, false);
+        }
+    }
+
+    // ---- outputs ----
+
+    /// When `tick` is to be called next.
+    pub fn next_tick(&self) -> Timestamp {
+        let campaign = self.candidate.as_ref().map(|candidate| candidate.next_action);
+        let election_expires = self.candidate.as_ref().and_then(|candidate| candidate.elected_until);
+        let timers = [campaign, election_expires, self.lessee.expires()];
+        timers.into_iter().flatten().fold(self.lessee.next_request, Timestamp::min)
+    }
+
+    /// The next message to send, and its receiver.
+    pub fn next_message(&mut self) -> Option<(MemberName, QuotaMessage)> {
+        self.outgoing.pop_front().map(|outgoing| (outgoing.to, outgoing.message))
+    }
+
+    /// The next event for the log.
+    pub fn next_event(&mut self) -> Option<QuotaEvent> {
+        self.events.pop_front()
+    }
+
+    /// What this server may use now. Leases expire by themselves, so ask for it at each use.
+    pub fn share(&self, now: Timestamp, limit: LimitId) -> QuotaShare {
+        self.lessee.share(now, &self.config, limit)
+    }
+
+    /// Until when this server allocates unless it is elected again; none while it does not.
+    pub fn allocates_until(&self, now: Timestamp) -> Option<Timestamp> {
+        let elected_until = self.candidate.as_ref().and_then(|candidate| candidate.elected_until);
+        elected_until.filter(|until| now < *until)
+    }
+
+    /// The allocator, as far as is known here.
+    pub fn allocator(&self, now: Timestamp) -> Option<MemberName> {
+        if self.allocates_until(now).is_some() { Some(self.me.name) } else { self.lessee.allocator }
+    }
+
+    /// What this server has granted of a limit; none while it does not allocate.
+    pub fn allocation(&self, now: Timestamp, limit: LimitId) -> Option<Allocation> {
+        let allocator = self.allocator.as_ref().filter(|_| self.allocates_until(now).is_some())?;
+        Some(Allocation {
+            granted: allocator.granted(now, limit.0),
+            lessees: allocator.lessees(),
+            pool: self.config.shared_pool(limit),
+        })
+    }
+
+    /// Checks what must be true after each input.
+    ///
+    /// # Errors
+    /// Returns the first invariant that does not hold.
+    pub fn check_invariants(&self, now: Timestamp) -> Result<(), InvariantViolation> {
+        for (index, limit) in self.config.limits.iter().enumerate() {
+            if let Some(Allocation { granted, pool, .. }) = self.allocation(now, LimitId(index))
+                && granted > pool * (1.0 + RELATIVE_TOLERANCE) + ABSOLUTE_TOLERANCE
+            {
+                return Err(InvariantViolation::OverAllocated { granted, pool });
+            }
+            let share = self.share(now, LimitId(index));
+            if !(0.0..=limit.total).contains(&share.amount) {
+                return Err(InvariantViolation::InvalidShare { share, total: limit.total });
+            }
+        }
+        let capacity = self.config.max_servers * CAPACITY_OVER_SERVERS;
+        match self.allocator.as_ref().map(Allocator::lessees) {
+            Some(lessees) if lessees > capacity => {
+                Err(InvariantViolation::TooManyLessees { lessees, capacity })
+            }
+            _ => Ok(()),
+        }
+    }
+
+    // ---- election ----
+
+    fn receive_vote_request(&mut self, now: Timestamp, from: ProcessIncarnation, ballot: u32) {
+        if let Some(voter) = &mut self.voter
+            && let Some(response) = voter.request_vote(now, self.config.vote_duration, from, ballot)
+        {
+            self.send(from.name, QuotaMessage::VoteResponse(response));
+        }
+    }
+
+    fn receive_vote(&mut self, now: Timestamp, from: MemberName, response: &VoteResponse) {
+        if !self.config.voters.contains(&from) {
+            return;
+        }
+        let vote_lasts = self.config.vote_duration.scaled(1.0 - CLOCK_DRIFT);
+        let quorum = Quorum { majority: self.config.majority(), vote_lasts };
+        let Some(candidate) = &mut self.candidate else { return };
+        let was_elected = candidate.is_elected(now);
+        if candidate.count_vote(now, from, response, quorum) && !was_elected {
+            self.start_allocating(now);
+        }
+        if !response.granted {
+            self.lessee.allocator = response.allocator.or(self.lessee.allocator);
+        }
+    }
+
+    fn start_allocating(&mut self, now: Timestamp) {
+        let takeover_ends = now + self.config.lease_duration() + self.config.max_residual_duration();
+        self.allocator = Some(Allocator::new(self.config.limits.len(), takeover_ends));
+        self.push_event(QuotaEvent::StartedAllocating);
+    }
+
+    /// The candidate's timer: expires its election, opens a ballot, renews it, or gives it up.
+    fn campaign(&mut self, now: Timestamp) {
+        if self.candidate.as_mut().is_some_and(|candidate| candidate.expire(now)) {
+            self.allocator = None;
+            self.push_event(QuotaEvent::StoppedAllocating);
+        }
+        let (renewal, jitter) = (self.config.renewal_interval(), self.random.unit());
+        let (Some(candidate), Some(voter)) = (&mut self.candidate, &mut self.voter) else { return };
+        if now < candidate.next_action {
+            return;
+        }
+        if !candidate.is_elected(now) {
+            if let Some(ballot) = candidate.abandon_ballot() {
+                voter.release(self.me, ballot);
+                candidate.next_action =
+                    now + renewal.scaled(MIN_BALLOT_BACKOFF + BALLOT_BACKOFF_RANGE * jitter);
+                return self.send_to_voters(&QuotaMessage::VoteRelease { ballot });
+            }
+            if let Some(until) = voter.unavailable_until(now, self.me) {
+                candidate.next_action = until + renewal.scaled(jitter);
+                return;
+            }
+        }
+        let ballot = candidate.open_ballot(now, renewal);
+        let own_response = voter.request_vote(now, self.config.vote_duration, self.me, ballot);
+        self.send_to_voters(&QuotaMessage::VoteRequest { ballot });
+        if let Some(response) = own_response {
+            self.receive_vote(now, self.me.name, &response);
+        }
+    }
+
+    // ---- leases ----
+
+    fn receive_lease_request(&mut self, now: Timestamp, from: ProcessIncarnation, request: &LeaseRequest) {
+        let number = request.number;
+        if self.allocates_until(now).is_none() {
+            let allocator = self.voted_for(now).filter(|name| *name != self.me.name);
+            return self.send(from.name, QuotaMessage::NotLeader { number, allocator });
+        }
+        let Some(allocator) = &mut self.allocator else { return };
+        let amounts = allocator.grant(now, &self.config, from, request, &mut self.stats);
+        if let Some(amounts) = amounts {
+            self.stats.leases_granted += 1;
+            let duration_ms = (self.config.lease_duration().us() / 1000) as u32;
+            self.send(from.name, QuotaMessage::LeaseGrant(LeaseGrant { number, duration_ms, amounts }));
+        }
+    }
+
+    fn receive_lease_grant(&mut self, now: Timestamp, from: MemberName, grant: &LeaseGrant) {
+        if self.lessee.receive_grant(now, &self.config, from, grant) {
+            self.stats.leases_received += 1;
+            if self.lessee.lease_change(now) == Some(true) {
+                self.push_event(QuotaEvent::LeaseAcquired(from));
+            }
+        }
+    }
+
+    /// Whom to ask for leases: the known allocator, otherwise a voter by chance.
+    fn request_target(&mut self, now: Timestamp) -> Option<MemberName> {
+        if self.allocates_until(now).is_some() {
+            return Some(self.me.name);
+        }
+        let drawn = self.random.draw() as usize;
+        let known = self.voted_for(now).or(self.lessee.allocator.filter(|_| self.lessee.answered));
+        let others: Vec<MemberName> =
+            self.config.voters.iter().copied().filter(|other| *other != self.me.name).collect();
+        let any = others.get(drawn % others.len().max(1)).copied();
+        known.filter(|name| *name != self.me.name).or(any)
+    }
+
+    fn voted_for(&self, now: Timestamp) -> Option<MemberName> {
+        self.voter.as_ref().and_then(|voter| voter.voted_for(now))
+    }
+
+    fn request_leases(&mut self, now: Timestamp, to: MemberName, redirected: bool) {
+        let part = if self.lessee.has_lease(now) { 1.0 } else { RETRY_FRACTION };
+        let jitter = MIN_REQUEST_JITTER + REQUEST_JITTER_RANGE * self.random.unit();
+        let retry_after = self.config.renewal_interval().scaled(part * jitter);
+        let request = self.lessee.request(now, &self.config, to, retry_after, redirected);
+        self.stats.requests += 1;
+        if to == self.me.name {
+            return self.receive_lease_request(now, self.me, &request);
+        }
+        self.send(to, QuotaMessage::LeaseRequest(request));
+    }
+
+    // ---- output queues ----
+
+    /// Queues a message. Of messages to this server itself only a grant matters, which takes effect at once.
+    fn send(&mut self, to: MemberName, message: QuotaMessage) {
+        if to == self.me.name {
+            if let QuotaMessage::LeaseGrant(grant) = &message {
+                self.receive_lease_grant(self.lessee.requested_at, to, grant);
+            }
+            return;
+        }
+        if self.outgoing.len() < MAX_OUTGOING {
+            self.outgoing.push_back(Outgoing { to, message });
+        }
+    }
+
+    fn send_to_voters(&mut self, message: &QuotaMessage) {
+        for voter in self.config.voters.clone() {
+            self.send(voter, message.clone());
+        }
+    }
+
+    fn push_event(&mut self, event: QuotaEvent) {
+        if self.events.len() < MAX_EVENTS {
+            self.events.push_back(event);
+        }
+    }
+}
--- a/crates/hazelspur-fleet/src/talk.rs
+++ b/crates/hazelspur-fleet/src/talk.rs
@@ -7,7 +7,7 @@
 use crate::load_reports::{AggregatedLoad, FaultScope};
 use crate::names::{Installation, LimitName, MemberName, SiteName};
 use crate::picture::{Size, Standing};
-use crate::{load_reports, shares};
+use crate::{load_reports, quota};
 use hazelspur::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -95,9 +95,9 @@
     /// Nothing but what goes along.
     Gossip,
     /// About shares, by these terms.
-    Share {
-        print: shares::Print,
-        word: shares::Word,
+    Quota {
+        fingerprint: quota::ConfigFingerprint,
+        message: quota::QuotaMessage,
     },
     /// The list behind this name.
     Ask {
@@ -236,8 +236,8 @@
     let shown = |rows: &Vec<ShownRow>, sites: &Vec<_>| rows.len() <= MAX_ROWS && sites.len() <= MAX_SITES;
     let fits = match &datagram.body {
         Body::Shown { rows, sites, .. } => shown(rows, sites),
-        Body::Share { word, .. } => word.fits(),
-        Body::Choices { shown, .. } => shown.shares.len() <= shares::MAX_LIMITS,
+        Body::Quota { message, .. } => message.has_valid_length(),
+        Body::Choices { shown, .. } => shown.shares.len() <= quota::MAX_LIMITS,
         _ => true,
     };
     if !rest.is_empty() || datagram.claims.len() > MAX_CLAIMS || !fits {
--- a/crates/hazelspur-fleet/tests/guidance.rs
+++ b/crates/hazelspur-fleet/tests/guidance.rs
@@ -4,21 +4,26 @@
 
 use hazelspur::{Duration, GuidanceKey};
 use hazelspur_fleet::guidance::Guidance;
-use hazelspur_fleet::shares::{Limit, LimitId, Terms};
+use hazelspur_fleet::quota::{LimitId, QuotaConfig, SharedLimit};
 use hazelspur_fleet::{At, Generation, Joint, LimitName};
 use helpers::{START, terms};
 
 #[test]
 fn after_a_lease_expired_all_guidance_is_given_again() {
     let at = At { wall: START, steady: START };
-    let limit = Limit {
+    let limit = SharedLimit {
         name: LimitName::new("calls").expect("a name"),
         total: 50.0,
-        floor: 1.0,
-        linger: Duration::ZERO,
-        whole: None,
+        guaranteed_fraction: 1.0,
+        residual_duration: Duration::ZERO,
+        max_turn: None,
+    };
+    let shares = QuotaConfig {
+        voters: vec![],
+        max_servers: 10,
+        vote_duration: Duration::from_ms(4000),
+        limits: vec![limit],
     };
-    let shares = Terms { keepers: vec![], most: 10, span: Duration::from_ms(4000), limits: vec![limit] };
     let joint = Joint::new(terms(0, 10), Some(shares), Generation(1), 1, at);
     let mut guidance = Guidance::new(true, vec![(LimitId(0), GuidanceKey::CallConcurrencyLimit)]);
     let mut told = || guidance.next(at, &joint).facts;
--- a/crates/hazelspur-fleet/tests/shares.rs
+++ b/crates/hazelspur-fleet/tests/quota.rs
@@ -6,29 +6,33 @@
 use expect_test::expect;
 use hazelspur::pcg::Pcg;
 use hazelspur::{Duration, Timestamp};
-use hazelspur_fleet::shares::{Event, Life, Limit, LimitId, Shares, Terms, Word, level};
-use hazelspur_fleet::{Generation, LimitName, MemberName};
+use hazelspur_fleet::quota::{
+    LeaseGrant, LeaseRequest, LimitId, QuotaConfig, QuotaEvent, QuotaManager, QuotaMessage, SharedLimit,
+    VoteResponse, fair_level,
+};
+use hazelspur_fleet::{Generation, LimitName, MemberName, ProcessIncarnation};
 use helpers::{START, name};
 use std::collections::{BTreeMap, VecDeque};
 
 const SLOTS: LimitId = LimitId(0);
-const SPAN: Duration = Duration::from_ms(4000);
-const LINGER: Duration = Duration::from_ms(500);
+const VOTE_DURATION: Duration = Duration::from_ms(4000);
+const RESIDUAL: Duration = Duration::from_ms(500);
 
-fn limit(text: &str, total: f64, floor: f64, whole: Option<Duration>) -> Limit {
-    Limit { name: LimitName::new(text).expect("a name"), total, floor, linger: LINGER, whole }
+fn limit(text: &str, total: f64, guaranteed_fraction: f64, max_turn: Option<Duration>) -> SharedLimit {
+    let name = LimitName::new(text).expect("a name");
+    SharedLimit { name, total, guaranteed_fraction, residual_duration: RESIDUAL, max_turn }
 }
 
-fn terms(keepers: usize, most: usize) -> Terms {
+fn config(voters: usize, max_servers: usize) -> QuotaConfig {
     let limits =
         vec![limit("slots", 100.0, 0.1, None), limit("turns", 1.0, 0.0, Some(Duration::from_ms(5000)))];
-    Terms { keepers: (0..keepers).map(name).collect(), most, span: SPAN, limits }
+    QuotaConfig { voters: (0..voters).map(name).collect(), max_servers, vote_duration: VOTE_DURATION, limits }
 }
 
 /// What every process may use now, and what it may have begun under a greater share not long ago.
 #[derive(Clone)]
 struct Used {
-    life: Life,
+    life: ProcessIncarnation,
     /// What was in force from when on, by limit.
     past: VecDeque<(Timestamp, Vec<f64>)>,
     /// When the last of it ends by itself.
@@ -37,11 +41,11 @@
 
 #[derive(Clone)]
 struct World {
-    terms: Terms,
+    config: QuotaConfig,
     now: Timestamp,
-    run: BTreeMap<usize, Shares>,
+    run: BTreeMap<usize, QuotaManager>,
     stopped: Vec<usize>,
-    under_way: Vec<(usize, Life, Word)>,
+    under_way: Vec<(usize, ProcessIncarnation, QuotaMessage)>,
     lives: u64,
     used: Vec<Used>,
     said: Vec<String>,
@@ -50,10 +54,10 @@
 }
 
 impl World {
-    fn new(size: usize, terms: Terms) -> Self {
-        terms.check().expect("sound terms");
+    fn new(size: usize, config: QuotaConfig) -> Self {
+        config.check().expect("a valid configuration");
         let mut world = Self {
-            terms,
+            config,
             now: START,
             run: BTreeMap::new(),
             stopped: Vec::new(),
@@ -70,9 +74,9 @@
     /// A new life, which believes that it is so late.
     fn start(&mut self, of: usize, believed: Timestamp) {
         self.lives += 1;
-        let life = Life { name: name(of), generation: Generation(self.lives) };
-        let mut shares = Shares::new(self.terms.clone(), life, self.lives * 77 + of as u64, believed);
-        shares.want(SLOTS, 40.0);
+        let life = ProcessIncarnation { name: name(of), generation: Generation(self.lives) };
+        let mut shares = QuotaManager::new(self.config.clone(), life, self.lives * 77 + of as u64, believed);
+        shares.set_demand(SLOTS, 40.0);
         self.run.insert(of, shares);
         self.used.push(Used { life, past: VecDeque::new(), ends: None });
     }
@@ -81,7 +85,7 @@
         self.run.remove(&of);
     }
 
-    fn life(&self, of: usize) -> Life {
+    fn life(&self, of: usize) -> ProcessIncarnation {
         let last = self.used.iter().rev().find(|used| used.life.name == name(of));
         last.expect("it has lived").life
     }
@@ -89,13 +93,13 @@
     fn gather(&mut self, of: usize) {
         let life = self.life(of);
         let Some(shares) = self.run.get_mut(&of) else { return };
-        while let Some((to, word)) = shares.next_out() {
+        while let Some((to, word)) = shares.next_message() {
             let to: usize = to.as_str()[1..].parse().expect("a number");
             self.under_way.push((to, life, word));
         }
         while let Some(event) = shares.next_event() {
             let at = (self.now - START).us() / 1000;
-            if !matches!(event, Event::Held(_)) {
+            if !matches!(event, QuotaEvent::LeaseAcquired(_)) {
                 self.said.push(format!("{at} n{of} {event:?}"));
             }
         }
@@ -109,7 +113,7 @@
             return;
         }
         if let Some(shares) = self.run.get_mut(&to) {
-            shares.heard(self.now, from, &word);
+            shares.receive(self.now, from, &word);
             self.gather(to);
         }
     }
@@ -124,9 +128,9 @@
     /// Notes what all may use, and compares the sum with the limit.
     fn check(&mut self) -> Result<(), String> {
         for (of, shares) in &self.run {
-            shares.check(self.now).map_err(|why| format!("n{of}: {why}"))?;
+            shares.check_invariants(self.now).map_err(|why| format!("n{of}: {why}"))?;
         }
-        let (now, limits) = (self.now, self.terms.limits.len());
+        let (now, limits) = (self.now, self.config.limits.len());
         for used in &mut self.used {
             let of = self.run.iter().find(|(of, _)| name(**of) == used.life.name);
             let amounts: Vec<f64> = match of {
@@ -137,21 +141,22 @@
                 // A lease that ended by itself did so on time, whenever that was looked at.
                 used.past.push_back((used.ends.map_or(now, |ends| ends.min(now)), amounts));
             }
-            used.ends = of.and_then(|(_, shares)| shares.share(now, SLOTS).until);
+            used.ends = of.and_then(|(_, shares)| shares.share(now, SLOTS).expires);
             // What ended longer ago than it lingers is over.
-            while used.past.len() > 1 && used.past[1].0 + LINGER <= now {
+            while used.past.len() > 1 && used.past[1].0 + RESIDUAL <= now {
                 used.past.pop_front();
             }
         }
         // A name has one process: the past of its older lives ended with them.
-        let newest: BTreeMap<MemberName, Life> = self.used.iter().map(|u| (u.life.name, u.life)).collect();
+        let newest: BTreeMap<MemberName, ProcessIncarnation> =
+            self.used.iter().map(|u| (u.life.name, u.life)).collect();
         for at in 0..limits {
             let running = self.used.iter().filter(|used| newest[&used.life.name] == used.life);
             let most = |used: &Used| used.past.iter().map(|(_, all)| all[at]).fold(0.0, f64::max);
             let sum: f64 = running.map(most).sum();
-            let total = self.terms.limits[at].total;
+            let total = self.config.limits[at].total;
             if sum > total * (1.0 + 1e-5) {
-                return Err(format!("{sum:.3} in force of {total} ({})", self.terms.limits[at].name));
+                return Err(format!("{sum:.3} in force of {total} ({})", self.config.limits[at].name));
             }
         }
         Ok(())
@@ -176,9 +181,9 @@
     }
 
     fn shares(&self) -> String {
-        let of = |(of, shares): (&usize, &Shares)| {
+        let of = |(of, shares): (&usize, &QuotaManager)| {
             let share = shares.share(self.now, SLOTS);
-            let divides = if shares.divides(self.now).is_some() { "*" } else { "" };
+            let divides = if shares.allocates_until(self.now).is_some() { "*" } else { "" };
             format!("n{of}{divides} {:.1}", share.amount)
         };
         self.run.iter().map(of).collect::<Vec<_>>().join(", ")
@@ -192,30 +197,30 @@
 #[test]
 fn demands_are_met_up_to_a_level_that_fills_the_pool() {
     let cases = [
-        level(90.0, vec![10.0, 20.0, 30.0]),
-        level(90.0, vec![10.0, 50.0, 500.0]),
-        level(90.0, vec![90.0; 3]),
-        level(0.0, vec![1.0, 2.0]),
-        level(5.0, vec![]),
+        fair_level(90.0, vec![10.0, 20.0, 30.0]),
+        fair_level(90.0, vec![10.0, 50.0, 500.0]),
+        fair_level(90.0, vec![90.0; 3]),
+        fair_level(0.0, vec![1.0, 2.0]),
+        fair_level(5.0, vec![]),
     ];
     expect!["inf, 40, 30, 0, inf"].assert_eq(&cases.map(|level| level.to_string()).join(", "));
 }
 
 #[test]
 fn a_few_servers_vote_for_a_divider_and_share_by_demand() {
-    let mut world = World::new(5, terms(3, 10));
+    let mut world = World::new(5, config(3, 10));
     world.run(20_000).expect("the sum holds");
     let mut told = vec![world.said.join("; "), world.shares()];
     for (of, want) in [(0, 5.0), (1, 10.0), (2, 20.0), (3, 30.0), (4, 1e9)] {
-        world.run.get_mut(&of).expect("it runs").want(SLOTS, want);
+        world.run.get_mut(&of).expect("it runs").set_demand(SLOTS, want);
     }
     world.run(10_000).expect("the sum holds");
     told.push(world.shares());
-    world.run.get_mut(&4).expect("it runs").want(SLOTS, f64::NAN);
+    world.run.get_mut(&4).expect("it runs").set_demand(SLOTS, f64::NAN);
     world.run(10_000).expect("the sum holds");
     told.push(world.shares());
     expect![[r#"
-        4206 n0 Divides
+        4206 n0 StartedAllocating
         n0* 19.0, n1 19.0, n2 19.0, n3 19.0, n4 19.0
         n0* 5.0, n1 10.0, n2 20.0, n3 30.0, n4 30.0
         n0* 5.0, n1 10.0, n2 20.0, n3 30.0, n4 1.0
@@ -225,10 +230,10 @@
 
 #[test]
 fn a_divider_that_is_killed_or_stands_still_is_followed_by_another_and_gives_nothing_when_it_wakes() {
-    let mut world = World::new(5, terms(3, 10));
+    let mut world = World::new(5, config(3, 10));
     world.run(20_000).expect("the sum holds");
     let divider = |world: &World| {
-        world.run.iter().find(|(_, shares)| shares.divides(world.now).is_some()).map(|(of, _)| *of)
+        world.run.iter().find(|(_, shares)| shares.allocates_until(world.now).is_some()).map(|(of, _)| *of)
     };
     let first = divider(&world).expect("one divides");
     world.said.clear();
@@ -236,7 +241,8 @@
     let mut floor_only = 0;
     for _ in 0..200 {
         world.run(100).expect("the sum holds");
-        floor_only += u64::from(world.run.values().all(|s| s.share(world.now, SLOTS).until.is_none())) * 100;
+        floor_only +=
+            u64::from(world.run.values().all(|s| s.share(world.now, SLOTS).expires.is_none())) * 100;
     }
     let second = divider(&world).filter(|of| *of != first).expect("another divides");
     world.stopped.clear();
@@ -251,7 +257,7 @@
 
 #[test]
 fn without_half_of_the_keepers_there_are_floors_and_with_them_again_shares() {
-    let mut world = World::new(5, terms(3, 10));
+    let mut world = World::new(5, config(3, 10));
     world.run(20_000).expect("the sum holds");
     world.kill(0);
     world.kill(1);
@@ -273,7 +279,7 @@
 
 #[test]
 fn a_server_that_wakes_with_an_old_lease_has_its_floor() {
-    let mut world = World::new(5, terms(3, 10));
+    let mut world = World::new(5, config(3, 10));
     world.run(20_000).expect("the sum holds");
     world.stopped.push(4);
     let before = world.run[&4].share(world.now, SLOTS).amount;
@@ -287,8 +293,8 @@
 
 #[test]
 fn a_turn_goes_round_and_one_who_stands_still_with_it_loses_it() {
-    let mut world = World::new(5, terms(3, 10));
-    world.run.values_mut().for_each(|shares| shares.want(LimitId(1), 1.0));
+    let mut world = World::new(5, config(3, 10));
+    world.run.values_mut().for_each(|shares| shares.set_demand(LimitId(1), 1.0));
     world.run(14_000).expect("the sum holds");
     let mut had: Vec<(usize, u64)> = Vec::new();
     for step in 0..1200 {
@@ -316,19 +322,19 @@
 #[test]
 fn terms_that_make_no_sense_are_refused() {
     let mut told = Vec::new();
-    let mut refused = |change: &dyn Fn(&mut Terms)| {
-        let mut terms = terms(3, 10);
-        change(&mut terms);
-        told.push(terms.check().expect_err("nonsense"));
+    let mut refused = |change: &dyn Fn(&mut QuotaConfig)| {
+        let mut config = config(3, 10);
+        change(&mut config);
+        told.push(config.check().expect_err("an invalid configuration").to_string());
     };
-    refused(&|t| t.keepers.push(name(0)));
-    refused(&|t| t.keepers = (0..10).map(name).collect());
+    refused(&|t| t.voters.push(name(0)));
+    refused(&|t| t.voters = (0..10).map(name).collect());
     refused(&|t| t.limits[0].total = f64::NAN);
-    refused(&|t| t.limits[0].floor = 1.5);
-    refused(&|t| t.limits[1].floor = 0.1);
-    refused(&|t| t.limits[0].linger = Duration::from_ms(2001));
+    refused(&|t| t.limits[0].guaranteed_fraction = 1.5);
+    refused(&|t| t.limits[1].guaranteed_fraction = 0.1);
+    refused(&|t| t.limits[0].residual_duration = Duration::from_ms(2001));
     refused(&|t| t.limits[1].name = t.limits[0].name);
-    refused(&|t| t.span = Duration::ZERO);
+    refused(&|t| t.vote_duration = Duration::ZERO);
     expect![[r#"
         a keeper is named twice: its vote would count twice
         more than 9 keepers
@@ -375,7 +381,7 @@
             Step::Double(at) => {
                 let (to, from, word) = self.under_way[at].clone();
                 if let Some(shares) = self.run.get_mut(&to).filter(|_| !self.stopped.contains(&to)) {
-                    shares.heard(self.now, from, &word);
+                    shares.receive(self.now, from, &word);
                     self.gather(to);
                 }
             }
@@ -421,10 +427,10 @@
 /// Three keepers and one who only holds; from a start, from a quiet fleet, and from the end of a divider.
 #[test]
 fn in_all_orders_of_few_events_the_sum_stays_within_the_limit() {
-    let mut start = World::new(4, terms(3, 4));
+    let mut start = World::new(4, config(3, 4));
     start.most_under_way = 4;
-    start.now = START + SPAN;
-    let mut quiet = World::new(4, terms(3, 4));
+    start.now = START + VOTE_DURATION;
+    let mut quiet = World::new(4, config(3, 4));
     quiet.run(20_000).expect("the sum holds");
     quiet.most_under_way = 4;
     let mut over = quiet.clone();
@@ -452,8 +458,8 @@
         };
         if let Some(Plant::ClaimsMore) = plant {
             for (_, from, word) in &mut world.under_way {
-                if let (Word::Want { keeps, .. }, true) = (word, from.name == name(3)) {
-                    keeps[0] = 80.0;
+                if let (QuotaMessage::LeaseRequest(request), true) = (word, from.name == name(3)) {
+                    request.retained[0] = 80.0;
                 }
             }
         }
@@ -464,7 +470,7 @@
             // n3 goes by a clock that stands still: what it ever held it goes on using.
             ever = shares.share(world.now, SLOTS).amount.max(ever);
             if ever > 5.0 {
-                shares.want(SLOTS, 1.0);
+                shares.set_demand(SLOTS, 1.0);
             }
             if let Some(used) = world.used.iter_mut().rfind(|used| used.life.name == name(3)) {
                 used.past = VecDeque::from([(world.now, vec![ever, 0.0])]);
@@ -482,9 +488,9 @@
 }
 
 fn crowd(most_under_way: usize) -> World {
-    let mut world = World::new(6, terms(3, 6));
+    let mut world = World::new(6, config(3, 6));
     world.most_under_way = most_under_way;
-    world.run.values_mut().for_each(|shares| shares.want(SLOTS, 90.0));
+    world.run.values_mut().for_each(|shares| shares.set_demand(SLOTS, 90.0));
     world
 }
 
@@ -494,7 +500,7 @@
         let world = walk(crowd(12), seed, 400, None);
         let mut world = world.unwrap_or_else(|why| panic!("seed {seed}: {why}"));
         world.stopped.clear();
-        world.run.values_mut().for_each(|shares| shares.want(SLOTS, 90.0));
+        world.run.values_mut().for_each(|shares| shares.set_demand(SLOTS, 90.0));
         world.most_under_way = 10_000;
         world.run(40_000).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
         assert!(world.in_force() > 95.0, "seed {seed}: {}", world.shares());
@@ -508,12 +514,12 @@
         assert!(found, "{plant:?} was not found");
     }
     // Two lists of keepers whose majorities don't meet.
-    let mut world = World::new(3, terms(3, 6));
-    let mut others = terms(3, 6);
-    others.keepers = (3..6).map(name).collect();
-    world.terms = others;
+    let mut world = World::new(3, config(3, 6));
+    let mut others = config(3, 6);
+    others.voters = (3..6).map(name).collect();
+    world.config = others;
     (3..6).for_each(|of| world.start(of, START));
-    world.run.values_mut().for_each(|shares| shares.want(SLOTS, 90.0));
+    world.run.values_mut().for_each(|shares| shares.set_demand(SLOTS, 90.0));
     assert!(world.run(30_000).is_err(), "{}", world.shares());
 }
 
@@ -521,7 +527,7 @@
 #[test]
 fn whatever_is_said_about_shares_stays_within_the_bounds() {
     let mut chance = Pcg::new(11);
-    let mut world = World::new(3, terms(3, 10));
+    let mut world = World::new(3, config(3, 10));
     world.run(20_000).expect("the sum holds");
     let odd = |chance: &mut Pcg| match chance.draw() % 6 {
         0 => f32::NAN,
@@ -537,25 +543,37 @@
             (0..length).map(|_| odd(chance)).collect()
         };
         let number = if chance.draw().is_multiple_of(2) { chance.draw() % 64 } else { chance.draw() };
-        let divider = Some(name(chance.draw() as usize % 5));
+        let allocator = Some(name(chance.draw() as usize % 5));
         let word = match chance.draw() % 6 {
-            0 => Word::Ask { round: number },
-            1 => Word::Vote { round: number, yes: chance.draw().is_multiple_of(2), divider },
-            2 => Word::Drop { round: number },
-            3 => Word::Want { number, wants: few(&mut chance), keeps: few(&mut chance) },
-            4 => Word::Have { number, span_ms: chance.draw(), amounts: few(&mut chance) },
-            _ => Word::Elsewhere { number, divider },
+            0 => QuotaMessage::VoteRequest { ballot: number },
+            1 => QuotaMessage::VoteResponse(VoteResponse {
+                ballot: number,
+                granted: chance.draw().is_multiple_of(2),
+                allocator,
+            }),
+            2 => QuotaMessage::VoteRelease { ballot: number },
+            3 => QuotaMessage::LeaseRequest(LeaseRequest {
+                number,
+                demands: few(&mut chance),
+                retained: few(&mut chance),
+            }),
+            4 => QuotaMessage::LeaseGrant(LeaseGrant {
+                number,
+                duration_ms: chance.draw(),
+                amounts: few(&mut chance),
+            }),
+            _ => QuotaMessage::NotLeader { number, allocator },
         };
-        let from = Life {
+        let from = ProcessIncarnation {
             name: name(chance.draw() as usize % 40),
             generation: Generation(u64::from(chance.draw() % 9)),
         };
         let now = START + Duration::from_ms(20_000 + i * 3);
         for shares in world.run.values_mut() {
-            shares.heard(now, from, &word);
+            shares.receive(now, from, &word);
             shares.tick(now);
-            shares.check(now).unwrap_or_else(|why| panic!("{why} after {word:?}"));
-            while shares.next_out().is_some() {}
+            shares.check_invariants(now).unwrap_or_else(|why| panic!("{why} after {word:?}"));
+            while shares.next_message().is_some() {}
         }
     }
 }
--- a/crates/hazelspur-fleet/tests/wire.rs
+++ b/crates/hazelspur-fleet/tests/wire.rs
@@ -3,7 +3,9 @@
 
 use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::load_reports::{AggregatedLoad, FaultScope, PeerLoadReport};
-use hazelspur_fleet::shares::{Limit, Print, Terms, Word as ShareWord};
+use hazelspur_fleet::quota::{
+    ConfigFingerprint, LeaseGrant, LeaseRequest, QuotaConfig, QuotaMessage, SharedLimit, VoteResponse,
+};
 use hazelspur_fleet::talk::{self, Shown, ShownRow};
 use hazelspur_fleet::{
     Body, Claim, Condition, Datagram, Generation, Incarnation, Installation, Key, LimitName, MemberName,
@@ -41,8 +43,8 @@
     }
 }
 
-fn shares(word: ShareWord) -> Datagram {
-    datagram(Body::Share { print: Print(0x0123_4567_89ab_cdef), word })
+fn quota(message: QuotaMessage) -> Datagram {
+    datagram(Body::Quota { fingerprint: ConfigFingerprint(0x0123_4567_89ab_cdef), message })
 }
 
 fn about_members() -> Vec<(&'static str, Datagram)> {
@@ -66,17 +68,23 @@
     ]
 }
 
-fn about_shares() -> Vec<(&'static str, Datagram)> {
-    let divider = Some(member("n2"));
-    let (wants, keeps, amounts) = (vec![1.5, 200.0], vec![0.25, 0.0], vec![0.1, 3.0]);
+fn about_quotas() -> Vec<(&'static str, Datagram)> {
+    let allocator = Some(member("n2"));
+    let (demands, retained, amounts) = (vec![1.5, 200.0], vec![0.25, 0.0], vec![0.1, 3.0]);
     vec![
-        ("share-ask", shares(ShareWord::Ask { round: 400 })),
-        ("share-vote-yes", shares(ShareWord::Vote { round: 400, yes: true, divider })),
-        ("share-vote-no", shares(ShareWord::Vote { round: 400, yes: false, divider: None })),
-        ("share-drop", shares(ShareWord::Drop { round: 400 })),
-        ("share-want", shares(ShareWord::Want { number: 5, wants, keeps })),
-        ("share-have", shares(ShareWord::Have { number: 5, span_ms: 8000, amounts })),
-        ("share-elsewhere", shares(ShareWord::Elsewhere { number: 5, divider })),
+        ("share-ask", quota(QuotaMessage::VoteRequest { ballot: 400 })),
+        (
+            "share-vote-yes",
+            quota(QuotaMessage::VoteResponse(VoteResponse { ballot: 400, granted: true, allocator })),
+        ),
+        (
+            "share-vote-no",
+            quota(QuotaMessage::VoteResponse(VoteResponse { ballot: 400, granted: false, allocator: None })),
+        ),
+        ("share-drop", quota(QuotaMessage::VoteRelease { ballot: 400 })),
+        ("share-want", quota(QuotaMessage::LeaseRequest(LeaseRequest { number: 5, demands, retained }))),
+        ("share-have", quota(QuotaMessage::LeaseGrant(LeaseGrant { number: 5, duration_ms: 8000, amounts }))),
+        ("share-elsewhere", quota(QuotaMessage::NotLeader { number: 5, allocator })),
     ]
 }
 
@@ -146,7 +154,7 @@
     let key = Key::from_text("a key of sixteen characters").expect("long enough");
     let installation = Installation::new("bread").expect("a name");
     let now = Timestamp::from_us(SENT_MS * 1000);
-    let all: Vec<_> = [about_members(), about_shares(), to_operators()].concat();
+    let all: Vec<_> = [about_members(), about_quotas(), to_operators()].concat();
     let written: Vec<String> = all
         .iter()
         .map(|(name, datagram)| format!("{name} {}", hexadecimal(&talk::seal(&key, datagram))))
@@ -166,20 +174,20 @@
 /// Servers whose fingerprints differ give each other nothing.
 #[test]
 fn the_fingerprint_of_a_configuration_is_the_same_as_ever() {
-    let limit = |name: &str, whole| Limit {
+    let limit = |name: &str, max_turn| SharedLimit {
         name: LimitName::new(name).expect("a name"),
         total: 48.5,
-        floor: 0.25,
-        linger: Duration::from_ms(500),
-        whole,
+        guaranteed_fraction: 0.25,
+        residual_duration: Duration::from_ms(500),
+        max_turn,
     };
-    let terms = Terms {
-        keepers: vec![member("n1"), member("n2"), member("n3")],
-        most: 300,
-        span: Duration::from_ms(4000),
+    let config = QuotaConfig {
+        voters: vec![member("n1"), member("n2"), member("n3")],
+        max_servers: 300,
+        vote_duration: Duration::from_ms(4000),
         limits: vec![limit("calls", None), limit("turns", Some(Duration::from_ms(5000)))],
     };
-    assert_eq!(terms.print(), Print(17_912_680_018_067_210_397));
+    assert_eq!(config.fingerprint(), ConfigFingerprint(17_912_680_018_067_210_397));
 }
 
 /// `hazelspur-server fleet FILE --shape json` shows these; scripts of operators read them.
--- a/crates/hazelspur-server/src/config/fleet_keys.rs
+++ b/crates/hazelspur-server/src/config/fleet_keys.rs
@@ -2,7 +2,7 @@
 
 use garde::Validate;
 use hazelspur::Duration;
-use hazelspur_fleet::shares::{Limit, Terms as ShareTerms};
+use hazelspur_fleet::quota::{QuotaConfig, SharedLimit};
 use hazelspur_fleet::{Installation, Key, LimitName, MemberName, SiteName, Terms};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -121,13 +121,13 @@
     }
 
     /// What is shared; none where nothing is. Errors name the key at fault.
-    pub fn share_terms(&self) -> Result<Option<ShareTerms>, (&'static str, String)> {
-        let limit = |key: &ShareKey| Limit {
+    pub fn share_terms(&self) -> Result<Option<QuotaConfig>, (&'static str, String)> {
+        let limit = |key: &ShareKey| SharedLimit {
             name: key.limit,
             total: key.total,
-            floor: key.floor,
-            linger: Duration::from_secs(key.linger_s),
-            whole: None,
+            guaranteed_fraction: key.floor,
+            residual_duration: Duration::from_secs(key.linger_s),
+            max_turn: None,
         };
         if self.shares.is_empty() {
             let unused = !self.keepers.is_empty();
@@ -142,17 +142,17 @@
                 return Err(("shares", format!("{name}: linger_s is not from 0 to 60")));
             }
         }
-        let terms = ShareTerms {
-            keepers: self.keepers.clone(),
-            most: self.most,
-            span: Duration::from_secs(self.lease_s),
+        let terms = QuotaConfig {
+            voters: self.keepers.clone(),
+            max_servers: self.most,
+            vote_duration: Duration::from_secs(self.lease_s),
             limits: self.shares.iter().map(limit).collect(),
         };
-        let keepers = terms.keepers.len();
+        let keepers = terms.voters.len();
         if keepers.is_multiple_of(2) && keepers > 0 {
             return Err(("keepers", format!("{keepers}: an odd number can lose as many as one more")));
         }
-        terms.check().map_err(|why| ("shares", why))?;
+        terms.check().map_err(|why| ("shares", why.to_string()))?;
         if keepers == 0 && self.shares.iter().any(|key| key.floor < 1.0) {
             return Err((
                 "shares",
--- a/crates/hazelspur-server/src/fleet/guidance.rs
+++ b/crates/hazelspur-server/src/fleet/guidance.rs
@@ -8,7 +8,7 @@
 use hazelspur_fleet::guidance::Guidance as Facts;
 use hazelspur_fleet::joint::Seen;
 use hazelspur_fleet::load_reports::FaultScope;
-use hazelspur_fleet::shares::{Event, LimitId, Shares, Terms};
+use hazelspur_fleet::quota::{Allocation, LimitId, QuotaConfig, QuotaEvent, QuotaManager};
 use hazelspur_fleet::{At, Joint};
 
 /// This server's own work is looked at so often.
@@ -32,7 +32,7 @@
 
 impl Guidance {
     /// Errors name the key at fault.
-    pub fn new(together: bool, terms: Option<&Terms>, catalog: &Catalog) -> Result<Self, String> {
+    pub fn new(together: bool, terms: Option<&QuotaConfig>, catalog: &Catalog) -> Result<Self, String> {
         let (mut limits, mut facts) = (Vec::new(), Vec::new());
         for (at, limit) in terms.iter().flat_map(|terms| &terms.limits).enumerate() {
             let name = limit.name.as_str();
@@ -105,18 +105,20 @@
                     voices = common.reporters, sites = common.sites; "ledger trouble");
             }
         }
-        while let Some(event) = joint.shares.as_mut().and_then(Shares::next_event) {
+        while let Some(event) = joint.quota.as_mut().and_then(QuotaManager::next_event) {
             let all = joint.all_shares(at);
             let shares: Vec<String> =
                 all.iter().map(|(name, share)| format!("{name}:{:.2}", share.amount)).collect();
             let shares = shares.join(" ");
-            let given = joint.shares.as_ref().and_then(|all| all.given(at.steady, LimitId(0)));
-            let (given, holders, _) = given.unwrap_or_default();
+            let given = joint.quota.as_ref().and_then(|all| all.allocation(at.steady, LimitId(0)));
+            let Allocation { granted: given, lessees: holders, .. } = given.unwrap_or_default();
             match event {
-                Event::Divides => log::info!(holders; "shares: this server divides"),
-                Event::DividesNoMore => log::info!(given, holders; "shares: this server divides no more"),
-                Event::Held(by) => log::info!(by:%, shares; "shares held"),
-                Event::FloorOnly => log::warn!(shares; "shares ended, floors only"),
+                QuotaEvent::StartedAllocating => log::info!(holders; "shares: this server divides"),
+                QuotaEvent::StoppedAllocating => {
+                    log::info!(given, holders; "shares: this server divides no more")
+                }
+                QuotaEvent::LeaseAcquired(by) => log::info!(by:%, shares; "shares held"),
+                QuotaEvent::LeaseExpired => log::warn!(shares; "shares ended, floors only"),
             }
         }
     }
--- a/crates/hazelspur-simulator/src/capacity/constants.rs
+++ b/crates/hazelspur-simulator/src/capacity/constants.rs
@@ -77,9 +77,9 @@
 pub const PERIOD: Constant = constant(KEYS, "period()", "fn period() -> f64 {\n    1.0\n}", 1.0);
 /// The part of a lease after which a holder asks again.
 pub const RENEWAL: Constant = constant(
-    "crates/hazelspur-fleet/src/shares/terms.rs",
-    "Terms::renewal",
-    "pub fn renewal(&self) -> Duration {\n        self.span.scaled(0.25)",
+    "crates/hazelspur-fleet/src/quota/config.rs",
+    "RENEWAL_FRACTION",
+    "const RENEWAL_FRACTION: f64 = 0.25;",
     0.25,
 );
 /// How often a chosen server tries a ledger that is gone, s.
--- a/crates/hazelspur-simulator/src/capacity/rows.rs
+++ b/crates/hazelspur-simulator/src/capacity/rows.rs
@@ -5,7 +5,7 @@
 use super::constants::Constant;
 use super::measured::Seeds;
 use super::size::Size;
-use hazelspur_fleet::{circuit_breaker, shares, talk};
+use hazelspur_fleet::{circuit_breaker, quota, talk};
 
 /// Whose cost a row is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -189,8 +189,8 @@
 const MEMBERS: &str = "crates/hazelspur-fleet/src/members/mod.rs Members";
 const JOINT: &str = "crates/hazelspur-fleet/src/joint.rs Joint";
 const TALK: &str = "crates/hazelspur-server/src/fleet/talk.rs Talk";
-const SHARES: &str = "crates/hazelspur-fleet/src/shares/mod.rs Shares";
-const DIVIDER: &str = "crates/hazelspur-fleet/src/shares/divide.rs Divider";
+const SHARES: &str = "crates/hazelspur-fleet/src/quota/manager.rs QuotaManager";
+const DIVIDER: &str = "crates/hazelspur-fleet/src/quota/allocator.rs Allocator";
 const REPORT: &str = "crates/hazelspur-server/src/upstream/control.rs report";
 const RELOAD: &str = "crates/hazelspur-server/src/config/reload.rs Reloader";
 const CHECK: &str = "crates/hazelspur-server/src/config/startup.rs Startup";
@@ -586,12 +586,12 @@
             .formula("a real process among hollow members")
             .measured(&["members.keeper.cpu_share"], &["rest"])
             .within(b.control_cpu_share, CPU)
-            .by_mechanism("crates/hazelspur-fleet/src/shares/vote.rs Keeper"),
+            .by_mechanism("crates/hazelspur-fleet/src/quota/election.rs Voter"),
         row(KeeperAndDivider, "keeper.bytes", "bytes that the same sends", "B/s", servers)
             .formula("by its datagrams' numbers and their mean length")
             .measured(&["members.keeper.bytes_out_per_s"], &["rest"])
             .within(b.control_bytes_per_s, BYTES)
-            .by_mechanism("crates/hazelspur-fleet/src/shares/vote.rs Keeper"),
+            .by_mechanism("crates/hazelspur-fleet/src/quota/election.rs Voter"),
         row(KeeperAndDivider, "divider.entries", "entries in the divider's table", "entries", servers)
             .formula("one for each server that asks")
             .computed(FILE.to_string() + " servers", 1.0, 0.0)
@@ -600,14 +600,14 @@
         row(KeeperAndDivider, "shares.limits", "limits that must be shared at one time", "limits", limits)
             .formula("tenants near their quota, and calls")
             .computed(FILE.to_string() + " tenants_near_their_quota", near, 1.0)
-            .within(shares::MAX_LIMITS as f64, "shares/mod.rs, MAX_LIMITS")
+            .within(quota::MAX_LIMITS as f64, "quota/mod.rs, MAX_LIMITS")
             .by_mechanism(SHARES)
             .rests_on(&["config.in_force", "divider.bytes"]),
         row(KeeperAndDivider, "shares.datagram", "bytes of one demand for that many limits", "B", limits)
             .formula("two amounts of 4 bytes for each limit, in one datagram")
             .computed("shares/mod.rs Word::Want", near * 8.0, 8.0)
             .within(talk::LONGEST as f64, "talk.rs, LONGEST")
-            .by_mechanism("crates/hazelspur-fleet/src/shares/mod.rs Word")
+            .by_mechanism("crates/hazelspur-fleet/src/quota/message.rs QuotaMessage")
             .rests_on(&["shares.limits"]),
         row(
             KeeperAndDivider,
@@ -619,7 +619,7 @@
         .formula("share_of_a_region_alone / (floor of the limit x its servers / `most`)")
         .computed(at(&[&code::FLOOR]), 0.0, a.share_of_a_region_alone / region)
         .within(1.0, "all that it needs")
-        .by_mechanism("crates/hazelspur-fleet/src/shares/terms.rs Terms")
+        .by_mechanism("crates/hazelspur-fleet/src/quota/config.rs QuotaConfig")
         .rests_on(&["regions.names"]),
         row(
             KeeperAndDivider,
@@ -818,7 +818,7 @@
     };
     let per_minute = a.changes_in_busiest_minute / 60.0;
     let out = a.out_at_once_share * s.servers;
-    let keepers = shares::MAX_KEEPERS as f64;
+    let keepers = quota::MAX_VOTERS as f64;
     let region = s.servers * (s.regions - 1.0) / s.regions;
     let zone = s.servers * (s.zones - 1.0) / s.zones;
     let mean = s.servers * a.busiest_minute_over_mean;
@@ -899,9 +899,9 @@
             ("keepers", 1.0),
         )
         .formula("one at a time; a minority of 9 may go")
-        .computed("crates/hazelspur-fleet/src/shares/mod.rs MAX_KEEPERS", 1.0, 0.0)
+        .computed("crates/hazelspur-fleet/src/quota/mod.rs MAX_VOTERS", 1.0, 0.0)
         .within((keepers - 1.0) / 2.0, "a minority of MAX_KEEPERS")
-        .by_mechanism("crates/hazelspur-fleet/src/shares/vote.rs Keeper"),
+        .by_mechanism("crates/hazelspur-fleet/src/quota/election.rs Voter"),
         row(
             Event,
             "event.changes.cpu",
--- a/crates/hazelspur-simulator/src/drive/together.rs
+++ b/crates/hazelspur-simulator/src/drive/together.rs
@@ -6,7 +6,7 @@
 use hazelspur::{Duration, GuidanceKey, Timestamp};
 use hazelspur_fleet::guidance::{Guidance, Told};
 use hazelspur_fleet::joint::Seen;
-use hazelspur_fleet::shares::{Limit, LimitId, Terms, level};
+use hazelspur_fleet::quota::{LimitId, QuotaConfig, SharedLimit, fair_level};
 use hazelspur_fleet::{At, Datagram, Generation, Joint, LimitName};
 
 /// A server looks at its own work so often; the oracle at that of all, of which it sees the last look.
@@ -33,18 +33,18 @@
 }
 
 /// Five keepers that lie apart, and a fourth more servers than there are as the most.
-pub fn share_terms(servers: usize, slots: f64, floor: f64) -> Terms {
-    let calls = Limit {
+pub fn share_terms(servers: usize, slots: f64, floor: f64) -> QuotaConfig {
+    let calls = SharedLimit {
         name: LimitName::new(CALLS).expect("a short name"),
         total: slots,
-        floor,
-        linger: Duration::from_ms(500),
-        whole: None,
+        guaranteed_fraction: floor,
+        residual_duration: Duration::from_ms(500),
+        max_turn: None,
     };
-    Terms {
-        keepers: if servers < 5 { vec![name(0)] } else { (0..5).map(|i| name(i * servers / 5)).collect() },
-        most: most(servers),
-        span: Duration::from_ms(4000),
+    QuotaConfig {
+        voters: if servers < 5 { vec![name(0)] } else { (0..5).map(|i| name(i * servers / 5)).collect() },
+        max_servers: most(servers),
+        vote_duration: Duration::from_ms(4000),
         limits: vec![calls],
     }
 }
@@ -187,7 +187,7 @@
         let now = self.kernel.now;
         let truth = std::mem::take(&mut self.truth);
         let slots = self.plan.slots_each * self.plan.servers as f64;
-        let wants = level(slots, truth.wants.clone());
+        let wants = fair_level(slots, truth.wants.clone());
         for of in 0..self.servers.len() {
             let Some(controller) = &mut self.servers[of].controller else { continue };
             if let Some(want) = truth.wants.get(of) {
@@ -216,7 +216,7 @@
         let at = self.at();
         let shares = self.parts.iter().flatten().filter_map(|part| part.joint.share(at, CALLS));
         let (sum, held) = shares.fold((0.0, 0), |(sum, held), share| {
-            (sum + share.amount, held + usize::from(share.until.is_some()))
+            (sum + share.amount, held + usize::from(share.expires.is_some()))
         });
         (sum / (self.plan.slots_each * self.plan.servers as f64), held)
     }
--- a/crates/hazelspur-simulator/src/studies/shares.rs
+++ b/crates/hazelspur-simulator/src/studies/shares.rs
@@ -9,9 +9,12 @@
 use crate::ways::zoned::{REGIONS, ZONES};
 use hazelspur::pcg::Pcg;
 use hazelspur::{Duration, Timestamp};
-use hazelspur_fleet::shares::{Life, Limit, LimitId, Print, Shares, Terms, Word, level_of};
+use hazelspur_fleet::quota::{
+    ConfigFingerprint, LimitId, QuotaConfig, QuotaManager, QuotaMessage, SharedLimit, fair_shares,
+};
 use hazelspur_fleet::{
-    Body, Claim, Datagram, Generation, Incarnation, Installation, LimitName, Says, SiteName, talk,
+    Body, Claim, Datagram, Generation, Incarnation, Installation, LimitName, ProcessIncarnation, Says,
+    SiteName, talk,
 };
 use std::collections::VecDeque;
 
@@ -107,7 +110,7 @@
 
 enum Event {
     Tick(usize, u64),
-    Word(usize, Life, Word),
+    Message(usize, ProcessIncarnation, QuotaMessage),
     Start(usize),
     End(usize),
     EndDivider,
@@ -116,8 +119,8 @@
 }
 
 struct Node {
-    shares: Option<Shares>,
-    life: Life,
+    shares: Option<QuotaManager>,
+    life: ProcessIncarnation,
     stopped: Timestamp,
     /// What might have been in use at the last looks.
     past: VecDeque<f64>,
@@ -128,7 +131,7 @@
     kernel: Kernel<Event>,
     network: Network,
     chance: Pcg,
-    terms: Terms,
+    terms: QuotaConfig,
     nodes: Vec<Node>,
     lives: u64,
     at_divider: u64,
@@ -142,7 +145,7 @@
 }
 
 /// A datagram of nothing but its head, by which the length of all others is told.
-fn frame(print: Print) -> Datagram {
+fn frame(print: ConfigFingerprint) -> Datagram {
     let from = Claim {
         name: name(100),
         site: SiteName::new("east-1").expect("a short name"),
@@ -156,15 +159,15 @@
         from,
         number: 1000,
         sent_ms: START.us() / 1000,
-        body: Body::Share { print, word: Word::Drop { round: 0 } },
+        body: Body::Quota { fingerprint: print, message: QuotaMessage::VoteRelease { ballot: 0 } },
         word: None,
         claims: Vec::new(),
     }
 }
 
-fn framed(frame: &mut Datagram, of: &Word) -> u64 {
-    if let Body::Share { word, .. } = &mut frame.body {
-        *word = of.clone();
+fn framed(frame: &mut Datagram, of: &QuotaMessage) -> u64 {
+    if let Body::Quota { message, .. } = &mut frame.body {
+        *message = of.clone();
     }
     talk::length(frame) as u64
 }
@@ -173,11 +176,11 @@
     fn start(&mut self, of: usize) {
         let now = self.kernel.now;
         self.lives += 1;
-        let life = Life { name: name(of), generation: Generation(self.lives) };
+        let life = ProcessIncarnation { name: name(of), generation: Generation(self.lives) };
         let seed = u64::from(self.chance.draw());
-        let mut shares = Shares::new(self.terms.clone(), life, seed, now);
+        let mut shares = QuotaManager::new(self.terms.clone(), life, seed, now);
         for (at, limit) in self.terms.limits.iter().enumerate() {
-            shares.want(LimitId(at), want(of + at, self.terms.most * 4 / 5, limit.total));
+            shares.set_demand(LimitId(at), want(of + at, self.terms.max_servers * 4 / 5, limit.total));
         }
         self.nodes[of] = Node {
             shares: Some(shares),
@@ -193,15 +196,15 @@
         let now = self.kernel.now;
         let node = &mut self.nodes[of];
         let Some(shares) = &mut node.shares else { return };
-        let divides = shares.divides(now).is_some();
-        while let Some((to, word)) = shares.next_out() {
+        let divides = shares.allocates_until(now).is_some();
+        while let Some((to, word)) = shares.next_message() {
             let to: usize = to.as_str()[1..].parse().unwrap_or(usize::MAX);
             if divides {
                 self.at_divider += 1;
                 self.bytes_at_divider += framed(&mut self.frame, &word);
             }
             for after in self.network.carry(&mut self.chance, of, to) {
-                self.kernel.at(now + after, Event::Word(to, node.life, word.clone()));
+                self.kernel.at(now + after, Event::Message(to, node.life, word.clone()));
             }
         }
         while shares.next_event().is_some() {}
@@ -229,24 +232,25 @@
                 }
                 self.spoke(of);
             }
-            Event::Word(to, from, ref word) => {
+            Event::Message(to, from, ref word) => {
                 let Some(node) = self.nodes.get_mut(to) else { return };
                 if now < node.stopped {
                     return self.kernel.at(node.stopped, event);
                 }
                 if let Some(shares) = &mut node.shares {
-                    if shares.divides(now).is_some() {
+                    if shares.allocates_until(now).is_some() {
                         self.at_divider += 1;
                         self.bytes_at_divider += framed(&mut self.frame, word);
                     }
-                    shares.heard(now, from, word);
+                    shares.receive(now, from, word);
                 }
                 self.spoke(to);
             }
             Event::Start(of) => self.start(of),
             Event::End(of) => self.nodes[of].shares = None,
             Event::EndDivider => {
-                let divides = |node: &Node| node.shares.as_ref().is_some_and(|s| s.divides(now).is_some());
+                let divides =
+                    |node: &Node| node.shares.as_ref().is_some_and(|s| s.allocates_until(now).is_some());
                 if let Some(of) = self.nodes.iter().position(divides) {
                     self.nodes[of].shares = None;
                     self.kernel.at(now + Duration::from_ms(3000), Event::Start(of));
@@ -272,14 +276,14 @@
             }
             most += node.past.iter().copied().fold(0.0, f64::max);
             if node.shares.is_some() {
-                let want = want(of, self.terms.most * 4 / 5, total);
+                let want = want(of, self.terms.max_servers * 4 / 5, total);
                 // A floor beyond what is wanted is no use to anybody.
                 used += amount.min(want);
                 held.push(amount.min(want));
                 wants.push(want);
             }
         }
-        let fair = level_of(&self.terms.limits[0], self.terms.most, &wants);
+        let fair = fair_shares(&self.terms.limits[0], self.terms.max_servers, &wants);
         (
             most / total,
             used,
@@ -290,17 +294,17 @@
 
 pub fn play(case: &Case) -> Outcome {
     let n = case.servers;
-    let limit = |at: usize| Limit {
+    let limit = |at: usize| SharedLimit {
         name: LimitName::new(&format!("calls-{at}")).expect("a short name"),
         total: 4.0 * n as f64,
-        floor: 0.2,
-        linger: LINGER,
-        whole: None,
+        guaranteed_fraction: 0.2,
+        residual_duration: LINGER,
+        max_turn: None,
     };
-    let terms = Terms {
-        keepers: (0..5).map(name).collect(),
-        most: n + n.div_ceil(4),
-        span: Duration::from_ms(4000),
+    let terms = QuotaConfig {
+        voters: (0..5).map(name).collect(),
+        max_servers: n + n.div_ceil(4),
+        vote_duration: Duration::from_ms(4000),
         limits: (0..case.limits).map(limit).collect(),
     };
     let mut network = case.between.map_or(Network::new(3), |between| between.network());
@@ -309,7 +313,7 @@
     }
     let gone = || Node {
         shares: None,
-        life: Life { name: name(0), generation: Generation(0) },
+        life: ProcessIncarnation { name: name(0), generation: Generation(0) },
         stopped: Timestamp::default(),
         past: VecDeque::new(),
         set: Timestamp::default(),
@@ -318,8 +322,8 @@
         kernel: Kernel::new(START),
         network,
         chance: Pcg::new(case.seed),
-        nodes: (0..terms.most).map(|_| gone()).collect(),
-        frame: frame(terms.print()),
+        nodes: (0..terms.max_servers).map(|_| gone()).collect(),
+        frame: frame(terms.fingerprint()),
         terms,
         lives: 0,
         at_divider: 0,
--- a/crates/hazelspur-simulator/src/ways/zoned.rs
+++ b/crates/hazelspur-simulator/src/ways/zoned.rs
@@ -5,7 +5,7 @@
 use super::{Notice, Way};
 use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::joint::Seen;
-use hazelspur_fleet::shares::{Limit, LimitId, Terms as ShareTerms};
+use hazelspur_fleet::quota::{LimitId, QuotaConfig, SharedLimit};
 use hazelspur_fleet::{At, Datagram, Generation, Joint, LimitName, Members, SiteName, Terms, talk};
 
 pub const REGIONS: usize = 2;
@@ -30,16 +30,21 @@
 }
 
 /// So many limits alike over `servers`, divided among `most` at most.
-pub fn share_terms(servers: usize, most: usize, limits: usize) -> ShareTerms {
-    let limit = |at: usize| Limit {
+pub fn share_terms(servers: usize, most: usize, limits: usize) -> QuotaConfig {
+    let limit = |at: usize| SharedLimit {
         name: LimitName::new(&format!("limit-{at}")).expect("a short name"),
         total: SLOTS_EACH * servers as f64,
-        floor: FLOOR,
-        linger: LINGER,
-        whole: None,
+        guaranteed_fraction: FLOOR,
+        residual_duration: LINGER,
+        max_turn: None,
     };
-    let keepers = (0..KEEPERS).map(name).collect();
-    ShareTerms { keepers, most, span: VOTE_SPAN, limits: (0..limits).map(limit).collect() }
+    let voters = (0..KEEPERS).map(name).collect();
+    QuotaConfig {
+        voters,
+        max_servers: most,
+        vote_duration: VOTE_SPAN,
+        limits: (0..limits).map(limit).collect(),
+    }
 }
 
 /// Members alone.
@@ -161,6 +166,6 @@
 impl<const LIMITS: usize> Together<LIMITS> {
     /// What it may use of a limit.
     pub fn share(&self, now: Timestamp, limit: LimitId) -> f64 {
-        self.joint.shares.as_ref().map_or(0.0, |shares| shares.share(now, limit).amount)
+        self.joint.quota.as_ref().map_or(0.0, |shares| shares.share(now, limit).amount)
     }
 }
