--- a/crates/hazelspur-fault-harness/src/checker.rs
+++ b/crates/hazelspur-fault-harness/src/checker.rs
@@ -4,7 +4,7 @@
 
 use crate::script::{Fault, Party, site};
 use crate::watch::View;
-use hazelspur_fleet::{Condition, Standing};
+use hazelspur_fleet::{LocalStatus, MemberStatus};
 use hazelspur_test_doubles::gateway::{Answer, Try};
 use std::collections::BTreeMap;
 
@@ -256,7 +256,7 @@
                     && life.notice_ms.is_none_or(|notice| notice > at)
             };
             let surely = self.lives.iter().filter(steady).count();
-            let (least, most) = (view.fleet.least, view.fleet.most);
+            let (least, most) = (view.fleet.min, view.fleet.max);
             if least > may.len() || most < surely {
                 found.push(format!(
                     "n{} said {least} to {most} where {surely} to {} were",
@@ -267,9 +267,10 @@
         }
         for (server, view) in self.last.iter().enumerate() {
             let whole = |view: &View| {
-                let alive = view.others.iter().filter(|(_, standing)| *standing == Standing::Alive).count();
-                let sizes = (view.fleet.least, view.fleet.most) == (self.servers, self.servers);
-                sizes && alive + 1 == self.servers && view.condition == Condition::Whole
+                let alive =
+                    view.others.iter().filter(|(_, standing)| *standing == MemberStatus::Alive).count();
+                let sizes = (view.fleet.min, view.fleet.max) == (self.servers, self.servers);
+                sizes && alive + 1 == self.servers && view.condition == LocalStatus::Healthy
             };
             if !view.as_ref().is_some_and(whole) {
                 let said = view.as_ref().map(|view| (view.condition, view.fleet));
--- a/crates/hazelspur-fault-harness/src/hollow/asking.rs
+++ b/crates/hazelspur-fault-harness/src/hollow/asking.rs
@@ -2,9 +2,10 @@
 
 use super::{INSTALLATION, KEY};
 use hazelspur::Timestamp;
-use hazelspur_fleet::talk::{self, Body, Datagram};
+use hazelspur_fleet::datagram::{self, Body, Datagram};
 use hazelspur_fleet::{
-    Claim, Condition, Generation, Installation, Key, MemberName, Says, SiteName, Size, Standing,
+    FleetSize, Generation, Installation, Key, LocalStatus, MemberName, MemberState, MemberStatus,
+    MemberUpdate, SiteName,
 };
 use hazelspur_test_doubles::now_ms;
 use std::collections::BTreeMap;
@@ -16,7 +17,7 @@
 
 pub struct Asker {
     socket: UdpSocket,
-    from: Claim,
+    from: MemberUpdate,
     key: Key,
     installation: Installation,
     number: u32,
@@ -26,13 +27,13 @@
     pub fn new() -> anyhow::Result<Self> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         let name = |what| anyhow::anyhow!("{what}: no good name");
-        let from = Claim {
+        let from = MemberUpdate {
             name: MemberName::new("watch").ok_or(name("watch"))?,
             site: SiteName::new("watch").ok_or(name("watch"))?,
-            at: socket.local_addr()?,
+            address: socket.local_addr()?,
             generation: Generation(0),
             incarnation: Default::default(),
-            says: Says::Alive,
+            state: MemberState::Alive,
         };
         Ok(Self {
             socket,
@@ -44,10 +45,12 @@
     }
 
     /// Condition and bounds of the size by each of them, where an answer came within that time.
-    pub fn sizes(&mut self, of: &[SocketAddr], within: Duration) -> Vec<Option<(Condition, Size)>> {
+    pub fn sizes(&mut self, of: &[SocketAddr], within: Duration) -> Vec<Option<(LocalStatus, FleetSize)>> {
         let mut said = vec![None; of.len()];
         self.exchange(of, within, |i, body| {
-            let Some(Body::Shown { condition, fleet, .. }) = body else { return Some(show(None)) };
+            let Some(Body::FleetReply { status: condition, fleet, .. }) = body else {
+                return Some(show(None));
+            };
             said[i] = Some((*condition, *fleet));
             None
         });
@@ -59,12 +62,12 @@
         &mut self,
         of: &[SocketAddr],
         within: Duration,
-    ) -> Vec<Option<BTreeMap<MemberName, Standing>>> {
+    ) -> Vec<Option<BTreeMap<MemberName, MemberStatus>>> {
         let mut rows_of = vec![BTreeMap::new(); of.len()];
         let mut whole = vec![false; of.len()];
         self.exchange(of, within, |i, body| {
-            let Some(Body::Shown { rows, next, .. }) = body else { return Some(show(None)) };
-            rows_of[i].extend(rows.iter().map(|row| (row.claim.name, row.standing)));
+            let Some(Body::FleetReply { members, next, .. }) = body else { return Some(show(None)) };
+            rows_of[i].extend(members.iter().map(|row| (row.update.name, row.status)));
             whole[i] = next.is_none();
             next.map(|next| show(Some(next)))
         });
@@ -75,11 +78,11 @@
     pub fn divider(&mut self, of: &[SocketAddr], within: Duration) -> Option<MemberName> {
         let mut divider = None;
         self.exchange(of, within, |_, body| match body {
-            Some(Body::Choices { shown, .. }) => {
-                divider = divider.or(shown.divider);
+            Some(Body::CoordinationReply { state, .. }) => {
+                divider = divider.or(state.allocator);
                 None
             }
-            _ => Some(Body::ShowChoices { number: 0 }),
+            _ => Some(Body::CoordinationQuery { number: 0 }),
         });
         divider
     }
@@ -101,28 +104,32 @@
                 open.insert(self.number, (i, numbered(body, self.number), Instant::now()));
             }
         }
-        let mut bytes = vec![0; talk::LONGEST + 1];
+        let mut bytes = vec![0; datagram::MAX_DATAGRAM_BYTES + 1];
         while !open.is_empty() && Instant::now() < until {
             for (i, body, due) in open.values_mut().filter(|(_, _, due)| *due <= Instant::now()) {
                 *due = Instant::now() + AGAIN;
                 let question = Datagram {
                     installation: self.installation,
-                    from: self.from,
-                    number: 1,
+                    sender: self.from,
+                    sequence: 1,
                     sent_ms: now_ms(),
                     body: body.clone(),
-                    word: None,
-                    claims: Vec::new(),
+                    load_report: None,
+                    updates: Vec::new(),
                 };
-                let _ = self.socket.send_to(&talk::seal(&self.key, &question), of[*i]);
+                let _ = self.socket.send_to(&datagram::seal(&self.key, &question), of[*i]);
             }
             let due = open.values().map(|(_, _, due)| *due).min().unwrap_or(until).min(until);
             let left = due.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
             let _ = self.socket.set_read_timeout(Some(left));
             let Ok((length, _)) = self.socket.recv_from(&mut bytes) else { continue };
             let now = Timestamp::from_us(now_ms() * 1000);
-            let Ok(came) = talk::open(&self.key, &self.installation, now, &bytes[..length]) else { continue };
-            let (Body::Shown { number, .. } | Body::Choices { number, .. }) = came.body else { continue };
+            let Ok(came) = datagram::open(&self.key, &self.installation, now, &bytes[..length]) else {
+                continue;
+            };
+            let (Body::FleetReply { number, .. } | Body::CoordinationReply { number, .. }) = came.body else {
+                continue;
+            };
             let Some((i, _, _)) = open.remove(&number) else { continue };
             if let Some(body) = next(i, Some(&came.body)) {
                 self.number += 1;
@@ -133,13 +140,13 @@
 }
 
 fn show(after: Option<MemberName>) -> Body {
-    Body::Show { number: 0, after }
+    Body::FleetQuery { number: 0, after }
 }
 
 fn numbered(body: Body, number: u32) -> Body {
     match body {
-        Body::Show { after, .. } => Body::Show { number, after },
-        Body::ShowChoices { .. } => Body::ShowChoices { number },
+        Body::FleetQuery { after, .. } => Body::FleetQuery { number, after },
+        Body::CoordinationQuery { .. } => Body::CoordinationQuery { number },
         other => other,
     }
 }
--- a/crates/hazelspur-fault-harness/src/hollow/member.rs
+++ b/crates/hazelspur-fault-harness/src/hollow/member.rs
@@ -6,10 +6,10 @@
 use super::{Fleet, INSTALLATION, KEY};
 use hazelspur::pcg::Pcg;
 use hazelspur::{Duration, GuidanceKey, Timestamp};
-use hazelspur_fleet::guidance::Guidance;
-use hazelspur_fleet::joint::Seen;
+use hazelspur_fleet::guidance::{Guidance, GuidedLimit};
+use hazelspur_fleet::node::LocalLoad;
 use hazelspur_fleet::quota::LimitId;
-use hazelspur_fleet::{At, Generation, Installation, Joint, Key, talk};
+use hazelspur_fleet::{Clocks, FleetNode, Generation, Installation, Key, datagram};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -98,12 +98,12 @@
 }
 
 impl Clock {
-    fn at(&self) -> At {
+    fn at(&self) -> Clocks {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let wall = Timestamp::from_us(unix.as_micros() as u64).max(*self.last.borrow());
         *self.last.borrow_mut() = wall;
         let steady = Timestamp::from_us(1_000_000 + self.began.elapsed().as_micros() as u64);
-        At { wall, steady }
+        Clocks { wall, monotonic: steady }
     }
 }
 
@@ -111,7 +111,7 @@
     socket: UdpSocket,
     key: Key,
     installation: Installation,
-    joint: Joint,
+    node: FleetNode,
     guidance: Guidance,
     clock: Clock,
     looked: Timestamp,
@@ -123,13 +123,13 @@
 
 impl Member {
     async fn run(mut self) {
-        let mut bytes = vec![0; talk::LONGEST + 1];
+        let mut bytes = vec![0; datagram::MAX_DATAGRAM_BYTES + 1];
         loop {
             self.act();
-            let wait = self.joint.wait(self.clock.at()).min(ROUND);
+            let wait = self.node.time_to_next_tick(self.clock.at()).min(ROUND);
             tokio::select! {
                 came = self.socket.recv_from(&mut bytes) => {
-                    self.joint.tick(self.clock.at());
+                    self.node.tick(self.clock.at());
                     if let Ok((length, from)) = came {
                         self.hear(from, &bytes[..length]);
                     }
@@ -147,9 +147,9 @@
 
     fn hear(&mut self, from: SocketAddr, bytes: &[u8]) {
         let at = self.clock.at();
-        let opened = talk::open(&self.key, &self.installation, at.wall, bytes);
-        let number = opened.as_ref().map_or(0, |datagram| datagram.number);
-        let taken = opened.and_then(|datagram| self.joint.heard(at, &datagram));
+        let opened = datagram::open(&self.key, &self.installation, at.wall, bytes);
+        let number = opened.as_ref().map_or(0, |datagram| datagram.sequence);
+        let taken = opened.and_then(|datagram| self.node.receive(at, &datagram));
         let mut books = self.books.borrow_mut();
         let of = books.came.entry(from).or_default();
         of.traffic.add(1, bytes.len() as u64);
@@ -161,18 +161,18 @@
 
     fn act(&mut self) {
         let at = self.clock.at();
-        if at.steady - self.called >= CALL_EVERY {
-            self.called = at.steady;
-            self.joint.call_finished(at, true);
+        if at.monotonic - self.called >= CALL_EVERY {
+            self.called = at.monotonic;
+            self.node.call_finished(at, true);
         }
-        if at.steady - self.looked >= LOOK {
-            self.looked = at.steady;
-            self.joint.saw(at, Seen { call_secs: Some(CALL_SECS), refused: 0.0 });
-            self.joint.want(super::CALLS, 1.0);
+        if at.monotonic - self.looked >= LOOK {
+            self.looked = at.monotonic;
+            self.node.observe(at, LocalLoad { call_secs: Some(CALL_SECS), rejected_fraction: 0.0 });
+            self.node.set_demand(super::CALLS, 1.0);
         }
-        self.joint.tick(at);
-        while let Some((to, datagram)) = self.joint.next_out(at) {
-            let bytes = talk::seal(&self.key, &datagram);
+        self.node.tick(at);
+        while let Some((to, datagram)) = self.node.next_datagram(at) {
+            let bytes = datagram::seal(&self.key, &datagram);
             let went = self.socket.try_send_to(&bytes, to);
             let mut books = self.books.borrow_mut();
             if went.is_ok() {
@@ -182,8 +182,8 @@
                 books.members[self.of].unsent += 1;
             }
         }
-        while self.joint.members.next_event().is_some() {}
-        let _ = self.guidance.next(at, &self.joint);
+        while self.node.membership.next_event().is_some() {}
+        let _ = self.guidance.next_update(at, &self.node);
     }
 }
 
@@ -232,11 +232,14 @@
             // Members that start in one microsecond must not draw the same chances.
             let drawn = Pcg::new(fleet.seed.wrapping_mul(31) ^ number as u64).draw();
             let seed = (u64::from(drawn) << 32) ^ now.wall.us();
-            let joint = Joint::new(fleet.terms(number), Some(fleet.share_terms()), generation, seed, now);
-            let guidance = Guidance::new(true, vec![(LimitId(0), GuidanceKey::CallConcurrencyLimit)]);
+            let node = FleetNode::new(fleet.terms(number), Some(fleet.share_terms()), generation, seed, now);
+            let guidance = Guidance::new(
+                true,
+                vec![GuidedLimit { limit: LimitId(0), key: GuidanceKey::CallConcurrencyLimit }],
+            );
             let (looked, called) = (Timestamp::default(), Timestamp::default());
             let member =
-                Member { socket, key, installation, joint, guidance, clock, looked, called, of, books };
+                Member { socket, key, installation, node, guidance, clock, looked, called, of, books };
             member.run().await
         });
     }
--- a/crates/hazelspur-fault-harness/src/hollow/mod.rs
+++ b/crates/hazelspur-fault-harness/src/hollow/mod.rs
@@ -24,7 +24,9 @@
 use hazelspur::Duration;
 use hazelspur::pcg::Pcg;
 use hazelspur_fleet::quota::{QuotaConfig, SharedLimit};
-use hazelspur_fleet::{Condition, Installation, LimitName, MemberName, SiteName, Size, Standing, Terms};
+use hazelspur_fleet::{
+    FleetSize, Installation, LimitName, LocalStatus, MemberName, MemberStatus, NodeConfig, SiteName,
+};
 use member::{Order, Task};
 use processes::{Hollow, Reals};
 use serde::{Deserialize, Serialize};
@@ -213,16 +215,16 @@
     }
 
     /// As the server makes them of the operator's file that the real ones get.
-    pub fn terms(&self, of: usize) -> Terms {
-        Terms {
+    pub fn terms(&self, of: usize) -> NodeConfig {
+        NodeConfig {
             installation: Installation::new(INSTALLATION).expect("a short name"),
             name: MemberName::new(&self.name(of)).expect("a short name"),
             site: SiteName::new(self.site(of)).expect("a short name"),
-            at: self.talks_at(of),
-            contacts: self.contacts(),
-            most: self.most(),
-            period: Duration::from_secs(1.0),
-            remember: Duration::from_secs(REMEMBER_S),
+            address: self.talks_at(of),
+            seeds: self.contacts(),
+            max_servers: self.most(),
+            probe_period: Duration::from_secs(1.0),
+            retention: Duration::from_secs(REMEMBER_S),
         }
     }
 
@@ -247,7 +249,7 @@
 pub struct Look {
     /// From the start.
     pub at: StdDuration,
-    pub said: Vec<Option<(Condition, Size)>>,
+    pub said: Vec<Option<(LocalStatus, FleetSize)>>,
     /// Processes that run: of hollow members, then real ones.
     pub ids: Vec<u32>,
 }
@@ -255,12 +257,12 @@
 impl Look {
     /// The fewest that one of them has for alive.
     pub fn least(&self) -> usize {
-        self.said.iter().map(|said| said.map_or(0, |(_, size)| size.least)).min().unwrap_or(0)
+        self.said.iter().map(|said| said.map_or(0, |(_, size)| size.min)).min().unwrap_or(0)
     }
 
     fn all(&self, members: usize) -> bool {
-        let all = |said: &Option<(Condition, Size)>| {
-            said.is_some_and(|(condition, size)| condition == Condition::Whole && size.least == members)
+        let all = |said: &Option<(LocalStatus, FleetSize)>| {
+            said.is_some_and(|(condition, size)| condition == LocalStatus::Healthy && size.min == members)
         };
         self.said.iter().all(all)
     }
@@ -451,8 +453,8 @@
         let pictures = self.asker.pictures(&self.addresses(), PICTURES_WITHIN);
         let mut missing = BTreeSet::new();
         for (me, picture) in pictures.into_iter().enumerate() {
-            let picture: BTreeMap<MemberName, Standing> = picture.unwrap_or_default();
-            let alive = picture.iter().filter(|(_, standing)| **standing == Standing::Alive);
+            let picture: BTreeMap<MemberName, MemberStatus> = picture.unwrap_or_default();
+            let alive = picture.iter().filter(|(_, standing)| **standing == MemberStatus::Alive);
             let alive: BTreeSet<&str> = alive.map(|(name, _)| name.as_str()).collect();
             let others = (0..self.plan.members).filter(|of| *of != me).map(|of| self.fleet.name(of));
             missing.extend(others.filter(|name| !alive.contains(name.as_str())));
--- a/crates/hazelspur-fault-harness/src/play.rs
+++ b/crates/hazelspur-fault-harness/src/play.rs
@@ -5,7 +5,7 @@
 use crate::script::Kind;
 use crate::watch::{View, Watch};
 use anyhow::Context;
-use hazelspur_fleet::{Condition, Standing};
+use hazelspur_fleet::{LocalStatus, MemberStatus};
 use hazelspur_test_doubles::gateway::Answer;
 use hazelspur_test_doubles::now_ms;
 use std::collections::BTreeMap;
@@ -186,8 +186,8 @@
 
 fn whole(view: &Option<View>, servers: usize) -> bool {
     view.as_ref().is_some_and(|view| {
-        let alive = view.others.iter().filter(|(_, standing)| *standing == Standing::Alive).count();
-        view.condition == Condition::Whole && alive + 1 == servers && view.fleet.most == servers
+        let alive = view.others.iter().filter(|(_, standing)| *standing == MemberStatus::Alive).count();
+        view.condition == LocalStatus::Healthy && alive + 1 == servers && view.fleet.max == servers
     })
 }
 
@@ -198,13 +198,13 @@
         let text = view.as_ref().map_or("does not answer".into(), |view| {
             let count = |standing| view.others.iter().filter(|(_, other)| *other == standing).count();
             let bad = [
-                (Standing::Suspected, "suspected"),
-                (Standing::Lost, "lost"),
-                (Standing::Leaving, "leaving"),
+                (MemberStatus::Suspected, "suspected"),
+                (MemberStatus::Dead, "lost"),
+                (MemberStatus::Leaving, "leaving"),
             ];
             let bad = bad.map(|(s, name)| (count(s), name)).into_iter().filter(|(n, _)| *n > 0);
             let bad: String = bad.map(|(n, name)| format!(", {n} {name}")).collect();
-            format!("{} {} to {}{bad}", view.condition.name(), view.fleet.least, view.fleet.most)
+            format!("{} {} to {}{bad}", view.condition.name(), view.fleet.min, view.fleet.max)
         });
         by.entry(text).or_default().push(format!("n{of}"));
     }
--- a/crates/hazelspur-fault-harness/src/watch.rs
+++ b/crates/hazelspur-fault-harness/src/watch.rs
@@ -1,9 +1,10 @@
 //! What each server says of the fleet while it runs, asked as its operator would ask.
 
 use hazelspur::Timestamp;
-use hazelspur_fleet::talk::{self, Body, Datagram};
+use hazelspur_fleet::datagram::{self, Body, Datagram};
 use hazelspur_fleet::{
-    Claim, Condition, Generation, Installation, Key, MemberName, Says, SiteName, Size, Standing,
+    FleetSize, Generation, Installation, Key, LocalStatus, MemberName, MemberState, MemberStatus,
+    MemberUpdate, SiteName,
 };
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
@@ -14,10 +15,10 @@
     pub server: usize,
     /// Milliseconds since 1970 of the answer.
     pub at_ms: u64,
-    pub condition: Condition,
-    pub fleet: Size,
+    pub condition: LocalStatus,
+    pub fleet: FleetSize,
     /// Name and standing of all others.
-    pub others: Vec<(String, Standing)>,
+    pub others: Vec<(String, MemberStatus)>,
 }
 
 pub struct Watch {
@@ -43,43 +44,45 @@
         let until = Instant::now() + within;
         let mut after = None;
         let mut view: Option<View> = None;
-        let mut bytes = vec![0; talk::LONGEST + 1];
+        let mut bytes = vec![0; datagram::MAX_DATAGRAM_BYTES + 1];
         loop {
             self.number += 1;
             let asked = self.number;
             let question = Datagram {
                 installation: self.installation,
-                from: Claim {
+                sender: MemberUpdate {
                     name: MemberName::new("watch")?,
                     site: SiteName::new("watch")?,
-                    at: self.socket.local_addr().ok()?,
+                    address: self.socket.local_addr().ok()?,
                     generation: Generation(0),
                     incarnation: Default::default(),
-                    says: Says::Alive,
+                    state: MemberState::Alive,
                 },
-                number: 1,
+                sequence: 1,
                 sent_ms: hazelspur_test_doubles::now_ms(),
-                body: Body::Show { number: asked, after },
-                word: None,
-                claims: Vec::new(),
+                body: Body::FleetQuery { number: asked, after },
+                load_report: None,
+                updates: Vec::new(),
             };
-            self.socket.send_to(&talk::seal(&self.key, &question), at).ok()?;
+            self.socket.send_to(&datagram::seal(&self.key, &question), at).ok()?;
             let answer = loop {
                 let left = until.checked_duration_since(Instant::now())?;
                 let _ = self.socket.set_read_timeout(Some(left.max(Duration::from_millis(1))));
                 let Ok((length, _)) = self.socket.recv_from(&mut bytes) else { continue };
                 let now = Timestamp::from_us(hazelspur_test_doubles::now_ms() * 1000);
-                let Ok(came) = talk::open(&self.key, &self.installation, now, &bytes[..length]) else {
+                let Ok(came) = datagram::open(&self.key, &self.installation, now, &bytes[..length]) else {
                     continue;
                 };
-                if matches!(came.body, Body::Shown { number, .. } if number == asked) {
+                if matches!(came.body, Body::FleetReply { number, .. } if number == asked) {
                     break came.body;
                 }
             };
-            let Body::Shown { condition, fleet, rows, next, .. } = answer else { return None };
+            let Body::FleetReply { status: condition, fleet, members, next, .. } = answer else {
+                return None;
+            };
             let at_ms = hazelspur_test_doubles::now_ms();
             let view = view.get_or_insert(View { server, at_ms, condition, fleet, others: Vec::new() });
-            view.others.extend(rows.into_iter().map(|row| (row.claim.name.to_string(), row.standing)));
+            view.others.extend(members.into_iter().map(|row| (row.update.name.to_string(), row.status)));
             if next.is_none() || next <= after {
                 break;
             }
--- a/crates/hazelspur-fault-harness/tests/scripts.rs
+++ b/crates/hazelspur-fault-harness/tests/scripts.rs
@@ -3,7 +3,7 @@
 use hazelspur_fault_harness::checker::{Evidence, Life, Ran};
 use hazelspur_fault_harness::script::{Party, Script};
 use hazelspur_fault_harness::watch::View;
-use hazelspur_fleet::{Condition, Size, Standing};
+use hazelspur_fleet::{FleetSize, LocalStatus, MemberStatus};
 use hazelspur_test_doubles::gateway::{Answer, Try};
 
 #[test]
@@ -75,9 +75,9 @@
     let view = |server, at_ms| View {
         server,
         at_ms,
-        condition: Condition::Whole,
-        fleet: Size { least: 2, most: 2 },
-        others: vec![(format!("n{}", 1 - server), Standing::Alive)],
+        condition: LocalStatus::Healthy,
+        fleet: FleetSize { min: 2, max: 2 },
+        others: vec![(format!("n{}", 1 - server), MemberStatus::Alive)],
     };
     let ran = |request: &str, server: usize| Ran {
         started: [(format!("{request}-at-n{server}"), 100_010)].into(),
@@ -122,8 +122,8 @@
         |e| e.lives[0].most_memory_kb = 65_000,
         |e| e.ran[0].most_running = 17,
         |e| e.most_calls = 17,
-        |e| e.views[0].fleet.least = 3,
-        |e| (e.views[0].fleet.least, e.views[0].fleet.most) = (1, 1),
+        |e| e.views[0].fleet.min = 3,
+        |e| (e.views[0].fleet.min, e.views[0].fleet.max) = (1, 1),
         |e| e.last[1] = None,
     ];
     let mut seen = String::new();
--- a/crates/hazelspur-fleet/src/guidance.rs
+++ b/crates/hazelspur-fleet/src/guidance.rs
@@ -1,80 +1,132 @@
-//! What servers found out together, as facts for the decision module: which have changed, and what holds when
-//! a lease ends. The program and the laboratory tell their modules the same by this.
+//! What servers decided together, as guidance for the admission controller: which figures have changed, and which apply when
+//! a lease expires. The server and the simulator give their controllers the same by this.
 
-use crate::joint::{At, Joint};
+use crate::node::{Clocks, FleetNode};
 use crate::quota::LimitId;
 use hazelspur::{GuidanceKey, Timestamp};
 use std::collections::BTreeMap;
 
-/// A figure that has grown by less than this part is the same; a smaller one never is, since what is used
-/// must not be more than what is held.
-const SAME: f64 = 0.01;
+/// Relative growth below which a figure counts as unchanged. A smaller figure always counts as changed, because the
+/// controller must not use more than the lease allows.
+const UNCHANGED_GROWTH: f64 = 0.01;
+/// Magnitude below which growth is not relative any more.
+const MIN_MAGNITUDE: f64 = 1e-3;
 
-/// Facts by name; `None` takes one back.
+/// A changed figure.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct GuidanceChange {
+    /// Which figure.
+    pub key: GuidanceKey,
+    /// Its value; `None` takes it back.
+    pub value: Option<f64>,
+}
+
+/// The value of a figure after a lease has expired.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ExpiredValue {
+    /// Which figure.
+    pub key: GuidanceKey,
+    /// The guaranteed minimum.
+    pub value: f64,
+}
+
+/// What applies when the first lease in force expires.
+#[derive(Clone, Debug, PartialEq)]
+pub struct LeaseExpiry {
+    /// When that is, by the monotonic clock.
+    pub at: Timestamp,
+    /// What applies from then on.
+    pub values: Vec<ExpiredValue>,
+}
+
+/// What the admission controller is to be given.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Told {
-    pub facts: Vec<(GuidanceKey, Option<f64>)>,
-    /// When the first lease in force ends by the steady clock, and what holds from then on.
-    pub leases: Option<(Timestamp, Vec<(GuidanceKey, f64)>)>,
+pub struct GuidanceUpdate {
+    /// Figures that have changed since the last update.
+    pub changes: Vec<GuidanceChange>,
+    /// None where there is no lease.
+    pub expiry: Option<LeaseExpiry>,
+}
+
+/// A shared limit and the figure that it governs.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct GuidedLimit {
+    /// The limit.
+    pub limit: LimitId,
+    /// The figure.
+    pub key: GuidanceKey,
 }
 
+/// Remembers what the admission controller was given.
 #[derive(Clone, Debug)]
 pub struct Guidance {
-    /// Whether the gate and what others say count.
-    together: bool,
-    /// Which limit is which fact of the module.
-    limits: Vec<(LimitId, GuidanceKey)>,
-    told: BTreeMap<GuidanceKey, f64>,
+    /// Whether the breaker and the load reports of others count.
+    coordinated: bool,
+    limits: Vec<GuidedLimit>,
+    given: BTreeMap<GuidanceKey, f64>,
 }
 
 impl Guidance {
-    pub fn new(together: bool, limits: Vec<(LimitId, GuidanceKey)>) -> Self {
-        Self { together, limits, told: BTreeMap::new() }
+    /// Guidance by these limits, and if `coordinated` by the circuit breaker and the load reports.
+    pub fn new(coordinated: bool, limits: Vec<GuidedLimit>) -> Self {
+        Self { coordinated, limits, given: BTreeMap::new() }
     }
 
-    /// The module was told otherwise meanwhile, since a lease had ended: all of it is told again.
+    /// Forgets what was given: after a lease has expired, the controller goes by other figures.
     pub fn forget(&mut self) {
-        self.told.clear();
+        self.given.clear();
     }
 
-    pub fn next(&mut self, at: At, joint: &Joint) -> Told {
-        let mut now: BTreeMap<GuidanceKey, f64> = BTreeMap::new();
-        let mut leases: Option<(Timestamp, Vec<(GuidanceKey, f64)>)> = None;
-        if let Some(shares) = &joint.quota {
-            for (limit, name) in &self.limits {
-                let share = shares.share(at.steady, *limit);
-                now.insert(*name, share.amount);
-                if let Some(until) = share.expires {
-                    let (ends, floors) = leases.get_or_insert((until, Vec::new()));
-                    *ends = until.min(*ends);
-                    floors.push((*name, share.guaranteed));
-                }
-            }
+    /// What the controller is to be given now.
+    pub fn next_update(&mut self, now: Clocks, node: &FleetNode) -> GuidanceUpdate {
+        let current = self.current(now, node);
+        let changed =
+            |key: &GuidanceKey, value: f64| self.given.get(key).is_none_or(|given| differs(*given, value));
+        let grown = current.iter().filter(|(key, value)| changed(key, **value));
+        let mut changes: Vec<GuidanceChange> =
+            grown.map(|(key, value)| GuidanceChange { key: *key, value: Some(*value) }).collect();
+        let withdrawn = self.given.keys().filter(|key| !current.contains_key(*key));
+        changes.extend(withdrawn.map(|key| GuidanceChange { key: *key, value: None }));
+        for change in &changes {
+            match change.value {
+                Some(value) => self.given.insert(change.key, value),
+                None => self.given.remove(&change.key),
+            };
         }
-        if self.together {
-            if let Some(common) = joint.common() {
-                now.insert(GuidanceKey::RejectedShare, common.rejected_fraction);
+        GuidanceUpdate { changes, expiry: self.expiry(now, node) }
+    }
+
+    fn current(&self, now: Clocks, node: &FleetNode) -> BTreeMap<GuidanceKey, f64> {
+        let mut current = BTreeMap::new();
+        if let Some(quota) = &node.quota {
+            let amount = |guided: &GuidedLimit| quota.share(now.monotonic, guided.limit).amount;
+            current.extend(self.limits.iter().map(|guided| (guided.key, amount(guided))));
+        }
+        if self.coordinated {
+            if let Some(aggregated) = node.aggregated_load() {
+                current.insert(GuidanceKey::RejectedShare, aggregated.rejected_fraction);
             }
-            if !joint.breaker.is_closed() {
-                now.insert(GuidanceKey::BreakerOpen, 1.0);
+            if !node.breaker.is_closed() {
+                current.insert(GuidanceKey::BreakerOpen, 1.0);
             }
         }
-        let moved = |name: &GuidanceKey, value: f64| {
-            self.told.get(name).is_none_or(|old| value < *old || value - old > SAME * old.abs().max(1e-3))
-        };
-        let mut facts: Vec<(GuidanceKey, Option<f64>)> = now
-            .iter()
-            .filter(|(name, value)| moved(name, **value))
-            .map(|(name, value)| (*name, Some(*value)))
-            .collect();
-        let gone = self.told.keys().filter(|name| !now.contains_key(*name));
-        facts.extend(gone.map(|name| (*name, None)));
-        for (name, value) in &facts {
-            match value {
-                Some(value) => self.told.insert(*name, *value),
-                None => self.told.remove(name),
-            };
+        current
+    }
+
+    fn expiry(&self, now: Clocks, node: &FleetNode) -> Option<LeaseExpiry> {
+        let quota = node.quota.as_ref()?;
+        let mut expiry: Option<LeaseExpiry> = None;
+        for guided in &self.limits {
+            let share = quota.share(now.monotonic, guided.limit);
+            let Some(at) = share.expires else { continue };
+            let expiry = expiry.get_or_insert(LeaseExpiry { at, values: Vec::new() });
+            expiry.at = at.min(expiry.at);
+            expiry.values.push(ExpiredValue { key: guided.key, value: share.guaranteed });
         }
-        Told { facts, leases }
+        expiry
     }
 }
+
+fn differs(given: f64, value: f64) -> bool {
+    value < given || value - given > UNCHANGED_GROWTH * given.abs().max(MIN_MAGNITUDE)
+}
--- a/crates/hazelspur-fleet/src/invariant.rs
+++ b/crates/hazelspur-fleet/src/invariant.rs
@@ -1,7 +1,7 @@
 //! What must be true after each input of the state machines; tests check it after each step.
 
+use crate::membership::{FleetSize, MemberStatus};
 use crate::names::MemberName;
-use crate::picture::{Size, Standing};
 use crate::quota::QuotaShare;
 use thiserror::Error;
 
@@ -14,7 +14,7 @@
         /// The member.
         member: MemberName,
         /// Its status.
-        status: Standing,
+        status: MemberStatus,
     },
     /// The queue of suspicions and the member's status differ.
     #[error("{member}: {status:?}, among the suspects: {queued}")]
@@ -22,7 +22,7 @@
         /// The member.
         member: MemberName,
         /// Its status.
-        status: Standing,
+        status: MemberStatus,
         /// Whether the queue contains it.
         queued: bool,
     },
@@ -32,7 +32,7 @@
         /// The member.
         member: MemberName,
         /// Its status.
-        status: Standing,
+        status: MemberStatus,
     },
     /// The member table passes its capacity, or its indexes differ from it.
     #[error("{members} members, room for {capacity}")]
@@ -46,7 +46,7 @@
     #[error("{size:?}, {outgoing} datagrams wait")]
     SizeOrQueue {
         /// Bounds of the fleet's size.
-        size: Size,
+        size: FleetSize,
         /// Datagrams that wait to be sent.
         outgoing: usize,
     },
--- /dev/null
+++ b/crates/hazelspur-fleet/src/membership/gossip_queue.rs
@@ -0,0 +1,78 @@
+//! Selects the updates that travel with each datagram: recent updates, those first that were sent least often, each as
+//! often as makes it likely that all receive it (SWIM's infection-style dissemination); and pages of the whole list in
+//! turn, which repair whatever was lost.
+
+use super::update::MemberUpdate;
+use crate::names::MemberName;
+use std::collections::{BTreeMap, BTreeSet};
+use std::ops::Bound::{Excluded, Unbounded};
+
+/// Transmissions of an update over the decimal logarithm, rounded up, of the fleet's size.
+const TRANSMISSIONS_PER_LOG_SIZE: u32 = 4;
+
+/// Members about whom there are recent updates; the member table bounds it.
+#[derive(Clone, Debug, Default)]
+pub(super) struct GossipQueue {
+    transmissions: BTreeMap<MemberName, u32>,
+    /// The same by the number of transmissions.
+    by_transmissions: BTreeSet<(u32, MemberName)>,
+    /// The last member of the last page.
+    page_after: Option<MemberName>,
+}
+
+impl GossipQueue {
+    /// Queues the update about a member anew.
+    pub(super) fn enqueue(&mut self, name: MemberName) {
+        self.remove(name);
+        self.insert(name, 0);
+    }
+
+    pub(super) fn remove(&mut self, name: MemberName) {
+        if let Some(count) = self.transmissions.remove(&name) {
+            self.by_transmissions.remove(&(count, name));
+        }
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.transmissions.is_empty()
+    }
+
+    /// Offers up to `max` members to `take`, least transmitted first, until it refuses one; counts them as transmitted.
+    pub(super) fn transmit(
+        &mut self,
+        max: usize,
+        fleet_size: usize,
+        mut take: impl FnMut(MemberName) -> bool,
+    ) {
+        let log_size = (((fleet_size + 1) as f64).log10().ceil() as u32).max(1);
+        let max_transmissions = TRANSMISSIONS_PER_LOG_SIZE * log_size;
+        let next: Vec<(u32, MemberName)> = self.by_transmissions.iter().take(max).copied().collect();
+        for (count, name) in next {
+            if !take(name) {
+                return;
+            }
+            self.remove(name);
+            if count + 1 < max_transmissions {
+                self.insert(name, count + 1);
+            }
+        }
+    }
+
+    /// The updates of the next `count` members of the list; after the last page the first one follows.
+    pub(super) fn next_page<T>(
+        &mut self,
+        members: &BTreeMap<MemberName, T>,
+        count: usize,
+        update_of: impl Fn(&T) -> Option<MemberUpdate>,
+    ) -> Vec<MemberUpdate> {
+        let after = self.page_after.map_or(Unbounded, Excluded);
+        let page: Vec<(&MemberName, &T)> = members.range((after, Unbounded)).take(count).collect();
+        self.page_after = page.last().filter(|_| page.len() == count).map(|(name, _)| **name);
+        page.into_iter().filter_map(|(_, member)| update_of(member)).collect()
+    }
+
+    fn insert(&mut self, name: MemberName, transmissions: u32) {
+        self.transmissions.insert(name, transmissions);
+        self.by_transmissions.insert((transmissions, name));
+    }
+}
--- /dev/null
+++ b/crates/hazelspur-fleet/src/membership/refutation.rs
@@ -0,0 +1,45 @@
+//! Refutes what others say about this process: a greater incarnation number where they suspect it, a new generation where
+//! they say that its run is over.
+
+use super::event::MembershipEvent;
+use super::state::Membership;
+use super::update::{MemberState, MemberUpdate};
+use crate::names::{Generation, Incarnation};
+
+impl Membership {
+    /// Takes an update about this process.
+    pub(super) fn merge_own(&mut self, update: &MemberUpdate) {
+        if !self.contradicts(update) {
+            return;
+        }
+        let newer_generation = update.generation > self.me.generation;
+        let is_over = update.state == MemberState::Left || update.incarnation.0 == u32::MAX;
+        if newer_generation || is_over {
+            if self.budget.new_generations == 0 {
+                return;
+            }
+            self.budget.new_generations -= 1;
+            self.me.generation = Generation(update.generation.0.saturating_add(1));
+            self.me.incarnation = Incarnation(0);
+        } else {
+            self.me.incarnation = Incarnation(update.incarnation.0 + 1);
+        }
+        // Once a period: a stream of false updates must not make this process distrust all that it observes.
+        if !std::mem::replace(&mut self.refuted_in_period, true) {
+            self.health.penalize();
+        }
+        self.gossip_queue.enqueue(self.me.name);
+        self.push_event(MembershipEvent::Refuted(self.me.incarnation));
+    }
+
+    fn contradicts(&self, update: &MemberUpdate) -> bool {
+        if update.generation != self.me.generation {
+            return update.generation > self.me.generation;
+        }
+        if update.incarnation < self.me.incarnation || self.me.state == MemberState::Left {
+            return false;
+        }
+        let same_generation = MemberUpdate { state: update.state, ..self.me };
+        update.incarnation > self.me.incarnation || same_generation.supersedes(&self.me)
+    }
+}
--- /dev/null
+++ b/crates/hazelspur-fleet/src/membership/rejoin.rs
@@ -0,0 +1,49 @@
+//! Probes those whom this process does not hear: seed members while nobody is known, one of them from time to time, and
+//! dead members in each period. So partitions that heal find each other.
+
+use super::local_health::LocalStatus;
+use super::state::Membership;
+use super::view::MemberStatus;
+use crate::datagram::Body;
+use std::net::SocketAddr;
+
+/// Periods between two probes of a seed address that is no known member.
+const SEED_PROBE_PERIODS: u64 = 10;
+/// Dead members probed in a period besides the first, where some have recovered.
+const MAX_EXTRA_REJOIN_PROBES: usize = 7;
+/// Extra probes of dead members for each one that has recovered.
+const REJOIN_PROBES_PER_RECOVERY: usize = 2;
+
+impl Membership {
+    pub(super) fn probe_missing(&mut self) {
+        for address in self.seeds_to_probe() {
+            let number = self.random.draw();
+            self.send(address, None, Body::Ping { number, to: None });
+        }
+        let recovered = std::mem::take(&mut self.recovered_in_period);
+        let probes = 1 + (REJOIN_PROBES_PER_RECOVERY * recovered).min(MAX_EXTRA_REJOIN_PROBES);
+        for _ in 0..probes.min(self.members.dead().len()) {
+            let place = self.random.draw() as usize % self.members.dead().len();
+            let Some(name) = self.members.dead().iter().nth(place).copied() else { break };
+            self.ping_member(name);
+        }
+    }
+
+    fn seeds_to_probe(&mut self) -> Vec<SocketAddr> {
+        let seeds = self.config.seeds.iter().copied();
+        let unknown: Vec<SocketAddr> =
+            seeds.filter(|seed| *seed != self.config.address && !self.runs_at(*seed)).collect();
+        if unknown.is_empty() || !self.list.is_complete || self.status == LocalStatus::Isolated {
+            return unknown;
+        }
+        if !self.periods.is_multiple_of(SEED_PROBE_PERIODS) {
+            return Vec::new();
+        }
+        vec![unknown[self.random.draw() as usize % unknown.len()]]
+    }
+
+    fn runs_at(&self, address: SocketAddr) -> bool {
+        let runs = |status: MemberStatus| status != MemberStatus::Dead && status.may_serve();
+        self.members.iter().any(|member| member.update.address == address && runs(member.status))
+    }
+}
--- /dev/null
+++ b/crates/hazelspur-fleet/src/membership/state.rs
@@ -0,0 +1,387 @@
+//! The membership state machine: its inputs, its outputs and its queues. The other files add one step of the protocol each.
+
+use super::event::MembershipEvent;
+use super::failure_detector::{IndirectProbe, Probe};
+use super::gossip_queue::GossipQueue;
+use super::list_sync::ListSync;
+use super::local_health::{LocalHealth, LocalStatus};
+use super::table::{Member, MemberTable};
+use super::update::{MemberState, MemberUpdate};
+use super::view::{FleetSize, GenerationStatus, MemberStatus};
+use crate::datagram::{Body, Datagram};
+use crate::invariant::InvariantViolation;
+use crate::load_reports::PeerLoadReport;
+use crate::names::{Generation, Incarnation, MemberName, SiteName};
+use crate::node_config::NodeConfig;
+use hazelspur::pcg::Pcg;
+use hazelspur::{Duration, Timestamp};
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+
+/// Members to which a gossip datagram goes in a period with recent updates.
+const GOSSIP_FANOUT: usize = 2;
+/// Members to which this process announces at once that it leaves, and that it has left.
+const FAREWELL_FANOUT: usize = 8;
+/// Pages of the member list that are answered in a period.
+const LIST_PAGES_PER_PERIOD: usize = 64;
+/// Operators' questions that are answered in a period.
+const OPERATOR_REPLIES_PER_PERIOD: usize = 128;
+/// New generations that this process takes in a period: two processes of one name would go on for ever.
+const NEW_GENERATIONS_PER_PERIOD: u32 = 2;
+/// Datagrams that wait to be sent; more are dropped, as a network would.
+const MAX_OUTGOING: usize = 512;
+/// Events that wait to be read; more are dropped.
+const MAX_EVENTS: usize = 1024;
+/// Random draws over the number of members to pick, before the whole table is searched.
+const DRAWS_PER_PICK: usize = 4;
+
+/// What may still be done in this period.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct PeriodBudget {
+    pub(super) list_pages: usize,
+    pub(super) operator_replies: usize,
+    pub(super) new_generations: u32,
+}
+
+impl PeriodBudget {
+    pub(super) const FULL: Self = Self {
+        list_pages: LIST_PAGES_PER_PERIOD,
+        operator_replies: OPERATOR_REPLIES_PER_PERIOD,
+        new_generations: NEW_GENERATIONS_PER_PERIOD,
+    };
+}
+
+/// A datagram that waits to be sent; what travels with it is chosen when it is sent.
+#[derive(Clone, Debug)]
+struct Outgoing {
+    address: SocketAddr,
+    /// None where only the address is known.
+    name: Option<MemberName>,
+    body: Body,
+}
+
+/// One process's part in the membership protocol.
+#[derive(Clone, Debug)]
+pub struct Membership {
+    pub(super) config: NodeConfig,
+    /// This process's update about itself.
+    pub(super) me: MemberUpdate,
+    sequence: u64,
+    pub(super) random: Pcg,
+    pub(super) health: LocalHealth,
+    pub(super) status: LocalStatus,
+    pub(super) members: MemberTable,
+    pub(super) gossip_queue: GossipQueue,
+    /// Members to probe in this round, last first.
+    pub(super) probe_order: Vec<MemberName>,
+    pub(super) probe: Option<Probe>,
+    /// Probes made for others.
+    pub(super) indirect_probes: Vec<IndirectProbe>,
+    pub(super) next_period: Timestamp,
+    pub(super) gossip_at: Option<Timestamp>,
+    pub(super) periods: u64,
+    pub(super) list: ListSync,
+    pub(super) refuted_in_period: bool,
+    /// Dead members that were heard again in this period: where one recovers, others may.
+    pub(super) recovered_in_period: usize,
+    pub(super) budget: PeriodBudget,
+    /// When this process was last suspended, or started.
+    pub(super) resumed_at: Timestamp,
+    outgoing: VecDeque<Outgoing>,
+    events: VecDeque<MembershipEvent>,
+    load_report: Option<PeerLoadReport>,
+    /// Members for which the table had no capacity, since the start of the process.
+    pub rejected_members: u64,
+}
+
+impl Membership {
+    /// A new run of the process. `generation` is the wall clock in Unix milliseconds; if others know a greater one, this
+    /// process takes one greater still.
+    pub fn new(config: NodeConfig, generation: Generation, seed: u64, now: Timestamp) -> Self {
+        let me = MemberUpdate {
+            name: config.name,
+            site: config.site,
+            address: config.address,
+            generation,
+            incarnation: Incarnation(0),
+            state: MemberState::Alive,
+        };
+        let mut random = Pcg::new(seed);
+        // Servers that start together must not probe in step.
+        let first_period = config.probe_period.scaled(random.unit());
+        let is_alone = config.seeds.iter().all(|seed| *seed == config.address);
+        Self {
+            health: LocalHealth::new(config.probe_period, now),
+            status: if is_alone { LocalStatus::Healthy } else { LocalStatus::Joining },
+            me,
+            sequence: 0,
+            random,
+            members: MemberTable::new(config.max_servers, config.probe_period),
+            gossip_queue: GossipQueue::default(),
+            probe_order: Vec::new(),
+            probe: None,
+            indirect_probes: Vec::new(),
+            next_period: now + first_period,
+            gossip_at: None,
+            periods: 0,
+            list: ListSync::new(is_alone),
+            refuted_in_period: false,
+            recovered_in_period: 0,
+            budget: PeriodBudget::FULL,
+            resumed_at: now,
+            outgoing: VecDeque::new(),
+            events: VecDeque::new(),
+            load_report: None,
+            rejected_members: 0,
+            config,
+        }
+    }
+
+    // ---- inputs ----
+
+    /// Acts on timers: to be called when the time of `next_tick` has come.
+    pub fn tick(&mut self, now: Timestamp) {
+        let due = self.next_tick();
+        if now < due {
+            return;
+        }
+        let suspended = self.health.timer_ran(now, due);
+        if suspended > Duration::ZERO {
+            self.resume(now, suspended);
+        }
+        if self.probe.as_ref().and_then(|probe| probe.indirect_at).is_some_and(|at| at <= now) {
+            self.probe_indirectly();
+        }
+        if self.gossip_at.is_some_and(|at| at <= now) {
+            self.gossip_at = None;
+            let targets = self.pick(GOSSIP_FANOUT, |_| true);
+            self.gossip_to(targets);
+        }
+        self.end_suspicions(now);
+        if self.next_period <= now {
+            self.begin_period(now);
+        }
+        self.update_status(now);
+    }
+
+    /// Announces that this process drains, so that nobody suspects it.
+    pub fn leave(&mut self, now: Timestamp) {
+        self.announce(now, MemberState::Leaving);
+    }
+
+    /// Announces that this process ends now.
+    pub fn announce_left(&mut self, now: Timestamp) {
+        self.announce(now, MemberState::Left);
+    }
+
+    fn announce(&mut self, now: Timestamp, state: MemberState) {
+        self.me.state = state;
+        self.gossip_queue.enqueue(self.me.name);
+        self.gossip(FAREWELL_FANOUT);
+        self.update_status(now);
+    }
+
+    /// Sets the load report that travels with each datagram from here on.
+    pub fn set_load_report(&mut self, report: PeerLoadReport) {
+        self.load_report = Some(report);
+    }
+
+    /// Queues a datagram to a member; false where the member is not known.
+    pub fn send_to_member(&mut self, name: MemberName, body: Body) -> bool {
+        let address = self.members.get(name).map(|member| member.update.address);
+        if let Some(address) = address {
+            self.send(address, Some(name), body);
+        }
+        address.is_some()
+    }
+
+    /// Queues gossip to up to `max` living members by chance.
+    pub fn gossip(&mut self, max: usize) {
+        let targets = self.pick(max, |member| member.status == MemberStatus::Alive);
+        self.gossip_to(targets);
+    }
+
+    fn gossip_to(&mut self, targets: Vec<MemberName>) {
+        for target in targets {
+            self.send_to_member(target, Body::Gossip);
+        }
+    }
+
+    // ---- outputs ----
+
+    /// When `tick` is to be called next.
+    pub fn next_tick(&self) -> Timestamp {
+        let indirect = self.probe.as_ref().and_then(|probe| probe.indirect_at);
+        let timers = [indirect, self.gossip_at, self.members.next_timer()];
+        timers.into_iter().flatten().fold(self.next_period, Timestamp::min)
+    }
+
+    /// The next datagram to send, and its address.
+    pub fn next_datagram(&mut self, now: Timestamp) -> Option<(SocketAddr, Datagram)> {
+        let Outgoing { address, name, body } = self.outgoing.pop_front()?;
+        self.sequence += 1;
+        let is_reply = matches!(body, Body::FleetReply { .. } | Body::CoordinationReply { .. });
+        let mut datagram = Datagram {
+            installation: self.config.installation,
+            sender: self.me,
+            sequence: self.sequence,
+            sent_ms: now.us() / 1000,
+            load_report: self.load_report.filter(|_| !is_reply),
+            body,
+            updates: Vec::new(),
+        };
+        if !is_reply {
+            self.add_updates(&mut datagram, name);
+        }
+        Some((address, datagram))
+    }
+
+    /// The next event for the log.
+    pub fn next_event(&mut self) -> Option<MembershipEvent> {
+        self.events.pop_front()
+    }
+
+    /// This process's own status.
+    pub fn local_status(&self) -> LocalStatus {
+        self.status
+    }
+
+    /// This process's update about itself.
+    pub fn local_update(&self) -> &MemberUpdate {
+        &self.me
+    }
+
+    /// The newest known run of a member and its status; `None` where the member is not known.
+    pub fn member_status(&self, name: MemberName) -> Option<GenerationStatus> {
+        let member = self.members.get(name)?;
+        Some(GenerationStatus { generation: member.update.generation, status: member.status })
+    }
+
+    /// The status of each other member.
+    pub fn statuses(&self) -> impl Iterator<Item = (MemberName, MemberStatus)> {
+        self.members.by_name().iter().map(|(name, member)| (*name, member.status))
+    }
+
+    /// All living members, this one included, and their sites.
+    pub fn alive(&self) -> impl Iterator<Item = (MemberName, SiteName)> {
+        let others = self.members.iter().filter(|member| member.status == MemberStatus::Alive);
+        let others = others.map(|member| (member.update.name, member.update.site));
+        others.chain([(self.me.name, self.me.site)])
+    }
+
+    /// Bounds of the size of the fleet or of a site. This process counts itself until it has left.
+    pub fn size(&self, site: Option<SiteName>) -> FleetSize {
+        let (mut certain, mut serving, mut dead) = (0, 0, 0);
+        let in_site = |of: SiteName| site.is_none_or(|site| site == of);
+        for member in self.members.iter().filter(|member| in_site(member.update.site)) {
+            serving += usize::from(member.status.may_serve());
+            dead += usize::from(member.status == MemberStatus::Dead);
+            certain += usize::from(member.status == MemberStatus::Alive && self.is_certain_of(member));
+        }
+        let own = usize::from(in_site(self.me.site) && self.me.state != MemberState::Left);
+        let max_servers = self.config.max_servers;
+        // Where this process cannot see all, any number may have started there.
+        let sees_all = self.list.is_complete && self.status != LocalStatus::Isolated;
+        let max = if sees_all { serving + dead + own } else { max_servers };
+        let min = certain + own;
+        FleetSize { min, max: max.min(max_servers).max(min) }
+    }
+
+    fn is_certain_of(&self, member: &Member) -> bool {
+        match self.status {
+            LocalStatus::Healthy | LocalStatus::Leaving => true,
+            LocalStatus::Degraded => member.last_heard.is_some_and(|heard| heard >= self.resumed_at),
+            LocalStatus::Joining => member.last_heard.is_some(),
+            LocalStatus::Isolated => false,
+        }
+    }
+
+    /// Checks what must be true after each input.
+    ///
+    /// # Errors
+    /// Returns the first invariant that does not hold.
+    pub fn check_invariants(&self) -> Result<(), InvariantViolation> {
+        self.members.check_invariants()?;
+        let (size, outgoing) = (self.size(None), self.outgoing.len());
+        if size.min > size.max || outgoing > MAX_OUTGOING {
+            return Err(InvariantViolation::SizeOrQueue { size, outgoing });
+        }
+        Ok(())
+    }
+
+    // ---- inside ----
+
+    pub(super) fn update_status(&mut self, now: Timestamp) {
+        let status = self.current_status(now);
+        if status != self.status {
+            self.push_event(MembershipEvent::LocalStatusChanged { from: self.status, to: status });
+            self.status = status;
+        }
+    }
+
+    fn current_status(&self, now: Timestamp) -> LocalStatus {
+        let has_others = self.members.iter().any(|member| member.status.may_serve());
+        if self.me.state != MemberState::Alive {
+            LocalStatus::Leaving
+        } else if has_others && self.health.is_isolated(now) {
+            LocalStatus::Isolated
+        } else if !self.list.is_complete {
+            LocalStatus::Joining
+        } else if self.health.is_degraded(now) {
+            LocalStatus::Degraded
+        } else {
+            LocalStatus::Healthy
+        }
+    }
+
+    /// Picks up to `max` different members by chance. Draws first; where few qualify, searches the whole table.
+    pub(super) fn pick(&mut self, max: usize, qualifies: impl Fn(&Member) -> bool) -> Vec<MemberName> {
+        let qualifies = |member: &Member| member.status != MemberStatus::Left && qualifies(member);
+        let mut picked: Vec<MemberName> = Vec::new();
+        for _ in 0..DRAWS_PER_PICK * max {
+            let names = self.members.names();
+            let Some(name) = names.get(self.random.draw() as usize % names.len().max(1)) else { break };
+            let is_new = picked.len() < max && !picked.contains(name);
+            if is_new && self.members.get(*name).is_some_and(qualifies) {
+                picked.push(*name);
+            }
+        }
+        if picked.len() == max { picked } else { self.pick_from_all(max, qualifies) }
+    }
+
+    /// Reservoir sampling over the whole table.
+    fn pick_from_all(&mut self, max: usize, qualifies: impl Fn(&Member) -> bool) -> Vec<MemberName> {
+        let mut picked: Vec<MemberName> = Vec::new();
+        let mut passed = 0;
+        for member in self.members.iter().filter(|member| qualifies(member)) {
+            passed += 1;
+            if picked.len() < max {
+                picked.push(member.update.name);
+                continue;
+            }
+            let place = self.random.draw() as usize % passed;
+            if place < max {
+                picked[place] = member.update.name;
+            }
+        }
+        picked
+    }
+
+    pub(super) fn send(&mut self, address: SocketAddr, name: Option<MemberName>, body: Body) {
+        if self.outgoing.len() < MAX_OUTGOING {
+            self.outgoing.push_back(Outgoing { address, name, body });
+        }
+    }
+
+    /// Probes a member without waiting: any answer counts as a datagram of the member.
+    pub(super) fn ping_member(&mut self, name: MemberName) {
+        let number = self.random.draw();
+        self.send_to_member(name, Body::Ping { number, to: Some(name) });
+    }
+
+    pub(super) fn push_event(&mut self, event: MembershipEvent) {
+        if self.events.len() < MAX_EVENTS {
+            self.events.push_back(event);
+        }
+    }
+}
--- a/crates/hazelspur-fleet/src/names.rs
+++ b/crates/hazelspur-fleet/src/names.rs
@@ -1,33 +1,34 @@
-//! Names and numbers of members, one type for each kind. Names are short texts held in place: a table of some
-//! thousand members is copied and compared without allocating.
+//! Names and numbers of members, one type for each kind. Names are short texts stored inline, so that a table of thousands of
+//! members is copied and compared without allocation.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 
-/// The longest name, in bytes.
-pub const LONGEST_NAME: usize = 31;
+/// Length of the longest name, in bytes.
+pub const MAX_NAME_BYTES: usize = 31;
 
 macro_rules! name {
     ($(#[$doc:meta])* $type:ident) => {
         $(#[$doc])*
         #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $type {
-            text: [u8; LONGEST_NAME],
+            text: [u8; MAX_NAME_BYTES],
             length: u8,
         }
 
         impl $type {
             /// 1 to 31 visible ASCII characters; `None` for anything else.
             pub fn new(text: &str) -> Option<Self> {
-                let fits = (1..=LONGEST_NAME).contains(&text.len());
+                let fits = (1..=MAX_NAME_BYTES).contains(&text.len());
                 let visible = text.bytes().all(|b| b.is_ascii_graphic());
-                let mut bytes = [0; LONGEST_NAME];
+                let mut bytes = [0; MAX_NAME_BYTES];
                 (fits && visible).then(|| {
                     bytes[..text.len()].copy_from_slice(text.as_bytes());
                     Self { text: bytes, length: text.len() as u8 }
                 })
             }
 
+            /// The name as text.
             pub fn as_str(&self) -> &str {
                 std::str::from_utf8(&self.text[..usize::from(self.length)]).unwrap_or_default()
             }
@@ -57,7 +58,7 @@
                 impl serde::de::Visitor<'_> for Reader {
                     type Value = $type;
                     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                        write!(f, "a name of 1 to {LONGEST_NAME} visible ASCII characters")
+                        write!(f, "a name of 1 to {MAX_NAME_BYTES} visible ASCII characters")
                     }
                     fn visit_str<E: serde::de::Error>(self, text: &str) -> Result<$type, E> {
                         $type::new(text).ok_or_else(|| E::invalid_value(serde::de::Unexpected::Str(text), &self))
@@ -70,28 +71,29 @@
 }
 
 name!(
-    /// A server's name: the same after a restart.
+    /// A server's name, the same after a restart.
     MemberName
 );
 name!(
-    /// Where servers stand and fall together: a zone, a hall, a rack.
+    /// A failure domain: a zone, a hall, a rack.
     SiteName
 );
 name!(
-    /// Something that all servers share and that has an end: slots of a ledger, a tenant's quota, turns.
+    /// A limit that all servers share: slots of a dependency, a tenant's rate, exclusive turns.
     LimitName
 );
 name!(
-    /// All servers that belong together; a datagram of any other installation is foreign.
+    /// The name of all servers that belong together; datagrams of other installations are dropped.
     Installation
 );
 
-/// One life of a process, from its start to its end: the wall clock at its start in milliseconds, or one more
-/// than the greatest that was ever heard under its name. Greater is newer.
+/// One run of a process: the wall clock at its start in Unix milliseconds, or one more than the greatest generation that was
+/// heard under its name. Greater is newer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Generation(pub u64);
 
-/// How often a member has spoken up for itself within a generation. Only the member itself raises it.
+/// SWIM's incarnation number: how often a member has refuted a suspicion within a generation. Only the member itself raises
+/// it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u32);
 
--- a/crates/hazelspur-fleet/src/quota/allocator.rs
+++ b/crates/hazelspur-fleet/src/quota/allocator.rs
@@ -5,7 +5,6 @@
 
 use super::config::{LimitId, QuotaConfig, SharedLimit};
 use super::fair_share::fair_level;
-use super::manager::QuotaStats;
 use super::message::LeaseRequest;
 use super::outstanding::OutstandingLeases;
 use crate::names::ProcessIncarnation;
@@ -16,7 +15,7 @@
 const MAX_LESSEES_EXACT: usize = 48;
 /// Time between two computations of levels and sums with more lessees; in between sums only grow.
 const REFRESH_INTERVAL: Duration = Duration::from_ms(100);
-/// Factor by which rounding may raise a lessee's figures above their bound.
+/// Factor by which rounding may raise what a lessee retains above the pool.
 const ROUNDING_TOLERANCE: f64 = 1.001;
 /// Part of the vote duration after which a silent lessee no longer waits for a turn.
 const SILENT_FRACTION: f64 = 0.75;
@@ -88,22 +87,17 @@
         config: &QuotaConfig,
         from: ProcessIncarnation,
         request: &LeaseRequest,
-        stats: &mut QuotaStats,
     ) -> Option<Vec<f32>> {
         let limits = config.limits.len();
-        if request.demands.len() != limits || request.retained.len() != limits {
-            stats.invalid_demands += 1;
-            return None;
-        }
-        if !self.has_capacity_for(now, config, from) {
-            stats.rejected_lessees += 1;
+        let has_valid_length = request.demands.len() == limits && request.retained.len() == limits;
+        if !has_valid_length || !self.has_capacity_for(now, config, from) {
             return None;
         }
         let lessee = self.lessees.entry(from).or_insert_with(|| Lessee::new(now, limits));
         if request.number <= lessee.last_request {
             return None;
         }
-        lessee.update(now, config, request, stats);
+        lessee.update(now, config, request);
         self.refresh(now, config);
         let grant_limit =
             |index| self.grant_limit(now, config, from, LimitId(index), request.retained[index]);
@@ -238,17 +232,10 @@
         Self { last_request: 0, last_request_at: now, demands: vec![Demand::default(); limits] }
     }
 
-    fn update(
-        &mut self,
-        now: Timestamp,
-        config: &QuotaConfig,
-        request: &LeaseRequest,
-        stats: &mut QuotaStats,
-    ) {
+    fn update(&mut self, now: Timestamp, config: &QuotaConfig, request: &LeaseRequest) {
         (self.last_request, self.last_request_at) = (request.number, now);
         for (index, limit) in config.limits.iter().enumerate() {
             let demanded = f64::from(request.demands[index]);
-            stats.invalid_demands += u64::from(!(0.0..=limit.total * ROUNDING_TOLERANCE).contains(&demanded));
             let demanded = if demanded.is_finite() { demanded.clamp(0.0, limit.total) } else { 0.0 };
             let beyond_minimum = (demanded - config.guaranteed_minimum(LimitId(index))).max(0.0);
             self.demands[index].update(now, limit, beyond_minimum, f64::from(request.retained[index]));
--- a/crates/hazelspur-fleet/src/quota/manager.rs
+++ b/crates/hazelspur-fleet/src/quota/manager.rs
@@ -69,21 +69,6 @@
     LeaseExpired,
 }
 
-/// Counters since the start of the process.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct QuotaStats {
-    /// Lease requests of this server.
-    pub requests: u64,
-    /// Leases that this server received.
-    pub leases_received: u64,
-    /// Leases that this server granted as allocator.
-    pub leases_granted: u64,
-    /// Demands outside their range.
-    pub invalid_demands: u64,
-    /// Lessees for which the allocator's table had no capacity.
-    pub rejected_lessees: u64,
-}
-
 /// A message and its receiver.
 #[derive(Clone, Debug)]
 struct Outgoing {
@@ -103,8 +88,6 @@
     lessee: Lessee,
     outgoing: VecDeque<Outgoing>,
     events: VecDeque<QuotaEvent>,
-    /// Counters since the start of the process.
-    pub stats: QuotaStats,
 }
 
 impl QuotaManager {
@@ -125,7 +108,6 @@
             random,
             outgoing: VecDeque::new(),
             events: VecDeque::new(),
-            stats: QuotaStats::default(),
         }
     }
 
@@ -328,20 +310,17 @@
             return self.send(from.name, QuotaMessage::NotLeader { number, allocator });
         }
         let Some(allocator) = &mut self.allocator else { return };
-        let amounts = allocator.grant(now, &self.config, from, request, &mut self.stats);
+        let amounts = allocator.grant(now, &self.config, from, request);
         if let Some(amounts) = amounts {
-            self.stats.leases_granted += 1;
             let duration_ms = (self.config.lease_duration().us() / 1000) as u32;
             self.send(from.name, QuotaMessage::LeaseGrant(LeaseGrant { number, duration_ms, amounts }));
         }
     }
 
     fn receive_lease_grant(&mut self, now: Timestamp, from: MemberName, grant: &LeaseGrant) {
-        if self.lessee.receive_grant(now, &self.config, from, grant) {
-            self.stats.leases_received += 1;
-            if self.lessee.lease_change(now) == Some(true) {
-                self.push_event(QuotaEvent::LeaseAcquired(from));
-            }
+        let has_lease = self.lessee.receive_grant(now, &self.config, from, grant);
+        if has_lease && self.lessee.lease_change(now) == Some(true) {
+            self.push_event(QuotaEvent::LeaseAcquired(from));
         }
     }
 
@@ -367,7 +346,6 @@
         let jitter = MIN_REQUEST_JITTER + REQUEST_JITTER_RANGE * self.random.unit();
         let retry_after = self.config.renewal_interval().scaled(part * jitter);
         let request = self.lessee.request(now, &self.config, to, retry_after, redirected);
-        self.stats.requests += 1;
         if to == self.me.name {
             return self.receive_lease_request(now, self.me, &request);
         }
--- a/crates/hazelspur-fleet/tests/guidance.rs
+++ b/crates/hazelspur-fleet/tests/guidance.rs
@@ -3,14 +3,14 @@
 mod helpers;
 
 use hazelspur::{Duration, GuidanceKey};
-use hazelspur_fleet::guidance::Guidance;
+use hazelspur_fleet::guidance::{Guidance, GuidanceChange, GuidedLimit};
 use hazelspur_fleet::quota::{LimitId, QuotaConfig, SharedLimit};
-use hazelspur_fleet::{At, Generation, Joint, LimitName};
-use helpers::{START, terms};
+use hazelspur_fleet::{Clocks, FleetNode, Generation, LimitName};
+use helpers::{START, config};
 
 #[test]
 fn after_a_lease_expired_all_guidance_is_given_again() {
-    let at = At { wall: START, steady: START };
+    let at = Clocks { wall: START, monotonic: START };
     let limit = SharedLimit {
         name: LimitName::new("calls").expect("a name"),
         total: 50.0,
@@ -24,12 +24,13 @@
         vote_duration: Duration::from_ms(4000),
         limits: vec![limit],
     };
-    let joint = Joint::new(terms(0, 10), Some(shares), Generation(1), 1, at);
-    let mut guidance = Guidance::new(true, vec![(LimitId(0), GuidanceKey::CallConcurrencyLimit)]);
-    let mut told = || guidance.next(at, &joint).facts;
-    let (first, second) = (told(), told());
+    let node = FleetNode::new(config(0, 10), Some(shares), Generation(1), 1, at);
+    let mut guidance =
+        Guidance::new(true, vec![GuidedLimit { limit: LimitId(0), key: GuidanceKey::CallConcurrencyLimit }]);
+    let mut changes = || guidance.next_update(at, &node).changes;
+    let (first, second) = (changes(), changes());
     guidance.forget();
-    let third = guidance.next(at, &joint).facts;
-    assert_eq!(first, [(GuidanceKey::CallConcurrencyLimit, Some(5.0))]);
+    let third = guidance.next_update(at, &node).changes;
+    assert_eq!(first, [GuidanceChange { key: GuidanceKey::CallConcurrencyLimit, value: Some(5.0) }]);
     assert!(second.is_empty() && third == first, "{second:?} {third:?}");
 }
--- a/crates/hazelspur-fleet/tests/orders.rs
+++ b/crates/hazelspur-fleet/tests/membership_orders.rs
@@ -6,18 +6,19 @@
 
 use hazelspur::pcg::Pcg;
 use hazelspur::{Duration, Timestamp};
-use hazelspur_fleet::{Datagram, Generation, MemberName, Members, Standing};
-use helpers::{START, name, number, terms};
+use hazelspur_fleet::membership::GenerationStatus;
+use hazelspur_fleet::{Datagram, Generation, MemberName, MemberStatus, Membership};
+use helpers::{START, config, name, number};
 use std::collections::BTreeMap;
 
 /// Under way at once; what is more was lost.
-const MAX_UNDER_WAY: usize = 5;
+const MAX_IN_FLIGHT: usize = 5;
 
 #[derive(Clone)]
 struct World {
     now: Timestamp,
-    members: BTreeMap<usize, Members>,
-    under_way: Vec<(usize, Datagram)>,
+    members: BTreeMap<usize, Membership>,
+    in_flight: Vec<(usize, Datagram)>,
     starts: u64,
     /// What each life of a holder has last believed of each other's life.
     believed: BTreeMap<(usize, Generation, MemberName), Generation>,
@@ -55,7 +56,7 @@
         let mut world = Self {
             now: START,
             members: BTreeMap::new(),
-            under_way: Vec::new(),
+            in_flight: Vec::new(),
             starts: 0,
             believed: BTreeMap::new(),
         };
@@ -67,14 +68,14 @@
         self.starts += 1;
         let generation = Generation(self.now.us() / 1000 + self.starts);
         let seed = of as u64 * 1000 + self.starts;
-        self.members.insert(of, Members::new(terms(of, 8), generation, seed, self.now));
+        self.members.insert(of, Membership::new(config(of, 8), generation, seed, self.now));
     }
 
     fn steps(&self) -> Vec<Step> {
-        let under_way = 0..self.under_way.len();
-        let mut steps: Vec<Step> = under_way.clone().map(Step::Deliver).collect();
-        steps.extend(under_way.clone().map(Step::Lose));
-        steps.extend(under_way.map(Step::Double));
+        let in_flight = 0..self.in_flight.len();
+        let mut steps: Vec<Step> = in_flight.clone().map(Step::Deliver).collect();
+        steps.extend(in_flight.clone().map(Step::Lose));
+        steps.extend(in_flight.map(Step::Double));
         steps.extend(self.members.keys().map(|of| Step::Tick(*of)));
         // One that is killed and comes again is as good as any.
         steps.push(if self.members.contains_key(&2) { Step::Kill(2) } else { Step::Start(2) });
@@ -84,14 +85,14 @@
     fn take(&mut self, step: Step) {
         match step {
             Step::Deliver(i) => {
-                let (to, datagram) = self.under_way.remove(i);
+                let (to, datagram) = self.in_flight.remove(i);
                 self.deliver(to, &datagram);
             }
             Step::Double(i) => {
-                let (to, datagram) = self.under_way[i].clone();
+                let (to, datagram) = self.in_flight[i].clone();
                 self.deliver(to, &datagram);
             }
-            Step::Lose(i) => drop(self.under_way.remove(i)),
+            Step::Lose(i) => drop(self.in_flight.remove(i)),
             Step::Tick(of) => {
                 let Some(member) = self.members.get_mut(&of) else { return };
                 self.now = self.now.max(member.next_tick());
@@ -101,30 +102,32 @@
             Step::Kill(of) => drop(self.members.remove(&of)),
             Step::Start(of) => self.start(of),
         }
-        self.under_way.drain(..self.under_way.len().saturating_sub(MAX_UNDER_WAY));
+        self.in_flight.drain(..self.in_flight.len().saturating_sub(MAX_IN_FLIGHT));
         self.check();
     }
 
     fn deliver(&mut self, to: usize, datagram: &Datagram) {
         if let Some(member) = self.members.get_mut(&to) {
-            let _ = member.heard(self.now, datagram);
+            let _ = member.receive(self.now, datagram);
             self.gather(to);
         }
     }
 
     fn gather(&mut self, of: usize) {
         let Some(member) = self.members.get_mut(&of) else { return };
-        while let Some((to, datagram)) = member.next_out(self.now) {
-            self.under_way.push((number(to), datagram));
+        while let Some((to, datagram)) = member.next_datagram(self.now) {
+            self.in_flight.push((number(to), datagram));
         }
         while member.next_event().is_some() {}
     }
 
     fn check(&mut self) {
         for (of, member) in &self.members {
-            member.check().unwrap_or_else(|why| panic!("{of}: {why}"));
-            let held = member.standings().filter_map(|(name, _)| Some((name, member.standing(name)?.0)));
-            let holder = (*of, member.me().generation);
+            member.check_invariants().unwrap_or_else(|why| panic!("{of}: {why}"));
+            let held = member
+                .statuses()
+                .filter_map(|(name, _)| Some((name, member.member_status(name)?.generation)));
+            let holder = (*of, member.local_update().generation);
             let back = fallen_back(&mut self.believed, holder, held);
             assert_eq!(back, None, "n{of} fell back to an older life");
         }
@@ -135,10 +138,10 @@
     fn comes_together(mut self) -> Result<(), String> {
         let end = self.now + Duration::from_ms(150_000);
         while self.now < end {
-            for (to, datagram) in std::mem::take(&mut self.under_way) {
+            for (to, datagram) in std::mem::take(&mut self.in_flight) {
                 self.deliver(to, &datagram);
             }
-            if self.under_way.is_empty() {
+            if self.in_flight.is_empty() {
                 let next = self.members.iter().min_by_key(|(_, member)| member.next_tick());
                 let Some(of) = next.map(|(of, _)| *of) else { return Ok(()) };
                 let member = self.members.get_mut(&of).expect("looked up above");
@@ -150,12 +153,15 @@
         self.check();
         for (of, member) in &self.members {
             for (other, newest) in &self.members {
-                let right = Some((newest.me().generation, Standing::Alive));
-                if of != other && member.standing(name(*other)) != right {
-                    return Err(format!("n{of} holds n{other} for {:?}", member.standing(name(*other))));
+                let right = Some(GenerationStatus {
+                    generation: newest.local_update().generation,
+                    status: MemberStatus::Alive,
+                });
+                if of != other && member.member_status(name(*other)) != right {
+                    return Err(format!("n{of} holds n{other} for {:?}", member.member_status(name(*other))));
                 }
             }
-            let alive = member.standings().filter(|(_, standing)| *standing == Standing::Alive).count();
+            let alive = member.statuses().filter(|(_, standing)| *standing == MemberStatus::Alive).count();
             if alive + 1 != self.members.len() {
                 return Err(format!("n{of} sees {alive} others of {}", self.members.len() - 1));
             }
@@ -198,7 +204,7 @@
     let mut world = World::new(3);
     world.clone().comes_together().expect("a quiet start");
     for _ in 0..60 {
-        while !world.under_way.is_empty() {
+        while !world.in_flight.is_empty() {
             world.take(Step::Deliver(0));
         }
         let next = world.members.iter().min_by_key(|(_, member)| member.next_tick()).map(|(of, _)| *of);
@@ -231,6 +237,6 @@
     assert_eq!(fallen_back(&mut believed, holder, held(6)), Some(name(2)));
     // One that nobody can hear is not in one picture with the others.
     let mut world = World::new(3);
-    world.members.insert(9, Members::new(terms(8, 8), Generation(1), 1, START));
+    world.members.insert(9, Membership::new(config(8, 8), Generation(1), 1, START));
     assert!(world.comes_together().is_err());
 }
--- a/crates/hazelspur-fleet/tests/wire.rs
+++ b/crates/hazelspur-fleet/tests/wire.rs
@@ -2,14 +2,16 @@
 //! versions run beside each other while an installation is upgraded, so neither may change by accident.
 
 use hazelspur::{Duration, Timestamp};
+use hazelspur_fleet::datagram::{
+    self, AllocationSummary, CoordinationState, MemberRow, ShareSummary, SiteSize,
+};
 use hazelspur_fleet::load_reports::{AggregatedLoad, FaultScope, PeerLoadReport};
 use hazelspur_fleet::quota::{
     ConfigFingerprint, LeaseGrant, LeaseRequest, QuotaConfig, QuotaMessage, SharedLimit, VoteResponse,
 };
-use hazelspur_fleet::talk::{self, Shown, ShownRow};
 use hazelspur_fleet::{
-    Body, Claim, Condition, Datagram, Generation, Incarnation, Installation, Key, LimitName, MemberName,
-    Says, SiteName, Size, Standing,
+    Body, Datagram, FleetSize, Generation, Incarnation, Installation, Key, LimitName, LocalStatus,
+    MemberName, MemberState, MemberStatus, MemberUpdate, SiteName,
 };
 
 /// One line for each datagram: its name and its bytes in hexadecimal digits.
@@ -20,51 +22,56 @@
     MemberName::new(text).expect("a name")
 }
 
-fn claim(text: &str, says: Says) -> Claim {
-    Claim {
+fn update(text: &str, state: MemberState) -> MemberUpdate {
+    MemberUpdate {
         name: member(text),
         site: SiteName::new("east").expect("a name"),
-        at: "10.1.2.3:7000".parse().expect("an address"),
+        address: "10.1.2.3:7000".parse().expect("an address"),
         generation: Generation(1_699_999_999_000),
         incarnation: Incarnation(3),
-        says,
+        state,
     }
 }
 
-fn datagram(body: Body) -> Datagram {
+fn with_body(body: Body) -> Datagram {
     Datagram {
         installation: Installation::new("bread").expect("a name"),
-        from: claim("n1", Says::Alive),
-        number: 300,
+        sender: update("n1", MemberState::Alive),
+        sequence: 300,
         sent_ms: SENT_MS,
         body,
-        word: None,
-        claims: Vec::new(),
+        load_report: None,
+        updates: Vec::new(),
     }
 }
 
 fn quota(message: QuotaMessage) -> Datagram {
-    datagram(Body::Quota { fingerprint: ConfigFingerprint(0x0123_4567_89ab_cdef), message })
+    with_body(Body::Quota { fingerprint: ConfigFingerprint(0x0123_4567_89ab_cdef), message })
 }
 
 fn about_members() -> Vec<(&'static str, Datagram)> {
     let other = "[2001:db8::7]:7001".parse().expect("an address");
-    let v6 = Claim { at: other, ..claim("n5", Says::Suspected(member("n4"))) };
-    let claims = [v6, claim("n6", Says::Leaving), claim("n7", Says::Left), claim("n8", Says::Alive)];
-    let word = |unreached| {
+    let v6 = MemberUpdate { address: other, ..update("n5", MemberState::Suspected(member("n4"))) };
+    let updates = [
+        v6,
+        update("n6", MemberState::Leaving),
+        update("n7", MemberState::Left),
+        update("n8", MemberState::Alive),
+    ];
+    let report = |unreached| {
         Some(PeerLoadReport { latency_ratio: 1.5, unreachable_fraction: unreached, rejected_fraction: 0.25 })
     };
     vec![
-        ("ping", datagram(Body::Ping { number: 70_000, to: Some(member("n2")) })),
-        ("ping-unknown", datagram(Body::Ping { number: 1, to: None })),
-        ("ack", datagram(Body::Ack { number: u32::MAX })),
-        ("ping-for", datagram(Body::PingFor { number: 9, to: member("n2"), at: other })),
-        ("gossip", Datagram { claims: claims.to_vec(), ..datagram(Body::Gossip) }),
-        ("gossip-word", Datagram { word: word(Some(0.5)), ..datagram(Body::Gossip) }),
-        ("gossip-word-without-calls", Datagram { word: word(None), ..datagram(Body::Gossip) }),
-        ("ask", datagram(Body::Ask { after: Some(member("n2")) })),
-        ("ask-from-the-start", datagram(Body::Ask { after: None })),
-        ("page", datagram(Body::Page { next: Some(member("n3")) })),
+        ("ping", with_body(Body::Ping { number: 70_000, to: Some(member("n2")) })),
+        ("ping-unknown", with_body(Body::Ping { number: 1, to: None })),
+        ("ack", with_body(Body::Ack { number: u32::MAX })),
+        ("ping-for", with_body(Body::PingRequest { number: 9, target: member("n2"), target_address: other })),
+        ("gossip", Datagram { updates: updates.to_vec(), ..with_body(Body::Gossip) }),
+        ("gossip-word", Datagram { load_report: report(Some(0.5)), ..with_body(Body::Gossip) }),
+        ("gossip-word-without-calls", Datagram { load_report: report(None), ..with_body(Body::Gossip) }),
+        ("ask", with_body(Body::MemberListRequest { after: Some(member("n2")) })),
+        ("ask-from-the-start", with_body(Body::MemberListRequest { after: None })),
+        ("page", with_body(Body::MemberListPage { next: Some(member("n3")) })),
     ]
 }
 
@@ -88,26 +95,30 @@
     ]
 }
 
+fn share(limit: &str, amount: f32, guaranteed: f32, expires_in_ms: Option<u32>) -> ShareSummary {
+    ShareSummary { limit: LimitName::new(limit).expect("a name"), amount, guaranteed, expires_in_ms }
+}
+
 fn to_operators() -> Vec<(&'static str, Datagram)> {
-    let row = |standing, heard_ms| ShownRow {
-        claim: claim("n9", Says::Alive),
-        standing,
-        since_ms: 1000,
-        word_ms: 200,
-        by: member("n4"),
-        heard_ms,
+    let row = |status, heard_ago_ms| MemberRow {
+        update: update("n9", MemberState::Alive),
+        status,
+        status_age_ms: 1000,
+        update_age_ms: 200,
+        reported_by: member("n4"),
+        heard_ago_ms,
     };
-    let rows = |standings: &[Standing]| standings.iter().map(|standing| row(*standing, Some(150))).collect();
-    let size = |least, most| Size { least, most };
-    let shown = |condition, rows| Body::Shown {
+    let rows = |statuses: &[MemberStatus]| statuses.iter().map(|status| row(*status, Some(150))).collect();
+    let size = |min, max| FleetSize { min, max };
+    let fleet_reply = |status, members| Body::FleetReply {
         number: 11,
-        condition,
+        status,
         fleet: size(3, 300),
-        sites: vec![(SiteName::new("east").expect("a name"), size(1, 2))],
-        rows,
+        sites: vec![SiteSize { site: SiteName::new("east").expect("a name"), size: size(1, 2) }],
+        members,
         next: Some(member("n9")),
     };
-    let common = AggregatedLoad {
+    let aggregated = AggregatedLoad {
         latency_ratio: Some(2.5),
         unreachable_fraction: 0.25,
         rejected_fraction: 0.125,
@@ -115,33 +126,43 @@
         sites: 3,
         oldest_age_ms: 900,
     };
-    let choices = |whose| Shown {
-        divider: Some(member("n2")),
-        given: Some((12.5, 4)),
-        shares: vec![
-            (LimitName::new("calls").expect("a name"), 9.5, 2.0, Some(3500)),
-            (LimitName::new("tenant.a").expect("a name"), 1.0, 1.0, None),
-        ],
-        shut: true,
-        whose,
-        word: PeerLoadReport { latency_ratio: 3.0, unreachable_fraction: Some(1.0), rejected_fraction: 0.5 },
-        common: Some(common),
+    let state = |fault_scope| CoordinationState {
+        allocator: Some(member("n2")),
+        allocation: Some(AllocationSummary { granted: 12.5, lessees: 4 }),
+        shares: vec![share("calls", 9.5, 2.0, Some(3500)), share("tenant.a", 1.0, 1.0, None)],
+        breaker_open: true,
+        fault_scope,
+        load_report: PeerLoadReport {
+            latency_ratio: 3.0,
+            unreachable_fraction: Some(1.0),
+            rejected_fraction: 0.5,
+        },
+        aggregated: Some(aggregated),
     };
-    let choices = |whose| datagram(Body::Choices { number: 12, shown: choices(whose) });
-    let first = [Standing::Alive, Standing::Suspected, Standing::Leaving];
+    let reply = |scope| with_body(Body::CoordinationReply { number: 12, state: state(scope) });
+    let first = [MemberStatus::Alive, MemberStatus::Suspected, MemberStatus::Leaving];
     vec![
-        ("show", datagram(Body::Show { number: 11, after: Some(member("n2")) })),
-        ("show-choices", datagram(Body::ShowChoices { number: 12 })),
-        ("shown-joining", datagram(shown(Condition::Joining, rows(&first)))),
-        ("shown-whole", datagram(shown(Condition::Whole, rows(&[Standing::Left, Standing::Lost])))),
-        ("shown-doubtful", datagram(shown(Condition::Doubtful, vec![row(Standing::Lost, None)]))),
-        ("shown-cut-off", datagram(shown(Condition::CutOff, vec![]))),
-        ("shown-leaving", datagram(shown(Condition::Leaving, vec![]))),
-        ("choices-none", choices(FaultScope::None)),
-        ("choices-mine", choices(FaultScope::Local)),
-        ("choices-shared", choices(FaultScope::Shared)),
-        ("choices-unknown", choices(FaultScope::Unknown)),
-        ("choices-empty", datagram(Body::Choices { number: 13, shown: Shown::default() })),
+        ("show", with_body(Body::FleetQuery { number: 11, after: Some(member("n2")) })),
+        ("show-choices", with_body(Body::CoordinationQuery { number: 12 })),
+        ("shown-joining", with_body(fleet_reply(LocalStatus::Joining, rows(&first)))),
+        (
+            "shown-whole",
+            with_body(fleet_reply(LocalStatus::Healthy, rows(&[MemberStatus::Left, MemberStatus::Dead]))),
+        ),
+        (
+            "shown-doubtful",
+            with_body(fleet_reply(LocalStatus::Degraded, vec![row(MemberStatus::Dead, None)])),
+        ),
+        ("shown-cut-off", with_body(fleet_reply(LocalStatus::Isolated, vec![]))),
+        ("shown-leaving", with_body(fleet_reply(LocalStatus::Leaving, vec![]))),
+        ("choices-none", reply(FaultScope::None)),
+        ("choices-mine", reply(FaultScope::Local)),
+        ("choices-shared", reply(FaultScope::Shared)),
+        ("choices-unknown", reply(FaultScope::Unknown)),
+        (
+            "choices-empty",
+            with_body(Body::CoordinationReply { number: 13, state: CoordinationState::default() }),
+        ),
     ]
 }
 
@@ -157,7 +178,7 @@
     let all: Vec<_> = [about_members(), about_quotas(), to_operators()].concat();
     let written: Vec<String> = all
         .iter()
-        .map(|(name, datagram)| format!("{name} {}", hexadecimal(&talk::seal(&key, datagram))))
+        .map(|(name, datagram)| format!("{name} {}", hexadecimal(&datagram::seal(&key, datagram))))
         .collect();
     let fixed: Vec<&str> = FIXED.lines().collect();
     assert_eq!(written.len(), fixed.len(), "{}", written.join("\n"));
@@ -167,7 +188,7 @@
         let bytes: Vec<u8> = (0..digits.len() / 2)
             .map(|at| u8::from_str_radix(&digits[2 * at..2 * at + 2], 16).expect("two digits"))
             .collect();
-        assert_eq!(talk::open(&key, &installation, now, &bytes).as_ref(), Ok(datagram), "{name}");
+        assert_eq!(datagram::open(&key, &installation, now, &bytes).as_ref(), Ok(datagram), "{name}");
     }
 }
 
@@ -193,7 +214,7 @@
 /// `hazelspur-server fleet FILE --shape json` shows these; scripts of operators read them.
 #[test]
 fn figures_for_an_operator_have_the_same_json_as_ever() {
-    let common = AggregatedLoad {
+    let aggregated = AggregatedLoad {
         latency_ratio: Some(2.5),
         unreachable_fraction: 0.25,
         rejected_fraction: 0.125,
@@ -201,17 +222,22 @@
         sites: 3,
         oldest_age_ms: 900,
     };
-    let conditions =
-        [Condition::Joining, Condition::Whole, Condition::Doubtful, Condition::CutOff, Condition::Leaving];
+    let statuses = [
+        LocalStatus::Joining,
+        LocalStatus::Healthy,
+        LocalStatus::Degraded,
+        LocalStatus::Isolated,
+        LocalStatus::Leaving,
+    ];
     let json = |value: serde_json::Result<String>| value.expect("it is written");
     assert_eq!(
-        json(serde_json::to_string(&common)),
+        json(serde_json::to_string(&aggregated)),
         r#"{"pace":2.5,"unreached":0.25,"refused":0.125,"voices":7,"sites":3,"oldest_ms":900}"#
     );
     assert_eq!(
-        json(serde_json::to_string(&conditions)),
+        json(serde_json::to_string(&statuses)),
         r#"["Joining","Whole","Doubtful","CutOff","Leaving"]"#
     );
-    assert_eq!(json(serde_json::to_string(&Size { least: 3, most: 9 })), r#"{"least":3,"most":9}"#);
-    assert_eq!(json(serde_json::to_string(&claim("n1", Says::Alive).generation)), "1699999999000");
+    assert_eq!(json(serde_json::to_string(&FleetSize { min: 3, max: 9 })), r#"{"least":3,"most":9}"#);
+    assert_eq!(json(serde_json::to_string(&update("n1", MemberState::Alive).generation)), "1699999999000");
 }
--- a/crates/hazelspur-server/src/config/fleet_keys.rs
+++ b/crates/hazelspur-server/src/config/fleet_keys.rs
@@ -1,22 +1,43 @@
-//! `fleet(...)` of the operator's file: who belongs together, and where others are found.
+//! `fleet(...)` of the operator's file: which servers belong together, where others are found, and what all of them share.
+//! The fields are the file's keys.
 
 use garde::Validate;
 use hazelspur::Duration;
-use hazelspur_fleet::quota::{QuotaConfig, SharedLimit};
-use hazelspur_fleet::{Installation, Key, LimitName, MemberName, SiteName, Terms};
+use hazelspur_fleet::datagram::KeyError;
+use hazelspur_fleet::quota::{QuotaConfig, QuotaConfigError, SharedLimit};
+use hazelspur_fleet::{Installation, Key, LimitName, MemberName, NodeConfig, SiteName};
 use serde::Deserialize;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
+use thiserror::Error;
 
-/// The longest key file that is read, in bytes.
-const LONGEST_KEY: u64 = 4096;
+/// Length of the longest key file that is read, in bytes.
+const MAX_KEY_FILE_BYTES: u64 = 4096;
+/// Default of `lease_s`, in seconds.
+const DEFAULT_VOTE_SECS: f64 = 4.0;
+/// Default of `floor`.
+const DEFAULT_GUARANTEED_FRACTION: f64 = 0.2;
+/// Default of `linger_s`, in seconds.
+const DEFAULT_RESIDUAL_SECS: f64 = 1.0;
+/// Default of `period_s`, in seconds.
+const DEFAULT_PERIOD_SECS: f64 = 1.0;
+/// Default of `remember_s`, in seconds.
+const DEFAULT_RETENTION_SECS: f64 = 900.0;
+/// Bounds of `linger_s`, in seconds.
+const RESIDUAL_SECS: RangeInclusive<f64> = 0.0..=60.0;
+/// The shared limit of concurrent calls to the dependency.
+pub const CALLS: &str = "calls";
+/// Prefix of a tenant's shared limit of requests a second.
+pub const TENANT_PREFIX: &str = "tenant.";
 
+/// The keys of `fleet(...)`.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// The same on all servers that belong together.
+    /// The installation, alike on all servers that belong together.
     #[garde(skip)]
     pub installation: Installation,
-    /// Where this server stands.
+    /// The failure domain in which this server runs.
     #[garde(skip)]
     pub site: SiteName,
     /// Where others reach it, by UDP.
@@ -25,41 +46,42 @@
     /// Where it listens, if that differs.
     #[garde(skip)]
     pub listen: Option<SocketAddr>,
-    /// Servers that are tried first.
+    /// Seed members, which the server contacts first.
     #[serde(default)]
     #[garde(length(max = 16), inner(custom(reachable)))]
     pub contacts: Vec<SocketAddr>,
-    /// Its text is the installation's key.
+    /// File whose text is the installation's key.
     #[garde(length(min = 1, max = 4096))]
     pub key_file: String,
-    /// No more servers than this exist at once.
+    /// Largest number of servers that exist at once.
     #[garde(range(min = 1, max = 4096))]
     pub most: usize,
-    /// How often one other is probed.
+    /// Time between two probes, in seconds.
     #[serde(default = "period")]
     #[garde(range(min = 0.1, max = 60.0))]
     pub period_s: f64,
-    /// How long those who are gone are remembered.
+    /// How long members that are gone are remembered, in seconds.
     #[serde(default = "remember")]
     #[garde(range(min = 30.0, max = 86_400.0))]
     pub remember_s: f64,
-    /// Whether servers go by what they hear of each other: who tries a ledger that nobody reaches, whether
-    /// a refused request has better luck elsewhere.
+    /// Whether servers go by the reports of each other: who probes a dependency that nobody reaches, and whether a
+    /// rejected request may succeed elsewhere.
     #[serde(default)]
     #[garde(skip)]
     pub together: bool,
-    /// Who votes on the one that gives out shares: an odd number, over three sites.
+    /// Servers that vote on the allocator of shared limits: an odd number, best in three sites.
     #[serde(default)]
     #[garde(skip)]
     pub keepers: Vec<MemberName>,
-    /// How long a vote holds.
+    /// How long a vote lasts, in seconds.
     #[serde(default = "lease")]
     #[garde(range(min = 1.0, max = 600.0))]
     pub lease_s: f64,
-    /// What all servers together may use.
+    /// The shared limits.
     #[serde(default)]
     #[garde(skip)]
     pub shares: Vec<ShareKey>,
+    /// The installation's key, once its file was read.
     #[serde(skip)]
     #[garde(skip)]
     pub key: Option<Key>,
@@ -69,109 +91,188 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShareKey {
-    /// `calls`: at once at the ledger; `tenant.NAME`: requests a second of a tenant of the settings.
+    /// `calls`: concurrent calls to the dependency; `tenant.NAME`: requests a second of a tenant of the settings.
     pub limit: LimitName,
+    /// What all servers together may use.
     pub total: f64,
-    /// The part that is divided by `most` for good.
+    /// The part that is divided by `most` as guaranteed minimums.
     #[serde(default = "floor")]
     pub floor: f64,
-    /// How long what was begun under a share may go on.
+    /// How long work that began under a lease may go on after it, in seconds.
     #[serde(default = "linger")]
     pub linger_s: f64,
 }
 
-pub const CALLS: &str = "calls";
-pub const TENANT: &str = "tenant.";
-
 fn lease() -> f64 {
-    4.0
+    DEFAULT_VOTE_SECS
 }
 
 fn floor() -> f64 {
-    0.2
+    DEFAULT_GUARANTEED_FRACTION
 }
 
 fn linger() -> f64 {
-    1.0
+    DEFAULT_RESIDUAL_SECS
 }
 
 fn period() -> f64 {
-    1.0
+    DEFAULT_PERIOD_SECS
 }
 
 fn remember() -> f64 {
-    900.0
+    DEFAULT_RETENTION_SECS
 }
 
-fn reachable(at: &SocketAddr, _: &()) -> garde::Result {
-    let fine = at.port() != 0 && !at.ip().is_unspecified() && !at.ip().is_multicast();
-    if fine { Ok(()) } else { Err(garde::Error::new("no address that others can reach")) }
+fn reachable(address: &SocketAddr, _: &()) -> garde::Result {
+    let ip = address.ip();
+    let is_reachable = address.port() != 0 && !ip.is_unspecified() && !ip.is_multicast();
+    if is_reachable { Ok(()) } else { Err(garde::Error::new("no address that others can reach")) }
 }
 
-impl Fleet {
-    pub fn read_key(&mut self) -> Result<(), String> {
-        let told = |why: String| format!("fleet.key_file: {}: {why}", self.key_file);
-        let length = std::fs::metadata(&self.key_file).map_err(|e| told(e.to_string()))?.len();
-        if length > LONGEST_KEY {
-            return Err(told(format!("longer than {LONGEST_KEY} bytes")));
+/// Why a key file is refused.
+#[derive(Debug, Error)]
+pub enum KeyFileError {
+    /// The file cannot be read.
+    #[error("fleet.key_file: {path}: {source}")]
+    Unreadable {
+        /// The file.
+        path: String,
+        /// What the system says.
+        source: std::io::Error,
+    },
+    /// The file is longer than the maximum.
+    #[error("fleet.key_file: {path}: longer than {MAX_KEY_FILE_BYTES} bytes")]
+    TooLong {
+        /// The file.
+        path: String,
+    },
+    /// The text is no key.
+    #[error("fleet.key_file: {path}: {source}")]
+    Invalid {
+        /// The file.
+        path: String,
+        /// Why not.
+        source: KeyError,
+    },
+}
+
+/// Why `keepers` and `shares` are refused.
+#[derive(Clone, Copy, Debug, Error)]
+pub enum QuotaKeysError {
+    /// There are voters and no shared limits.
+    #[error("there are no shares to keep")]
+    NoShares,
+    /// The name of a limit is neither `calls` nor that of a tenant.
+    #[error("{0}: neither {CALLS} nor {TENANT_PREFIX}NAME")]
+    UnknownLimit(LimitName),
+    /// The residual duration of a limit is outside its bounds.
+    #[error("{0}: linger_s is not from {min} to {max}", min = RESIDUAL_SECS.start(), max = RESIDUAL_SECS.end())]
+    ResidualOutOfRange(LimitName),
+    /// The number of voters is even.
+    #[error("{0}: an odd number can lose as many as one more")]
+    EvenVoters(usize),
+    /// The quota configuration is refused.
+    #[error(transparent)]
+    Invalid(#[from] QuotaConfigError),
+    /// There are no voters, and a limit is not divided by `most` as a whole.
+    #[error("without keepers nobody gives out what is beyond the floors: floor = 1")]
+    NoVoters,
+}
+
+impl QuotaKeysError {
+    /// The key at fault, within `fleet`.
+    pub fn key(&self) -> &'static str {
+        match self {
+            Self::NoShares | Self::EvenVoters(_) => "keepers",
+            Self::UnknownLimit(_) | Self::ResidualOutOfRange(_) | Self::Invalid(_) | Self::NoVoters => {
+                "shares"
+            }
         }
-        let text = std::fs::read_to_string(&self.key_file).map_err(|e| told(e.to_string()))?;
-        self.key = Some(Key::from_text(&text).map_err(|why| told(why.into()))?);
+    }
+}
+
+impl Fleet {
+    /// Reads the key file.
+    ///
+    /// # Errors
+    /// `KeyFileError`, which names the key and the file.
+    pub fn read_key(&mut self) -> Result<(), KeyFileError> {
+        let path = self.key_file.clone();
+        let text = read_key_file(&path)?;
+        let key = Key::from_text(&text).map_err(|source| KeyFileError::Invalid { path, source })?;
+        self.key = Some(key);
         Ok(())
     }
 
-    /// What is shared; none where nothing is. Errors name the key at fault.
-    pub fn share_terms(&self) -> Result<Option<QuotaConfig>, (&'static str, String)> {
-        let limit = |key: &ShareKey| SharedLimit {
-            name: key.limit,
-            total: key.total,
-            guaranteed_fraction: key.floor,
-            residual_duration: Duration::from_secs(key.linger_s),
-            max_turn: None,
-        };
+    /// The quota configuration; `None` where nothing is shared.
+    ///
+    /// # Errors
+    /// `QuotaKeysError`, which names the key at fault.
+    pub fn quota_config(&self) -> Result<Option<QuotaConfig>, QuotaKeysError> {
         if self.shares.is_empty() {
-            let unused = !self.keepers.is_empty();
-            return if unused { Err(("keepers", "there are no shares to keep".into())) } else { Ok(None) };
+            return if self.keepers.is_empty() { Ok(None) } else { Err(QuotaKeysError::NoShares) };
         }
-        for key in &self.shares {
-            let name = key.limit.as_str();
-            if name != CALLS && !name.starts_with(TENANT) {
-                return Err(("shares", format!("{name}: neither {CALLS} nor {TENANT}NAME")));
-            }
-            if !(0.0..=60.0).contains(&key.linger_s) {
-                return Err(("shares", format!("{name}: linger_s is not from 0 to 60")));
-            }
-        }
-        let terms = QuotaConfig {
+        self.shares.iter().try_for_each(ShareKey::check)?;
+        let config = QuotaConfig {
             voters: self.keepers.clone(),
             max_servers: self.most,
             vote_duration: Duration::from_secs(self.lease_s),
-            limits: self.shares.iter().map(limit).collect(),
+            limits: self.shares.iter().map(ShareKey::shared_limit).collect(),
         };
-        let keepers = terms.voters.len();
-        if keepers.is_multiple_of(2) && keepers > 0 {
-            return Err(("keepers", format!("{keepers}: an odd number can lose as many as one more")));
+        let voters = config.voters.len();
+        if voters.is_multiple_of(2) && voters > 0 {
+            return Err(QuotaKeysError::EvenVoters(voters));
         }
-        terms.check().map_err(|why| ("shares", why.to_string()))?;
-        if keepers == 0 && self.shares.iter().any(|key| key.floor < 1.0) {
-            return Err((
-                "shares",
-                "without keepers nobody gives out what is beyond the floors: floor = 1".into(),
-            ));
+        config.check()?;
+        if voters == 0 && self.shares.iter().any(|share| share.floor < 1.0) {
+            return Err(QuotaKeysError::NoVoters);
         }
-        Ok(Some(terms))
+        Ok(Some(config))
     }
 
-    pub fn terms(&self, name: MemberName) -> Terms {
-        Terms {
+    /// The configuration of the server with this name.
+    pub fn node_config(&self, name: MemberName) -> NodeConfig {
+        NodeConfig {
             installation: self.installation,
             name,
             site: self.site,
-            at: self.at,
-            contacts: self.contacts.clone(),
-            most: self.most,
-            period: Duration::from_secs(self.period_s),
-            remember: Duration::from_secs(self.remember_s),
+            address: self.at,
+            seeds: self.contacts.clone(),
+            max_servers: self.most,
+            probe_period: Duration::from_secs(self.period_s),
+            retention: Duration::from_secs(self.remember_s),
+        }
+    }
+}
+
+impl ShareKey {
+    fn check(&self) -> Result<(), QuotaKeysError> {
+        let name = self.limit.as_str();
+        if name != CALLS && !name.starts_with(TENANT_PREFIX) {
+            return Err(QuotaKeysError::UnknownLimit(self.limit));
+        }
+        if !RESIDUAL_SECS.contains(&self.linger_s) {
+            return Err(QuotaKeysError::ResidualOutOfRange(self.limit));
         }
+        Ok(())
+    }
+
+    fn shared_limit(&self) -> SharedLimit {
+        SharedLimit {
+            name: self.limit,
+            total: self.total,
+            guaranteed_fraction: self.floor,
+            residual_duration: Duration::from_secs(self.linger_s),
+            max_turn: None,
+        }
+    }
+}
+
+fn read_key_file(path: &str) -> Result<String, KeyFileError> {
+    let unreadable = |source| KeyFileError::Unreadable { path: path.into(), source };
+    let length = std::fs::metadata(path).map_err(unreadable)?.len();
+    if length > MAX_KEY_FILE_BYTES {
+        return Err(KeyFileError::TooLong { path: path.into() });
     }
+    std::fs::read_to_string(path).map_err(unreadable)
 }
--- a/crates/hazelspur-server/src/config/operator.rs
+++ b/crates/hazelspur-server/src/config/operator.rs
@@ -334,7 +334,7 @@
         amqp.password = text.lines().next().unwrap_or_default().to_string();
     }
     if let Some(fleet) = &mut operator.fleet {
-        fleet.read_key()?;
+        fleet.read_key().map_err(|error| error.to_string())?;
     }
     Ok(operator)
 }
@@ -363,8 +363,8 @@
             report.iter().next().map(|(key, why)| (key.to_string(), why.to_string())).unwrap_or_default();
         return Err(format!("{}: {why}", at(&key)));
     }
-    if let Some(Err((key, why))) = operator.fleet.as_ref().map(Fleet::share_terms) {
-        return Err(format!("{}: {why}", at(&format!("fleet.{key}"))));
+    if let Some(Err(error)) = operator.fleet.as_ref().map(Fleet::quota_config) {
+        return Err(format!("{}: {error}", at(&format!("fleet.{}", error.key()))));
     }
     if operator.amqp.is_none() && !operator.queues.is_empty() {
         return Err(format!("{}: there is no amqp(...)", at("queues[0].name")));
--- a/crates/hazelspur-server/src/config/reload.rs
+++ b/crates/hazelspur-server/src/config/reload.rs
@@ -2,7 +2,7 @@
 //! says of the parties' addresses holds at once; where the operator's file has `reload(settings = True)`, so does
 //! what has changed of the settings, all of it or nothing of the file. The rest is told at the next start only.
 
-use crate::config::fleet_keys::TENANT;
+use crate::config::fleet_keys::TENANT_PREFIX;
 use crate::config::operator::{self, Operator};
 use crate::config::startup::{self, Startup};
 use crate::ingress::queues::Queues;
@@ -42,7 +42,9 @@
         let shares = operator.fleet.iter().flat_map(|fleet| &fleet.shares);
         Self {
             request_classes: operator.queues.iter().filter_map(|queue| queue.request_class.clone()).collect(),
-            tenants: shares.filter_map(|key| Some(key.limit.as_str().strip_prefix(TENANT)?.into())).collect(),
+            tenants: shares
+                .filter_map(|key| Some(key.limit.as_str().strip_prefix(TENANT_PREFIX)?.into()))
+                .collect(),
         }
     }
 
--- /dev/null
+++ b/crates/hazelspur-server/src/fleet/coordinator.rs
@@ -0,0 +1,183 @@
+//! Between `hazelspur_fleet` and the admission controller: reports this server's load and demand to `FleetNode`, and gives
+//! the controller what follows where it has changed.
+
+use crate::config::fleet_keys::{CALLS, TENANT_PREFIX};
+use crate::request::dispatcher::Dispatcher;
+use hazelspur::{Catalog, Duration, GuidanceKey, TenantId, Timestamp};
+use hazelspur_fleet::circuit_breaker::BreakerChange;
+use hazelspur_fleet::guidance::{Guidance, GuidedLimit, LeaseExpiry};
+use hazelspur_fleet::load_reports::{AggregatedLoad, FaultScope};
+use hazelspur_fleet::node::LocalLoad;
+use hazelspur_fleet::quota::{LimitId, QuotaConfig, QuotaEvent, QuotaManager, SharedLimit};
+use hazelspur_fleet::{Clocks, FleetNode, LimitName};
+use thiserror::Error;
+
+/// Time between two load reports.
+const REPORT_INTERVAL: Duration = Duration::from_ms(200);
+/// A tenant's demand over its recent rate, so that the rate can grow.
+const TENANT_DEMAND_OVER_RATE: f64 = 1.25;
+/// Demand of calls before the first call, when nothing is known.
+const INITIAL_CALL_DEMAND: f64 = 1.0;
+
+/// What a shared limit governs.
+#[derive(Clone, Copy, PartialEq)]
+enum LimitTarget {
+    Calls,
+    Tenant(TenantId),
+}
+
+struct DemandedLimit {
+    name: LimitName,
+    target: LimitTarget,
+}
+
+/// A shared limit that governs nothing on this server.
+#[derive(Clone, Copy, Debug, Error)]
+pub enum UnknownLimitError {
+    /// The name is neither that of calls nor of a tenant.
+    #[error("fleet.shares: {0}: nothing goes by it")]
+    Unused(LimitName),
+    /// The settings have no such tenant.
+    #[error("fleet.shares: {0}: no such tenant")]
+    NoTenant(LimitName),
+}
+
+/// Passes load and demand to the fleet, and guidance to the admission controller.
+pub struct Coordinator {
+    /// Whether the circuit breaker and the load reports of others count.
+    coordinated: bool,
+    limits: Vec<DemandedLimit>,
+    guidance: Guidance,
+    reported_at: Timestamp,
+    logged_scope: Option<FaultScope>,
+}
+
+impl Coordinator {
+    /// A coordinator for the limits of a quota configuration.
+    ///
+    /// # Errors
+    /// `UnknownLimitError` for a limit that governs nothing.
+    pub fn new(
+        coordinated: bool,
+        quota: Option<&QuotaConfig>,
+        catalog: &Catalog,
+    ) -> Result<Self, UnknownLimitError> {
+        let shared_limits = quota.map_or(&[][..], |quota| &quota.limits);
+        let find_target = |limit: &SharedLimit| {
+            Ok(DemandedLimit { name: limit.name, target: LimitTarget::find(limit.name, catalog)? })
+        };
+        let limits: Vec<DemandedLimit> = shared_limits.iter().map(find_target).collect::<Result<_, _>>()?;
+        let guided = limits.iter().enumerate();
+        let guided =
+            guided.map(|(index, limit)| GuidedLimit { limit: LimitId(index), key: limit.target.key() });
+        let guidance = Guidance::new(coordinated, guided.collect());
+        Ok(Self { coordinated, limits, guidance, reported_at: Timestamp::default(), logged_scope: None })
+    }
+
+    /// Reports what this server did lately, and what it would use of each limit.
+    pub fn report(&mut self, now: Clocks, dispatcher: &Dispatcher, node: &mut FleetNode) {
+        if now.monotonic - self.reported_at < REPORT_INTERVAL {
+            return;
+        }
+        self.reported_at = now.monotonic;
+        let Some(report) = dispatcher.load_report() else { return };
+        node.observe(now, LocalLoad { call_secs: report.call_secs, rejected_fraction: report.refused });
+        for limit in &self.limits {
+            let demand = match limit.target {
+                LimitTarget::Calls => report.calls.unwrap_or(INITIAL_CALL_DEMAND),
+                LimitTarget::Tenant(tenant) => dispatcher.tenant_rate(tenant) * TENANT_DEMAND_OVER_RATE,
+            };
+            node.set_demand(limit.name.as_str(), demand);
+        }
+    }
+
+    /// Gives the controller what has changed, and the dispatcher what applies when a lease expires.
+    pub fn guide(&mut self, now: Clocks, dispatcher: &Dispatcher, node: &mut FleetNode) {
+        if dispatcher.is_open() {
+            if dispatcher.has_lapsed() {
+                self.guidance.forget();
+            }
+            let update = self.guidance.next_update(now, node);
+            let changes = update.changes.iter().map(|change| (change.key, change.value));
+            dispatcher.guide(changes.collect(), update.expiry.map(lease_expiry));
+        }
+        self.log_changes(now, node);
+    }
+
+    fn log_changes(&mut self, now: Clocks, node: &mut FleetNode) {
+        while let Some(change) = node.breaker.next_change() {
+            log_breaker_change(change, node.breaker.probe_attempts);
+        }
+        if self.coordinated && self.logged_scope != Some(node.fault_scope()) {
+            let previous = self.logged_scope.replace(node.fault_scope());
+            if let Some(aggregated) = node.aggregated_load()
+                && (previous.is_some() || node.fault_scope() != FaultScope::None)
+            {
+                log_fault_scope(node, &aggregated);
+            }
+        }
+        while let Some(event) = node.quota.as_mut().and_then(QuotaManager::next_event) {
+            log_quota_event(event, now, node);
+        }
+    }
+}
+
+impl LimitTarget {
+    fn find(limit: LimitName, catalog: &Catalog) -> Result<Self, UnknownLimitError> {
+        match limit.as_str().strip_prefix(TENANT_PREFIX) {
+            None if limit.as_str() == CALLS => Ok(Self::Calls),
+            None => Err(UnknownLimitError::Unused(limit)),
+            Some(tenant) => {
+                let found = catalog.find_tenant(Some(tenant));
+                found.map(|(id, _)| Self::Tenant(id)).ok_or(UnknownLimitError::NoTenant(limit))
+            }
+        }
+    }
+
+    fn key(self) -> GuidanceKey {
+        match self {
+            Self::Calls => GuidanceKey::CallConcurrencyLimit,
+            Self::Tenant(tenant) => GuidanceKey::TenantRate(tenant),
+        }
+    }
+}
+
+/// As the dispatcher takes it.
+fn lease_expiry(expiry: LeaseExpiry) -> (Timestamp, Vec<(GuidanceKey, f64)>) {
+    (expiry.at, expiry.values.iter().map(|value| (value.key, value.value)).collect())
+}
+
+fn log_breaker_change(change: BreakerChange, tries: u64) {
+    match change {
+        BreakerChange::Opened => log::warn!(tries; "shared dependency unreachable, circuit breaker open"),
+        BreakerChange::Closed { after } => {
+            log::info!(after_ms = after.us() / 1000, tries; "shared dependency reachable, circuit breaker closed");
+        }
+    }
+}
+
+fn log_fault_scope(node: &FleetNode, aggregated: &AggregatedLoad) {
+    let own = node.load_report();
+    log::info!(whose = node.fault_scope().name(), pace = own.latency_ratio,
+        unreached = own.unreachable_fraction.unwrap_or(0.0),
+        common_pace = aggregated.latency_ratio.unwrap_or(0.0), common_unreached = aggregated.unreachable_fraction,
+        voices = aggregated.reporters, sites = aggregated.sites; "fault scope changed");
+}
+
+fn log_quota_event(event: QuotaEvent, now: Clocks, node: &FleetNode) {
+    let shares = node.shares(now);
+    let shares: Vec<String> =
+        shares.iter().map(|share| format!("{}:{:.2}", share.limit, share.share.amount)).collect();
+    let shares = shares.join(" ");
+    let allocation = node.quota.as_ref().and_then(|quota| quota.allocation(now.monotonic, LimitId(0)));
+    let allocation = allocation.unwrap_or_default();
+    let (given, holders) = (allocation.granted, allocation.lessees);
+    match event {
+        QuotaEvent::StartedAllocating => log::info!(holders; "quota: this server is the allocator"),
+        QuotaEvent::StoppedAllocating => {
+            log::info!(given, holders; "quota: this server is no longer the allocator");
+        }
+        QuotaEvent::LeaseAcquired(by) => log::info!(by:%, shares; "quota lease acquired"),
+        QuotaEvent::LeaseExpired => log::warn!(shares; "quota lease expired, guaranteed minimums only"),
+    }
+}
--- /dev/null
+++ b/crates/hazelspur-server/src/fleet/transport.rs
@@ -0,0 +1,254 @@
+//! The gossip transport: one UDP socket whose datagrams go to `FleetNode` and from it, and a task that probes the shared
+//! dependency while the circuit breaker is open.
+
+use crate::clock::{Clock, long};
+use crate::config::fleet_keys::{Fleet, QuotaKeysError};
+use crate::config::phases::{Phase, Phases};
+use crate::fleet::coordinator::{Coordinator, UnknownLimitError};
+use crate::fleet::event_log::EventLog;
+use crate::request::dispatcher::Dispatcher;
+use crate::upstream::ledger::Reached;
+use crate::upstream::peers::Peers;
+use hazelspur::{Catalog, Duration};
+use hazelspur_fleet::datagram::{self, MAX_DATAGRAM_BYTES};
+use hazelspur_fleet::{Clocks, FleetNode, Generation, Installation, Key, MemberName};
+use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use thiserror::Error;
+use tokio::net::{TcpStream, UdpSocket};
+
+/// Datagrams that are read before other tasks have their turn.
+const MAX_READS_PER_TURN: usize = 64;
+/// Longest time between two looks at this server's load and at due log lines.
+const MAX_IDLE: Duration = Duration::from_ms(250);
+/// Timeout for the connection of a probe.
+const PROBE_CONNECT_TIMEOUT: Duration = Duration::from_ms(500);
+/// Time for which a probe's connection must stay open: a proxy may accept connections for a dependency that is gone.
+const PROBE_OPEN_TIME: Duration = Duration::from_ms(50);
+/// Longest wait for the next probe, so that a recovery hint brings it forward.
+const MAX_PROBE_WAIT: Duration = Duration::from_ms(20);
+
+/// Why the transport cannot start.
+#[derive(Debug, Error)]
+pub enum TransportError {
+    /// The server's name is no member name.
+    #[error("name: longer than 31 characters, or not visible ones")]
+    InvalidName,
+    /// The key file was not read.
+    #[error("fleet.key_file: not read")]
+    NoKey,
+    /// The quota configuration is refused.
+    #[error("fleet.{key}: {0}", key = .0.key())]
+    Quota(#[from] QuotaKeysError),
+    /// A shared limit governs nothing.
+    #[error(transparent)]
+    UnknownLimit(#[from] UnknownLimitError),
+    /// The socket cannot be bound.
+    #[error("fleet.listen: {address}: {source}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// What the system says.
+        source: std::io::Error,
+    },
+}
+
+/// The parts of the server that the transport uses.
+pub struct TransportContext {
+    /// Reaches the admission controller.
+    pub dispatcher: Rc<Dispatcher>,
+    /// Addresses of the shared dependency.
+    pub peers: Rc<Peers>,
+    /// Phases of the process.
+    pub phases: Rc<Phases>,
+    /// Settings, by which limits are found.
+    pub catalog: Rc<RefCell<Catalog>>,
+}
+
+/// The socket and the state machines behind it.
+pub struct GossipTransport {
+    socket: UdpSocket,
+    key: Key,
+    installation: Installation,
+    node: RefCell<FleetNode>,
+    event_log: RefCell<EventLog>,
+    coordinator: RefCell<Coordinator>,
+    /// Whether calls and probes go by the circuit breaker.
+    coordinated: bool,
+    dispatcher: Rc<Dispatcher>,
+    peers: Rc<Peers>,
+    phases: Rc<Phases>,
+    leaving: Cell<bool>,
+}
+
+impl GossipTransport {
+    /// Binds the socket and starts a new run of this server in the fleet.
+    ///
+    /// # Errors
+    /// `TransportError`, which names the key at fault.
+    pub async fn bind(
+        fleet: &Fleet,
+        name: &str,
+        seed: u64,
+        context: TransportContext,
+    ) -> Result<Self, TransportError> {
+        let TransportContext { dispatcher, peers, phases, catalog } = context;
+        let name = MemberName::new(name).ok_or(TransportError::InvalidName)?;
+        let key = fleet.key.clone().ok_or(TransportError::NoKey)?;
+        let quota = fleet.quota_config()?;
+        let coordinator = Coordinator::new(fleet.together, quota.as_ref(), &catalog.borrow())?;
+        let address = fleet.listen.unwrap_or(fleet.at);
+        let socket = UdpSocket::bind(address).await;
+        let socket = socket.map_err(|source| TransportError::Listen { address, source })?;
+        let now = clocks(&dispatcher.clock);
+        let generation = Generation(now.wall.us() / 1000);
+        // Servers that start together must not draw the same random numbers.
+        let seed = seed ^ now.wall.us();
+        log_start(fleet);
+        Ok(Self {
+            socket,
+            key,
+            installation: fleet.installation,
+            node: RefCell::new(FleetNode::new(fleet.node_config(name), quota, generation, seed, now)),
+            event_log: RefCell::default(),
+            coordinator: RefCell::new(coordinator),
+            coordinated: fleet.together,
+            dispatcher,
+            peers,
+            phases,
+            leaving: Cell::new(false),
+        })
+    }
+
+    fn now(&self) -> Clocks {
+        clocks(&self.dispatcher.clock)
+    }
+
+    /// Sends and receives datagrams and acts on timers, for as long as the process runs.
+    pub async fn run(self: Rc<Self>) {
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
+        let is_leaving = |phase| !matches!(phase, Phase::Waiting | Phase::Serving);
+        loop {
+            self.step();
+            let wait = self.node.borrow().time_to_next_tick(self.now()).min(MAX_IDLE);
+            tokio::select! {
+                received = self.socket.recv_from(&mut buffer) => {
+                    let length = received.ok().map(|(length, _)| length);
+                    self.receive_all(length, &mut buffer);
+                    tokio::task::yield_now().await;
+                }
+                () = tokio::time::sleep(long(wait)) => {}
+                () = self.phases.reached(is_leaving), if !self.leaving.get() => {
+                    self.leaving.set(true);
+                    self.node.borrow_mut().leave(self.now());
+                }
+            }
+        }
+    }
+
+    /// Takes the datagram in the buffer and those that have arrived meanwhile.
+    fn receive_all(&self, length: Option<usize>, buffer: &mut [u8]) {
+        // Timers first: after a suspension they tell that this process did not run.
+        self.node.borrow_mut().tick(self.now());
+        if let Some(length) = length {
+            self.receive(&buffer[..length]);
+        }
+        for _ in 1..MAX_READS_PER_TURN {
+            let Ok((length, _)) = self.socket.try_recv_from(buffer) else { break };
+            self.receive(&buffer[..length]);
+        }
+        self.step();
+    }
+
+    fn receive(&self, bytes: &[u8]) {
+        let now = self.now();
+        let opened = datagram::open(&self.key, &self.installation, now.wall, bytes);
+        let received = opened.and_then(|datagram| self.node.borrow_mut().receive(now, &datagram));
+        if let Err(reason) = received {
+            self.event_log.borrow_mut().record_drop(reason);
+        }
+    }
+
+    /// Reports load, acts on timers, sends what waits, writes due log lines, and guides the controller.
+    fn step(&self) {
+        let now = self.now();
+        let (mut node, mut event_log) = (self.node.borrow_mut(), self.event_log.borrow_mut());
+        self.coordinator.borrow_mut().report(now, &self.dispatcher, &mut node);
+        node.tick(now);
+        while let Some((address, datagram)) = node.next_datagram(now) {
+            // A datagram that cannot be sent now is lost, as on any network.
+            let _ = self.socket.try_send_to(&datagram::seal(&self.key, &datagram), address);
+        }
+        while let Some(event) = node.membership.next_event() {
+            event_log.record(event);
+        }
+        event_log.flush(now.wall, &node.membership);
+        self.coordinator.borrow_mut().guide(now, &self.dispatcher, &mut node);
+    }
+
+    /// Probes the shared dependency when the circuit breaker says so, for as long as the process runs.
+    pub async fn run_probes(self: Rc<Self>) {
+        loop {
+            let next_probe = self.node.borrow().breaker.next_probe().filter(|_| self.coordinated);
+            let now = self.now().wall;
+            match next_probe {
+                Some(at) if at <= now => {
+                    self.node.borrow_mut().breaker.probe_sent(now);
+                    let Some(address) = self.peers.now().ledger else { continue };
+                    let reached = is_reachable(address).await;
+                    self.call_finished(reached);
+                }
+                Some(at) => crate::clock::sleep((at - now).min(MAX_PROBE_WAIT)).await,
+                None => crate::clock::sleep(MAX_IDLE).await,
+            }
+        }
+    }
+
+    /// Announces that this server has ended; sent at once, because nothing runs after it.
+    pub fn announce_left(&self) {
+        self.node.borrow_mut().membership.announce_left(self.now().wall);
+        self.step();
+    }
+}
+
+impl Reached for GossipTransport {
+    fn call_finished(&self, reached: bool) {
+        if !self.coordinated {
+            return;
+        }
+        let now = self.now();
+        let mut node = self.node.borrow_mut();
+        let was_closed = node.breaker.is_closed();
+        node.call_finished(now, reached);
+        if node.breaker.is_closed() != was_closed {
+            // The controller must know before its next decision.
+            self.coordinator.borrow_mut().guide(now, &self.dispatcher, &mut node);
+        }
+    }
+}
+
+/// Starts the tasks of the socket and of the probes, and restarts them if they fail.
+pub fn start(transport: &Rc<GossipTransport>) {
+    crate::supervise::supervise("fleet", transport, GossipTransport::run);
+    crate::supervise::supervise("tries", transport, GossipTransport::run_probes);
+}
+
+/// Whether a connection can be made that is not closed at once.
+async fn is_reachable(address: SocketAddr) -> bool {
+    let connecting = tokio::time::timeout(long(PROBE_CONNECT_TIMEOUT), TcpStream::connect(address));
+    match connecting.await {
+        Ok(Ok(stream)) => tokio::time::timeout(long(PROBE_OPEN_TIME), stream.readable()).await.is_err(),
+        _ => false,
+    }
+}
+
+fn clocks(clock: &Clock) -> Clocks {
+    Clocks { wall: clock.wall(), monotonic: clock.steady() }
+}
+
+fn log_start(fleet: &Fleet) {
+    log::info!(site:% = fleet.site, at:% = fleet.at, contacts = fleet.contacts.len(), most = fleet.most,
+        together = fleet.together, shares = fleet.shares.len(), keepers = fleet.keepers.len();
+        "fleet gossip started");
+}
--- a/crates/hazelspur-server/src/main.rs
+++ b/crates/hazelspur-server/src/main.rs
@@ -18,7 +18,7 @@
 use config::phases::{Phase, Phases};
 use config::reload::{self, Named};
 use config::startup::{self, Startup};
-use fleet::talk::{Around, Talk};
+use fleet::transport::{GossipTransport, TransportContext};
 use hazelspur::{AdmissionController, Catalog, Duration};
 use ingress::gateways::Gateways;
 use ingress::queues::Queues;
@@ -96,9 +96,9 @@
 fn show_fleet(file: &str, shape: Shape) -> ExitCode {
     let fleet =
         operator::read(file, None).and_then(|o| o.fleet.ok_or(format!("{file}: there is no fleet(...)")));
-    match fleet.and_then(|fleet| fleet::ask::ask(&fleet)) {
+    match fleet.and_then(|fleet| fleet::query::query(&fleet).map_err(|error| error.to_string())) {
         Ok(shown) => {
-            print!("{}", fleet::ask::print(&shown, shape));
+            print!("{}", shown.render(shape));
             ExitCode::SUCCESS
         }
         Err(why) => {
@@ -155,14 +155,15 @@
     });
     let talk = match &operator.fleet {
         Some(fleet) => {
-            let who = (startup.name.as_str(), seed);
-            let around = Around {
+            let context = TransportContext {
                 dispatcher: dispatcher.clone(),
                 peers: peers.clone(),
                 phases: phases.clone(),
                 catalog: catalog.clone(),
             };
-            let talk = Rc::new(Talk::new(fleet, who, around).await.map_err(Error::other)?);
+            let name = startup.name.as_str();
+            let talk = GossipTransport::bind(fleet, name, seed, context).await;
+            let talk = Rc::new(talk.map_err(Error::other)?);
             ledger.tells(talk.clone());
             Some(talk)
         }
@@ -195,7 +196,7 @@
         supervise("queues", queues, Queues::run);
     }
     if let Some(talk) = &talk {
-        fleet::talk::begin(talk);
+        fleet::transport::start(talk);
     }
     supervise("accept", &gateways, Gateways::accept);
     supervise("connections", &gateways, Gateways::tick);
@@ -236,7 +237,7 @@
         }
     }
     queues.iter().for_each(|queues| queues.tell_figures());
-    talk.iter().for_each(|talk| talk.left());
+    talk.iter().for_each(|talk| talk.announce_left());
     phases.enter(Phase::Over, gateways.figures());
     Ok(())
 }
--- a/crates/hazelspur-simulator/src/capacity/constants.rs
+++ b/crates/hazelspur-simulator/src/capacity/constants.rs
@@ -70,11 +70,13 @@
 pub const MOST: Constant =
     constant(KEYS, "Fleet.most", "#[garde(range(min = 1, max = 4096))]\n    pub most: usize,", 4096.0);
 /// The part of a shared limit that is divided by `most` for good.
-pub const FLOOR: Constant = constant(KEYS, "floor()", "fn floor() -> f64 {\n    0.2\n}", 0.2);
+pub const FLOOR: Constant =
+    constant(KEYS, "DEFAULT_GUARANTEED_FRACTION", "const DEFAULT_GUARANTEED_FRACTION: f64 = 0.2;", 0.2);
 /// How long a vote holds, s.
-pub const LEASE: Constant = constant(KEYS, "lease()", "fn lease() -> f64 {\n    4.0\n}", 4.0);
+pub const LEASE: Constant = constant(KEYS, "DEFAULT_VOTE_SECS", "const DEFAULT_VOTE_SECS: f64 = 4.0;", 4.0);
 /// How often one other is probed, s.
-pub const PERIOD: Constant = constant(KEYS, "period()", "fn period() -> f64 {\n    1.0\n}", 1.0);
+pub const PERIOD: Constant =
+    constant(KEYS, "DEFAULT_PERIOD_SECS", "const DEFAULT_PERIOD_SECS: f64 = 1.0;", 1.0);
 /// The part of a lease after which a holder asks again.
 pub const RENEWAL: Constant = constant(
     "crates/hazelspur-fleet/src/quota/config.rs",
@@ -97,11 +99,19 @@
     4.0,
 );
 /// Parts of the list that one server answers in a period.
-pub const PAGES: Constant =
-    constant("crates/hazelspur-fleet/src/members/mod.rs", "PAGES", "const PAGES: usize = 64;", 64.0);
+pub const PAGES: Constant = constant(
+    "crates/hazelspur-fleet/src/membership/state.rs",
+    "LIST_PAGES_PER_PERIOD",
+    "const LIST_PAGES_PER_PERIOD: usize = 64;",
+    64.0,
+);
 /// How often a piece of news goes out, times the logarithm of the size.
-pub const NEWS_TIMES: Constant =
-    constant("crates/hazelspur-fleet/src/news.rs", "TIMES", "const TIMES: u32 = 4;", 4.0);
+pub const NEWS_TIMES: Constant = constant(
+    "crates/hazelspur-fleet/src/membership/gossip_queue.rs",
+    "TRANSMISSIONS_PER_LOG_SIZE",
+    "const TRANSMISSIONS_PER_LOG_SIZE: u32 = 4;",
+    4.0,
+);
 
 /// All of them.
 pub const ALL: [Constant; 21] = [
--- a/crates/hazelspur-simulator/src/capacity/rows.rs
+++ b/crates/hazelspur-simulator/src/capacity/rows.rs
@@ -5,7 +5,7 @@
 use super::constants::Constant;
 use super::measured::Seeds;
 use super::size::Size;
-use hazelspur_fleet::{circuit_breaker, quota, talk};
+use hazelspur_fleet::{circuit_breaker, datagram, quota};
 
 /// Whose cost a row is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -186,9 +186,9 @@
 
 const FILE: &str = "docs/capacity/size.toml";
 const AGREE: [&str; 2] = ["scale/members.agree_s", "scale/members.not_agreed_within_s"];
-const MEMBERS: &str = "crates/hazelspur-fleet/src/members/mod.rs Members";
-const JOINT: &str = "crates/hazelspur-fleet/src/joint.rs Joint";
-const TALK: &str = "crates/hazelspur-server/src/fleet/talk.rs Talk";
+const MEMBERS: &str = "crates/hazelspur-fleet/src/membership/state.rs Membership";
+const JOINT: &str = "crates/hazelspur-fleet/src/node.rs FleetNode";
+const TALK: &str = "crates/hazelspur-server/src/fleet/transport.rs GossipTransport";
 const SHARES: &str = "crates/hazelspur-fleet/src/quota/manager.rs QuotaManager";
 const DIVIDER: &str = "crates/hazelspur-fleet/src/quota/allocator.rs Allocator";
 const REPORT: &str = "crates/hazelspur-server/src/upstream/control.rs report";
@@ -380,8 +380,8 @@
         row(Server, "server.talk.sites", "sites that an operator is shown", "sites", ("zones", s.zones))
             .formula("one for each zone")
             .computed(FILE.to_string() + " zones", 1.0, 0.0)
-            .within(talk::MAX_SITES as f64, "talk.rs, MAX_SITES")
-            .by_mechanism("crates/hazelspur-fleet/src/talk.rs Body"),
+            .within(datagram::MAX_QUERY_SITES as f64, "datagram/mod.rs, MAX_QUERY_SITES")
+            .by_mechanism("crates/hazelspur-fleet/src/datagram/body.rs Body"),
         row(
             Server,
             "server.descriptors",
@@ -606,7 +606,7 @@
         row(KeeperAndDivider, "shares.datagram", "bytes of one demand for that many limits", "B", limits)
             .formula("two amounts of 4 bytes for each limit, in one datagram")
             .computed("shares/mod.rs Word::Want", near * 8.0, 8.0)
-            .within(talk::LONGEST as f64, "talk.rs, LONGEST")
+            .within(datagram::MAX_DATAGRAM_BYTES as f64, "datagram/mod.rs, MAX_DATAGRAM_BYTES")
             .by_mechanism("crates/hazelspur-fleet/src/quota/message.rs QuotaMessage")
             .rests_on(&["shares.limits"]),
         row(
--- a/crates/hazelspur-simulator/src/drive/together.rs
+++ b/crates/hazelspur-simulator/src/drive/together.rs
@@ -4,10 +4,10 @@
 use super::{Drive, Event, Way};
 use crate::ways::own::{address, name, number, terms};
 use hazelspur::{Duration, GuidanceKey, Timestamp};
-use hazelspur_fleet::guidance::{Guidance, Told};
-use hazelspur_fleet::joint::Seen;
+use hazelspur_fleet::guidance::{Guidance, GuidanceUpdate, GuidedLimit, LeaseExpiry};
+use hazelspur_fleet::node::LocalLoad;
 use hazelspur_fleet::quota::{LimitId, QuotaConfig, SharedLimit, fair_level};
-use hazelspur_fleet::{At, Datagram, Generation, Joint, LimitName};
+use hazelspur_fleet::{Clocks, Datagram, FleetNode, Generation, LimitName};
 
 /// A server looks at its own work so often; the oracle at that of all, of which it sees the last look.
 const LOOK: Duration = Duration::from_ms(200);
@@ -17,11 +17,11 @@
 
 /// One server's part.
 pub struct Part {
-    pub joint: Joint,
+    pub node: FleetNode,
     guidance: Guidance,
     /// The tick that is set.
     set: Timestamp,
-    leases: Option<(Timestamp, Vec<(GuidanceKey, f64)>)>,
+    expiry: Option<LeaseExpiry>,
 }
 
 /// The truth a moment ago.
@@ -54,9 +54,9 @@
 }
 
 impl Drive {
-    pub(super) fn at(&self) -> At {
+    pub(super) fn at(&self) -> Clocks {
         // The lab's servers agree on the time; leases would bear any other steady clock.
-        At { wall: self.kernel.now, steady: self.kernel.now }
+        Clocks { wall: self.kernel.now, monotonic: self.kernel.now }
     }
 
     pub(super) fn begin_part(&mut self, of: usize, seed: u64) {
@@ -64,14 +64,14 @@
         let (servers, talks) = (self.plan.servers, self.plan.way == Way::Talk);
         let mut members = terms(of, most(servers));
         if !talks {
-            members.contacts = vec![address(of)];
+            members.seeds = vec![address(of)];
         }
         let slots = self.plan.slots_each * servers as f64;
         let shares = talks.then(|| share_terms(servers, slots, self.plan.floor));
-        let limits = if talks { vec![(LimitId(0), BOUND)] } else { Vec::new() };
-        let joint = Joint::new(members, shares, Generation(at.wall.us() / 1000), seed, at);
+        let limits = if talks { vec![GuidedLimit { limit: LimitId(0), key: BOUND }] } else { Vec::new() };
+        let node = FleetNode::new(members, shares, Generation(at.wall.us() / 1000), seed, at);
         let part =
-            Part { joint, guidance: Guidance::new(true, limits), set: Timestamp::default(), leases: None };
+            Part { node, guidance: Guidance::new(true, limits), set: Timestamp::default(), expiry: None };
         self.parts[of] = matches!(self.plan.way, Way::Talk | Way::Alone).then_some(part);
         if self.parts[of].is_some() {
             let life = self.servers[of].life;
@@ -87,8 +87,8 @@
         let server = &mut self.servers[of];
         let (Some(controller), Some(part)) = (&server.controller, &mut self.parts[of]) else { return };
         let view = controller.load_report(now);
-        part.joint.saw(at, Seen { call_secs: view.call_secs, refused: view.refused });
-        part.joint.want(CALLS, view.calls.unwrap_or(1.0));
+        part.node.observe(at, LocalLoad { call_secs: view.call_secs, rejected_fraction: view.refused });
+        part.node.set_demand(CALLS, view.calls.unwrap_or(1.0));
         let life = server.life;
         self.kernel.at(now + LOOK, Event::Look(of, life));
         self.spoke(of);
@@ -98,7 +98,7 @@
     pub(super) fn hears(&mut self, of: usize, came: &Datagram) {
         let at = self.at();
         let Some(part) = &mut self.parts[of] else { return };
-        let _ = part.joint.heard(at, came); // what is dropped is dropped
+        let _ = part.node.receive(at, came); // what is dropped is dropped
         self.spoke(of);
         self.guide(of);
     }
@@ -107,12 +107,12 @@
         let at = self.at();
         let Some(part) = &mut self.parts[of] else { return };
         part.set = Timestamp::default();
-        part.joint.tick(at);
-        if part.joint.breaker.next_probe().is_some_and(|next| next <= at.wall) {
-            part.joint.breaker.probe_sent(at.wall);
+        part.node.tick(at);
+        if part.node.breaker.next_probe().is_some_and(|next| next <= at.wall) {
+            part.node.breaker.probe_sent(at.wall);
             let reached = !self.ledger.down && !self.links[of].down;
             self.figures.vain += u64::from(!reached);
-            part.joint.call_finished(at, reached);
+            part.node.call_finished(at, reached);
         }
         self.spoke(of);
         self.guide(of);
@@ -123,7 +123,7 @@
         let at = self.at();
         self.figures.vain += u64::from(!reached);
         let Some(part) = &mut self.parts[of] else { return };
-        part.joint.call_finished(at, reached);
+        part.node.call_finished(at, reached);
         self.spoke(of);
     }
 
@@ -131,7 +131,7 @@
     pub(super) fn spoke(&mut self, of: usize) {
         let at = self.at();
         let Some(part) = &mut self.parts[of] else { return };
-        while let Some((to, datagram)) = part.joint.next_out(at) {
+        while let Some((to, datagram)) = part.node.next_datagram(at) {
             let to = number(to);
             if to >= self.servers.len() {
                 continue;
@@ -142,9 +142,12 @@
                 self.kernel.at(at.wall + after, Event::Datagram(to, Box::new(datagram.clone())));
             }
         }
-        while part.joint.members.next_event().is_some() {}
-        let next_try = part.joint.breaker.next_probe().map(|next| next - at.wall);
-        let wait = next_try.into_iter().fold(part.joint.wait(at), Duration::min).max(Duration::from_us(1));
+        while part.node.membership.next_event().is_some() {}
+        let next_try = part.node.breaker.next_probe().map(|next| next - at.wall);
+        let wait = next_try
+            .into_iter()
+            .fold(part.node.time_to_next_tick(at), Duration::min)
+            .max(Duration::from_us(1));
         let next = at.wall + wait;
         if part.set == Timestamp::default() || next < part.set || part.set <= at.wall {
             part.set = next;
@@ -160,13 +163,13 @@
     pub(super) fn guide(&mut self, of: usize) {
         let (at, now) = (self.at(), self.kernel.now);
         let Some(part) = &mut self.parts[of] else { return };
-        let Told { facts, leases } = part.guidance.next(at, &part.joint);
-        part.leases = leases;
-        if facts.is_empty() {
+        let GuidanceUpdate { changes, expiry } = part.guidance.next_update(at, &part.node);
+        part.expiry = expiry;
+        if changes.is_empty() {
             return;
         }
         if let Some(controller) = &mut self.servers[of].controller {
-            facts.iter().for_each(|(name, value)| controller.set_guidance(now, *name, *value));
+            changes.iter().for_each(|change| controller.set_guidance(now, change.key, change.value));
         }
         self.pull(of);
     }
@@ -175,10 +178,10 @@
     pub(super) fn end_leases(&mut self, of: usize) {
         let now = self.kernel.now;
         let Some(part) = &mut self.parts[of] else { return };
-        let Some((_, floors)) = part.leases.take_if(|(ends, _)| now >= *ends) else { return };
+        let Some(expiry) = part.expiry.take_if(|expiry| now >= expiry.at) else { return };
         part.guidance.forget();
         if let Some(controller) = &mut self.servers[of].controller {
-            floors.iter().for_each(|(name, floor)| controller.set_guidance(now, *name, Some(*floor)));
+            expiry.values.iter().for_each(|value| controller.set_guidance(now, value.key, Some(value.value)));
         }
     }
 
@@ -214,7 +217,7 @@
     /// Sum of what all may use of the slots now, over the slots; and how many hold a lease.
     pub fn in_force(&self) -> (f64, usize) {
         let at = self.at();
-        let shares = self.parts.iter().flatten().filter_map(|part| part.joint.share(at, CALLS));
+        let shares = self.parts.iter().flatten().filter_map(|part| part.node.share(at, CALLS));
         let (sum, held) = shares.fold((0.0, 0), |(sum, held), share| {
             (sum + share.amount, held + usize::from(share.expires.is_some()))
         });
--- a/crates/hazelspur-simulator/src/studies/shares.rs
+++ b/crates/hazelspur-simulator/src/studies/shares.rs
@@ -13,8 +13,8 @@
     ConfigFingerprint, LimitId, QuotaConfig, QuotaManager, QuotaMessage, SharedLimit, fair_shares,
 };
 use hazelspur_fleet::{
-    Body, Claim, Datagram, Generation, Incarnation, Installation, LimitName, ProcessIncarnation, Says,
-    SiteName, talk,
+    Body, Datagram, Generation, Incarnation, Installation, LimitName, MemberState, MemberUpdate,
+    ProcessIncarnation, SiteName, datagram,
 };
 use std::collections::VecDeque;
 
@@ -146,22 +146,22 @@
 
 /// A datagram of nothing but its head, by which the length of all others is told.
 fn frame(print: ConfigFingerprint) -> Datagram {
-    let from = Claim {
+    let sender = MemberUpdate {
         name: name(100),
         site: SiteName::new("east-1").expect("a short name"),
-        at: address(100),
+        address: address(100),
         generation: Generation(START.us() / 1000),
         incarnation: Incarnation(0),
-        says: Says::Alive,
+        state: MemberState::Alive,
     };
     Datagram {
         installation: Installation::new("lab").expect("a short name"),
-        from,
-        number: 1000,
+        sender,
+        sequence: 1000,
         sent_ms: START.us() / 1000,
         body: Body::Quota { fingerprint: print, message: QuotaMessage::VoteRelease { ballot: 0 } },
-        word: None,
-        claims: Vec::new(),
+        load_report: None,
+        updates: Vec::new(),
     }
 }
 
@@ -169,7 +169,7 @@
     if let Body::Quota { message, .. } = &mut frame.body {
         *message = of.clone();
     }
-    talk::length(frame) as u64
+    datagram::encoded_length(frame) as u64
 }
 
 impl Sim {
--- a/crates/hazelspur-simulator/src/ways/hollow.rs
+++ b/crates/hazelspur-simulator/src/ways/hollow.rs
@@ -5,7 +5,9 @@
 use super::{Notice, Way};
 use hazelspur::pcg::Pcg;
 use hazelspur::{Duration, Timestamp};
-use hazelspur_fleet::{Body, Claim, Datagram, Generation, Incarnation, Installation, Says, SiteName, talk};
+use hazelspur_fleet::{
+    Body, Datagram, Generation, Incarnation, Installation, MemberState, MemberUpdate, SiteName, datagram,
+};
 
 /// What each sends.
 #[derive(Clone, Copy, Debug)]
@@ -28,26 +30,28 @@
 impl Hollow {
     /// Claims go along until the datagram is as long as is asked for.
     pub fn new(me: usize, rate: Rate, seed: u64, now: Timestamp) -> Self {
-        let claim = |of: usize| Claim {
+        let claim = |of: usize| MemberUpdate {
             name: name(of),
             site: SiteName::new("east-1").expect("a short name"),
-            at: address(of),
+            address: address(of),
             generation: Generation(now.us() / 1000),
             incarnation: Incarnation(0),
-            says: Says::Alive,
+            state: MemberState::Alive,
         };
         let mut packet = Datagram {
             installation: Installation::new("lab").expect("a short name"),
-            from: claim(me),
-            number: 1,
+            sender: claim(me),
+            sequence: 1,
             sent_ms: now.us() / 1000,
             body: Body::Gossip,
-            word: None,
-            claims: Vec::new(),
+            load_report: None,
+            updates: Vec::new(),
         };
         let long = rate.bytes / rate.datagrams.max(1e-9);
-        while (talk::length(&packet) as f64) < long && packet.claims.len() < talk::MAX_CLAIMS {
-            packet.claims.push(claim(packet.claims.len()));
+        while (datagram::encoded_length(&packet) as f64) < long
+            && packet.updates.len() < datagram::MAX_UPDATES
+        {
+            packet.updates.push(claim(packet.updates.len()));
         }
         let every = Duration::from_secs(1.0 / rate.datagrams.max(1e-3));
         let mut chance = Pcg::new(seed);
@@ -81,7 +85,7 @@
             return None;
         }
         let to = self.chance.draw() as usize % self.servers.max(1);
-        Some((to, self.packet.clone(), talk::length(&self.packet)))
+        Some((to, self.packet.clone(), datagram::encoded_length(&self.packet)))
     }
 
     fn next_notice(&mut self) -> Option<Notice> {
--- a/crates/hazelspur-simulator/src/ways/own.rs
+++ b/crates/hazelspur-simulator/src/ways/own.rs
@@ -1,13 +1,14 @@
-//! `hazelspur_fleet::Members`, as the program runs it.
+//! `hazelspur_fleet::Membership`, as the program runs it.
 
 use super::{CONTACTS, Notice, Way};
 use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::{
-    Datagram, Event, Generation, Installation, MemberName, Members, SiteName, Standing, Terms, talk,
+    Datagram, Generation, Installation, MemberName, MemberStatus, Membership, MembershipEvent, NodeConfig,
+    SiteName, datagram,
 };
 use std::net::SocketAddr;
 
-pub struct Own(pub Members);
+pub struct Own(pub Membership);
 
 pub fn name(of: usize) -> MemberName {
     MemberName::new(&format!("n{of}")).expect("a short name")
@@ -28,16 +29,16 @@
     name.as_str()[1..].parse().unwrap_or(usize::MAX)
 }
 
-pub fn terms(me: usize, most: usize) -> Terms {
-    Terms {
+pub fn terms(me: usize, most: usize) -> NodeConfig {
+    NodeConfig {
         installation: Installation::new("lab").expect("a short name"),
         name: name(me),
         site: SiteName::new(["east", "west", "north"][me % 3]).expect("a short name"),
-        at: address(me),
-        contacts: CONTACTS.iter().map(|of| address(*of)).collect(),
-        most,
-        period: Duration::from_ms(1000),
-        remember: Duration::from_ms(900_000),
+        address: address(me),
+        seeds: CONTACTS.iter().map(|of| address(*of)).collect(),
+        max_servers: most,
+        probe_period: Duration::from_ms(1000),
+        retention: Duration::from_ms(900_000),
     }
 }
 
@@ -46,11 +47,11 @@
     type Packet = Datagram;
 
     fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
-        Self(Members::new(terms(me, most), Generation(now.us() / 1000), seed, now))
+        Self(Membership::new(terms(me, most), Generation(now.us() / 1000), seed, now))
     }
 
     fn heard(&mut self, now: Timestamp, packet: &Datagram) {
-        let _ = self.0.heard(now, packet); // what is dropped is dropped
+        let _ = self.0.receive(now, packet); // what is dropped is dropped
     }
 
     fn tick(&mut self, now: Timestamp) {
@@ -62,8 +63,8 @@
     }
 
     fn next_out(&mut self, now: Timestamp) -> Option<(usize, Datagram, usize)> {
-        let (to, datagram) = self.0.next_out(now)?;
-        let bytes = talk::length(&datagram);
+        let (to, datagram) = self.0.next_datagram(now)?;
+        let bytes = datagram::encoded_length(&datagram);
         Some((number(to), datagram, bytes))
     }
 
@@ -72,7 +73,7 @@
     }
 
     fn leave(&mut self, now: Timestamp) {
-        self.0.left(now);
+        self.0.announce_left(now);
     }
 
     fn alive(&self) -> usize {
@@ -80,22 +81,26 @@
     }
 
     fn entries(&self) -> usize {
-        self.0.standings().count()
+        self.0.statuses().count()
     }
 }
 
 /// How many others these hold for alive, the suspected among them.
-pub fn alive(members: &Members) -> usize {
-    let alive = |standing| matches!(standing, Standing::Alive | Standing::Suspected);
-    members.standings().filter(|(_, standing)| alive(*standing)).count()
+pub fn alive(members: &Membership) -> usize {
+    let alive = |standing| matches!(standing, MemberStatus::Alive | MemberStatus::Suspected);
+    members.statuses().filter(|(_, standing)| alive(*standing)).count()
 }
 
 /// The next event that concerns who is here.
-pub fn notice(members: &mut Members) -> Option<Notice> {
+pub fn notice(members: &mut Membership) -> Option<Notice> {
     loop {
         match members.next_event()? {
-            Event::Joined(name) | Event::Back(name) => return Some(Notice::Here(number_of(name))),
-            Event::Lost(name) | Event::Left(name) => return Some(Notice::Gone(number_of(name))),
+            MembershipEvent::Joined(name) | MembershipEvent::Recovered(name) => {
+                return Some(Notice::Here(number_of(name)));
+            }
+            MembershipEvent::Died(name) | MembershipEvent::Left(name) => {
+                return Some(Notice::Gone(number_of(name)));
+            }
             _ => {}
         }
     }
--- a/crates/hazelspur-simulator/src/ways/zoned.rs
+++ b/crates/hazelspur-simulator/src/ways/zoned.rs
@@ -4,9 +4,11 @@
 use super::own::{Own, alive, name, notice, number, terms as terms_of_three};
 use super::{Notice, Way};
 use hazelspur::{Duration, Timestamp};
-use hazelspur_fleet::joint::Seen;
+use hazelspur_fleet::node::LocalLoad;
 use hazelspur_fleet::quota::{LimitId, QuotaConfig, SharedLimit};
-use hazelspur_fleet::{At, Datagram, Generation, Joint, LimitName, Members, SiteName, Terms, talk};
+use hazelspur_fleet::{
+    Clocks, Datagram, FleetNode, Generation, LimitName, Membership, NodeConfig, SiteName, datagram,
+};
 
 pub const REGIONS: usize = 2;
 pub const ZONES: usize = 6;
@@ -24,9 +26,9 @@
 const VOTE_SPAN: Duration = Duration::from_ms(4000);
 
 /// As those of three sites, in its zone.
-pub fn terms(me: usize, most: usize) -> Terms {
+pub fn terms(me: usize, most: usize) -> NodeConfig {
     let site = SiteName::new(ZONE_NAMES[me % ZONES]).expect("a short name");
-    Terms { site, ..terms_of_three(me, most) }
+    NodeConfig { site, ..terms_of_three(me, most) }
 }
 
 /// So many limits alike over `servers`, divided among `most` at most.
@@ -47,7 +49,7 @@
     }
 }
 
-/// Members alone.
+/// Membership alone.
 pub struct Zoned(pub Own);
 
 impl Way for Zoned {
@@ -55,7 +57,7 @@
     type Packet = Datagram;
 
     fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
-        Self(Own(Members::new(terms(me, most), Generation(now.us() / 1000), seed, now)))
+        Self(Own(Membership::new(terms(me, most), Generation(now.us() / 1000), seed, now)))
     }
 
     fn heard(&mut self, now: Timestamp, packet: &Datagram) {
@@ -93,15 +95,15 @@
 
 /// All that one server has together, with so many limits shared.
 pub struct Together<const LIMITS: usize> {
-    pub joint: Joint,
+    pub node: FleetNode,
     /// The last input was then.
     last: Timestamp,
     next_look: Timestamp,
 }
 
 /// The laboratory's servers agree on the time.
-fn at(now: Timestamp) -> At {
-    At { wall: now, steady: now }
+fn at(now: Timestamp) -> Clocks {
+    Clocks { wall: now, monotonic: now }
 }
 
 impl<const LIMITS: usize> Way for Together<LIMITS> {
@@ -112,60 +114,60 @@
     fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
         let shares = share_terms(most * 4 / 5, most, LIMITS);
         let generation = Generation(now.us() / 1000);
-        let mut joint = Joint::new(terms(me, most), Some(shares), generation, seed, at(now));
+        let mut node = FleetNode::new(terms(me, most), Some(shares), generation, seed, at(now));
         for limit in 0..LIMITS {
             // Some want half of what an equal share were, some twice that.
             let want = SLOTS_EACH * [0.5, 0.8, 1.2, 2.0][(me + limit) % 4];
-            joint.want(&format!("limit-{limit}"), want);
+            node.set_demand(&format!("limit-{limit}"), want);
         }
-        Self { joint, last: now, next_look: now + LOOK.scaled((seed % 1000) as f64 / 1000.0) }
+        Self { node, last: now, next_look: now + LOOK.scaled((seed % 1000) as f64 / 1000.0) }
     }
 
     fn heard(&mut self, now: Timestamp, packet: &Datagram) {
         self.last = now;
-        let _ = self.joint.heard(at(now), packet); // what is dropped is dropped
+        let _ = self.node.receive(at(now), packet); // what is dropped is dropped
     }
 
     fn tick(&mut self, now: Timestamp) {
         self.last = now;
         if now >= self.next_look {
             self.next_look = now + LOOK;
-            self.joint.saw(at(now), Seen { call_secs: Some(CALL_SECS), refused: 0.0 });
+            self.node.observe(at(now), LocalLoad { call_secs: Some(CALL_SECS), rejected_fraction: 0.0 });
         }
-        self.joint.tick(at(now));
+        self.node.tick(at(now));
     }
 
     fn next_tick(&self) -> Timestamp {
-        self.next_look.min(self.last + self.joint.wait(at(self.last)))
+        self.next_look.min(self.last + self.node.time_to_next_tick(at(self.last)))
     }
 
     fn next_out(&mut self, now: Timestamp) -> Option<(usize, Datagram, usize)> {
-        let (to, datagram) = self.joint.next_out(at(now))?;
-        let bytes = talk::length(&datagram);
+        let (to, datagram) = self.node.next_datagram(at(now))?;
+        let bytes = datagram::encoded_length(&datagram);
         Some((number(to), datagram, bytes))
     }
 
     fn next_notice(&mut self) -> Option<Notice> {
-        notice(&mut self.joint.members)
+        notice(&mut self.node.membership)
     }
 
     fn leave(&mut self, now: Timestamp) {
-        self.joint.leave(at(now));
-        self.joint.members.left(now);
+        self.node.leave(at(now));
+        self.node.membership.announce_left(now);
     }
 
     fn alive(&self) -> usize {
-        alive(&self.joint.members)
+        alive(&self.node.membership)
     }
 
     fn entries(&self) -> usize {
-        self.joint.members.standings().count()
+        self.node.membership.statuses().count()
     }
 }
 
 impl<const LIMITS: usize> Together<LIMITS> {
     /// What it may use of a limit.
     pub fn share(&self, now: Timestamp, limit: LimitId) -> f64 {
-        self.joint.quota.as_ref().map_or(0.0, |shares| shares.share(now, limit).amount)
+        self.node.quota.as_ref().map_or(0.0, |shares| shares.share(now, limit).amount)
     }
 }
--- a/crates/hazelspur-simulator/tests/slopes.rs
+++ b/crates/hazelspur-simulator/tests/slopes.rs
@@ -2,7 +2,7 @@
 //! text has one verdict. The same checks are put to faults planted here, and must tell them.
 
 use hazelspur::{Duration, Timestamp};
-use hazelspur_fleet::{Datagram, Generation, Members};
+use hazelspur_fleet::{Datagram, Generation, Membership};
 use hazelspur_simulator::studies::scale::{
     Between, Rest, SharesCase, at_rest, most, play_shares, rest, start_all,
 };
@@ -88,8 +88,8 @@
 
     fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
         let terms = terms(me, most);
-        let period = terms.period;
-        let own = Own(Members::new(terms, Generation(now.us() / 1000), seed, now));
+        let period = terms.probe_period;
+        let own = Own(Membership::new(terms, Generation(now.us() / 1000), seed, now));
         Self { own, period, next: now + period }
     }
 
@@ -101,9 +101,9 @@
         self.own.tick(now);
         if now >= self.next {
             self.next = now + self.period;
-            let all: Vec<_> = self.own.0.standings().map(|(name, _)| name).collect();
+            let all: Vec<_> = self.own.0.statuses().map(|(name, _)| name).collect();
             for to in all {
-                self.own.0.send_word(to, hazelspur_fleet::Body::Gossip);
+                self.own.0.send_to_member(to, hazelspur_fleet::Body::Gossip);
             }
         }
     }
@@ -159,7 +159,7 @@
             End::Killed => town.kill(of),
         }
     }
-    town.play(terms(0, most(size)).remember + MARGIN);
+    town.play(terms(0, most(size)).retention + MARGIN);
     let left = size - ENDS - 1;
     let all: Vec<usize> = town.ways().map(|(_, way)| way.entries()).collect();
     let wrong = all.iter().filter(|entries| **entries != left).count();
@@ -197,8 +197,8 @@
 
     fn heard(&mut self, now: Timestamp, packet: &Datagram) {
         self.own.heard(now, packet);
-        let all = packet.claims.iter().chain([&packet.from]).map(|claim| claim.name);
-        let me = self.own.0.0.me().name;
+        let all = packet.updates.iter().chain([&packet.sender]).map(|update| update.name);
+        let me = self.own.0.0.local_update().name;
         self.names.extend(all.filter(|name| *name != me).map(|name| name.to_string()));
     }
 
