--- /dev/null
+++ b/crates/hazelspur-fleet/tests/guidance.rs
@@ -0,0 +1,36 @@
+//! What the admission controller is given of what servers decided together.
+
+mod helpers;
+
+use hazelspur::{Duration, GuidanceKey};
+use hazelspur_fleet::guidance::{Guidance, GuidanceChange, GuidedLimit};
+use hazelspur_fleet::quota::{LimitId, QuotaConfig, SharedLimit};
+use hazelspur_fleet::{Clocks, FleetNode, Generation, LimitName};
+use helpers::{START, config};
+
+#[test]
+fn after_a_lease_expired_all_guidance_is_given_again() {
+    let at = Clocks { wall: START, monotonic: START };
+    let limit = SharedLimit {
+        name: LimitName::new("calls").expect("a name"),
+        total: 50.0,
+        guaranteed_fraction: 1.0,
+        residual_duration: Duration::ZERO,
+        max_turn: None,
+    };
+    let shares = QuotaConfig {
+        voters: vec![],
+        max_servers: 10,
+        vote_duration: Duration::from_ms(4000),
+        limits: vec![limit],
+    };
+    let node = FleetNode::new(config(0, 10), Some(shares), Generation(1), 1, at);
+    let mut guidance =
+        Guidance::new(true, vec![GuidedLimit { limit: LimitId(0), key: GuidanceKey::CallConcurrencyLimit }]);
+    let mut changes = || guidance.next_update(at, &node).changes;
+    let (first, second) = (changes(), changes());
+    guidance.forget();
+    let third = guidance.next_update(at, &node).changes;
+    assert_eq!(first, [GuidanceChange { key: GuidanceKey::CallConcurrencyLimit, value: Some(5.0) }]);
+    assert!(second.is_empty() && third == first, "{second:?} {third:?}");
+}
--- a/crates/hazelspur-server/src/commands.rs
+++ b/crates/hazelspur-server/src/commands.rs
@@ -33,9 +33,9 @@
         Ok(fleet) => fleet,
         Err(why) => return refuse(why),
     };
-    match fleet::ask::ask(&fleet) {
+    match fleet::query::query(&fleet) {
         Ok(shown) => {
-            print!("{}", fleet::ask::print(&shown, shape));
+            print!("{}", shown.render(shape));
             ExitCode::SUCCESS
         }
         Err(why) => refuse(why),
--- a/crates/hazelspur-server/src/config/reload.rs
+++ b/crates/hazelspur-server/src/config/reload.rs
@@ -4,7 +4,7 @@
 //! has `reload(settings = True)`. A file takes effect whole or not at all; other keys wait for the next start.
 
 use crate::config::error::ConfigError;
-use crate::config::fleet_keys::TENANT;
+use crate::config::fleet_keys::TENANT_PREFIX;
 use crate::config::operator::{self, OperatorConfig};
 use crate::config::server_config::{self, ReloadedChanges, ServerConfig};
 use crate::ingress::queues::Queues;
@@ -57,7 +57,9 @@
         let shares = operator.fleet.iter().flat_map(|fleet| &fleet.shares);
         Self {
             request_classes: operator.queues.iter().filter_map(|queue| queue.request_class.clone()).collect(),
-            tenants: shares.filter_map(|key| Some(key.limit.as_str().strip_prefix(TENANT)?.into())).collect(),
+            tenants: shares
+                .filter_map(|key| Some(key.limit.as_str().strip_prefix(TENANT_PREFIX)?.into()))
+                .collect(),
         }
     }
 
--- a/crates/hazelspur-server/src/process/server.rs
+++ b/crates/hazelspur-server/src/process/server.rs
@@ -10,7 +10,7 @@
 use crate::config::operator::OperatorConfig;
 use crate::config::reload::{self, References, Reloader};
 use crate::config::server_config::{Loaded, ServerConfig};
-use crate::fleet::talk::{self, Around, Talk};
+use crate::fleet::transport::{self, GossipTransport, TransportContext};
 use crate::ingress::gateways::Gateways;
 use crate::ingress::queues::Queues;
 use crate::ingress::requests::{LONG_PAST, TIMEOUT_SLACK};
@@ -61,7 +61,7 @@
     pub(super) phases: Rc<Phases>,
     pub(super) services: Rc<Services>,
     pub(super) queues: Option<Rc<Queues>>,
-    pub(super) talk: Option<Rc<Talk>>,
+    pub(super) gossip: Option<Rc<GossipTransport>>,
     catalog: Rc<RefCell<Catalog>>,
     endpoints: Rc<UpstreamEndpoints>,
     descriptors: Descriptors,
@@ -119,13 +119,13 @@
             phases,
             services,
             queues: None,
-            talk: None,
+            gossip: None,
             catalog: Rc::new(RefCell::new(catalog)),
             endpoints,
             descriptors,
         };
         server.queues = server.queue_consumer(operator);
-        server.talk = server.join_fleet(operator).await?;
+        server.gossip = server.join_fleet(operator).await?;
         Ok(server)
     }
 
@@ -136,19 +136,18 @@
         Some(Queues::new(services, phases, self.catalog.clone(), amqp, operator, identity))
     }
 
-    async fn join_fleet(&self, operator: &OperatorConfig) -> Result<Option<Rc<Talk>>, StartError> {
+    async fn join_fleet(&self, operator: &OperatorConfig) -> Result<Option<Rc<GossipTransport>>, StartError> {
         let Some(fleet) = &operator.fleet else { return Ok(None) };
-        let context = Around {
+        let context = TransportContext {
             dispatcher: self.services.dispatcher.clone(),
             endpoints: self.endpoints.clone(),
             phases: self.phases.clone(),
             catalog: self.catalog.clone(),
         };
-        let identity = (self.config.name.as_str(), self.config.seed);
-        let talk = Talk::new(fleet, identity, context).await;
-        let talk = Rc::new(talk.map_err(|why| StartError::Fleet(why.to_string()))?);
-        self.services.dependency.observe(talk.clone());
-        Ok(Some(talk))
+        let ServerConfig { name, seed, .. } = &*self.config;
+        let transport = Rc::new(GossipTransport::bind(fleet, name, *seed, context).await?);
+        self.services.dependency.observe(transport.clone());
+        Ok(Some(transport))
     }
 
     fn gateways(&self, listener: TcpListener) -> Rc<Gateways> {
@@ -185,8 +184,8 @@
         if let Some(queues) = &self.queues {
             supervise("queues", queues, Queues::run);
         }
-        if let Some(talk) = &self.talk {
-            talk::begin(talk);
+        if let Some(transport) = &self.gossip {
+            transport::start(transport);
         }
         supervise("accept", gateways, Gateways::accept);
         supervise("connections", gateways, Gateways::tick);
--- a/crates/hazelspur-server/src/process/shutdown.rs
+++ b/crates/hazelspur-server/src/process/shutdown.rs
@@ -30,8 +30,8 @@
     if let Some(queues) = &server.queues {
         queues.tell_figures();
     }
-    if let Some(talk) = &server.talk {
-        talk.left();
+    if let Some(transport) = &server.gossip {
+        transport.announce_left();
     }
     server.phases.enter(Phase::Over, gateways.figures());
 }
--- a/crates/hazelspur-server/src/request/dispatcher.rs
+++ b/crates/hazelspur-server/src/request/dispatcher.rs
@@ -8,9 +8,9 @@
 use crate::request::event::{Completion, RequestEvent};
 use hazelspur::config::change::{Change, ChangeSummary};
 use hazelspur::{
-    AdmissionController, Catalog, ConfigError, Decision, Duration, GuidanceKey, LoadReport, RequestId,
-    TenantId, Timestamp,
+    AdmissionController, Catalog, ConfigError, Decision, Duration, LoadReport, RequestId, TenantId, Timestamp,
 };
+use hazelspur_fleet::guidance::{ExpiredValue, GuidanceChange, GuidanceUpdate, LeaseExpiry};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -18,14 +18,6 @@
 use tokio::sync::Notify;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// What the controller goes by once the first of its quota leases expires.
-pub struct LeaseExpiry {
-    /// When that lease expires, by the monotonic clock.
-    pub at: Timestamp,
-    /// The guaranteed minimum of each leased quota.
-    pub guaranteed: BTreeMap<GuidanceKey, f64>,
-}
-
 /// A final response that is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Response {
@@ -113,19 +105,14 @@
         Ok(changed)
     }
 
-    /// Sets guidance from the fleet, `None` to take a figure back, and what applies once a lease expires.
-    pub fn set_guidance(
-        &self,
-        guidance: impl IntoIterator<Item = (GuidanceKey, Option<f64>)>,
-        expiry: Option<LeaseExpiry>,
-    ) {
-        *self.lease_expiry.borrow_mut() = expiry;
-        let mut guidance = guidance.into_iter().peekable();
-        if guidance.peek().is_none() {
+    /// Gives the controller what has changed of the fleet's guidance, and keeps what applies once a lease expires.
+    pub fn set_guidance(&self, update: GuidanceUpdate) {
+        *self.lease_expiry.borrow_mut() = update.expiry;
+        if update.changes.is_empty() {
             return;
         }
         self.report(|controller, now| {
-            for (key, value) in guidance {
+            for GuidanceChange { key, value } in update.changes {
                 controller.set_guidance(now, key, value);
             }
         });
@@ -137,7 +124,7 @@
         let Some(expiry) = self.lease_expiry.borrow_mut().take_if(|expiry| now >= expiry.at) else { return };
         let now = self.clock.now();
         if let Some(controller) = self.controller.borrow_mut().as_mut() {
-            for (key, value) in expiry.guaranteed {
+            for ExpiredValue { key, value } in expiry.values {
                 controller.set_guidance(now, key, Some(value));
             }
         }
