--- a/src/idempotency.rs
+++ b/src/idempotency.rs
@@ -109,7 +109,7 @@
 
     fn store_key(&self, id: RequestId, request: &Request) -> IdempotencyStep {
         let window = if request.is_keyed() {
-            request.class.window
+            request.class.deduplication_window
         } else {
             self.settings.read_sharing_window + (request.deadline - self.now)
         };
--- a/src/last_seen.rs
+++ b/src/last_seen.rs
@@ -7,11 +7,11 @@
 use std::collections::BTreeMap;
 
 /// Sessions and clients whose last request is remembered.
-pub(crate) const LAST_SEEN_CAPACITY: usize = 4096;
+pub const LAST_SEEN_CAPACITY: usize = 4096;
 
 /// When each key was last seen.
 #[derive(Clone, Debug)]
-pub(crate) struct LastSeen<K> {
+pub struct LastSeen<K> {
     last: BTreeMap<K, Timestamp>,
 }
 
@@ -24,7 +24,7 @@
 impl<K: Ord> LastSeen<K> {
     /// Records that a key is seen now and returns when it was seen before. A full map first drops keys that
     /// were not seen for `idle_timeout`, then for ever shorter times.
-    pub(crate) fn record(&mut self, key: K, now: Timestamp, idle_timeout: Duration) -> Option<Timestamp> {
+    pub fn record(&mut self, key: K, now: Timestamp, idle_timeout: Duration) -> Option<Timestamp> {
         let is_full = self.last.len() >= LAST_SEEN_CAPACITY;
         let max_len = if is_full { LAST_SEEN_CAPACITY / 2 } else { LAST_SEEN_CAPACITY };
         let mut idle_timeout = idle_timeout;
@@ -36,7 +36,7 @@
     }
 
     /// When a key was last seen.
-    pub(crate) fn get(&self, key: &K) -> Option<Timestamp> {
+    pub fn get(&self, key: &K) -> Option<Timestamp> {
         self.last.get(key).copied()
     }
 }
