--- a/crates/hazelspur-simulator/src/capacity/rows.rs
+++ b/crates/hazelspur-simulator/src/capacity/rows.rs
@@ -196,8 +196,9 @@
 const CHECK: &str = "crates/hazelspur-server/src/config/startup.rs Startup";
 const CATALOG: &str = "src/config/catalog.rs Catalog";
 const TABLE: &str = "src/config/table.rs Table";
-const LATELY: &str = "src/book.rs Lately";
-const LOGIC: &str = "src/logic.rs Logic";
+const CONTROLLER: &str = "src/controller/mod.rs AdmissionController";
+const LAST_SEEN: &str = "src/last_seen.rs LastSeen";
+const RECENTLY_SEEN: &str = "src/recently_seen.rs RecentlySeen";
 const DAY_S: f64 = 86_400.0;
 
 const IN_FORCE: &str = "budget.in_force_s";
@@ -235,7 +236,7 @@
             .formula("as measured, open loop, the runtime's own time taken out")
             .measured(&["path.added.p99_ms"], LARGE)
             .within(b.added_p99_ms, "budget.added_p99_ms")
-            .by_mechanism(LOGIC)
+            .by_mechanism(CONTROLLER)
     };
     let kept = a.servers_a_caller_keeps * a.connections_per_caller_and_server;
     let gateways = code::SOCKETS.value - code::OWN.value - code::CALLS.value - code::CLOSING.value;
@@ -288,7 +289,7 @@
         .formula("samples of each tenant met")
         .measured(&["server.learned.bytes"], &[])
         .within(b.control_memory_bytes, MEMORY)
-        .by_mechanism(LATELY),
+        .by_mechanism(RECENTLY_SEEN),
         row(
             Server,
             "server.learned.entries",
@@ -300,8 +301,8 @@
             "one for each tenant met; past the bound those not seen for longest go, and are learned anew",
         )
         .computed(FILE.to_string() + " tenants_met_in_a_minute", 1.0, 0.0)
-        .within(code::LEARNED.value, "book.rs, LEARNED_KEPT")
-        .by_mechanism(LATELY),
+        .within(code::LEARNED.value, "recently_seen.rs, RECENTLY_SEEN_CAPACITY")
+        .by_mechanism(RECENTLY_SEEN),
         row(Server, "server.start.cpu", "CPU of a start", "s", tenants)
             .formula("settings read, checked and held, by tenants")
             .measured(&["server.start.cpu_s"], &[])
@@ -407,8 +408,8 @@
         row(Server, "server.callers", "callers that the module remembers", "entries", callers)
             .formula("callers x servers_a_caller_keeps / servers")
             .computed(FILE, a.servers_a_caller_keeps / s.servers, 0.0)
-            .within(code::SEEN.value, "book.rs, SEEN_KEPT")
-            .by_mechanism(LOGIC),
+            .within(code::SEEN.value, "last_seen.rs, LAST_SEEN_CAPACITY")
+            .by_mechanism(LAST_SEEN),
         p99("server.added.six_zones", "added latency, 99 in 100, all zones", s.zones),
         p99("server.added.one_lost", "the same, one zone lost", s.zones - 1.0),
         p99("server.added.region_lost", "the same, one region lost", s.zones * (s.regions - 1.0) / s.regions),
--- a/src/controller/inputs.rs
+++ b/src/controller/inputs.rs
@@ -2,7 +2,6 @@
 
 use super::AdmissionController;
 use crate::config::change::{Change, ChangeSummary};
-use crate::config::error::ConfigError;
 use crate::config::request_class::RequestClass;
 use crate::dependency::call_attempts;
 use crate::rejection::RejectionReason;
@@ -11,8 +10,8 @@
 use crate::scheduling::queue_order::RequestValue;
 use crate::shutdown::Shutdown;
 use crate::{
-    ControllerEvent, Decision, Duration, GuidanceKey, NewRequest, Outcome, RequestId, RuntimeGauges,
-    TenantId, Timestamp,
+    ConfigError, ControllerEvent, Decision, Duration, GuidanceKey, NewRequest, Outcome, RequestId,
+    RuntimeGauges, TenantId, Timestamp,
 };
 use std::rc::Rc;
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -67,7 +67,7 @@
 }
 
 impl AdmissionController {
-    /// Builds a controller on a catalog of its own; its settings say whether the server starts cold.
+    /// Builds a controller whose settings say whether it starts cold.
     pub fn new(catalog: Catalog, seed: u64, now: Timestamp) -> Self {
         let is_cold = catalog.settings().starts_cold;
         Self::with(Rc::new(RefCell::new(catalog)), is_cold, seed, now)
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,6 +4,9 @@
 //! rules. The policies import only the data modules (`request`, `request_table`, `statistics`); `controller`
 //! calls the policies.
 
+#![warn(missing_docs, unreachable_pub)]
+#![warn(clippy::too_many_lines, clippy::too_many_arguments, clippy::type_complexity)]
+
 mod admission;
 mod arrivals;
 pub mod config;
@@ -16,7 +19,7 @@
 mod idempotency;
 mod idle_connections;
 pub mod ids;
-mod last_seen;
+pub mod last_seen;
 pub mod load_signal;
 mod memory;
 pub mod outcome;
--- a/src/request.rs
+++ b/src/request.rs
@@ -165,7 +165,7 @@
 
     /// Whether its class identifies retries by a stored key.
     pub(crate) fn is_keyed(&self) -> bool {
-        self.class.idempotency == Idempotency::IdempotentWithKey
+        self.class.stores_keys()
     }
 
     /// Whether a response without the dependency call has value.
