--- a/crates/hazelspur-server/src/config/command.rs
+++ b/crates/hazelspur-server/src/config/command.rs
@@ -1,6 +1,9 @@
 //! The command line. Exit statuses: 0 served and shut down in order, or a file checked and found good; 1 the
 //! server failed; 2 a fault in the command line, the configuration or the operator's file.
 
+#![warn(missing_docs)]
+
+use clap::builder::PossibleValue;
 use clap::{Args, Parser, Subcommand, ValueEnum};
 
 /// The command line.
@@ -52,17 +55,49 @@
 }
 
 /// How log lines are printed.
-#[derive(ValueEnum, Clone, Copy, Default, PartialEq)]
+#[derive(Clone, Copy, Default, PartialEq)]
 pub enum LogFormat {
+    /// `seconds level message key=value ...`
     #[default]
     Text,
+    /// One JSON object a line.
     Json,
 }
 
 /// How the view of the fleet is printed.
-#[derive(ValueEnum, Clone, Copy, Default, PartialEq)]
+#[derive(Clone, Copy, Default, PartialEq)]
 pub enum Shape {
+    /// A table.
     #[default]
     Table,
+    /// One JSON object.
     Json,
 }
+
+// Not derived: `clap` would print the variants' doc comments in the program's help.
+
+impl ValueEnum for LogFormat {
+    fn value_variants<'a>() -> &'a [Self] {
+        &[Self::Text, Self::Json]
+    }
+
+    fn to_possible_value(&self) -> Option<PossibleValue> {
+        Some(PossibleValue::new(match self {
+            Self::Text => "text",
+            Self::Json => "json",
+        }))
+    }
+}
+
+impl ValueEnum for Shape {
+    fn value_variants<'a>() -> &'a [Self] {
+        &[Self::Table, Self::Json]
+    }
+
+    fn to_possible_value(&self) -> Option<PossibleValue> {
+        Some(PossibleValue::new(match self {
+            Self::Table => "table",
+            Self::Json => "json",
+        }))
+    }
+}
--- a/crates/hazelspur-server/src/config/operator/checks.rs
+++ b/crates/hazelspur-server/src/config/operator/checks.rs
@@ -95,6 +95,6 @@
     }
     queue.table().check(queue.retry_queue.is_some()).map_err(|(outcome, why)| QueueError {
         key: format!("outcomes.{outcome}"),
-        fault: KeyFault::UnsuitableAction(why),
+        fault: KeyFault::UnsuitableAction(why.to_string()),
     })
 }
--- a/crates/hazelspur-server/src/config/operator/error.rs
+++ b/crates/hazelspur-server/src/config/operator/error.rs
@@ -104,5 +104,5 @@
     UnknownRequestClass,
     /// The action does not fit the outcome.
     #[error("{0}")]
-    UnsuitableAction(&'static str),
+    UnsuitableAction(String),
 }
--- a/crates/hazelspur-server/src/ingress/gateways.rs
+++ b/crates/hazelspur-server/src/ingress/gateways.rs
@@ -3,7 +3,7 @@
 use crate::clock::sleep;
 use crate::ingress::answers::{Answers, Stage};
 use crate::process::descriptors::Descriptors;
-use crate::process::phases::{Phase, Phases};
+use crate::process::phases::{OpenCounts, Phase, Phases};
 use crate::request::lifecycle::Services;
 use hazelspur::{Catalog, Duration};
 use std::cell::{Cell, RefCell};
@@ -71,9 +71,9 @@
     }
 
     /// How many requests are owed an answer, on how many connections.
-    pub fn figures(&self) -> (usize, usize) {
+    pub fn figures(&self) -> OpenCounts {
         let open: usize = self.connections.borrow().values().map(|c| c.open.borrow().len()).sum();
-        (open, self.connected())
+        OpenCounts { requests: open, connections: self.connected() }
     }
 
     pub fn connected(&self) -> usize {
--- /dev/null
+++ b/crates/hazelspur-server/src/lib.rs
@@ -0,0 +1,17 @@
+//! The hazelspur server: gateways and queues on one side, the worker process, the shared dependency and the
+//! registry on the other. `hazelspur::AdmissionController` makes every decision in between.
+//!
+//! `request` and `process` use `upstream`, `ingress` and `fleet` use `request`; `config` is read first.
+
+#![warn(unreachable_pub)]
+#![warn(clippy::too_many_lines, clippy::too_many_arguments, clippy::type_complexity)]
+
+pub mod clock;
+pub mod commands;
+pub mod config;
+pub mod fleet;
+pub mod ingress;
+pub mod logging;
+pub mod process;
+pub mod request;
+pub mod upstream;
--- a/crates/hazelspur-server/src/main.rs
+++ b/crates/hazelspur-server/src/main.rs
@@ -1,23 +1,16 @@
-//! The hazelspur server: gateways and queues on one side, the worker process, the shared dependency and the
-//! registry on the other. `hazelspur::AdmissionController` makes every decision in between.
+//! The `hazelspur-server` program: its commands and exit statuses.
 
-mod clock;
-mod commands;
-mod config;
-mod fleet;
-mod ingress;
-mod logging;
-mod process;
-mod request;
-mod upstream;
+#![warn(missing_docs, unreachable_pub)]
 
 use clap::Parser;
-use config::command::{Command, CommandLine, ServeOptions};
-use config::operator::{self, OperatorConfig, OperatorError};
-use config::server_config;
 use hazelspur::Catalog;
-use process::error::{ProcessError, StartError};
-use process::{Signals, StartInputs};
+use hazelspur_server::commands;
+use hazelspur_server::config::command::{Command, CommandLine, ServeOptions};
+use hazelspur_server::config::operator::{self, OperatorConfig, OperatorError};
+use hazelspur_server::config::server_config;
+use hazelspur_server::logging;
+use hazelspur_server::process::error::{ProcessError, StartError};
+use hazelspur_server::process::{self, Signals, StartInputs};
 use std::process::ExitCode;
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
--- a/crates/hazelspur-server/src/process/mod.rs
+++ b/crates/hazelspur-server/src/process/mod.rs
@@ -1,5 +1,7 @@
 //! The process: its phases, its tasks and its descriptors.
 
+#![warn(missing_docs)]
+
 pub mod descriptors;
 pub mod error;
 mod listener;
--- a/crates/hazelspur-server/src/process/phases.rs
+++ b/crates/hazelspur-server/src/process/phases.rs
@@ -33,6 +33,15 @@
     }
 }
 
+/// What is open on the gateways' side when a phase is entered.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct OpenCounts {
+    /// Requests without a final response.
+    pub requests: usize,
+    /// Connections of gateways.
+    pub connections: usize,
+}
+
 /// The phase in force, and a notification of its change.
 pub struct Phases {
     phase: Cell<Phase>,
@@ -51,9 +60,10 @@
         self.phase.get()
     }
 
-    /// Enters a phase and logs it with the number of open requests and of gateways' connections.
-    pub fn enter(&self, phase: Phase, (open, connections): (usize, usize)) {
-        log::info!(open, connections; "phase {}", phase.name());
+    /// Enters a phase and logs it with what is open.
+    pub fn enter(&self, phase: Phase, counts: OpenCounts) {
+        let OpenCounts { requests, connections } = counts;
+        log::info!(open = requests, connections; "phase {}", phase.name());
         self.phase.set(phase);
         self.changed.notify_waiters();
     }
--- a/crates/hazelspur-server/src/request/deduplication.rs
+++ b/crates/hazelspur-server/src/request/deduplication.rs
@@ -133,6 +133,13 @@
     waiting: Vec<RequestId>,
 }
 
+/// When the entry of a finished attempt is removed; ordered by time.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct Removal {
+    at: Timestamp,
+    key: DeduplicationKey,
+}
+
 /// All keys in force, within a bound of memory.
 #[derive(Default)]
 pub struct Deduplication {
@@ -145,8 +152,8 @@
     bytes: usize,
     entries: BTreeMap<DeduplicationKey, Entry>,
     attempts: BTreeMap<RequestId, Attempt>,
-    /// When the entries of finished attempts are removed.
-    removals: BTreeSet<(Timestamp, DeduplicationKey)>,
+    /// The entries of finished attempts.
+    removals: BTreeSet<Removal>,
 }
 
 impl Deduplication {
@@ -229,8 +236,9 @@
         request: RequestId,
         completion: &Completion,
     ) -> Vec<RequestId> {
-        if self.store_completion(now, request, completion).is_none() {
-            self.release(request);
+        match self.store_completion(now, request, completion) {
+            Some(removal) => _ = self.removals.insert(removal),
+            None => self.release(request),
         }
         self.end_attempt(request)
     }
@@ -241,7 +249,7 @@
         now: Timestamp,
         request: RequestId,
         completion: &Completion,
-    ) -> Option<()> {
+    ) -> Option<Removal> {
         let fresh_until = now + self.read_freshness;
         let receipt_delay = self.receipt_delay;
         let spare_bytes = self.max_bytes.saturating_sub(self.bytes);
@@ -265,8 +273,7 @@
         }
         let size_after = entry.size_bytes(&key);
         self.bytes = self.bytes - size_before + size_after;
-        self.removals.insert((remove_at, key));
-        Some(())
+        Some(Removal { at: remove_at, key })
     }
 
     /// Ends an attempt that never ran, so that the next may; returns the retries to notify.
@@ -280,11 +287,9 @@
     }
 
     fn remove_expired(&mut self, now: Timestamp) {
-        while let Some((at, key)) = self.removals.first().cloned()
-            && at <= now
-        {
-            self.remove(&key);
-            self.removals.remove(&(at, key));
+        while self.removals.first().is_some_and(|removal| removal.at <= now) {
+            let Some(removal) = self.removals.pop_first() else { return };
+            self.remove(&removal.key);
         }
     }
 
@@ -296,7 +301,7 @@
                 Scope::IdempotentWithKey => self.receipt_delay,
                 Scope::Read => Duration::ZERO,
             };
-            self.removals.remove(&(expires_at + delay, key.clone()));
+            self.removals.remove(&Removal { at: expires_at + delay, key: key.clone() });
         }
     }
 }
--- a/crates/hazelspur-server/src/upstream/worker/link.rs
+++ b/crates/hazelspur-server/src/upstream/worker/link.rs
@@ -183,7 +183,7 @@
         let _ = stream.set_nodelay(true);
         let connection = self.replay.begin();
         let (read, mut write) = stream.split();
-        // The buffer's capacity stays in use; commands from before are in the run table.
+        // Drops commands for the former connection; those without an answer are in the run table.
         let mut out = std::mem::take(&mut *self.out.borrow_mut());
         out.clear();
         runtime::sync(&mut out, self.last_notice.get());
