--- a/crates/hazelspur-simulator/src/capacity/constants.rs
+++ b/crates/hazelspur-simulator/src/capacity/constants.rs
@@ -17,35 +17,43 @@
 }
 
 const CATALOG: &str = "src/catalog.rs";
-const CONTROL: &str = "crates/hazelspur-server/src/upstream/control.rs";
-const DESCRIPTORS: &str = "crates/hazelspur-server/src/config/descriptors.rs";
+const REGISTRY: &str = "crates/hazelspur-server/src/upstream/registry.rs";
+const DESCRIPTORS: &str = "crates/hazelspur-server/src/process/descriptors.rs";
 const GATE: &str = "crates/hazelspur-fleet/src/gate.rs";
 const KEYS: &str = "crates/hazelspur-server/src/config/fleet_keys.rs";
 
-/// Mean wait between reports to the list, s: the middle of `EVERY`.
-pub const REPORT_EVERY: Constant =
-    constant(CONTROL, "EVERY", "const EVERY: [Span; 2] = [Span::from_ms(640), Span::from_ms(960)];", 0.8);
-/// The same after a miss, s: the middle of `AGAIN`.
-pub const REPORT_AGAIN: Constant =
-    constant(CONTROL, "AGAIN", "const AGAIN: [Span; 2] = [Span::from_ms(125), Span::from_ms(375)];", 0.25);
+/// Mean wait between reports to the list, s: the middle of `REPORT_INTERVAL`.
+pub const REPORT_EVERY: Constant = constant(
+    REGISTRY,
+    "REPORT_INTERVAL",
+    "const REPORT_INTERVAL: RandomInterval =\n    RandomInterval { min: Duration::from_ms(640), max: Duration::from_ms(960) };",
+    0.8,
+);
+/// The same after a miss, s: the middle of `RETRY_INTERVAL`.
+pub const REPORT_AGAIN: Constant = constant(
+    REGISTRY,
+    "RETRY_INTERVAL",
+    "const RETRY_INTERVAL: RandomInterval =\n    RandomInterval { min: Duration::from_ms(125), max: Duration::from_ms(375) };",
+    0.25,
+);
 /// Descriptors of the program's own.
-pub const OWN: Constant = constant(DESCRIPTORS, "OWN", "const OWN: usize = 16;", 16.0);
+pub const OWN: Constant = constant(DESCRIPTORS, "RESERVED", "const RESERVED: usize = 16;", 16.0);
 /// Connections to the ledger, in use or kept.
 pub const CALLS: Constant = constant(DESCRIPTORS, "MAX_CALLS", "const MAX_CALLS: usize = 64;", 64.0);
 /// Gateways' connections on their way out.
 pub const CLOSING: Constant = constant(DESCRIPTORS, "MAX_CLOSING", "const MAX_CLOSING: usize = 64;", 64.0);
 /// `limits.sockets` where the platform says nothing.
 pub const SOCKETS: Constant = constant(
-    "crates/hazelspur-server/src/config/startup.rs",
+    "crates/hazelspur-server/src/config/server_config.rs",
     "limits.sockets",
-    "number(limit(\"sockets\"), \"limits.sockets\", 1024.0,",
+    "NumberKey { key: \"limits.sockets\", default: 1024.0,",
     1024.0,
 );
 /// Idle connections to the ledger that are kept.
 pub const IDLE: Constant = constant(
-    "crates/hazelspur-server/src/upstream/ledger.rs",
-    "MAX_IDLE",
-    "const MAX_IDLE: usize = 16;",
+    "crates/hazelspur-server/src/upstream/dependency.rs",
+    "MAX_IDLE_CONNECTIONS",
+    "const MAX_IDLE_CONNECTIONS: usize = 16;",
     16.0,
 );
 /// Callers and users that the decision module remembers.
@@ -61,9 +69,9 @@
     constant("src/book.rs", "LEARNED_KEPT", "pub const LEARNED_KEPT: usize = 4096;", 4096.0);
 /// The longest configuration that is read, in bytes.
 pub const LONGEST_FILE: Constant = constant(
-    "crates/hazelspur-server/src/config/startup.rs",
-    "LONGEST_FILE",
-    "pub const LONGEST_FILE: u64 = 8 * 1024 * 1024;",
+    "crates/hazelspur-server/src/config/server_config.rs",
+    "MAX_FILE_BYTES",
+    "const MAX_FILE_BYTES: u64 = 8 * 1024 * 1024;",
     8_388_608.0,
 );
 /// The greatest `most` of the operator's file.
--- a/crates/hazelspur-simulator/src/capacity/rows.rs
+++ b/crates/hazelspur-simulator/src/capacity/rows.rs
@@ -191,9 +191,9 @@
 const TALK: &str = "crates/hazelspur-server/src/fleet/talk.rs Talk";
 const SHARES: &str = "crates/hazelspur-fleet/src/shares/mod.rs Shares";
 const DIVIDER: &str = "crates/hazelspur-fleet/src/shares/divide.rs Divider";
-const REPORT: &str = "crates/hazelspur-server/src/upstream/control.rs report";
+const REPORT: &str = "crates/hazelspur-server/src/upstream/registry.rs HealthReporter";
 const RELOAD: &str = "crates/hazelspur-server/src/config/reload.rs Reloader";
-const CHECK: &str = "crates/hazelspur-server/src/config/startup.rs Startup";
+const CHECK: &str = "crates/hazelspur-server/src/config/server_config.rs ServerConfig";
 const CATALOG: &str = "src/catalog.rs Catalog";
 const TABLE: &str = "src/catalog.rs Table";
 const LATELY: &str = "src/book.rs Lately";
@@ -259,7 +259,7 @@
         row(Server, "server.settings.file", "the file that is read", "B", tenants)
             .formula("bytes of the file by tenants, with op types in the same proportion")
             .measured(&["server.file_bytes"], &[])
-            .within(code::LONGEST_FILE.value, "startup.rs, LONGEST_FILE")
+            .within(code::LONGEST_FILE.value, "server_config.rs, MAX_FILE_BYTES")
             .by_mechanism(CHECK),
         row(Server, "server.settings.memory", "settings held, memory", "B", tenants)
             .formula("anonymous memory of an idle server by tenants, with op types in the same proportion")
@@ -392,7 +392,7 @@
         .formula("callers x servers_a_caller_keeps x connections_per_caller_and_server / servers")
         .computed(FILE, kept / s.servers, 0.0)
         .within(gateways, "descriptors.rs, of 1,024")
-        .by_mechanism("crates/hazelspur-server/src/config/descriptors.rs Descriptors"),
+        .by_mechanism("crates/hazelspur-server/src/process/descriptors.rs Descriptors"),
         row(
             Server,
             "server.descriptors.spread",
@@ -403,7 +403,7 @@
         .formula("callers x servers_a_caller_keeps x connections_per_caller_and_server / servers")
         .computed(FILE, s.callers * a.connections_per_caller_and_server / s.servers, 0.0)
         .within(gateways, "descriptors.rs, of 1,024")
-        .by_mechanism("crates/hazelspur-server/src/config/descriptors.rs Descriptors"),
+        .by_mechanism("crates/hazelspur-server/src/process/descriptors.rs Descriptors"),
         row(Server, "server.callers", "callers that the module remembers", "entries", callers)
             .formula("callers x servers_a_caller_keeps / servers")
             .computed(FILE, a.servers_a_caller_keeps / s.servers, 0.0)
@@ -504,7 +504,7 @@
             machines,
         )
         .formula("the machines set aside; a server does not start without a runtime's address")
-        .no_mechanism("none: keepers are servers that serve (startup.rs, `runtime`)"),
+        .no_mechanism("none: keepers are servers that serve (server_config.rs, `runtime`)"),
         row(role, "control.cpu", "CPU of a control machine", "of a core", machines)
             .formula("no such program, so nothing to measure")
             .measured(&["control.cpu_share"], &[])
@@ -690,7 +690,7 @@
         .formula("servers x 64")
         .computed(at(&[&code::CALLS]), code::CALLS.value, 0.0)
         .within(a.dependency_connections, "assumed.dependency_connections")
-        .by_mechanism("crates/hazelspur-server/src/upstream/ledger.rs Ledger"),
+        .by_mechanism("crates/hazelspur-server/src/upstream/dependency.rs DependencyClient"),
         row(
             SharedDependency,
             "dependency.connections.idle",
@@ -701,7 +701,7 @@
         .formula("servers x 16")
         .computed(at(&[&code::IDLE]), code::IDLE.value, 0.0)
         .within(a.dependency_connections, "assumed.dependency_connections")
-        .by_mechanism("crates/hazelspur-server/src/upstream/ledger.rs Ledger"),
+        .by_mechanism("crates/hazelspur-server/src/upstream/dependency.rs DependencyClient"),
         row(
             SharedDependency,
             "dependency.tries_while_gone",
@@ -884,7 +884,7 @@
         .formula("restarts_per_deploy x restart_out_s / deploy_min")
         .computed(FILE, a.restart_out_s / (a.deploy_min * 60.0), 0.0)
         .within(out, "assumed.out_at_once_share")
-        .by_mechanism("crates/hazelspur-server/src/config/phases.rs Phases"),
+        .by_mechanism("crates/hazelspur-server/src/process/phases.rs Phases"),
         row(Event, "event.rack_lost.noticed", "a rack gone: noticed, 99 in 100", "s", servers)
             .formula("until a server holds one of them for lost")
             .worst(&["members.noticed_p99_s"], &[])
