--- a/crates/hazelspur-server/src/config/reload.rs
+++ b/crates/hazelspur-server/src/config/reload.rs
@@ -7,7 +7,7 @@
 use crate::config::fleet_keys::TENANT;
 use crate::config::operator::{self, OperatorConfig};
 use crate::config::server_config::{self, ReloadedChanges, ServerConfig};
-use crate::ingress::queues::Queues;
+use crate::ingress::amqp::AmqpConsumer;
 use crate::request::dispatcher::Dispatcher;
 use crate::upstream::endpoints::UpstreamEndpoints;
 use hazelspur::config::change::{Change, Changed, Edit};
@@ -93,7 +93,7 @@
     /// The operator's file, if there is one.
     pub operator_file: Option<String>,
     /// The consumer that the operator's file configures.
-    pub queues: Option<Rc<Queues>>,
+    pub queues: Option<Rc<AmqpConsumer>>,
     /// Whether settings change in place.
     pub settings_may_change: bool,
     /// What the operator's file refers to.
@@ -138,7 +138,7 @@
         let (Some(file), Some(queues)) = (&self.operator_file, &self.queues) else { return };
         match operator::read(file, Some(&self.catalog.borrow())) {
             Ok(new) => {
-                queues.move_to(&new);
+                queues.reload(&new);
                 self.references.borrow_mut().request_classes = References::of(&new).request_classes;
             }
             Err(why) => log::error!(why:%; "reload refused, the old operator's file stays"),
--- /dev/null
+++ b/crates/hazelspur-server/src/ingress/amqp/actions.rs
@@ -0,0 +1,95 @@
+//! Carries out the tracker's actions.
+
+use super::connection::BrokerConnection;
+use super::consumer::AmqpConsumer;
+use crate::request::event::RequestEvent;
+use hazelspur::Timestamp;
+use hazelspur_amqp::Connection;
+use hazelspur_deliveries::{DeliveryAction, DeliveryId, DeliveryOutcome, DeliveryTag};
+
+impl AmqpConsumer {
+    /// Carries out all actions that are due; without a connection nothing can be settled.
+    pub(super) fn carry_out_actions(&self, mut connection: Option<&mut BrokerConnection>) {
+        loop {
+            let now = self.now();
+            let Some(action) = self.tracker.borrow_mut().next_action(now) else { return };
+            log::trace!("delivery action {action:?}");
+            self.carry_out(now, action, connection.as_deref_mut());
+        }
+    }
+
+    fn carry_out(&self, now: Timestamp, action: DeliveryAction, connection: Option<&mut BrokerConnection>) {
+        match action {
+            DeliveryAction::Submit(id) => self.submit(now, id),
+            DeliveryAction::Abandon(id) => self.abandon(id),
+            DeliveryAction::ResolveRun { id, permitted } => self.resolve_run(id, permitted),
+            DeliveryAction::Ack(tag) => {
+                settle(connection, tag, |protocol| protocol.ack(tag.channel, tag.tag));
+            }
+            DeliveryAction::Reject(tag) => {
+                settle(connection, tag, |protocol| protocol.reject(tag.channel, tag.tag, false));
+            }
+            DeliveryAction::Requeue(tag) => {
+                settle(connection, tag, |protocol| protocol.reject(tag.channel, tag.tag, true));
+            }
+            DeliveryAction::Fence { tag, id } => {
+                let sent = settle(connection, tag, |protocol| protocol.send_fence(tag.channel, id.0));
+                if !sent {
+                    self.tracker.borrow_mut().fence_lost(id);
+                }
+            }
+            DeliveryAction::PublishReply { id, outcome, result } => {
+                let publish = |protocol: &mut Connection| self.publish_reply(protocol, id, outcome, &result);
+                self.publish(now, id, connection, publish);
+            }
+            DeliveryAction::PublishRetry { id, delay, attempts } => {
+                let publish = |protocol: &mut Connection| self.publish_retry(protocol, id, delay, attempts);
+                self.publish(now, id, connection, publish);
+            }
+            DeliveryAction::Release { id, outcome } => self.release(id, outcome),
+        }
+    }
+
+    fn abandon(&self, id: DeliveryId) {
+        let request = self.messages.borrow().get(&id).map(|message| message.request_id);
+        if let Some(request) = request {
+            self.services.dispatcher.deliver(request, RequestEvent::ClientGone);
+        }
+    }
+
+    fn resolve_run(&self, id: DeliveryId, permitted: bool) {
+        if let Some(permission) = self.awaiting_permission.borrow_mut().remove(&id) {
+            // The request's task may have ended meanwhile.
+            let _ = permission.send(permitted);
+        }
+    }
+
+    /// A message that cannot be published counts as refused.
+    fn publish(
+        &self,
+        now: Timestamp,
+        id: DeliveryId,
+        connection: Option<&mut BrokerConnection>,
+        publish: impl FnOnce(&mut Connection) -> bool,
+    ) {
+        let published = connection.is_some_and(|connection| publish(&mut connection.protocol));
+        if !published {
+            self.tracker.borrow_mut().publish_confirmed(now, id, false);
+        }
+    }
+
+    fn release(&self, id: DeliveryId, outcome: DeliveryOutcome) {
+        let message = self.messages.borrow_mut().remove(&id);
+        if let Some(message) = message {
+            log::debug!(op:% = message.request_id, ending = outcome.wire_name(); "delivery finished");
+        }
+    }
+}
+
+fn settle(
+    connection: Option<&mut BrokerConnection>,
+    tag: DeliveryTag,
+    settle: impl FnOnce(&mut Connection) -> bool,
+) -> bool {
+    connection.is_some_and(|connection| connection.settle(tag, settle))
+}
--- /dev/null
+++ b/crates/hazelspur-server/src/ingress/amqp/channels.rs
@@ -0,0 +1,124 @@
+//! Channels of a connection: one per queue, and one to publish on. Opens them, again after a loss with growing
+//! delays, and cancels the consumers before the connection is closed.
+
+use super::connection::BrokerConnection;
+use super::consumer::AmqpConsumer;
+use hazelspur::{Duration, Timestamp};
+use hazelspur_amqp::ConnectionState;
+use std::collections::BTreeMap;
+
+/// Delay after the first loss of a channel; doubled after each further one.
+const MIN_REOPEN_DELAY: Duration = Duration::from_ms(1000);
+/// Longest delay after the loss of a channel.
+const MAX_REOPEN_DELAY: Duration = Duration::from_ms(30_000);
+/// Time within which deliveries are settled before a removed broker's connection is closed.
+const BROKER_REMOVAL_TIMEOUT: Duration = Duration::from_ms(5000);
+
+/// The next attempt to open a channel.
+#[derive(Clone, Copy)]
+struct ChannelAttempt {
+    at: Timestamp,
+    /// Delay that led to this attempt.
+    delay: Duration,
+}
+
+fn increased(delay: Duration) -> Duration {
+    (delay + delay).clamp(MIN_REOPEN_DELAY, MAX_REOPEN_DELAY)
+}
+
+/// Channels that are not ready, with their next attempts.
+#[derive(Default)]
+pub(super) struct ChannelAttempts(BTreeMap<u16, ChannelAttempt>);
+
+impl ChannelAttempts {
+    /// Attempts to open all channels now.
+    pub(super) fn schedule_all(&mut self, channels: impl Iterator<Item = u16>, now: Timestamp) {
+        let attempt = ChannelAttempt { at: now, delay: Duration::ZERO };
+        self.0 = channels.map(|channel| (channel, attempt)).collect();
+    }
+
+    pub(super) fn channel_ready(&mut self, channel: u16) {
+        self.0.remove(&channel);
+    }
+
+    /// Schedules an attempt after a loss; returns its delay.
+    pub(super) fn channel_lost(&mut self, channel: u16, now: Timestamp) -> Duration {
+        let previous = self.0.get(&channel).map_or(Duration::ZERO, |attempt| attempt.delay);
+        let delay = increased(previous);
+        self.0.insert(channel, ChannelAttempt { at: now + delay, delay });
+        delay
+    }
+
+    /// The channels whose attempt is due. Each is attempted again later unless it is ready or lost by then.
+    fn take_due(&mut self, now: Timestamp) -> Vec<u16> {
+        let due = self.0.iter_mut().filter(|(_, attempt)| attempt.at <= now);
+        let attempted = due.map(|(channel, attempt)| {
+            attempt.at = now + increased(attempt.delay);
+            *channel
+        });
+        attempted.collect()
+    }
+
+    fn retain_only(&mut self, channel: u16) {
+        self.0.retain(|other, _| *other == channel);
+    }
+
+    pub(super) fn next(&self) -> Option<Timestamp> {
+        self.0.values().map(|attempt| attempt.at).min()
+    }
+}
+
+impl AmqpConsumer {
+    pub(super) fn publishing_channel(&self) -> u16 {
+        self.queues.len() as u16 + 1
+    }
+
+    /// Index of the queue that a channel consumes; the publishing channel has none.
+    pub(super) fn queue_index(&self, channel: u16) -> Option<usize> {
+        usize::from(channel).checked_sub(1).filter(|index| *index < self.queues.len())
+    }
+
+    /// Carries out what is decided, opens channels that are due, and updates the windows.
+    pub(super) fn advance(&self, connection: &mut BrokerConnection) {
+        self.note_shutdown();
+        self.carry_out_actions(Some(connection));
+        if connection.protocol.state() != ConnectionState::Open {
+            return;
+        }
+        let now = self.now();
+        if self.shutting_down.get() || self.broker_removed.get() {
+            self.wind_down(connection, now);
+        }
+        for channel in connection.channel_attempts.take_due(now) {
+            self.open_channel(connection, channel);
+        }
+        self.update_windows(connection, now);
+    }
+
+    /// Cancels the consumers, and closes the connection once all deliveries are settled.
+    fn wind_down(&self, connection: &mut BrokerConnection, now: Timestamp) {
+        let cancelled_at = *connection.cancelled_at.get_or_insert_with(|| {
+            (1..self.publishing_channel()).for_each(|channel| connection.protocol.cancel_consumer(channel));
+            log::info!(in_hand = self.tracker.borrow().active(), moving = self.broker_removed.get();
+                "consumers cancelled");
+            now
+        });
+        let settled = self.tracker.borrow().active() == 0;
+        let timed_out = self.broker_removed.get() && now - cancelled_at >= BROKER_REMOVAL_TIMEOUT;
+        if settled || timed_out {
+            connection.protocol.close(now);
+        }
+        connection.channel_attempts.retain_only(self.publishing_channel());
+    }
+
+    fn open_channel(&self, connection: &mut BrokerConnection, channel: u16) {
+        match self.queue_index(channel) {
+            Some(index) => {
+                let prefetch = self.windows.borrow()[index].window();
+                connection.protocol.resume_consumer(channel);
+                connection.protocol.consume(channel, &self.queues[index].name, prefetch);
+            }
+            None => connection.protocol.open_publishing_channel(channel),
+        }
+    }
+}
--- /dev/null
+++ b/crates/hazelspur-server/src/ingress/amqp/message.rs
@@ -0,0 +1,184 @@
+//! Decodes deliveries: as a request, or why a message is not one, and by when the request has to begin.
+
+use super::consumer::{AmqpConsumer, US_PER_MS};
+use crate::config::operator::{QueueConfig, SentTimeSource};
+use crate::ingress::limits::{MAX_CLOCK_LEAD, is_valid_size_kb};
+use crate::request::deduplication::DeduplicationKey;
+use crate::request::lifecycle::MAX_BODY_LENGTH;
+use hazelspur::{Duration, RequestClass, RequestClassId, RequestId, SessionKey, TenantId, Timestamp};
+use hazelspur_amqp::{FieldValue, IncomingDelivery, Properties};
+use hazelspur_deliveries::{DeliveryOutcome, DeliveryTag, QueueId, ReceivedDelivery};
+use std::rc::Rc;
+
+/// Longest properties that are stored, in bytes; a message with longer ones is malformed.
+const MAX_PROPERTIES_BYTES: usize = 8 * 1024;
+/// Microseconds of a second.
+const US_PER_S: u64 = 1_000_000;
+/// Header: attempts so far, written to retry copies.
+pub(super) const ATTEMPTS_HEADER: &str = "x-hazelspur-tries";
+/// Header: when the message was sent first, in milliseconds since 1970.
+pub(super) const SENT_HEADER: &str = "x-sent-ms";
+/// Header: longest wait from the sending, in milliseconds.
+pub(super) const MAX_WAIT_HEADER: &str = "x-waits-ms";
+/// Header: deliveries so far, written by brokers with quorum queues.
+const DELIVERY_COUNT_HEADER: &str = "x-delivery-count";
+/// Header: name of the tenant.
+const TENANT_HEADER: &str = "x-owner";
+/// Header: memory that the request takes, in KiB.
+const SIZE_HEADER: &str = "x-need-kb";
+/// Header: subject of the request, which names its session.
+const SUBJECT_HEADER: &str = "x-subject";
+
+/// What is stored of a delivery until it is over.
+pub(super) struct StoredMessage {
+    pub(super) request_id: RequestId,
+    pub(super) queue: QueueId,
+    /// `None` for a message that is not a request.
+    pub(super) request: Option<QueuedRequest>,
+    /// The encoded properties, empty where they cannot be decoded.
+    pub(super) properties: Vec<u8>,
+    /// When the message was sent, by the publisher's clock.
+    pub(super) sent_at: Timestamp,
+    pub(super) body: Rc<[u8]>,
+}
+
+/// A message that can be run as a request.
+pub(super) struct QueuedRequest {
+    pub(super) class_id: RequestClassId,
+    pub(super) class: Rc<RequestClass>,
+    pub(super) tenant: TenantId,
+    pub(super) session: Option<SessionKey>,
+    pub(super) key: Option<DeduplicationKey>,
+    pub(super) size_kb: f64,
+}
+
+/// When a message was sent and by when its request has to begin.
+struct MessageTimes {
+    /// By the publisher's clock.
+    sent_at: Timestamp,
+    /// By this server's clock.
+    deadline: Option<Timestamp>,
+}
+
+fn duration_ms(ms: u64) -> Duration {
+    Duration::from_us(ms.saturating_mul(US_PER_MS))
+}
+
+/// A count in a header, at most `u32::MAX`; zero where there is none.
+fn count(properties: &Properties<'_>, name: &str) -> u32 {
+    let count = properties.header(name).and_then(FieldValue::unsigned).unwrap_or(0);
+    u32::try_from(count).unwrap_or(u32::MAX)
+}
+
+fn previous_attempts(properties: &Properties<'_>) -> u32 {
+    count(properties, ATTEMPTS_HEADER).max(count(properties, DELIVERY_COUNT_HEADER))
+}
+
+/// A header that has to be text.
+fn text<'a>(properties: &Properties<'a>, name: &str) -> Result<Option<&'a str>, DeliveryOutcome> {
+    match properties.header(name) {
+        None => Ok(None),
+        Some(value) => value.text().map(Some).ok_or(DeliveryOutcome::Malformed),
+    }
+}
+
+fn size_kb(queue: &QueueConfig, properties: &Properties<'_>) -> Result<f64, DeliveryOutcome> {
+    let size_kb = match properties.header(SIZE_HEADER) {
+        None => queue.need_kb,
+        Some(FieldValue::Float(size_kb)) => size_kb,
+        Some(value) => value.unsigned().ok_or(DeliveryOutcome::Malformed)? as f64,
+    };
+    if is_valid_size_kb(size_kb) { Ok(size_kb) } else { Err(DeliveryOutcome::Malformed) }
+}
+
+impl AmqpConsumer {
+    /// Decodes a delivery, passes it to the tracker and stores its message.
+    pub(super) fn delivery_received(
+        &self,
+        now: Timestamp,
+        queue: QueueId,
+        tag: DeliveryTag,
+        delivery: &IncomingDelivery<'_>,
+    ) {
+        let config = &self.queues[queue.0];
+        let fits = delivery.properties.len() <= MAX_PROPERTIES_BYTES;
+        let decoded = Properties::read(delivery.properties).ok().filter(|_| fits);
+        let properties = decoded.unwrap_or_default();
+        let times = self.times(now, config, &properties);
+        let request = match (decoded, delivery.body) {
+            (Some(properties), Some(body)) => self.decode_request(config, &properties, body),
+            _ => Err(DeliveryOutcome::Malformed),
+        };
+        if let Err(outcome) = &request {
+            let (queue, size) = (config.name.as_str(), delivery.body.map_or(0, <[u8]>::len));
+            log::warn!(queue, ending = outcome.wire_name(), size; "delivery is not a valid request");
+        }
+        let received = ReceivedDelivery {
+            tag,
+            queue,
+            message_id: properties.message_id,
+            redelivered: delivery.redelivered,
+            idempotency: request.as_ref().map(|request| request.class.repeats).map_err(|outcome| *outcome),
+            deadline: times.deadline,
+            wants_reply: properties.reply_to.is_some_and(|queue| !queue.is_empty()),
+            previous_attempts: previous_attempts(&properties),
+        };
+        let id = self.tracker.borrow_mut().delivery_received(now, received);
+        let body = delivery.body.filter(|body| body.len() <= MAX_BODY_LENGTH);
+        let message = StoredMessage {
+            request_id: self.next_request_id(),
+            queue,
+            request: request.ok(),
+            properties: decoded.map_or_else(Vec::new, |_| delivery.properties.to_vec()),
+            sent_at: times.sent_at,
+            body: body.unwrap_or_default().into(),
+        };
+        self.messages.borrow_mut().insert(id, message);
+    }
+
+    fn times(&self, now: Timestamp, queue: &QueueConfig, properties: &Properties<'_>) -> MessageTimes {
+        let clock = &self.services.dispatcher.clock;
+        let header_ms = |name: &str| properties.header(name).and_then(FieldValue::unsigned);
+        let stated = match queue.sent_time {
+            SentTimeSource::Receipt => None,
+            SentTimeSource::Publisher => {
+                let sent_ms = header_ms(SENT_HEADER).map(|ms| ms.saturating_mul(US_PER_MS));
+                // The property has whole seconds: the earliest time that it can stand for.
+                let timestamp = properties.timestamp.map(|s| s.saturating_mul(US_PER_S));
+                sent_ms.or(timestamp).map(Timestamp::from_us)
+            }
+        };
+        let is_credible = |sent_at: &Timestamp| clock.local_time_of(*sent_at) <= now + MAX_CLOCK_LEAD;
+        let sent_at = stated.filter(is_credible).unwrap_or(clock.wall());
+        let expiration_ms = properties.expiration.and_then(|ms| ms.parse::<u32>().ok());
+        let max_wait = header_ms(MAX_WAIT_HEADER)
+            .or(expiration_ms.map(u64::from))
+            .map(duration_ms)
+            .or(queue.max_wait_s.map(Duration::from_secs));
+        let deadline = max_wait.map(|max_wait| clock.local_time_of(sent_at) + max_wait);
+        MessageTimes { sent_at, deadline }
+    }
+
+    fn decode_request(
+        &self,
+        queue: &QueueConfig,
+        properties: &Properties<'_>,
+        body: &[u8],
+    ) -> Result<QueuedRequest, DeliveryOutcome> {
+        let class_name = queue.request_class.as_deref().or(properties.message_type);
+        let class_name = class_name.ok_or(DeliveryOutcome::UnknownClass)?;
+        let catalog = self.catalog.borrow();
+        let class = catalog.find_request_class(class_name);
+        let (class_id, class) = class.ok_or(DeliveryOutcome::UnknownClass)?;
+        let tenant = catalog.find_tenant(text(properties, TENANT_HEADER)?);
+        let (tenant, tenant_name) = tenant.ok_or(DeliveryOutcome::Malformed)?;
+        let size_kb = size_kb(queue, properties)?;
+        if body.len() > MAX_BODY_LENGTH {
+            return Err(DeliveryOutcome::Malformed);
+        }
+        let subject = text(properties, SUBJECT_HEADER)?;
+        let message_id = properties.message_id;
+        let key = DeduplicationKey::of(&class, &tenant_name, message_id, message_id.or(subject));
+        Ok(QueuedRequest { class_id, class, tenant, session: subject.map(SessionKey::of), key, size_kb })
+    }
+}
--- /dev/null
+++ b/crates/hazelspur-server/src/ingress/amqp/publishing.rs
@@ -0,0 +1,69 @@
+//! Messages that the consumer publishes: replies, and copies to the retry queue.
+
+use super::consumer::{AmqpConsumer, US_PER_MS};
+use super::message::{ATTEMPTS_HEADER, MAX_WAIT_HEADER, SENT_HEADER};
+use hazelspur::Duration;
+use hazelspur_amqp::{Connection, OutgoingMessage, Properties, TableWriter};
+use hazelspur_deliveries::{DeliveryId, DeliveryOutcome};
+
+/// Header of a reply: the name of the request's outcome.
+const OUTCOME_HEADER: &str = "x-outcome";
+/// Delivery mode of messages that the broker stores on disk.
+const PERSISTENT: u8 = 2;
+
+impl AmqpConsumer {
+    /// Publishes the reply to the queue that the message names; returns whether it was sent.
+    pub(super) fn publish_reply(
+        &self,
+        protocol: &mut Connection,
+        id: DeliveryId,
+        outcome: DeliveryOutcome,
+        result: &[u8],
+    ) -> bool {
+        let messages = self.messages.borrow();
+        let Some(message) = messages.get(&id) else { return false };
+        let Ok(request) = Properties::read(&message.properties) else { return false };
+        let Some(queue) = request.reply_to else { return false };
+        let headers = TableWriter::default().text(OUTCOME_HEADER, outcome.wire_name());
+        let properties = Properties {
+            headers: Some(headers.finish()),
+            delivery_mode: Some(PERSISTENT),
+            correlation_id: request.correlation_id.or(request.message_id),
+            message_id: request.message_id,
+            message_type: request.message_type,
+            ..Properties::default()
+        };
+        let reply = OutgoingMessage { number: id.0, queue, properties, body: result };
+        protocol.publish(self.publishing_channel(), &reply)
+    }
+
+    /// Publishes a copy to the retry queue, which expires after the delay; returns whether it was sent. Headers
+    /// keep the time of sending and the longest wait of the original.
+    pub(super) fn publish_retry(
+        &self,
+        protocol: &mut Connection,
+        id: DeliveryId,
+        delay: Duration,
+        attempts: u32,
+    ) -> bool {
+        let messages = self.messages.borrow();
+        let Some(message) = messages.get(&id) else { return false };
+        let Some(queue) = &self.queues[message.queue.0].retry_queue else { return false };
+        let Ok(original) = Properties::read(&message.properties) else { return false };
+        let mut headers = TableWriter::default()
+            .fields_except(original.headers.unwrap_or_default(), &[ATTEMPTS_HEADER, SENT_HEADER])
+            .integer(ATTEMPTS_HEADER, i64::from(attempts))
+            .integer(SENT_HEADER, (message.sent_at.us() / US_PER_MS) as i64);
+        let expiration_ms = original.expiration.and_then(|ms| ms.parse().ok());
+        if original.header(MAX_WAIT_HEADER).is_none()
+            && let Some(max_wait_ms) = expiration_ms
+        {
+            headers = headers.integer(MAX_WAIT_HEADER, max_wait_ms);
+        }
+        let expiration = (delay.us() / US_PER_MS).max(1).to_string();
+        let properties =
+            Properties { headers: Some(headers.finish()), expiration: Some(&expiration), ..original };
+        let copy = OutgoingMessage { number: id.0, queue, properties, body: &message.body };
+        protocol.publish(self.publishing_channel(), &copy)
+    }
+}
--- /dev/null
+++ b/crates/hazelspur-server/src/ingress/amqp/request.rs
@@ -0,0 +1,131 @@
+//! The request of a delivery: its submission, and its response.
+
+use super::consumer::AmqpConsumer;
+use super::message::{QueuedRequest, StoredMessage};
+use crate::request::deduplication::{Lookup, Owner, ReceivedAttempt};
+use crate::request::lifecycle::{ReceivedRequest, RequestLifecycle, RetryOf};
+use crate::request::responder::{Responder, ResponseSink, RunPermission};
+use hazelspur::{ClientId, Duration, Timestamp};
+use hazelspur_deliveries::{DeliveryId, DeliveryOutcome};
+use std::rc::Rc;
+use tokio::sync::oneshot;
+
+/// Shortest time until a rejected delivery is requeued, whatever the admission controller decides.
+const MIN_RETRY_AFTER: Duration = Duration::from_ms(200);
+
+/// A key that belongs to a request with another content.
+struct KeyConflict;
+
+impl AmqpConsumer {
+    /// Starts the lifecycle of a delivery's request.
+    pub(super) fn submit(&self, now: Timestamp, id: DeliveryId) {
+        let messages = self.messages.borrow();
+        let stored = messages.get(&id).and_then(|message| Some((message, message.request.as_ref()?)));
+        let Some((message, queued)) = stored else {
+            return log::error!("delivery without its stored message");
+        };
+        let dispatcher = &self.services.dispatcher;
+        let request = message.request_id;
+        let Some(events) = dispatcher.register(request) else {
+            return log::error!(op:% = request; "duplicate request id");
+        };
+        let Ok(retry_of) = self.lookup_retry(now, message, queued) else {
+            dispatcher.remove(request);
+            let queue = self.queues[message.queue.0].name.as_str();
+            log::warn!(queue; "message-id belongs to another request");
+            return self.request_finished(id, DeliveryOutcome::Failed, &[]);
+        };
+        let responder = DeliveryResponder { consumer: self.this(), id };
+        let lifecycle = RequestLifecycle {
+            services: self.services.clone(),
+            request,
+            class: queued.class.clone(),
+            body: message.body.clone(),
+            retry_of,
+            may_have_run: false,
+            responder: Responder::new(responder, dispatcher.clone()),
+            events,
+        };
+        let received = ReceivedRequest {
+            request_class: queued.class_id,
+            tenant: queued.tenant,
+            session: queued.session,
+            client: client_of(message),
+            deadline: None,
+            size_kb: queued.size_kb,
+            sent_at: now,
+        };
+        tokio::task::spawn_local(lifecycle.admit(&received).run());
+    }
+
+    /// The earlier attempt with the same key, if any.
+    fn lookup_retry(
+        &self,
+        now: Timestamp,
+        message: &StoredMessage,
+        queued: &QueuedRequest,
+    ) -> Result<Option<RetryOf>, KeyConflict> {
+        let Some(key) = &queued.key else { return Ok(None) };
+        let attempt = ReceivedAttempt {
+            request: message.request_id,
+            key: key.clone(),
+            owner: Owner { tenant: queued.tenant, request_class: queued.class_id },
+            sent_at: now,
+            body: message.body.clone(),
+            trusted: true,
+        };
+        let deduplication = &self.services.dispatcher.deduplication;
+        match deduplication.borrow_mut().received(now, attempt) {
+            Lookup::First => Ok(None),
+            Lookup::RetryOf(original) => Ok(Some(RetryOf { key: key.clone(), original })),
+            Lookup::Conflict => Err(KeyConflict),
+        }
+    }
+
+    fn request_finished(&self, id: DeliveryId, outcome: DeliveryOutcome, result: &[u8]) {
+        self.awaiting_permission.borrow_mut().remove(&id);
+        self.tracker.borrow_mut().request_finished(self.now(), id, outcome, &result.into());
+        self.input_notification.notify_one();
+    }
+}
+
+/// A client id per queue, from the highest down: gateways use the low ones.
+fn client_of(message: &StoredMessage) -> ClientId {
+    ClientId(u64::MAX - message.queue.0 as u64)
+}
+
+/// Passes the response to the tracker.
+struct DeliveryResponder {
+    consumer: Rc<AmqpConsumer>,
+    id: DeliveryId,
+}
+
+impl ResponseSink for DeliveryResponder {
+    fn success(&mut self, result: &[u8]) {
+        self.consumer.request_finished(self.id, DeliveryOutcome::Succeeded, result);
+    }
+
+    /// The broker chooses the server of the next attempt, so only its time matters.
+    fn rejected(&mut self, retry_after: Duration, _do_not_retry_elsewhere: bool) {
+        let outcome = DeliveryOutcome::Rejected(retry_after.max(MIN_RETRY_AFTER));
+        self.consumer.request_finished(self.id, outcome, &[]);
+    }
+
+    fn failed(&mut self) {
+        self.consumer.request_finished(self.id, DeliveryOutcome::Failed, &[]);
+    }
+
+    fn unknown_to_worker(&mut self) {
+        self.consumer.request_finished(self.id, DeliveryOutcome::UnknownClass, &[]);
+    }
+
+    fn client_gone(&mut self) {}
+
+    fn run_permission(&mut self) -> RunPermission {
+        let (permission, permitted) = oneshot::channel();
+        self.consumer.awaiting_permission.borrow_mut().insert(self.id, permission);
+        self.consumer.tracker.borrow_mut().run_requested(self.consumer.now(), self.id);
+        self.consumer.input_notification.notify_one();
+        RunPermission::Awaiting(permitted)
+    }
+}
--- /dev/null
+++ b/crates/hazelspur-server/src/ingress/gateway/connection_task.rs
@@ -0,0 +1,178 @@
+//! The task of one gateway's connection, from its accept to its close:
+//! `Open`, `GoodbyeSent`, `Closing` (final reads, then everything is answered), `ShutDown` (input is discarded
+//! until the peer's end or a limit).
+
+use super::connection::{GatewayConnection, Stage};
+use super::server::{ConnectionId, GatewayServer};
+use crate::clock::sleep;
+use crate::request::event::RequestEvent;
+use hazelspur::{Duration, RequestId};
+use hazelspur_parsers::Buffer;
+use std::io::Read;
+use std::rc::Rc;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::net::tcp::{ReadHalf, WriteHalf};
+
+/// Unwritten bytes at which a connection is no longer read.
+const MAX_QUEUED_BYTES: usize = 64 * 1024;
+/// Pause of reading after a protocol error, so that errors at full speed do not use up the processor.
+const PROTOCOL_ERROR_PAUSE: Duration = Duration::from_ms(50);
+/// Time after which a client that does not read its last responses is given up.
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_ms(1000);
+/// Maximum number of final reads from a client that goes on sending requests.
+const MAX_FINAL_READS: usize = 8;
+/// Maximum number of bytes of a final read.
+const MAX_FINAL_READ_BYTES: usize = 64 * 1024;
+/// Bytes of one read from the socket's buffer.
+const READ_CHUNK_BYTES: usize = 4096;
+/// Bytes that are discarded after the shutdown, so that a reset does not destroy the last response.
+const MAX_DISCARDED_BYTES: usize = 256 * 1024;
+/// Time for which input is discarded after the shutdown.
+const DISCARD_TIMEOUT: Duration = Duration::from_ms(300);
+
+/// Why a connection is no longer read.
+#[derive(Clone, Copy, PartialEq)]
+enum ReadEnd {
+    /// The peer has shut down its write side and may still read.
+    PeerFinished,
+    /// This server closes the connection.
+    CloseRequested,
+    /// Reading or writing failed.
+    Broken,
+}
+
+/// Removes the connection and abandons its requests however its task ends, a panic included.
+struct ConnectionGuard {
+    server: Rc<GatewayServer>,
+    id: ConnectionId,
+    connection: Rc<GatewayConnection>,
+}
+
+impl Drop for ConnectionGuard {
+    fn drop(&mut self) {
+        self.server.remove(self.id);
+        let abandoned: Vec<RequestId> = self.connection.open_requests.borrow().values().copied().collect();
+        if !abandoned.is_empty() {
+            log::debug!(open = abandoned.len(); "connection lost with open requests");
+        }
+        let dispatcher = &self.connection.dispatcher;
+        abandoned.into_iter().for_each(|request| dispatcher.deliver(request, RequestEvent::ClientGone));
+    }
+}
+
+impl GatewayServer {
+    /// Serves one connection until its end.
+    pub(super) async fn serve(
+        self: Rc<Self>,
+        id: ConnectionId,
+        connection: Rc<GatewayConnection>,
+        mut stream: TcpStream,
+    ) {
+        let _guard = ConnectionGuard { server: self.clone(), id, connection: connection.clone() };
+        let _ = stream.set_nodelay(true);
+        let (mut reader, mut writer) = stream.split();
+        let mut input = Buffer::default();
+        let end = self.serve_requests(&connection, &mut reader, &mut writer, &mut input).await;
+        if end == ReadEnd::Broken {
+            return;
+        }
+        self.log_protocol_errors(&connection);
+        // No await since the final read: what comes from here on has crossed the close.
+        connection.stage.set(Stage::ShutDown);
+        let is_shut_down = writer.shutdown().await.is_ok();
+        if is_shut_down && end == ReadEnd::CloseRequested {
+            tokio::select! {
+                () = discard_input(&mut reader, &mut input) => {}
+                () = sleep(DISCARD_TIMEOUT) => {}
+                () = connection.close_requested.notified() => {}
+            }
+        }
+    }
+
+    /// Reads and answers requests until the end, then answers what the final reads find.
+    async fn serve_requests(
+        &self,
+        connection: &Rc<GatewayConnection>,
+        reader: &mut ReadHalf<'_>,
+        writer: &mut WriteHalf<'_>,
+        input: &mut Buffer,
+    ) -> ReadEnd {
+        let writing = connection.output.write_to(writer);
+        tokio::pin!(writing);
+        let end = tokio::select! {
+            end = self.read_requests(reader, connection, input) => end,
+            () = &mut writing => ReadEnd::Broken,
+            () = connection.close_requested.notified() => ReadEnd::CloseRequested,
+        };
+        if end == ReadEnd::Broken {
+            return end;
+        }
+        connection.stage.set(Stage::Closing);
+        for _ in 0..MAX_FINAL_READS {
+            tokio::select! {
+                () = &mut writing => return ReadEnd::Broken,
+                () = connection.drained(FINAL_WRITE_TIMEOUT) => {}
+            }
+            if end == ReadEnd::PeerFinished || !self.final_read(reader, connection, input) {
+                break;
+            }
+        }
+        end
+    }
+
+    async fn read_requests(
+        &self,
+        reader: &mut ReadHalf<'_>,
+        connection: &Rc<GatewayConnection>,
+        input: &mut Buffer,
+    ) -> ReadEnd {
+        loop {
+            match reader.read_buf(input.room()).await {
+                Ok(0) => return ReadEnd::PeerFinished,
+                Ok(_) => {}
+                Err(_) => return ReadEnd::Broken,
+            }
+            let errors_before = connection.reputation.protocol_errors();
+            self.process_lines(connection, input);
+            if connection.reputation.is_blocked() {
+                return ReadEnd::CloseRequested;
+            }
+            if connection.reputation.protocol_errors() > errors_before {
+                sleep(PROTOCOL_ERROR_PAUSE).await;
+            }
+            connection.output.queued_below(MAX_QUEUED_BYTES).await;
+        }
+    }
+
+    /// Processes what the socket's buffer contains now, without waiting for the runtime's readiness event;
+    /// returns whether there was a complete line.
+    fn final_read(
+        &self,
+        reader: &ReadHalf<'_>,
+        connection: &Rc<GatewayConnection>,
+        input: &mut Buffer,
+    ) -> bool {
+        let (mut chunk, mut received) = ([0; READ_CHUNK_BYTES], 0);
+        let socket = socket2::SockRef::from(reader.as_ref());
+        while received < MAX_FINAL_READ_BYTES && !connection.reputation.is_blocked() {
+            let Ok(count @ 1..) = (&*socket).read(&mut chunk) else { break };
+            input.room().extend_from_slice(&chunk[..count]);
+            received += count;
+        }
+        let has_line = input.unread().contains(&b'\n');
+        self.process_lines(connection, input);
+        has_line
+    }
+}
+
+/// Reads and drops input up to a limit.
+async fn discard_input(reader: &mut ReadHalf<'_>, input: &mut Buffer) {
+    let mut bytes_left = MAX_DISCARDED_BYTES;
+    while let Ok(count @ 1..) = reader.read_buf(input.room()).await
+        && bytes_left > 0
+    {
+        input.take(input.unread().len());
+        bytes_left = bytes_left.saturating_sub(count);
+    }
+}
--- /dev/null
+++ b/crates/hazelspur-server/src/ingress/gateway/eviction.rs
@@ -0,0 +1,55 @@
+//! Eviction of idle connections when descriptors run short: first those without valid input, then those that are
+//! idle for longest.
+
+use super::connection::GatewayConnection;
+use super::error::ProtocolError;
+use super::server::GatewayServer;
+use std::rc::Rc;
+
+/// Maximum number of connections evicted at a time.
+const MAX_EVICTED: usize = 16;
+
+/// Why places are needed.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum EvictionReason {
+    /// The table of connections may be full.
+    TableFull,
+    /// The system refuses an accept.
+    DescriptorsExhausted,
+}
+
+impl GatewayServer {
+    /// Closes connections where too many are open.
+    pub(super) fn evict(&self, reason: EvictionReason) {
+        let connections = self.connections.borrow();
+        let exhausted = reason == EvictionReason::DescriptorsExhausted;
+        let (max_open, max_closing) = (self.budget.gateways, self.budget.closing);
+        let closing = connections.values().filter(|connection| !connection.is_open());
+        let mut hurried = 0;
+        if exhausted || connections.len() >= max_open + max_closing {
+            let idle = closing.clone().filter(|connection| !connection.has_open_requests());
+            hurried = idle.inspect(|connection| connection.close_requested.notify_one()).count();
+        }
+        // Those that are closing free enough descriptors.
+        let enough = match reason {
+            EvictionReason::DescriptorsExhausted => hurried > 0,
+            EvictionReason::TableFull => connections.len() < max_open + closing.count(),
+        };
+        if !enough {
+            evict_idle(connections.values());
+        }
+    }
+}
+
+fn evict_idle<'a>(connections: impl Iterator<Item = &'a Rc<GatewayConnection>>) {
+    let is_idle = |c: &&Rc<GatewayConnection>| c.is_open() && !c.has_open_requests();
+    let mut idle: Vec<&Rc<GatewayConnection>> = connections.filter(is_idle).collect();
+    idle.sort_by_key(|c| (c.reputation.has_sent_valid_input(), c.idle_since.get()));
+    for connection in idle.into_iter().take(MAX_EVICTED) {
+        if connection.reputation.has_sent_valid_input() {
+            connection.send_goodbye();
+        } else {
+            connection.dismiss(ProtocolError::TooManyConnections);
+        }
+    }
+}
--- /dev/null
+++ b/crates/hazelspur-server/src/ingress/gateway/lines.rs
@@ -0,0 +1,133 @@
+//! Lines of a connection: health checks, interrupts and requests.
+
+use super::connection::GatewayConnection;
+use super::error::{ProtocolError, RequestError};
+use super::request::IncomingRequest;
+use super::server::GatewayServer;
+use crate::request::event::RequestEvent;
+use hazelspur::RequestId;
+use hazelspur_parsers::rpc::{self, RpcId};
+use hazelspur_parsers::{Buffer, Json};
+use std::rc::Rc;
+
+/// Longest line, in bytes.
+const MAX_LINE_BYTES: usize = 16 * 1024;
+/// Protocol version that each message names.
+const JSON_RPC_VERSION: &str = "2.0";
+/// Method of a health check.
+const CHECK_METHOD: &str = "check";
+/// Method that abandons a request.
+const INTERRUPT_METHOD: &str = "interrupt";
+
+/// A message of a gateway.
+struct Message<'a> {
+    method: std::borrow::Cow<'a, str>,
+    id: Option<RpcId>,
+    params: Option<Json<'a>>,
+}
+
+/// What a line contains that is not a message, and the id to answer under.
+struct InvalidMessage {
+    id: Option<RpcId>,
+    error: ProtocolError,
+}
+
+impl<'a> Message<'a> {
+    fn decode(line: &'a [u8]) -> Result<Self, InvalidMessage> {
+        let invalid = |id, error| InvalidMessage { id, error };
+        let json = Json::parse(line).filter(|json| json.is_object());
+        let fields = json.ok_or(invalid(None, ProtocolError::NotJson))?.table();
+        let version = fields.get("jsonrpc").and_then(Json::text);
+        if version.as_deref() != Some(JSON_RPC_VERSION) {
+            return Err(invalid(None, ProtocolError::NotJsonRpc));
+        }
+        let id = fields.get("id").and_then(Json::whole).filter(|id| *id > 0).map(RpcId);
+        let method = fields.get("method").and_then(Json::text);
+        let method = method.ok_or(invalid(id, ProtocolError::MissingMethod))?;
+        Ok(Self { method, id, params: fields.get("params") })
+    }
+}
+
+impl GatewayServer {
+    /// Processes all complete lines of the input.
+    pub(super) fn process_lines(&self, connection: &Rc<GatewayConnection>, input: &mut Buffer) {
+        while !connection.reputation.is_blocked() {
+            let length = input.line();
+            if length.unwrap_or(input.unread().len()) > MAX_LINE_BYTES {
+                return refuse_long_line(connection, input);
+            }
+            let Some(length) = length else { break };
+            self.process_line(connection, input.unread()[..length].trim_ascii_end());
+            input.take(length + 1);
+            connection.partial_line_since.set(None);
+        }
+        if !input.unread().is_empty() && connection.partial_line_since.get().is_none() {
+            connection.partial_line_since.set(Some(self.services.dispatcher.clock.now()));
+        }
+    }
+
+    fn process_line(&self, connection: &Rc<GatewayConnection>, line: &[u8]) {
+        if line.is_empty() {
+            return;
+        }
+        let message = match Message::decode(line) {
+            Ok(message) => message,
+            Err(invalid) => return connection.reject_input(invalid.id, invalid.error),
+        };
+        match (&*message.method, message.id) {
+            (INTERRUPT_METHOD, id) => self.interrupt(connection, id, message.params),
+            (_, None) => connection.reject_input(None, ProtocolError::MissingId),
+            (CHECK_METHOD, Some(id)) => self.answer_health_check(connection, id),
+            (class, Some(id)) => {
+                self.process_request(connection, &IncomingRequest { id, class, params: message.params });
+            }
+        }
+    }
+
+    fn answer_health_check(&self, connection: &GatewayConnection, id: RpcId) {
+        let dispatcher = &self.services.dispatcher;
+        connection.checks_health.set(true);
+        connection.reputation.record_valid_input();
+        connection.mark_idle();
+        let (healthy, capacity) = (dispatcher.healthy.get(), dispatcher.advertised_capacity.get());
+        connection.output.append(|out| rpc::check(out, id, healthy, capacity));
+    }
+
+    fn process_request(&self, connection: &Rc<GatewayConnection>, request: &IncomingRequest<'_>) {
+        // An error is not sent under the id of an open request, which gets its own response.
+        let id_is_open = connection.open_requests.borrow().contains_key(&request.id);
+        let id = (!id_is_open).then_some(request.id);
+        match self.submit(connection, request) {
+            Ok(()) => connection.reputation.record_valid_input(),
+            Err(RequestError::Invalid(error)) => connection.reject_input(id, error),
+            Err(RequestError::Rejected(rejection)) => {
+                let message = rejection.to_string();
+                connection.output.append(|out| rpc::error(out, id, rpc::NACKED, &message, None, false, None));
+            }
+        }
+    }
+
+    /// Abandons the request that is named by its request id or by its id on the connection.
+    fn interrupt(&self, connection: &GatewayConnection, id: Option<RpcId>, params: Option<Json<'_>>) {
+        let field = |name: &str| params.and_then(|params| params.get(name));
+        let mut open_requests = connection.open_requests.borrow_mut();
+        let by_request_id = field("req").and_then(Json::text).and_then(|text| RequestId::padded(&text));
+        let by_request_id = by_request_id.filter(|named| open_requests.values().any(|open| open == named));
+        let rpc_id = field("id").and_then(Json::whole).map(RpcId).or(id);
+        let by_rpc_id = rpc_id.and_then(|id| open_requests.get(&id).copied());
+        let Some(request) = by_request_id.or(by_rpc_id) else { return };
+        // Its id is free for the next line already.
+        open_requests.retain(|_, open| *open != request);
+        drop(open_requests);
+        connection.mark_idle();
+        self.services.dispatcher.deliver(request, RequestEvent::ClientGone);
+    }
+}
+
+/// The rest of the line may have any length, so nothing more is read.
+fn refuse_long_line(connection: &GatewayConnection, input: &mut Buffer) {
+    connection.dismiss(ProtocolError::LineTooLong);
+    connection.reputation.record_framing_lost();
+    connection.partial_line_since.set(None);
+    input.take(input.unread().len());
+}
--- /dev/null
+++ b/crates/hazelspur-server/src/ingress/gateway/request.rs
@@ -0,0 +1,177 @@
+//! Submission of a gateway's request: checks its times and the connection's limits, then starts its lifecycle.
+
+use super::connection::GatewayConnection;
+use super::error::{EarlyRejection, ProtocolError, RequestError};
+use super::request_params::RequestParams;
+use super::responder::GatewayResponder;
+use super::server::GatewayServer;
+use crate::ingress::limits::MAX_CLOCK_LEAD;
+use crate::request::deduplication::{DeduplicationKey, Lookup, Owner, ReceivedAttempt};
+use crate::request::lifecycle::{ReceivedRequest, RequestLifecycle, RetryOf};
+use crate::request::responder::Responder;
+use hazelspur::{Duration, RequestClass, RequestClassId, SessionKey, Timestamp};
+use hazelspur_parsers::Json;
+use hazelspur_parsers::rpc::RpcId;
+use std::rc::Rc;
+
+/// Maximum number of open requests on a connection.
+const MAX_OPEN_REQUESTS: usize = 32;
+/// Longest timeout that a request may name, as a multiple of its class's request timeout.
+pub const MAX_TIMEOUT_FACTOR: f64 = 1.5;
+/// A request is not run for a deadline that passed longer ago.
+pub const MAX_OVERDUE: Duration = Duration::from_ms(1000);
+/// Milliseconds of a second.
+const MS_PER_S: f64 = 1000.0;
+/// Microseconds of a millisecond.
+const US_PER_MS: u64 = 1000;
+
+/// A request as a line contains it.
+pub(super) struct IncomingRequest<'a> {
+    pub(super) id: RpcId,
+    /// Name of its request class: the message's method.
+    pub(super) class: &'a str,
+    pub(super) params: Option<Json<'a>>,
+}
+
+/// A request's times by this server's clock.
+struct RequestTimes {
+    now: Timestamp,
+    sent_at: Timestamp,
+    deadline: Option<Timestamp>,
+}
+
+/// A decoded request with its class as configured now.
+struct DecodedRequest<'a> {
+    id: RpcId,
+    class_id: RequestClassId,
+    class: Rc<RequestClass>,
+    params: RequestParams<'a>,
+    times: RequestTimes,
+}
+
+impl GatewayServer {
+    /// Decodes a request, checks it and starts its lifecycle.
+    pub(super) fn submit(
+        &self,
+        connection: &Rc<GatewayConnection>,
+        incoming: &IncomingRequest<'_>,
+    ) -> Result<(), RequestError> {
+        let request = self.decode_request(incoming)?;
+        check_open_requests(connection, incoming.id)?;
+        if !self.services.dispatcher.is_started() {
+            return Err(EarlyRejection::NotServing.into());
+        }
+        check_overdue(&request)?;
+        Ok(self.start(connection, &request)?)
+    }
+
+    fn decode_request<'a>(
+        &self,
+        incoming: &IncomingRequest<'a>,
+    ) -> Result<DecodedRequest<'a>, ProtocolError> {
+        let catalog = self.catalog.borrow();
+        let class = catalog.find_request_class(incoming.class);
+        let (class_id, class) = class.ok_or(ProtocolError::UnknownMethod)?;
+        let params = RequestParams::decode(incoming.params, &catalog)?;
+        let times = self.times(&params, &class)?;
+        Ok(DecodedRequest { id: incoming.id, class_id, class, params, times })
+    }
+
+    fn times(&self, params: &RequestParams<'_>, class: &RequestClass) -> Result<RequestTimes, ProtocolError> {
+        let clock = &self.services.dispatcher.clock;
+        let now = clock.now();
+        let sent_at = Timestamp::from_us(params.sent_unix_ms.saturating_mul(US_PER_MS));
+        let sent_at = clock.local_time_of(sent_at);
+        let deadline = params.timeout_ms.map(|ms| sent_at + Duration::from_secs(ms / MS_PER_S));
+        // From now on: a request that was long on its way may name a timeout that is long from its sending.
+        let latest_deadline = now + class.request_timeout.scaled(MAX_TIMEOUT_FACTOR);
+        let is_ahead = sent_at > now + MAX_CLOCK_LEAD;
+        let is_too_long = deadline.is_some_and(|deadline| deadline > latest_deadline);
+        if !params.level_is_valid || is_ahead || is_too_long {
+            return Err(ProtocolError::TimeOutOfRange);
+        }
+        Ok(RequestTimes { now, sent_at, deadline })
+    }
+
+    /// Registers the request, looks up its key and spawns its lifecycle.
+    fn start(
+        &self,
+        connection: &Rc<GatewayConnection>,
+        decoded: &DecodedRequest<'_>,
+    ) -> Result<(), ProtocolError> {
+        let dispatcher = &self.services.dispatcher;
+        let DecodedRequest { class, params, times, .. } = decoded;
+        let request = params.request;
+        let events = dispatcher.register(request).ok_or(ProtocolError::RequestInProgress)?;
+        let retry_of = self.lookup_retry(connection, decoded).inspect_err(|_| dispatcher.remove(request))?;
+        let responder = GatewayResponder::new(connection.clone(), decoded.id, request);
+        let lifecycle = RequestLifecycle {
+            services: self.services.clone(),
+            request,
+            class: class.clone(),
+            body: params.body.clone(),
+            retry_of,
+            may_have_run: false,
+            responder: Responder::new(responder, dispatcher.clone()),
+            events,
+        };
+        let received = ReceivedRequest {
+            request_class: decoded.class_id,
+            tenant: params.tenant,
+            session: params.subject.as_deref().map(SessionKey::of),
+            client: params.client,
+            deadline: times.deadline,
+            size_kb: params.size_kb,
+            sent_at: times.sent_at,
+        };
+        tokio::task::spawn_local(lifecycle.admit(&received).run());
+        Ok(())
+    }
+
+    /// The earlier attempt with the same key, if any.
+    fn lookup_retry(
+        &self,
+        connection: &GatewayConnection,
+        decoded: &DecodedRequest<'_>,
+    ) -> Result<Option<RetryOf>, ProtocolError> {
+        let DecodedRequest { class_id, class, params, times, .. } = decoded;
+        let (idempotency_key, subject) = (params.idempotency_key.as_deref(), params.subject.as_deref());
+        let Some(key) = DeduplicationKey::of(class, &params.tenant_name, idempotency_key, subject) else {
+            return Ok(None);
+        };
+        let attempt = ReceivedAttempt {
+            request: params.request,
+            key: key.clone(),
+            owner: Owner { tenant: params.tenant, request_class: *class_id },
+            sent_at: times.sent_at,
+            body: params.body.clone(),
+            trusted: connection.reputation.is_known_to_worker(),
+        };
+        let deduplication = &self.services.dispatcher.deduplication;
+        match deduplication.borrow_mut().received(times.now, attempt) {
+            Lookup::First => Ok(None),
+            Lookup::RetryOf(original) => Ok(Some(RetryOf { key, original })),
+            Lookup::Conflict => Err(ProtocolError::IdempotencyKeyConflict),
+        }
+    }
+}
+
+/// A gateway that the worker knows may have many open requests that it has given up without an interrupt, so for
+/// it this is a rejection and no protocol error.
+fn check_open_requests(connection: &GatewayConnection, id: RpcId) -> Result<(), RequestError> {
+    let open_requests = connection.open_requests.borrow();
+    let (is_full, id_is_open) = (open_requests.len() >= MAX_OPEN_REQUESTS, open_requests.contains_key(&id));
+    if is_full && !id_is_open && connection.reputation.is_known_to_worker() {
+        return Err(EarlyRejection::TooManyOpen.into());
+    }
+    if is_full || id_is_open {
+        return Err(ProtocolError::TooManyOpenOrDuplicateId.into());
+    }
+    Ok(())
+}
+
+fn check_overdue(request: &DecodedRequest<'_>) -> Result<(), EarlyRejection> {
+    let RequestTimes { now, sent_at, deadline } = request.times;
+    let deadline = deadline.unwrap_or(sent_at + request.class.request_timeout);
+    if deadline + MAX_OVERDUE <= now { Err(EarlyRejection::OverdueTooLong) } else { Ok(()) }
+}
--- /dev/null
+++ b/crates/hazelspur-server/src/ingress/gateway/responder.rs
@@ -0,0 +1,65 @@
+//! Responses to requests that came on a gateway's connection.
+
+use super::connection::GatewayConnection;
+use crate::request::responder::ResponseSink;
+use hazelspur::{Duration, RequestId};
+use hazelspur_parsers::rpc::{self, RpcId};
+use std::rc::Rc;
+
+/// Microseconds of a millisecond.
+const US_PER_MS: u64 = 1000;
+
+/// Writes the response to one request on its connection.
+pub(super) struct GatewayResponder {
+    connection: Rc<GatewayConnection>,
+    id: RpcId,
+    request: RequestId,
+}
+
+impl GatewayResponder {
+    /// Opens the request on its connection.
+    pub(super) fn new(connection: Rc<GatewayConnection>, id: RpcId, request: RequestId) -> Self {
+        connection.request_opened(id, request);
+        Self { connection, id, request }
+    }
+
+    fn respond(&mut self, write: impl FnOnce(RpcId, &mut Vec<u8>, Option<f64>)) {
+        let capacity = self.connection.dispatcher.advertised_capacity.get();
+        self.connection.output.append(|out| write(self.id, out, capacity));
+        self.client_gone();
+    }
+}
+
+impl ResponseSink for GatewayResponder {
+    fn success(&mut self, result: &[u8]) {
+        self.respond(|id, out, capacity| rpc::result(out, id, result, capacity));
+    }
+
+    fn rejected(&mut self, retry_after: Duration, do_not_retry_elsewhere: bool) {
+        let retry_after_ms = retry_after.us().div_ceil(US_PER_MS) as f64;
+        let retry_after_ms = (retry_after > Duration::ZERO).then_some(retry_after_ms);
+        self.respond(|id, out, capacity| {
+            let message = "refused";
+            rpc::error(out, Some(id), rpc::NACKED, message, retry_after_ms, do_not_retry_elsewhere, capacity);
+        });
+    }
+
+    fn failed(&mut self) {
+        self.respond(|id, out, capacity| {
+            rpc::error(out, Some(id), rpc::FAILED, "failed", None, false, capacity);
+        });
+    }
+
+    fn unknown_to_worker(&mut self) {
+        self.connection.reputation.record_unknown_to_worker();
+        self.failed();
+    }
+
+    fn known_to_worker(&mut self) {
+        self.connection.reputation.record_known_to_worker();
+    }
+
+    fn client_gone(&mut self) {
+        self.connection.request_closed(self.id, self.request);
+    }
+}
--- a/crates/hazelspur-server/src/ingress/mod.rs
+++ b/crates/hazelspur-server/src/ingress/mod.rs
@@ -1,7 +1,6 @@
-//! Where requests are read and answered.
+//! Where requests come from: gateways' connections and a broker's queues. Both decode requests, submit them to
+//! the dispatcher and carry their responses back; neither decides.
 
-pub mod answers;
-pub mod connection;
-pub mod gateways;
-pub mod queues;
-pub mod requests;
+pub mod amqp;
+pub mod gateway;
+mod limits;
--- a/crates/hazelspur-server/src/process/server.rs
+++ b/crates/hazelspur-server/src/process/server.rs
@@ -11,9 +11,9 @@
 use crate::config::reload::{self, References, Reloader};
 use crate::config::server_config::{Loaded, ServerConfig};
 use crate::fleet::talk::{self, Around, Talk};
-use crate::ingress::gateways::Gateways;
-use crate::ingress::queues::Queues;
-use crate::ingress::requests::{LONG_PAST, TIMEOUT_SLACK};
+use crate::ingress::amqp::{AmqpConsumer, ConsumerContext};
+use crate::ingress::gateway::GatewayServer;
+use crate::ingress::gateway::{MAX_OVERDUE, MAX_TIMEOUT_FACTOR};
 use crate::request::deduplication::Deduplication;
 use crate::request::dispatcher::Dispatcher;
 use crate::request::lifecycle::Services;
@@ -60,7 +60,7 @@
     pub(super) config: Rc<ServerConfig>,
     pub(super) phases: Rc<Phases>,
     pub(super) services: Rc<Services>,
-    pub(super) queues: Option<Rc<Queues>>,
+    pub(super) queues: Option<Rc<AmqpConsumer>>,
     pub(super) talk: Option<Rc<Talk>>,
     catalog: Rc<RefCell<Catalog>>,
     endpoints: Rc<UpstreamEndpoints>,
@@ -88,7 +88,7 @@
         _ = signals.terminate.recv() => false,
     };
     if serves {
-        server.phases.enter(Phase::Serving, gateways.figures());
+        server.phases.enter(Phase::Serving, gateways.counts());
         signals.terminate.recv().await;
     }
     shutdown::shut_down(&server, &gateways, serves).await;
@@ -129,11 +129,16 @@
         Ok(server)
     }
 
-    fn queue_consumer(&self, operator: &OperatorConfig) -> Option<Rc<Queues>> {
+    fn queue_consumer(&self, operator: &OperatorConfig) -> Option<Rc<AmqpConsumer>> {
         let amqp = operator.amqp.as_ref()?;
-        let (services, phases) = (self.services.clone(), self.phases.clone());
-        let identity = (self.config.name.as_str(), self.config.seed);
-        Some(Queues::new(services, phases, self.catalog.clone(), amqp, operator, identity))
+        let context = ConsumerContext {
+            services: self.services.clone(),
+            phases: self.phases.clone(),
+            catalog: self.catalog.clone(),
+            server_name: self.config.name.clone(),
+            seed: self.config.seed,
+        };
+        Some(AmqpConsumer::new(context, amqp, operator))
     }
 
     async fn join_fleet(&self, operator: &OperatorConfig) -> Result<Option<Rc<Talk>>, StartError> {
@@ -151,9 +156,9 @@
         Ok(Some(talk))
     }
 
-    fn gateways(&self, listener: TcpListener) -> Rc<Gateways> {
+    fn gateways(&self, listener: TcpListener) -> Rc<GatewayServer> {
         let (services, phases) = (self.services.clone(), self.phases.clone());
-        Rc::new(Gateways::new(services, phases, self.catalog.clone(), listener, self.descriptors))
+        Rc::new(GatewayServer::new(services, phases, self.catalog.clone(), listener, self.descriptors))
     }
 
     fn reloader(&self, operator: &OperatorConfig, operator_file: Option<String>) -> Rc<Reloader> {
@@ -177,18 +182,18 @@
             calls = self.descriptors.calls; "start");
     }
 
-    fn spawn_tasks(&self, gateways: &Rc<Gateways>, hangup: Signal, reloader: Rc<Reloader>) {
+    fn spawn_tasks(&self, gateways: &Rc<GatewayServer>, hangup: Signal, reloader: Rc<Reloader>) {
         let Services { dispatcher, worker, .. } = &*self.services;
         let hangup = Rc::new(RefCell::new(hangup));
         supervise("reload", &hangup, move |hangup| reload::on_hangup(hangup, reloader.clone()));
         if let Some(queues) = &self.queues {
-            supervise("queues", queues, Queues::run);
+            supervise("queues", queues, AmqpConsumer::run);
         }
         if let Some(talk) = &self.talk {
             talk::begin(talk);
         }
-        supervise("accept", gateways, Gateways::accept);
-        supervise("connections", gateways, Gateways::tick);
+        supervise("accept", gateways, GatewayServer::accept_connections);
+        supervise("connections", gateways, GatewayServer::maintain_connections);
         supervise("runtime", worker, WorkerLink::run);
         supervise("tick", worker, WorkerLink::run_timer);
         supervise("dispatcher", dispatcher, Dispatcher::run);
@@ -216,7 +221,7 @@
 
 /// The store of idempotency keys and shared reads; it covers the longest time that any client waits.
 fn deduplication(config: &ServerConfig, catalog: &Catalog) -> Deduplication {
-    let receipt_delay = catalog.longest_timeout().scaled(TIMEOUT_SLACK) + LONG_PAST;
+    let receipt_delay = catalog.longest_timeout().scaled(MAX_TIMEOUT_FACTOR) + MAX_OVERDUE;
     let max_bytes = config.max_memory_bytes / RESULT_MEMORY_DIVISOR;
     Deduplication::new(config.read_freshness, receipt_delay, max_bytes)
 }
--- a/crates/hazelspur-server/src/process/shutdown.rs
+++ b/crates/hazelspur-server/src/process/shutdown.rs
@@ -3,7 +3,7 @@
 use super::phases::Phase;
 use super::server::Server;
 use crate::clock::sleep;
-use crate::ingress::gateways::Gateways;
+use crate::ingress::gateway::GatewayServer;
 use hazelspur::{Duration, Timestamp};
 
 /// How long before the stop every connection is closed.
@@ -14,32 +14,33 @@
 const CHECK_INTERVAL: Duration = Duration::from_ms(5);
 
 /// Drains, closes and ends; a server that never served has nothing to drain.
-pub(super) async fn shut_down(server: &Server, gateways: &Gateways, serves: bool) {
+pub(super) async fn shut_down(server: &Server, gateways: &GatewayServer, serves: bool) {
     let dispatcher = &server.services.dispatcher;
     let noticed_at = dispatcher.clock.now();
     let stop_at = noticed_at + server.config.stop;
     let end_at = stop_at.back(ENDING_MARGIN);
     if serves {
         dispatcher.report(|controller, now| controller.shutdown_notice(now, stop_at));
-        server.phases.enter(Phase::Draining, gateways.figures());
+        server.phases.enter(Phase::Draining, gateways.counts());
         let grace_ends_at = noticed_at + server.config.grace_period;
         dispatcher.clock.sleep_until(grace_ends_at.min(end_at)).await;
     }
     run_phase(server, gateways, Phase::Closing, end_at).await;
     run_phase(server, gateways, Phase::Ending, stop_at.back(STOP_MARGIN)).await;
     if let Some(queues) = &server.queues {
-        queues.tell_figures();
+        queues.log_counters();
     }
     if let Some(talk) = &server.talk {
         talk.left();
     }
-    server.phases.enter(Phase::Over, gateways.figures());
+    server.phases.enter(Phase::Over, gateways.counts());
 }
 
 /// Stays in a phase until its end, or until everything is closed.
-async fn run_phase(server: &Server, gateways: &Gateways, phase: Phase, until: Timestamp) {
-    server.phases.enter(phase, gateways.figures());
-    let all_closed = || gateways.over() && server.queues.as_ref().is_none_or(|queues| queues.over());
+async fn run_phase(server: &Server, gateways: &GatewayServer, phase: Phase, until: Timestamp) {
+    server.phases.enter(phase, gateways.counts());
+    let all_closed =
+        || gateways.is_closed() && server.queues.as_ref().is_none_or(|queues| queues.is_finished());
     while server.services.dispatcher.clock.now() < until && !all_closed() {
         sleep(CHECK_INTERVAL).await;
     }
