--- a/crates/hazelspur-server/src/ingress/gateway/server.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/server.rs
@@ -4,7 +4,7 @@
 use super::eviction::EvictionReason;
 use crate::clock::sleep;
 use crate::process::descriptors::Descriptors;
-use crate::process::phases::{Phase, Phases};
+use crate::process::phases::{OpenCounts, Phase, Phases};
 use crate::request::lifecycle::Services;
 use hazelspur::{Catalog, Duration};
 use std::cell::{Cell, RefCell};
@@ -75,11 +75,11 @@
         }
     }
 
-    /// Number of open requests and number of connections.
-    pub fn counts(&self) -> (usize, usize) {
+    /// Numbers of open requests and of connections.
+    pub fn counts(&self) -> OpenCounts {
         let connections = self.connections.borrow();
-        let open = connections.values().map(|connection| connection.open_requests.borrow().len()).sum();
-        (open, connections.len())
+        let requests = connections.values().map(|connection| connection.open_requests.borrow().len()).sum();
+        OpenCounts { requests, connections: connections.len() }
     }
 
     pub(super) fn connection_count(&self) -> usize {
