--- a/crates/hazelspur-amqp/src/connection/handshake.rs
+++ b/crates/hazelspur-amqp/src/connection/handshake.rs
@@ -20,7 +20,16 @@
 const LOCALE: &str = "en_US";
 /// Product name shown by the broker.
 const PRODUCT: &str = "hazelspur";
-/// Unit of the heartbeat on the wire.
+/// Client property: name of the product.
+const PRODUCT_PROPERTY: &str = "product";
+/// Client property: name of the connection that the broker shows.
+const CONNECTION_NAME_PROPERTY: &str = "connection_name";
+/// Client property: extensions that the client supports.
+const CAPABILITIES_PROPERTY: &str = "capabilities";
+/// The extensions that this client supports.
+const CAPABILITIES: [&str; 4] =
+    ["basic.nack", "connection.blocked", "consumer_cancel_notify", "publisher_confirms"];
+/// Microseconds of a second.
 const US_PER_S: u64 = 1_000_000;
 /// Milliseconds of a second.
 const MS_PER_S: u64 = 1000;
@@ -94,15 +103,12 @@
     }
 
     fn send_start_ok(&mut self, mechanism: &str) {
-        let capabilities = TableWriter::default()
-            .boolean("basic.nack", true)
-            .boolean("connection.blocked", true)
-            .boolean("consumer_cancel_notify", true)
-            .boolean("publisher_confirms", true);
+        let capabilities =
+            CAPABILITIES.iter().fold(TableWriter::default(), |table, name| table.boolean(name, true));
         let client_properties = TableWriter::default()
-            .text("product", PRODUCT)
-            .text("connection_name", &self.settings.connection_name)
-            .table("capabilities", capabilities.finish());
+            .text(PRODUCT_PROPERTY, PRODUCT)
+            .text(CONNECTION_NAME_PROPERTY, &self.settings.connection_name)
+            .table(CAPABILITIES_PROPERTY, capabilities.finish());
         let response = self.sasl_response();
         frame::put_method(&mut self.output, CONNECTION_CHANNEL, Method::CONNECTION_START_OK, |out| {
             client_properties.finish().put(out);
