--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -6,7 +6,7 @@
 use hazelspur::config::change::{EditCounts, MAX_EDITS};
 use hazelspur::pcg::Pcg;
 use hazelspur::{Catalog, Decision, Duration, Outcome, SettingValue};
-use helpers::{Play, Read, flat_settings};
+use helpers::{Harness, RequestSpec, flat_settings};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
@@ -41,23 +41,24 @@
     out + "op_types.0.target_latency_us=1000000 op_types.0.op_timeout_us=4000000"
 }
 
-fn play() -> Play {
-    let mut play = Play::new(&file(""));
-    play.pull();
-    play.seen(&[]);
-    play
+fn harness() -> Harness {
+    let mut harness = Harness::new(&file(""));
+    harness.decide();
+    harness.take_trace(&[]);
+    harness
 }
 
 #[test]
 fn requests_in_progress_keep_the_terms_under_which_they_were_read() {
-    let mut play = play();
+    let mut harness = harness();
     // Two run and two are queued by the old terms; the first is idempotent, so its call may be retried.
     for (name, request_class) in [("one", 0), ("two", 0), ("old-low", 0), ("old-pay", 2)] {
-        play.read(name, Read { request_class, wait_ms: 4000, ..Read::default() });
+        harness
+            .receive(name, RequestSpec { request_class, remaining_wait_ms: 4000, ..RequestSpec::default() });
     }
-    play.pull();
-    play.call_requested("one").pull();
-    let changed = play.change(&file(
+    harness.decide();
+    harness.call_requested("one").decide();
+    let changed = harness.apply_settings(&file(
         "op_types.0.importance=9 op_types.0.op_timeout_us=900000 op_types.0.target_latency_us=800000 \
          op_types.0.repeats=non-retryable tenants.0.quota_per_s=5",
     ));
@@ -65,13 +66,16 @@
         changed.map(|changed| changed.request_classes),
         Ok(EditCounts { added: 0, replaced: 1, removed: 0 })
     );
-    play.read("new-high", Read { request_class: 0, wait_ms: 900, ..Read::default() });
-    play.pull();
-    play.call_finished("one", Outcome::ConnectionLost).pull();
-    play.at(100).ended("two", Outcome::Ok).pull();
-    play.at(860).beat(2.0).pull();
-    play.at(960).beat(2.0).pull();
-    play.at(4000).beat(2.0).pull();
+    harness.receive(
+        "new-high",
+        RequestSpec { request_class: 0, remaining_wait_ms: 900, ..RequestSpec::default() },
+    );
+    harness.decide();
+    harness.call_finished("one", Outcome::ConnectionLost).decide();
+    harness.at(100).finish_run("two", Outcome::Ok).decide();
+    harness.at(860).tick(2.0).decide();
+    harness.at(960).tick(2.0).decide();
+    harness.at(4000).tick(2.0).decide();
     expect![[r#"
         0     Run(one)
         0     Run(two)
@@ -88,26 +92,26 @@
         4000  Preempt(old-low)
         4000  Preempt(new-high)
     "#]]
-    .assert_eq(&play.seen(&[]));
+    .assert_eq(&harness.take_trace(&[]));
 }
 
 #[test]
 fn requests_of_a_removed_class_finish_and_new_ones_are_rejected() {
-    let mut play = play();
-    play.read("runs", Read { request_class: 2, ..Read::default() });
-    play.read("runs-too", Read { request_class: 0, ..Read::default() });
-    play.read("waits", Read { request_class: 2, ..Read::default() });
-    play.pull();
-    play.change(&without(&["pay"], "")).expect("a valid change");
-    play.read("late", Read { request_class: 2, ..Read::default() });
-    play.pull();
-    play.at(50).ended("runs", Outcome::Ok).pull();
-    play.at(90).ended("waits", Outcome::Ok).pull();
-    play.change(&file("")).expect("a valid change");
-    let again = play.catalog.borrow().find_request_class("pay").expect("in force again").0;
+    let mut harness = harness();
+    harness.receive("runs", RequestSpec { request_class: 2, ..RequestSpec::default() });
+    harness.receive("runs-too", RequestSpec { request_class: 0, ..RequestSpec::default() });
+    harness.receive("waits", RequestSpec { request_class: 2, ..RequestSpec::default() });
+    harness.decide();
+    harness.apply_settings(&without(&["pay"], "")).expect("a valid change");
+    harness.receive("late", RequestSpec { request_class: 2, ..RequestSpec::default() });
+    harness.decide();
+    harness.at(50).finish_run("runs", Outcome::Ok).decide();
+    harness.at(90).finish_run("waits", Outcome::Ok).decide();
+    harness.apply_settings(&file("")).expect("a valid change");
+    let again = harness.catalog.borrow().find_request_class("pay").expect("in force again").0;
     assert_eq!(again.0, 3, "another id than before");
-    play.read("back", Read { request_class: again.0, ..Read::default() });
-    play.pull();
+    harness.receive("back", RequestSpec { request_class: again.0, ..RequestSpec::default() });
+    harness.decide();
     expect![[r#"
         0     Run(runs)
         0     Run(runs-too)
@@ -115,17 +119,17 @@
         50    Run(waits)
         90    Run(back)
     "#]]
-    .assert_eq(&play.seen(&[]));
+    .assert_eq(&harness.take_trace(&[]));
 }
 
 #[test]
 fn unsafe_changes_are_refused_with_their_key_and_no_part_applies() {
-    let mut play = play();
-    let in_force = |play: &Play| {
-        let catalog = play.catalog.borrow();
+    let mut harness = harness();
+    let in_force = |harness: &Harness| {
+        let catalog = harness.catalog.borrow();
         format!("{:?} {:?} {:?}", catalog.request_classes(), catalog.tenants(), catalog.flat_settings())
     };
-    let before = in_force(&play);
+    let before = in_force(&harness);
     let many: String = (2..MAX_EDITS + 4).map(|i| format!(" tenants.{i}.name=n{i}")).collect();
     // Stands beside each fault; alone it is accepted.
     let valid = "op_types.0.importance=9 tenants.1.quota_per_s=70 ";
@@ -150,9 +154,9 @@
     ];
     let mut errors = String::new();
     for fault in faults {
-        let why = play.change(&file(&format!("{valid}{fault}"))).expect_err(fault);
+        let why = harness.apply_settings(&file(&format!("{valid}{fault}"))).expect_err(fault);
         let _ = writeln!(errors, "{why}");
-        assert_eq!(in_force(&play), before, "{fault}");
+        assert_eq!(in_force(&harness), before, "{fault}");
     }
     for other in ["op_types.0.name=x op_types.0.target_latency_us=9", "tenants.0.name=x"] {
         let file = file("").replace("view", "x1").replace("book", "x2").replace("pay", "x3");
@@ -161,8 +165,8 @@
         } else {
             self::file("").replace("name=a", "name=c").replace("name=b", "name=d")
         };
-        let _ = writeln!(errors, "{}", play.change(&file).expect_err(other));
-        assert_eq!(in_force(&play), before, "{other}");
+        let _ = writeln!(errors, "{}", harness.apply_settings(&file).expect_err(other));
+        assert_eq!(in_force(&harness), before, "{other}");
     }
     expect![[r#"
         settings: op_types.book.window_us: shorter than that of ops whose keys are kept; waits for the next start
@@ -185,21 +189,22 @@
         settings.lanes: none of those in force is left: another installation's file
         settings.orgs: none of those in force is left: another installation's file
     "#]].assert_eq(&errors);
-    play.change(&file(valid)).expect("a valid change");
+    harness.apply_settings(&file(valid)).expect("a valid change");
 }
 
 #[test]
 fn a_removed_class_may_not_return_with_less_deduplication_while_its_keys_are_stored() {
-    let mut play = play();
-    play.change(&without(&["book"], "")).expect("a valid change");
+    let mut harness = harness();
+    harness.apply_settings(&without(&["book"], "")).expect("a valid change");
     let back = |repeats: &str| {
         file("").replace("op_types.1.repeats=keyed", &format!("op_types.1.repeats={repeats}"))
     };
-    let early = play.change(&back("retryable")).expect_err("its keys are stored");
-    play.at(20_999);
-    let before_expiry = play.change(&back("retryable")).expect_err("the last retry may still arrive");
-    play.at(21_000);
-    let late = play.change(&back("retryable")).map(|changed| changed.request_classes);
+    let early = harness.apply_settings(&back("retryable")).expect_err("its keys are stored");
+    harness.at(20_999);
+    let before_expiry =
+        harness.apply_settings(&back("retryable")).expect_err("the last retry may still arrive");
+    harness.at(21_000);
+    let late = harness.apply_settings(&back("retryable")).map(|changed| changed.request_classes);
     expect![[r#"
         settings: op_types.book.repeats: its keys are kept, a repeat would run again; waits for the next start
         settings: op_types.book.repeats: its keys are kept, a repeat would run again; waits for the next start
@@ -210,18 +215,18 @@
 
 #[test]
 fn admission_rate_learned_values_and_active_sessions_survive_a_change() {
-    let (mut changed, mut unchanged) = (play(), play());
+    let (mut changed, mut unchanged) = (harness(), harness());
     let mut seen = [String::new(), String::new()];
-    for (play, seen) in [&mut changed, &mut unchanged].into_iter().zip(&mut seen) {
-        play.load(8000, 9);
-        play.run = Duration::from_ms(300);
-        play.load(6000, 20);
-        *seen = play.seen(&["mode rate_limited"]);
+    for (harness, seen) in [&mut changed, &mut unchanged].into_iter().zip(&mut seen) {
+        harness.offer_load(8000, 9);
+        harness.run_time = Duration::from_ms(300);
+        harness.offer_load(6000, 20);
+        *seen = harness.take_trace(&["mode rate_limited"]);
     }
-    changed.change(&file("op_types.2.importance=3 tenants.1.quota_per_s=9")).expect("a valid change");
-    for (play, seen) in [&mut changed, &mut unchanged].into_iter().zip(&mut seen) {
-        play.load(6000, 20);
-        *seen += &play.seen(&["mode"]);
+    changed.apply_settings(&file("op_types.2.importance=3 tenants.1.quota_per_s=9")).expect("a valid change");
+    for (harness, seen) in [&mut changed, &mut unchanged].into_iter().zip(&mut seen) {
+        harness.offer_load(6000, 20);
+        *seen += &harness.take_trace(&["mode"]);
     }
     assert!(seen[0].contains("mode rate_limited"), "{}", seen[0]);
     assert_eq!(seen[0], seen[1], "the same lines at the same times");
@@ -239,27 +244,27 @@
 #[test]
 fn thirty_changes_in_a_minute_and_one_while_draining_lose_no_response() {
     let mut chance = Pcg::new(5);
-    let mut play = play();
+    let mut harness = harness();
     let (mut answered, mut read, mut ends) = (BTreeMap::new(), 0, BTreeMap::new());
     for step in 0..6000u64 {
-        play.at(step * 10);
+        harness.at(step * 10);
         if step % 200 == 100 {
             let gone: &[&str] = if step % 400 == 100 { &["pay"] } else { &[] };
             let more = format!("op_types.0.importance={} tenants.0.quota_per_s={}", 1 + step % 7, step);
-            play.change(&without(gone, &more)).expect("a valid change");
+            harness.apply_settings(&without(gone, &more)).expect("a valid change");
         }
         if step == 5500 {
-            play.controller.shutdown_notice(play.now, play.now + Duration::from_ms(4000));
+            harness.controller.shutdown_notice(harness.now, harness.now + Duration::from_ms(4000));
         }
         if step < 5500 {
             for name in ["view", "book", "pay"] {
-                let id = play.catalog.borrow().find_request_class(name).map(|(id, _)| id.0);
+                let id = harness.catalog.borrow().find_request_class(name).map(|(id, _)| id.0);
                 if let Some(request_class) = id.filter(|_| chance.unit() < 0.08) {
                     read += 1;
                     let (user, tenant) = (format!("u{}", read % 50), read % 2);
-                    play.read(
+                    harness.receive(
                         &format!("op{read}"),
-                        Read { request_class, tenant, user: &user, ..Read::default() },
+                        RequestSpec { request_class, tenant, session: &user, ..RequestSpec::default() },
                     );
                 }
             }
@@ -271,13 +276,13 @@
             .collect();
         for request in over {
             ends.remove(&request);
-            play.ended(&request, Outcome::Ok);
+            harness.finish_run(&request, Outcome::Ok);
             *answered.entry(request).or_default() += 1;
         }
         if step % 4 == 0 {
-            play.beat(ends.len() as f64);
+            harness.tick(ends.len() as f64);
         }
-        let decisions = play.pull();
+        let decisions = harness.decide();
         count_responses(&mut answered, &decisions);
         for decision in &decisions {
             let name = |request: &hazelspur::RequestId| request.to_string().trim_end_matches('-').to_string();
@@ -288,7 +293,7 @@
                 // The response was sent already: the end of the run is no second one.
                 Decision::Preempt(request) => {
                     ends.remove(&name(request));
-                    play.ended(&name(request), Outcome::Preempted);
+                    harness.finish_run(&name(request), Outcome::Preempted);
                 }
                 _ => {}
             }
@@ -337,7 +342,7 @@
     let (mut most_id, mut changes) = (0, 0);
     for seed in 0..40 {
         let mut chance = Pcg::new(seed);
-        let mut play = Play::new("op_types.0.name=op_types0 tenants.0.name=tenants0");
+        let mut harness = Harness::new("op_types.0.name=op_types0 tenants.0.name=tenants0");
         let mut names: BTreeMap<usize, String> = BTreeMap::new();
         for _ in 0..40 {
             let more: String = random_entries(&mut chance)
@@ -347,10 +352,10 @@
                     SettingValue::Text(text) => format!("{key}={text} "),
                 })
                 .collect();
-            play.change(&more).expect("a valid change");
+            harness.apply_settings(&more).expect("a valid change");
             changes += 1;
             let fresh = Catalog::from_flat(flat_settings(&more)).expect("valid settings");
-            let in_force = play.catalog.borrow();
+            let in_force = harness.catalog.borrow();
             let by_name = |catalog: &Catalog| {
                 let mut all: Vec<String> =
                     catalog.request_classes().iter().map(|(_, of)| format!("{of:?}")).collect();
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -1,6 +1,7 @@
-//! Feeds a `AdmissionController` by hand and prints what it decides, a line each.
+//! Drives an `AdmissionController` in virtual time and records its decisions as a trace, one line each.
 #![allow(dead_code)] // each test file uses its part
 
+use expect_test::Expect;
 use hazelspur::config::change::ChangeSummary;
 use hazelspur::config::difference::Difference;
 use hazelspur::config::entries::read_flat_entries;
@@ -10,53 +11,76 @@
     Timestamp,
 };
 use std::cell::RefCell;
-use std::collections::BTreeMap;
+use std::collections::BTreeSet;
 use std::rc::Rc;
 
-pub struct Play {
+/// The time between two timer ticks under load, in ms.
+const TICK_MS: u64 = 40;
+/// The time between two steps under load.
+const LOAD_STEP: Duration = Duration::from_ms(10);
+
+/// A controller with its virtual clock and the trace of its decisions.
+pub struct Harness {
     pub controller: AdmissionController,
     pub catalog: Rc<RefCell<Catalog>>,
     start: Timestamp,
     pub now: Timestamp,
     trace: String,
-    ends: BTreeMap<(Timestamp, RequestId), ()>,
-    /// How long runs take that `run_for` starts.
-    pub run: Duration,
-    /// What reads add to the crowd on the cores under `load`.
-    pub reads: f64,
+    run_ends: BTreeSet<RunEnd>,
+    /// How long the runs take that `offer_load` starts.
+    pub run_time: Duration,
+    /// What other work adds to the gauge of requests on the cores under `offer_load`.
+    pub other_work_on_cores: f64,
+}
+
+/// When a run under load ends.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct RunEnd {
+    at: Timestamp,
+    request: RequestId,
 }
 
-pub struct Read<'a> {
+/// A request to be received.
+pub struct RequestSpec<'a> {
     pub request_class: usize,
     pub tenant: usize,
-    pub user: &'a str,
-    pub caller: u64,
-    pub wait_ms: u64,
+    /// Empty for a request without a session.
+    pub session: &'a str,
+    pub client: u64,
+    /// How long the client still waits, in ms.
+    pub remaining_wait_ms: u64,
     pub cost_ms: Option<u64>,
-    pub kb: f64,
+    pub size_kb: f64,
     pub retry_of: Option<&'a str>,
 }
 
-impl Default for Read<'_> {
+impl Default for RequestSpec<'_> {
     fn default() -> Self {
         Self {
             request_class: 0,
             tenant: 0,
-            user: "",
-            caller: 0,
-            wait_ms: 4000,
+            session: "",
+            client: 0,
+            remaining_wait_ms: 4000,
             cost_ms: None,
-            kb: 10.0,
+            size_kb: 10.0,
             retry_of: None,
         }
     }
 }
 
+/// Pulls the decisions and compares those lines of the trace that contain one of `words`.
+pub fn check(harness: &mut Harness, words: &[&str], expected: &Expect) {
+    harness.decide();
+    expected.assert_eq(&harness.take_trace(words));
+}
+
+/// A request id with this name, padded with dashes.
 pub fn id(name: &str) -> RequestId {
     RequestId::parse(&format!("{name:-<36}")).expect("a short name")
 }
 
-/// Two cores, memory for plenty, one retryable request class with a target of 1 s, then what `more` says.
+/// Two cores, ample memory, one idempotent request class with a latency objective of 1 s, overridden by `more`.
 pub fn flat_settings(more: &str) -> FlatSettings {
     let plain = "server.cores=2 server.memory_kb=100000 server.run_factor=8 server.stop=drop \
         rules.crowd_multiple=5 rules.cold_share=0.2 rules.cold_us=10000000 rules.drain_grace_us=2000000 \
@@ -72,28 +96,28 @@
     plain.split_whitespace().chain(more.split_whitespace()).map(pair).collect()
 }
 
-impl Play {
+impl Harness {
+    /// A controller with the settings of `flat_settings(more)`.
     pub fn new(more: &str) -> Self {
         let now = Timestamp::from_us(50_000_000);
-        let catalog = Catalog::from_flat(flat_settings(more)).expect("sound settings");
+        let catalog = Catalog::from_flat(flat_settings(more)).expect("valid settings");
         let cold = catalog.settings().starts_cold;
         let catalog = Rc::new(RefCell::new(catalog));
         let controller = AdmissionController::with(catalog.clone(), cold, 7, now);
-        let run = Duration::from_ms(200);
         Self {
             controller,
             catalog,
             start: now,
             now,
             trace: String::new(),
-            ends: BTreeMap::new(),
-            run,
-            reads: 0.0,
+            run_ends: BTreeSet::new(),
+            run_time: Duration::from_ms(200),
+            other_work_on_cores: 0.0,
         }
     }
 
-    /// Has the settings become those of a newer file, or says why not.
-    pub fn change(&mut self, more: &str) -> Result<ChangeSummary, ConfigError> {
+    /// Applies the settings of a newer file, or returns why they are refused.
+    pub fn apply_settings(&mut self, more: &str) -> Result<ChangeSummary, ConfigError> {
         let change = {
             let in_force = self.catalog.borrow();
             let mut difference = Difference::new(&in_force);
@@ -103,33 +127,31 @@
         self.controller.apply_change(self.now, &change)
     }
 
+    /// Sets the clock, in ms since the start.
     pub fn at(&mut self, ms: u64) -> &mut Self {
         self.now = self.start + Duration::from_ms(ms);
         self
     }
 
-    pub fn read(&mut self, name: &str, read: Read) -> &mut Self {
-        let user = (!read.user.is_empty()).then(|| SessionKey::of(read.user));
-        let (due, cost) = (self.now + Duration::from_ms(read.wait_ms), read.cost_ms.map(Duration::from_ms));
-        let (request_class, retry_of) = (RequestClassId(read.request_class), read.retry_of.map(id));
+    pub fn receive(&mut self, name: &str, spec: RequestSpec) -> &mut Self {
         let new = NewRequest {
             id: id(name),
-            class: request_class,
-            tenant: TenantId(read.tenant),
-            session: user,
-            client: ClientId(read.caller),
-            deadline: Some(due),
-            cost,
-            size_kb: read.kb,
+            class: RequestClassId(spec.request_class),
+            tenant: TenantId(spec.tenant),
+            session: (!spec.session.is_empty()).then(|| SessionKey::of(spec.session)),
+            client: ClientId(spec.client),
+            deadline: Some(self.now + Duration::from_ms(spec.remaining_wait_ms)),
+            cost: spec.cost_ms.map(Duration::from_ms),
+            size_kb: spec.size_kb,
             age: Duration::ZERO,
             is_write: false,
-            retry_of,
+            retry_of: spec.retry_of.map(id),
         };
         self.controller.request_received(self.now, new);
         self
     }
 
-    pub fn ended(&mut self, name: &str, outcome: Outcome) -> &mut Self {
+    pub fn finish_run(&mut self, name: &str, outcome: Outcome) -> &mut Self {
         self.controller.run_finished(self.now, id(name), outcome);
         self
     }
@@ -149,17 +171,18 @@
         self
     }
 
-    pub fn beat(&mut self, on_cores: f64) -> &mut Self {
-        self.controller.timer_tick(self.now, RuntimeGauges::with_requests_on_cores(on_cores));
+    pub fn tick(&mut self, requests_on_cores: f64) -> &mut Self {
+        self.controller.timer_tick(self.now, RuntimeGauges::with_requests_on_cores(requests_on_cores));
         self
     }
 
-    pub fn pull(&mut self) -> Vec<Decision> {
-        let pulled: Vec<Decision> = std::iter::from_fn(|| self.controller.next_decision(self.now)).collect();
-        for decision in pulled
-            .iter()
-            .filter(|d| !matches!(d, Decision::SetTimer(_) | Decision::SetHealth { active: true, .. }))
-        {
+    /// Pulls all decisions and records them; timers and good health are left out of the trace.
+    pub fn decide(&mut self) -> Vec<Decision> {
+        let decisions: Vec<Decision> =
+            std::iter::from_fn(|| self.controller.next_decision(self.now)).collect();
+        let is_routine =
+            |d: &&Decision| matches!(d, Decision::SetTimer(_) | Decision::SetHealth { active: true, .. });
+        for decision in decisions.iter().filter(|decision| !is_routine(decision)) {
             let text = match decision {
                 Decision::Log(event) => format!("log: {event}"),
                 other => format!("{other:?}").replace("--", "").replace("-)", ")").replace("-,", ","),
@@ -167,46 +190,53 @@
             let ms = (self.now - self.start).us() / 1000;
             self.trace += &format!("{ms:<5} {text}\n");
         }
-        pulled
+        decisions
     }
 
-    /// Reads `per_s` requests a second of ever new users for so long; each run ends after `self.run`.
-    pub fn load(&mut self, ms: u64, per_s: u64) -> &mut Self {
+    /// Receives `per_s` requests a second, each of a new session, for `ms`; each run ends after `run_time`.
+    pub fn offer_load(&mut self, ms: u64, per_s: u64) -> &mut Self {
         let from = self.now;
-        let mut read = 0;
+        let mut received = 0;
         while self.now - from < Duration::from_ms(ms) {
-            self.now = self.now + Duration::from_ms(10);
-            while let Some(((end, request), ())) = self.ends.first_key_value()
-                && *end <= self.now
-            {
-                let request = *request;
-                self.ends.pop_first();
-                self.controller.run_finished(self.now, request, Outcome::Ok);
-            }
-            while read < (self.now - from).us() * per_s / 1_000_000 {
-                read += 1;
-                let name = format!("n{}x{read}", (from - self.start).us());
-                self.read(&name, Read { user: &name, ..Read::default() });
+            self.now = self.now + LOAD_STEP;
+            self.finish_due_runs();
+            while received < (self.now - from).us() * per_s / 1_000_000 {
+                received += 1;
+                let name = format!("n{}x{received}", (from - self.start).us());
+                self.receive(&name, RequestSpec { session: &name, ..RequestSpec::default() });
             }
-            if (self.now - self.start).us().is_multiple_of(40_000) {
-                self.beat(self.ends.len() as f64 + self.reads);
+            if (self.now - self.start).us().is_multiple_of(TICK_MS * 1000) {
+                self.tick(self.run_ends.len() as f64 + self.other_work_on_cores);
             }
-            for decision in self.pull() {
-                match decision {
-                    Decision::Run(request) => drop(self.ends.insert((self.now + self.run, request), ())),
-                    Decision::Preempt(request) => {
-                        self.ends.retain(|(_, ends), ()| *ends != request);
-                        self.controller.run_finished(self.now, request, Outcome::Preempted);
-                    }
-                    _ => {}
-                }
+            for decision in self.decide() {
+                self.carry_out(decision);
             }
         }
         self
     }
 
-    /// The lines since the last time, or only those with one of `words`.
-    pub fn seen(&mut self, words: &[&str]) -> String {
+    fn finish_due_runs(&mut self) {
+        while let Some(end) = self.run_ends.first().copied().filter(|end| end.at <= self.now) {
+            self.run_ends.remove(&end);
+            self.controller.run_finished(self.now, end.request, Outcome::Ok);
+        }
+    }
+
+    fn carry_out(&mut self, decision: Decision) {
+        match decision {
+            Decision::Run(request) => {
+                self.run_ends.insert(RunEnd { at: self.now + self.run_time, request });
+            }
+            Decision::Preempt(request) => {
+                self.run_ends.retain(|end| end.request != request);
+                self.controller.run_finished(self.now, request, Outcome::Preempted);
+            }
+            _ => {}
+        }
+    }
+
+    /// The lines since the last time, or only those that contain one of `words`.
+    pub fn take_trace(&mut self, words: &[&str]) -> String {
         let trace = std::mem::take(&mut self.trace);
         let wanted = |line: &&str| words.is_empty() || words.iter().any(|word| line.contains(word));
         trace.lines().filter(wanted).map(|line| format!("{line}\n")).collect()
--- /dev/null
+++ b/tests/idempotency.rs
@@ -0,0 +1,48 @@
+//! Traces of idempotency keys and of retries. `UPDATE_EXPECT=1 cargo test` rewrites the expected traces.
+
+mod helpers;
+
+use expect_test::expect;
+use hazelspur::Outcome;
+use helpers::{Harness, RequestSpec, check};
+
+#[test]
+fn retries_with_a_key_are_answered_from_their_original() {
+    let mut harness = Harness::new("op_types.0.repeats=keyed op_types.0.window_us=5000000");
+    let repeat = |of| RequestSpec { retry_of: Some(of), ..RequestSpec::default() };
+    harness.receive("first", RequestSpec::default()).decide();
+    harness.at(50).receive("second", repeat("first")).decide();
+    harness.at(60).receive("long-gone", repeat("unknown")).decide();
+    // Two tries read together name each other.
+    harness.at(70).receive("left", repeat("right")).receive("right", repeat("left")).decide();
+    harness.at(200).finish_run("first", Outcome::Ok).finish_run("second", Outcome::Ok);
+    check(
+        &mut harness,
+        &[],
+        &expect![[r#"
+            0     StoreKey { request: first, window: Duration(5000000) }
+            0     Run(first)
+            50    AnswerFromOriginal(second)
+            60    AnswerFromOriginal(long-gone)
+            70    StoreKey { request: left, window: Duration(5000000) }
+            70    AnswerFromOriginal(right)
+            70    Run(left)
+        "#]],
+    );
+}
+
+#[test]
+fn non_idempotent_requests_of_one_session_share_nothing() {
+    let mut harness = Harness::new("server.share_reads_us=500000 op_types.0.repeats=non-retryable");
+    harness.receive("first", RequestSpec { session: "u", ..RequestSpec::default() });
+    harness.decide();
+    harness.receive("next", RequestSpec { session: "u", retry_of: Some("first"), ..RequestSpec::default() });
+    check(
+        &mut harness,
+        &["StoreKey", "AnswerFromOriginal", "Run"],
+        &expect![[r#"
+        0     Run(first)
+        0     Run(next)
+    "#]],
+    );
+}
