--- a/crates/hazelspur-server/tests/configuration.rs
+++ b/crates/hazelspur-server/tests/configuration.rs
@@ -1,34 +1,34 @@
 //! The configuration at the start and on SIGHUP.
 
-mod town;
+mod harness;
 
+use harness::*;
 use std::fmt::Write as _;
 use std::io::Write as _;
-use town::*;
 
 #[test]
-fn a_new_configuration_moves_the_parties_and_keeps_what_is_in_hand() {
-    let (mut town, mut link) = Town::new("reload", "");
-    let mut gateway = town.gateway();
-    town.run(&mut gateway, &mut link, &request(1, 1, "view", ""));
-    link.say(&format!("wants 1 {} 3\r\nask\r\n", id(1)));
-    let mut old_ledger = town.ledger();
-    old_ledger.hear_call(&mut town.trace);
-    town.reload("{\"name\":\"n1\",\"list");
-    town.reload("");
-    let (runtime, ledger, config) = Town::parties(&town.listen);
-    (town.runtime, town.ledger) = (runtime, ledger);
-    town.reload(&config);
-    let mut moved = town.link();
-    let _ = writeln!(town.trace, "old {}", link.line());
-    moved.say("ready hot 2000\r\n");
-    moved.hear(&mut town.trace);
-    old_ledger.say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-    moved.hear(&mut town.trace);
-    moved.say(&format!("wants 2 {} 3\r\ntwo\r\n", id(1)));
-    town.ledger().hear_call(&mut town.trace);
-    moved.say(&done(3, 1));
-    gateway.hear(&mut town.trace);
+fn reload_moves_upstream_endpoints_and_keeps_requests_in_progress() {
+    let (mut server, mut link) = ServerHarness::new("reload", "");
+    let mut gateway = server.connect_gateway();
+    server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
+    link.send(&format!("wants 1 {} 3\r\nask\r\n", id(1)));
+    let mut old_ledger = server.accept_dependency_call();
+    old_ledger.record_call(&mut server.trace);
+    server.reload("{\"name\":\"n1\",\"list");
+    server.reload("");
+    let (runtime, ledger, config) = ServerHarness::listen_for_peers(&server.listen);
+    (server.runtime, server.ledger) = (runtime, ledger);
+    server.reload(&config);
+    let mut moved = server.accept_worker_link();
+    let _ = writeln!(server.trace, "old {}", link.read_line());
+    moved.send("ready hot 2000\r\n");
+    moved.record_next(&mut server.trace);
+    old_ledger.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+    moved.record_next(&mut server.trace);
+    moved.send(&format!("wants 2 {} 3\r\ntwo\r\n", id(1)));
+    server.accept_dependency_call().record_call(&mut server.trace);
+    moved.send(&success_notice(3, 1));
+    gateway.record_next(&mut server.trace);
     expect_test::expect![[r#"
         runtime < sync 0
         runtime < start 0000000000000001 view 5 hello
@@ -39,11 +39,11 @@
         ledger < POST /post HTTP/1.1 0000000000000001 two
         gateway < {"jsonrpc":"2.0","id":1,"result":{"data":"ZG9uZQ=="}}
     "#]]
-    .assert_eq(&town.trace);
+    .assert_eq(&server.trace);
 }
 
 #[test]
-fn a_bad_configuration_names_its_key() {
+fn invalid_configuration_error_names_the_key() {
     let good = format!(
         r#"{{"name":"n1","listen":"127.0.0.1:0","runtime":"127.0.0.1:1","ledger":"127.0.0.1:1","control":"127.0.0.1:1","seed":"2a","stop_ms":900,"limits":{{"sockets":1024}},"settings":{SETTINGS}}}"#
     );
@@ -78,25 +78,25 @@
     .assert_eq(&seen);
 }
 
-/// Its addresses lead to another customer's runtime and ledger.
+/// Guards against serving with another customer's worker and dependency.
 #[test]
-fn a_file_that_is_another_servers_is_refused_whole() {
-    let (mut town, mut link) = Town::new("others", "");
-    let mut gateway = town.gateway();
-    let (runtime, ledger, config) = Town::parties(&town.listen);
+fn configuration_of_another_server_is_refused_whole() {
+    let (mut server, mut link) = ServerHarness::new("others", "");
+    let mut gateway = server.connect_gateway();
+    let (runtime, ledger, config) = ServerHarness::listen_for_peers(&server.listen);
     let others = [config.replace("\"n1\"", "\"n2\""), config.replace("\"n-cores\":2", "\"n-cores\":4")];
     for (n, other) in (1..).zip(others) {
-        town.reload(&other);
-        town.run(&mut gateway, &mut link, &request(n, n, "view", ""));
-        link.say(&done(n, n));
-        gateway.hear(&mut town.trace);
+        server.reload(&other);
+        server.start_run(&mut gateway, &mut link, &request(n, n, "view", ""));
+        link.send(&success_notice(n, n));
+        gateway.record_next(&mut server.trace);
     }
-    (town.runtime, town.ledger) = (runtime, ledger);
-    town.reload(&config);
-    let mut moved = town.link();
-    moved.say("ready hot 2000\r\n");
-    moved.hear(&mut town.trace);
-    town.run(&mut gateway, &mut moved, &request(3, 3, "view", ""));
+    (server.runtime, server.ledger) = (runtime, ledger);
+    server.reload(&config);
+    let mut moved = server.accept_worker_link();
+    moved.send("ready hot 2000\r\n");
+    moved.record_next(&mut server.trace);
+    server.start_run(&mut gateway, &mut moved, &request(3, 3, "view", ""));
     expect_test::expect![[r#"
         runtime < sync 0
         runtime < start 0000000000000001 view 5 hello
@@ -106,41 +106,48 @@
         runtime < sync 2
         runtime < start 0000000000000003 view 5 hello
     "#]]
-    .assert_eq(&town.trace);
+    .assert_eq(&server.trace);
 }
 
-/// What a pipe takes before its reader has to read.
+/// The capacity of a pipe, in bytes.
 const PIPE: usize = 64 * 1024;
 
-/// A pipe that is full because nobody reads it, and one whose reader is gone, with both forms of lines.
+/// A pipe that is full because nobody reads it, and one whose reader is gone, with both log formats.
 #[test]
-fn standard_error_that_nobody_takes_stops_nothing() {
+fn unread_standard_error_does_not_block_the_server() {
     let mut seen = String::new();
     for (name, line) in [("full-text", ""), ("full-json", "--log-format json")] {
         for stays in [true, false] {
             let (reader, writer) = std::io::pipe().expect("a pipe");
-            let (listen, runtime, ledger, config) = Town::prepared();
-            std::fs::write(file(name), config).expect("a file");
+            let (listen, runtime, ledger, config) = ServerHarness::prepare();
+            std::fs::write(config_file(name), config).expect("a file");
             let program = env!("CARGO_BIN_EXE_hazelspur-server");
             // filled to the brim first
             (&writer).write_all(&vec![b'-'; if stays { PIPE } else { 0 }]).expect("a pipe takes so much");
             let command = format!("exec {program} {line}");
             let reader = stays.then_some(reader);
             let mut shell = std::process::Command::new("/bin/sh");
-            shell.args(["-c", &command]).env("ROUTER_CONFIG", file(name)).stderr(writer);
+            shell.args(["-c", &command]).env("ROUTER_CONFIG", config_file(name)).stderr(writer);
             let server = shell.spawn().expect("the server starts");
             drop(shell);
-            let mut town = Town { server, listen, runtime, ledger, file: file(name), trace: String::new() };
-            let mut link = town.link();
-            link.say("ready hot 1000\r\n");
-            link.hear(&mut town.trace);
-            let mut gateway = town.gateway();
-            town.run(&mut gateway, &mut link, &request(1, 1, "view", ""));
-            link.say(&done(1, 1));
-            gateway.hear(&mut town.trace);
-            town.signal("-TERM");
-            town.ended();
-            let _ = writeln!(seen, "{name}, a reader {}:\n{}", reader.is_some(), town.trace);
+            let mut server = ServerHarness {
+                server,
+                listen,
+                runtime,
+                ledger,
+                file: config_file(name),
+                trace: String::new(),
+            };
+            let mut link = server.accept_worker_link();
+            link.send("ready hot 1000\r\n");
+            link.record_next(&mut server.trace);
+            let mut gateway = server.connect_gateway();
+            server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
+            link.send(&success_notice(1, 1));
+            gateway.record_next(&mut server.trace);
+            server.signal("-TERM");
+            server.wait_for_exit();
+            let _ = writeln!(seen, "{name}, a reader {}:\n{}", reader.is_some(), server.trace);
         }
     }
     expect_test::expect![[r#"
--- /dev/null
+++ b/crates/hazelspur-server/tests/dependency_calls.rs
@@ -0,0 +1,152 @@
+//! Dependency calls that are refused, break, or get surplus bytes.
+
+mod harness;
+
+use harness::*;
+use std::fmt::Write as _;
+use std::time::{Duration, Instant};
+
+#[test]
+fn refused_calls_are_given_up_after_the_allowed_attempts() {
+    let (mut server, mut link) = ServerHarness::new("refused", "");
+    server.ledger = listener().0;
+    let mut gateway = server.connect_gateway();
+    server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
+    link.send(&format!("wants 1 {} 3\r\nask\r\n", id(1)));
+    gateway.record_next(&mut server.trace);
+    link.send(&format!("end 2 {} cancelled 300 0\r\n\r\n", id(1)));
+    server.start_run(&mut gateway, &mut link, &request(2, 2, "view", ""));
+    expect_test::expect![[r#"
+        runtime < sync 0
+        runtime < start 0000000000000001 view 5 hello
+        gateway < {"jsonrpc":"2.0","id":1,"error":{"code":-32000,"message":"failed"}}
+        runtime < start 0000000000000002 view 5 hello
+    "#]]
+    .assert_eq(&server.trace);
+}
+
+#[test]
+fn broken_call_is_retried_only_for_idempotent_requests() {
+    let (mut server, mut link) = ServerHarness::new("calls", "");
+    let mut gateway = server.connect_gateway();
+    server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
+    link.send(&format!("wants 1 {} 3\r\nask\r\n", id(1)));
+    let mut ledger = server.accept_dependency_call();
+    ledger.record_call(&mut server.trace);
+    ledger.send("HTTP/1.1 200 OK\r\nContent-");
+    drop(ledger);
+    let mut ledger = server.accept_dependency_call();
+    ledger.record_call(&mut server.trace);
+    ledger.send("HTTP/1.1 503 Full\r\nX-Untouched: 1\r\nConnection: close\r\n\r\n");
+    let mut ledger = server.accept_dependency_call();
+    ledger.record_call(&mut server.trace);
+    ledger.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+    link.record_next(&mut server.trace);
+    link.send(&format!("end 2 {} error 5 0\r\n\r\n", id(1)));
+    gateway.record_next(&mut server.trace);
+    std::thread::sleep(Duration::from_millis(20)); // The idle connection could be reused.
+    server.start_run(&mut gateway, &mut link, &request(2, 2, "book", r#","opkey":"k""#));
+    link.send(&format!("wants 3 {} 3\r\nask\r\n", id(2)));
+    let mut fresh = server.accept_dependency_call();
+    fresh.record_call(&mut server.trace);
+    drop(fresh);
+    gateway.record_next(&mut server.trace);
+    expect_test::expect![[r#"
+        runtime < sync 0
+        runtime < start 0000000000000001 view 5 hello
+        ledger < POST /post HTTP/1.1 0000000000000001 ask
+        ledger < POST /post HTTP/1.1 0000000000000001 ask
+        ledger < POST /post HTTP/1.1 0000000000000001 ask
+        runtime < give 0000000000000001 2 ok
+        gateway < {"jsonrpc":"2.0","id":1,"error":{"code":-32000,"message":"failed"}}
+        runtime < start 0000000000000002 book 5 hello
+        ledger < POST /post HTTP/1.1 0000000000000002 ask
+        gateway < {"jsonrpc":"2.0","id":2,"error":{"code":-32000,"message":"failed"}}
+    "#]]
+    .assert_eq(&server.trace);
+}
+
+#[test]
+fn surplus_bytes_behind_a_reply_do_not_affect_other_calls() {
+    let (mut server, mut link) = ServerHarness::new("noise", "");
+    let mut gateway = server.connect_gateway();
+    let reply = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+    let replies = [
+        format!("HTTP/1.1 100 Continue\r\n\r\n{reply}{reply}"),
+        format!("{reply}\0\0noise"),
+        "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nok".into(),
+        reply.into(),
+    ];
+    server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
+    for (i, reply) in replies.iter().enumerate() {
+        if i < 3 {
+            link.send(&format!("wants {} {} 2\r\nc{i}\r\n", i + 1, id(1)));
+        }
+        let mut ledger = server.accept_dependency_call();
+        ledger.record_call(&mut server.trace);
+        ledger.send(reply);
+        if i != 2 {
+            link.record_next(&mut server.trace);
+        }
+    }
+    expect_test::expect![[r#"
+        runtime < sync 0
+        runtime < start 0000000000000001 view 5 hello
+        ledger < POST /post HTTP/1.1 0000000000000001 c0
+        runtime < give 0000000000000001 2 ok
+        ledger < POST /post HTTP/1.1 0000000000000001 c1
+        runtime < give 0000000000000001 2 ok
+        ledger < POST /post HTTP/1.1 0000000000000001 c2
+        ledger < POST /post HTTP/1.1 0000000000000001 c2
+        runtime < give 0000000000000001 2 ok
+    "#]]
+    .assert_eq(&server.trace);
+}
+
+/// Not every installation has a dependency or a registry.
+#[test]
+fn requests_are_served_without_dependency_and_registry() {
+    let edit = |config: String| {
+        let (before, rest) = config.split_once(",\"ledger\"").expect("a ledger");
+        let (_, after) = rest.split_once("\",\"seed\"").expect("a seed");
+        format!("{before},\"seed\"{after}")
+    };
+    let (mut server, mut link) = ServerHarness::new_with("alone", "", edit);
+    let mut gateway = server.connect_gateway();
+    server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
+    link.send(&success_notice(1, 1));
+    gateway.record_next(&mut server.trace);
+    // A run that calls all the same gets no reply.
+    server.start_run(&mut gateway, &mut link, &request(2, 2, "view", ""));
+    link.send(&format!("wants 2 {} 3\r\nask\r\n", id(2)));
+    gateway.record_next(&mut server.trace);
+    expect_test::expect![[r#"
+        runtime < sync 0
+        runtime < start 0000000000000001 view 5 hello
+        gateway < {"jsonrpc":"2.0","id":1,"result":{"data":"ZG9uZQ=="}}
+        runtime < start 0000000000000002 view 5 hello
+        gateway < {"jsonrpc":"2.0","id":2,"error":{"code":-32000,"message":"failed"}}
+    "#]]
+    .assert_eq(&server.trace);
+}
+
+/// A response without the call may have some value, but the worker's protocol has no command for it.
+#[test]
+fn run_with_an_optional_call_does_not_wait_for_it_forever() {
+    let skips =
+        |config: String| config.replace("\"run-factor\"", "\"class-skip-worth\":[0.5,0],\"run-factor\"");
+    let (mut server, mut link) = ServerHarness::new_with("skips", "", skips);
+    server.ledger = listener().0;
+    let (mut gateway, asked) = (server.connect_gateway(), Instant::now());
+    server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
+    link.send(&format!("wants 1 {} 3\r\nask\r\n", id(1)));
+    gateway.record_next(&mut server.trace);
+    let _ = writeln!(server.trace, "long before it is due {}", asked.elapsed() < Duration::from_millis(2500));
+    expect_test::expect![[r#"
+        runtime < sync 0
+        runtime < start 0000000000000001 view 5 hello
+        gateway < {"jsonrpc":"2.0","id":1,"error":{"code":-32000,"message":"failed"}}
+        long before it is due true
+    "#]]
+    .assert_eq(&server.trace);
+}
--- a/crates/hazelspur-server/tests/input.rs
+++ b/crates/hazelspur-server/tests/gateway_input.rs
@@ -1,18 +1,18 @@
-//! What comes from gateways and others that is no good, and too much of it.
+//! Invalid input and overload on the gateways' side.
 
-mod town;
+mod harness;
 
+use harness::*;
 use std::fmt::Write as _;
 use std::io::{Read as _, Write as _};
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
-use town::*;
 
 #[test]
-fn bad_input_gets_an_error_and_the_rest_goes_on() {
-    let (mut town, mut link) = Town::new("input", "");
-    let mut other = town.gateway();
-    town.run(&mut other, &mut link, &request(1, 1, "view", ""));
+fn invalid_input_gets_an_error_and_other_connections_continue() {
+    let (mut server, mut link) = ServerHarness::new("input", "");
+    let mut other = server.connect_gateway();
+    server.start_run(&mut other, &mut link, &request(1, 1, "view", ""));
     let good = request(9, 9, "view", "");
     let lines = [
         "{".into(),
@@ -40,21 +40,21 @@
         "x".repeat(3_000_000),
     ];
     for line in &lines {
-        let mut bad = town.gateway();
-        let _ = bad.stream.get_mut().write_all(format!("{line}\r\n").as_bytes()); // which may be cut short
-        bad.hear(&mut town.trace);
+        let mut bad = server.connect_gateway();
+        let _ = bad.stream.get_mut().write_all(format!("{line}\r\n").as_bytes()); // the server may close early
+        bad.record_next(&mut server.trace);
     }
-    let mut bad = town.gateway();
-    town.run(&mut bad, &mut link, &request(50, 50, "view", ""));
-    link.say(&format!("nack start {}\r\n", id(50)));
-    bad.hear(&mut town.trace);
-    other.say(&format!("{}\n", request(1, 2, "view", "")));
-    other.hear(&mut town.trace);
-    link.say(&done(1, 1));
-    other.hear(&mut town.trace);
-    bad.say(&(1..=60).map(|n| format!("{}\n", request(100 + n, 100 + n, "view", ""))).collect::<String>());
-    let answers = (0..60).map(|_| bad.line()).take_while(|line| line != "(closed)").count();
-    let _ = writeln!(town.trace, "of 60 at once {answers} answered, then closed");
+    let mut bad = server.connect_gateway();
+    server.start_run(&mut bad, &mut link, &request(50, 50, "view", ""));
+    link.send(&format!("nack start {}\r\n", id(50)));
+    bad.record_next(&mut server.trace);
+    other.send(&format!("{}\n", request(1, 2, "view", "")));
+    other.record_next(&mut server.trace);
+    link.send(&success_notice(1, 1));
+    other.record_next(&mut server.trace);
+    bad.send(&(1..=60).map(|n| format!("{}\n", request(100 + n, 100 + n, "view", ""))).collect::<String>());
+    let answers = (0..60).map(|_| bad.read_line()).take_while(|line| line != "(closed)").count();
+    let _ = writeln!(server.trace, "of 60 at once {answers} answered, then closed");
     expect_test::expect![[r#"
         runtime < sync 0
         runtime < start 0000000000000001 view 5 hello
@@ -86,45 +86,45 @@
         gateway < {"jsonrpc":"2.0","id":null,"error":{"code":-32600,"message":"too many open, or this id is"}}
         gateway < {"jsonrpc":"2.0","id":1,"result":{"data":"ZG9uZQ=="}}
         of 60 at once 35 answered, then closed
-    "#]].assert_eq(&town.trace);
+    "#]].assert_eq(&server.trace);
 }
 
 #[test]
-fn connections_that_bring_nothing_good_are_told_and_closed_in_time() {
-    let (mut town, mut link) = Town::new("silent", "");
-    let mut good = town.gateway();
-    let mut silent: Vec<End> = (0..3).map(|_| town.gateway()).collect();
+fn connections_without_valid_input_get_an_error_and_are_closed_in_time() {
+    let (mut server, mut link) = ServerHarness::new("silent", "");
+    let mut good = server.connect_gateway();
+    let mut silent: Vec<Peer> = (0..3).map(|_| server.connect_gateway()).collect();
     let begun = Instant::now();
-    silent[1].say("{\"jsonrpc\":");
-    silent[2].say(&format!("{}\n", request(9, 9, "nothing", "")));
-    silent[2].hear(&mut town.trace);
-    town.run(&mut good, &mut link, &request(1, 1, "view", ""));
-    link.say(&done(1, 1));
-    good.hear(&mut town.trace);
+    silent[1].send("{\"jsonrpc\":");
+    silent[2].send(&format!("{}\n", request(9, 9, "nothing", "")));
+    silent[2].record_next(&mut server.trace);
+    server.start_run(&mut good, &mut link, &request(1, 1, "view", ""));
+    link.send(&success_notice(1, 1));
+    good.record_next(&mut server.trace);
     for end in &mut silent {
-        end.hear(&mut town.trace);
-        end.hear(&mut town.trace);
+        end.record_next(&mut server.trace);
+        end.record_next(&mut server.trace);
     }
-    let _ = writeln!(town.trace, "in time {}", begun.elapsed() < Duration::from_millis(2900));
-    town.run(&mut good, &mut link, &request(2, 2, "view", ""));
-    link.say(&done(2, 2));
-    good.hear(&mut town.trace);
-    // Half a line: of one that only asked for health, and of one whose path may have been cut in the middle.
-    let mut checked = town.gateway();
-    checked.say(CHECK);
-    checked.hear(&mut town.trace);
-    checked.say("{\"jsonrpc\":");
+    let _ = writeln!(server.trace, "in time {}", begun.elapsed() < Duration::from_millis(2900));
+    server.start_run(&mut good, &mut link, &request(2, 2, "view", ""));
+    link.send(&success_notice(2, 2));
+    good.record_next(&mut server.trace);
+    // Half a line, on a connection for health checks and on one whose network path may be cut.
+    let mut checked = server.connect_gateway();
+    checked.send(CHECK);
+    checked.record_next(&mut server.trace);
+    checked.send("{\"jsonrpc\":");
     let line = request(3, 3, "view", "");
-    good.say(&line[..40]);
-    checked.hear(&mut town.trace);
-    checked.hear(&mut town.trace);
-    // meanwhile the link was mute and is made anew
-    let mut link = town.link();
-    link.say("ready hot 9000\r\n");
-    link.hear(&mut town.trace);
-    town.run(&mut good, &mut link, &line[40..]);
-    link.say(&done(3, 3));
-    good.hear(&mut town.trace);
+    good.send(&line[..40]);
+    checked.record_next(&mut server.trace);
+    checked.record_next(&mut server.trace);
+    // Meanwhile the link was silent and is replaced.
+    let mut link = server.accept_worker_link();
+    link.send("ready hot 9000\r\n");
+    link.record_next(&mut server.trace);
+    server.start_run(&mut good, &mut link, &line[40..]);
+    link.send(&success_notice(3, 3));
+    good.record_next(&mut server.trace);
     expect_test::expect![[r#"
         runtime < sync 0
         gateway < {"jsonrpc":"2.0","id":9,"error":{"code":-32601,"message":"no such method"}}
@@ -146,48 +146,48 @@
         runtime < start 0000000000000003 view 5 hello
         gateway < {"jsonrpc":"2.0","id":3,"result":{"data":"ZG9uZQ=="}}
     "#]]
-    .assert_eq(&town.trace);
+    .assert_eq(&server.trace);
 }
 
 #[test]
-fn a_gateway_that_reads_nothing_holds_up_only_itself() {
-    let (mut town, mut link) = Town::new("slow", "");
-    let slow = town.gateway();
+fn gateway_that_does_not_read_blocks_only_itself() {
+    let (mut server, mut link) = ServerHarness::new("slow", "");
+    let slow = server.connect_gateway();
     slow.stream.get_ref().set_write_timeout(Some(Duration::from_millis(300))).expect("a time limit");
     let checks = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n".repeat(20_000);
     let taken = (0..60).take_while(|_| slow.stream.get_ref().write_all(checks.as_bytes()).is_ok()).count();
-    let _ = writeln!(town.trace, "all taken {}", taken == 60);
-    let mut gateway = town.gateway();
-    town.run(&mut gateway, &mut link, &request(1, 1, "view", ""));
-    link.say(&done(1, 1));
-    gateway.hear(&mut town.trace);
+    let _ = writeln!(server.trace, "all taken {}", taken == 60);
+    let mut gateway = server.connect_gateway();
+    server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
+    link.send(&success_notice(1, 1));
+    gateway.record_next(&mut server.trace);
     expect_test::expect![[r#"
         runtime < sync 0
         all taken false
         runtime < start 0000000000000001 view 5 hello
         gateway < {"jsonrpc":"2.0","id":1,"result":{"data":"ZG9uZQ=="}}
     "#]]
-    .assert_eq(&town.trace);
+    .assert_eq(&server.trace);
 }
 
 #[test]
-fn connections_without_a_good_word_go_first_when_descriptors_run_short() {
-    let (mut town, mut link) = Town::new("descriptors", "ulimit -n 48;");
-    let (mut first, mut gateway) = (town.gateway(), town.gateway());
+fn unproven_connections_are_closed_first_when_descriptors_run_short() {
+    let (mut server, mut link) = ServerHarness::new("descriptors", "ulimit -n 48;");
+    let (mut first, mut gateway) = (server.connect_gateway(), server.connect_gateway());
     let check = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n";
     for end in [&mut first, &mut gateway] {
-        end.say(check);
-        while !end.hear(&mut String::new()).contains("true") {
-            end.say(check);
+        end.send(check);
+        while !end.record_next(&mut String::new()).contains("true") {
+            end.send(check);
         }
     }
-    let mut crowd: Vec<End> = (0..80).map(|_| town.gateway()).collect();
-    crowd[0].hear(&mut town.trace);
-    town.run(&mut gateway, &mut link, &request(1, 1, "view", ""));
-    link.say(&done(1, 1));
-    gateway.hear(&mut town.trace);
-    first.say(&check.replace(":1,", ":2,"));
-    first.hear(&mut town.trace);
+    let mut crowd: Vec<Peer> = (0..80).map(|_| server.connect_gateway()).collect();
+    crowd[0].record_next(&mut server.trace);
+    server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
+    link.send(&success_notice(1, 1));
+    gateway.record_next(&mut server.trace);
+    first.send(&check.replace(":1,", ":2,"));
+    first.record_next(&mut server.trace);
     expect_test::expect![[r#"
         runtime < sync 0
         gateway < {"jsonrpc":"2.0","id":null,"error":{"code":-32600,"message":"too many connections"}}
@@ -195,13 +195,13 @@
         gateway < {"jsonrpc":"2.0","id":1,"result":{"data":"ZG9uZQ=="}}
         gateway < {"jsonrpc":"2.0","id":2,"result":{"ready":true}}
     "#]]
-    .assert_eq(&town.trace);
+    .assert_eq(&server.trace);
 }
 
-/// A health check: the connection that carries it is a good one, and idle.
+/// A health check: it proves a connection, which stays idle.
 const CHECK: &str = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n";
 
-/// Seconds of processor time that a process has taken.
+/// The processor time that a process has used, in seconds.
 fn cpu_s(server: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{server}/stat")).expect("it runs");
     let after = stat.rsplit_once(')').expect("a name").1;
@@ -210,56 +210,55 @@
     (ticks(11) + ticks(12)) / 100.0
 }
 
-/// A request that calls the ledger is run and answered.
-fn served(town: &mut Town, link: &mut End, gateway: &mut End, n: u32) {
-    town.run(gateway, link, &request(n, n, "view", ""));
-    link.say(&format!("wants {} {} 3\r\nask\r\n", 2 * n - 1, id(n)));
-    let mut ledger = town.ledger();
-    ledger.hear_call(&mut String::new());
-    ledger.say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok");
-    link.hear(&mut String::new());
-    link.say(&done(2 * n, n));
-    let answer = gateway.hear(&mut String::new());
+/// Asserts that a request with a dependency call is run and answered.
+fn assert_served_with_call(server: &mut ServerHarness, link: &mut Peer, gateway: &mut Peer, n: u32) {
+    server.start_run(gateway, link, &request(n, n, "view", ""));
+    link.send(&format!("wants {} {} 3\r\nask\r\n", 2 * n - 1, id(n)));
+    let mut ledger = server.accept_dependency_call();
+    ledger.record_call(&mut String::new());
+    ledger.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok");
+    link.record_next(&mut String::new());
+    link.send(&success_notice(2 * n, n));
+    let answer = gateway.record_next(&mut String::new());
     assert!(answer.contains("result"), "{answer}");
 }
 
-/// Clients that leave their connections open fill what is for them, while nobody takes reports: the rest is
-/// not theirs to take.
+/// Guards against clients that use up the descriptors of the worker link, calls and reports.
 #[test]
-fn idle_clients_take_no_descriptor_that_serving_needs() {
+fn idle_clients_leave_the_descriptors_that_serving_needs() {
     let mut seen = String::new();
     for limit in [64usize, 96, 128, 256, 512] {
         let (control, at) = listener();
         let silent = format!("limits\":{{\"sockets\":{limit}}},\"settings");
-        let edit = |config: String| with_control(&config, &at).replace("settings", &silent);
-        drop(control); // gone, and its address with it
-        let (mut town, mut link) =
-            Town::with(&format!("filled{limit}"), &format!("ulimit -n {limit};"), edit);
-        let mut gateway = town.gateway();
-        let mut idle: Vec<End> = Vec::new();
+        let edit = |config: String| with_registry(&config, &at).replace("settings", &silent);
+        drop(control); // from now on reports are refused
+        let (mut server, mut link) =
+            ServerHarness::new_with(&format!("filled{limit}"), &format!("ulimit -n {limit};"), edit);
+        let mut gateway = server.connect_gateway();
+        let mut idle: Vec<Peer> = Vec::new();
         let mut requests = 0;
         for n in 0..limit + 40 {
             if n % 16 == 0 {
                 requests += 1;
-                served(&mut town, &mut link, &mut gateway, requests);
+                assert_served_with_call(&mut server, &mut link, &mut gateway, requests);
             }
-            idle.push(town.gateway());
-            // Two of three have brought something good; which of them is closed by now is not asked.
+            idle.push(server.connect_gateway());
+            // Two of three are proven; which of them are closed by now does not matter.
             if n % 3 > 0 {
                 let _ = idle[n].stream.get_mut().write_all(CHECK.as_bytes());
             }
         }
-        served(&mut town, &mut link, &mut gateway, requests + 1);
-        let (cpu, since) = (cpu_s(town.server.id()), Instant::now());
+        assert_served_with_call(&mut server, &mut link, &mut gateway, requests + 1);
+        let (cpu, since) = (cpu_s(server.server.id()), Instant::now());
         let control = TcpListener::bind(&at).expect("its address is free");
-        let mut report = End::over("control", accept(&control));
-        let reported = report.line();
+        let mut report = Peer::new("control", accept(&control));
+        let reported = report.read_line();
         wait_until(since, 1000);
-        let busy = (cpu_s(town.server.id()) - cpu) / since.elapsed().as_secs_f64();
-        town.signal("-TERM");
-        town.ended();
+        let busy = (cpu_s(server.server.id()) - cpu) / since.elapsed().as_secs_f64();
+        server.signal("-TERM");
+        server.wait_for_exit();
         let mut log = String::new();
-        let _ = town.server.stderr.take().expect("a pipe").read_to_string(&mut log);
+        let _ = server.server.stderr.take().expect("a pipe").read_to_string(&mut log);
         let failed = log.matches("accept failed").count();
         let _ = writeln!(
             seen,
@@ -277,7 +276,7 @@
     .assert_eq(&seen);
 }
 
-/// What a client does over and over; each costs its own connection.
+/// Repeats one kind of abuse, each time on a new connection.
 fn flood(at: &str, kind: usize, until: Instant) -> usize {
     let mut turns = 0;
     while Instant::now() < until {
@@ -300,18 +299,18 @@
 }
 
 #[test]
-fn floods_cost_their_own_connections_and_known_gateways_are_served_beside_them() {
+fn floods_close_their_own_connections_while_known_gateways_are_served() {
     let mut seen = String::new();
     let names =
         ["connections", "checks", "interrupts", "half lines", "endless lines", "garbage", "ids used twice"];
     for (kind, name) in names.iter().enumerate() {
-        let (mut town, mut link) = Town::new(&format!("flood{kind}"), "ulimit -n 256;");
-        let mut gateway = town.gateway();
-        town.run(&mut gateway, &mut link, &request(1, 1, "view", ""));
-        link.say(&done(1, 1));
-        gateway.hear(&mut String::new());
+        let (mut server, mut link) = ServerHarness::new(&format!("flood{kind}"), "ulimit -n 256;");
+        let mut gateway = server.connect_gateway();
+        server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
+        link.send(&success_notice(1, 1));
+        gateway.record_next(&mut String::new());
         let until = Instant::now() + Duration::from_millis(1200);
-        let at = town.listen.clone();
+        let at = server.listen.clone();
         let floods: Vec<_> = (0..2)
             .map(|_| {
                 let at = at.clone();
@@ -323,27 +322,27 @@
         while Instant::now() < until {
             asked += 1;
             let (n, began) = (asked + 1, Instant::now());
-            gateway.say(&format!("{}\n", request(n, 1000 + n, "view", "")));
+            gateway.send(&format!("{}\n", request(n, 1000 + n, "view", "")));
             loop {
-                let started = link.hear(&mut String::new());
+                let started = link.record_next(&mut String::new());
                 notices += 1;
                 if started.contains(&id(1000 + n)) {
-                    link.say(&done(notices, 1000 + n));
+                    link.send(&success_notice(notices, 1000 + n));
                     break;
                 }
-                // one of the flood's own, which this runtime does not know
-                link.say(&format!("nack start {}\r\n", started.split(' ').nth(1).unwrap_or_default()));
+                // A request of the flood, which the worker does not know.
+                link.send(&format!("nack start {}\r\n", started.split(' ').nth(1).unwrap_or_default()));
                 notices -= 1;
             }
-            let answer = gateway.hear(&mut String::new());
+            let answer = gateway.record_next(&mut String::new());
             served += u32::from(answer.contains("result"));
             longest = longest.max(began.elapsed());
         }
         let turns: usize = floods.into_iter().map(|flood| flood.join().expect("no panic")).sum();
-        town.signal("-TERM");
-        town.ended();
+        server.signal("-TERM");
+        server.wait_for_exit();
         let mut log = String::new();
-        let _ = town.server.stderr.take().expect("a pipe").read_to_string(&mut log);
+        let _ = server.server.stderr.take().expect("a pipe").read_to_string(&mut log);
         println!("{name}: {turns} turns, {served} of {asked} ops served, the longest took {longest:?}");
         let lines = log.lines().count();
         let all = served == asked && asked >= 5;
@@ -366,24 +365,24 @@
     .assert_eq(&seen);
 }
 
-/// What waits on a link that was cut names a wait that is long from the stamp and over before it is read: no
-/// fault of its connection, whose other requests are answered too.
+/// Requests that were delayed on a cut link: their deadline may have passed when they are received, which is no
+/// protocol error of their connection.
 #[test]
-fn ops_that_were_long_on_their_way_are_answered_and_their_connection_stays() {
-    let (mut town, mut link) = Town::new("overdue", "");
-    let mut gateway = town.gateway();
+fn requests_delayed_in_transit_are_answered_and_their_connection_stays_open() {
+    let (mut server, mut link) = ServerHarness::new("overdue", "");
+    let mut gateway = server.connect_gateway();
     let late = |n: u32| {
         let line = request(n, n, "view", "").replace(":4000,", ":8000,");
         let ts = now_ms();
         line.replace(&format!("\"ts\":{ts}"), &format!("\"ts\":{}", ts - 8000))
     };
     for n in 1..7 {
-        // the millisecond may change between the two looks at the clock
+        // The millisecond may change between the two readings of the clock.
         let line = std::iter::repeat_with(|| late(n)).find(|line| !line.contains(&now_ms().to_string()));
-        gateway.say(&format!("{}\n", line.expect("one")));
-        gateway.hear(&mut town.trace);
+        gateway.send(&format!("{}\n", line.expect("one")));
+        gateway.record_next(&mut server.trace);
     }
-    town.run(&mut gateway, &mut link, &request(8, 8, "view", ""));
+    server.start_run(&mut gateway, &mut link, &request(8, 8, "view", ""));
     expect_test::expect![[r#"
         runtime < sync 0
         gateway < {"jsonrpc":"2.0","id":1,"error":{"code":-32011,"message":"refused","data":{"holdoff":40,"nomore":1}}}
@@ -393,5 +392,5 @@
         gateway < {"jsonrpc":"2.0","id":5,"error":{"code":-32011,"message":"refused","data":{"holdoff":40,"nomore":1}}}
         gateway < {"jsonrpc":"2.0","id":6,"error":{"code":-32011,"message":"refused","data":{"holdoff":40,"nomore":1}}}
         runtime < start 0000000000000008 view 5 hello
-    "#]].assert_eq(&town.trace);
+    "#]].assert_eq(&server.trace);
 }
--- a/crates/hazelspur-server/tests/town/mod.rs
+++ b/crates/hazelspur-server/tests/harness/mod.rs
@@ -1,5 +1,5 @@
-//! The built server between stand-ins for its gateway, runtime, ledger and control plane, which a test moves
-//! step by step.
+//! The built server between scripted peers (gateway, worker, dependency, registry) that a test drives step by
+//! step; what they receive is recorded in a trace.
 #![allow(dead_code)] // each test file uses its part
 
 use std::fmt::Write as _;
@@ -17,16 +17,16 @@
  "rules":{"fall-multiple":8,"cold-share":0.2,"cold-us":10000000,"drain-grace-us":300000},
  "limits":{"retry-after":true,"max-retry-after-us":1000000},"servers":1}"#;
 
-pub static TOWNS: AtomicUsize = AtomicUsize::new(0);
-pub const PATIENCE: Duration = Duration::from_secs(5);
+pub static NEXT_ADDRESS: AtomicUsize = AtomicUsize::new(0);
+pub const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One end of a connection, with what was seen on all of them.
-pub struct End {
+/// The test's end of a connection to the server.
+pub struct Peer {
     pub name: &'static str,
     pub stream: BufReader<TcpStream>,
 }
 
-pub struct Town {
+pub struct ServerHarness {
     pub server: Child,
     pub listen: String,
     pub runtime: TcpListener,
@@ -43,7 +43,7 @@
 
 /// The next connection, or a failed test.
 pub fn accept(listener: &TcpListener) -> TcpStream {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     listener.set_nonblocking(true).expect("a mode");
     loop {
         match listener.accept() {
@@ -68,13 +68,13 @@
     )
 }
 
-pub fn file(name: &str) -> PathBuf {
+pub fn config_file(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("hazelspur-{}-{name}.json", std::process::id()))
 }
 
 /// Starts the program with this configuration, through a shell that may set limits first.
 pub fn start(name: &str, config: &str, first: &str) -> Child {
-    let file = file(name);
+    let file = config_file(name);
     std::fs::write(&file, config).expect("a file");
     let program = env!("CARGO_BIN_EXE_hazelspur-server");
     let mut shell = Command::new("/bin/sh");
@@ -82,19 +82,19 @@
     shell.stderr(Stdio::piped()).spawn().expect("the server starts")
 }
 
-impl Town {
-    /// With a runtime that is up.
-    pub fn new(name: &str, first: &str) -> (Self, End) {
-        Self::with(name, first, |config| config)
+impl ServerHarness {
+    /// Starts a server, with a worker that is up.
+    pub fn new(name: &str, first: &str) -> (Self, Peer) {
+        Self::new_with(name, first, |config| config)
     }
 
-    /// The same with another configuration.
-    pub fn with(name: &str, first: &str, edit: impl Fn(String) -> String) -> (Self, End) {
-        let mut town = Self::started_with(name, first, edit);
-        let mut link = town.link();
-        link.say("ready hot 1000\r\n");
-        link.hear(&mut town.trace);
-        (town, link)
+    /// The same with an edited configuration.
+    pub fn new_with(name: &str, first: &str, edit: impl Fn(String) -> String) -> (Self, Peer) {
+        let mut server = Self::started_with(name, first, edit);
+        let mut link = server.accept_worker_link();
+        link.send("ready hot 1000\r\n");
+        link.record_next(&mut server.trace);
+        (server, link)
     }
 
     pub fn started(name: &str, first: &str) -> Self {
@@ -102,23 +102,23 @@
     }
 
     pub fn started_with(name: &str, first: &str, edit: impl Fn(String) -> String) -> Self {
-        let (listen, runtime, ledger, config) = Self::prepared();
+        let (listen, runtime, ledger, config) = Self::prepare();
         let server = start(name, &edit(config), first);
-        Self { server, listen, runtime, ledger, file: file(name), trace: String::new() }
+        Self { server, listen, runtime, ledger, file: config_file(name), trace: String::new() }
     }
 
-    /// An address for a server, its parties, and the configuration that leads to them.
-    pub fn prepared() -> (String, TcpListener, TcpListener, String) {
-        // an address of its own: a port that is free now may else be another test's a moment later
-        let number = TOWNS.fetch_add(1, Ordering::Relaxed);
+    /// An address for a server, its upstream endpoints, and the configuration that names them.
+    pub fn prepare() -> (String, TcpListener, TcpListener, String) {
+        // An IP address for each test: a port that is free now could be another test's a moment later.
+        let number = NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed);
         let free = TcpListener::bind(format!("127.77.{}.{}:0", std::process::id() % 250, 1 + number));
         let listen = free.and_then(|free| free.local_addr()).expect("a free port").to_string();
-        let (runtime, ledger, config) = Self::parties(&listen);
+        let (runtime, ledger, config) = Self::listen_for_peers(&listen);
         (listen, runtime, ledger, config)
     }
 
-    /// New stand-ins, and the configuration that leads to them.
-    pub fn parties(listen: &str) -> (TcpListener, TcpListener, String) {
+    /// New upstream endpoints, and the configuration that names them.
+    pub fn listen_for_peers(listen: &str) -> (TcpListener, TcpListener, String) {
         let ((runtime, at_runtime), (ledger, at_ledger)) = (listener(), listener());
         let (control, at_control) = listener();
         std::thread::spawn(move || {
@@ -137,13 +137,13 @@
         (runtime, ledger, config)
     }
 
-    /// Sends a request and notes the command that it brings.
-    pub fn run(&mut self, gateway: &mut End, link: &mut End, request: &str) {
-        gateway.say(&format!("{request}\n"));
-        link.hear(&mut self.trace);
+    /// Sends a request and records the command that it causes.
+    pub fn start_run(&mut self, gateway: &mut Peer, link: &mut Peer, request: &str) {
+        gateway.send(&format!("{request}\n"));
+        link.record_next(&mut self.trace);
     }
 
-    /// Replaces the configuration, its file too, and says so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&mut self, config: &str) {
         let aside = self.file.with_extension("new");
         std::fs::write(&aside, config).expect("a file");
@@ -151,19 +151,19 @@
         self.signal("-HUP");
     }
 
-    /// The server's next link to the runtime.
-    pub fn link(&mut self) -> End {
-        let mut link = End::over("runtime", accept(&self.runtime));
-        link.hear(&mut self.trace);
+    /// Accepts the server's next link to the worker.
+    pub fn accept_worker_link(&mut self) -> Peer {
+        let mut link = Peer::new("runtime", accept(&self.runtime));
+        link.record_next(&mut self.trace);
         link
     }
 
-    pub fn gateway(&self) -> End {
-        End::over("gateway", TcpStream::connect(&self.listen).expect("the server listens"))
+    pub fn connect_gateway(&self) -> Peer {
+        Peer::new("gateway", TcpStream::connect(&self.listen).expect("the server listens"))
     }
 
-    pub fn ledger(&self) -> End {
-        End::over("ledger", accept(&self.ledger))
+    pub fn accept_dependency_call(&self) -> Peer {
+        Peer::new("ledger", accept(&self.ledger))
     }
 
     pub fn signal(&self, name: &str) {
@@ -171,30 +171,30 @@
         assert!(Command::new("kill").args([name, &id]).status().expect("kill runs").success());
     }
 
-    pub fn ended(&mut self) {
+    pub fn wait_for_exit(&mut self) {
         let status = self.server.wait().expect("the server ends");
         let _ = writeln!(self.trace, "exit {:?}", status.code());
     }
 }
 
-impl Drop for Town {
+impl Drop for ServerHarness {
     fn drop(&mut self) {
         let _ = self.server.kill();
         let _ = self.server.wait();
     }
 }
 
-impl End {
-    pub fn over(name: &'static str, stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time limit");
+impl Peer {
+    pub fn new(name: &'static str, stream: TcpStream) -> Self {
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a time limit");
         Self { name, stream: BufReader::new(stream) }
     }
 
-    pub fn say(&mut self, text: &str) {
+    pub fn send(&mut self, text: &str) {
         self.stream.get_mut().write_all(text.as_bytes()).expect("the server reads");
     }
 
-    pub fn line(&mut self) -> String {
+    pub fn read_line(&mut self) -> String {
         let mut line = String::new();
         match self.stream.read_line(&mut line) {
             Ok(0) | Err(_) => "(closed)".into(),
@@ -208,13 +208,13 @@
         String::from_utf8(body).expect("text")
     }
 
-    /// Notes the next message; gauges are answered and passed over, but for those that end a replay.
-    pub fn hear(&mut self, trace: &mut String) -> String {
-        let until = Instant::now() + PATIENCE;
+    /// Records the next message. Gauge queries are answered and not recorded; one that ends a replay is returned.
+    pub fn record_next(&mut self, trace: &mut String) -> String {
+        let until = Instant::now() + TIMEOUT;
         loop {
-            let mut line = if Instant::now() < until { self.line() } else { "(nothing)".into() };
+            let mut line = if Instant::now() < until { self.read_line() } else { "(nothing)".into() };
             if let Some(tag) = line.strip_prefix("gauges ") {
-                self.say(&format!("load {tag} 0.5 1\r\n"));
+                self.send(&format!("load {tag} 0.5 1\r\n"));
                 if tag.starts_with("link") {
                     return line;
                 }
@@ -223,19 +223,19 @@
             if let ["start" | "give", .., length] = line.split(' ').collect::<Vec<_>>()[..] {
                 let body = self.body(length);
                 line = format!("{line} {body}");
-                self.line();
+                self.read_line();
             }
             let _ = writeln!(trace, "{} < {line}", self.name);
             return line;
         }
     }
 
-    /// Notes a call to the ledger, without what differs between runs.
-    pub fn hear_call(&mut self, trace: &mut String) {
-        let mut seen = self.line();
+    /// Records a dependency call, without what differs between runs.
+    pub fn record_call(&mut self, trace: &mut String) {
+        let mut seen = self.read_line();
         let mut length = String::new();
         loop {
-            let line = self.line();
+            let line = self.read_line();
             match line.split_once(": ") {
                 Some(("X-Txn-Ref", id)) => seen += &format!(" {id}"),
                 Some(("Content-Length", n)) => length = n.into(),
@@ -248,30 +248,30 @@
     }
 }
 
-/// Settings with a non-retryable request class, tenants, and a window of this length for keyed requests.
-pub fn customers(config: String, window_ms: u32) -> String {
+/// Settings with a non-idempotent request class, tenants, and a deduplication window of this length.
+pub fn with_tenants(config: String, window_ms: u32) -> String {
     let lane = r#"{"name":"pay","aim-us":3000000,"deadline-us":4000000,"semantics":"unsafe"}],"orgs":
         [{"name":"a","quota-rps":50},{"name":"b","quota-rps":50}],"rules""#;
     let window = format!("\"memory-span-us\":{}", window_ms * 1000);
     config.replace("],\n \"rules\"", &format!(",{lane}")).replace("\"memory-span-us\":5000000", &window)
 }
 
-/// The same parties but for the control plane.
-pub fn with_control(config: &str, control: &str) -> String {
+/// The same endpoints but for the registry.
+pub fn with_registry(config: &str, control: &str) -> String {
     let (before, rest) = config.split_once("\"control\":\"").expect("a control plane");
     let (_, after) = rest.split_once('"').expect("an address");
     format!("{before}\"control\":\"{control}\"{after}")
 }
 
-/// Waits until so long after a moment: for windows and limits that are times.
+/// Waits until this long after a moment.
 pub fn wait_until(since: Instant, ms: u64) {
     while since.elapsed() < Duration::from_millis(ms) {
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// The notice of a good end.
-pub fn done(number: u32, req: u32) -> String {
+/// The worker's notice that a run succeeded.
+pub fn success_notice(number: u32, req: u32) -> String {
     format!("end {number} {} complete 5 4\r\ndone\r\n", id(req))
 }
 
--- a/crates/hazelspur-server/tests/restarts.rs
+++ b/crates/hazelspur-server/tests/restarts.rs
@@ -1,17 +1,19 @@
-//! Thirty processes on stand-ins, ended and started again in waves while requests are in flight.
+//! Thirty processes between test doubles, restarted in waves while requests are in progress.
 
 use hazelspur_fault_harness::bed::Plan;
 use hazelspur_fault_harness::play::{Verdict, play};
 use hazelspur_fault_harness::script::Script;
 
+/// Servers in the tests of restart waves.
 const SERVERS: usize = 30;
-/// Where the sum of calls is looked at.
+/// Servers in the test of the shared call limit.
 const CALLERS: usize = 20;
-const PART: f64 = 0.25;
-/// Nine in ten are ready within this after their start, the last one within three times as much.
+/// The calls that each of them may make at once.
+const CALLS_PER_SERVER: f64 = 0.25;
+/// Nine in ten serve within this after their start, the last one within three times as much.
 const READY_MS: u64 = 10_000;
 
-fn waves(more: &str) -> Verdict {
+fn restart_in_waves(more: &str) -> Verdict {
     let each = |of: usize| format!("{}+1.5 term n{of}", 1.0 + 2.5 * (of / 10) as f64);
     let waves: Vec<String> = (0..SERVERS).map(each).collect();
     let script: Script = format!("{}{more}", waves.join("; ")).parse().expect("a script");
@@ -31,7 +33,7 @@
     verdict
 }
 
-/// From each start to the moment in which requests are served, by the process's own lines.
+/// The time from each start to serving, by the process's log lines, in order of length.
 fn ready_ms(verdict: &Verdict) -> Vec<u64> {
     let at = |line: &str| line.split(' ').next()?.replace('.', "").parse::<u64>().ok();
     let mut took = Vec::new();
@@ -49,7 +51,7 @@
     took
 }
 
-fn all_come_back(verdict: &Verdict) {
+fn assert_all_serve_again(verdict: &Verdict) {
     let took = ready_ms(verdict);
     assert_eq!(took.len(), verdict.evidence.lives.len(), "each life came to serve");
     assert_eq!(took.len(), 2 * SERVERS, "each server had two lives");
@@ -60,19 +62,19 @@
 }
 
 #[test]
-fn waves_of_restarts_while_the_list_is_silent() {
-    all_come_back(&waves("; 0.5+8 mute servers list; 0.5+8 mute list servers"));
+fn restart_waves_while_the_registry_is_silent() {
+    assert_all_serve_again(&restart_in_waves("; 0.5+8 mute servers list; 0.5+8 mute list servers"));
 }
 
 #[test]
-fn waves_of_restarts_while_runtime_and_list_are_slow_to_answer() {
+fn restart_waves_while_worker_and_registry_are_slow() {
     let late: String = (0..SERVERS).map(|of| format!("; 0.5+9 delay:400 n{of} r{of}")).collect();
-    all_come_back(&waves(&format!("{late}; 0.5+9 delay:900 servers list")));
+    assert_all_serve_again(&restart_in_waves(&format!("{late}; 0.5+9 delay:900 servers list")));
 }
 
-/// All begin again in one moment while the ledger is slow: each has a part of a call, none hears of another.
+/// All restart at once while the dependency is slow; each has a fraction of a call and they do not communicate.
 #[test]
-fn twenty_processes_that_begin_together_keep_within_what_the_ledger_takes() {
+fn twenty_simultaneous_starts_stay_within_the_dependencys_limit() {
     let all: Vec<String> = (0..CALLERS).map(|of| format!("2+1 term n{of}")).collect();
     let plan = Plan {
         server_binary: env!("CARGO_BIN_EXE_hazelspur-server").into(),
@@ -82,12 +84,12 @@
         seed: 7,
         rate: 120.0,
         most: CALLERS * 2,
-        calls: PART,
+        calls: CALLS_PER_SERVER,
         joint: false,
     };
     let verdict = play(plan, &mut |_, _| {}).unwrap_or_else(|why| panic!("{why:#}"));
     assert!(verdict.breaches.is_empty(), "{}\n{:#?}", verdict.figures(), verdict.breaches);
-    let (limit, most) = (CALLERS as f64 * PART, verdict.evidence.calls_on_average);
+    let (limit, most) = (CALLERS as f64 * CALLS_PER_SERVER, verdict.evidence.calls_on_average);
     println!("limit {limit}, most on average {most:.2}");
     assert!((limit / 5.0..=limit).contains(&most), "{most} of {limit}");
 }
--- a/crates/hazelspur-server/tests/changes.rs
+++ b/crates/hazelspur-server/tests/settings_reload.rs
@@ -1,17 +1,17 @@
-//! Settings of the size in two years, and settings that change while the server serves.
+//! Settings of the planned size, and settings that change while the server serves.
 
-mod town;
+mod harness;
 
+use harness::*;
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader};
 use std::process::Child;
 use std::sync::mpsc::{Receiver, channel};
-use town::*;
 
-/// What the server says on standard error, as it comes.
-struct Lines(Receiver<String>);
+/// The server's log lines as they arrive.
+struct LogLines(Receiver<String>);
 
-impl Lines {
+impl LogLines {
     fn of(server: &mut Child) -> Self {
         let (to, from) = channel();
         let stderr = server.stderr.take().expect("piped");
@@ -21,39 +21,40 @@
         Self(from)
     }
 
-    /// The next line with one of these words in it, without its time.
+    /// The next line that contains one of these texts, without its time.
     fn next(&self, words: &[&str]) -> String {
         loop {
-            let line = self.0.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("no line with {words:?}"));
+            let line = self.0.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("no line with {words:?}"));
             if words.iter().any(|word| line.contains(word)) {
                 return line.split_once(' ').map_or("", |(_, text)| text).to_string();
             }
         }
     }
 
-    fn reloaded(&self) -> String {
+    fn next_reload_result(&self) -> String {
         self.next(&["reload refused", "settings changed"])
     }
 }
 
-/// Has the operator's file say this, by the environment of the server's shell.
-fn operator(name: &str, text: &str) -> String {
-    let path = file(name).with_extension("star");
+/// Writes an operator's file; returns the shell command that names it to the server.
+fn operator_file(name: &str, text: &str) -> String {
+    let path = config_file(name).with_extension("star");
     std::fs::write(&path, text).expect("a file");
     format!("export HAZELSPUR_FILE={};", path.display())
 }
 
-const CHANGES: &str = "reload(settings = True)\n";
+const SETTINGS_MAY_CHANGE: &str = "reload(settings = True)\n";
 
-fn prepared(name: &str, text: &str) -> (Town, End, Lines) {
-    let (mut town, link) = Town::with(name, &operator(name, text), |config| customers(config, 5000));
-    let lines = Lines::of(&mut town.server);
-    (town, link, lines)
+fn start_with_operator_file(name: &str, text: &str) -> (ServerHarness, Peer, LogLines) {
+    let (mut server, link) =
+        ServerHarness::new_with(name, &operator_file(name, text), |config| with_tenants(config, 5000));
+    let lines = LogLines::of(&mut server.server);
+    (server, link, lines)
 }
 
-/// What the server goes by, edited.
-fn file_of(town: &Town) -> String {
-    std::fs::read_to_string(&town.file).expect("the file")
+/// The server's configuration file.
+fn read_config(server: &ServerHarness) -> String {
+    std::fs::read_to_string(&server.file).expect("the file")
 }
 
 const PAY: &str = r#",{"name":"pay","aim-us":3000000,"deadline-us":4000000,"semantics":"unsafe"}"#;
@@ -62,27 +63,27 @@
 const STATS: &str = r#",{"name":"stats","aim-us":3000000,"deadline-us":4000000,"semantics":"safe"}"#;
 
 #[test]
-fn what_is_new_is_served_at_once_and_what_is_in_hand_goes_on() {
-    let (mut town, mut link, lines) = prepared("changes", CHANGES);
-    let mut gateway = town.gateway();
-    town.run(&mut gateway, &mut link, &request(1, 1, "pay", ",\"owner\":\"b\""));
-    let old = file_of(&town);
+fn added_classes_are_served_at_once_and_requests_in_progress_continue() {
+    let (mut server, mut link, lines) = start_with_operator_file("changes", SETTINGS_MAY_CHANGE);
+    let mut gateway = server.connect_gateway();
+    server.start_run(&mut gateway, &mut link, &request(1, 1, "pay", ",\"owner\":\"b\""));
+    let old = read_config(&server);
     let new =
         old.replace(PAY, STATS).replace(r#"{"name":"b","quota-rps":50}"#, r#"{"name":"c","quota-rps":9}"#);
-    town.reload(&new);
-    let _ = writeln!(town.trace, "{}", lines.reloaded());
+    server.reload(&new);
+    let _ = writeln!(server.trace, "{}", lines.next_reload_result());
     for (n, class, owner) in [(2, "pay", "a"), (3, "view", "b")] {
-        gateway.say(&format!("{}\n", request(n, n, class, &format!(",\"owner\":\"{owner}\""))));
-        gateway.hear(&mut town.trace);
+        gateway.send(&format!("{}\n", request(n, n, class, &format!(",\"owner\":\"{owner}\""))));
+        gateway.record_next(&mut server.trace);
     }
-    town.run(&mut gateway, &mut link, &request(4, 4, "stats", ",\"owner\":\"c\""));
+    server.start_run(&mut gateway, &mut link, &request(4, 4, "stats", ",\"owner\":\"c\""));
     for (number, n) in [(1, 1), (2, 4)] {
-        link.say(&done(number, n));
-        gateway.hear(&mut town.trace);
+        link.send(&success_notice(number, n));
+        gateway.record_next(&mut server.trace);
     }
-    town.reload(&old);
-    let _ = writeln!(town.trace, "{}", lines.reloaded());
-    town.run(&mut gateway, &mut link, &request(5, 5, "pay", ",\"owner\":\"b\""));
+    server.reload(&old);
+    let _ = writeln!(server.trace, "{}", lines.next_reload_result());
+    server.start_run(&mut gateway, &mut link, &request(5, 5, "pay", ",\"owner\":\"b\""));
     expect_test::expect![[r#"
         runtime < sync 0
         runtime < start 0000000000000001 pay 5 hello
@@ -95,39 +96,39 @@
         info settings changed op_types="+1 ~0 -1" tenants="+1 ~0 -1" figures=0
         runtime < start 0000000000000005 pay 5 hello
     "#]]
-    .assert_eq(&town.trace);
+    .assert_eq(&server.trace);
 }
 
 #[test]
-fn a_key_whose_type_or_tenant_went_and_came_back_runs_no_second_time_and_gives_no_old_result() {
-    let (mut town, mut link, lines) = prepared("back", CHANGES);
-    let mut gateway = town.gateway();
-    let old = file_of(&town);
+fn key_of_a_removed_and_added_class_or_tenant_neither_runs_again_nor_returns_the_old_result() {
+    let (mut server, mut link, lines) = start_with_operator_file("back", SETTINGS_MAY_CHANGE);
+    let mut gateway = server.connect_gateway();
+    let old = read_config(&server);
     let keyed = |n: u32, owner: &str, key: &str| {
         request(n, n, "book", &format!(",\"owner\":\"{owner}\",\"opkey\":\"{key}\""))
     };
     for (n, owner) in [(1, "a"), (2, "b")] {
-        town.run(&mut gateway, &mut link, &keyed(n, owner, "k"));
-        link.say(&done(n, n));
-        gateway.hear(&mut town.trace);
+        server.start_run(&mut gateway, &mut link, &keyed(n, owner, "k"));
+        link.send(&success_notice(n, n));
+        gateway.record_next(&mut server.trace);
     }
     let without =
         [old.replace(&format!(",\n {BOOK}"), ""), old.replace(r#",{"name":"b","quota-rps":50}"#, "")];
     for (which, without) in without.iter().enumerate() {
         for config in [without, &old] {
-            town.reload(config);
-            let _ = writeln!(town.trace, "{}", lines.reloaded());
+            server.reload(config);
+            let _ = writeln!(server.trace, "{}", lines.next_reload_result());
         }
-        // The first time both are of the type before; the second time those of tenant b are of the one before.
+        // In the first round both belong to the removed class, in the second those of tenant b to the removed tenant.
         for (n, owner) in [(3, "a"), (4, "b")] {
             let n = n + 4 * which as u32;
-            gateway.say(&format!("{}\n", keyed(n, owner, "k")));
-            gateway.hear(&mut town.trace);
+            gateway.send(&format!("{}\n", keyed(n, owner, "k")));
+            gateway.record_next(&mut server.trace);
         }
         let n = 5 + 4 * which as u32;
-        town.run(&mut gateway, &mut link, &keyed(n, "b", &format!("new{which}")));
-        link.say(&done(3 + which as u32, n));
-        gateway.hear(&mut town.trace);
+        server.start_run(&mut gateway, &mut link, &keyed(n, "b", &format!("new{which}")));
+        link.send(&success_notice(3 + which as u32, n));
+        gateway.record_next(&mut server.trace);
     }
     expect_test::expect![[r#"
         runtime < sync 0
@@ -148,23 +149,23 @@
         runtime < start 0000000000000009 book 5 hello
         gateway < {"jsonrpc":"2.0","id":9,"result":{"data":"ZG9uZQ=="}}
     "#]]
-    .assert_eq(&town.trace);
+    .assert_eq(&server.trace);
 }
 
 #[test]
-fn a_change_that_does_not_check_costs_a_line_and_nothing_else() {
+fn invalid_change_is_logged_and_changes_nothing() {
     let text = "amqp(brokers = [\"127.0.0.1:9\"])\nqueue(name = \"jobs\", op_type = \"view\")\n".to_string()
-        + CHANGES;
-    let (mut town, mut link, lines) = prepared("refused", &text);
-    let mut gateway = town.gateway();
-    let old = file_of(&town);
-    let (_runtime, _ledger, other) = Town::parties(&town.listen);
+        + SETTINGS_MAY_CHANGE;
+    let (mut server, mut link, lines) = start_with_operator_file("refused", &text);
+    let mut gateway = server.connect_gateway();
+    let old = read_config(&server);
+    let (_runtime, _ledger, other) = ServerHarness::listen_for_peers(&server.listen);
     let moved = |text: String| {
-        // Its addresses are not taken either.
+        // Its addresses do not take effect either.
         let at = other.split("\"runtime\":\"").nth(1).and_then(|rest| rest.split('"').next()).expect("one");
         let (before, rest) = text.split_once("\"runtime\":\"").expect("one");
         let text = format!("{before}\"runtime\":\"{at}{}", &rest[rest.find('"').expect("its end")..]);
-        if text.len() > 8 << 20 { longest(text.trim_end()) } else { text }
+        if text.len() > 8 << 20 { with_length_above_bound(text.trim_end()) } else { text }
     };
     let edits = [
         old.replace("\"memory-span-us\":5000000", "\"memory-span-us\":4000000"),
@@ -174,19 +175,19 @@
         old.replace("{\"name\":\"view\"", "{\"name\":\"viewed\""),
         old.replace("\"name\":\"n1\"", "\"name\":\"n2\""),
         old.replace("\"view\"", "\"x\"").replace("\"book\"", "\"y\"").replace("\"pay\"", "\"z\""),
-        longest(&old),
+        with_length_above_bound(&old),
         old.replace("\"rules\":{", &format!("\"rules\":{{\"new\":[{}1],", "1,".repeat(5000))),
     ];
     for (n, edit) in (1..).zip(edits) {
-        town.reload(&moved(edit));
-        let line = lines.reloaded();
+        server.reload(&moved(edit));
+        let line = lines.next_reload_result();
         let line = line.split_once("ROUTER_CONFIG: ").map_or(line.clone(), |(before, rest)| {
             format!("{before}ROUTER_CONFIG: FILE{}", &rest[rest.find(": ").expect("a reason")..])
         });
-        let _ = writeln!(town.trace, "{line}");
-        town.run(&mut gateway, &mut link, &request(n, n, "view", ",\"owner\":\"a\""));
-        link.say(&done(n, n));
-        gateway.hear(&mut town.trace);
+        let _ = writeln!(server.trace, "{line}");
+        server.start_run(&mut gateway, &mut link, &request(n, n, "view", ",\"owner\":\"a\""));
+        link.send(&success_notice(n, n));
+        gateway.record_next(&mut server.trace);
     }
     expect_test::expect![[r#"
         runtime < sync 0
@@ -217,21 +218,21 @@
         error reload refused, the old configuration stays why="settings: 5018 figures, 4096 at most"
         runtime < start 0000000000000009 view 5 hello
         gateway < {"jsonrpc":"2.0","id":9,"result":{"data":"ZG9uZQ=="}}
-    "#]].assert_eq(&town.trace);
+    "#]].assert_eq(&server.trace);
 }
 
 #[test]
-fn without_the_operators_word_no_setting_changes() {
-    let (mut town, mut link, lines) = prepared("unsaid", "");
-    let mut gateway = town.gateway();
-    let old = file_of(&town);
+fn settings_do_not_change_without_the_operators_permission() {
+    let (mut server, mut link, lines) = start_with_operator_file("unsaid", "");
+    let mut gateway = server.connect_gateway();
+    let old = read_config(&server);
     for new in [old.replace(PAY, STATS), old.replace("\"importance\":1", "\"importance\":2")] {
-        town.reload(&new);
-        let _ = writeln!(town.trace, "{}", lines.reloaded());
+        server.reload(&new);
+        let _ = writeln!(server.trace, "{}", lines.next_reload_result());
     }
-    gateway.say(&format!("{}\n", request(1, 1, "stats", ",\"owner\":\"a\"")));
-    gateway.hear(&mut town.trace);
-    town.run(&mut gateway, &mut link, &request(2, 2, "pay", ",\"owner\":\"a\""));
+    gateway.send(&format!("{}\n", request(1, 1, "stats", ",\"owner\":\"a\"")));
+    gateway.record_next(&mut server.trace);
+    server.start_run(&mut gateway, &mut link, &request(2, 2, "pay", ",\"owner\":\"a\""));
     expect_test::expect![[r#"
         runtime < sync 0
         error reload refused, the file is not this server's keys=settings
@@ -239,30 +240,30 @@
         gateway < {"jsonrpc":"2.0","id":1,"error":{"code":-32601,"message":"no such method"}}
         runtime < start 0000000000000002 pay 5 hello
     "#]]
-    .assert_eq(&town.trace);
+    .assert_eq(&server.trace);
 }
 
 #[test]
-fn a_change_before_the_runtime_is_up_and_one_in_a_drain_hold_too() {
-    let first = operator("edges", CHANGES);
-    let mut town = Town::started_with("edges", &first, |config| customers(config, 5000));
-    let lines = Lines::of(&mut town.server);
-    let mut link = town.link();
-    let old = file_of(&town);
-    town.reload(&old.replace(PAY, STATS));
-    let _ = writeln!(town.trace, "{}", lines.reloaded());
-    link.say("ready hot 1000\r\n");
-    link.hear(&mut town.trace);
-    let mut gateway = town.gateway();
-    town.run(&mut gateway, &mut link, &request(1, 1, "stats", ",\"owner\":\"a\""));
-    town.signal("-TERM");
-    let _ = writeln!(town.trace, "{}", lines.next(&["mode leaving"]));
-    town.reload(&old);
-    let _ = writeln!(town.trace, "{}", lines.reloaded());
-    link.say(&done(1, 1));
-    gateway.hear(&mut town.trace);
-    gateway.hear(&mut town.trace);
-    town.ended();
+fn changes_apply_before_the_worker_is_up_and_while_draining() {
+    let first = operator_file("edges", SETTINGS_MAY_CHANGE);
+    let mut server = ServerHarness::started_with("edges", &first, |config| with_tenants(config, 5000));
+    let lines = LogLines::of(&mut server.server);
+    let mut link = server.accept_worker_link();
+    let old = read_config(&server);
+    server.reload(&old.replace(PAY, STATS));
+    let _ = writeln!(server.trace, "{}", lines.next_reload_result());
+    link.send("ready hot 1000\r\n");
+    link.record_next(&mut server.trace);
+    let mut gateway = server.connect_gateway();
+    server.start_run(&mut gateway, &mut link, &request(1, 1, "stats", ",\"owner\":\"a\""));
+    server.signal("-TERM");
+    let _ = writeln!(server.trace, "{}", lines.next(&["mode leaving"]));
+    server.reload(&old);
+    let _ = writeln!(server.trace, "{}", lines.next_reload_result());
+    link.send(&success_notice(1, 1));
+    gateway.record_next(&mut server.trace);
+    gateway.record_next(&mut server.trace);
+    server.wait_for_exit();
     expect_test::expect![[r#"
         runtime < sync 0
         info settings changed op_types="+1 ~0 -1" tenants="+0 ~0 -0" figures=0
@@ -273,16 +274,16 @@
         gateway < {"jsonrpc":"2.0","method":"farewell"}
         exit Some(0)
     "#]]
-    .assert_eq(&town.trace);
+    .assert_eq(&server.trace);
 }
 
-/// A byte over what is read, by blanks at its end.
-fn longest(config: &str) -> String {
+/// Pads a configuration with blanks to one byte over the bound.
+fn with_length_above_bound(config: &str) -> String {
     config.to_string() + &" ".repeat((8 << 20) + 1 - config.len())
 }
 
-/// Settings with so many request classes and tenants in place of those that are there.
-fn large(config: &str, request_classes: usize, tenants: usize) -> String {
+/// Replaces the request classes and tenants with this many of each.
+fn with_classes_and_tenants(config: &str, request_classes: usize, tenants: usize) -> String {
     let lane =
         |i| format!(r#"{{"name":"route-{i}","aim-us":3000000,"deadline-us":4000000,"semantics":"safe"}}"#);
     let org = |i| format!(r#"{{"name":"tenant-{i}","quota-rps":50}}"#);
@@ -293,14 +294,15 @@
 }
 
 #[test]
-fn each_op_type_and_tenant_of_the_size_in_two_years_is_served_to_the_last_within_its_memory() {
-    let (mut town, mut link) = Town::with("large", "", |config| large(&config, 8_700, 42_000));
-    let mut gateway = town.gateway();
+fn every_class_and_tenant_of_the_planned_size_is_served_within_memory() {
+    let (mut server, mut link) =
+        ServerHarness::new_with("large", "", |config| with_classes_and_tenants(&config, 8_700, 42_000));
+    let mut gateway = server.connect_gateway();
     for (n, i) in [(1, 0), (2, 4_096), (3, 8_699)] {
         let owner = format!(",\"owner\":\"tenant-{}\"", i * 41_999 / 8_699);
-        town.run(&mut gateway, &mut link, &request(n, n, &format!("route-{i}"), &owner));
-        link.say(&done(n, n));
-        gateway.hear(&mut town.trace);
+        server.start_run(&mut gateway, &mut link, &request(n, n, &format!("route-{i}"), &owner));
+        link.send(&success_notice(n, n));
+        gateway.record_next(&mut server.trace);
     }
     expect_test::expect![[r#"
         runtime < sync 0
@@ -311,8 +313,8 @@
         runtime < start 0000000000000003 route-8699 5 hello
         gateway < {"jsonrpc":"2.0","id":3,"result":{"data":"ZG9uZQ=="}}
     "#]]
-    .assert_eq(&town.trace);
-    let status = std::fs::read_to_string(format!("/proc/{}/status", town.server.id())).expect("its status");
+    .assert_eq(&server.trace);
+    let status = std::fs::read_to_string(format!("/proc/{}/status", server.server.id())).expect("its status");
     let kb = status
         .lines()
         .find_map(|line| line.strip_prefix("RssAnon:")?.trim().strip_suffix(" kB")?.parse().ok());
@@ -321,20 +323,21 @@
 }
 
 #[test]
-fn what_passes_a_bound_is_refused_at_the_start_with_both_numbers() {
+fn exceeded_bounds_are_refused_at_start_with_both_numbers() {
     let mut seen = String::new();
     let edits: [&dyn Fn(String) -> String; 4] = [
-        &|config| large(&config, 17_401, 2),
-        &|config| large(&config, 2, 84_001),
+        &|config| with_classes_and_tenants(&config, 17_401, 2),
+        &|config| with_classes_and_tenants(&config, 2, 84_001),
         &|config| config.replace("\"rules\":{", &format!("\"rules\":{{\"new\":[{}1],", "1,".repeat(5000))),
-        &|config| longest(&config),
+        &|config| with_length_above_bound(&config),
     ];
     for (i, edit) in edits.into_iter().enumerate() {
-        let (_listen, _runtime, _ledger, config) = Town::prepared();
+        let (_listen, _runtime, _ledger, config) = ServerHarness::prepare();
         let name = format!("over{i}");
         let server = start(&name, &edit(config), "");
         let out = server.wait_with_output().expect("the server ends");
-        let text = String::from_utf8_lossy(&out.stderr).replace(&file(&name).display().to_string(), "FILE");
+        let text =
+            String::from_utf8_lossy(&out.stderr).replace(&config_file(&name).display().to_string(), "FILE");
         let text = text.split_once(' ').map_or("", |(_, text)| text.trim_end());
         let _ = writeln!(seen, "{text}, exit {:?}", out.status.code());
     }
--- /dev/null
+++ b/crates/hazelspur-server/tests/shutdown.rs
@@ -0,0 +1,226 @@
+//! Shutdown: draining, closing, restarts; requests in progress are answered.
+
+mod harness;
+
+use harness::*;
+use std::fmt::Write as _;
+use std::net::TcpStream;
+use std::time::{Duration, Instant};
+
+#[test]
+fn shutdown_answers_received_requests_and_sends_goodbye() {
+    let (mut server, mut link) = ServerHarness::new("leave", "");
+    let (mut gateway, mut idle) = (server.connect_gateway(), server.connect_gateway());
+    server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
+    server.signal("-TERM");
+    std::thread::sleep(Duration::from_millis(100));
+    server.start_run(&mut gateway, &mut link, &request(2, 2, "view", ""));
+    idle.record_next(&mut server.trace);
+    std::thread::sleep(Duration::from_millis(50));
+    let refused = TcpStream::connect(&server.listen).is_err();
+    let _ = writeln!(server.trace, "refused {refused}");
+    gateway.send(&format!("{}\n", request(3, 3, "view", "")));
+    let late = gateway.record_next(&mut String::new());
+    let _ = writeln!(server.trace, "late one {}", &late[..47]);
+    link.send(&success_notice(1, 1));
+    gateway.record_next(&mut server.trace);
+    for _ in 0..3 {
+        gateway.record_next(&mut server.trace);
+    }
+    server.wait_for_exit();
+    expect_test::expect![[r#"
+        runtime < sync 0
+        runtime < start 0000000000000001 view 5 hello
+        runtime < start 0000000000000002 view 5 hello
+        gateway < {"jsonrpc":"2.0","method":"farewell"}
+        refused true
+        late one {"jsonrpc":"2.0","id":3,"error":{"code":-32011,
+        gateway < {"jsonrpc":"2.0","id":1,"result":{"data":"ZG9uZQ=="}}
+        gateway < {"jsonrpc":"2.0","id":2,"error":{"code":-32000,"message":"failed"}}
+        gateway < {"jsonrpc":"2.0","method":"farewell"}
+        gateway < (closed)
+        exit Some(0)
+    "#]]
+    .assert_eq(&server.trace);
+}
+
+/// Suspends the process for this long, with an action meanwhile.
+fn while_suspended(server: &ServerHarness, ms: u64, done: impl FnOnce()) {
+    let since = Instant::now();
+    server.signal("-STOP");
+    done();
+    wait_until(since, ms);
+    server.signal("-CONT");
+}
+
+/// Guards against losing a request that crosses the close: each of ten connections is answered.
+#[test]
+fn request_received_at_the_instant_of_close_is_answered() {
+    let (mut server, _link) = ServerHarness::new("instant", "");
+    let mut resting: Vec<Peer> = (0..10).map(|_| server.connect_gateway()).collect();
+    let check = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n";
+    for end in &mut resting {
+        end.send(check);
+        end.record_next(&mut String::new());
+    }
+    server.signal("-TERM");
+    for end in &mut resting {
+        end.record_next(&mut String::new()); // goodbye
+    }
+    while_suspended(&server, 450, || {
+        for (n, end) in resting.iter_mut().enumerate() {
+            end.send(&format!("{}\n", request(2, n as u32 + 2, "view", "")));
+        }
+    });
+    for end in &mut resting {
+        let answer = end.record_next(&mut String::new());
+        let _ = writeln!(server.trace, "{}, {}", &answer[..answer.len().min(46)], end.read_line());
+    }
+    server.wait_for_exit();
+    expect_test::expect![[r#"
+        runtime < sync 0
+        {"jsonrpc":"2.0","id":2,"error":{"code":-32011, (closed)
+        {"jsonrpc":"2.0","id":2,"error":{"code":-32011, (closed)
+        {"jsonrpc":"2.0","id":2,"error":{"code":-32011, (closed)
+        {"jsonrpc":"2.0","id":2,"error":{"code":-32011, (closed)
+        {"jsonrpc":"2.0","id":2,"error":{"code":-32011, (closed)
+        {"jsonrpc":"2.0","id":2,"error":{"code":-32011, (closed)
+        {"jsonrpc":"2.0","id":2,"error":{"code":-32011, (closed)
+        {"jsonrpc":"2.0","id":2,"error":{"code":-32011, (closed)
+        {"jsonrpc":"2.0","id":2,"error":{"code":-32011, (closed)
+        {"jsonrpc":"2.0","id":2,"error":{"code":-32011, (closed)
+        exit Some(0)
+    "#]]
+    .assert_eq(&server.trace);
+}
+
+#[test]
+fn partially_received_request_at_close_is_awaited() {
+    let (mut server, _link) = ServerHarness::new("half", "");
+    let mut gateway = server.connect_gateway();
+    gateway.send("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n");
+    gateway.record_next(&mut String::new());
+    server.signal("-TERM");
+    gateway.record_next(&mut server.trace);
+    let line = request(2, 2, "view", "");
+    gateway.send(&line[..50]);
+    wait_until(Instant::now(), 600);
+    gateway.send(&format!("{}\n", &line[50..]));
+    let answer = gateway.record_next(&mut String::new());
+    let _ = writeln!(server.trace, "{}, {}", &answer[..answer.len().min(46)], gateway.read_line());
+    server.wait_for_exit();
+    expect_test::expect![[r#"
+        runtime < sync 0
+        gateway < {"jsonrpc":"2.0","method":"farewell"}
+        {"jsonrpc":"2.0","id":2,"error":{"code":-32011, (closed)
+        exit Some(0)
+    "#]]
+    .assert_eq(&server.trace);
+}
+
+#[test]
+fn shutdown_before_the_worker_is_up_drops_no_request() {
+    let mut server = ServerHarness::started("unready", "");
+    let _link = server.accept_worker_link();
+    let mut gateway = server.connect_gateway();
+    let check = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n";
+    gateway.send(check);
+    gateway.record_next(&mut server.trace);
+    while_suspended(&server, 10, || {
+        gateway.send(&format!("{}{}\n", check.replace(":1,", ":2,"), request(3, 3, "view", "")));
+        server.signal("-TERM");
+    });
+    for _ in 0..4 {
+        gateway.record_next(&mut server.trace);
+    }
+    server.wait_for_exit();
+    expect_test::expect![[r#"
+        runtime < sync 0
+        gateway < {"jsonrpc":"2.0","id":1,"result":{"ready":false}}
+        gateway < {"jsonrpc":"2.0","id":2,"result":{"ready":false}}
+        gateway < {"jsonrpc":"2.0","id":3,"error":{"code":-32011,"message":"not serving yet"}}
+        gateway < {"jsonrpc":"2.0","method":"farewell"}
+        gateway < (closed)
+        exit Some(0)
+    "#]]
+    .assert_eq(&server.trace);
+}
+
+/// Connections that wait in the system's accept queue when the listener closes.
+#[test]
+fn connections_not_yet_accepted_at_the_end_of_the_grace_period_are_answered() {
+    let (mut server, _link) = ServerHarness::new("queue", "");
+    let mut waiting = Vec::new();
+    let begun = Instant::now();
+    server.signal("-TERM");
+    wait_until(begun, 100);
+    while_suspended(&server, 300, || {
+        wait_until(begun, 350); // after the grace period
+        for n in 0..10 {
+            waiting.push(server.connect_gateway());
+            waiting[n].send(&format!("{}\n", request(1, n as u32 + 1, "view", "")));
+        }
+    });
+    let nacked = |end: &mut Peer| {
+        let said = [end.read_line(), end.read_line()];
+        said.iter().any(|line| line.contains("\"id\":1,\"error\":{\"code\":-32011"))
+    };
+    let answered = waiting.iter_mut().map(nacked).filter(|nacked| *nacked).count();
+    let _ = writeln!(server.trace, "answered {answered}");
+    server.wait_for_exit();
+    expect_test::expect![[r#"
+        runtime < sync 0
+        answered 10
+        exit Some(0)
+    "#]]
+    .assert_eq(&server.trace);
+}
+
+#[test]
+fn repeated_shutdown_notices_do_not_change_the_drain() {
+    let (mut server, mut link) = ServerHarness::new("notices", "");
+    let mut gateway = server.connect_gateway();
+    server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
+    while_suspended(&server, 10, || ["-TERM", "-HUP", "-TERM"].iter().for_each(|name| server.signal(name)));
+    server.start_run(&mut gateway, &mut link, &request(2, 2, "view", ""));
+    server.signal("-TERM");
+    link.send(&format!("{}{}", success_notice(1, 1), success_notice(2, 2)));
+    for _ in 0..4 {
+        gateway.record_next(&mut server.trace);
+    }
+    server.wait_for_exit();
+    expect_test::expect![[r#"
+        runtime < sync 0
+        runtime < start 0000000000000001 view 5 hello
+        runtime < start 0000000000000002 view 5 hello
+        gateway < {"jsonrpc":"2.0","id":1,"result":{"data":"ZG9uZQ=="}}
+        gateway < {"jsonrpc":"2.0","id":2,"result":{"data":"ZG9uZQ=="}}
+        gateway < {"jsonrpc":"2.0","method":"farewell"}
+        gateway < (closed)
+        exit Some(0)
+    "#]]
+    .assert_eq(&server.trace);
+}
+
+#[test]
+fn start_waits_for_an_address_still_in_use() {
+    let (listen, runtime, ledger, config) = ServerHarness::prepare();
+    let before = std::net::TcpListener::bind(&listen).expect("a free port");
+    let server = start("held", &config, "");
+    let mut server =
+        ServerHarness { server, listen, runtime, ledger, file: config_file("held"), trace: String::new() };
+    wait_until(Instant::now(), 200);
+    let _ = writeln!(server.trace, "running {}", server.server.try_wait().is_ok_and(|ended| ended.is_none()));
+    drop(before);
+    let mut link = server.accept_worker_link();
+    link.send("ready hot 1000\r\n");
+    link.record_next(&mut server.trace);
+    let mut gateway = server.connect_gateway();
+    server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
+    expect_test::expect![[r#"
+        running true
+        runtime < sync 0
+        runtime < start 0000000000000001 view 5 hello
+    "#]]
+    .assert_eq(&server.trace);
+}
--- /dev/null
+++ b/crates/hazelspur-server/tests/worker_link.rs
@@ -0,0 +1,139 @@
+//! The link to the worker: commands that are sent again after a break, and silent links.
+
+mod harness;
+
+use harness::*;
+use std::time::{Duration, Instant};
+
+#[test]
+fn reconnect_resends_only_unanswered_commands() {
+    let (mut server, mut link) = ServerHarness::new("link", "");
+    let mut gateway = server.connect_gateway();
+    gateway.send(&format!("{}\n{}\n", request(1, 1, "view", ""), request(2, 2, "view", "")));
+    link.record_next(&mut server.trace);
+    link.record_next(&mut server.trace);
+    drop(link);
+    server.accept_worker_link(); // this one breaks before its replay
+    let mut link = server.accept_worker_link();
+    link.send(&format!("ready hot 2000\r\nend 1 {} complete 5 3\r\none\r\n", id(1)));
+    gateway.record_next(&mut server.trace);
+    link.record_next(&mut server.trace);
+    link.record_next(&mut server.trace);
+    link.send(&format!("end 1 {} error 5 0\r\n\r\nend 2 {} complete 5 3\r\ntwo\r\n", id(2), id(2)));
+    gateway.record_next(&mut server.trace);
+    link.send("no notice at all\r\n");
+    drop(link);
+    let mut link = server.accept_worker_link();
+    gateway.send(&format!("{}\n", request(3, 3, "view", "")));
+    std::thread::sleep(Duration::from_millis(30));
+    link.send("ready hot 3000\r\n");
+    link.record_next(&mut server.trace);
+    link.record_next(&mut server.trace);
+    expect_test::expect![[r#"
+        runtime < sync 0
+        runtime < start 0000000000000001 view 5 hello
+        runtime < start 0000000000000002 view 5 hello
+        runtime < sync 0
+        runtime < sync 0
+        gateway < {"jsonrpc":"2.0","id":1,"result":{"data":"b25l"}}
+        runtime < start 0000000000000002 view 5 hello
+        gateway < {"jsonrpc":"2.0","id":2,"result":{"data":"dHdv"}}
+        runtime < sync 2
+        runtime < start 0000000000000003 view 5 hello
+    "#]]
+    .assert_eq(&server.trace);
+}
+
+#[test]
+fn read_reply_is_not_resent_and_silent_link_is_replaced() {
+    let (mut server, mut link) = ServerHarness::new("given", "");
+    let mut gateway = server.connect_gateway();
+    server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
+    link.send(&format!("wants 1 {} 3\r\nask\r\n", id(1)));
+    let mut ledger = server.accept_dependency_call();
+    ledger.record_call(&mut server.trace);
+    ledger.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+    link.record_next(&mut server.trace);
+    for _ in 0..4 {
+        let gauges = link.read_line();
+        link.send(&gauges.replace("gauges", "load"));
+        link.send(" 0.5 1\r\n");
+    }
+    drop(link);
+    let mut link = server.accept_worker_link();
+    link.send("ready hot 9000\r\n");
+    link.record_next(&mut server.trace);
+    server.start_run(&mut gateway, &mut link, &request(2, 2, "view", ""));
+    link.send(&format!("end 2 {} complete 5 3\r\none\r\n", id(1)));
+    gateway.record_next(&mut server.trace);
+    server.accept_worker_link(); // the former one is open and silent
+    expect_test::expect![[r#"
+        runtime < sync 0
+        runtime < start 0000000000000001 view 5 hello
+        ledger < POST /post HTTP/1.1 0000000000000001 ask
+        runtime < give 0000000000000001 2 ok
+        runtime < sync 1
+        runtime < start 0000000000000002 view 5 hello
+        gateway < {"jsonrpc":"2.0","id":1,"result":{"data":"b25l"}}
+        runtime < sync 2
+    "#]]
+    .assert_eq(&server.trace);
+}
+
+/// Guards against ignoring a restarted worker, which numbers its notices from 1 again.
+#[test]
+fn restarted_worker_is_accepted_and_its_former_runs_fail() {
+    let (mut server, mut link) = ServerHarness::new("restarted", "");
+    let mut gateway = server.connect_gateway();
+    for n in 1..4 {
+        server.start_run(&mut gateway, &mut link, &request(n, n, "view", ""));
+        if n < 3 {
+            link.send(&success_notice(n, n));
+            gateway.record_next(&mut server.trace);
+        }
+    }
+    drop(link);
+    let mut link = server.accept_worker_link();
+    wait_until(Instant::now(), 1100);
+    link.send("ready chilly 20\r\n");
+    gateway.record_next(&mut server.trace);
+    link.record_next(&mut server.trace);
+    server.start_run(&mut gateway, &mut link, &request(4, 4, "view", ""));
+    link.send(&success_notice(1, 4));
+    gateway.record_next(&mut server.trace);
+    expect_test::expect![[r#"
+        runtime < sync 0
+        runtime < start 0000000000000001 view 5 hello
+        gateway < {"jsonrpc":"2.0","id":1,"result":{"data":"ZG9uZQ=="}}
+        runtime < start 0000000000000002 view 5 hello
+        gateway < {"jsonrpc":"2.0","id":2,"result":{"data":"ZG9uZQ=="}}
+        runtime < start 0000000000000003 view 5 hello
+        runtime < sync 2
+        gateway < {"jsonrpc":"2.0","id":3,"error":{"code":-32000,"message":"failed"}}
+        runtime < start 0000000000000004 view 5 hello
+        gateway < {"jsonrpc":"2.0","id":4,"result":{"data":"ZG9uZQ=="}}
+    "#]]
+    .assert_eq(&server.trace);
+}
+
+#[test]
+fn link_that_is_silent_before_ready_is_replaced() {
+    let mut server = ServerHarness::started("quiet", "");
+    let _quiet = server.accept_worker_link();
+    let mut link = server.accept_worker_link();
+    link.send("ready hot 100\r\n");
+    link.record_next(&mut server.trace);
+    let mut gateway = server.connect_gateway();
+    let check = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n";
+    gateway.send(check);
+    while !gateway.record_next(&mut String::new()).contains("true") {
+        gateway.send(check);
+    }
+    server.start_run(&mut gateway, &mut link, &request(2, 2, "view", ""));
+    expect_test::expect![[r#"
+        runtime < sync 0
+        runtime < sync 0
+        runtime < start 0000000000000002 view 5 hello
+    "#]]
+    .assert_eq(&server.trace);
+}
