--- a/crates/hazelspur-simulator/src/capacity/report.rs
+++ b/crates/hazelspur-simulator/src/capacity/report.rs
@@ -213,7 +213,7 @@
         let of_line = finite(curve.at(row.size));
         [of_line, curve.seen].into_iter().flatten().reduce(f64::max)
     });
-    let budget = row.budget.map(|(budget, _)| budget);
+    let budget = row.budget.map(|budget| budget.limit);
     let ratio = target.zip(budget).map(|(target, budget)| target / budget);
     let state = match (row.found, ratio, target) {
         (Found::Nothing, ..) => State::Missing,
@@ -238,7 +238,7 @@
         target,
         twice: curve.as_ref().and_then(|c| finite(c.at(2.0 * row.size))),
         budget,
-        budget_from: row.budget.map_or("", |(_, from)| from),
+        budget_from: row.budget.map_or("", |budget| budget.from),
         ratio,
         mechanism: row.mechanism,
         stops_at: curve.as_ref().map_or(Stops::Unknown, |c| stops(c, row.size, budget)),
@@ -255,7 +255,7 @@
     let add =
         |of: &dyn Fn(&Line) -> Option<f64>| parts.iter().filter_map(|line| of(line)).reduce(|a, b| a + b);
     let unknown: Vec<&str> = parts.iter().filter(|line| line.target.is_none()).map(|line| line.row).collect();
-    let (target, budget) = (add(&|line| line.target), row.budget.map(|(budget, _)| budget));
+    let (target, budget) = (add(&|line| line.target), row.budget.map(|budget| budget.limit));
     let ratio = target.zip(budget).map(|(target, budget)| target / budget);
     let state = match ratio {
         Some(ratio) if ratio > 1.0 => State::Missing,
--- /dev/null
+++ b/crates/hazelspur-simulator/src/capacity/rows/events.rs
@@ -0,0 +1,237 @@
+//! Rows of events: starts, losses, partitions, deploys and changes.
+
+use super::{AGREE, BYTES, CPU, FILE, IN_FORCE, JOINT, MEMBERS, RELOAD, Role, Row, SHARES, TALK, row};
+use crate::capacity::size::Size;
+use hazelspur_fleet::quota;
+
+/// All rows of events, in the order of the page.
+pub(super) fn events(size: &Size) -> Vec<Row> {
+    [load(size), agreement_rows(size), losses(size), changes(size)].into_iter().flatten().collect()
+}
+
+/// Requests at a server in some situation.
+fn requests(size: &Size, name: &'static str, what: &'static str, left: f64, by: &str) -> Row {
+    row(Role::Event, name, what, "1/s", ("requests_per_s", size.size.requests_per_s))
+        .formula(format!("requests_per_s / {by}"))
+        .computed(FILE, 1.0 / left, 0.0)
+        .by_mechanism("none of ours: gateways choose")
+}
+
+/// Time until all servers have one view of the members.
+fn agreement(size: &Size, name: &'static str, what: &'static str, cases: &'static [&'static str]) -> Row {
+    row(Role::Event, name, what, "s", ("servers", size.size.servers))
+        .formula("until all have one picture, worst seed")
+        .worst(&AGREE, cases)
+        .within(size.budget.in_force_s, IN_FORCE)
+        .by_mechanism(MEMBERS)
+}
+
+/// What the busiest server sends in its busiest second.
+fn busiest_second(
+    size: &Size,
+    name: &'static str,
+    what: &'static str,
+    cases: &'static [&'static str],
+) -> Row {
+    row(Role::Event, name, what, "B/s", ("servers", size.size.servers))
+        .formula("the busiest server's busiest second, worst seed")
+        .worst(&["joint.most_bytes_out_in_a_second"], cases)
+        .worst(&["members.most_bytes_out_in_a_second"], cases)
+        .within(size.budget.control_bytes_per_s, BYTES)
+        .by_mechanism(JOINT)
+}
+
+/// Time until quota leases are settled.
+fn quota_settled(size: &Size, name: &'static str, what: &'static str, cases: &'static [&'static str]) -> Row {
+    row(Role::Event, name, what, "s", ("servers", size.size.servers))
+        .formula("until shares are settled, worst seed")
+        .worst(&["shares.of_1.settle_s"], cases)
+        .within(size.budget.in_force_s, IN_FORCE)
+        .by_mechanism(SHARES)
+}
+
+/// Requests at a server when others are lost.
+fn load(size: &Size) -> Vec<Row> {
+    let s = &size.size;
+    let a = &size.assumed;
+    let region = s.servers * (s.regions - 1.0) / s.regions;
+    let zone = s.servers * (s.zones - 1.0) / s.zones;
+    let mean = s.servers * a.busiest_minute_over_mean;
+    vec![
+        requests(
+            size,
+            "event.mean.requests",
+            "requests at a server, the day's mean",
+            mean,
+            "(busiest_minute_over_mean x servers)",
+        ),
+        requests(size, "event.minute.requests", "the busiest minute, all zones", s.servers, "servers"),
+        requests(
+            size,
+            "event.zone_lost.requests",
+            "the same, one zone lost",
+            zone,
+            "servers of the zones left",
+        ),
+        requests(
+            size,
+            "event.region_lost.requests",
+            "the same, one region lost",
+            region,
+            "servers of the regions left",
+        ),
+        requests(
+            size,
+            "event.rack_lost.requests",
+            "the same, a rack gone",
+            s.servers - a.servers_per_rack,
+            "(servers - servers_per_rack)",
+        ),
+    ]
+}
+
+/// Agreement on the members after starts, losses and partitions.
+fn agreement_rows(size: &Size) -> Vec<Row> {
+    use Role::Event;
+    let s = &size.size;
+    let b = &size.budget;
+    let servers = ("servers", s.servers);
+    vec![
+        agreement(size, "event.storm.agree", "all start within a second: one picture", &["storm"]),
+        row(
+            Event,
+            "event.storm.agree.real",
+            "the same on real sockets, as real servers show it",
+            "s",
+            servers,
+        )
+        .formula("until the real servers show all as alive, worst seed")
+        .worst(&["hollow/members.agree_s"], &["storm"])
+        .within(b.in_force_s, IN_FORCE)
+        .by_mechanism(TALK),
+        agreement(size, "event.zone_lost.agree", "a zone lost: one picture of those left", &["zone lost"]),
+        agreement(size, "event.zone_back.agree", "a zone back cold: one picture", &["zone back"]),
+        busiest_second(
+            size,
+            "event.zone_back.bytes",
+            "a zone back cold: the busiest server's bytes",
+            &["zone back"],
+        ),
+        agreement(
+            size,
+            "event.regions_healed.agree",
+            "regions apart for a minute, healed: one picture",
+            &["regions healed"],
+        ),
+        busiest_second(
+            size,
+            "event.regions_healed.bytes",
+            "regions healed: the busiest server's bytes",
+            &["regions healed"],
+        ),
+        quota_settled(
+            size,
+            "event.regions_healed.shares",
+            "regions healed: shares settled",
+            &["regions apart for 60 s"],
+        ),
+    ]
+}
+
+/// Deploys and lost servers.
+fn losses(size: &Size) -> Vec<Row> {
+    use Role::Event;
+    let s = &size.size;
+    let b = &size.budget;
+    let a = &size.assumed;
+    let servers = ("servers", s.servers);
+    let out = a.out_at_once_share * s.servers;
+    let keepers = quota::MAX_VOTERS as f64;
+    vec![
+        agreement(
+            size,
+            "event.deploy.agree",
+            "restarts in a bunch: one picture after the last",
+            &["bunched restarts, after the last"],
+        ),
+        row(
+            Event,
+            "event.deploy.out",
+            "servers out at once in a deploy",
+            "servers",
+            ("restarts", a.restarts_per_deploy),
+        )
+        .formula("restarts_per_deploy x restart_out_s / deploy_min")
+        .computed(FILE, a.restart_out_s / (a.deploy_min * 60.0), 0.0)
+        .within(out, "assumed.out_at_once_share")
+        .by_mechanism("crates/hazelspur-server/src/process/phases.rs Phases"),
+        row(Event, "event.rack_lost.noticed", "a rack gone: noticed, 99 in 100", "s", servers)
+            .formula("until a server holds one of them for lost")
+            .worst(&["members.noticed_p99_s"], &[])
+            .within(b.in_force_s, IN_FORCE)
+            .by_mechanism(MEMBERS),
+        quota_settled(
+            size,
+            "event.divider_ends.shares",
+            "the divider dies: shares settled",
+            &["divider ends"],
+        ),
+        row(
+            Event,
+            "event.keeper_dies.votes",
+            "a keeper dies: keepers lost, of those that may be",
+            "keepers",
+            ("keepers", 1.0),
+        )
+        .formula("one at a time; a minority of 9 may go")
+        .computed("crates/hazelspur-fleet/src/quota/mod.rs MAX_VOTERS", 1.0, 0.0)
+        .within((keepers - 1.0) / 2.0, "a minority of MAX_KEEPERS")
+        .by_mechanism("crates/hazelspur-fleet/src/quota/election.rs Voter"),
+    ]
+}
+
+/// Changes of the configuration.
+fn changes(size: &Size) -> Vec<Row> {
+    use Role::Event;
+    let s = &size.size;
+    let b = &size.budget;
+    let a = &size.assumed;
+    let servers = ("servers", s.servers);
+    let per_minute = a.changes_in_busiest_minute / 60.0;
+    let out = a.out_at_once_share * s.servers;
+    vec![
+        row(
+            Event,
+            "event.changes.cpu",
+            "30 changes in a minute, each a file read again",
+            "of a core",
+            ("tenants", s.tenants),
+        )
+        .formula("changes_in_busiest_minute / 60 s x CPU of a reload, else of a start")
+        .measured_times(&["server.reload.cpu_s"], &[], per_minute, false)
+        .measured_times(&["server.start.cpu_s"], &[], per_minute, false)
+        .within(b.control_cpu_share, CPU)
+        .by_mechanism(RELOAD),
+        row(
+            Event,
+            "event.changes.stall",
+            "the same: part of a minute in which nothing else is done",
+            "of the time",
+            ("tenants", s.tenants),
+        )
+        .formula("changes_in_busiest_minute / 60 s x the longest health check in a reload; 1 in 100 may wait")
+        .measured_times(&["server.reload.stall_s"], &[], per_minute, false)
+        .within(0.01, "99 in 100")
+        .by_mechanism(RELOAD),
+        row(Event, "event.changes.restarts", "30 changes in a minute: restarts in it", "1/min", servers)
+            .formula("changes_in_busiest_minute x changes_that_need_a_restart x servers")
+            .computed(
+                FILE.to_string() + " changes_that_need_a_restart",
+                a.changes_in_busiest_minute * a.changes_that_need_a_restart,
+                0.0,
+            )
+            .within(out * 60.0 / a.restart_out_s, "assumed.out_at_once_share")
+            .by_mechanism(RELOAD)
+            .rests_on(&["config.restarts"]),
+    ]
+}
--- /dev/null
+++ b/crates/hazelspur-simulator/src/capacity/rows/mod.rs
@@ -0,0 +1,304 @@
+//! Quantities that grow with the size, by role: their dimension, formula, budget and mechanism. A row names the figure
+//! that a study measures, or the line of code that it is computed from.
+
+mod configuration;
+mod events;
+mod network;
+mod quota;
+mod server;
+
+use super::constants::Constant;
+use super::measured::Seeds;
+use super::size::Size;
+
+/// Whose cost a row is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Role {
+    /// One server.
+    Server,
+    /// One client process.
+    Caller,
+    /// The configuration of the fleet.
+    Configuration,
+    /// A machine that only controls.
+    ControlMachine,
+    /// Voters and the allocator of the quota.
+    KeeperAndDivider,
+    /// The list of servers.
+    List,
+    /// The shared dependency.
+    SharedDependency,
+    /// A link between two zones.
+    LinkBetweenZones,
+    /// A link between two regions.
+    LinkBetweenRegions,
+    /// Something that happens at times.
+    Event,
+}
+
+impl Role {
+    /// All roles, in the order of the page.
+    pub const ALL: [Self; 10] = [
+        Self::Server,
+        Self::Caller,
+        Self::Configuration,
+        Self::ControlMachine,
+        Self::KeeperAndDivider,
+        Self::List,
+        Self::SharedDependency,
+        Self::LinkBetweenZones,
+        Self::LinkBetweenRegions,
+        Self::Event,
+    ];
+
+    /// Its name in the page's markers.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::Server => "server",
+            Self::Caller => "caller",
+            Self::Configuration => "configuration",
+            Self::ControlMachine => "control-machine",
+            Self::KeeperAndDivider => "keeper-and-divider",
+            Self::List => "list",
+            Self::SharedDependency => "shared-dependency",
+            Self::LinkBetweenZones => "link-between-zones",
+            Self::LinkBetweenRegions => "link-between-regions",
+            Self::Event => "events",
+        }
+    }
+}
+
+/// Where a row's slope comes from.
+#[derive(Clone, Debug)]
+pub enum Source {
+    /// A study's figures, all of which count, in the first of the cases that was measured; none for any case.
+    /// Times a factor, and over all servers where it is a sum of what each sees.
+    Measured {
+        /// The figures, all of which count.
+        figures: &'static [&'static str],
+        /// The cases, of which the first that was measured counts.
+        cases: &'static [&'static str],
+        /// Which seeds count.
+        seeds: Seeds,
+        /// The factor from the figure's unit to the row's.
+        times: f64,
+        /// Whether it is summed over all servers.
+        over_all: bool,
+    },
+    /// From what the code or the size file says.
+    Computed {
+        /// Where the figures stand.
+        from: String,
+        /// What one more of the dimension adds.
+        slope: f64,
+        /// What there is without any.
+        base: f64,
+    },
+}
+
+/// Whether a mechanism carries a row's load.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Found {
+    /// There is a mechanism.
+    Something,
+    /// There is none.
+    Nothing,
+}
+
+/// The budget of a row.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RowBudget {
+    /// The most that it may be, in the row's unit.
+    pub limit: f64,
+    /// Where that stands.
+    pub from: &'static str,
+}
+
+/// One quantity that grows with the size.
+#[derive(Clone, Debug)]
+pub struct Row {
+    /// Its name.
+    pub name: &'static str,
+    /// Whose it is.
+    pub role: Role,
+    /// What it is, in words.
+    pub what: &'static str,
+    /// Its unit.
+    pub unit: &'static str,
+    /// Its formula, in words.
+    pub formula: String,
+    /// The dimension by which it grows.
+    pub by: &'static str,
+    /// The dimension's figure at the target.
+    pub size: f64,
+    /// Where its slope comes from; the first source that gives one counts.
+    pub sources: Vec<Source>,
+    /// Rows before this one that it adds up.
+    pub sum_of: Vec<&'static str>,
+    /// Its budget.
+    pub budget: Option<RowBudget>,
+    /// Whether there is a mechanism.
+    pub found: Found,
+    /// File and type of the mechanism.
+    pub mechanism: &'static str,
+    /// Rows that must hold first.
+    pub rests_on: Vec<&'static str>,
+}
+
+/// A row with its names only; its methods add the rest. `by` is the dimension with its figure at the target.
+pub fn row(
+    role: Role,
+    name: &'static str,
+    what: &'static str,
+    unit: &'static str,
+    (by, size): (&'static str, f64),
+) -> Row {
+    Row {
+        name,
+        role,
+        what,
+        unit,
+        formula: String::new(),
+        by,
+        size,
+        sources: Vec::new(),
+        sum_of: Vec::new(),
+        budget: None,
+        found: Found::Something,
+        mechanism: "",
+        rests_on: Vec::new(),
+    }
+}
+
+impl Row {
+    /// Its formula, in words.
+    pub fn formula(mut self, words: impl Into<String>) -> Self {
+        self.formula = words.into();
+        self
+    }
+
+    /// A figure as it was measured.
+    pub fn measured(self, figure: &'static [&'static str], cases: &'static [&'static str]) -> Self {
+        self.measured_times(figure, cases, 1.0, false)
+    }
+
+    /// A figure as it was measured, times a factor, and summed over all servers where `over_all`.
+    pub fn measured_times(
+        mut self,
+        figures: &'static [&'static str],
+        cases: &'static [&'static str],
+        times: f64,
+        over_all: bool,
+    ) -> Self {
+        self.sources.push(Source::Measured { figures, cases, seeds: Seeds::All, times, over_all });
+        self
+    }
+
+    /// By the worst seed of each size.
+    pub fn worst(mut self, figures: &'static [&'static str], cases: &'static [&'static str]) -> Self {
+        let seeds = Seeds::Worst;
+        self.sources.push(Source::Measured { figures, cases, seeds, times: 1.0, over_all: false });
+        self
+    }
+
+    /// A figure computed from code or the size file.
+    pub fn computed(mut self, from: impl Into<String>, slope: f64, base: f64) -> Self {
+        self.sources.push(Source::Computed { from: from.into(), slope, base });
+        self
+    }
+
+    /// The sum of these rows.
+    pub fn sum_of(mut self, rows: &[&'static str]) -> Self {
+        self.sum_of = rows.to_vec();
+        self
+    }
+
+    /// Its budget, and where that stands.
+    pub fn within(mut self, budget: f64, from: &'static str) -> Self {
+        self.budget = Some(RowBudget { limit: budget, from });
+        self
+    }
+
+    /// The mechanism that carries it: file and type.
+    pub fn by_mechanism(mut self, mechanism: &'static str) -> Self {
+        self.mechanism = mechanism;
+        self
+    }
+
+    /// No mechanism carries it; `nearest` says what comes nearest.
+    pub fn no_mechanism(mut self, nearest: &'static str) -> Self {
+        (self.found, self.mechanism) = (Found::Nothing, nearest);
+        self
+    }
+
+    /// Rows that must hold first.
+    pub fn rests_on(mut self, rows: &[&'static str]) -> Self {
+        self.rests_on = rows.to_vec();
+        self
+    }
+}
+
+/// The file with the size, the budgets and the assumptions.
+const FILE: &str = "docs/capacity/size.toml";
+/// Figures of the time until all servers have one view of the members.
+const AGREE: [&str; 2] = ["scale/members.agree_s", "scale/members.not_agreed_within_s"];
+// Mechanisms: file and type.
+
+/// The membership.
+const MEMBERS: &str = "crates/hazelspur-fleet/src/membership/state.rs Membership";
+/// The fleet's node.
+const JOINT: &str = "crates/hazelspur-fleet/src/node.rs FleetNode";
+/// The gossip transport.
+const TALK: &str = "crates/hazelspur-server/src/fleet/transport.rs GossipTransport";
+/// The quota.
+const SHARES: &str = "crates/hazelspur-fleet/src/quota/manager.rs QuotaManager";
+/// The quota's allocator.
+const DIVIDER: &str = "crates/hazelspur-fleet/src/quota/allocator.rs Allocator";
+/// Reports to the list of servers.
+const REPORT: &str = "crates/hazelspur-server/src/upstream/registry.rs HealthReporter";
+/// Reload on SIGHUP.
+const RELOAD: &str = "crates/hazelspur-server/src/config/reload.rs Reloader";
+/// The server's configuration.
+const CHECK: &str = "crates/hazelspur-server/src/config/server_config.rs ServerConfig";
+/// Request classes and tenants in force.
+const CATALOG: &str = "src/config/catalog.rs Catalog";
+/// The table by name and id.
+const TABLE: &str = "src/config/table.rs Table";
+/// The admission controller.
+const CONTROLLER: &str = "src/controller/mod.rs AdmissionController";
+/// Clients and sessions seen lately.
+const LAST_SEEN: &str = "src/last_seen.rs LastSeen";
+/// What is learned of classes and tenants.
+const RECENTLY_SEEN: &str = "src/recently_seen.rs RecentlySeen";
+/// Seconds of a day.
+const DAY_S: f64 = 86_400.0;
+
+// Budgets of the size file.
+
+/// Time until a change is in force.
+const IN_FORCE: &str = "budget.in_force_s";
+/// Processor time for control.
+const CPU: &str = "budget.control_cpu_share";
+/// Memory for control.
+const MEMORY: &str = "budget.control_memory_bytes";
+/// Traffic for control.
+const BYTES: &str = "budget.control_bytes_per_s";
+
+/// All rows, in the order of the page; a sum stands behind its parts.
+pub fn rows(size: &Size) -> Vec<Row> {
+    let mut rows = server::server(size);
+    rows.extend(configuration::caller(size));
+    rows.extend(configuration::configuration(size));
+    rows.extend(configuration::control_machine());
+    rows.extend(quota::keeper_and_divider(size));
+    rows.extend(network::list(size));
+    rows.extend(network::shared_dependency(size));
+    rows.extend(network::links(size));
+    rows.extend(events::events(size));
+    rows
+}
+
+/// Where these constants stand.
+fn at(constants: &[&Constant]) -> String {
+    constants.iter().map(|constant| constant.from()).collect::<Vec<_>>().join(", ")
+}
--- /dev/null
+++ b/crates/hazelspur-simulator/src/capacity/rows/network.rs
@@ -0,0 +1,190 @@
+//! Rows of what servers share: the list of servers, the dependency, links between zones and regions.
+
+use super::{FILE, MEMBERS, REPORT, Role, Row, SHARES, at, row};
+use crate::capacity::constants as code;
+use crate::capacity::size::Size;
+use hazelspur_fleet::circuit_breaker;
+
+/// All rows of the list of servers, in the order of the page.
+pub(super) fn list(size: &Size) -> Vec<Row> {
+    use Role::List;
+    let (s, a) = (&size.size, &size.assumed);
+    let servers = ("servers", s.servers);
+    let every = at(&[&code::REPORT_EVERY]);
+    vec![
+        row(List, "list.reports", "reports a second, each on a connection of its own", "1/s", servers)
+            .formula("servers / 0.8 s")
+            .computed(every.clone(), 1.0 / code::REPORT_EVERY.value, 0.0)
+            .within(a.list_reports_per_s, "assumed.list_reports_per_s")
+            .by_mechanism(REPORT),
+        row(List, "list.reports.refused", "the same while it refuses each at once", "1/s", servers)
+            .formula("servers / 0.25 s")
+            .computed(at(&[&code::REPORT_AGAIN]), 1.0 / code::REPORT_AGAIN.value, 0.0)
+            .within(a.list_reports_per_s, "assumed.list_reports_per_s")
+            .by_mechanism(REPORT),
+        row(List, "list.peak", "most reports in 20 ms over the mean, after it was gone", "times", servers)
+            .formula("as simulated; chance alone gives about as much")
+            .measured(&["list.most_over_mean"], &["spread"])
+            .by_mechanism(REPORT),
+        row(List, "list.bytes", "bytes of all reports", "B/s", servers)
+            .formula("servers x bytes_per_report / 0.8 s")
+            .computed(every, a.bytes_per_report / code::REPORT_EVERY.value, 0.0)
+            .by_mechanism(REPORT),
+    ]
+}
+
+/// All rows of the shared dependency, in the order of the page.
+pub(super) fn shared_dependency(size: &Size) -> Vec<Row> {
+    [dependency_load(size), dependency_loss(size)].into_iter().flatten().collect()
+}
+
+/// Calls and connections at the shared dependency.
+fn dependency_load(size: &Size) -> Vec<Row> {
+    use Role::SharedDependency;
+    let s = &size.size;
+    let a = &size.assumed;
+    let servers = ("servers", s.servers);
+    vec![
+        row(
+            SharedDependency,
+            "dependency.calls",
+            "calls at once at the peak",
+            "calls",
+            ("requests_per_s", s.requests_per_s),
+        )
+        .formula("requests_per_s x calls_per_op x mean_call_ms")
+        .computed(FILE, a.calls_per_op * a.mean_call_ms / 1000.0, 0.0)
+        .within(a.dependency_calls_at_once, "assumed.dependency_calls_at_once")
+        .by_mechanism(SHARES),
+        row(
+            SharedDependency,
+            "dependency.connections",
+            "connections, the most that may be",
+            "connections",
+            servers,
+        )
+        .formula("servers x 64")
+        .computed(at(&[&code::CALLS]), code::CALLS.value, 0.0)
+        .within(a.dependency_connections, "assumed.dependency_connections")
+        .by_mechanism("crates/hazelspur-server/src/upstream/dependency.rs DependencyClient"),
+        row(
+            SharedDependency,
+            "dependency.connections.idle",
+            "connections kept while nothing is called",
+            "connections",
+            servers,
+        )
+        .formula("servers x 16")
+        .computed(at(&[&code::IDLE]), code::IDLE.value, 0.0)
+        .within(a.dependency_connections, "assumed.dependency_connections")
+        .by_mechanism("crates/hazelspur-server/src/upstream/dependency.rs DependencyClient"),
+    ]
+}
+
+/// Probes of a lost dependency, and its return.
+fn dependency_loss(size: &Size) -> Vec<Row> {
+    use Role::SharedDependency;
+    let s = &size.size;
+    let a = &size.assumed;
+    let servers = ("servers", s.servers);
+    let chosen = 1.0 / code::CHOSEN_EVERY.value;
+    let rest = 1.0 / code::OTHERS_EVERY.value;
+    let few = circuit_breaker::DESIGNATED_PROBERS as f64;
+    vec![
+        row(
+            SharedDependency,
+            "dependency.tries_while_gone",
+            "tries a second while it is gone, with talk",
+            "1/s",
+            servers,
+        )
+        .formula("6 chosen every 0.25 s, all others every 4 s")
+        .computed(at(&[&code::CHOSEN_EVERY, &code::OTHERS_EVERY]), rest, few * (chosen - rest))
+        .within(a.tries_at_a_lost_dependency_per_s, "assumed.tries_at_a_lost_dependency_per_s")
+        .by_mechanism("crates/hazelspur-fleet/src/circuit_breaker.rs CircuitBreaker"),
+        row(
+            SharedDependency,
+            "dependency.return",
+            "first second after its return over the usual",
+            "times",
+            servers,
+        )
+        .formula("as simulated")
+        .measured(&["dependency.first_second_over_usual"], &[])
+        .by_mechanism("crates/hazelspur-fleet/src/circuit_breaker.rs CircuitBreaker"),
+    ]
+}
+
+/// All rows of links between zones and regions, in the order of the page.
+pub(super) fn links(size: &Size) -> Vec<Row> {
+    [zone_links(size), region_links(size)].into_iter().flatten().collect()
+}
+
+/// Links between zones.
+fn zone_links(size: &Size) -> Vec<Row> {
+    let s = &size.size;
+    let a = &size.assumed;
+    let servers = ("servers", s.servers);
+    let zones = Role::LinkBetweenZones;
+    let pair = 2.0 / (s.zones * s.zones);
+    let talk = &["joint.bytes_out_per_s"];
+    vec![
+        row(zones, "zones.datagrams", "datagrams of the talk between two zones, both ways", "1/s", servers)
+            .formula("servers x datagrams of a server x 2 / zones squared")
+            .measured_times(&["joint.datagrams_out_per_s"], &["rest"], pair, true)
+            .measured_times(&["members.datagrams_out_per_s"], &["rest"], pair, true)
+            .by_mechanism(MEMBERS),
+        row(zones, "zones.bytes", "talk between two zones, both ways", "B/s", servers)
+            .formula(
+                "servers x bytes of a server x 2 / zones squared: all are asked alike, wherever they stand",
+            )
+            .measured_times(talk, &["rest"], pair, true)
+            .measured_times(&["members.bytes_out_per_s"], &["rest"], pair, true)
+            .within(a.zone_link_bytes_per_s, "assumed.zone_link_bytes_per_s")
+            .by_mechanism(MEMBERS),
+    ]
+}
+
+/// Links between regions.
+fn region_links(size: &Size) -> Vec<Row> {
+    let s = &size.size;
+    let a = &size.assumed;
+    let servers = ("servers", s.servers);
+    let regions = Role::LinkBetweenRegions;
+    let cross = 1.0 - 1.0 / s.regions;
+    let talk = &["joint.bytes_out_per_s"];
+    vec![
+        row(regions, "regions.bytes", "talk between the regions, both ways", "B/s", servers)
+            .formula("servers x bytes of a server x (1 - 1 / regions)")
+            .measured_times(talk, &["rest"], cross, true)
+            .measured_times(&["members.bytes_out_per_s"], &["rest"], cross, true)
+            .within(a.region_link_bytes_per_s, "assumed.region_link_bytes_per_s")
+            .by_mechanism(MEMBERS),
+        row(
+            regions,
+            "regions.datagrams",
+            "datagrams of the talk between the regions, both ways",
+            "1/s",
+            servers,
+        )
+        .formula("servers x datagrams of a server x (1 - 1 / regions)")
+        .measured_times(&["joint.datagrams_out_per_s"], &["rest"], cross, true)
+        .measured_times(&["members.datagrams_out_per_s"], &["rest"], cross, true)
+        .by_mechanism(MEMBERS),
+        row(regions, "regions.bytes.storm", "the same while all start", "B/s", servers)
+            .formula("the same, mean of the window after the storm began")
+            .measured_times(talk, &["storm"], cross, true)
+            .measured_times(&["members.bytes_out_per_s"], &["storm"], cross, true)
+            .within(a.region_link_bytes_per_s, "assumed.region_link_bytes_per_s")
+            .by_mechanism(MEMBERS),
+        row(
+            regions,
+            "regions.names",
+            "a word for the region that a zone belongs to",
+            "",
+            ("regions", s.regions),
+        )
+        .formula("members know sites; probes, votes and middles of sites go by these alone")
+        .no_mechanism("none: crates/hazelspur-fleet/src/names.rs SiteName"),
+    ]
+}
