--- a/crates/hazelspur-fault-harness/src/hollow/member.rs
+++ b/crates/hazelspur-fault-harness/src/hollow/member.rs
@@ -7,6 +7,7 @@
 use hazelspur::pcg::Pcg;
 use hazelspur::{Duration, GuidanceKey, Timestamp};
 use hazelspur_fleet::guidance::{Guidance, GuidedLimit};
+use hazelspur_fleet::membership::OutgoingDatagram;
 use hazelspur_fleet::node::LocalLoad;
 use hazelspur_fleet::quota::LimitId;
 use hazelspur_fleet::{Clocks, FleetNode, Generation, Installation, Key, datagram};
@@ -171,7 +172,7 @@
             self.node.set_demand(super::CALLS, 1.0);
         }
         self.node.tick(at);
-        while let Some((to, datagram)) = self.node.next_datagram(at) {
+        while let Some(OutgoingDatagram { address: to, datagram }) = self.node.next_datagram(at) {
             let bytes = datagram::seal(&self.key, &datagram);
             let went = self.socket.try_send_to(&bytes, to);
             let mut books = self.books.borrow_mut();
--- a/crates/hazelspur-fleet/src/membership/gossip_queue.rs
+++ b/crates/hazelspur-fleet/src/membership/gossip_queue.rs
@@ -10,12 +10,19 @@
 /// Transmissions of an update over the decimal logarithm, rounded up, of the fleet's size.
 const TRANSMISSIONS_PER_LOG_SIZE: u32 = 4;
 
+/// A member's place in the queue.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct QueueEntry {
+    transmissions: u32,
+    name: MemberName,
+}
+
 /// Members about whom there are recent updates; the member table bounds it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct GossipQueue {
     transmissions: BTreeMap<MemberName, u32>,
     /// The same by the number of transmissions.
-    by_transmissions: BTreeSet<(u32, MemberName)>,
+    by_transmissions: BTreeSet<QueueEntry>,
     /// The last member of the last page.
     page_after: Option<MemberName>,
 }
@@ -28,8 +35,8 @@
     }
 
     pub(super) fn remove(&mut self, name: MemberName) {
-        if let Some(count) = self.transmissions.remove(&name) {
-            self.by_transmissions.remove(&(count, name));
+        if let Some(transmissions) = self.transmissions.remove(&name) {
+            self.by_transmissions.remove(&QueueEntry { transmissions, name });
         }
     }
 
@@ -46,14 +53,14 @@
     ) {
         let log_size = (((fleet_size + 1) as f64).log10().ceil() as u32).max(1);
         let max_transmissions = TRANSMISSIONS_PER_LOG_SIZE * log_size;
-        let next: Vec<(u32, MemberName)> = self.by_transmissions.iter().take(max).copied().collect();
-        for (count, name) in next {
+        let next: Vec<QueueEntry> = self.by_transmissions.iter().take(max).copied().collect();
+        for QueueEntry { transmissions, name } in next {
             if !take(name) {
                 return;
             }
             self.remove(name);
-            if count + 1 < max_transmissions {
-                self.insert(name, count + 1);
+            if transmissions + 1 < max_transmissions {
+                self.insert(name, transmissions + 1);
             }
         }
     }
@@ -66,13 +73,14 @@
         update_of: impl Fn(&T) -> Option<MemberUpdate>,
     ) -> Vec<MemberUpdate> {
         let after = self.page_after.map_or(Unbounded, Excluded);
-        let page: Vec<(&MemberName, &T)> = members.range((after, Unbounded)).take(count).collect();
-        self.page_after = page.last().filter(|_| page.len() == count).map(|(name, _)| **name);
-        page.into_iter().filter_map(|(_, member)| update_of(member)).collect()
+        let page = members.range((after, Unbounded)).take(count);
+        let is_full = page.clone().count() == count;
+        self.page_after = page.clone().last().filter(|_| is_full).map(|(name, _)| *name);
+        page.filter_map(|(_, member)| update_of(member)).collect()
     }
 
     fn insert(&mut self, name: MemberName, transmissions: u32) {
         self.transmissions.insert(name, transmissions);
-        self.by_transmissions.insert((transmissions, name));
+        self.by_transmissions.insert(QueueEntry { transmissions, name });
     }
 }
--- a/crates/hazelspur-fleet/src/membership/mod.rs
+++ b/crates/hazelspur-fleet/src/membership/mod.rs
@@ -27,6 +27,6 @@
 
 pub use event::MembershipEvent;
 pub use local_health::LocalStatus;
-pub use state::Membership;
+pub use state::{Membership, OutgoingDatagram};
 pub use update::{MemberState, MemberUpdate};
 pub use view::{FleetSize, GenerationStatus, MemberStatus};
--- a/crates/hazelspur-fleet/src/membership/receive.rs
+++ b/crates/hazelspur-fleet/src/membership/receive.rs
@@ -13,6 +13,15 @@
 /// Periods within which hearing a member itself outweighs a suspicion of others.
 const RECENTLY_HEARD_PERIODS: f64 = 2.0;
 
+/// How an update that was just applied changes what was known of its member.
+#[derive(Clone, Copy)]
+struct Transition {
+    reported_by: MemberName,
+    previous: MemberStatus,
+    /// The update is of a newer generation.
+    restarted: bool,
+}
+
 impl Membership {
     /// Takes a datagram that `datagram::open` has accepted.
     ///
@@ -94,9 +103,10 @@
         };
         if update.supersedes(&member.update) {
             let (previous, restarted) = (member.status, update.generation > member.update.generation);
+            let transition = Transition { reported_by, previous, restarted };
             member.apply(update, reported_by, now);
             self.gossip_queue.enqueue(update.name);
-            return self.apply_state(now, update, reported_by, previous, restarted);
+            return self.apply_state(now, update, transition);
         }
         let same_incarnation =
             (update.generation, update.incarnation) == (member.update.generation, member.update.incarnation);
@@ -118,14 +128,8 @@
     }
 
     /// Concludes a member's status from the update that was just applied to it.
-    fn apply_state(
-        &mut self,
-        now: Timestamp,
-        update: &MemberUpdate,
-        reported_by: MemberName,
-        previous: MemberStatus,
-        restarted: bool,
-    ) {
+    fn apply_state(&mut self, now: Timestamp, update: &MemberUpdate, transition: Transition) {
+        let Transition { reported_by, previous, restarted } = transition;
         let name = update.name;
         match update.state {
             MemberState::Alive => {
@@ -172,7 +176,8 @@
         if update.state == MemberState::Alive {
             self.push_event(MembershipEvent::Joined(update.name));
         }
-        self.apply_state(now, update, reported_by, MemberStatus::Alive, false);
+        let transition = Transition { reported_by, previous: MemberStatus::Alive, restarted: false };
+        self.apply_state(now, update, transition);
     }
 
     /// Whether the table has capacity for another member, if need be by forgetting one that is gone.
--- a/crates/hazelspur-fleet/src/membership/state.rs
+++ b/crates/hazelspur-fleet/src/membership/state.rs
@@ -44,6 +44,7 @@
 }
 
 impl PeriodBudget {
+    /// The budget at the beginning of a period.
     pub(super) const FULL: Self = Self {
         list_pages: LIST_PAGES_PER_PERIOD,
         operator_replies: OPERATOR_REPLIES_PER_PERIOD,
@@ -51,9 +52,18 @@
     };
 }
 
-/// A datagram that waits to be sent; what travels with it is chosen when it is sent.
+/// A datagram to send.
 #[derive(Clone, Debug)]
-struct Outgoing {
+pub struct OutgoingDatagram {
+    /// Where it goes.
+    pub address: SocketAddr,
+    /// The datagram.
+    pub datagram: Datagram,
+}
+
+/// A body that waits to be sent; what travels with it is chosen when it is sent.
+#[derive(Clone, Debug)]
+struct OutgoingBody {
     address: SocketAddr,
     /// None where only the address is known.
     name: Option<MemberName>,
@@ -87,7 +97,7 @@
     pub(super) budget: PeriodBudget,
     /// When this process was last suspended, or started.
     pub(super) resumed_at: Timestamp,
-    outgoing: VecDeque<Outgoing>,
+    outgoing: VecDeque<OutgoingBody>,
     events: VecDeque<MembershipEvent>,
     load_report: Option<PeerLoadReport>,
     /// Members for which the table had no capacity, since the start of the process.
@@ -216,9 +226,9 @@
         timers.into_iter().flatten().fold(self.next_period, Timestamp::min)
     }
 
-    /// The next datagram to send, and its address.
-    pub fn next_datagram(&mut self, now: Timestamp) -> Option<(SocketAddr, Datagram)> {
-        let Outgoing { address, name, body } = self.outgoing.pop_front()?;
+    /// The next datagram to send.
+    pub fn next_datagram(&mut self, now: Timestamp) -> Option<OutgoingDatagram> {
+        let OutgoingBody { address, name, body } = self.outgoing.pop_front()?;
         self.sequence += 1;
         let is_reply = matches!(body, Body::FleetReply { .. } | Body::CoordinationReply { .. });
         let mut datagram = Datagram {
@@ -233,7 +243,7 @@
         if !is_reply {
             self.add_updates(&mut datagram, name);
         }
-        Some((address, datagram))
+        Some(OutgoingDatagram { address, datagram })
     }
 
     /// The next event for the log.
@@ -369,7 +379,7 @@
 
     pub(super) fn send(&mut self, address: SocketAddr, name: Option<MemberName>, body: Body) {
         if self.outgoing.len() < MAX_OUTGOING {
-            self.outgoing.push_back(Outgoing { address, name, body });
+            self.outgoing.push_back(OutgoingBody { address, name, body });
         }
     }
 
--- a/crates/hazelspur-fleet/src/names.rs
+++ b/crates/hazelspur-fleet/src/names.rs
@@ -10,6 +10,8 @@
 macro_rules! name {
     ($(#[$doc:meta])* $type:ident) => {
         $(#[$doc])*
+        ///
+        /// 1 to 31 visible ASCII characters.
         #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $type {
             text: [u8; MAX_NAME_BYTES],
--- a/crates/hazelspur-fleet/src/node.rs
+++ b/crates/hazelspur-fleet/src/node.rs
@@ -8,13 +8,12 @@
 use crate::datagram::{AllocationSummary, Body, CoordinationState, Datagram, DatagramError, ShareSummary};
 use crate::invariant::InvariantViolation;
 use crate::load_reports::{AggregatedLoad, FaultScope, LatencyRatioTracker, LoadReportTable, PeerLoadReport};
-use crate::membership::Membership;
+use crate::membership::{Membership, OutgoingDatagram};
 use crate::names::{Generation, LimitName, ProcessIncarnation};
 use crate::node_config::NodeConfig;
-use crate::quota::{ConfigFingerprint, LimitId, QuotaConfig, QuotaManager, QuotaShare};
+use crate::quota::{ConfigFingerprint, LimitId, OutgoingMessage, QuotaConfig, QuotaManager, QuotaShare};
 use crate::subset::{WeightedMember, select_across_sites};
 use hazelspur::{Duration, Timestamp};
-use std::net::SocketAddr;
 
 /// The shared dependency. Probers and time slots are drawn by this name, so all servers must use the same.
 const DEPENDENCY: &str = "ledger";
@@ -232,8 +231,8 @@
         waits.fold(self.membership.next_tick() - now.wall, Duration::min)
     }
 
-    /// The next datagram to send, and its address.
-    pub fn next_datagram(&mut self, now: Clocks) -> Option<(SocketAddr, Datagram)> {
+    /// The next datagram to send.
+    pub fn next_datagram(&mut self, now: Clocks) -> Option<OutgoingDatagram> {
         self.membership.next_datagram(now.wall)
     }
 
@@ -319,7 +318,7 @@
     /// datagram were lost.
     fn send_quota_messages(&mut self) {
         let (Some(quota), Some(fingerprint)) = (&mut self.quota, self.fingerprint) else { return };
-        while let Some((to, message)) = quota.next_message() {
+        while let Some(OutgoingMessage { to, message }) = quota.next_message() {
             self.membership.send_to_member(to, Body::Quota { fingerprint, message });
         }
     }
--- a/crates/hazelspur-fleet/src/quota/allocator.rs
+++ b/crates/hazelspur-fleet/src/quota/allocator.rs
@@ -22,6 +22,28 @@
 /// Largest number of lessees in the table over the largest number of servers: restarts add incarnations.
 pub(super) const CAPACITY_OVER_SERVERS: usize = 2;
 
+/// One limit of one lessee's request.
+#[derive(Clone, Copy)]
+struct LimitRequest<'a> {
+    now: Timestamp,
+    config: &'a QuotaConfig,
+    from: ProcessIncarnation,
+    limit: LimitId,
+    /// What the lessee says it retains of earlier leases.
+    retained: f32,
+}
+
+impl LimitRequest<'_> {
+    fn shared_limit(&self) -> &SharedLimit {
+        &self.config.limits[self.limit.0]
+    }
+
+    /// When a lease that is granted now must be over, with the work that began under it.
+    fn lease_expires(&self) -> Timestamp {
+        self.now + self.config.lease_duration() + self.shared_limit().residual_duration
+    }
+}
+
 /// A lessee's place in the order of exclusive turns.
 #[derive(Clone, Copy, Debug, Default)]
 struct Turn {
@@ -99,9 +121,11 @@
         }
         lessee.update(now, config, request);
         self.refresh(now, config);
-        let grant_limit =
-            |index| self.grant_limit(now, config, from, LimitId(index), request.retained[index]);
-        Some((0..limits).map(grant_limit).collect())
+        let limit_request = |index| {
+            let retained = request.retained[index];
+            LimitRequest { now, config, from, limit: LimitId(index), retained }
+        };
+        Some((0..limits).map(|index| self.grant_limit(&limit_request(index))).collect())
     }
 
     fn has_capacity_for(&mut self, now: Timestamp, config: &QuotaConfig, from: ProcessIncarnation) -> bool {
@@ -112,15 +136,8 @@
         self.lessees.len() < config.max_servers * CAPACITY_OVER_SERVERS
     }
 
-    fn grant_limit(
-        &mut self,
-        now: Timestamp,
-        config: &QuotaConfig,
-        from: ProcessIncarnation,
-        limit: LimitId,
-        retained: f32,
-    ) -> f32 {
-        let shared_limit = &config.limits[limit.0];
+    fn grant_limit(&mut self, request: &LimitRequest) -> f32 {
+        let LimitRequest { now, config, from, limit, retained } = *request;
         let pool = config.shared_pool(limit);
         let demand = &self.lessees[&from].demands[limit.0];
         let (demanded, own) = (demand.amount, demand.outstanding.amount(now));
@@ -128,43 +145,30 @@
         let fair = demanded.min(self.levels[limit.0]).min(own + free);
         let in_takeover = now < self.takeover_ends;
         let held = valid_amount(retained, pool * ROUNDING_TOLERANCE);
-        let amount = match shared_limit.max_turn {
+        let amount = match request.shared_limit().max_turn {
             Some(_) if in_takeover => f64::from(u8::from(held >= 1.0 && own + free >= 1.0)),
-            Some(max_turn) => self.grant_turn(now, from, limit, max_turn, free),
+            Some(max_turn) => self.grant_turn(request, max_turn, free),
             None if in_takeover => fair.min(held),
             None => fair,
         };
         // Rounded down: the message must not grant more than the table counts.
         let granted = rounded_down(amount);
-        let expires = now + config.lease_duration() + shared_limit.residual_duration;
-        self.record_lease(now, from, limit, f64::from(granted), expires);
+        self.record_lease(request, f64::from(granted));
         granted
     }
 
-    fn record_lease(
-        &mut self,
-        now: Timestamp,
-        to: ProcessIncarnation,
-        limit: LimitId,
-        amount: f64,
-        expires: Timestamp,
-    ) {
-        let Some(lessee) = self.lessees.get_mut(&to) else { return };
+    fn record_lease(&mut self, request: &LimitRequest, amount: f64) {
+        let LimitRequest { now, from, limit, .. } = *request;
+        let Some(lessee) = self.lessees.get_mut(&from) else { return };
         let outstanding = &mut lessee.demands[limit.0].outstanding;
         let before = outstanding.amount(now);
-        outstanding.add(now, amount, expires);
+        outstanding.add(now, amount, request.lease_expires());
         self.sums[limit.0] += outstanding.amount(now) - before;
     }
 
     /// Grants a whole turn (1) or none (0). A turn lasts `max_turn` at most; a free one goes to who has waited longest.
-    fn grant_turn(
-        &mut self,
-        now: Timestamp,
-        from: ProcessIncarnation,
-        limit: LimitId,
-        max_turn: Duration,
-        free: f64,
-    ) -> f64 {
+    fn grant_turn(&mut self, request: &LimitRequest, max_turn: Duration, free: f64) -> f64 {
+        let LimitRequest { now, from, limit, .. } = *request;
         let demand = &self.lessees[&from].demands[limit.0];
         let Some(waiting_since) = demand.turn.waiting_since else { return 0.0 };
         if let Some(granted_at) = demand.turn.granted_at {
--- a/crates/hazelspur-fleet/src/quota/manager.rs
+++ b/crates/hazelspur-fleet/src/quota/manager.rs
@@ -69,11 +69,13 @@
     LeaseExpired,
 }
 
-/// A message and its receiver.
+/// A message to send.
 #[derive(Clone, Debug)]
-struct Outgoing {
-    to: MemberName,
-    message: QuotaMessage,
+pub struct OutgoingMessage {
+    /// The receiver.
+    pub to: MemberName,
+    /// The message.
+    pub message: QuotaMessage,
 }
 
 /// One server's part in the quota protocol.
@@ -86,7 +88,7 @@
     candidate: Option<Candidate>,
     allocator: Option<Allocator>,
     lessee: Lessee,
-    outgoing: VecDeque<Outgoing>,
+    outgoing: VecDeque<OutgoingMessage>,
     events: VecDeque<QuotaEvent>,
 }
 
@@ -177,9 +179,9 @@
         timers.into_iter().flatten().fold(self.lessee.next_request, Timestamp::min)
     }
 
-    /// The next message to send, and its receiver.
-    pub fn next_message(&mut self) -> Option<(MemberName, QuotaMessage)> {
-        self.outgoing.pop_front().map(|outgoing| (outgoing.to, outgoing.message))
+    /// The next message to send.
+    pub fn next_message(&mut self) -> Option<OutgoingMessage> {
+        self.outgoing.pop_front()
     }
 
     /// The next event for the log.
@@ -363,7 +365,7 @@
             return;
         }
         if self.outgoing.len() < MAX_OUTGOING {
-            self.outgoing.push_back(Outgoing { to, message });
+            self.outgoing.push_back(OutgoingMessage { to, message });
         }
     }
 
--- a/crates/hazelspur-fleet/src/quota/mod.rs
+++ b/crates/hazelspur-fleet/src/quota/mod.rs
@@ -28,7 +28,7 @@
 
 pub use config::{ConfigFingerprint, LimitId, QuotaConfig, QuotaConfigError, SharedLimit};
 pub use fair_share::{fair_level, fair_shares};
-pub use manager::{Allocation, QuotaEvent, QuotaManager, QuotaShare};
+pub use manager::{Allocation, OutgoingMessage, QuotaEvent, QuotaManager, QuotaShare};
 pub use message::{LeaseGrant, LeaseRequest, QuotaMessage, VoteResponse};
 
 /// Limits that one installation may share.
--- a/crates/hazelspur-fleet/tests/helpers/mod.rs
+++ b/crates/hazelspur-fleet/tests/helpers/mod.rs
@@ -4,6 +4,7 @@
 
 use hazelspur::pcg::Pcg;
 use hazelspur::{Duration, Timestamp};
+use hazelspur_fleet::membership::OutgoingDatagram;
 use hazelspur_fleet::{
     Datagram, Generation, Installation, MemberName, MemberStatus, Membership, MembershipEvent, NodeConfig,
     SiteName,
@@ -110,7 +111,7 @@
             let mut next = end;
             for (of, member) in running {
                 member.tick(self.now);
-                while let Some((to, datagram)) = member.next_datagram(self.now) {
+                while let Some(OutgoingDatagram { address: to, datagram }) = member.next_datagram(self.now) {
                     self.sent += 1;
                     self.in_flight.push_back((self.now + Duration::from_ms(1), *of, number(to), datagram));
                 }
--- a/crates/hazelspur-fleet/tests/membership.rs
+++ b/crates/hazelspur-fleet/tests/membership.rs
@@ -5,6 +5,7 @@
 use expect_test::expect;
 use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::datagram;
+use hazelspur_fleet::membership::OutgoingDatagram;
 use hazelspur_fleet::names::Incarnation;
 use hazelspur_fleet::{
     Body, Datagram, DatagramError, Generation, Installation, Key, LocalStatus, MemberState, MemberStatus,
@@ -110,8 +111,8 @@
     let mut former = fleet.members[&3].clone();
     let late = loop {
         former.tick(fleet.now + Duration::from_ms(2000));
-        if let Some((_, datagram)) = former.next_datagram(fleet.now) {
-            break datagram;
+        if let Some(next) = former.next_datagram(fleet.now) {
+            break next.datagram;
         }
     };
     fleet.events.clear();
@@ -244,7 +245,7 @@
     let ours = Installation::new("bread").expect("a name");
     let mut member = Membership::new(config(3, 64), Generation(9), 1, START);
     member.tick(START + Duration::from_ms(1000));
-    let (_, datagram) = member.next_datagram(START).expect("it looks for others");
+    let datagram = member.next_datagram(START).expect("it looks for others").datagram;
     let bytes = datagram::seal(&key, &datagram);
     let now = START;
     let open = |key: &Key, now: Timestamp, bytes: &[u8]| datagram::open(key, &ours, now, bytes).map(|_| ());
@@ -300,7 +301,7 @@
     let (mut read, mut refused) = (0, 0);
     for turn in 0..20_000u64 {
         let now = fleet.now + Duration::from_ms(turn);
-        let (to, mut datagram) = pool[turn as usize % pool.len()].clone();
+        let OutgoingDatagram { address: to, mut datagram } = pool[turn as usize % pool.len()].clone();
         // A datagram with some of its bytes changed before it is sealed.
         datagram.sequence += 1000 + turn;
         let mut bytes = datagram::seal(&key, &datagram);
@@ -401,7 +402,7 @@
     fn until(&mut self, ms: u64) {
         while self.now < START + Duration::from_ms(ms) {
             self.member.tick(self.now);
-            while let Some((to, datagram)) = self.member.next_datagram(self.now) {
+            while let Some(OutgoingDatagram { address: to, datagram }) = self.member.next_datagram(self.now) {
                 if let Body::Ping { number: asked, .. } = datagram.body
                     && Self::ALIVE.contains(&number(to))
                 {
--- a/crates/hazelspur-fleet/tests/membership_orders.rs
+++ b/crates/hazelspur-fleet/tests/membership_orders.rs
@@ -7,6 +7,7 @@
 use hazelspur::pcg::Pcg;
 use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::membership::GenerationStatus;
+use hazelspur_fleet::membership::OutgoingDatagram;
 use hazelspur_fleet::{Datagram, Generation, MemberName, MemberStatus, Membership};
 use helpers::{START, config, name, number};
 use std::collections::BTreeMap;
@@ -115,7 +116,7 @@
 
     fn gather(&mut self, of: usize) {
         let Some(member) = self.members.get_mut(&of) else { return };
-        while let Some((to, datagram)) = member.next_datagram(self.now) {
+        while let Some(OutgoingDatagram { address: to, datagram }) = member.next_datagram(self.now) {
             self.in_flight.push((number(to), datagram));
         }
         while member.next_event().is_some() {}
--- a/crates/hazelspur-fleet/tests/quota.rs
+++ b/crates/hazelspur-fleet/tests/quota.rs
@@ -7,8 +7,8 @@
 use hazelspur::pcg::Pcg;
 use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::quota::{
-    LeaseGrant, LeaseRequest, LimitId, QuotaConfig, QuotaEvent, QuotaManager, QuotaMessage, SharedLimit,
-    VoteResponse, fair_level,
+    LeaseGrant, LeaseRequest, LimitId, OutgoingMessage, QuotaConfig, QuotaEvent, QuotaManager, QuotaMessage,
+    SharedLimit, VoteResponse, fair_level,
 };
 use hazelspur_fleet::{Generation, LimitName, MemberName, ProcessIncarnation};
 use helpers::{START, name};
@@ -93,7 +93,7 @@
     fn gather(&mut self, of: usize) {
         let life = self.life(of);
         let Some(shares) = self.run.get_mut(&of) else { return };
-        while let Some((to, word)) = shares.next_message() {
+        while let Some(OutgoingMessage { to, message: word }) = shares.next_message() {
             let to: usize = to.as_str()[1..].parse().expect("a number");
             self.under_way.push((to, life, word));
         }
--- a/crates/hazelspur-server/src/fleet/transport.rs
+++ b/crates/hazelspur-server/src/fleet/transport.rs
@@ -11,6 +11,7 @@
 use crate::upstream::peers::Peers;
 use hazelspur::{Catalog, Duration};
 use hazelspur_fleet::datagram::{self, MAX_DATAGRAM_BYTES};
+use hazelspur_fleet::membership::OutgoingDatagram;
 use hazelspur_fleet::{Clocks, FleetNode, Generation, Installation, Key, MemberName};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -176,7 +177,7 @@
         let (mut node, mut event_log) = (self.node.borrow_mut(), self.event_log.borrow_mut());
         self.coordinator.borrow_mut().report(now, &self.dispatcher, &mut node);
         node.tick(now);
-        while let Some((address, datagram)) = node.next_datagram(now) {
+        while let Some(OutgoingDatagram { address, datagram }) = node.next_datagram(now) {
             // A datagram that cannot be sent now is lost, as on any network.
             let _ = self.socket.try_send_to(&datagram::seal(&self.key, &datagram), address);
         }
--- a/crates/hazelspur-simulator/src/drive/together.rs
+++ b/crates/hazelspur-simulator/src/drive/together.rs
@@ -5,6 +5,7 @@
 use crate::ways::own::{address, name, number, terms};
 use hazelspur::{Duration, GuidanceKey, Timestamp};
 use hazelspur_fleet::guidance::{Guidance, GuidanceUpdate, GuidedLimit, LeaseExpiry};
+use hazelspur_fleet::membership::OutgoingDatagram;
 use hazelspur_fleet::node::LocalLoad;
 use hazelspur_fleet::quota::{LimitId, QuotaConfig, SharedLimit, fair_level};
 use hazelspur_fleet::{Clocks, Datagram, FleetNode, Generation, LimitName};
@@ -131,8 +132,8 @@
     pub(super) fn spoke(&mut self, of: usize) {
         let at = self.at();
         let Some(part) = &mut self.parts[of] else { return };
-        while let Some((to, datagram)) = part.node.next_datagram(at) {
-            let to = number(to);
+        while let Some(OutgoingDatagram { address, datagram }) = part.node.next_datagram(at) {
+            let to = number(address);
             if to >= self.servers.len() {
                 continue;
             }
--- a/crates/hazelspur-simulator/src/studies/shares.rs
+++ b/crates/hazelspur-simulator/src/studies/shares.rs
@@ -10,7 +10,8 @@
 use hazelspur::pcg::Pcg;
 use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::quota::{
-    ConfigFingerprint, LimitId, QuotaConfig, QuotaManager, QuotaMessage, SharedLimit, fair_shares,
+    ConfigFingerprint, LimitId, OutgoingMessage, QuotaConfig, QuotaManager, QuotaMessage, SharedLimit,
+    fair_shares,
 };
 use hazelspur_fleet::{
     Body, Datagram, Generation, Incarnation, Installation, LimitName, MemberState, MemberUpdate,
@@ -197,7 +198,7 @@
         let node = &mut self.nodes[of];
         let Some(shares) = &mut node.shares else { return };
         let divides = shares.allocates_until(now).is_some();
-        while let Some((to, word)) = shares.next_message() {
+        while let Some(OutgoingMessage { to, message: word }) = shares.next_message() {
             let to: usize = to.as_str()[1..].parse().unwrap_or(usize::MAX);
             if divides {
                 self.at_divider += 1;
--- a/crates/hazelspur-simulator/src/ways/own.rs
+++ b/crates/hazelspur-simulator/src/ways/own.rs
@@ -2,6 +2,7 @@
 
 use super::{CONTACTS, Notice, Way};
 use hazelspur::{Duration, Timestamp};
+use hazelspur_fleet::membership::OutgoingDatagram;
 use hazelspur_fleet::{
     Datagram, Generation, Installation, MemberName, MemberStatus, Membership, MembershipEvent, NodeConfig,
     SiteName, datagram,
@@ -63,9 +64,9 @@
     }
 
     fn next_out(&mut self, now: Timestamp) -> Option<(usize, Datagram, usize)> {
-        let (to, datagram) = self.0.next_datagram(now)?;
+        let OutgoingDatagram { address, datagram } = self.0.next_datagram(now)?;
         let bytes = datagram::encoded_length(&datagram);
-        Some((number(to), datagram, bytes))
+        Some((number(address), datagram, bytes))
     }
 
     fn next_notice(&mut self) -> Option<Notice> {
--- a/crates/hazelspur-simulator/src/ways/zoned.rs
+++ b/crates/hazelspur-simulator/src/ways/zoned.rs
@@ -4,6 +4,7 @@
 use super::own::{Own, alive, name, notice, number, terms as terms_of_three};
 use super::{Notice, Way};
 use hazelspur::{Duration, Timestamp};
+use hazelspur_fleet::membership::OutgoingDatagram;
 use hazelspur_fleet::node::LocalLoad;
 use hazelspur_fleet::quota::{LimitId, QuotaConfig, SharedLimit};
 use hazelspur_fleet::{
@@ -142,9 +143,9 @@
     }
 
     fn next_out(&mut self, now: Timestamp) -> Option<(usize, Datagram, usize)> {
-        let (to, datagram) = self.node.next_datagram(at(now))?;
+        let OutgoingDatagram { address, datagram } = self.node.next_datagram(at(now))?;
         let bytes = datagram::encoded_length(&datagram);
-        Some((number(to), datagram, bytes))
+        Some((number(address), datagram, bytes))
     }
 
     fn next_notice(&mut self) -> Option<Notice> {
--- a/crates/hazelspur-simulator/tests/capacity.rs
+++ b/crates/hazelspur-simulator/tests/capacity.rs
@@ -104,7 +104,7 @@
         let Some((file, name)) = row.mechanism.split_once(".rs ") else { continue };
         let file = format!("{}.rs", file.rsplit(' ').next().unwrap_or(file));
         let text = std::fs::read_to_string(root().join(&file)).unwrap_or_else(|e| panic!("{file}: {e}"));
-        let kinds = ["pub struct", "pub enum", "pub fn", "pub async fn"];
+        let kinds = ["pub struct", "pub(super) struct", "pub enum", "pub fn", "pub async fn"];
         let there = kinds.iter().any(|kind| text.contains(&format!("{kind} {name}")));
         // Names are made by a macro.
         let made = text.lines().any(|line| line == format!("    {name}"));
