--- a/crates/hazelspur-server/src/config/operator/checks.rs
+++ b/crates/hazelspur-server/src/config/operator/checks.rs
@@ -1,8 +1,9 @@
 //! Checks of the operator's file as a whole: bounds of single keys, and what concerns several.
 
 use super::error::{KeyFault, OperatorError};
+use super::operator_config::OperatorConfig;
+use super::queue::QueueConfig;
 use super::source::Source;
-use super::{OperatorConfig, QueueConfig};
 use garde::Validate;
 use hazelspur::Catalog;
 
--- a/crates/hazelspur-server/src/config/operator/mod.rs
+++ b/crates/hazelspur-server/src/config/operator/mod.rs
@@ -9,57 +9,24 @@
 mod amqp;
 mod checks;
 mod error;
+mod operator_config;
 mod queue;
 mod script;
 mod source;
 
 pub use amqp::AmqpConfig;
 pub use error::OperatorError;
+pub use operator_config::{OperatorConfig, ReloadConfig};
 pub use queue::{QueueConfig, SentTimeSource, SettleOrder};
 
-use crate::config::fleet_keys::Fleet;
 use error::KeyFault;
-use garde::Validate;
 use hazelspur::Catalog;
 use script::{Call, Function};
-use serde::Deserialize;
 use serde_json::{Map, Value};
 use source::Source;
 
 /// The longest file that is read, in bytes.
 const MAX_FILE_BYTES: u64 = 64 * 1024;
-/// The most queues that a file may name.
-const MAX_QUEUES: usize = 32;
-
-/// All that the file sets.
-#[derive(Clone, Debug, Default, PartialEq, Deserialize, Validate)]
-#[serde(deny_unknown_fields)]
-pub struct OperatorConfig {
-    /// The AMQP brokers; without them only gateways are served.
-    #[garde(dive)]
-    pub amqp: Option<AmqpConfig>,
-    /// The queues to consume, in the file's order.
-    #[serde(default)]
-    #[garde(dive, length(max = MAX_QUEUES))]
-    pub queues: Vec<QueueConfig>,
-    /// The fleet that the server belongs to, if any.
-    #[garde(dive)]
-    pub fleet: Option<Fleet>,
-    /// What a SIGHUP may change.
-    #[serde(default)]
-    #[garde(skip)]
-    pub reload: ReloadConfig,
-}
-
-/// What a SIGHUP may change besides addresses.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct ReloadConfig {
-    /// Whether request classes, tenants and some figures of the platform's settings change in place.
-    #[serde(default)]
-    pub settings: bool,
-}
-
 /// Reads and checks the file and the key files that it names. Request classes are checked against the catalog,
 /// if there is one.
 pub fn read(path: &str, catalog: Option<&Catalog>) -> Result<OperatorConfig, OperatorError> {
--- a/crates/hazelspur-server/src/config/operator/script.rs
+++ b/crates/hazelspur-server/src/config/operator/script.rs
@@ -1,7 +1,7 @@
 //! Evaluates the Starlark script within bounds and records its calls.
 
-use super::MAX_QUEUES;
 use super::error::OperatorError;
+use super::operator_config::MAX_QUEUES;
 use serde_json::{Map, Value as Json};
 use starlark::any::ProvidesStaticType;
 use starlark::collections::SmallMap;
--- a/crates/hazelspur-server/src/config/reload.rs
+++ b/crates/hazelspur-server/src/config/reload.rs
@@ -10,7 +10,7 @@
 use crate::config::operator::{self, OperatorConfig};
 use crate::config::server_config::{self, ReloadedChanges, ServerConfig};
 use crate::ingress::queues::Queues;
-use crate::request::dispatcher::Dispatcher;
+use crate::request::dispatcher::{ChangeError, Dispatcher};
 use crate::upstream::endpoints::UpstreamEndpoints;
 use hazelspur::config::change::{Change, Changed, Edit};
 use hazelspur::{Catalog, RequestClass, Tenant};
@@ -41,9 +41,9 @@
         /// The entry's name.
         name: String,
     },
-    /// The change does not fit the settings in force; the text names the key at fault.
-    #[error("{0}")]
-    Change(String),
+    /// The change does not fit the settings in force.
+    #[error(transparent)]
+    Change(#[from] ChangeError),
 }
 
 /// Request classes and tenants that the operator's file refers to; a change may not remove them.
@@ -170,9 +170,8 @@
 
     fn apply_settings(&self, change: &Change) -> Result<(), ReloadError> {
         self.references.borrow().check(change)?;
-        let changed = self.dispatcher.apply_change(&self.catalog, change);
         let Changed { request_classes, tenants, facts } =
-            changed.map_err(|why| ReloadError::Change(why.to_string()))?;
+            self.dispatcher.apply_change(&self.catalog, change)?;
         let counts = |[added, altered, removed]: [usize; 3]| format!("+{added} ~{altered} -{removed}");
         log::info!(op_types = counts(request_classes), tenants = counts(tenants), figures = facts;
             "settings changed");
--- a/crates/hazelspur-server/src/ingress/queues.rs
+++ b/crates/hazelspur-server/src/ingress/queues.rs
@@ -5,10 +5,10 @@
 use crate::clock::{sleep, to_std};
 use crate::config::operator::{AmqpConfig, OperatorConfig, QueueConfig, SentTimeSource, SettleOrder};
 use crate::process::phases::{Phase, Phases};
-use crate::request::deduplication::{DeduplicationKey, Lookup, Owner, ReceivedAttempt};
+use crate::request::deduplication::{DeduplicationKey, Lookup, Owner, ReceivedAttempt, RetryOf};
 use crate::request::dispatcher::ResponseCounts;
 use crate::request::event::RequestEvent;
-use crate::request::lifecycle::{MAX_BODY_LENGTH, ReceivedRequest, RequestLifecycle, RetryOf, Services};
+use crate::request::lifecycle::{MAX_BODY_LENGTH, ReceivedRequest, RequestLifecycle, Services};
 use crate::request::responder::{Responder, ResponseSink, RunPermission};
 use hazelspur::{
     Catalog, ClientId, Duration, RequestClass, RequestClassId, RequestId, SessionKey, TenantId, Timestamp,
--- a/crates/hazelspur-server/src/ingress/requests.rs
+++ b/crates/hazelspur-server/src/ingress/requests.rs
@@ -2,9 +2,9 @@
 
 use crate::ingress::answers::{Answers, Caller};
 use crate::ingress::gateways::Gateways;
-use crate::request::deduplication::{DeduplicationKey, Lookup, Owner, ReceivedAttempt};
+use crate::request::deduplication::{DeduplicationKey, Lookup, Owner, ReceivedAttempt, RetryOf};
 use crate::request::event::RequestEvent;
-use crate::request::lifecycle::{MAX_BODY_LENGTH, ReceivedRequest, RequestLifecycle, RetryOf};
+use crate::request::lifecycle::{MAX_BODY_LENGTH, ReceivedRequest, RequestLifecycle};
 use crate::request::responder::Responder;
 use hazelspur::{ClientId, Duration, RequestId, SessionKey, Timestamp};
 use hazelspur_parsers::rpc::{self, RpcId};
--- a/crates/hazelspur-server/src/process/mod.rs
+++ b/crates/hazelspur-server/src/process/mod.rs
@@ -6,8 +6,9 @@
 pub mod error;
 mod listener;
 pub mod phases;
+mod serve;
 mod server;
 mod shutdown;
 pub mod supervise;
 
-pub use server::{Signals, StartInputs, serve};
+pub use serve::{Signals, StartInputs, serve};
--- a/crates/hazelspur-server/src/process/server.rs
+++ b/crates/hazelspur-server/src/process/server.rs
@@ -1,12 +1,9 @@
-//! Wires the process together and takes it from the start through its phases to the exit.
+//! Wires the parts of the process together and spawns its tasks.
 
 use super::descriptors::Descriptors;
-use super::error::{ProcessError, StartError};
-use super::listener::bind;
-use super::phases::{Phase, Phases};
-use super::shutdown;
+use super::error::StartError;
+use super::phases::Phases;
 use super::supervise::supervise;
-use crate::config::command::ServeOptions;
 use crate::config::operator::OperatorConfig;
 use crate::config::reload::{self, References, Reloader};
 use crate::config::server_config::{Loaded, ServerConfig};
@@ -20,41 +17,16 @@
 use crate::upstream::dependency::DependencyClient;
 use crate::upstream::endpoints::UpstreamEndpoints;
 use crate::upstream::registry::HealthReporter;
-use crate::upstream::worker::{WorkerLink, WorkerState};
+use crate::upstream::worker::{WorkerLink, WorkerStatus};
 use hazelspur::{AdmissionController, Catalog};
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::net::TcpListener;
-use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::signal::unix::Signal;
 
 /// One part in this many of the process's memory may store results for retries.
 const RESULT_MEMORY_DIVISOR: usize = 8;
 
-/// The signals that the process handles.
-pub struct Signals {
-    hangup: Signal,
-    terminate: Signal,
-}
-
-impl Signals {
-    /// Handles SIGHUP and SIGTERM from now on; without a handler either would end the process.
-    pub fn register() -> std::io::Result<Self> {
-        let hangup = signal(SignalKind::hangup())?;
-        let terminate = signal(SignalKind::terminate())?;
-        Ok(Self { hangup, terminate })
-    }
-}
-
-/// What a process starts with.
-pub struct StartInputs {
-    /// The platform's configuration.
-    pub loaded: Loaded,
-    /// What the operator's file sets.
-    pub operator: OperatorConfig,
-    /// The command line's options.
-    pub options: ServeOptions,
-}
-
 /// The parts of the process.
 pub(super) struct Server {
     pub(super) config: Rc<ServerConfig>,
@@ -67,36 +39,8 @@
     descriptors: Descriptors,
 }
 
-/// Serves until the shutdown notice and its end.
-pub async fn serve(inputs: StartInputs, mut signals: Signals) -> Result<(), ProcessError> {
-    let StartInputs { loaded, operator, options } = inputs;
-    let server = Server::new(loaded, &operator, options.clock_apart_ms).await?;
-    // From here on connections may be accepted: whatever ends the process ends them first.
-    let listener = tokio::select! {
-        bound = bind(server.config.listen) => bound?,
-        _ = signals.terminate.recv() => return Ok(()),
-    };
-    let gateways = server.gateways(listener);
-    server.log_start(&operator);
-    let reloader = server.reloader(&operator, options.file);
-    server.spawn_tasks(&gateways, signals.hangup, reloader);
-    let serves = tokio::select! {
-        worker = server.services.worker.ready() => {
-            server.start_controller(worker);
-            true
-        }
-        _ = signals.terminate.recv() => false,
-    };
-    if serves {
-        server.phases.enter(Phase::Serving, gateways.figures());
-        signals.terminate.recv().await;
-    }
-    shutdown::shut_down(&server, &gateways, serves).await;
-    Ok(())
-}
-
 impl Server {
-    async fn new(
+    pub(super) async fn new(
         loaded: Loaded,
         operator: &OperatorConfig,
         clock_offset_ms: i64,
@@ -151,12 +95,12 @@
         Ok(Some(talk))
     }
 
-    fn gateways(&self, listener: TcpListener) -> Rc<Gateways> {
+    pub(super) fn gateways(&self, listener: TcpListener) -> Rc<Gateways> {
         let (services, phases) = (self.services.clone(), self.phases.clone());
         Rc::new(Gateways::new(services, phases, self.catalog.clone(), listener, self.descriptors))
     }
 
-    fn reloader(&self, operator: &OperatorConfig, operator_file: Option<String>) -> Rc<Reloader> {
+    pub(super) fn reloader(&self, operator: &OperatorConfig, operator_file: Option<String>) -> Rc<Reloader> {
         Rc::new(Reloader {
             endpoints: self.endpoints.clone(),
             running: self.config.clone(),
@@ -169,7 +113,7 @@
         })
     }
 
-    fn log_start(&self, operator: &OperatorConfig) {
+    pub(super) fn log_start(&self, operator: &OperatorConfig) {
         let ServerConfig { name, listen, stop, .. } = &*self.config;
         let (request_classes, tenants) = self.catalog.borrow().size();
         log::info!(name = name.as_str(), listen:%, stop_ms = stop.us() / 1000, op_types = request_classes,
@@ -177,7 +121,7 @@
             calls = self.descriptors.calls; "start");
     }
 
-    fn spawn_tasks(&self, gateways: &Rc<Gateways>, hangup: Signal, reloader: Rc<Reloader>) {
+    pub(super) fn spawn_tasks(&self, gateways: &Rc<Gateways>, hangup: Signal, reloader: Rc<Reloader>) {
         let Services { dispatcher, worker, .. } = &*self.services;
         let hangup = Rc::new(RefCell::new(hangup));
         supervise("reload", &hangup, move |hangup| reload::on_hangup(hangup, reloader.clone()));
@@ -204,8 +148,8 @@
         });
     }
 
-    fn start_controller(&self, worker: WorkerState) {
-        let WorkerState { is_warm, uptime } = worker;
+    pub(super) fn start_controller(&self, worker: WorkerStatus) {
+        let WorkerStatus { is_warm, uptime } = worker;
         let dispatcher = &self.services.dispatcher;
         let started_at = dispatcher.clock.now().back(uptime);
         let catalog = self.catalog.clone();
--- a/crates/hazelspur-server/src/request/deduplication.rs
+++ b/crates/hazelspur-server/src/request/deduplication.rs
@@ -4,7 +4,6 @@
 //! An attempt holds its key from its receipt on, so that of two attempts received together only one runs.
 
 use crate::request::event::Completion;
-use crate::request::lifecycle::RetryOf;
 use hazelspur::{
     Duration, Idempotency, Outcome, RequestClass, RequestClassId, RequestId, TenantId, Timestamp,
 };
@@ -82,6 +81,15 @@
     pub trusted: bool,
 }
 
+/// The earlier attempt that a request repeats.
+#[derive(Clone)]
+pub struct RetryOf {
+    /// The key that both attempts have.
+    pub key: DeduplicationKey,
+    /// The attempt that held the key when this one was received.
+    pub original: RequestId,
+}
+
 /// Whether a received attempt repeats another.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Lookup {
--- a/crates/hazelspur-server/src/request/dispatcher.rs
+++ b/crates/hazelspur-server/src/request/dispatcher.rs
@@ -13,8 +13,10 @@
 };
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
+use std::fmt::Display;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::rc::Rc;
+use thiserror::Error;
 use tokio::sync::Notify;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
@@ -26,6 +28,17 @@
     pub guaranteed: BTreeMap<GuidanceKey, f64>,
 }
 
+/// Why a change of the settings was refused; the text names the key at fault.
+#[derive(Debug, Error)]
+#[error("{0}")]
+pub struct ChangeError(String);
+
+impl ChangeError {
+    fn new(why: impl Display) -> Self {
+        Self(why.to_string())
+    }
+}
+
 /// A final response that is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Response {
@@ -95,13 +108,13 @@
 
     /// Applies a change of the settings whole, also before the start. The error names the key at fault, and
     /// nothing is changed then.
-    pub fn apply_change(&self, catalog: &RefCell<Catalog>, change: &Change) -> Result<Changed, String> {
+    pub fn apply_change(&self, catalog: &RefCell<Catalog>, change: &Change) -> Result<Changed, ChangeError> {
         let now = self.clock.now();
         let changed = match self.controller.borrow_mut().as_mut() {
-            Some(controller) => controller.apply_change(now, change)?,
+            Some(controller) => controller.apply_change(now, change).map_err(ChangeError::new)?,
             None => {
                 let mut catalog = catalog.borrow_mut();
-                catalog.check(now, change)?;
+                catalog.check(now, change).map_err(ChangeError::new)?;
                 catalog.apply(now, change).0
             }
         };
--- a/crates/hazelspur-server/src/request/lifecycle.rs
+++ b/crates/hazelspur-server/src/request/lifecycle.rs
@@ -3,7 +3,7 @@
 //! Inputs are `RequestEvent`s, outputs are commands to the worker, dependency calls and the final response.
 //! Whatever happens, the client gets at most one response and the controller is notified of the end.
 
-use crate::request::deduplication::DeduplicationKey;
+use crate::request::deduplication::RetryOf;
 use crate::request::dispatcher::Dispatcher;
 use crate::request::event::{Completion, RequestEvent};
 use crate::request::responder::{Responder, RunPermission};
@@ -31,15 +31,6 @@
     pub dependency: Rc<DependencyClient>,
 }
 
-/// The earlier attempt that a request repeats.
-#[derive(Clone)]
-pub struct RetryOf {
-    /// The key that both attempts have.
-    pub key: DeduplicationKey,
-    /// The attempt that held the key when this one was received.
-    pub original: RequestId,
-}
-
 /// What a received request states, besides its body.
 pub struct ReceivedRequest {
     /// The request class that it names.
--- a/crates/hazelspur-server/src/upstream/worker/link.rs
+++ b/crates/hazelspur-server/src/upstream/worker/link.rs
@@ -3,15 +3,13 @@
 //!
 //! Invariant: commands go out only while the connection is synchronized; until then they wait in the run table.
 
-use super::gauges::GaugeQuery;
 use super::notices::Notices;
 use super::replay::Replay;
-use super::runs::RunTable;
+use super::state::{LinkState, WorkerStatus};
 use crate::clock::{sleep, to_std};
 use crate::request::dispatcher::Dispatcher;
-use crate::request::event::{Completion, RequestEvent};
 use crate::upstream::endpoints::UpstreamEndpoints;
-use hazelspur::{Duration, RequestId, Timestamp};
+use hazelspur::{Duration, RequestId};
 use hazelspur_parsers::{Buffer, runtime};
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -57,84 +55,55 @@
     ReplayTimedOut,
 }
 
-/// What the worker last stated about itself.
-#[derive(Clone, Copy, Debug)]
-pub struct WorkerState {
-    /// Whether it started warm.
-    pub is_warm: bool,
-    /// How long it was up then.
-    pub uptime: Duration,
-}
-
 /// The link to the worker process.
 pub struct WorkerLink {
-    pub(super) dispatcher: Rc<Dispatcher>,
+    state: LinkState,
     endpoints: Rc<UpstreamEndpoints>,
     gauge_names: Vec<String>,
-    pub(super) runs: RefCell<RunTable>,
-    pub(super) gauge_query: GaugeQuery,
-    pub(super) replay: Replay,
-    last_notice: Cell<u64>,
     /// Whether the connection's replay has ended and commands go out.
     is_synchronized: Cell<bool>,
     out: RefCell<Vec<u8>>,
     out_notification: Notify,
-    /// When something last came over a synchronized connection: a worker that started later is another one.
-    last_received: Cell<Option<Timestamp>>,
-    state: Cell<Option<WorkerState>>,
-    state_notification: Notify,
 }
 
 impl WorkerLink {
-    /// A link that asks for these gauges, which the worker names in this order.
+    /// A link that asks for these gauges, which the worker sends in this order.
     pub fn new(
         dispatcher: Rc<Dispatcher>,
         endpoints: Rc<UpstreamEndpoints>,
         gauge_names: Vec<String>,
     ) -> Self {
         Self {
-            dispatcher,
+            state: LinkState::new(dispatcher),
             endpoints,
             gauge_names,
-            runs: RefCell::default(),
-            gauge_query: GaugeQuery::default(),
-            replay: Replay::default(),
-            last_notice: Cell::new(0),
             is_synchronized: Cell::new(false),
             out: RefCell::default(),
             out_notification: Notify::new(),
-            last_received: Cell::new(None),
-            state: Cell::new(None),
-            state_notification: Notify::new(),
         }
     }
 
-    /// The worker's state, once it is up.
-    pub async fn ready(&self) -> WorkerState {
-        loop {
-            if let Some(state) = self.state.get() {
-                return state;
-            }
-            self.state_notification.notified().await;
-        }
+    /// The worker's status, once it is up.
+    pub async fn ready(&self) -> WorkerStatus {
+        self.state.ready().await
     }
 
     /// Starts a run.
     pub fn start(&self, request: RequestId, class: Arc<str>, body: Rc<[u8]>) {
         self.send(|out| runtime::start(out, &request.to_string(), &class, &body));
-        self.runs.borrow_mut().start(request, class, body, self.is_synchronized.get());
+        self.state.runs.borrow_mut().start(request, class, body, self.is_synchronized.get());
     }
 
     /// Stops a run.
     pub fn stop(&self, request: RequestId) {
         self.send(|out| runtime::stop(out, &request.to_string()));
-        self.runs.borrow_mut().stop(request);
+        self.state.runs.borrow_mut().stop(request);
     }
 
     /// Gives a run the reply of its call.
     pub fn give(&self, request: RequestId, reply: Vec<u8>) {
         self.send(|out| runtime::give(out, &request.to_string(), &reply));
-        self.runs.borrow_mut().give(request, reply, self.gauge_query.latest());
+        self.state.runs.borrow_mut().give(request, reply, self.state.gauge_query.latest());
     }
 
     fn send(&self, write: impl FnOnce(&mut Vec<u8>)) {
@@ -153,7 +122,7 @@
                 () = self.endpoints.moved_from(|at| at.worker, address) => {
                     self.is_synchronized.set(false);
                     let to = self.endpoints.current().worker;
-                    log::info!(last = self.last_notice.get(), to:%; "worker link moves");
+                    log::info!(last = self.state.last_notice(), to:%; "worker link moves");
                 }
             }
         }
@@ -168,7 +137,7 @@
                     pause = RECONNECT_PAUSE;
                     let why = self.serve(stream).await;
                     self.is_synchronized.set(false);
-                    log::warn!(last = self.last_notice.get(), why:%; "worker link broke");
+                    log::warn!(last = self.state.last_notice(), why:%; "worker link broke");
                 }
                 Ok(Err(_)) => log::debug!("worker link refused"),
                 Err(_) => connect_timeout = (connect_timeout + connect_timeout).min(MAX_CONNECT_TIMEOUT),
@@ -181,12 +150,12 @@
     /// Serves one connection until it ends.
     async fn serve(&self, mut stream: TcpStream) -> LinkError {
         let _ = stream.set_nodelay(true);
-        let connection = self.replay.begin();
+        let connection = self.state.replay.begin();
         let (read, mut write) = stream.split();
         // Drops commands for the former connection; those without an answer are in the run table.
         let mut out = std::mem::take(&mut *self.out.borrow_mut());
         out.clear();
-        runtime::sync(&mut out, self.last_notice.get());
+        runtime::sync(&mut out, self.state.last_notice());
         if let Err(why) = write.write_all(&out).await {
             return why.into();
         }
@@ -210,7 +179,7 @@
                 return Err(LinkError::Closed);
             }
             if self.is_synchronized.get() {
-                self.last_received.set(Some(self.dispatcher.clock.monotonic()));
+                self.state.note_received();
             }
             self.handle_notices(&mut buffer)?;
         }
@@ -218,7 +187,7 @@
 
     fn handle_notices(&self, buffer: &mut Buffer) -> Result<(), LinkError> {
         loop {
-            let read = runtime::read(buffer.unread(), &mut Notices(self));
+            let read = runtime::read(buffer.unread(), &mut Notices(&self.state));
             match read.map_err(|why| LinkError::InvalidNotice(why.to_string()))? {
                 Some(length) => buffer.take(length),
                 None => return Ok(()),
@@ -236,7 +205,7 @@
         runtime::gauges(&mut out, &Replay::tag(connection));
         write.write_all(&out).await?;
         out.clear();
-        let replay = timeout(to_std(REPLAY_TIMEOUT), self.replay.ended(connection));
+        let replay = timeout(to_std(REPLAY_TIMEOUT), self.state.replay.ended(connection));
         replay.await.map_err(|_| LinkError::ReplayTimedOut)?;
         self.resend(&mut out);
         self.is_synchronized.set(true);
@@ -251,57 +220,28 @@
 
     /// Writes the commands that the replayed notices did not answer.
     fn resend(&self, out: &mut Vec<u8>) {
-        let mut runs = self.runs.borrow_mut();
-        let again = runs.resend(out, self.gauge_query.last_answered());
-        log::info!(last = self.last_notice.get(), runs = runs.len(), again; "worker link up");
+        let mut runs = self.state.runs.borrow_mut();
+        let again = runs.resend(out, self.state.gauge_query.last_answered());
+        log::info!(last = self.state.last_notice(), runs = runs.len(), again; "worker link up");
     }
 
     /// Calls the controller's timer whenever it is due, with gauges if they come in time.
     pub async fn run_timer(self: Rc<Self>) {
         loop {
-            let Some(at) = self.dispatcher.timer.take() else {
-                self.dispatcher.timer_set.notified().await;
+            let Some(at) = self.state.dispatcher.timer.take() else {
+                self.state.dispatcher.timer_set.notified().await;
                 continue;
             };
-            self.dispatcher.clock.sleep_until(at).await;
+            self.state.dispatcher.clock.sleep_until(at).await;
             let values = timeout(to_std(GAUGES_TIMEOUT), self.query_gauges()).await.unwrap_or_default();
             let gauges: Vec<_> = self.gauge_names.iter().map(String::as_str).zip(values).collect();
-            self.dispatcher.report(|controller, now| controller.timer(now, &gauges));
+            self.state.dispatcher.report(|controller, now| controller.timer(now, &gauges));
         }
     }
 
     async fn query_gauges(&self) -> Vec<f64> {
-        let query = self.gauge_query.begin();
+        let query = self.state.gauge_query.begin();
         self.send(|out| runtime::gauges(out, &query.to_string()));
-        self.gauge_query.values().await
-    }
-
-    /// Takes the worker's state; one that started after the last notice is another process.
-    pub(super) fn worker_ready(&self, state: WorkerState) {
-        let started = self.dispatcher.clock.monotonic().back(state.uptime);
-        if self.last_received.get().is_some_and(|last_received| started > last_received) {
-            self.worker_restarted();
-        }
-        if self.state.replace(Some(state)).is_none() {
-            log::info!(hot = state.is_warm, up_ms = to_std(state.uptime).as_millis() as u64; "worker ready");
-        }
-        self.state_notification.notify_waiters();
-    }
-
-    /// The new process numbers its notices from 1, and what the former one was sent may have run.
-    fn worker_restarted(&self) {
-        self.last_notice.set(0);
-        let failed = self.runs.borrow_mut().take_sent();
-        log::warn!(runs = failed.len(); "worker restarted");
-        for request in failed {
-            self.dispatcher.deliver(request, RequestEvent::Finished(Completion::failed()));
-        }
-    }
-
-    /// Whether a notice is new; one that a replay repeats is not.
-    pub(super) fn is_new_notice(&self, number: u64) -> bool {
-        let is_new = number > self.last_notice.get();
-        self.last_notice.set(number.max(self.last_notice.get()));
-        is_new
+        self.state.gauge_query.values().await
     }
 }
--- a/crates/hazelspur-server/src/upstream/worker/mod.rs
+++ b/crates/hazelspur-server/src/upstream/worker/mod.rs
@@ -6,5 +6,7 @@
 mod notices;
 mod replay;
 mod runs;
+mod state;
 
-pub use link::{WorkerLink, WorkerState};
+pub use link::WorkerLink;
+pub use state::WorkerStatus;
--- a/crates/hazelspur-server/src/upstream/worker/notices.rs
+++ b/crates/hazelspur-server/src/upstream/worker/notices.rs
@@ -1,12 +1,12 @@
 //! Handles the worker's notices as they are decoded.
 
-use super::link::{WorkerLink, WorkerState};
+use super::state::{LinkState, WorkerStatus};
 use crate::request::event::{Completion, RequestEvent};
 use hazelspur::{Duration, Outcome, RequestId};
 use hazelspur_parsers::runtime::Listener;
 
 /// The notices of one connection.
-pub(super) struct Notices<'a>(pub(super) &'a WorkerLink);
+pub(super) struct Notices<'a>(pub(super) &'a LinkState);
 
 impl Notices<'_> {
     /// The request of a notice; `None` if the notice was received before, over this connection or another.
@@ -18,7 +18,7 @@
 
 impl Listener for Notices<'_> {
     fn ready(&mut self, hot: bool, since_ms: u64) {
-        self.0.worker_ready(WorkerState { is_warm: hot, uptime: Duration::from_ms(since_ms) });
+        self.0.worker_ready(WorkerStatus { is_warm: hot, uptime: Duration::from_ms(since_ms) });
     }
 
     fn end(&mut self, number: u64, id: &str, end: &str, result: &[u8]) {
