--- a/crates/hazelspur-server/src/config/reload.rs
+++ b/crates/hazelspur-server/src/config/reload.rs
@@ -41,9 +41,9 @@
         /// The entry's name.
         name: String,
     },
-    /// The change does not fit the settings in force; the text names the key at fault.
-    #[error("{0}")]
-    Change(String),
+    /// The change does not fit the settings in force.
+    #[error(transparent)]
+    Change(#[from] hazelspur::ConfigError),
 }
 
 /// Request classes and tenants that the operator's file refers to; a change may not remove them.
@@ -172,9 +172,8 @@
 
     fn apply_settings(&self, change: &Change) -> Result<(), ReloadError> {
         self.references.borrow().check(change)?;
-        let changed = self.dispatcher.apply_change(&self.catalog, change);
         let ChangeSummary { request_classes, tenants, settings } =
-            changed.map_err(|why| ReloadError::Change(why.to_string()))?;
+            self.dispatcher.apply_change(&self.catalog, change)?;
         let counts = |n: EditCounts| format!("+{} ~{} -{}", n.added, n.replaced, n.removed);
         log::info!(op_types = counts(request_classes), tenants = counts(tenants), figures = settings;
             "settings changed");
