--- a/crates/hazelspur-parsers/src/json.rs
+++ b/crates/hazelspur-parsers/src/json.rs
@@ -1,27 +1,31 @@
-//! JSON read where it stands: a `Json` is the text of one value that was found well-formed.
+//! Reads JSON in place: a `Json` is the text of one well-formed value. Values are decoded when they are asked for.
 
 use std::borrow::Cow;
 
-const DEEPEST: u32 = 32;
+/// The deepest nesting of arrays and objects.
+const MAX_DEPTH: u32 = 32;
 
+/// The text of a well-formed JSON value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Json<'a>(&'a str);
 
+/// The fields of an object.
 #[derive(Default)]
 pub struct Table<'a>(Vec<(Cow<'a, str>, Json<'a>)>);
 
 impl<'a> Table<'a> {
+    /// The first field of this name.
     pub fn get(&self, name: &str) -> Option<Json<'a>> {
         self.0.iter().find(|(key, _)| key == name).map(|(_, value)| *value)
     }
 }
 
 impl<'a> Json<'a> {
-    /// All of `bytes` must be one value.
+    /// Checks that all of `bytes` is one value.
     pub fn parse(bytes: &'a [u8]) -> Option<Self> {
         let text = std::str::from_utf8(bytes).ok()?;
         let from = skip_space(text.as_bytes(), 0);
-        let end = value_end(text.as_bytes(), from, DEEPEST)?;
+        let end = value_end(text.as_bytes(), from, MAX_DEPTH)?;
         (skip_space(text.as_bytes(), end) == text.len()).then(|| Self(&text[from..end]))
     }
 
@@ -35,40 +39,48 @@
         self.parts(b'[').map(|(_, value)| value)
     }
 
+    /// The first field of this name; none of anything but an object.
     pub fn get(self, name: &str) -> Option<Json<'a>> {
         self.fields().find(|(key, _)| key == name).map(|(_, value)| value)
     }
 
-    /// All fields of an object, for those who ask for many of them: the text is gone through once.
+    /// All fields of an object, for callers that look many up: the text is scanned once.
     pub fn table(self) -> Table<'a> {
         Table(self.fields().collect())
     }
 
+    /// Whether the value is an object.
     pub fn is_object(self) -> bool {
         self.0.starts_with('{')
     }
 
+    /// Whether the value is an array.
     pub fn is_array(self) -> bool {
         self.0.starts_with('[')
     }
 
+    /// Whether the value is null.
     pub fn is_null(self) -> bool {
         self.0 == "null"
     }
 
+    /// The value of a boolean.
     pub fn flag(self) -> Option<bool> {
         self.0.parse().ok()
     }
 
+    /// The value of a number that is finite as an `f64`.
     pub fn number(self) -> Option<f64> {
         let digits = self.0.starts_with(|c: char| c == '-' || c.is_ascii_digit());
         self.0.parse().ok().filter(|n: &f64| digits && n.is_finite())
     }
 
+    /// The value of a whole number from 0 on, without fraction or exponent.
     pub fn whole(self) -> Option<u64> {
         self.0.parse().ok()
     }
 
+    /// The value of a string; none where its escapes are no valid UTF-16.
     pub fn text(self) -> Option<Cow<'a, str>> {
         let inner = self.0.strip_prefix('"')?.strip_suffix('"')?;
         if inner.contains('\\') { unescape(inner).map(Cow::Owned) } else { Some(Cow::Borrowed(inner)) }
@@ -88,7 +100,7 @@
                 key = Some(Json(&text[at..end]));
                 at = skip_space(bytes, skip_space(bytes, end) + 1);
             }
-            let end = value_end(bytes, at, DEEPEST)?;
+            let end = value_end(bytes, at, MAX_DEPTH)?;
             let value = Json(&text[at..end]);
             at = skip_space(bytes, end);
             at += usize::from(bytes.get(at) == Some(&b','));
@@ -104,32 +116,11 @@
     at
 }
 
-/// Where the value ends that begins at `at`.
-fn value_end(bytes: &[u8], at: usize, deepest: u32) -> Option<usize> {
+/// The end of the value that begins at `at`; none where it is malformed or nested too deep.
+fn value_end(bytes: &[u8], at: usize, max_depth: u32) -> Option<usize> {
     match *bytes.get(at)? {
         b'"' => string_end(bytes, at),
-        b'{' | b'[' => {
-            let closes = if bytes[at] == b'{' { b'}' } else { b']' };
-            let mut at = skip_space(bytes, at + 1);
-            if *bytes.get(at)? == closes {
-                return Some(at + 1);
-            }
-            loop {
-                if closes == b'}' {
-                    at = skip_space(bytes, string_end(bytes, at)?);
-                    if *bytes.get(at)? != b':' {
-                        return None;
-                    }
-                    at = skip_space(bytes, at + 1);
-                }
-                at = skip_space(bytes, value_end(bytes, at, deepest.checked_sub(1)?)?);
-                match *bytes.get(at)? {
-                    b',' => at = skip_space(bytes, at + 1),
-                    b if b == closes => return Some(at + 1),
-                    _ => return None,
-                }
-            }
-        }
+        b'{' | b'[' => container_end(bytes, at, max_depth),
         b't' => bytes[at..].starts_with(b"true").then_some(at + 4),
         b'f' => bytes[at..].starts_with(b"false").then_some(at + 5),
         b'n' => bytes[at..].starts_with(b"null").then_some(at + 4),
@@ -137,6 +128,30 @@
     }
 }
 
+/// The end of the object or array that begins at `at`.
+fn container_end(bytes: &[u8], at: usize, max_depth: u32) -> Option<usize> {
+    let closes = if bytes[at] == b'{' { b'}' } else { b']' };
+    let mut at = skip_space(bytes, at + 1);
+    if *bytes.get(at)? == closes {
+        return Some(at + 1);
+    }
+    loop {
+        if closes == b'}' {
+            at = skip_space(bytes, string_end(bytes, at)?);
+            if *bytes.get(at)? != b':' {
+                return None;
+            }
+            at = skip_space(bytes, at + 1);
+        }
+        at = skip_space(bytes, value_end(bytes, at, max_depth.checked_sub(1)?)?);
+        match *bytes.get(at)? {
+            b',' => at = skip_space(bytes, at + 1),
+            b if b == closes => return Some(at + 1),
+            _ => return None,
+        }
+    }
+}
+
 fn string_end(bytes: &[u8], at: usize) -> Option<usize> {
     if *bytes.get(at)? != b'"' {
         return None;
--- a/crates/hazelspur-parsers/src/rpc.rs
+++ b/crates/hazelspur-parsers/src/rpc.rs
@@ -1,25 +1,36 @@
-//! What goes out to gateways: JSON-RPC 2.0, one message a line. What comes in is read with `Json`.
+//! Writes messages to gateways: JSON-RPC 2.0, one message a line. `Json` reads theirs.
 
 use crate::json::write_text;
 use crate::put;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 
-/// A request's id on its connection.
+/// Id of a call on its connection.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct RpcId(pub u64);
+pub struct RpcId(
+    /// From 1 up.
+    pub u64,
+);
 
+/// Error code: the request was rejected and did not run.
 pub const NACKED: i32 = -32011;
+/// Error code: the request failed and may have run.
 pub const FAILED: i32 = -32000;
+/// Error code: the line is not JSON.
 pub const NOT_JSON: i32 = -32700;
+/// Error code: the message is not a valid call.
 pub const NOT_VALID: i32 = -32600;
+/// Error code: no request class has this name.
 pub const NO_METHOD: i32 = -32601;
+/// Error code: a parameter is absent or out of range.
 pub const BAD_PARAMS: i32 = -32602;
 
+/// Decodes the body of a request, which is base64.
 pub fn body(text: &str) -> Option<Vec<u8>> {
     STANDARD.decode(text).ok()
 }
 
+/// Writes the result of a request; `signal` is the advertised capacity.
 pub fn result(out: &mut Vec<u8>, id: RpcId, data: &[u8], signal: Option<f64>) {
     head(out, Some(id));
     out.extend_from_slice(b",\"result\":{\"data\":\"");
@@ -29,6 +40,7 @@
     out.extend_from_slice(b"}}\n");
 }
 
+/// Writes the answer to a health check; `signal` is the advertised capacity.
 pub fn check(out: &mut Vec<u8>, id: RpcId, ready: bool, signal: Option<f64>) {
     head(out, Some(id));
     put(out, format_args!(",\"result\":{{\"ready\":{ready}"));
@@ -36,31 +48,41 @@
     out.extend_from_slice(b"}}\n");
 }
 
-/// An error; `holdoff` in milliseconds and `nomore` go with a refusal.
-pub fn error(
-    out: &mut Vec<u8>,
-    id: Option<RpcId>,
-    code: i32,
-    message: &str,
-    holdoff: Option<f64>,
-    nomore: bool,
-    signal: Option<f64>,
-) {
+/// The data of an error.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct ErrorData {
+    /// When the client may retry here, in ms.
+    pub retry_after_ms: Option<f64>,
+    /// Whether the client should not retry at another server either.
+    pub do_not_retry_elsewhere: bool,
+    /// The advertised capacity.
+    pub signal: Option<f64>,
+}
+
+impl ErrorData {
+    fn is_empty(&self) -> bool {
+        *self == Self::default()
+    }
+}
+
+/// Writes an error; an `id` of `None` stands for a message whose id could not be read.
+pub fn error(out: &mut Vec<u8>, id: Option<RpcId>, code: i32, message: &str, data: ErrorData) {
     head(out, id);
     put(out, format_args!(",\"error\":{{\"code\":{code},\"message\":"));
     write_text(out, message);
-    if holdoff.is_some() || nomore || signal.is_some() {
+    if !data.is_empty() {
         out.extend_from_slice(b",\"data\":");
         let from = out.len();
-        field(out, "holdoff", holdoff);
-        field(out, "nomore", nomore.then_some(1.0));
-        field(out, "signal", signal);
+        field(out, "holdoff", data.retry_after_ms);
+        field(out, "nomore", data.do_not_retry_elsewhere.then_some(1.0));
+        field(out, "signal", data.signal);
         out[from] = b'{'; // in place of the first comma
         out.push(b'}');
     }
     out.extend_from_slice(b"}}\n");
 }
 
+/// Writes the goodbye message: no more requests are taken on this connection.
 pub fn farewell(out: &mut Vec<u8>) {
     out.extend_from_slice(b"{\"jsonrpc\":\"2.0\",\"method\":\"farewell\"}\n");
 }
--- a/crates/hazelspur-parsers/src/runtime.rs
+++ b/crates/hazelspur-parsers/src/runtime.rs
@@ -1,80 +1,158 @@
-//! The runtime's lines of words; where the last word is a length, so many bytes and a line end follow.
+//! The protocol of the runtime link: lines of words. Where the last word of a line is a length, so many bytes and a line
+//! end follow.
 
 use crate::put;
+use thiserror::Error;
 
-const LONGEST_LINE: usize = 8 * 1024;
-const LONGEST_BODY: usize = 1024 * 1024;
+/// The longest line, in bytes.
+const MAX_LINE_BYTES: usize = 8 * 1024;
+/// The longest body that follows a line, in bytes.
+const MAX_BODY_BYTES: usize = 1024 * 1024;
+/// The longest part of an unreadable line that its error shows, in characters.
+const MAX_SHOWN_CHARS: usize = 80;
 
-/// Where the decoded words go.
+/// Why a message of the runtime can't be read; the link can't go on.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum RuntimeProtocolError {
+    /// No line end within the longest line.
+    #[error("a line of over {max_bytes} bytes")]
+    LineTooLong {
+        /// The longest line, in bytes.
+        max_bytes: usize,
+    },
+    /// The line is none of the messages.
+    #[error("an unreadable line: {line}")]
+    UnreadableLine {
+        /// The begin of the line.
+        line: String,
+    },
+    /// The body does not end with a line end.
+    #[error("no line end after a body: {line}")]
+    UnterminatedBody {
+        /// The line before the body.
+        line: String,
+    },
+}
+
+/// Takes the decoded messages.
 pub trait Listener {
+    /// The runtime is up: whether it is warm, and for how long it has run, in ms.
     fn ready(&mut self, hot: bool, since_ms: u64);
+    /// A run ended: its message number, request, outcome word and result.
     fn end(&mut self, number: u64, id: &str, end: &str, result: &[u8]);
+    /// A run requests a dependency call with this body.
     fn wants(&mut self, number: u64, id: &str, body: &[u8]);
+    /// Gauges, as requested under this tag.
     fn load(&mut self, tag: &str, values: &[f64]);
+    /// The runtime rejected a command for a request.
     fn nack(&mut self, command: &str, id: &str);
+    /// A remark for the log.
     fn info(&mut self, number: u64, text: &str);
 }
 
-/// Hands on the first message of `bytes` and says how long it was; `None` while it is not all there.
-pub fn read(bytes: &[u8], listener: &mut impl Listener) -> Result<Option<usize>, String> {
-    let Some(end) = bytes.iter().position(|b| *b == b'\n') else {
-        let text = || format!("a line of over {LONGEST_LINE} bytes");
-        return if bytes.len() > LONGEST_LINE { Err(text()) } else { Ok(None) };
+/// A line and the body that follows it.
+struct Message<'a> {
+    body: &'a [u8],
+    /// Length of the whole message, in bytes.
+    length: usize,
+}
+
+/// Passes the first message of `bytes` to the listener and returns its length; `None` while it is incomplete.
+///
+/// # Errors
+/// A message that can't be read.
+pub fn read(bytes: &[u8], listener: &mut impl Listener) -> Result<Option<usize>, RuntimeProtocolError> {
+    let Some(line_end) = bytes.iter().position(|b| *b == b'\n') else {
+        if bytes.len() > MAX_LINE_BYTES {
+            return Err(RuntimeProtocolError::LineTooLong { max_bytes: MAX_LINE_BYTES });
+        }
+        return Ok(None);
     };
     // A remark may be any bytes; the words of the others are checked one by one.
-    let line = String::from_utf8_lossy(&bytes[..end]);
+    let line = String::from_utf8_lossy(&bytes[..line_end]);
     let line = line.trim_end_matches('\r');
-    let bad = || format!("an unreadable line: {}", line.chars().take(80).collect::<String>());
-    let whole = |word: &str| word.parse::<u64>().map_err(|_| bad());
     let words: Vec<&str> = line.split(' ').collect();
-    let (mut body, mut used) = (&bytes[..0], end + 1);
-    if let ["end" | "wants", .., length] = words[..] {
-        let length = length.parse().ok().filter(|n| *n <= LONGEST_BODY).ok_or_else(bad)?;
-        let Some(rest) = bytes.get(used..used + length + 2) else { return Ok(None) };
-        let (text, tail) = rest.split_at(length);
-        if tail != b"\r\n" {
-            return Err(format!("no line end after a body: {line}"));
-        }
-        body = text;
-        used += length + 2;
+    let Some(message) = message(bytes, line_end + 1, line, &words)? else { return Ok(None) };
+    dispatch(line, &words, message.body, listener)?;
+    Ok(Some(message.length))
+}
+
+/// The body after a line and where it ends; `None` while it is incomplete.
+fn message<'a>(
+    bytes: &'a [u8],
+    line_length: usize,
+    line: &str,
+    words: &[&str],
+) -> Result<Option<Message<'a>>, RuntimeProtocolError> {
+    let ["end" | "wants", .., length] = words else {
+        return Ok(Some(Message { body: &[], length: line_length }));
+    };
+    let length = length.parse().ok().filter(|length| *length <= MAX_BODY_BYTES);
+    let length: usize = length.ok_or_else(|| unreadable(line))?;
+    let Some(rest) = bytes.get(line_length..line_length + length + 2) else { return Ok(None) };
+    let (body, tail) = rest.split_at(length);
+    if tail != b"\r\n" {
+        return Err(RuntimeProtocolError::UnterminatedBody { line: line.to_string() });
     }
-    match words[..] {
-        ["ready", state, ms] => listener.ready(state == "hot", whole(ms)?),
-        ["end", number, id, end, _ms, _] => listener.end(whole(number)?, id, end, body),
-        ["wants", number, id, _] => listener.wants(whole(number)?, id, body),
+    Ok(Some(Message { body, length: line_length + length + 2 }))
+}
+
+fn dispatch(
+    line: &str,
+    words: &[&str],
+    body: &[u8],
+    listener: &mut impl Listener,
+) -> Result<(), RuntimeProtocolError> {
+    let number = |word: &str| word.parse::<u64>().map_err(|_| unreadable(line));
+    match *words {
+        ["ready", state, ms] => listener.ready(state == "hot", number(ms)?),
+        ["end", sequence, id, end, _ms, _length] => listener.end(number(sequence)?, id, end, body),
+        ["wants", sequence, id, _length] => listener.wants(number(sequence)?, id, body),
         ["load", tag, ref values @ ..] => {
-            let values: Option<Vec<f64>> = values.iter().map(|v| v.parse().ok()).collect();
-            listener.load(tag, &values.ok_or_else(bad)?);
+            let values: Option<Vec<f64>> = values.iter().map(|value| value.parse().ok()).collect();
+            listener.load(tag, &values.ok_or_else(|| unreadable(line))?);
         }
         ["nack", command, id] => listener.nack(command, id),
-        ["info", number, ..] => {
-            listener.info(whole(number)?, line.splitn(3, ' ').nth(2).unwrap_or_default());
+        ["info", sequence, ..] => {
+            listener.info(number(sequence)?, line.splitn(3, ' ').nth(2).unwrap_or_default());
         }
-        _ => return Err(bad()),
+        _ => return Err(unreadable(line)),
     }
-    Ok(Some(used))
+    Ok(())
+}
+
+fn unreadable(line: &str) -> RuntimeProtocolError {
+    RuntimeProtocolError::UnreadableLine { line: line.chars().take(MAX_SHOWN_CHARS).collect() }
 }
 
+/// Asks for all messages after the one of this number.
 pub fn sync(out: &mut Vec<u8>, last: u64) {
     put(out, format_args!("sync {last}\r\n"));
 }
 
+/// Starts a run, or resumes a paused one.
 pub fn start(out: &mut Vec<u8>, id: &str, class: &str, body: &[u8]) {
     put(out, format_args!("start {id} {class} {}\r\n", body.len()));
-    out.extend_from_slice(body);
-    out.extend_from_slice(b"\r\n");
+    put_body(out, body);
 }
 
+/// Stops a run.
 pub fn stop(out: &mut Vec<u8>, id: &str) {
     put(out, format_args!("stop {id}\r\n"));
 }
 
+/// Passes the response of a dependency call to the run that requested it.
 pub fn give(out: &mut Vec<u8>, id: &str, reply: &[u8]) {
     put(out, format_args!("give {id} {}\r\n", reply.len()));
-    out.extend_from_slice(reply);
-    out.extend_from_slice(b"\r\n");
+    put_body(out, reply);
 }
 
+/// Asks for the gauges; the answer carries the tag.
 pub fn gauges(out: &mut Vec<u8>, tag: &str) {
     put(out, format_args!("gauges {tag}\r\n"));
 }
+
+fn put_body(out: &mut Vec<u8>, body: &[u8]) {
+    out.extend_from_slice(body);
+    out.extend_from_slice(b"\r\n");
+}
--- a/crates/hazelspur-parsers/tests/texts.rs
+++ b/crates/hazelspur-parsers/tests/texts.rs
@@ -1,11 +1,11 @@
-//! What the parsers make of whole, cut and broken texts.
+//! The parsers on whole, split and malformed texts.
 
-use hazelspur_parsers::rpc::RpcId;
+use hazelspur_parsers::rpc::{ErrorData, RpcId};
 use hazelspur_parsers::{Buffer, Json, http, rpc, runtime};
 use std::fmt::Write;
 
 #[test]
-fn json_is_read_where_it_stands() {
+fn json_is_read_in_place_and_malformed_json_is_refused() {
     let texts = [
         r#" {"a":1.5e1,"b":[true,null,"x\u00e9\ud83d\ude00\n"],"a":2} "#,
         r#"{"a":01}"#,
@@ -53,9 +53,9 @@
 }
 
 #[derive(Default)]
-struct Heard(String);
+struct Recorder(String);
 
-impl runtime::Listener for Heard {
+impl runtime::Listener for Recorder {
     fn ready(&mut self, hot: bool, since_ms: u64) {
         self.0 += &format!("ready {hot} {since_ms}\n");
     }
@@ -77,11 +77,11 @@
 }
 
 #[test]
-fn runtime_lines_come_whole_however_they_are_cut() {
+fn runtime_messages_are_read_whole_however_they_are_split() {
     let text =
         b"ready chilly 12\r\nend 1 aa complete 80 3\r\n\r\nx\r\nwants 2 bb 0\r\n\r\nload t 0.5 3 0 12\r\n\
         info 3 all is well\r\nnack give cc\r\n";
-    let mut heard = Heard::default();
+    let mut heard = Recorder::default();
     let mut buffer = Buffer::default();
     for byte in text {
         buffer.room().push(*byte);
@@ -93,10 +93,12 @@
     for bad in
         ["end 1 aa complete 80 x\r\n", "hello\r\n", "end 1 aa error 0 0\r\nxx", "ready hot -1\r\n", "\r\n"]
     {
-        heard.0 += &format!("{:?}\n", runtime::read(bad.as_bytes(), &mut Heard::default()));
+        let read = runtime::read(bad.as_bytes(), &mut Recorder::default()).map_err(|error| error.to_string());
+        heard.0 += &format!("{read:?}\n");
     }
     let endless = [b'x'; 9000];
-    heard.0 += &format!("{:?}\n", runtime::read(&endless, &mut Heard::default()));
+    let read = runtime::read(&endless, &mut Recorder::default()).map_err(|error| error.to_string());
+    heard.0 += &format!("{read:?}\n");
     expect_test::expect![[r#"
         ready false 12
         end 1 aa complete [13, 10, 120]
@@ -116,7 +118,7 @@
 }
 
 #[test]
-fn replies_of_all_kinds() {
+fn http_responses_of_all_kinds() {
     let replies = [
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabcHTTP",
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab",
@@ -146,7 +148,8 @@
         let mut read = |piece: &[u8]| {
             buffer.room().extend_from_slice(piece);
             let read = reply.read(&mut buffer, "X-Untouched");
-            read.map(|r| r.map(|(status, mark, stays, body)| (status, mark, stays, String::from_utf8(body))))
+            read.map(|read| read.map(|r| (r.status, r.is_marked, r.is_reusable, String::from_utf8(r.body))))
+                .map_err(|error| error.to_string())
         };
         let read = text.as_bytes().chunks(3).map(&mut read).find(|read| !matches!(read, Ok(None)));
         let _ = writeln!(seen, "{:?}", read.unwrap_or(Ok(None)));
@@ -181,13 +184,15 @@
 }
 
 #[test]
-fn answers_as_they_go_out() {
+fn json_rpc_messages_are_written_one_a_line() {
     let mut out = Vec::new();
     rpc::result(&mut out, RpcId(7), b"done", Some(0.25));
     rpc::check(&mut out, RpcId(8), true, None);
-    rpc::error(&mut out, Some(RpcId(9)), rpc::NACKED, "refused", Some(250.0), true, Some(1.0));
-    rpc::error(&mut out, Some(RpcId(9)), rpc::NACKED, "refused", None, true, None);
-    rpc::error(&mut out, None, rpc::NOT_JSON, "a \"quote\"\n", None, false, None);
+    let full = ErrorData { retry_after_ms: Some(250.0), do_not_retry_elsewhere: true, signal: Some(1.0) };
+    rpc::error(&mut out, Some(RpcId(9)), rpc::NACKED, "refused", full);
+    let last = ErrorData { do_not_retry_elsewhere: true, ..ErrorData::default() };
+    rpc::error(&mut out, Some(RpcId(9)), rpc::NACKED, "refused", last);
+    rpc::error(&mut out, None, rpc::NOT_JSON, "a \"quote\"\n", ErrorData::default());
     rpc::farewell(&mut out);
     let lines = String::from_utf8(out).expect("text");
     assert!(lines.lines().all(|line| Json::parse(line.as_bytes()).is_some()));
--- a/crates/hazelspur-server/src/ingress/answers.rs
+++ b/crates/hazelspur-server/src/ingress/answers.rs
@@ -4,7 +4,7 @@
 use crate::request::dispatcher::Dispatcher;
 use crate::request::owed::Front;
 use hazelspur::{Duration, RequestId, Timestamp};
-use hazelspur_parsers::rpc::{self, RpcId};
+use hazelspur_parsers::rpc::{self, ErrorData, RpcId};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -146,7 +146,7 @@
     /// An error answer to what was no good.
     pub fn fault(&self, id: Option<RpcId>, code: i32, why: &'static str) {
         self.blame(why);
-        self.put(|out| rpc::error(out, id, code, why, None, false, None));
+        self.put(|out| rpc::error(out, id, code, why, ErrorData::default()));
     }
 
     /// Says why and ends the connection's task; what is open is answered first.
@@ -198,13 +198,15 @@
     fn nacked(&mut self, retry_after: Duration, do_not_retry_elsewhere: bool) {
         let holdoff = (retry_after > Duration::ZERO).then(|| retry_after.us().div_ceil(1000) as f64);
         self.answer(|id, out, signal| {
-            rpc::error(out, Some(id), rpc::NACKED, "refused", holdoff, do_not_retry_elsewhere, signal);
+            let data = ErrorData { retry_after_ms: holdoff, do_not_retry_elsewhere, signal };
+            rpc::error(out, Some(id), rpc::NACKED, "refused", data);
         });
     }
 
     fn failed(&mut self) {
         self.answer(|id, out, signal| {
-            rpc::error(out, Some(id), rpc::FAILED, "failed", None, false, signal);
+            let data = ErrorData { signal, ..ErrorData::default() };
+            rpc::error(out, Some(id), rpc::FAILED, "failed", data);
         });
     }
 
--- a/crates/hazelspur-server/src/ingress/requests.rs
+++ b/crates/hazelspur-server/src/ingress/requests.rs
@@ -76,7 +76,7 @@
                 match self.read_op(answers, id, class, params) {
                     Ok(()) => answers.proven.set(true),
                     Err((rpc::NACKED, why)) => {
-                        answers.put(|out| rpc::error(out, own, rpc::NACKED, why, None, false, None));
+                        answers.put(|out| rpc::error(out, own, rpc::NACKED, why, rpc::ErrorData::default()));
                     }
                     Err((code, why)) => answers.fault(own, code, why),
                 }
--- a/crates/hazelspur-server/src/upstream/control.rs
+++ b/crates/hazelspur-server/src/upstream/control.rs
@@ -89,8 +89,10 @@
     match tokio::time::timeout(long(patience), exchange(&mut stream, &call, "")).await {
         Err(_) => Err(LATE.into()),
         Ok(Err(why)) => Err(why),
-        Ok(Ok((204, ..))) => Ok(Duration::from_us(asked.elapsed().as_micros() as u64)),
-        Ok(Ok((status, ..))) => Err(format!("status {status}")),
+        Ok(Ok(response)) if response.status == 204 => {
+            Ok(Duration::from_us(asked.elapsed().as_micros() as u64))
+        }
+        Ok(Ok(response)) => Err(format!("status {}", response.status)),
     }
 }
 
--- a/crates/hazelspur-server/src/upstream/ledger.rs
+++ b/crates/hazelspur-server/src/upstream/ledger.rs
@@ -93,12 +93,12 @@
         let mut call = Vec::new();
         http::write_call(&mut call, "POST", "/post", &address.to_string(), &more, body);
         match tokio::time::timeout(long(left), exchange(&mut stream, &call, UNTOUCHED)).await {
-            Ok(Ok((status, untouched, stays, reply))) => {
+            Ok(Ok(response)) => {
                 self.tell(true);
-                if stays {
+                if response.is_reusable {
                     self.keep(clock.now(), address, stream);
                 }
-                (outcome(status, untouched), reply)
+                (outcome(response.status, response.is_marked), response.body)
             }
             Ok(Err(why)) => {
                 // Something between may take connections for a ledger that is gone.
--- a/crates/hazelspur-server/src/upstream/runtime.rs
+++ b/crates/hazelspur-server/src/upstream/runtime.rs
@@ -191,7 +191,7 @@
                     match runtime::read(buffer.unread(), &mut Notices(self)) {
                         Ok(Some(used)) => buffer.take(used),
                         Ok(None) => break,
-                        Err(e) => return e,
+                        Err(e) => return e.to_string(),
                     }
                 }
             }
