--- /dev/null
+++ b/crates/hazelspur-adapter/src/event.rs
@@ -0,0 +1,192 @@
+//! The lines of the bench: which kind a line is, and the events of a server as typed values.
+
+use crate::error::AdapterError;
+use crate::fields::Fields;
+use hazelspur::{
+    AdmissionController, ClientId, Duration, NewRequest, Outcome, RequestClassId, RequestId, SessionKey,
+    TenantId, Timestamp,
+};
+
+/// Set in the `bits` of a request whose cost is stated.
+const COST_IS_STATED: u32 = 1;
+/// Set in the `bits` of a request that writes.
+const IS_WRITE: u32 = 4;
+
+/// What a line is about.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) enum LineKind {
+    /// Begins a batch.
+    Batch,
+    /// Ends a batch and asks for the decisions.
+    Commit,
+    /// Selects the server of the events that follow.
+    Select,
+    /// Starts a server.
+    Enlist,
+    /// Ends a server.
+    Exit,
+    /// An event of a running server.
+    Event(EventKind),
+    /// An empty line.
+    Empty,
+    /// A kind that is not known; it is ignored within a batch.
+    Unknown,
+}
+
+/// What happened to a server.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) enum EventKind {
+    /// A request arrived.
+    RequestReceived,
+    /// A run asks for its dependency call.
+    CallRequested,
+    /// A dependency call ended.
+    CallFinished,
+    /// A run ended.
+    RunFinished,
+    /// The client of a request is gone.
+    RequestAbandoned,
+    /// The timer fired.
+    Timer,
+    /// The server is to shut down.
+    ShutdownNotice,
+}
+
+/// A line of the bench.
+#[derive(Clone, Copy)]
+pub(crate) struct Line<'a> {
+    /// What it is about.
+    pub(crate) kind: LineKind,
+    /// Its fields, not read yet.
+    pub(crate) fields: Fields<'a>,
+}
+
+impl<'a> Line<'a> {
+    /// Splits a line, without its end, into kind and fields.
+    pub(crate) fn parse(text: &'a str) -> Self {
+        let (word, fields) = text.split_once(' ').unwrap_or((text, ""));
+        let kind = match word {
+            "BATCH" => LineKind::Batch,
+            "COMMIT" => LineKind::Commit,
+            "SELECT" => LineKind::Select,
+            "ENLIST" => LineKind::Enlist,
+            "EXIT" => LineKind::Exit,
+            "CALL" => LineKind::Event(EventKind::RequestReceived),
+            "WANTS_CALL" => LineKind::Event(EventKind::CallRequested),
+            "DEP_REPLY" => LineKind::Event(EventKind::CallFinished),
+            "COMPLETED" => LineKind::Event(EventKind::RunFinished),
+            "DROPPED" => LineKind::Event(EventKind::RequestAbandoned),
+            "TIMER" => LineKind::Event(EventKind::Timer),
+            "QUIESCE" => LineKind::Event(EventKind::ShutdownNotice),
+            "" => LineKind::Empty,
+            _ => LineKind::Unknown,
+        };
+        Self { kind, fields: Fields(fields) }
+    }
+}
+
+/// A gauge of the runtime.
+pub(crate) struct Gauge<'a> {
+    /// Its name in the settings.
+    name: &'a str,
+    /// Its value, which is finite.
+    value: f64,
+}
+
+/// An event of a running server with its typed fields.
+pub(crate) enum BenchEvent<'a> {
+    /// A request arrived.
+    RequestReceived(NewRequest),
+    /// A run asks for its dependency call.
+    CallRequested(RequestId),
+    /// A dependency call ended.
+    CallFinished {
+        /// The request that asked for the call.
+        request: RequestId,
+        /// How the call ended.
+        outcome: Outcome,
+    },
+    /// A run ended.
+    RunFinished {
+        /// The request that ran.
+        request: RequestId,
+        /// How the run ended.
+        outcome: Outcome,
+    },
+    /// The client of a request is gone.
+    RequestAbandoned(RequestId),
+    /// The timer fired, with the runtime's gauges.
+    Timer(Vec<Gauge<'a>>),
+    /// The server is to shut down at this time.
+    ShutdownNotice(Timestamp),
+}
+
+impl<'a> BenchEvent<'a> {
+    /// Reads the fields of an event.
+    pub(crate) fn parse(kind: EventKind, fields: Fields<'a>) -> Result<Self, AdapterError> {
+        let request = || fields.request("request-id");
+        Ok(match kind {
+            EventKind::RequestReceived => Self::RequestReceived(new_request(fields)?),
+            EventKind::CallRequested => Self::CallRequested(request()?),
+            EventKind::CallFinished => Self::CallFinished { request: request()?, outcome: fields.outcome()? },
+            EventKind::RunFinished => Self::RunFinished { request: request()?, outcome: fields.outcome()? },
+            EventKind::RequestAbandoned => Self::RequestAbandoned(request()?),
+            EventKind::Timer => Self::Timer(gauges(fields)?),
+            EventKind::ShutdownNotice => {
+                Self::ShutdownNotice(Timestamp::from_us(fields.required("give-up-at-us")?))
+            }
+        })
+    }
+
+    /// Reports the event to the server's controller.
+    pub(crate) fn report(self, controller: &mut AdmissionController, now: Timestamp) {
+        match self {
+            Self::RequestReceived(new) => controller.request_received(now, new),
+            Self::CallRequested(request) => controller.call_requested(now, request),
+            Self::CallFinished { request, outcome } => controller.call_finished(now, request, outcome),
+            Self::RunFinished { request, outcome } => controller.run_finished(now, request, outcome),
+            Self::RequestAbandoned(request) => controller.request_abandoned(request),
+            Self::Timer(gauges) => {
+                let gauges: Vec<_> = gauges.iter().map(|gauge| (gauge.name, gauge.value)).collect();
+                controller.timer(now, &gauges);
+            }
+            Self::ShutdownNotice(stop_at) => controller.shutdown_notice(now, stop_at),
+        }
+    }
+}
+
+fn new_request(fields: Fields) -> Result<NewRequest, AdapterError> {
+    let bits: u32 = fields.optional("bits")?.unwrap_or(0);
+    let deadline_us = fields.optional("give-up-at-us")?.filter(|at_us| *at_us > 0);
+    let cost_us = fields.optional("cost-us")?.filter(|_| bits & COST_IS_STATED != 0);
+    let retry_of = match fields.get("prior") {
+        None | Some("0" | "") => None,
+        Some(_) => Some(fields.request("prior")?),
+    };
+    Ok(NewRequest {
+        id: fields.request("request-id")?,
+        class: RequestClassId(fields.required("class")?),
+        tenant: TenantId(fields.optional("realm")?.unwrap_or(0)),
+        session: fields.get("name-key").filter(|key| !key.is_empty()).map(SessionKey::of),
+        client: ClientId(fields.optional("neighbour")?.unwrap_or(0)),
+        deadline: deadline_us.map(Timestamp::from_us),
+        cost: cost_us.map(Duration::from_us),
+        size_kb: fields.number("kb")?,
+        age: Duration::from_us(fields.optional("age-us")?.unwrap_or(0)),
+        is_write: bits & IS_WRITE != 0,
+        retry_of,
+    })
+}
+
+/// The gauges of `telemetry`: `name:value` separated by commas.
+fn gauges(fields: Fields<'_>) -> Result<Vec<Gauge<'_>>, AdapterError> {
+    let pairs = fields.get("telemetry").unwrap_or("").split(',').filter(|pair| !pair.is_empty());
+    let gauges: Option<Vec<Gauge>> = pairs.map(gauge).collect();
+    gauges.ok_or(AdapterError::MalformedField { name: "telemetry" })
+}
+
+fn gauge(pair: &str) -> Option<Gauge<'_>> {
+    let (name, value) = pair.split_once(':')?;
+    let value = value.parse().ok().filter(|value: &f64| value.is_finite())?;
+    Some(Gauge { name, value })
+}
--- a/crates/hazelspur-adapter/tests/wire.rs
+++ b/crates/hazelspur-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Odd rounds by hand through the built adapter.
+//! Unusual batches through the built adapter.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn unknown_words_pass_and_the_end_is_clean() {
+fn unknown_lines_and_fields_are_ignored_and_the_end_of_input_is_a_success() {
     let rest = format!("NOVELTY x=1\nCALL odd=3 kb=5 class=0 request-id={OP} neighbour=3\nCOMMIT\n");
     let done = format!(
         "BATCH at-time-us=9000\nSELECT server-id=server_1\nCOMPLETED request-id={OP} disposition=0\nCOMPLETED request-id={OP} disposition=0\nCOMMIT\nBATCH at-time-us=9900\nCOMMIT\n"
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn bad_fields_give_in_for_their_instance() {
+fn unreadable_fields_make_their_server_give_in() {
     let calls = [
         "CALL class=0 kb=5",
         "CALL request-id=short class=0",
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn what_no_instance_can_tell_ends_the_adapter() {
+fn faults_of_no_server_end_the_adapter() {
     let inputs = [
         "COMMIT\n".to_string(),
         START.to_string(),
--- a/crates/hazelspur-parsers/src/http.rs
+++ b/crates/hazelspur-parsers/src/http.rs
@@ -69,15 +69,11 @@
     NumberOutOfRange,
 }
 
-/// Writes a request with a body; `headers` are names and values.
-pub fn write_call(
-    out: &mut Vec<u8>,
-    verb: &str,
-    path: &str,
-    host: &str,
-    headers: &[(&str, &str)],
-    body: &[u8],
-) {
+/// Name and value of a header.
+pub type Header<'a> = (&'a str, &'a str);
+
+/// Writes a request with a body.
+pub fn write_call(out: &mut Vec<u8>, verb: &str, path: &str, host: &str, headers: &[Header], body: &[u8]) {
     put(out, format_args!("{verb} {path} HTTP/1.1\r\nHost: {host}\r\n"));
     for (name, value) in headers {
         put(out, format_args!("{name}: {value}\r\n"));
