--- a/crates/hazelspur-server/src/ingress/gateway/connection.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/connection.rs
@@ -109,7 +109,7 @@
     pub(super) fn reject_input(&self, id: Option<RpcId>, error: ProtocolError) {
         self.reputation.record(error);
         let message = error.to_string();
-        self.output.append(|out| rpc::error(out, id, error.code(), &message, None, false, None));
+        self.output.append(|out| rpc::error(out, id, error.code(), &message, rpc::ErrorData::default()));
     }
 
     /// Answers with an error and closes; open requests are answered first.
--- a/crates/hazelspur-server/src/ingress/gateway/responder.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/responder.rs
@@ -3,7 +3,7 @@
 use super::connection::GatewayConnection;
 use crate::request::responder::ResponseSink;
 use hazelspur::{Duration, RequestId};
-use hazelspur_parsers::rpc::{self, RpcId};
+use hazelspur_parsers::rpc::{self, ErrorData, RpcId};
 use std::rc::Rc;
 
 /// Microseconds of a millisecond.
@@ -40,13 +40,15 @@
         let retry_after_ms = (retry_after > Duration::ZERO).then_some(retry_after_ms);
         self.respond(|id, out, capacity| {
             let message = "refused";
-            rpc::error(out, Some(id), rpc::NACKED, message, retry_after_ms, do_not_retry_elsewhere, capacity);
+            let data = ErrorData { retry_after_ms, do_not_retry_elsewhere, signal: capacity };
+            rpc::error(out, Some(id), rpc::NACKED, message, data);
         });
     }
 
     fn failed(&mut self) {
         self.respond(|id, out, capacity| {
-            rpc::error(out, Some(id), rpc::FAILED, "failed", None, false, capacity);
+            let data = ErrorData { signal: capacity, ..ErrorData::default() };
+            rpc::error(out, Some(id), rpc::FAILED, "failed", data);
         });
     }
 
--- a/crates/hazelspur-server/src/upstream/dependency.rs
+++ b/crates/hazelspur-server/src/upstream/dependency.rs
@@ -3,9 +3,9 @@
 
 use crate::clock::{Clock, to_std};
 use crate::upstream::endpoints::UpstreamEndpoints;
-use crate::upstream::http_exchange::{HttpReply, exchange};
+use crate::upstream::http_exchange::exchange;
 use hazelspur::{Duration, Outcome, RequestId, Timestamp};
-use hazelspur_parsers::http;
+use hazelspur_parsers::http::{self, Response};
 use std::cell::{OnceCell, RefCell};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -159,7 +159,7 @@
         match timeout(to_std(reply_timeout), exchanging).await {
             Ok(Ok(reply)) => {
                 self.notify(true);
-                if reply.reusable {
+                if reply.is_reusable {
                     self.put_idle(clock.now(), address, stream);
                 }
                 CallResult { outcome: outcome(&reply), reply: reply.body }
@@ -202,8 +202,8 @@
     message
 }
 
-fn outcome(reply: &HttpReply) -> Outcome {
-    let no_effect = reply.marked;
+fn outcome(reply: &Response) -> Outcome {
+    let no_effect = reply.is_marked;
     match reply.status {
         200 => Outcome::Ok,
         409 if no_effect => Outcome::NeverStarted,
--- a/crates/hazelspur-server/src/upstream/worker/link.rs
+++ b/crates/hazelspur-server/src/upstream/worker/link.rs
@@ -51,8 +51,8 @@
     Io(#[from] std::io::Error),
     #[error("closed")]
     Closed,
-    #[error("{0}")]
-    InvalidNotice(String),
+    #[error(transparent)]
+    InvalidNotice(#[from] runtime::RuntimeProtocolError),
     #[error("no end of the replay")]
     ReplayTimedOut,
 }
@@ -190,7 +190,7 @@
     fn handle_notices(&self, buffer: &mut Buffer) -> Result<(), LinkError> {
         loop {
             let read = runtime::read(buffer.unread(), &mut Notices(&self.state));
-            match read.map_err(|why| LinkError::InvalidNotice(why.to_string()))? {
+            match read? {
                 Some(length) => buffer.take(length),
                 None => return Ok(()),
             }
