--- a/crates/hazelspur-fleet/tests/membership.rs
+++ b/crates/hazelspur-fleet/tests/membership.rs
@@ -14,7 +14,7 @@
 use helpers::{START, TestFleet, address, config, name, number};
 
 #[test]
-fn a_fleet_finds_itself_by_two_contact_points() {
+fn members_find_each_other_by_two_seeds() {
     let mut fleet = TestFleet::new(7);
     fleet.run(3000);
     expect![[r#"
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn one_that_is_killed_is_lost_and_one_that_leaves_is_never_suspected() {
+fn a_killed_member_is_declared_dead_and_a_leaving_one_is_never_suspected() {
     let mut fleet = TestFleet::new(7);
     fleet.run(5000);
     fleet.events.clear();
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn one_that_stood_still_blames_itself() {
+fn a_suspended_member_is_degraded_and_declares_nobody_dead() {
     let mut fleet = TestFleet::new(12);
     fleet.run(8000);
     fleet.events.clear();
@@ -57,17 +57,17 @@
     fleet.run(20);
     let of = |fleet: &TestFleet, of: usize| fleet.members[&of].local_status();
     assert_eq!(of(&fleet, 0), LocalStatus::Degraded);
-    let by_stopped = |(_, by, event): &(u64, usize, MembershipEvent)| {
+    let by_suspended = |(_, by, event): &(u64, usize, MembershipEvent)| {
         by % 3 == 0 && matches!(event, MembershipEvent::Died(_))
     };
     fleet.run(40_000);
-    assert!(!fleet.events.iter().any(by_stopped), "it held others for gone");
+    assert!(!fleet.events.iter().any(by_suspended), "a suspended member declared others dead");
     assert_eq!(of(&fleet, 0), LocalStatus::Healthy);
     assert!(fleet.agree(), "{}", fleet.view_of(1));
 }
 
 #[test]
-fn one_direction_of_one_link_silent_is_bridged_by_others() {
+fn indirect_probes_bridge_a_link_that_is_silent_one_way() {
     let mut fleet = TestFleet::new(8);
     fleet.run(5000);
     fleet.events.clear();
@@ -78,12 +78,12 @@
 }
 
 #[test]
-fn two_halves_with_starts_and_ends_meanwhile_become_one_again() {
+fn healed_partitions_with_starts_and_ends_meanwhile_merge() {
     let mut fleet = TestFleet::new(10);
     fleet.run(5000);
     fleet.blocked = |from, to| from % 2 != to % 2;
     fleet.run(20_000);
-    // On both sides: one goes, one comes; contact points 0 and 1 are on a side each.
+    // On both sides one member ends and one starts; each side has one of the seeds.
     fleet.kill(8);
     fleet.kill(9);
     fleet.start(10);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_restart_before_the_death_was_noticed_is_a_new_life_and_the_old_ones_words_are_dropped() {
+fn a_restart_before_detection_is_a_new_generation_and_old_datagrams_are_dropped() {
     let mut fleet = TestFleet::new(5);
     fleet.run(5000);
     let mut former = fleet.members[&3].clone();
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_clock_that_went_back_before_a_restart_does_not_shut_it_out() {
+fn a_member_rejoins_after_a_restart_with_its_clock_set_back() {
     let mut fleet = TestFleet::new(5);
     fleet.run(5000);
     fleet.kill(3);
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn without_a_contact_point_the_careful_bound_holds() {
+fn without_a_seed_the_upper_bound_is_the_largest_number_of_servers() {
     let mut fleet = TestFleet::new(0);
     (2..5).for_each(|of| fleet.start(of));
     fleet.run(30_000);
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn one_that_hears_nobody_says_so_and_gives_nobody_up() {
+fn an_isolated_member_says_so_and_declares_nobody_dead() {
     let mut fleet = TestFleet::new(6);
     fleet.run(5000);
     fleet.events.clear();
@@ -166,9 +166,9 @@
     assert!(fleet.agree(), "{}\n{}", fleet.view_of(0), fleet.view_of(2));
 }
 
-/// A member with the key that says of all others that they are gone, have left, or are centuries ahead.
+/// A member with the key claims that all others are suspected, have left, or have an impossible generation.
 #[test]
-fn a_liar_costs_refutations_and_nobody_their_place() {
+fn false_updates_cost_refutations_and_no_member_dies_of_them() {
     for state in [MemberState::Suspected(name(63)), MemberState::Left, MemberState::Leaving] {
         let mut fleet = TestFleet::new(9);
         fleet.run(5000);
@@ -178,8 +178,9 @@
             for victim in 1..8 {
                 let of = *fleet.members[&victim].local_update();
                 let more = if round % 2 == 0 { 0 } else { 3 };
-                let lie = MemberUpdate { state, incarnation: Incarnation(of.incarnation.0 + more), ..of };
-                let absurd = MemberUpdate { generation: Generation(u64::MAX), ..lie };
+                let false_update =
+                    MemberUpdate { state, incarnation: Incarnation(of.incarnation.0 + more), ..of };
+                let impossible = MemberUpdate { generation: Generation(u64::MAX), ..false_update };
                 number += 1;
                 let datagram = Datagram {
                     installation: Installation::new("bread").expect("a name"),
@@ -193,10 +194,10 @@
                     sent_ms: fleet.now.us() / 1000,
                     body: Body::Gossip,
                     load_report: None,
-                    updates: vec![lie, absurd],
+                    updates: vec![false_update, impossible],
                 };
-                let ear = (victim + round) % 9;
-                let _ = fleet.members.get_mut(&ear).expect("it runs").receive(fleet.now, &datagram);
+                let receiver = (victim + round) % 9;
+                let _ = fleet.members.get_mut(&receiver).expect("it runs").receive(fleet.now, &datagram);
             }
             fleet.run(500);
         }
@@ -213,7 +214,7 @@
 }
 
 #[test]
-fn a_full_table_forgets_who_is_gone_and_takes_no_more() {
+fn a_full_table_forgets_members_that_are_gone_and_takes_no_more() {
     let mut member = Membership::new(config(0, 4), Generation(1), 1, START);
     let claim = |of: usize| MemberUpdate {
         name: name(of),
@@ -239,7 +240,7 @@
 }
 
 #[test]
-fn what_is_wrong_foreign_stale_or_played_again_is_told_apart_and_dropped() {
+fn malformed_foreign_stale_and_replayed_datagrams_are_dropped_with_their_reason() {
     let key = Key::from_text("a key of sixteen characters").expect("long enough");
     let other = Key::from_text("another key of that length").expect("long enough");
     let ours = Installation::new("bread").expect("a name");
@@ -278,57 +279,58 @@
     assert_eq!(bytes.len(), datagram::encoded_length(&datagram));
     assert!(datagram::seal(&key, &long).len() <= datagram::MAX_DATAGRAM_BYTES);
 
-    let mut ear = Membership::new(config(0, 64), Generation(9), 1, START);
+    let mut receiver = Membership::new(config(0, 64), Generation(9), 1, START);
     assert_eq!(
-        (ear.receive(now, &datagram), ear.receive(now, &datagram)),
+        (receiver.receive(now, &datagram), receiver.receive(now, &datagram)),
         (Ok(()), Err(DatagramError::Replayed))
     );
 }
 
 #[test]
-fn any_bytes_under_the_right_tag_are_refused_or_read_and_never_harm() {
+fn arbitrary_bytes_under_a_valid_tag_keep_the_invariants() {
     let key = Key::from_text("a key of sixteen characters").expect("long enough");
     let ours = Installation::new("bread").expect("a name");
     let mut fleet = TestFleet::new(4);
     fleet.run(3000);
-    let mut chance = hazelspur::pcg::Pcg::new(3);
-    let mut speaker = fleet.members[&1].clone();
-    let mut pool = Vec::new();
-    while pool.len() < 20 {
-        speaker.tick(speaker.next_tick());
-        pool.extend(std::iter::from_fn(|| speaker.next_datagram(fleet.now)));
+    let mut random = hazelspur::pcg::Pcg::new(3);
+    let mut sender = fleet.members[&1].clone();
+    let mut datagrams = Vec::new();
+    while datagrams.len() < 20 {
+        sender.tick(sender.next_tick());
+        datagrams.extend(std::iter::from_fn(|| sender.next_datagram(fleet.now)));
     }
-    let (mut read, mut refused) = (0, 0);
+    let (mut accepted, mut rejected) = (0, 0);
     for turn in 0..20_000u64 {
         let now = fleet.now + Duration::from_ms(turn);
-        let OutgoingDatagram { address: to, mut datagram } = pool[turn as usize % pool.len()].clone();
+        let OutgoingDatagram { address: to, mut datagram } =
+            datagrams[turn as usize % datagrams.len()].clone();
         // A datagram with some of its bytes changed before it is sealed.
         datagram.sequence += 1000 + turn;
         let mut bytes = datagram::seal(&key, &datagram);
-        for _ in 0..chance.draw() % 4 {
-            let at = 17 + chance.draw() as usize % (bytes.len() - 17);
-            bytes[at] = chance.draw() as u8;
+        for _ in 0..random.draw() % 4 {
+            let at = 17 + random.draw() as usize % (bytes.len() - 17);
+            bytes[at] = random.draw() as u8;
         }
-        bytes.truncate(if chance.draw().is_multiple_of(5) { 18 + bytes.len() / 2 } else { bytes.len() });
+        bytes.truncate(if random.draw().is_multiple_of(5) { 18 + bytes.len() / 2 } else { bytes.len() });
         let bytes = datagram::reseal(&key, bytes);
         match datagram::open(&key, &ours, now, &bytes) {
             Ok(datagram) => {
-                read += 1;
-                let Some(ear) = fleet.members.get_mut(&(number(to) % 4)) else { continue };
-                let _ = ear.receive(now, &datagram);
-                ear.tick(now);
-                while ear.next_datagram(now).is_some() {}
-                while ear.next_event().is_some() {}
-                ear.check_invariants().expect("sound");
+                accepted += 1;
+                let Some(receiver) = fleet.members.get_mut(&(number(to) % 4)) else { continue };
+                let _ = receiver.receive(now, &datagram);
+                receiver.tick(now);
+                while receiver.next_datagram(now).is_some() {}
+                while receiver.next_event().is_some() {}
+                receiver.check_invariants().expect("sound");
             }
-            Err(_) => refused += 1,
+            Err(_) => rejected += 1,
         }
     }
-    assert!(read > 1000 && refused > 1000, "{read} read, {refused} refused");
+    assert!(accepted > 1000 && rejected > 1000, "{accepted} accepted, {rejected} rejected");
 }
 
 #[test]
-fn a_storm_of_starts_is_bounded_and_nobody_is_falsely_lost() {
+fn a_storm_of_starts_is_bounded_and_nobody_is_declared_dead() {
     let mut fleet = TestFleet::new(0);
     for of in 0..60 {
         fleet.start(of);
@@ -344,7 +346,7 @@
 }
 
 #[test]
-fn cores_so_crowded_that_all_runs_three_seconds_late_kill_nobody() {
+fn a_member_that_runs_three_seconds_late_is_not_declared_dead() {
     let mut fleet = TestFleet::new(9);
     fleet.run(5000);
     fleet.events.clear();
@@ -359,15 +361,15 @@
     assert!(fleet.agree(), "{}", fleet.view_of(0));
 }
 
-/// One member, and others that are played by hand: some answer its probes, some are dead.
-struct Alone {
+/// One member, and others that the test plays: some answer its probes, some are dead.
+struct Single {
     member: Membership,
     now: Timestamp,
     sequence: u64,
     events: String,
 }
 
-impl Alone {
+impl Single {
     const ALIVE: std::ops::Range<usize> = 1..8;
     const DEAD: std::ops::Range<usize> = 8..10;
 
@@ -384,7 +386,7 @@
         }
     }
 
-    fn hears(&mut self, from: usize, body: Body, updates: Vec<MemberUpdate>) {
+    fn receive_from(&mut self, from: usize, body: Body, updates: Vec<MemberUpdate>) {
         self.sequence += 1;
         let datagram = Datagram {
             installation: config(0, 64).installation,
@@ -398,15 +400,15 @@
         self.member.receive(self.now, &datagram).expect("a sound datagram");
     }
 
-    /// Until so many ms from the start; who is alive answers at once.
-    fn until(&mut self, ms: u64) {
+    /// Runs until so many milliseconds after the start; living members answer at once.
+    fn run_until(&mut self, ms: u64) {
         while self.now < START + Duration::from_ms(ms) {
             self.member.tick(self.now);
             while let Some(OutgoingDatagram { address: to, datagram }) = self.member.next_datagram(self.now) {
                 if let Body::Ping { number: asked, .. } = datagram.body
                     && Self::ALIVE.contains(&number(to))
                 {
-                    self.hears(number(to), Body::Ack { number: asked }, Vec::new());
+                    self.receive_from(number(to), Body::Ack { number: asked }, Vec::new());
                 }
             }
             while let Some(event) = self.member.next_event() {
@@ -421,25 +423,25 @@
 }
 
 #[test]
-fn an_accuser_that_comes_late_is_no_standstill_and_puts_no_other_suspicion_off() {
+fn a_late_accuser_is_no_suspension_and_postpones_no_other_suspicion() {
     let member = Membership::new(config(0, 64), Generation(START.us() / 1000), 7, START);
-    let mut alone = Alone { member, now: START, sequence: 0, events: String::new() };
-    let all = Alone::ALIVE.chain(Alone::DEAD).map(|of| Alone::update(of, MemberState::Alive)).collect();
-    alone.hears(1, Body::MemberListPage { next: None }, all);
-    alone.until(1000);
+    let mut single = Single { member, now: START, sequence: 0, events: String::new() };
+    let all = Single::ALIVE.chain(Single::DEAD).map(|of| Single::update(of, MemberState::Alive)).collect();
+    single.receive_from(1, Body::MemberListPage { next: None }, all);
+    single.run_until(1000);
     let suspected =
-        |by| Alone::DEAD.map(|of| Alone::update(of, MemberState::Suspected(name(by)))).collect::<Vec<_>>();
-    alone.hears(1, Body::Gossip, suspected(1));
-    alone.until(12_000);
-    // Of the first of them the rest speak only now, when its suspicion has lasted longer than they would have left it.
+        |by| Single::DEAD.map(|of| Single::update(of, MemberState::Suspected(name(by)))).collect::<Vec<_>>();
+    single.receive_from(1, Body::Gossip, suspected(1));
+    single.run_until(12_000);
+    // The other accusers of the first one speak only now, when the suspicion has lasted longer than their timeout.
     for by in 2..5 {
-        alone.hears(by, Body::Gossip, suspected(by)[..1].to_vec());
+        single.receive_from(by, Body::Gossip, suspected(by)[..1].to_vec());
     }
-    alone.until(40_000);
+    single.run_until(40_000);
     expect![[r#"
         0 LocalStatusChanged { from: Joining, to: Healthy }
         13296 Died(n8)
         15296 Died(n9)
     "#]]
-    .assert_eq(&alone.events);
+    .assert_eq(&single.events);
 }
--- a/crates/hazelspur-fleet/tests/membership_orders.rs
+++ b/crates/hazelspur-fleet/tests/membership_orders.rs
@@ -1,6 +1,6 @@
-//! All orders of few events among three and four members: any datagram under way may come next, come twice or
-//! never, anybody's timer may be next, one may be killed and start again. After each step no member falls
-//! back to an older life of another; after each end a fair network brings all that run to one picture.
+//! All orders of few events among three and four members: any datagram in flight may arrive next, arrive twice or never, any
+//! timer may be next, one member may be killed and start again. After each step no member falls back to an older generation
+//! of another; after the last step a network without loss brings all running members to the same view.
 
 mod helpers;
 
@@ -12,38 +12,38 @@
 use helpers::{START, config, name, number};
 use std::collections::BTreeMap;
 
-/// Under way at once; what is more was lost.
+/// Datagrams in flight at once; older ones beyond that are lost.
 const MAX_IN_FLIGHT: usize = 5;
 
 #[derive(Clone)]
-struct World {
+struct TestFleet {
     now: Timestamp,
     members: BTreeMap<usize, Membership>,
     in_flight: Vec<(usize, Datagram)>,
     starts: u64,
-    /// What each life of a holder has last believed of each other's life.
-    believed: BTreeMap<(usize, Generation, MemberName), Generation>,
+    /// The generation of each other member that each run of a member knew last.
+    known_generations: BTreeMap<(usize, Generation, MemberName), Generation>,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Deliver(usize),
-    Double(usize),
-    Lose(usize),
+    Duplicate(usize),
+    Drop(usize),
     Tick(usize),
     Kill(usize),
     Start(usize),
 }
 
-/// Whom a holder thinks to be in an older life than it thought before.
-fn fallen_back(
-    believed: &mut BTreeMap<(usize, Generation, MemberName), Generation>,
-    holder: (usize, Generation),
+/// A member of which the observer knows an older generation than before.
+fn regressed_member(
+    known_generations: &mut BTreeMap<(usize, Generation, MemberName), Generation>,
+    observer: (usize, Generation),
     now: impl Iterator<Item = (MemberName, Generation)>,
 ) -> Option<MemberName> {
     let mut found = None;
     for (of, generation) in now {
-        let before = believed.entry((holder.0, holder.1, of)).or_insert(generation);
+        let before = known_generations.entry((observer.0, observer.1, of)).or_insert(generation);
         if generation < *before {
             found = Some(of);
         }
@@ -52,17 +52,17 @@
     found
 }
 
-impl World {
+impl TestFleet {
     fn new(size: usize) -> Self {
-        let mut world = Self {
+        let mut fleet = Self {
             now: START,
             members: BTreeMap::new(),
             in_flight: Vec::new(),
             starts: 0,
-            believed: BTreeMap::new(),
+            known_generations: BTreeMap::new(),
         };
-        (0..size).for_each(|of| world.start(of));
-        world
+        (0..size).for_each(|of| fleet.start(of));
+        fleet
     }
 
     fn start(&mut self, of: usize) {
@@ -75,10 +75,10 @@
     fn steps(&self) -> Vec<Step> {
         let in_flight = 0..self.in_flight.len();
         let mut steps: Vec<Step> = in_flight.clone().map(Step::Deliver).collect();
-        steps.extend(in_flight.clone().map(Step::Lose));
-        steps.extend(in_flight.map(Step::Double));
+        steps.extend(in_flight.clone().map(Step::Drop));
+        steps.extend(in_flight.map(Step::Duplicate));
         steps.extend(self.members.keys().map(|of| Step::Tick(*of)));
-        // One that is killed and comes again is as good as any.
+        // Killing and restarting one member is as good as any.
         steps.push(if self.members.contains_key(&2) { Step::Kill(2) } else { Step::Start(2) });
         steps
     }
@@ -89,11 +89,11 @@
                 let (to, datagram) = self.in_flight.remove(i);
                 self.deliver(to, &datagram);
             }
-            Step::Double(i) => {
+            Step::Duplicate(i) => {
                 let (to, datagram) = self.in_flight[i].clone();
                 self.deliver(to, &datagram);
             }
-            Step::Lose(i) => drop(self.in_flight.remove(i)),
+            Step::Drop(i) => drop(self.in_flight.remove(i)),
             Step::Tick(of) => {
                 let Some(member) = self.members.get_mut(&of) else { return };
                 self.now = self.now.max(member.next_tick());
@@ -125,18 +125,17 @@
     fn check(&mut self) {
         for (of, member) in &self.members {
             member.check_invariants().unwrap_or_else(|why| panic!("{of}: {why}"));
-            let held = member
+            let known = member
                 .statuses()
                 .filter_map(|(name, _)| Some((name, member.member_status(name)?.generation)));
-            let holder = (*of, member.local_update().generation);
-            let back = fallen_back(&mut self.believed, holder, held);
-            assert_eq!(back, None, "n{of} fell back to an older life");
+            let observer = (*of, member.local_update().generation);
+            let back = regressed_member(&mut self.known_generations, observer, known);
+            assert_eq!(back, None, "n{of} fell back to an older generation");
         }
     }
 
-    /// From here on nothing is lost: all that run come to see each other, in their newest lives, and nobody
-    /// else.
-    fn comes_together(mut self) -> Result<(), String> {
+    /// Without further loss, all running members come to know each other in their newest generations, and nobody else.
+    fn converges(mut self) -> Result<(), String> {
         let end = self.now + Duration::from_ms(150_000);
         while self.now < end {
             for (to, datagram) in std::mem::take(&mut self.in_flight) {
@@ -159,7 +158,7 @@
                     status: MemberStatus::Alive,
                 });
                 if of != other && member.member_status(name(*other)) != right {
-                    return Err(format!("n{of} holds n{other} for {:?}", member.member_status(name(*other))));
+                    return Err(format!("n{of} sees n{other} as {:?}", member.member_status(name(*other))));
                 }
             }
             let alive = member.statuses().filter(|(_, standing)| *standing == MemberStatus::Alive).count();
@@ -176,68 +175,68 @@
     std::env::var("HAZELSPUR_DEPTH").ok().and_then(|depth| depth.parse().ok()).unwrap_or(5)
 }
 
-/// Takes every order of steps to this depth, and one in `each` of its ends to a fair end.
-fn explore(world: &World, depth: usize, each: usize, seen: &mut (usize, usize)) {
+/// Takes every order of steps to this depth, and lets one in `each` of the ends converge.
+fn explore(fleet: &TestFleet, depth: usize, each: usize, seen: &mut (usize, usize)) {
     if depth == 0 {
         seen.0 += 1;
         if seen.0.is_multiple_of(each) {
             seen.1 += 1;
-            world.clone().comes_together().unwrap_or_else(|why| panic!("{why}"));
+            fleet.clone().converges().unwrap_or_else(|why| panic!("{why}"));
         }
         return;
     }
-    for step in world.steps() {
-        let mut next = world.clone();
+    for step in fleet.steps() {
+        let mut next = fleet.clone();
         next.take(step);
         explore(&next, depth - 1, each, seen);
     }
 }
 
 #[test]
-fn three_that_find_each_other_in_any_order_come_to_one_picture() {
+fn three_members_that_join_in_any_order_converge() {
     let mut seen = (0, 0);
-    explore(&World::new(3), depth(), 211, &mut seen);
+    explore(&TestFleet::new(3), depth(), 211, &mut seen);
     assert!(seen.0 > 20_000 && seen.1 > 100, "{seen:?}");
 }
 
 #[test]
-fn three_that_know_each_other_stand_any_order_of_loss_and_restart() {
-    let mut world = World::new(3);
-    world.clone().comes_together().expect("a quiet start");
+fn three_members_converge_after_any_order_of_loss_and_restart() {
+    let mut fleet = TestFleet::new(3);
+    fleet.clone().converges().expect("a quiet start");
     for _ in 0..60 {
-        while !world.in_flight.is_empty() {
-            world.take(Step::Deliver(0));
+        while !fleet.in_flight.is_empty() {
+            fleet.take(Step::Deliver(0));
         }
-        let next = world.members.iter().min_by_key(|(_, member)| member.next_tick()).map(|(of, _)| *of);
-        world.take(Step::Tick(next.expect("three run")));
+        let next = fleet.members.iter().min_by_key(|(_, member)| member.next_tick()).map(|(of, _)| *of);
+        fleet.take(Step::Tick(next.expect("three run")));
     }
     let mut seen = (0, 0);
-    explore(&world, depth(), 101, &mut seen);
+    explore(&fleet, depth(), 101, &mut seen);
     assert!(seen.0 > 20_000 && seen.1 > 100, "{seen:?}");
 }
 
 #[test]
-fn long_walks_of_four_members_end_in_one_picture() {
+fn random_walks_of_four_members_converge() {
     for seed in 0..300 {
-        let mut chance = Pcg::new(seed);
-        let mut world = World::new(4);
+        let mut random = Pcg::new(seed);
+        let mut fleet = TestFleet::new(4);
         for _ in 0..150 {
-            let steps = world.steps();
-            world.take(steps[chance.draw() as usize % steps.len()]);
+            let steps = fleet.steps();
+            fleet.take(steps[random.draw() as usize % steps.len()]);
         }
-        world.comes_together().unwrap_or_else(|why| panic!("seed {seed}: {why}"));
+        fleet.converges().unwrap_or_else(|why| panic!("seed {seed}: {why}"));
     }
 }
 
 #[test]
-fn the_checks_find_what_is_planted() {
-    let mut believed = BTreeMap::new();
-    let holder = (0, Generation(1));
-    let held = |generation| [(name(2), Generation(generation))].into_iter();
-    assert_eq!(fallen_back(&mut believed, holder, held(7)), None);
-    assert_eq!(fallen_back(&mut believed, holder, held(6)), Some(name(2)));
-    // One that nobody can hear is not in one picture with the others.
-    let mut world = World::new(3);
-    world.members.insert(9, Membership::new(config(8, 8), Generation(1), 1, START));
-    assert!(world.comes_together().is_err());
+fn injected_faults_are_found() {
+    let mut known_generations = BTreeMap::new();
+    let observer = (0, Generation(1));
+    let known = |generation| [(name(2), Generation(generation))].into_iter();
+    assert_eq!(regressed_member(&mut known_generations, observer, known(7)), None);
+    assert_eq!(regressed_member(&mut known_generations, observer, known(6)), Some(name(2)));
+    // A member that nobody can reach does not converge with the others.
+    let mut fleet = TestFleet::new(3);
+    fleet.members.insert(9, Membership::new(config(8, 8), Generation(1), 1, START));
+    assert!(fleet.converges().is_err());
 }
--- a/crates/hazelspur-fleet/tests/quota.rs
+++ b/crates/hazelspur-fleet/tests/quota.rs
@@ -1,5 +1,5 @@
-//! Shares among a few servers: short traces, all orders of few events, long walks, and planted faults that
-//! the checker of the sum has to find. The sum is taken over what every process may use, with what lingers.
+//! Quotas among a few servers: short traces, all orders of few events, random walks, and injected faults that the check of
+//! the sum must find. The sum is taken over what every process may use, residual load included.
 
 mod helpers;
 
@@ -29,131 +29,141 @@
     QuotaConfig { voters: (0..voters).map(name).collect(), max_servers, vote_duration: VOTE_DURATION, limits }
 }
 
-/// What every process may use now, and what it may have begun under a greater share not long ago.
+/// What a process may use now, and what it may have begun under a greater share not long ago.
+/// Shares in force from a time on, by limit.
 #[derive(Clone)]
-struct Used {
-    life: ProcessIncarnation,
-    /// What was in force from when on, by limit.
-    past: VecDeque<(Timestamp, Vec<f64>)>,
-    /// When the last of it ends by itself.
-    ends: Option<Timestamp>,
+struct PastShares {
+    since: Timestamp,
+    amounts: Vec<f64>,
 }
 
 #[derive(Clone)]
-struct World {
+struct Usage {
+    incarnation: ProcessIncarnation,
+    past: VecDeque<PastShares>,
+    /// When the current lease expires.
+    lease_expires: Option<Timestamp>,
+}
+
+#[derive(Clone)]
+struct TestFleet {
     config: QuotaConfig,
     now: Timestamp,
-    run: BTreeMap<usize, QuotaManager>,
-    stopped: Vec<usize>,
-    under_way: Vec<(usize, ProcessIncarnation, QuotaMessage)>,
-    lives: u64,
-    used: Vec<Used>,
-    said: Vec<String>,
-    /// How many are under way at once; what is more was lost.
-    most_under_way: usize,
+    managers: BTreeMap<usize, QuotaManager>,
+    suspended: Vec<usize>,
+    in_flight: Vec<(usize, ProcessIncarnation, QuotaMessage)>,
+    starts: u64,
+    usages: Vec<Usage>,
+    events: Vec<String>,
+    /// Messages in flight at once; older ones beyond that are lost.
+    max_in_flight: usize,
 }
 
-impl World {
+impl TestFleet {
     fn new(size: usize, config: QuotaConfig) -> Self {
         config.check().expect("a valid configuration");
-        let mut world = Self {
+        let mut fleet = Self {
             config,
             now: START,
-            run: BTreeMap::new(),
-            stopped: Vec::new(),
-            under_way: Vec::new(),
-            lives: 0,
-            used: Vec::new(),
-            said: Vec::new(),
-            most_under_way: 10_000,
+            managers: BTreeMap::new(),
+            suspended: Vec::new(),
+            in_flight: Vec::new(),
+            starts: 0,
+            usages: Vec::new(),
+            events: Vec::new(),
+            max_in_flight: 10_000,
         };
-        (0..size).for_each(|of| world.start(of, START));
-        world
+        (0..size).for_each(|of| fleet.start(of, START));
+        fleet
     }
 
-    /// A new life, which believes that it is so late.
+    /// Starts a new incarnation, whose clock shows `believed`.
     fn start(&mut self, of: usize, believed: Timestamp) {
-        self.lives += 1;
-        let life = ProcessIncarnation { name: name(of), generation: Generation(self.lives) };
-        let mut shares = QuotaManager::new(self.config.clone(), life, self.lives * 77 + of as u64, believed);
-        shares.set_demand(SLOTS, 40.0);
-        self.run.insert(of, shares);
-        self.used.push(Used { life, past: VecDeque::new(), ends: None });
+        self.starts += 1;
+        let incarnation = ProcessIncarnation { name: name(of), generation: Generation(self.starts) };
+        let mut manager =
+            QuotaManager::new(self.config.clone(), incarnation, self.starts * 77 + of as u64, believed);
+        manager.set_demand(SLOTS, 40.0);
+        self.managers.insert(of, manager);
+        self.usages.push(Usage { incarnation, past: VecDeque::new(), lease_expires: None });
     }
 
     fn kill(&mut self, of: usize) {
-        self.run.remove(&of);
+        self.managers.remove(&of);
     }
 
-    fn life(&self, of: usize) -> ProcessIncarnation {
-        let last = self.used.iter().rev().find(|used| used.life.name == name(of));
-        last.expect("it has lived").life
+    fn incarnation(&self, of: usize) -> ProcessIncarnation {
+        let last = self.usages.iter().rev().find(|usage| usage.incarnation.name == name(of));
+        last.expect("it has lived").incarnation
     }
 
     fn gather(&mut self, of: usize) {
-        let life = self.life(of);
-        let Some(shares) = self.run.get_mut(&of) else { return };
-        while let Some(OutgoingMessage { to, message: word }) = shares.next_message() {
+        let incarnation = self.incarnation(of);
+        let Some(manager) = self.managers.get_mut(&of) else { return };
+        while let Some(OutgoingMessage { to, message }) = manager.next_message() {
             let to: usize = to.as_str()[1..].parse().expect("a number");
-            self.under_way.push((to, life, word));
+            self.in_flight.push((to, incarnation, message));
         }
-        while let Some(event) = shares.next_event() {
+        while let Some(event) = manager.next_event() {
             let at = (self.now - START).us() / 1000;
             if !matches!(event, QuotaEvent::LeaseAcquired(_)) {
-                self.said.push(format!("{at} n{of} {event:?}"));
+                self.events.push(format!("{at} n{of} {event:?}"));
             }
         }
-        let over = self.under_way.len().saturating_sub(self.most_under_way);
-        self.under_way.drain(..over);
+        let over = self.in_flight.len().saturating_sub(self.max_in_flight);
+        self.in_flight.drain(..over);
     }
 
     fn deliver(&mut self, at: usize) {
-        let (to, from, word) = self.under_way.remove(at);
-        if self.stopped.contains(&to) {
+        let (to, from, message) = self.in_flight.remove(at);
+        if self.suspended.contains(&to) {
             return;
         }
-        if let Some(shares) = self.run.get_mut(&to) {
-            shares.receive(self.now, from, &word);
+        if let Some(manager) = self.managers.get_mut(&to) {
+            manager.receive(self.now, from, &message);
             self.gather(to);
         }
     }
 
     fn tick(&mut self, of: usize) {
-        if let Some(shares) = self.run.get_mut(&of).filter(|_| !self.stopped.contains(&of)) {
-            shares.tick(self.now);
+        if let Some(manager) = self.managers.get_mut(&of).filter(|_| !self.suspended.contains(&of)) {
+            manager.tick(self.now);
             self.gather(of);
         }
     }
 
-    /// Notes what all may use, and compares the sum with the limit.
+    /// Records what all may use, and compares the sum with the limit.
     fn check(&mut self) -> Result<(), String> {
-        for (of, shares) in &self.run {
-            shares.check_invariants(self.now).map_err(|why| format!("n{of}: {why}"))?;
+        for (of, manager) in &self.managers {
+            manager.check_invariants(self.now).map_err(|why| format!("n{of}: {why}"))?;
         }
         let (now, limits) = (self.now, self.config.limits.len());
-        for used in &mut self.used {
-            let of = self.run.iter().find(|(of, _)| name(**of) == used.life.name);
+        for usage in &mut self.usages {
+            let of = self.managers.iter().find(|(of, _)| name(**of) == usage.incarnation.name);
             let amounts: Vec<f64> = match of {
-                Some((_, shares)) => (0..limits).map(|at| shares.share(now, LimitId(at)).amount).collect(),
+                Some((_, manager)) => (0..limits).map(|at| manager.share(now, LimitId(at)).amount).collect(),
                 None => vec![0.0; limits],
             };
-            if used.past.back().is_none_or(|(_, last)| *last != amounts) {
-                // A lease that ended by itself did so on time, whenever that was looked at.
-                used.past.push_back((used.ends.map_or(now, |ends| ends.min(now)), amounts));
+            if usage.past.back().is_none_or(|last| last.amounts != amounts) {
+                // A lease expires on time, whenever this check sees it.
+                let since = usage.lease_expires.map_or(now, |expires| expires.min(now));
+                usage.past.push_back(PastShares { since, amounts });
             }
-            used.ends = of.and_then(|(_, shares)| shares.share(now, SLOTS).expires);
-            // What ended longer ago than it lingers is over.
-            while used.past.len() > 1 && used.past[1].0 + RESIDUAL <= now {
-                used.past.pop_front();
+            usage.lease_expires = of.and_then(|(_, manager)| manager.share(now, SLOTS).expires);
+            // The residual load of older shares has ended.
+            while usage.past.len() > 1 && usage.past[1].since + RESIDUAL <= now {
+                usage.past.pop_front();
             }
         }
-        // A name has one process: the past of its older lives ended with them.
+        // A name has one process: the residual load of its earlier incarnations ended with them.
         let newest: BTreeMap<MemberName, ProcessIncarnation> =
-            self.used.iter().map(|u| (u.life.name, u.life)).collect();
+            self.usages.iter().map(|u| (u.incarnation.name, u.incarnation)).collect();
         for at in 0..limits {
-            let running = self.used.iter().filter(|used| newest[&used.life.name] == used.life);
-            let most = |used: &Used| used.past.iter().map(|(_, all)| all[at]).fold(0.0, f64::max);
-            let sum: f64 = running.map(most).sum();
+            let running =
+                self.usages.iter().filter(|usage| newest[&usage.incarnation.name] == usage.incarnation);
+            let max_amount =
+                |usage: &Usage| usage.past.iter().map(|past| past.amounts[at]).fold(0.0, f64::max);
+            let sum: f64 = running.map(max_amount).sum();
             let total = self.config.limits[at].total;
             if sum > total * (1.0 + 1e-5) {
                 return Err(format!("{sum:.3} in force of {total} ({})", self.config.limits[at].name));
@@ -162,17 +172,17 @@
         Ok(())
     }
 
-    /// So many milliseconds from event to event on a network that loses nothing and takes 1 ms.
+    /// Runs for so many milliseconds from event to event, on a network that loses nothing and takes 1 ms.
     fn run(&mut self, ms: u64) -> Result<(), String> {
         let end = self.now + Duration::from_ms(ms);
         while self.now < end {
-            while !self.under_way.is_empty() {
+            while !self.in_flight.is_empty() {
                 self.deliver(0);
             }
-            let running = self.run.iter().filter(|(of, _)| !self.stopped.contains(of));
-            let next = running.map(|(_, shares)| shares.next_tick()).min().unwrap_or(end);
+            let running = self.managers.iter().filter(|(of, _)| !self.suspended.contains(of));
+            let next = running.map(|(_, manager)| manager.next_tick()).min().unwrap_or(end);
             self.now = next.max(self.now + Duration::from_ms(1)).min(end);
-            for of in self.run.keys().copied().collect::<Vec<_>>() {
+            for of in self.managers.keys().copied().collect::<Vec<_>>() {
                 self.tick(of);
             }
             self.check()?;
@@ -180,22 +190,22 @@
         Ok(())
     }
 
-    fn shares(&self) -> String {
-        let of = |(of, shares): (&usize, &QuotaManager)| {
-            let share = shares.share(self.now, SLOTS);
-            let divides = if shares.allocates_until(self.now).is_some() { "*" } else { "" };
-            format!("n{of}{divides} {:.1}", share.amount)
+    fn shares_in_words(&self) -> String {
+        let of = |(of, manager): (&usize, &QuotaManager)| {
+            let share = manager.share(self.now, SLOTS);
+            let marker = if manager.allocates_until(self.now).is_some() { "*" } else { "" };
+            format!("n{of}{marker} {:.1}", share.amount)
         };
-        self.run.iter().map(of).collect::<Vec<_>>().join(", ")
+        self.managers.iter().map(of).collect::<Vec<_>>().join(", ")
     }
 
-    fn in_force(&self) -> f64 {
-        self.run.values().map(|shares| shares.share(self.now, SLOTS).amount).sum()
+    fn total_in_use(&self) -> f64 {
+        self.managers.values().map(|manager| manager.share(self.now, SLOTS).amount).sum()
     }
 }
 
 #[test]
-fn demands_are_met_up_to_a_level_that_fills_the_pool() {
+fn max_min_fairness_meets_demands_up_to_a_level_that_fills_the_pool() {
     let cases = [
         fair_level(90.0, vec![10.0, 20.0, 30.0]),
         fair_level(90.0, vec![10.0, 50.0, 500.0]),
@@ -207,125 +217,129 @@
 }
 
 #[test]
-fn a_few_servers_vote_for_a_divider_and_share_by_demand() {
-    let mut world = World::new(5, config(3, 10));
-    world.run(20_000).expect("the sum holds");
-    let mut told = vec![world.said.join("; "), world.shares()];
-    for (of, want) in [(0, 5.0), (1, 10.0), (2, 20.0), (3, 30.0), (4, 1e9)] {
-        world.run.get_mut(&of).expect("it runs").set_demand(SLOTS, want);
+fn servers_elect_an_allocator_and_share_by_demand() {
+    let mut fleet = TestFleet::new(5, config(3, 10));
+    fleet.run(20_000).expect("the sum holds");
+    let mut seen = vec![fleet.events.join("; "), fleet.shares_in_words()];
+    for (of, demand) in [(0, 5.0), (1, 10.0), (2, 20.0), (3, 30.0), (4, 1e9)] {
+        fleet.managers.get_mut(&of).expect("it runs").set_demand(SLOTS, demand);
     }
-    world.run(10_000).expect("the sum holds");
-    told.push(world.shares());
-    world.run.get_mut(&4).expect("it runs").set_demand(SLOTS, f64::NAN);
-    world.run(10_000).expect("the sum holds");
-    told.push(world.shares());
+    fleet.run(10_000).expect("the sum holds");
+    seen.push(fleet.shares_in_words());
+    fleet.managers.get_mut(&4).expect("it runs").set_demand(SLOTS, f64::NAN);
+    fleet.run(10_000).expect("the sum holds");
+    seen.push(fleet.shares_in_words());
     expect![[r#"
         4206 n0 StartedAllocating
         n0* 19.0, n1 19.0, n2 19.0, n3 19.0, n4 19.0
         n0* 5.0, n1 10.0, n2 20.0, n3 30.0, n4 30.0
         n0* 5.0, n1 10.0, n2 20.0, n3 30.0, n4 1.0
     "#]]
-    .assert_eq(&format!("{}\n", told.join("\n")));
+    .assert_eq(&format!("{}\n", seen.join("\n")));
 }
 
 #[test]
-fn a_divider_that_is_killed_or_stands_still_is_followed_by_another_and_gives_nothing_when_it_wakes() {
-    let mut world = World::new(5, config(3, 10));
-    world.run(20_000).expect("the sum holds");
-    let divider = |world: &World| {
-        world.run.iter().find(|(_, shares)| shares.allocates_until(world.now).is_some()).map(|(of, _)| *of)
+fn an_allocator_that_is_killed_or_suspended_is_replaced_and_grants_nothing_when_it_resumes() {
+    let mut fleet = TestFleet::new(5, config(3, 10));
+    fleet.run(20_000).expect("the sum holds");
+    let allocator = |fleet: &TestFleet| {
+        fleet
+            .managers
+            .iter()
+            .find(|(_, manager)| manager.allocates_until(fleet.now).is_some())
+            .map(|(of, _)| *of)
     };
-    let first = divider(&world).expect("one divides");
-    world.said.clear();
-    world.stopped.push(first);
-    let mut floor_only = 0;
+    let first = allocator(&fleet).expect("one allocates");
+    fleet.events.clear();
+    fleet.suspended.push(first);
+    let mut without_lease_ms = 0;
     for _ in 0..200 {
-        world.run(100).expect("the sum holds");
-        floor_only +=
-            u64::from(world.run.values().all(|s| s.share(world.now, SLOTS).expires.is_none())) * 100;
+        fleet.run(100).expect("the sum holds");
+        without_lease_ms +=
+            u64::from(fleet.managers.values().all(|s| s.share(fleet.now, SLOTS).expires.is_none())) * 100;
     }
-    let second = divider(&world).filter(|of| *of != first).expect("another divides");
-    world.stopped.clear();
-    world.run(1000).expect("the sum holds");
-    assert_eq!(divider(&world), Some(second));
-    world.kill(second);
-    world.run(20_000).expect("the sum holds");
-    assert!(divider(&world).is_some_and(|of| of != second));
-    assert!(floor_only < 12_000, "{floor_only} ms on floors");
-    assert!(world.in_force() > 80.0, "{}", world.shares());
+    let second = allocator(&fleet).filter(|of| *of != first).expect("another allocates");
+    fleet.suspended.clear();
+    fleet.run(1000).expect("the sum holds");
+    assert_eq!(allocator(&fleet), Some(second));
+    fleet.kill(second);
+    fleet.run(20_000).expect("the sum holds");
+    assert!(allocator(&fleet).is_some_and(|of| of != second));
+    assert!(without_lease_ms < 12_000, "{without_lease_ms} ms without leases");
+    assert!(fleet.total_in_use() > 80.0, "{}", fleet.shares_in_words());
 }
 
 #[test]
-fn without_half_of_the_keepers_there_are_floors_and_with_them_again_shares() {
-    let mut world = World::new(5, config(3, 10));
-    world.run(20_000).expect("the sum holds");
-    world.kill(0);
-    world.kill(1);
-    world.run(20_000).expect("the sum holds");
-    let mut told = vec![world.shares()];
-    // A keeper that starts keeps quiet for a span before it votes.
-    world.start(0, world.now);
-    world.run(7_000).expect("the sum holds");
-    told.push(world.shares());
-    world.run(12_000).expect("the sum holds");
-    told.push(world.shares());
+fn without_a_majority_of_voters_there_are_guaranteed_minimums_and_with_it_leases_again() {
+    let mut fleet = TestFleet::new(5, config(3, 10));
+    fleet.run(20_000).expect("the sum holds");
+    fleet.kill(0);
+    fleet.kill(1);
+    fleet.run(20_000).expect("the sum holds");
+    let mut seen = vec![fleet.shares_in_words()];
+    // A voter that starts is silent for a vote duration.
+    fleet.start(0, fleet.now);
+    fleet.run(7_000).expect("the sum holds");
+    seen.push(fleet.shares_in_words());
+    fleet.run(12_000).expect("the sum holds");
+    seen.push(fleet.shares_in_words());
     expect![[r#"
         n2 1.0, n3 1.0, n4 1.0
         n0* 1.0, n2 1.0, n3 1.0, n4 1.0
         n0* 23.5, n2 23.5, n3 23.5, n4 23.5
     "#]]
-    .assert_eq(&format!("{}\n", told.join("\n")));
+    .assert_eq(&format!("{}\n", seen.join("\n")));
 }
 
 #[test]
-fn a_server_that_wakes_with_an_old_lease_has_its_floor() {
-    let mut world = World::new(5, config(3, 10));
-    world.run(20_000).expect("the sum holds");
-    world.stopped.push(4);
-    let before = world.run[&4].share(world.now, SLOTS).amount;
-    world.run(10_000).expect("the sum holds");
-    let at_once = world.run[&4].share(world.now, SLOTS).amount;
-    world.stopped.clear();
-    world.run(8_000).expect("the sum holds");
-    let after = world.run[&4].share(world.now, SLOTS).amount;
+fn a_server_that_resumes_with_an_expired_lease_has_its_guaranteed_minimum() {
+    let mut fleet = TestFleet::new(5, config(3, 10));
+    fleet.run(20_000).expect("the sum holds");
+    fleet.suspended.push(4);
+    let before = fleet.managers[&4].share(fleet.now, SLOTS).amount;
+    fleet.run(10_000).expect("the sum holds");
+    let at_once = fleet.managers[&4].share(fleet.now, SLOTS).amount;
+    fleet.suspended.clear();
+    fleet.run(8_000).expect("the sum holds");
+    let after = fleet.managers[&4].share(fleet.now, SLOTS).amount;
     assert!(before > 15.0 && at_once == 1.0 && after > 15.0, "{before} {at_once} {after}");
 }
 
 #[test]
-fn a_turn_goes_round_and_one_who_stands_still_with_it_loses_it() {
-    let mut world = World::new(5, config(3, 10));
-    world.run.values_mut().for_each(|shares| shares.set_demand(LimitId(1), 1.0));
-    world.run(14_000).expect("the sum holds");
-    let mut had: Vec<(usize, u64)> = Vec::new();
+fn an_exclusive_turn_goes_round_and_a_suspended_server_loses_it() {
+    let mut fleet = TestFleet::new(5, config(3, 10));
+    fleet.managers.values_mut().for_each(|manager| manager.set_demand(LimitId(1), 1.0));
+    fleet.run(14_000).expect("the sum holds");
+    let mut turns_held: Vec<(usize, u64)> = Vec::new();
     for step in 0..1200 {
-        world.run(100).expect("the sum holds");
-        for (of, shares) in &world.run {
-            if shares.share(world.now, LimitId(1)).amount >= 1.0 {
-                match had.last_mut() {
+        fleet.run(100).expect("the sum holds");
+        for (of, manager) in &fleet.managers {
+            if manager.share(fleet.now, LimitId(1)).amount >= 1.0 {
+                match turns_held.last_mut() {
                     Some((last, ms)) if last == of => *ms += 100,
-                    _ => had.push((*of, 100)),
+                    _ => turns_held.push((*of, 100)),
                 }
-                if step > 300 && world.stopped.is_empty() && *of == 3 {
-                    world.stopped.push(3);
+                if step > 300 && fleet.suspended.is_empty() && *of == 3 {
+                    fleet.suspended.push(3);
                 }
             }
         }
     }
-    let turns: BTreeMap<usize, usize> = had.iter().fold(BTreeMap::new(), |mut turns, (of, _)| {
+    let turns: BTreeMap<usize, usize> = turns_held.iter().fold(BTreeMap::new(), |mut turns, (of, _)| {
         *turns.entry(*of).or_default() += 1;
         turns
     });
-    assert!(had.iter().all(|(_, ms)| *ms <= 8000), "{had:?}");
+    assert!(turns_held.iter().all(|(_, ms)| *ms <= 8000), "{turns_held:?}");
     assert!(turns.len() == 5 && [0, 1, 2, 4].iter().all(|of| turns[of] >= 2), "{turns:?}");
 }
 
 #[test]
-fn terms_that_make_no_sense_are_refused() {
-    let mut told = Vec::new();
+fn invalid_configurations_are_refused() {
+    let mut seen = Vec::new();
     let mut refused = |change: &dyn Fn(&mut QuotaConfig)| {
         let mut config = config(3, 10);
         change(&mut config);
-        told.push(config.check().expect_err("an invalid configuration").to_string());
+        seen.push(config.check().expect_err("an invalid configuration").to_string());
     };
     refused(&|t| t.voters.push(name(0)));
     refused(&|t| t.voters = (0..10).map(name).collect());
@@ -345,7 +359,7 @@
         slots: named twice
         slots: what lingers for over half of the span leaves no time for leases
     "#]]
-    .assert_eq(&format!("{}\n", told.join("\n")));
+    .assert_eq(&format!("{}\n", seen.join("\n")));
 }
 
 // ---- all orders ----
@@ -353,54 +367,54 @@
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Deliver(usize),
-    Double(usize),
-    Lose(usize),
+    Duplicate(usize),
+    Drop(usize),
     Tick(usize),
-    /// All timers wait while so much time passes.
-    Pass(u64),
+    /// All timers wait while so many milliseconds pass.
+    Advance(u64),
     Restart(usize),
-    Stop(usize),
-    GoOn,
+    Suspend(usize),
+    Resume,
 }
 
-impl World {
+impl TestFleet {
     fn steps(&self) -> Vec<Step> {
-        let under_way = 0..self.under_way.len();
-        let mut steps: Vec<Step> = under_way.clone().map(Step::Deliver).collect();
-        steps.extend(under_way.clone().map(Step::Lose));
-        steps.extend(under_way.map(Step::Double));
-        steps.extend(self.run.keys().map(|of| Step::Tick(*of)));
-        steps.extend([Step::Pass(600), Step::Pass(4100), Step::Restart(1)]);
-        steps.push(if self.stopped.is_empty() { Step::Stop(0) } else { Step::GoOn });
+        let in_flight = 0..self.in_flight.len();
+        let mut steps: Vec<Step> = in_flight.clone().map(Step::Deliver).collect();
+        steps.extend(in_flight.clone().map(Step::Drop));
+        steps.extend(in_flight.map(Step::Duplicate));
+        steps.extend(self.managers.keys().map(|of| Step::Tick(*of)));
+        steps.extend([Step::Advance(600), Step::Advance(4100), Step::Restart(1)]);
+        steps.push(if self.suspended.is_empty() { Step::Suspend(0) } else { Step::Resume });
         steps
     }
 
     fn take(&mut self, step: Step) -> Result<(), String> {
         match step {
             Step::Deliver(at) => self.deliver(at),
-            Step::Double(at) => {
-                let (to, from, word) = self.under_way[at].clone();
-                if let Some(shares) = self.run.get_mut(&to).filter(|_| !self.stopped.contains(&to)) {
-                    shares.receive(self.now, from, &word);
+            Step::Duplicate(at) => {
+                let (to, from, message) = self.in_flight[at].clone();
+                if let Some(manager) = self.managers.get_mut(&to).filter(|_| !self.suspended.contains(&to)) {
+                    manager.receive(self.now, from, &message);
                     self.gather(to);
                 }
             }
-            Step::Lose(at) => drop(self.under_way.remove(at)),
+            Step::Drop(at) => drop(self.in_flight.remove(at)),
             Step::Tick(of) => {
-                let Some(shares) = self.run.get(&of).filter(|_| !self.stopped.contains(&of)) else {
+                let Some(manager) = self.managers.get(&of).filter(|_| !self.suspended.contains(&of)) else {
                     return Ok(());
                 };
-                self.now = self.now.max(shares.next_tick());
+                self.now = self.now.max(manager.next_tick());
                 self.check()?;
                 self.tick(of);
             }
-            Step::Pass(ms) => self.now = self.now + Duration::from_ms(ms),
+            Step::Advance(ms) => self.now = self.now + Duration::from_ms(ms),
             Step::Restart(of) => {
                 self.kill(of);
                 self.start(of, self.now);
             }
-            Step::Stop(of) => self.stopped.push(of),
-            Step::GoOn => self.stopped.clear(),
+            Step::Suspend(of) => self.suspended.push(of),
+            Step::Resume => self.suspended.clear(),
         }
         self.check()
     }
@@ -410,13 +424,13 @@
     std::env::var("HAZELSPUR_DEPTH").ok().and_then(|depth| depth.parse().ok()).unwrap_or(4)
 }
 
-fn explore(world: &World, depth: usize, seen: &mut usize, path: &mut Vec<Step>) {
+fn explore(fleet: &TestFleet, depth: usize, seen: &mut usize, path: &mut Vec<Step>) {
     *seen += 1;
     if depth == 0 {
         return;
     }
-    for step in world.steps() {
-        let mut next = world.clone();
+    for step in fleet.steps() {
+        let mut next = fleet.clone();
         path.push(step);
         next.take(step).unwrap_or_else(|why| panic!("{why} after {path:?}"));
         explore(&next, depth - 1, seen, path);
@@ -424,156 +438,161 @@
     }
 }
 
-/// Three keepers and one who only holds; from a start, from a quiet fleet, and from the end of a divider.
+/// Three voters and one that is only a lessee; from a start, from a quiet fleet, and from the end of an allocator.
 #[test]
 fn in_all_orders_of_few_events_the_sum_stays_within_the_limit() {
-    let mut start = World::new(4, config(3, 4));
-    start.most_under_way = 4;
+    let mut start = TestFleet::new(4, config(3, 4));
+    start.max_in_flight = 4;
     start.now = START + VOTE_DURATION;
-    let mut quiet = World::new(4, config(3, 4));
+    let mut quiet = TestFleet::new(4, config(3, 4));
     quiet.run(20_000).expect("the sum holds");
-    quiet.most_under_way = 4;
+    quiet.max_in_flight = 4;
     let mut over = quiet.clone();
-    over.stopped.push(0);
+    over.suspended.push(0);
     over.now = over.now + Duration::from_ms(5000);
     let mut seen = 0;
-    for world in [start, quiet, over] {
-        explore(&world, depth(), &mut seen, &mut Vec::new());
+    for fleet in [start, quiet, over] {
+        explore(&fleet, depth(), &mut seen, &mut Vec::new());
     }
     assert!(seen > 10_000, "{seen}");
 }
 
-/// Steps by chance from `seed`; the first breach, if there is one.
-fn walk(mut world: World, seed: u64, steps: usize, plant: Option<Plant>) -> Result<World, String> {
-    let mut chance = Pcg::new(seed);
-    let mut ever: f64 = 0.0;
+/// Takes random steps; the first violation, if there is one.
+fn random_walk(
+    mut fleet: TestFleet,
+    seed: u64,
+    steps: usize,
+    fault: Option<InjectedFault>,
+) -> Result<TestFleet, String> {
+    let mut random = Pcg::new(seed);
+    let mut largest: f64 = 0.0;
     for _ in 0..steps {
-        let all = world.steps();
-        let step = all[chance.draw() as usize % all.len()];
-        // Most steps deliver or tick: otherwise nothing is ever held.
-        let step = match (chance.draw() % 10, world.under_way.len()) {
+        let all = fleet.steps();
+        let step = all[random.draw() as usize % all.len()];
+        // Most steps deliver or tick: otherwise no lease is ever granted.
+        let step = match (random.draw() % 10, fleet.in_flight.len()) {
             (0..=5, 1..) => Step::Deliver(0),
-            (6..=8, _) => Step::Tick(chance.draw() as usize % world.run.len()),
+            (6..=8, _) => Step::Tick(random.draw() as usize % fleet.managers.len()),
             _ => step,
         };
-        if let Some(Plant::ClaimsMore) = plant {
-            for (_, from, word) in &mut world.under_way {
-                if let (QuotaMessage::LeaseRequest(request), true) = (word, from.name == name(3)) {
+        if let Some(InjectedFault::RetainsTooMuch) = fault {
+            for (_, from, message) in &mut fleet.in_flight {
+                if let (QuotaMessage::LeaseRequest(request), true) = (message, from.name == name(3)) {
                     request.retained[0] = 80.0;
                 }
             }
         }
-        world.take(step)?;
-        if let Some(Plant::LeasesDoNotEnd) = plant
-            && let Some(shares) = world.run.get_mut(&3)
+        fleet.take(step)?;
+        if let Some(InjectedFault::LeaseNeverExpires) = fault
+            && let Some(manager) = fleet.managers.get_mut(&3)
         {
-            // n3 goes by a clock that stands still: what it ever held it goes on using.
-            ever = shares.share(world.now, SLOTS).amount.max(ever);
-            if ever > 5.0 {
-                shares.set_demand(SLOTS, 1.0);
+            // The clock of n3 stands still: it goes on using the largest lease that it ever had.
+            largest = manager.share(fleet.now, SLOTS).amount.max(largest);
+            if largest > 5.0 {
+                manager.set_demand(SLOTS, 1.0);
             }
-            if let Some(used) = world.used.iter_mut().rfind(|used| used.life.name == name(3)) {
-                used.past = VecDeque::from([(world.now, vec![ever, 0.0])]);
+            if let Some(usage) = fleet.usages.iter_mut().rfind(|usage| usage.incarnation.name == name(3)) {
+                usage.past = VecDeque::from([PastShares { since: fleet.now, amounts: vec![largest, 0.0] }]);
             }
         }
     }
-    Ok(world)
+    Ok(fleet)
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Plant {
-    /// n3 says that it holds what it never had: after a change of dividers it is believed.
-    ClaimsMore,
-    LeasesDoNotEnd,
+enum InjectedFault {
+    /// n3 says that it retains a lease that it never had, which a new allocator believes.
+    RetainsTooMuch,
+    LeaseNeverExpires,
 }
 
-fn crowd(most_under_way: usize) -> World {
-    let mut world = World::new(6, config(3, 6));
-    world.most_under_way = most_under_way;
-    world.run.values_mut().for_each(|shares| shares.set_demand(SLOTS, 90.0));
-    world
+fn contended(max_in_flight: usize) -> TestFleet {
+    let mut fleet = TestFleet::new(6, config(3, 6));
+    fleet.max_in_flight = max_in_flight;
+    fleet.managers.values_mut().for_each(|manager| manager.set_demand(SLOTS, 90.0));
+    fleet
 }
 
 #[test]
-fn long_walks_keep_the_sum_and_end_with_the_pool_in_use() {
+fn random_walks_keep_the_sum_and_end_with_the_pool_in_use() {
     for seed in 0..200 {
-        let world = walk(crowd(12), seed, 400, None);
-        let mut world = world.unwrap_or_else(|why| panic!("seed {seed}: {why}"));
-        world.stopped.clear();
-        world.run.values_mut().for_each(|shares| shares.set_demand(SLOTS, 90.0));
-        world.most_under_way = 10_000;
-        world.run(40_000).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
-        assert!(world.in_force() > 95.0, "seed {seed}: {}", world.shares());
+        let fleet = random_walk(contended(12), seed, 400, None);
+        let mut fleet = fleet.unwrap_or_else(|why| panic!("seed {seed}: {why}"));
+        fleet.suspended.clear();
+        fleet.managers.values_mut().for_each(|manager| manager.set_demand(SLOTS, 90.0));
+        fleet.max_in_flight = 10_000;
+        fleet.run(40_000).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
+        assert!(fleet.total_in_use() > 95.0, "seed {seed}: {}", fleet.shares_in_words());
     }
 }
 
 #[test]
 fn planted_faults_are_found() {
-    for plant in [Plant::ClaimsMore, Plant::LeasesDoNotEnd] {
-        let found = (0..400).any(|seed| walk(crowd(12), seed, 600, Some(plant)).is_err());
-        assert!(found, "{plant:?} was not found");
+    for fault in [InjectedFault::RetainsTooMuch, InjectedFault::LeaseNeverExpires] {
+        let found = (0..400).any(|seed| random_walk(contended(12), seed, 600, Some(fault)).is_err());
+        assert!(found, "{fault:?} was not found");
     }
-    // Two lists of keepers whose majorities don't meet.
-    let mut world = World::new(3, config(3, 6));
+    // Two lists of voters whose majorities do not intersect.
+    let mut fleet = TestFleet::new(3, config(3, 6));
     let mut others = config(3, 6);
     others.voters = (3..6).map(name).collect();
-    world.config = others;
-    (3..6).for_each(|of| world.start(of, START));
-    world.run.values_mut().for_each(|shares| shares.set_demand(SLOTS, 90.0));
-    assert!(world.run(30_000).is_err(), "{}", world.shares());
+    fleet.config = others;
+    (3..6).for_each(|of| fleet.start(of, START));
+    fleet.managers.values_mut().for_each(|manager| manager.set_demand(SLOTS, 90.0));
+    assert!(fleet.run(30_000).is_err(), "{}", fleet.shares_in_words());
 }
 
-/// Words of holders of the key that lie: any numbers, any lengths, any order.
+/// Any numbers, any lengths, any order.
 #[test]
-fn whatever_is_said_about_shares_stays_within_the_bounds() {
-    let mut chance = Pcg::new(11);
-    let mut world = World::new(3, config(3, 10));
-    world.run(20_000).expect("the sum holds");
-    let odd = |chance: &mut Pcg| match chance.draw() % 6 {
+fn arbitrary_messages_of_key_holders_keep_the_invariants() {
+    let mut random = Pcg::new(11);
+    let mut fleet = TestFleet::new(3, config(3, 10));
+    fleet.run(20_000).expect("the sum holds");
+    let odd = |random: &mut Pcg| match random.draw() % 6 {
         0 => f32::NAN,
         1 => f32::INFINITY,
         2 => -1.0,
         3 => 1e30,
-        4 => f32::from_bits(chance.draw()),
-        _ => chance.unit() as f32 * 100.0,
+        4 => f32::from_bits(random.draw()),
+        _ => random.unit() as f32 * 100.0,
     };
     for i in 0..20_000u64 {
-        let few = |chance: &mut Pcg| -> Vec<f32> {
-            let length = if chance.draw().is_multiple_of(4) { chance.draw() as usize % 20 } else { 2 };
-            (0..length).map(|_| odd(chance)).collect()
+        let few = |random: &mut Pcg| -> Vec<f32> {
+            let length = if random.draw().is_multiple_of(4) { random.draw() as usize % 20 } else { 2 };
+            (0..length).map(|_| odd(random)).collect()
         };
-        let number = if chance.draw().is_multiple_of(2) { chance.draw() % 64 } else { chance.draw() };
-        let allocator = Some(name(chance.draw() as usize % 5));
-        let word = match chance.draw() % 6 {
+        let number = if random.draw().is_multiple_of(2) { random.draw() % 64 } else { random.draw() };
+        let allocator = Some(name(random.draw() as usize % 5));
+        let message = match random.draw() % 6 {
             0 => QuotaMessage::VoteRequest { ballot: number },
             1 => QuotaMessage::VoteResponse(VoteResponse {
                 ballot: number,
-                granted: chance.draw().is_multiple_of(2),
+                granted: random.draw().is_multiple_of(2),
                 allocator,
             }),
             2 => QuotaMessage::VoteRelease { ballot: number },
             3 => QuotaMessage::LeaseRequest(LeaseRequest {
                 number,
-                demands: few(&mut chance),
-                retained: few(&mut chance),
+                demands: few(&mut random),
+                retained: few(&mut random),
             }),
             4 => QuotaMessage::LeaseGrant(LeaseGrant {
                 number,
-                duration_ms: chance.draw(),
-                amounts: few(&mut chance),
+                duration_ms: random.draw(),
+                amounts: few(&mut random),
             }),
             _ => QuotaMessage::NotLeader { number, allocator },
         };
         let from = ProcessIncarnation {
-            name: name(chance.draw() as usize % 40),
-            generation: Generation(u64::from(chance.draw() % 9)),
+            name: name(random.draw() as usize % 40),
+            generation: Generation(u64::from(random.draw() % 9)),
         };
         let now = START + Duration::from_ms(20_000 + i * 3);
-        for shares in world.run.values_mut() {
-            shares.receive(now, from, &word);
-            shares.tick(now);
-            shares.check_invariants(now).unwrap_or_else(|why| panic!("{why} after {word:?}"));
-            while shares.next_message().is_some() {}
+        for manager in fleet.managers.values_mut() {
+            manager.receive(now, from, &message);
+            manager.tick(now);
+            manager.check_invariants(now).unwrap_or_else(|why| panic!("{why} after {message:?}"));
+            while manager.next_message().is_some() {}
         }
     }
 }
