--- a/crates/hazelspur-fleet/src/anti_replay.rs
+++ b/crates/hazelspur-fleet/src/anti_replay.rs
@@ -1,4 +1,5 @@
-//! The anti-replay window of one sender: accepts each sequence number once, in whatever order datagrams arrive.
+//! The anti-replay window of one sender: accepts each sequence number once, in whatever order datagrams
+//! arrive.
 
 /// Sequence numbers behind the highest that may still arrive; older ones count as replayed.
 const WINDOW_BITS: u64 = 64;
--- a/crates/hazelspur-fleet/src/circuit_breaker.rs
+++ b/crates/hazelspur-fleet/src/circuit_breaker.rs
@@ -1,12 +1,14 @@
-//! The circuit breaker of the shared dependency, one in each server. While it is open, no call leaves this server but
-//! probes, and the fleet shares the probes out: a few designated probers of all sites probe often while servers hear of
-//! each other, and each server probes in its time slot while they do not.
+//! The circuit breaker of the shared dependency, one in each server. While it is open, no call leaves this
+//! server but probes, and the fleet shares the probes out: a few designated probers of all sites probe often
+//! while servers hear of each other, and each server probes in its time slot while they do not.
 //!
-//! Inputs: ended calls and probes (`call_finished`, `probe_sent`), recoveries of others (`recovery_hint`), and what the
-//! load reports of others say (`set_peer_view`). Outputs: whether calls may leave, when to probe next, state changes.
+//! Inputs: ended calls and probes (`call_finished`, `probe_sent`), recoveries of others (`recovery_hint`),
+//! and what the load reports of others say (`set_peer_view`). Outputs: whether calls may leave, when to probe
+//! next, state changes.
 //!
-//! Invariant: only a call or probe of this server closes the breaker. What others report brings the next probe forward,
-//! once a second at most, because the fault may be in this server's own link and a report may be false.
+//! Invariant: only a call or probe of this server closes the breaker. What others report brings the next
+//! probe forward, once a second at most, because the fault may be in this server's own link and a report may
+//! be false.
 
 use crate::hash::unit_interval;
 use crate::names::MemberName;
--- a/crates/hazelspur-fleet/src/datagram/mod.rs
+++ b/crates/hazelspur-fleet/src/datagram/mod.rs
@@ -1,5 +1,6 @@
-//! Datagrams between servers: a version byte, a tag, and the `postcard` encoding of a `Datagram`. The tag is a keyed BLAKE3
-//! hash over version and content, so only holders of the installation's key are heard. Nothing is encrypted.
+//! Datagrams between servers: a version byte, a tag, and the `postcard` encoding of a `Datagram`. The tag is
+//! a keyed BLAKE3 hash over version and content, so only holders of the installation's key are heard. Nothing
+//! is encrypted.
 //!
 //! `postcard` encodes by position: the order of variants and fields and their types are the wire format.
 
--- a/crates/hazelspur-fleet/src/guidance.rs
+++ b/crates/hazelspur-fleet/src/guidance.rs
@@ -1,13 +1,13 @@
-//! What servers decided together, as guidance for the admission controller: which figures have changed, and which apply when
-//! a lease expires. The server and the simulator give their controllers the same by this.
+//! What servers decided together, as guidance for the admission controller: which figures have changed, and
+//! which apply when a lease expires. The server and the simulator give their controllers the same by this.
 
 use crate::node::{Clocks, FleetNode};
 use crate::quota::LimitId;
 use hazelspur::{GuidanceKey, Timestamp};
 use std::collections::BTreeMap;
 
-/// Relative growth below which a figure counts as unchanged. A smaller figure always counts as changed, because the
-/// controller must not use more than the lease allows.
+/// Relative growth below which a figure counts as unchanged. A smaller figure always counts as changed,
+/// because the controller must not use more than the lease allows.
 const UNCHANGED_GROWTH: f64 = 0.01;
 /// Magnitude below which growth is not relative any more.
 const MIN_MAGNITUDE: f64 = 1e-3;
--- a/crates/hazelspur-fleet/src/hash.rs
+++ b/crates/hazelspur-fleet/src/hash.rs
@@ -1,5 +1,5 @@
-//! The hash by which servers draw the same choice independently: XXH3 of the `xxhash-rust` crate, the same on every
-//! machine and in every version of this program.
+//! The hash by which servers draw the same choice independently: XXH3 of the `xxhash-rust` crate, the same on
+//! every machine and in every version of this program.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/crates/hazelspur-fleet/src/lib.rs
+++ b/crates/hazelspur-fleet/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the servers of a fleet know of each other and decide together. Without I/O and without a clock: the server, the
-//! simulator and the tests hand in datagrams and points in time, and send what comes out.
+//! What the servers of a fleet know of each other and decide together. Without I/O and without a clock: the
+//! server, the simulator and the tests hand in datagrams and points in time, and send what comes out.
 //!
 //! - `membership`: who belongs to the fleet (SWIM with Lifeguard);
 //! - `datagram`: datagrams, sealed with the installation's key;
--- a/crates/hazelspur-fleet/src/load_reports/fault_scope.rs
+++ b/crates/hazelspur-fleet/src/load_reports/fault_scope.rs
@@ -1,5 +1,5 @@
-//! Tells a fault of this server, its link or its cores from a fault of the shared dependency: compares this server's report
-//! with the aggregated reports of all.
+//! Tells a fault of this server, its link or its cores from a fault of the shared dependency: compares this
+//! server's report with the aggregated reports of all.
 
 use super::{AggregatedLoad, PeerLoadReport};
 use serde::{Deserialize, Serialize};
--- a/crates/hazelspur-fleet/src/load_reports/latency_ratio.rs
+++ b/crates/hazelspur-fleet/src/load_reports/latency_ratio.rs
@@ -1,5 +1,6 @@
-//! Measures the latency of calls over the best that is remembered. The best is that of a bounded number of windows, as the
-//! paper remembers the best power of its last cycles, so a latency that stays high becomes the normal one.
+//! Measures the latency of calls over the best that is remembered. The best is that of a bounded number of
+//! windows, as the paper remembers the best power of its last cycles, so a latency that stays high becomes
+//! the normal one.
 
 use super::MAX_LATENCY_RATIO;
 use hazelspur::{Duration, Timestamp};
@@ -21,7 +22,8 @@
 }
 
 impl LatencyRatioTracker {
-    /// Notes the mean latency of calls, in seconds, and returns it over the best; zero for what is no latency.
+    /// Notes the mean latency of calls, in seconds, and returns it over the best; zero for what is no
+    /// latency.
     pub fn observe(&mut self, now: Timestamp, latency_secs: f64) -> f32 {
         if !(latency_secs.is_finite() && latency_secs > 0.0) {
             return 0.0;
--- a/crates/hazelspur-fleet/src/load_reports/mod.rs
+++ b/crates/hazelspur-fleet/src/load_reports/mod.rs
@@ -1,5 +1,5 @@
-//! What servers report to each other about the shared dependency and their own rejections, and what many such reports say
-//! together. Each server reports on itself only, so a false report counts as one reporter.
+//! What servers report to each other about the shared dependency and their own rejections, and what many such
+//! reports say together. Each server reports on itself only, so a false report counts as one reporter.
 //!
 //! - `LoadReportTable` keeps the last report of each server and aggregates the recent ones;
 //! - `FaultScope` tells a fault of this server from one of the dependency;
--- a/crates/hazelspur-fleet/src/load_reports/table.rs
+++ b/crates/hazelspur-fleet/src/load_reports/table.rs
@@ -1,6 +1,6 @@
-//! Keeps the last report of each server and aggregates the recent ones: the median of each site, then the median of the
-//! sites, so that one server, one faulty core or one site moves the result by one place at most. A report older than the
-//! table's maximum age does not count.
+//! Keeps the last report of each server and aggregates the recent ones: the median of each site, then the
+//! median of the sites, so that one server, one faulty core or one site moves the result by one place at
+//! most. A report older than the table's maximum age does not count.
 
 use super::{PeerLoadReport, UNREACHABLE_FRACTION};
 use crate::names::{MemberName, SiteName};
@@ -63,7 +63,8 @@
         Self { max_age, capacity, reports: BTreeMap::new(), invalid_reports: 0 }
     }
 
-    /// Stores a report that came from `reporter` itself just now. An invalid one removes the reporter's last one too.
+    /// Stores a report that came from `reporter` itself just now. An invalid one removes the reporter's last
+    /// one too.
     pub fn receive(&mut self, now: Timestamp, reporter: MemberName, site: SiteName, report: PeerLoadReport) {
         if !report.is_valid() {
             self.invalid_reports += 1;
--- a/crates/hazelspur-fleet/src/membership/dissemination.rs
+++ b/crates/hazelspur-fleet/src/membership/dissemination.rs
@@ -77,8 +77,9 @@
         self.members.get(name).map(|member| member.update)
     }
 
-    /// The update that is passed on about a member; the dead are passed on as suspected, so that they can refute it. Not as
-    /// long as they are remembered: each process forgets them at another moment and would learn of them from the next.
+    /// The update that is passed on about a member; the dead are passed on as suspected, so that they can
+    /// refute it. Not as long as they are remembered: each process forgets them at another moment and would
+    /// learn of them from the next.
     fn gossiped_update(&self, member: &Member) -> Option<MemberUpdate> {
         let gossiped_for = match member.status {
             MemberStatus::Left => self.config.probe_period.scaled(LEFT_GOSSIP_PERIODS),
--- a/crates/hazelspur-fleet/src/membership/failure_detector.rs
+++ b/crates/hazelspur-fleet/src/membership/failure_detector.rs
@@ -1,4 +1,5 @@
-//! SWIM's failure detector: one probe in each period, indirect probes where it is not answered, and the end of suspicions.
+//! SWIM's failure detector: one probe in each period, indirect probes where it is not answered, and the end
+//! of suspicions.
 
 use super::event::MembershipEvent;
 use super::state::{Membership, PeriodBudget};
--- a/crates/hazelspur-fleet/src/membership/gossip_queue.rs
+++ b/crates/hazelspur-fleet/src/membership/gossip_queue.rs
@@ -1,6 +1,6 @@
-//! Selects the updates that travel with each datagram: recent updates, those first that were sent least often, each as
-//! often as makes it likely that all receive it (SWIM's infection-style dissemination); and pages of the whole list in
-//! turn, which repair whatever was lost.
+//! Selects the updates that travel with each datagram: recent updates, those first that were sent least
+//! often, each as often as makes it likely that all receive it (SWIM's infection-style dissemination); and
+//! pages of the whole list in turn, which repair whatever was lost.
 
 use super::update::MemberUpdate;
 use crate::names::MemberName;
@@ -44,7 +44,8 @@
         self.transmissions.is_empty()
     }
 
-    /// Offers up to `max` members to `take`, least transmitted first, until it refuses one; counts them as transmitted.
+    /// Offers up to `max` members to `take`, least transmitted first, until it refuses one; counts them as
+    /// transmitted.
     pub(super) fn transmit(
         &mut self,
         max: usize,
--- a/crates/hazelspur-fleet/src/membership/list_sync.rs
+++ b/crates/hazelspur-fleet/src/membership/list_sync.rs
@@ -1,5 +1,5 @@
-//! Reads the whole member list from others, page by page: when this process starts, after a long suspension, and after the
-//! table has grown, because what a process reads first in a storm of starts is short.
+//! Reads the whole member list from others, page by page: when this process starts, after a long suspension,
+//! and after the table has grown, because what a process reads first in a storm of starts is short.
 
 use super::state::Membership;
 use super::view::MemberStatus;
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Requests a page of any living member, so that requests of new members spread over all; otherwise of `fallback`.
+    /// Requests a page of any living member, so that requests of new members spread over all; otherwise of
+    /// `fallback`.
     fn request_list_page(&mut self, fallback: Option<MemberName>) {
         let any = self.pick(1, |member| member.status == MemberStatus::Alive).pop();
         if let Some(name) = any.or(fallback) {
--- a/crates/hazelspur-fleet/src/membership/local_health.rs
+++ b/crates/hazelspur-fleet/src/membership/local_health.rs
@@ -1,8 +1,8 @@
-//! How far this process trusts its own observations. A process that was suspended receives nothing, which is no fault of
-//! the others, so it blames itself first.
+//! How far this process trusts its own observations. A process that was suspended receives nothing, which is
+//! no fault of the others, so it blames itself first.
 //!
-//! The score is the local health multiplier of Dadgar, Phillips and Currey, "Lifeguard: Local Health Awareness for More
-//! Accurate Failure Detection" (2018). That a late timer counts as well is an addition.
+//! The score is the local health multiplier of Dadgar, Phillips and Currey, "Lifeguard: Local Health
+//! Awareness for More Accurate Failure Detection" (2018). That a late timer counts as well is an addition.
 
 use hazelspur::{Duration, Timestamp};
 use serde::{Deserialize, Serialize};
@@ -18,7 +18,8 @@
 /// Score from which the process counts as degraded.
 const DEGRADED_SCORE: u32 = MAX_MULTIPLIER / 2;
 
-/// This process's standing towards the fleet, by its own judgement. The serialized names are those of operators' commands.
+/// This process's standing towards the fleet, by its own judgement. The serialized names are those of
+/// operators' commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LocalStatus {
     /// It has not found the fleet yet, or has not read the whole member list.
--- a/crates/hazelspur-fleet/src/membership/receive.rs
+++ b/crates/hazelspur-fleet/src/membership/receive.rs
@@ -26,8 +26,8 @@
     /// Takes a datagram that `datagram::open` has accepted.
     ///
     /// # Errors
-    /// `DatagramError::Content` for an implausible sender, `DatagramError::Replayed` for a datagram that was received
-    /// before, of a generation that is over, or under this process's own name.
+    /// `DatagramError::Content` for an implausible sender, `DatagramError::Replayed` for a datagram that was
+    /// received before, of a generation that is over, or under this process's own name.
     pub fn receive(&mut self, now: Timestamp, datagram: &Datagram) -> Result<(), DatagramError> {
         let sender = &datagram.sender;
         if let Body::FleetQuery { number, after } = datagram.body {
--- a/crates/hazelspur-fleet/src/membership/refutation.rs
+++ b/crates/hazelspur-fleet/src/membership/refutation.rs
@@ -1,5 +1,5 @@
-//! Refutes what others say about this process: a greater incarnation number where they suspect it, a new generation where
-//! they say that its run is over.
+//! Refutes what others say about this process: a greater incarnation number where they suspect it, a new
+//! generation where they say that its run is over.
 
 use super::event::MembershipEvent;
 use super::state::Membership;
--- a/crates/hazelspur-fleet/src/membership/rejoin.rs
+++ b/crates/hazelspur-fleet/src/membership/rejoin.rs
@@ -1,5 +1,5 @@
-//! Probes those whom this process does not hear: seed members while nobody is known, one of them from time to time, and
-//! dead members in each period. So partitions that heal find each other.
+//! Probes those whom this process does not hear: seed members while nobody is known, one of them from time to
+//! time, and dead members in each period. So partitions that heal find each other.
 
 use super::local_health::LocalStatus;
 use super::state::Membership;
--- a/crates/hazelspur-fleet/src/membership/state.rs
+++ b/crates/hazelspur-fleet/src/membership/state.rs
@@ -1,4 +1,5 @@
-//! The membership state machine: its inputs, its outputs and its queues. The other files add one step of the protocol each.
+//! The membership state machine: its inputs, its outputs and its queues. The other files add one step of the
+//! protocol each.
 
 use super::event::MembershipEvent;
 use super::failure_detector::{IndirectProbe, Probe};
@@ -105,8 +106,8 @@
 }
 
 impl Membership {
-    /// A new run of the process. `generation` is the wall clock in Unix milliseconds; if others know a greater one, this
-    /// process takes one greater still.
+    /// A new run of the process. `generation` is the wall clock in Unix milliseconds; if others know a
+    /// greater one, this process takes one greater still.
     pub fn new(config: NodeConfig, generation: Generation, seed: u64, now: Timestamp) -> Self {
         let me = MemberUpdate {
             name: config.name,
@@ -344,7 +345,8 @@
         }
     }
 
-    /// Picks up to `max` different members by chance. Draws first; where few qualify, searches the whole table.
+    /// Picks up to `max` different members by chance. Draws first; where few qualify, searches the whole
+    /// table.
     pub(super) fn pick(&mut self, max: usize, qualifies: impl Fn(&Member) -> bool) -> Vec<MemberName> {
         let qualifies = |member: &Member| member.status != MemberStatus::Left && qualifies(member);
         let mut picked: Vec<MemberName> = Vec::new();
--- a/crates/hazelspur-fleet/src/membership/table.rs
+++ b/crates/hazelspur-fleet/src/membership/table.rs
@@ -1,4 +1,5 @@
-//! The table of all other members, with its indexes: suspicions by their end, the dead, and a list to draw from.
+//! The table of all other members, with its indexes: suspicions by their end, the dead, and a list to draw
+//! from.
 //!
 //! Invariant: the indexes contain exactly the members whose status says so.
 
@@ -208,8 +209,9 @@
         }
     }
 
-    /// Sets the timer by the number of accusers. Never before now: a late accuser may make the timeout shorter than the
-    /// suspicion has lasted, and a timer in the past would look like a suspension of this process.
+    /// Sets the timer by the number of accusers. Never before now: a late accuser may make the timeout
+    /// shorter than the suspicion has lasted, and a timer in the past would look like a suspension of this
+    /// process.
     fn update_timeout(&mut self, now: Timestamp, name: MemberName) {
         let others = self.members.len();
         let Some(member) = self.members.get(&name) else { return };
--- a/crates/hazelspur-fleet/src/membership/update.rs
+++ b/crates/hazelspur-fleet/src/membership/update.rs
@@ -4,8 +4,8 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The state that an update states. No update says that a member is dead: each process concludes that by itself, once its
-/// own time for a refutation is over. So a false update costs one refutation and no more.
+/// The state that an update states. No update says that a member is dead: each process concludes that by
+/// itself, once its own time for a refutation is over. So a false update costs one refutation and no more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MemberState {
     /// The member runs.
@@ -47,8 +47,9 @@
 }
 
 impl MemberUpdate {
-    /// Whether this update replaces `other` about the same member. A newer generation always does. Within a generation the
-    /// higher incarnation does, then the higher precedence of the state; nothing replaces `Left`.
+    /// Whether this update replaces `other` about the same member. A newer generation always does. Within a
+    /// generation the higher incarnation does, then the higher precedence of the state; nothing replaces
+    /// `Left`.
     pub fn supersedes(&self, other: &Self) -> bool {
         if self.generation != other.generation {
             return self.generation > other.generation;
--- a/crates/hazelspur-fleet/src/names.rs
+++ b/crates/hazelspur-fleet/src/names.rs
@@ -1,5 +1,5 @@
-//! Names and numbers of members, one type for each kind. Names are short texts stored inline, so that a table of thousands of
-//! members is copied and compared without allocation.
+//! Names and numbers of members, one type for each kind. Names are short texts stored inline, so that a table
+//! of thousands of members is copied and compared without allocation.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
@@ -89,18 +89,18 @@
     Installation
 );
 
-/// One run of a process: the wall clock at its start in Unix milliseconds, or one more than the greatest generation that was
-/// heard under its name. Greater is newer.
+/// One run of a process: the wall clock at its start in Unix milliseconds, or one more than the greatest
+/// generation that was heard under its name. Greater is newer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Generation(pub u64);
 
-/// SWIM's incarnation number: how often a member has refuted a suspicion within a generation. Only the member itself raises
-/// it.
+/// SWIM's incarnation number: how often a member has refuted a suspicion within a generation. Only the member
+/// itself raises it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u32);
 
-/// One run of a process, by the server's name and the generation of its start. Not SWIM's incarnation number, which a
-/// member raises several times within one run.
+/// One run of a process, by the server's name and the generation of its start. Not SWIM's incarnation number,
+/// which a member raises several times within one run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProcessIncarnation {
     /// The server's name.
--- a/crates/hazelspur-fleet/src/node.rs
+++ b/crates/hazelspur-fleet/src/node.rs
@@ -1,8 +1,8 @@
-//! One server's part in the fleet: membership, quotas, load reports and the circuit breaker of the shared dependency behind
-//! one set of inputs, as the server, the simulator and the tests drive it.
+//! One server's part in the fleet: membership, quotas, load reports and the circuit breaker of the shared
+//! dependency behind one set of inputs, as the server, the simulator and the tests drive it.
 //!
-//! The caller hands in two clocks: the wall clock, by which servers share time slots and datagrams show their age, and a
-//! monotonic clock, by which leases are counted.
+//! The caller hands in two clocks: the wall clock, by which servers share time slots and datagrams show their
+//! age, and a monotonic clock, by which leases are counted.
 
 use crate::circuit_breaker::{CircuitBreaker, DESIGNATED_PROBERS, PeerView};
 use crate::datagram::{AllocationSummary, Body, CoordinationState, Datagram, DatagramError, ShareSummary};
@@ -169,7 +169,8 @@
         self.membership.set_load_report(self.own_report);
     }
 
-    /// A call to the shared dependency has ended, or a probe while the breaker was open: whether it was reached.
+    /// A call to the shared dependency has ended, or a probe while the breaker was open: whether it was
+    /// reached.
     pub fn call_finished(&mut self, now: Clocks, reached: bool) {
         let was_closed = self.breaker.is_closed();
         self.last_call_at = now.monotonic;
@@ -314,8 +315,8 @@
         probers.iter().any(|prober| prober.name == me)
     }
 
-    /// Hands the messages of the quota protocol to the membership. A member that is not known yet is not reached, as if the
-    /// datagram were lost.
+    /// Hands the messages of the quota protocol to the membership. A member that is not known yet is not
+    /// reached, as if the datagram were lost.
     fn send_quota_messages(&mut self) {
         let (Some(quota), Some(fingerprint)) = (&mut self.quota, self.fingerprint) else { return };
         while let Some(OutgoingMessage { to, message }) = quota.next_message() {
--- a/crates/hazelspur-fleet/src/node_config.rs
+++ b/crates/hazelspur-fleet/src/node_config.rs
@@ -17,10 +17,12 @@
     pub address: SocketAddr,
     /// Seed members, which the server contacts first; up to 16.
     pub seeds: Vec<SocketAddr>,
-    /// Largest number of servers that exist at once, 1 to 4096: the upper bound of the size where nothing better is known.
+    /// Largest number of servers that exist at once, 1 to 4096: the upper bound of the size where nothing
+    /// better is known.
     pub max_servers: usize,
     /// Time between two probes.
     pub probe_period: Duration,
-    /// How long members that are dead or have left are remembered. Until then the dead count to the upper bound.
+    /// How long members that are dead or have left are remembered. Until then the dead count to the upper
+    /// bound.
     pub retention: Duration,
 }
--- a/crates/hazelspur-fleet/src/quota/allocator.rs
+++ b/crates/hazelspur-fleet/src/quota/allocator.rs
@@ -1,7 +1,8 @@
-//! The allocator's table: what each lessee demands, what it was granted, and until when it may still use that.
+//! The allocator's table: what each lessee demands, what it was granted, and until when it may still use
+//! that.
 //!
-//! Invariant: the outstanding leases of a limit never exceed its shared pool. An allocator that takes over grants each
-//! lessee no more than the lessee already has until the leases of its predecessor have expired.
+//! Invariant: the outstanding leases of a limit never exceed its shared pool. An allocator that takes over
+//! grants each lessee no more than the lessee already has until the leases of its predecessor have expired.
 
 use super::config::{LimitId, QuotaConfig, SharedLimit};
 use super::fair_share::fair_level;
@@ -101,8 +102,8 @@
         demands.map(|demand| demand.outstanding.amount(now)).sum()
     }
 
-    /// Grants leases: the amount of each shared pool for the configured lease duration. `None` for a request that is
-    /// malformed or no newer than the last one, and where the table is full.
+    /// Grants leases: the amount of each shared pool for the configured lease duration. `None` for a request
+    /// that is malformed or no newer than the last one, and where the table is full.
     pub(super) fn grant(
         &mut self,
         now: Timestamp,
@@ -166,7 +167,8 @@
         self.sums[limit.0] += outstanding.amount(now) - before;
     }
 
-    /// Grants a whole turn (1) or none (0). A turn lasts `max_turn` at most; a free one goes to who has waited longest.
+    /// Grants a whole turn (1) or none (0). A turn lasts `max_turn` at most; a free one goes to who has
+    /// waited longest.
     fn grant_turn(&mut self, request: &LimitRequest, max_turn: Duration, free: f64) -> f64 {
         let LimitRequest { now, from, limit, .. } = *request;
         let demand = &self.lessees[&from].demands[limit.0];
--- a/crates/hazelspur-fleet/src/quota/config.rs
+++ b/crates/hazelspur-fleet/src/quota/config.rs
@@ -1,4 +1,5 @@
-//! The quota configuration, which all servers of an installation must have alike, its checks and its fingerprint.
+//! The quota configuration, which all servers of an installation must have alike, its checks and its
+//! fingerprint.
 
 use super::{MAX_LIMITS, MAX_VOTERS};
 use crate::names::{LimitName, MemberName};
@@ -34,7 +35,8 @@
     pub name: LimitName,
     /// What all servers together may use.
     pub total: f64,
-    /// The part of the total, 0 to 1, that is divided by the largest number of servers as guaranteed minimums.
+    /// The part of the total, 0 to 1, that is divided by the largest number of servers as guaranteed
+    /// minimums.
     pub guaranteed_fraction: f64,
     /// How long work that began under a lease may go on after the lease, such as the longest call.
     pub residual_duration: Duration,
@@ -160,7 +162,8 @@
         ConfigFingerprint(xxhash_rust::xxh3::xxh3_64(self.canonical_text().as_bytes()))
     }
 
-    /// The text that the fingerprint covers. Servers of other versions hash the same text: it must never change.
+    /// The text that the fingerprint covers. Servers of other versions hash the same text: it must never
+    /// change.
     fn canonical_text(&self) -> String {
         let (voters, max_servers) = (&self.voters, self.max_servers);
         let vote_us = self.vote_duration.us();
--- a/crates/hazelspur-fleet/src/quota/election.rs
+++ b/crates/hazelspur-fleet/src/quota/election.rs
@@ -1,7 +1,7 @@
 //! Elects the allocator: a voter's single vote, and the candidate that collects votes.
 //!
-//! Invariant: a voter's vote belongs to one process incarnation at a time, and a candidate counts itself elected only while
-//! a majority of votes cannot have expired. So no two processes are elected at once.
+//! Invariant: a voter's vote belongs to one process incarnation at a time, and a candidate counts itself
+//! elected only while a majority of votes cannot have expired. So no two processes are elected at once.
 
 use super::message::VoteResponse;
 use crate::names::{MemberName, ProcessIncarnation};
--- a/crates/hazelspur-fleet/src/quota/fair_share.rs
+++ b/crates/hazelspur-fleet/src/quota/fair_share.rs
@@ -1,5 +1,5 @@
-//! Max-min fairness ("water filling"): no server gets more by demanding more than the level at which all demands together
-//! fill the pool.
+//! Max-min fairness ("water filling"): no server gets more by demanding more than the level at which all
+//! demands together fill the pool.
 
 use super::config::SharedLimit;
 
--- a/crates/hazelspur-fleet/src/quota/lessee.rs
+++ b/crates/hazelspur-fleet/src/quota/lessee.rs
@@ -1,7 +1,7 @@
 //! The lessee of one server: what it demands, what its leases allow, and until when.
 //!
-//! Invariant: a lease counts from when its request was sent and ends earlier than the allocator's count of it, by the
-//! largest drift of clocks.
+//! Invariant: a lease counts from when its request was sent and ends earlier than the allocator's count of
+//! it, by the largest drift of clocks.
 
 use super::CLOCK_DRIFT;
 use super::config::{LimitId, QuotaConfig};
@@ -79,8 +79,8 @@
         changed.then_some(has_lease)
     }
 
-    /// Makes the next request. From here on the server uses no more of its leases than it demands, so the allocator may
-    /// grant the rest to others.
+    /// Makes the next request. From here on the server uses no more of its leases than it demands, so the
+    /// allocator may grant the rest to others.
     pub(super) fn request(
         &mut self,
         now: Timestamp,
--- a/crates/hazelspur-fleet/src/quota/manager.rs
+++ b/crates/hazelspur-fleet/src/quota/manager.rs
@@ -1,5 +1,5 @@
-//! One server's part in the quota protocol: it is a lessee, and if the configuration names it, a voter, a candidate and at
-//! times the allocator.
+//! One server's part in the quota protocol: it is a lessee, and if the configuration names it, a voter, a
+//! candidate and at times the allocator.
 
 use super::CLOCK_DRIFT;
 use super::allocator::{Allocator, CAPACITY_OVER_SERVERS};
--- a/crates/hazelspur-fleet/src/quota/message.rs
+++ b/crates/hazelspur-fleet/src/quota/message.rs
@@ -1,5 +1,5 @@
-//! The messages of the quota protocol. `postcard` encodes them by position: the order of variants and fields is the wire
-//! format. Amounts are in the order of the limits in the configuration.
+//! The messages of the quota protocol. `postcard` encodes them by position: the order of variants and fields
+//! is the wire format. Amounts are in the order of the limits in the configuration.
 
 use super::MAX_LIMITS;
 use crate::names::MemberName;
--- a/crates/hazelspur-fleet/src/quota/outstanding.rs
+++ b/crates/hazelspur-fleet/src/quota/outstanding.rs
@@ -1,4 +1,5 @@
-//! The leases of one lessee and limit that have not expired. The lessee uses one of them at a time, so the largest counts.
+//! The leases of one lessee and limit that have not expired. The lessee uses one of them at a time, so the
+//! largest counts.
 
 use hazelspur::Timestamp;
 
@@ -44,7 +45,8 @@
         }
     }
 
-    /// Reduces all leases to what the lessee retains; work that it began under more goes on until `residual_end`.
+    /// Reduces all leases to what the lessee retains; work that it began under more goes on until
+    /// `residual_end`.
     pub(super) fn reduce(&mut self, now: Timestamp, retained: f64, residual_end: Timestamp) {
         let leases = std::mem::take(&mut self.0);
         for lease in leases.into_iter().filter(|lease| now < lease.expires) {
--- a/crates/hazelspur-fleet/src/subset.rs
+++ b/crates/hazelspur-fleet/src/subset.rs
@@ -1,6 +1,7 @@
-//! Selects a few of many members, independently and alike on every server, by weighted rendezvous hashing (Thaler and
-//! Ravishankar 1998; the weights after Schindelhauer and Schomaker 2005). A member that joins or leaves changes one place
-//! of a subset, so servers whose membership views differ a little select nearly alike.
+//! Selects a few of many members, independently and alike on every server, by weighted rendezvous hashing
+//! (Thaler and Ravishankar 1998; the weights after Schindelhauer and Schomaker 2005). A member that joins or
+//! leaves changes one place of a subset, so servers whose membership views differ a little select nearly
+//! alike.
 
 use crate::hash::unit_interval;
 use crate::names::{MemberName, SiteName};
--- a/crates/hazelspur-fleet/src/time_slots.rs
+++ b/crates/hazelspur-fleet/src/time_slots.rs
@@ -1,8 +1,9 @@
-//! Decides when each server may do what all want to do while servers cannot talk: slots of a common period of the wall
-//! clock. A server's slot follows from its name and the number of the period, so no server is last every time.
+//! Decides when each server may do what all want to do while servers cannot talk: slots of a common period of
+//! the wall clock. A server's slot follows from its name and the number of the period, so no server is last
+//! every time.
 //!
-//! This spreads load and excludes nobody: two servers may draw the same slot, and clock skew shifts slots. Mutual
-//! exclusion needs a lease (`quota`).
+//! This spreads load and excludes nobody: two servers may draw the same slot, and clock skew shifts slots.
+//! Mutual exclusion needs a lease (`quota`).
 
 use crate::hash::hash;
 use crate::names::MemberName;
@@ -23,7 +24,8 @@
 }
 
 impl SlotSchedule {
-    /// A schedule for up to `max_servers` with `rate_per_second` of all together, as far as `max_period` allows.
+    /// A schedule for up to `max_servers` with `rate_per_second` of all together, as far as `max_period`
+    /// allows.
     pub fn new(max_servers: usize, rate_per_second: f64, max_period: Duration) -> Self {
         let slots = max_servers.max(1);
         let period = Duration::from_secs(slots as f64 / rate_per_second.max(MIN_RATE_PER_SECOND));
--- a/crates/hazelspur-fleet/tests/membership.rs
+++ b/crates/hazelspur-fleet/tests/membership.rs
@@ -42,7 +42,7 @@
         n6 whole 5..7: alive n0 n1 n2 n3, left n5, lost n4
     "#]]
     .assert_eq(&format!("{}\n{}\n", fleet.view_of(0), fleet.view_of(6)));
-    let suspected = |event: &MembershipEvent| matches!(event, MembershipEvent::Suspected { member: of, .. } if *of == name(5));
+    let suspected = |event: &MembershipEvent| matches!(event, MembershipEvent::Suspected { member, .. } if *member == name(5));
     assert!(!fleet.events.iter().any(|(.., event)| suspected(event)));
 }
 
@@ -433,7 +433,8 @@
         |by| Single::DEAD.map(|of| Single::update(of, MemberState::Suspected(name(by)))).collect::<Vec<_>>();
     single.receive_from(1, Body::Gossip, suspected(1));
     single.run_until(12_000);
-    // The other accusers of the first one speak only now, when the suspicion has lasted longer than their timeout.
+    // The other accusers of the first one speak only now, when the suspicion has lasted longer than their
+    // timeout.
     for by in 2..5 {
         single.receive_from(by, Body::Gossip, suspected(by)[..1].to_vec());
     }
--- a/crates/hazelspur-fleet/tests/membership_orders.rs
+++ b/crates/hazelspur-fleet/tests/membership_orders.rs
@@ -1,6 +1,7 @@
-//! All orders of few events among three and four members: any datagram in flight may arrive next, arrive twice or never, any
-//! timer may be next, one member may be killed and start again. After each step no member falls back to an older generation
-//! of another; after the last step a network without loss brings all running members to the same view.
+//! All orders of few events among three and four members: any datagram in flight may arrive next, arrive
+//! twice or never, any timer may be next, one member may be killed and start again. After each step no member
+//! falls back to an older generation of another; after the last step a network without loss brings all
+//! running members to the same view.
 
 mod helpers;
 
@@ -134,7 +135,8 @@
         }
     }
 
-    /// Without further loss, all running members come to know each other in their newest generations, and nobody else.
+    /// Without further loss, all running members come to know each other in their newest generations, and
+    /// nobody else.
     fn converges(mut self) -> Result<(), String> {
         let end = self.now + Duration::from_ms(150_000);
         while self.now < end {
--- a/crates/hazelspur-fleet/tests/quota.rs
+++ b/crates/hazelspur-fleet/tests/quota.rs
@@ -1,5 +1,5 @@
-//! Quotas among a few servers: short traces, all orders of few events, random walks, and injected faults that the check of
-//! the sum must find. The sum is taken over what every process may use, residual load included.
+//! Quotas among a few servers: short traces, all orders of few events, random walks, and injected faults that
+//! the check of the sum must find. The sum is taken over what every process may use, residual load included.
 
 mod helpers;
 
@@ -438,7 +438,8 @@
     }
 }
 
-/// Three voters and one that is only a lessee; from a start, from a quiet fleet, and from the end of an allocator.
+/// Three voters and one that is only a lessee; from a start, from a quiet fleet, and from the end of an
+/// allocator.
 #[test]
 fn in_all_orders_of_few_events_the_sum_stays_within_the_limit() {
     let mut start = TestFleet::new(4, config(3, 4));
--- a/crates/hazelspur-fleet/tests/wire.rs
+++ b/crates/hazelspur-fleet/tests/wire.rs
@@ -1,5 +1,6 @@
-//! The bytes of each kind of datagram, written and read, and the fingerprint of a quota configuration. Servers of two
-//! versions run beside each other while an installation is upgraded, so neither may change by accident.
+//! The bytes of each kind of datagram, written and read, and the fingerprint of a quota configuration.
+//! Servers of two versions run beside each other while an installation is upgraded, so neither may change by
+//! accident.
 
 use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::datagram::{
--- a/crates/hazelspur-server/src/config/fleet_keys.rs
+++ b/crates/hazelspur-server/src/config/fleet_keys.rs
@@ -1,5 +1,5 @@
-//! `fleet(...)` of the operator's file: which servers belong together, where others are found, and what all of them share.
-//! The fields are the file's keys.
+//! `fleet(...)` of the operator's file: which servers belong together, where others are found, and what all
+//! of them share. The fields are the file's keys.
 
 use garde::Validate;
 use hazelspur::Duration;
@@ -64,8 +64,8 @@
     #[serde(default = "remember")]
     #[garde(range(min = 30.0, max = 86_400.0))]
     pub remember_s: f64,
-    /// Whether servers go by the reports of each other: who probes a dependency that nobody reaches, and whether a
-    /// rejected request may succeed elsewhere.
+    /// Whether servers go by the reports of each other: who probes a dependency that nobody reaches, and
+    /// whether a rejected request may succeed elsewhere.
     #[serde(default)]
     #[garde(skip)]
     pub together: bool,
@@ -91,7 +91,8 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShareKey {
-    /// `calls`: concurrent calls to the dependency; `tenant.NAME`: requests a second of a tenant of the settings.
+    /// `calls`: concurrent calls to the dependency; `tenant.NAME`: requests a second of a tenant of the
+    /// settings.
     pub limit: LimitName,
     /// What all servers together may use.
     pub total: f64,
--- a/crates/hazelspur-server/src/fleet/coordinator.rs
+++ b/crates/hazelspur-server/src/fleet/coordinator.rs
@@ -1,5 +1,5 @@
-//! Between `hazelspur_fleet` and the admission controller: reports this server's load and demand to `FleetNode`, and gives
-//! the controller what follows where it has changed.
+//! Between `hazelspur_fleet` and the admission controller: reports this server's load and demand to
+//! `FleetNode`, and gives the controller what follows where it has changed.
 
 use crate::config::fleet_keys::{CALLS, TENANT_PREFIX};
 use crate::request::dispatcher::Dispatcher;
--- a/crates/hazelspur-server/src/fleet/event_log.rs
+++ b/crates/hazelspur-server/src/fleet/event_log.rs
@@ -1,5 +1,5 @@
-//! Log lines about the membership: one for each change of this server's own status, one a second at most for each kind of
-//! change of others, one a minute at most for dropped datagrams.
+//! Log lines about the membership: one for each change of this server's own status, one a second at most for
+//! each kind of change of others, one a minute at most for dropped datagrams.
 
 use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::{DatagramError, FleetSize, LocalStatus, MemberStatus, Membership, MembershipEvent};
--- a/crates/hazelspur-server/src/fleet/mod.rs
+++ b/crates/hazelspur-server/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Sockets, tasks and log lines of the fleet: `hazelspur_fleet` decides, these files carry out. Off without `fleet(...)` in
-//! the operator's file.
+//! Sockets, tasks and log lines of the fleet: `hazelspur_fleet` decides, these files carry out. Off without
+//! `fleet(...)` in the operator's file.
 //!
 //! - `transport`: the UDP socket and the probes of the shared dependency;
 //! - `coordinator`: between `hazelspur_fleet` and the admission controller;
--- a/crates/hazelspur-server/src/fleet/query.rs
+++ b/crates/hazelspur-server/src/fleet/query.rs
@@ -1,5 +1,5 @@
-//! `hazelspur-server fleet FILE`: asks the server that the file sets up for its view of the fleet. The question is sealed
-//! with the installation's key, so a server does not answer strangers.
+//! `hazelspur-server fleet FILE`: asks the server that the file sets up for its view of the fleet. The
+//! question is sealed with the installation's key, so a server does not answer strangers.
 
 use crate::config::fleet_keys::Fleet;
 use crate::fleet::query_output::FleetOutput;
--- a/crates/hazelspur-server/src/fleet/query_output.rs
+++ b/crates/hazelspur-server/src/fleet/query_output.rs
@@ -1,5 +1,5 @@
-//! What `hazelspur-server fleet FILE` prints, as a table or as JSON. Operators' scripts read the JSON: its names and the words
-//! of the table are mapped here and stay as they are.
+//! What `hazelspur-server fleet FILE` prints, as a table or as JSON. Operators' scripts read the JSON: its
+//! names and the words of the table are mapped here and stay as they are.
 
 use crate::config::command::Shape;
 use comfy_table::{Table, presets};
--- a/crates/hazelspur-server/src/fleet/transport.rs
+++ b/crates/hazelspur-server/src/fleet/transport.rs
@@ -1,5 +1,5 @@
-//! The gossip transport: one UDP socket whose datagrams go to `FleetNode` and from it, and a task that probes the shared
-//! dependency while the circuit breaker is open.
+//! The gossip transport: one UDP socket whose datagrams go to `FleetNode` and from it, and a task that probes
+//! the shared dependency while the circuit breaker is open.
 
 use crate::clock::{Clock, long};
 use crate::config::fleet_keys::{Fleet, QuotaKeysError};
@@ -25,7 +25,8 @@
 const MAX_IDLE: Duration = Duration::from_ms(250);
 /// Timeout for the connection of a probe.
 const PROBE_CONNECT_TIMEOUT: Duration = Duration::from_ms(500);
-/// Time for which a probe's connection must stay open: a proxy may accept connections for a dependency that is gone.
+/// Time for which a probe's connection must stay open: a proxy may accept connections for a dependency that
+/// is gone.
 const PROBE_OPEN_TIME: Duration = Duration::from_ms(50);
 /// Longest wait for the next probe, so that a recovery hint brings it forward.
 const MAX_PROBE_WAIT: Duration = Duration::from_ms(20);
--- a/crates/hazelspur-server/tests/choices.rs
+++ b/crates/hazelspur-server/tests/choices.rs
@@ -1,10 +1,11 @@
-//! Servers that choose together, as processes with faults between them: calls at the ledger stay within its
-//! slots at all times, the four rules hold over all, and whoever had stopped calling calls again.
+//! Servers that coordinate, as processes with faults between them: concurrent calls to the dependency stay
+//! within its limit at all times, the four rules hold for the whole fleet, and every open circuit breaker
+//! closes again.
 
 use hazelspur_fault_harness::bed::Plan;
 use hazelspur_fault_harness::play::{Verdict, play};
 
-fn case(script: &str) -> Verdict {
+fn run_case(script: &str) -> Verdict {
     let servers = 24;
     let plan = Plan {
         server_binary: env!("CARGO_BIN_EXE_hazelspur-server").into(),
@@ -22,46 +23,46 @@
     verdict
 }
 
-/// How many of the servers have logged a line with this in it.
-fn said(verdict: &Verdict, what: &str) -> usize {
+/// Number of servers that have logged a line with this text.
+fn servers_that_logged(verdict: &Verdict, what: &str) -> usize {
     verdict.logs.iter().filter(|log| log.contains(what)).count()
 }
 
 #[test]
-fn a_ledger_that_dies_and_comes_back_is_tried_by_few_and_called_by_all_again() {
-    let verdict = case("3+6 cut servers ledger; 0+0 apart:1500 n4; 0+0 apart:-1500 n9");
-    let shut = said(&verdict, "circuit breaker open");
-    assert!(shut >= 12, "{shut} of 24 stopped calling");
+fn a_dependency_that_fails_and_recovers_is_probed_and_then_called_by_all_again() {
+    let verdict = run_case("3+6 cut servers ledger; 0+0 apart:1500 n4; 0+0 apart:-1500 n9");
+    let opened = servers_that_logged(&verdict, "circuit breaker open");
+    assert!(opened >= 12, "{opened} of 24 opened their circuit breakers");
     for (of, log) in verdict.logs.iter().enumerate() {
         let times = |what: &str| log.lines().filter(|line| line.contains(what)).count();
-        let (shut, open) = (times("circuit breaker open"), times("circuit breaker closed"));
-        assert_eq!(shut, open, "n{of} did not come back\n{log}");
+        let (opened, closed) = (times("circuit breaker open"), times("circuit breaker closed"));
+        assert_eq!(opened, closed, "n{of} did not close its circuit breaker\n{log}");
     }
 }
 
 #[test]
-fn two_parts_and_servers_that_wake_with_old_leases_keep_within_the_slots() {
-    let verdict = case(
+fn a_partition_and_servers_that_resume_with_expired_leases_stay_within_the_limit() {
+    let verdict = run_case(
         "12+12 cut east west; 12+12 cut east north; 13+10 stop n7; 13+10 stop n10; 14+9 stop n0; 0+0 apart:1500 n3",
     );
-    assert!(said(&verdict, "quota: this server is the allocator") >= 1);
-    assert!(said(&verdict, "quota lease acquired") >= 12);
+    assert!(servers_that_logged(&verdict, "quota: this server is the allocator") >= 1);
+    assert!(servers_that_logged(&verdict, "quota lease acquired") >= 12);
 }
 
 #[test]
-fn two_in_five_servers_leave_in_seven_seconds_and_others_come() {
+fn two_in_five_servers_are_replaced_in_seven_seconds() {
     let gone: Vec<String> =
         (0..10).map(|i| format!("{:.1}+4 term n{}", 2.0 + 0.7 * i as f64, i * 2 + 1)).collect();
-    let verdict = case(&gone.join("; "));
+    let verdict = run_case(&gone.join("; "));
     assert_eq!(verdict.evidence.lives.len(), 34);
-    assert!(said(&verdict, "quota lease acquired") >= 12);
+    assert!(servers_that_logged(&verdict, "quota lease acquired") >= 12);
 }
 
 #[test]
-fn slow_replies_from_a_fifth_and_links_cut_between_a_tenth_of_the_pairs() {
+fn slow_replies_of_a_fifth_and_links_cut_between_a_tenth_of_the_pairs() {
     let slow = [3, 8, 13, 18, 23].map(|of| format!("1+12 delay:300 n{of} gateways"));
     let cut = (0..24).map(|of| format!("2+11 cut n{of} n{}", (of * 7 + 5) % 24));
     let script: Vec<String> = slow.into_iter().chain(cut).collect();
-    let verdict = case(&format!("{}; 4+6 slower:3 ledger", script.join("; ")));
-    assert!(said(&verdict, "quota lease acquired") >= 12);
+    let verdict = run_case(&format!("{}; 4+6 slower:3 ledger", script.join("; ")));
+    assert!(servers_that_logged(&verdict, "quota lease acquired") >= 12);
 }
--- a/crates/hazelspur-server/tests/fleet.rs
+++ b/crates/hazelspur-server/tests/fleet.rs
@@ -1,12 +1,13 @@
-//! Many built servers with faults between them: the hard cases, and scripts drawn from seeds. Waits are for
-//! events with generous ends; what is judged is in `hazelspur_fault_harness::checker`.
+//! The membership of many server processes with faults between them: hard cases, and scripts drawn from
+//! seeds. Waits are for events with generous timeouts; `hazelspur_fault_harness::checker` judges the
+//! evidence.
 
 use hazelspur_fault_harness::bed::{Bed, INSTALLATION, KEY, Plan};
 use hazelspur_fault_harness::play::{Verdict, come_up, play};
 use hazelspur_fault_harness::script::Script;
 use hazelspur_fault_harness::watch::Watch;
 
-fn played(servers: usize, script: &Script, seed: u64) -> Verdict {
+fn run_script(servers: usize, script: &Script, seed: u64) -> Verdict {
     let plan = Plan {
         server_binary: env!("CARGO_BIN_EXE_hazelspur-server").into(),
         servers,
@@ -23,49 +24,56 @@
     verdict
 }
 
-fn case(servers: usize, script: &str) -> Verdict {
-    played(servers, &script.parse().expect("a script"), 1)
+fn run_case(servers: usize, script: &str) -> Verdict {
+    run_script(servers, &script.parse().expect("a script"), 1)
 }
 
 #[test]
-fn a_third_of_a_site_stands_still_and_as_many_of_another_are_killed() {
-    // n0, n3, n6 of east stand still; n1, n4, n7 of west die and come again cold.
-    let verdict = case(24, "1+10 stop n0; 1+10 stop n3; 1+10 stop n6; 1+9 kill n1; 1+9 kill n4; 1+9 kill n7");
+fn a_third_of_a_site_is_suspended_while_as_many_of_another_are_killed() {
+    // n0, n3, n6 of east are suspended; n1, n4, n7 of west are killed and restarted.
+    let verdict =
+        run_case(24, "1+10 stop n0; 1+10 stop n3; 1+10 stop n6; 1+9 kill n1; 1+9 kill n4; 1+9 kill n7");
     let lives = verdict.evidence.lives.iter().filter(|life| life.killed).count();
     assert_eq!((lives, verdict.evidence.lives.len()), (3, 27));
 }
 
 #[test]
-fn links_silent_one_way_and_tasks_that_run_late() {
-    case(12, "1+12 mute n3 n4; 2+10 mute n7 east; 1+3 stop n5; 4.2+3 stop n5; 7.4+3 stop n5; 10.6+3 stop n5");
+fn links_that_are_silent_one_way_and_processes_that_run_late() {
+    run_case(
+        12,
+        "1+12 mute n3 n4; 2+10 mute n7 east; 1+3 stop n5; 4.2+3 stop n5; 7.4+3 stop n5; 10.6+3 stop n5",
+    );
 }
 
 #[test]
-fn two_parts_that_do_not_hear_each_other_with_starts_and_ends_on_both_sides() {
-    case(12, "1+22 cut east west; 1+22 cut east north; 6+8 kill n3; 7+8 kill n4; 9+4 term n5; 16+3 kill n0");
+fn a_partition_with_starts_and_ends_on_both_sides() {
+    run_case(
+        12,
+        "1+22 cut east west; 1+22 cut east north; 6+8 kill n3; 7+8 kill n4; 9+4 term n5; 16+3 kill n0",
+    );
 }
 
 #[test]
-fn back_at_the_same_address_before_the_death_was_noticed_and_old_datagrams_after_it() {
-    case(12, "0.5+3 delay:2500 n5 servers; 1+0.1 kill n5; 6+0.1 kill n5; 6+4 double:60 servers servers");
+fn a_restart_at_the_same_address_before_detection_with_delayed_datagrams() {
+    run_case(12, "0.5+3 delay:2500 n5 servers; 1+0.1 kill n5; 6+0.1 kill n5; 6+4 double:60 servers servers");
 }
 
 #[test]
-fn a_start_while_all_contact_points_are_down() {
-    case(12, "1+9 kill n0; 1+9 kill n1; 1+9 kill n2; 2+1 kill n9; 4+2 kill n7; 3+4 cut servers list");
+fn a_start_while_all_seeds_are_down() {
+    run_case(12, "1+9 kill n0; 1+9 kill n1; 1+9 kill n2; 2+1 kill n9; 4+2 kill n7; 3+4 cut servers list");
 }
 
 #[test]
-fn a_site_without_ledger_and_a_ledger_that_is_slow_for_all_while_clocks_are_apart() {
-    case(
+fn a_site_without_the_dependency_and_a_slow_dependency_under_clock_skew() {
+    run_case(
         12,
         "1+5 cut north ledger; 2+6 slower:4 ledger; 0+0 apart:1500 n1; 0+0 apart:-1500 n2; 3+3 swallow n6 ledger",
     );
 }
 
-/// As an operator would: with the file, and with another key.
+/// Asks as an operator does: with the server's file, and with another key.
 #[test]
-fn an_operator_is_shown_the_picture_and_a_stranger_nothing() {
+fn an_operator_sees_the_view_and_a_stranger_gets_no_answer() {
     let plan = Plan {
         server_binary: env!("CARGO_BIN_EXE_hazelspur-server").into(),
         servers: 9,
@@ -80,12 +88,12 @@
     let mut bed = Bed::new(plan).expect("a bed");
     let mut watch = Watch::new(KEY, INSTALLATION).expect("a socket");
     come_up(&mut bed, &mut watch).expect("one picture");
-    let ask = |file: &std::path::Path, shape: &str| {
+    let query = |file: &std::path::Path, shape: &str| {
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_hazelspur-server"));
         let out = command.arg("fleet").arg(file).args(["--shape", shape]).output().expect("it runs");
         (out.status.code(), String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned())
     };
-    let (status, text) = ask(&bed.file(4), "json");
+    let (status, text) = query(&bed.file(4), "json");
     let shown: serde_json::Value = serde_json::from_str(&text).unwrap_or_default();
     assert_eq!((status, &shown["condition"]), (Some(0), &"Whole".into()), "{text}");
     let alive =
@@ -93,25 +101,26 @@
     let sites: Vec<String> = ["east", "west", "north"].map(|site| shown["sites"][site].to_string()).into();
     assert_eq!((shown["name"].as_str(), alive), (Some("n4"), 8), "{shown:#}");
     assert_eq!(sites, [r#"{"least":3,"most":3}"#; 3]);
-    let (status, table) = ask(&bed.file(4), "table");
+    let (status, table) = query(&bed.file(4), "table");
     assert!(status == Some(0) && table.contains("n4 at") && table.matches("alive").count() == 8, "{table}");
 
     let text = std::fs::read_to_string(bed.file(4)).expect("its file");
-    let strange = bed.file(4).with_file_name("strange.star");
-    let other = bed.file(4).with_file_name("other-key");
-    std::fs::write(&other, "another key of sixteen characters").expect("a file");
+    let foreign_file = bed.file(4).with_file_name("strange.star");
+    let foreign_key = bed.file(4).with_file_name("other-key");
+    std::fs::write(&foreign_key, "another key of sixteen characters").expect("a file");
     let key = text.lines().find(|line| line.contains("key_file")).expect("it names a key");
-    std::fs::write(&strange, text.replace(key, &format!("    key_file = {other:?},"))).expect("a file");
-    let (status, text) = ask(&strange, "json");
+    std::fs::write(&foreign_file, text.replace(key, &format!("    key_file = {foreign_key:?},")))
+        .expect("a file");
+    let (status, text) = query(&foreign_file, "json");
     assert!(status == Some(2) && text.contains("no answer"), "{text}");
     bed.end();
     assert!(bed.lives.iter().all(|life| life.status == Some(0)), "{:?}", bed.lives);
 }
 
 #[test]
-fn whatever_a_seed_draws() {
+fn scripts_drawn_from_seeds() {
     let seeds: u64 = std::env::var("HAZELSPUR_FLEET_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(4);
     for seed in 1..=seeds {
-        played(9, &Script::drawn(seed, 9, 3, 10_000), seed);
+        run_script(9, &Script::drawn(seed, 9, 3, 10_000), seed);
     }
 }
