--- a/crates/hazelspur-server/src/config/operator/checks.rs
+++ b/crates/hazelspur-server/src/config/operator/checks.rs
@@ -94,8 +94,8 @@
     {
         return Err(QueueError { key: "op_type".into(), fault: KeyFault::UnknownRequestClass });
     }
-    queue.table().check(queue.retry_queue.is_some()).map_err(|(outcome, why)| QueueError {
-        key: format!("outcomes.{outcome}"),
-        fault: KeyFault::UnsuitableAction(why.to_string()),
+    queue.table().check(queue.retry_queue.is_some()).map_err(|error| QueueError {
+        key: format!("outcomes.{}", error.key()),
+        fault: KeyFault::UnsuitableAction(error),
     })
 }
--- a/crates/hazelspur-server/src/config/operator/queue.rs
+++ b/crates/hazelspur-server/src/config/operator/queue.rs
@@ -2,7 +2,7 @@
 
 use garde::Validate;
 use hazelspur::Duration;
-use hazelspur_deliveries::{Rule, Settlement, Table};
+use hazelspur_deliveries::{PrefetchRule, Settlement, SettlementTable};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
@@ -132,35 +132,35 @@
 
 impl QueueConfig {
     /// How the prefetch window is set.
-    pub fn rule(&self) -> Rule {
+    pub fn rule(&self) -> PrefetchRule {
         match self.window {
-            WindowRule::Fixed => Rule::Fixed,
-            WindowRule::SpareCapacity => Rule::Room,
-            WindowRule::Step => Rule::Step,
+            WindowRule::Fixed => PrefetchRule::Fixed,
+            WindowRule::SpareCapacity => PrefetchRule::SpareCapacity,
+            WindowRule::Step => PrefetchRule::Adaptive,
         }
     }
 
     /// How deliveries are settled by their outcome.
-    pub fn table(&self) -> Table {
-        let mut table = Table {
-            most_tries: self.max_attempts,
-            failed_pause: Duration::from_secs(self.retry_pause_s),
-            ..Table::default()
+    pub fn table(&self) -> SettlementTable {
+        let mut table = SettlementTable {
+            max_attempts: self.max_attempts,
+            failed_delay: Duration::from_secs(self.retry_pause_s),
+            ..SettlementTable::default()
         };
         for (outcome, action) in &self.outcomes {
             let settlement = match action {
                 OutcomeAction::Ack => Settlement::Ack,
                 OutcomeAction::Reject => Settlement::Reject,
-                OutcomeAction::Later => Settlement::Later,
-                OutcomeAction::Retry => Settlement::Retry,
+                OutcomeAction::Later => Settlement::RequeueLater,
+                OutcomeAction::Retry => Settlement::PublishRetry,
             };
             match outcome {
-                DeliveryOutcome::Rejected => table.nacked = settlement,
+                DeliveryOutcome::Rejected => table.rejected = settlement,
                 DeliveryOutcome::Failed => table.failed = settlement,
                 DeliveryOutcome::Expired => table.expired = settlement,
-                DeliveryOutcome::Unknown => table.unknown = settlement,
-                DeliveryOutcome::Poison => table.poison = settlement,
-                DeliveryOutcome::Doubtful => table.doubtful = settlement,
+                DeliveryOutcome::Unknown => table.unknown_class = settlement,
+                DeliveryOutcome::Poison => table.malformed = settlement,
+                DeliveryOutcome::Doubtful => table.possible_duplicate = settlement,
                 DeliveryOutcome::Exhausted => table.exhausted = settlement,
             }
         }
--- a/crates/hazelspur-server/src/process/serve.rs
+++ b/crates/hazelspur-server/src/process/serve.rs
@@ -56,7 +56,7 @@
         _ = signals.terminate.recv() => false,
     };
     if serves {
-        server.phases.enter(Phase::Serving, gateways.figures());
+        server.phases.enter(Phase::Serving, gateways.counts());
         signals.terminate.recv().await;
     }
     shutdown::shut_down(&server, &gateways, serves).await;
