--- a/crates/hazelspur-server/src/request/lifecycle.rs
+++ b/crates/hazelspur-server/src/request/lifecycle.rs
@@ -41,7 +41,7 @@
     pub session: Option<SessionKey>,
     /// The client that sent it.
     pub client: ClientId,
-    /// By when it has to begin; else the class's request timeout applies.
+    /// When its response is due; without it the class's request timeout applies.
     pub deadline: Option<Timestamp>,
     /// The memory that its run takes, in KiB.
     pub size_kb: f64,
