--- a/tests/dependency.rs
+++ b/tests/dependency.rs
@@ -151,7 +151,7 @@
     for i in 10..14 {
         harness.call_finished(&format!("o{i}"), Outcome::Ok).finish_run(&format!("o{i}"), Outcome::Ok);
     }
-    // Guidance that is not a number, or negative, counts as absent.
+    // Guidance that is not a number, or negative, counts as absent: the limit of the settings applies again.
     harness.at(2000).set_guidance(GuidanceKey::CallConcurrencyLimit, Some(f64::NAN));
     harness.set_guidance(GuidanceKey::CallConcurrencyLimit, Some(-1.0));
     let after_invalid_guidance = started_calls(&mut harness, 20);
