--- a/src/controller/inputs.rs
+++ b/src/controller/inputs.rs
@@ -77,7 +77,7 @@
             state: RequestState::Queued,
             has_active_session,
             is_admitted: false,
-            is_key_stored: false,
+            is_key_handled: false,
             has_run: false,
             awaits_response: true,
             started_at: now,
--- a/src/controller/rules.rs
+++ b/src/controller/rules.rs
@@ -18,9 +18,6 @@
 use crate::scheduling::{TIMER_TICK, preemption, slowdown};
 use crate::{ClientId, Decision, Duration, Timestamp, load_signal};
 
-/// The slowdown factor of a server at its expected speed.
-const EXPECTED_SPEED: f64 = 1.0;
-
 impl AdmissionController {
     /// Ends the control cycle if it is over, and moves the admission rate by its result.
     pub(super) fn end_control_cycle(&mut self, now: Timestamp) {
@@ -62,7 +59,7 @@
             let rule = IdempotencyRule { now, settings: &self.settings, memory: self.memory_use() };
             match rule.next_step(&self.requests)? {
                 IdempotencyStep::TreatAsOriginal(id) => self.requests.get_mut(id)?.retry_of = None,
-                IdempotencyStep::SkipKey(id) => self.requests.get_mut(id)?.is_key_stored = true,
+                IdempotencyStep::SkipKey(id) => self.requests.get_mut(id)?.is_key_handled = true,
                 IdempotencyStep::AnswerFromOriginal(id) => {
                     self.requests.dequeue(id);
                     self.requests.get_mut(id)?.state = RequestState::AwaitingOriginal;
@@ -73,7 +70,7 @@
                     return self.reject(now, Rejection { request, reason });
                 }
                 IdempotencyStep::StoreKey { request, window } => {
-                    self.requests.get_mut(request)?.is_key_stored = true;
+                    self.requests.get_mut(request)?.is_key_handled = true;
                     self.stored_keys.store(request, now + window);
                     return Some(Decision::StoreKey { request, window });
                 }
@@ -214,7 +211,7 @@
     fn reject(&mut self, now: Timestamp, rejection: Rejection) -> Option<Decision> {
         let id = rejection.request;
         let request = self.requests.get(id)?;
-        let (state, client, is_key_stored) = (request.state, request.client, request.is_key_stored);
+        let (state, client, is_key_handled) = (request.state, request.client, request.is_key_handled);
         let must_fail = request.has_run || request.retry_of.is_some() || !state.is_queued();
         let is_too_late = is_too_late_elsewhere(now, request);
         if request.is_admitted && !request.has_run {
@@ -230,7 +227,7 @@
         if must_fail {
             return Some(Decision::Fail(id));
         }
-        if is_key_stored {
+        if is_key_handled {
             self.stored_keys.remove(id);
             self.pending.push_back(Decision::RemoveKey(id));
         }
@@ -250,7 +247,7 @@
             return Duration::ZERO;
         }
         let queued_s: f64 = self.requests.queued().map(|request| request.expected_run_s).sum();
-        let running_s = slowdown::remaining_run_s(now, &self.requests, EXPECTED_SPEED);
+        let running_s = slowdown::remaining_run_s(now, &self.requests, slowdown::EXPECTED_SPEED);
         let inputs = RetryAfter {
             work_s: running_s + queued_s,
             cores: self.cores,
--- a/src/idempotency.rs
+++ b/src/idempotency.rs
@@ -93,7 +93,7 @@
 
     fn needs_step(&self, request: &Request) -> bool {
         let is_retry = request.retry_of.is_some() && (request.is_keyed() || self.shares_result(request));
-        let lacks_key = self.stores_key(request) && !request.is_key_stored;
+        let lacks_key = self.stores_key(request) && !request.is_key_handled;
         request.state == RequestState::Queued && !request.has_run && (is_retry || lacks_key)
     }
 
--- a/src/last_seen.rs
+++ b/src/last_seen.rs
@@ -9,6 +9,9 @@
 /// Sessions and clients whose last request is remembered.
 pub const LAST_SEEN_CAPACITY: usize = 4096;
 
+/// By how much the idle timeout shrinks until enough keys are dropped.
+const IDLE_TIMEOUT_SHRINK_FACTOR: f64 = 0.5;
+
 /// When each key was last seen.
 #[derive(Clone, Debug)]
 pub struct LastSeen<K> {
@@ -30,7 +33,7 @@
         let mut idle_timeout = idle_timeout;
         while self.last.len() > max_len {
             self.last.retain(|_, last| now - *last < idle_timeout);
-            idle_timeout = idle_timeout.scaled(0.5);
+            idle_timeout = idle_timeout.scaled(IDLE_TIMEOUT_SHRINK_FACTOR);
         }
         self.last.insert(key, now)
     }
--- a/src/request.rs
+++ b/src/request.rs
@@ -131,8 +131,8 @@
     pub(crate) has_active_session: bool,
     /// Whether admission control let it pass.
     pub(crate) is_admitted: bool,
-    /// Whether its idempotency key was handled.
-    pub(crate) is_key_stored: bool,
+    /// Whether its idempotency key is stored, or goes without since memory is short.
+    pub(crate) is_key_handled: bool,
     /// Whether it has run at all.
     pub(crate) has_run: bool,
     /// Whether the client still waits for its response.
--- a/src/scheduling/slowdown.rs
+++ b/src/scheduling/slowdown.rs
@@ -12,7 +12,7 @@
 /// The smallest part of a run that counts as remaining, however long it has run.
 const MIN_REMAINING_SHARE: f64 = 0.2;
 /// The factor of a server at its expected speed.
-const EXPECTED_SPEED: f64 = 1.0;
+pub(crate) const EXPECTED_SPEED: f64 = 1.0;
 
 /// The run-time ratios (actual over expected) of the last successful runs.
 #[derive(Clone, Debug, Default)]
