--- a/crates/hazelspur-adapter/tests/wire.rs
+++ b/crates/hazelspur-adapter/tests/wire.rs
@@ -123,3 +123,53 @@
     "#]]
     .assert_eq(&seen);
 }
+
+#[test]
+fn every_line_of_a_request_is_read_and_every_event_is_answered() {
+    let other = OP.replace("5d3a", "6d3a");
+    let third = OP.replace("5d3a", "7d3a");
+    let batches = [
+        format!(
+            "CALL class=0 kb=5 bits=5 cost-us=1000 give-up-at-us=4000000 realm=0 name-key=u age-us=10 prior=0 \
+             request-id={OP} neighbour=3\nCALL class=0 request-id={other} prior={OP}\nCALL class=0 request-id={third}"
+        ),
+        format!("WANTS_CALL request-id={OP}\nDROPPED request-id={third}"),
+        format!("DEP_REPLY request-id={OP} disposition=0"),
+        format!("COMPLETED request-id={OP} disposition=0\nCOMPLETED request-id={other} disposition=255"),
+        "TIMER nonce=beat telemetry=on_cores:1.5,odd:2".to_string(),
+        "QUIESCE give-up-at-us=9000000".to_string(),
+        "EXIT".to_string(),
+    ];
+    let mut input = START.to_string() + "COMMIT\n";
+    for (number, events) in batches.iter().enumerate() {
+        let at_us = 2000 + number * 50_000;
+        input += &format!("BATCH at-time-us={at_us}\nSELECT server-id=server_1\n{events}\nCOMMIT\n");
+    }
+    input +=
+        &format!("BATCH at-time-us=900000\nSELECT server-id=server_1\nDROPPED request-id={OP}\nCOMMIT\n");
+    expect_test::expect![[r#"
+        CONTEXT server-id=server_1
+        SET_HEALTH active=1 cached=1
+        REMIND fire-at-us=41000 nonce=beat
+        READY
+        CONTEXT server-id=server_1
+        ADMIT request-id=5d3a91c4-c55e-4ea8-a723-2965583e6a4c
+        ADMIT request-id=6d3a91c4-c55e-4ea8-a723-2965583e6a4c
+        READY
+        CONTEXT server-id=server_1
+        GO_CALL request-id=5d3a91c4-c55e-4ea8-a723-2965583e6a4c patience-us=3948000
+        READY
+        READY
+        READY
+        CONTEXT server-id=server_1
+        REMIND fire-at-us=242000 nonce=beat
+        READY
+        CONTEXT server-id=server_1
+        RECORD message=mode leaving in_hand=0
+        SET_HEALTH active=0 cached=1
+        READY
+        READY
+        line 39: event for unknown instance server_1: DROPPED request-id=5d3a91c4-c55e-4ea8-a723-2965583e6a4c
+        exit Some(2)
+    "#]].assert_eq(&play(&input));
+}
