--- a/crates/hazelspur-adapter/tests/wire.rs
+++ b/crates/hazelspur-adapter/tests/wire.rs
@@ -171,5 +171,6 @@
         READY
         line 39: event for unknown instance server_1: DROPPED request-id=5d3a91c4-c55e-4ea8-a723-2965583e6a4c
         exit Some(2)
-    "#]].assert_eq(&play(&input));
+    "#]]
+    .assert_eq(&play(&input));
 }
--- a/crates/hazelspur-parsers/src/json.rs
+++ b/crates/hazelspur-parsers/src/json.rs
@@ -11,12 +11,17 @@
 
 /// The fields of an object.
 #[derive(Default)]
-pub struct Table<'a>(Vec<(Cow<'a, str>, Json<'a>)>);
+pub struct Table<'a>(Vec<Field<'a>>);
+
+struct Field<'a> {
+    name: Cow<'a, str>,
+    value: Json<'a>,
+}
 
 impl<'a> Table<'a> {
     /// The first field of this name.
     pub fn get(&self, name: &str) -> Option<Json<'a>> {
-        self.0.iter().find(|(key, _)| key == name).map(|(_, value)| *value)
+        self.0.iter().find(|field| field.name == name).map(|field| field.value)
     }
 }
 
@@ -46,7 +51,7 @@
 
     /// All fields of an object, for callers that look many up: the text is scanned once.
     pub fn table(self) -> Table<'a> {
-        Table(self.fields().collect())
+        Table(self.fields().map(|(name, value)| Field { name, value }).collect())
     }
 
     /// Whether the value is an object.
--- a/crates/hazelspur-parsers/tests/texts.rs
+++ b/crates/hazelspur-parsers/tests/texts.rs
@@ -81,24 +81,24 @@
     let text =
         b"ready chilly 12\r\nend 1 aa complete 80 3\r\n\r\nx\r\nwants 2 bb 0\r\n\r\nload t 0.5 3 0 12\r\n\
         info 3 all is well\r\nnack give cc\r\n";
-    let mut heard = Recorder::default();
+    let mut recorder = Recorder::default();
     let mut buffer = Buffer::default();
     for byte in text {
         buffer.room().push(*byte);
-        while let Some(used) = runtime::read(buffer.unread(), &mut heard).expect("good lines") {
+        while let Some(used) = runtime::read(buffer.unread(), &mut recorder).expect("good lines") {
             buffer.take(used);
         }
     }
-    heard.0 += &format!("left {}\n", buffer.unread().len());
+    recorder.0 += &format!("left {}\n", buffer.unread().len());
     for bad in
         ["end 1 aa complete 80 x\r\n", "hello\r\n", "end 1 aa error 0 0\r\nxx", "ready hot -1\r\n", "\r\n"]
     {
         let read = runtime::read(bad.as_bytes(), &mut Recorder::default()).map_err(|error| error.to_string());
-        heard.0 += &format!("{read:?}\n");
+        recorder.0 += &format!("{read:?}\n");
     }
     let endless = [b'x'; 9000];
     let read = runtime::read(&endless, &mut Recorder::default()).map_err(|error| error.to_string());
-    heard.0 += &format!("{read:?}\n");
+    recorder.0 += &format!("{read:?}\n");
     expect_test::expect![[r#"
         ready false 12
         end 1 aa complete [13, 10, 120]
@@ -114,7 +114,7 @@
         Err("an unreadable line: ")
         Err("a line of over 8192 bytes")
     "#]]
-    .assert_eq(&heard.0);
+    .assert_eq(&recorder.0);
 }
 
 #[test]
--- a/src/config/change_check.rs
+++ b/src/config/change_check.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 
 /// The most removed request classes whose idempotency keys are still stored.
-pub const MAX_REMOVED_CLASSES: usize = 4096;
+const MAX_REMOVED_CLASSES: usize = 4096;
 
 impl Catalog {
     /// Checks whether a change may apply as a whole.
