--- a/crates/hazelspur-fleet/src/membership/receive.rs
+++ b/crates/hazelspur-fleet/src/membership/receive.rs
@@ -163,7 +163,7 @@
     }
 
     fn add_member(&mut self, now: Timestamp, update: &MemberUpdate, reported_by: MemberName) {
-        if !self.make_room() {
+        if !self.ensure_capacity() {
             self.rejected_members += 1;
             return;
         }
@@ -181,7 +181,7 @@
     }
 
     /// Whether the table has capacity for another member, if need be by forgetting one that is gone.
-    fn make_room(&mut self) -> bool {
+    fn ensure_capacity(&mut self) -> bool {
         if self.members.len() < self.members.capacity() {
             return true;
         }
