--- a/crates/hazelspur-adapter/src/decision_line.rs
+++ b/crates/hazelspur-adapter/src/decision_line.rs
@@ -29,7 +29,7 @@
         }
         Decision::SetIdleTimeout(span) => writeln!(reply, "KEEPALIVE hold-for-us={}", span.us()),
         Decision::SetTimer(at) => writeln!(reply, "REMIND fire-at-us={} nonce=beat", at.us()),
-        Decision::Log(text) => writeln!(reply, "RECORD message={text}"),
+        Decision::Log(event) => writeln!(reply, "RECORD message={event}"),
     };
     line.expect("a string takes any text");
 }
--- a/crates/hazelspur-adapter/src/event.rs
+++ b/crates/hazelspur-adapter/src/event.rs
@@ -7,8 +7,6 @@
     SessionKey, TenantId, Timestamp,
 };
 
-/// The name under which the bench sends the number of requests on the cores.
-const REQUESTS_ON_CORES_GAUGE: &str = "on_cores";
 /// Set in the `bits` of a request whose cost is stated.
 const COST_IS_STATED: u32 = 1;
 /// Set in the `bits` of a request that writes.
@@ -87,8 +85,11 @@
     }
 }
 
+/// The name under which the bench gives the requests on the cores.
+const REQUESTS_ON_CORES_GAUGE: &str = "on_cores";
+
 /// A gauge of the runtime.
-pub(crate) struct Gauge<'a> {
+struct Gauge<'a> {
     /// Its name in the settings.
     name: &'a str,
     /// Its value, which is finite.
@@ -96,7 +97,7 @@
 }
 
 /// An event of a running server with its typed fields.
-pub(crate) enum BenchEvent<'a> {
+pub(crate) enum BenchEvent {
     /// A request arrived.
     RequestReceived(NewRequest),
     /// A run asks for its dependency call.
@@ -118,14 +119,14 @@
     /// The client of a request is gone.
     RequestAbandoned(RequestId),
     /// The timer fired, with the runtime's gauges.
-    Timer(Vec<Gauge<'a>>),
+    Timer(RuntimeGauges),
     /// The server is to shut down at this time.
     ShutdownNotice(Timestamp),
 }
 
-impl<'a> BenchEvent<'a> {
+impl BenchEvent {
     /// Reads the fields of an event.
-    pub(crate) fn parse(kind: EventKind, fields: Fields<'a>) -> Result<Self, AdapterError> {
+    pub(crate) fn parse(kind: EventKind, fields: Fields) -> Result<Self, AdapterError> {
         let request = || fields.request("request-id");
         Ok(match kind {
             EventKind::RequestReceived => Self::RequestReceived(new_request(fields)?),
@@ -149,9 +150,7 @@
             Self::RunFinished { request, outcome } => controller.run_finished(now, request, outcome),
             Self::RequestAbandoned(request) => controller.request_abandoned(request),
             Self::Timer(gauges) => {
-                let on_cores = gauges.iter().find(|gauge| gauge.name == REQUESTS_ON_CORES_GAUGE);
-                let requests_on_cores = on_cores.map(|gauge| gauge.value);
-                controller.timer_tick(now, RuntimeGauges { requests_on_cores });
+                controller.timer_tick(now, gauges);
             }
             Self::ShutdownNotice(stop_at) => controller.shutdown_notice(now, stop_at),
         }
@@ -182,10 +181,12 @@
 }
 
 /// The gauges of `telemetry`: `name:value` separated by commas.
-fn gauges(fields: Fields<'_>) -> Result<Vec<Gauge<'_>>, AdapterError> {
+fn gauges(fields: Fields<'_>) -> Result<RuntimeGauges, AdapterError> {
     let pairs = fields.get("telemetry").unwrap_or("").split(',').filter(|pair| !pair.is_empty());
     let gauges: Option<Vec<Gauge>> = pairs.map(gauge).collect();
-    gauges.ok_or(AdapterError::MalformedField { name: "telemetry" })
+    let gauges = gauges.ok_or(AdapterError::MalformedField { name: "telemetry" })?;
+    let on_cores = gauges.iter().find(|gauge| gauge.name == REQUESTS_ON_CORES_GAUGE);
+    Ok(RuntimeGauges { requests_on_cores: on_cores.map(|gauge| gauge.value) })
 }
 
 fn gauge(pair: &str) -> Option<Gauge<'_>> {
