--- a/crates/hazelspur-adapter/src/main.rs
+++ b/crates/hazelspur-adapter/src/main.rs
@@ -3,16 +3,15 @@
 mod wire;
 
 use hazelspur::{
-    AdmissionController, ClientId, Duration, NewRequest, RequestClassId, SessionKey, TenantId, Timestamp,
+    AdmissionController, ClientId, Duration, NewRequest, RequestClassId, RuntimeGauges, SessionKey, TenantId,
+    Timestamp,
 };
 use hazelspur_parsers::{Json, settings};
 use std::any::Any;
-use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
-use std::rc::Rc;
 use wire::Fields;
 
 /// The instances, and what has been read of the batch in hand.
@@ -129,10 +128,8 @@
                 let seed = fields.need("salt")?;
                 let info = fields.rest("boot-info").ok_or("field boot-info is missing")?;
                 let object = Json::parse(info.as_bytes()).ok_or("field boot-info is unreadable")?;
-                let catalog = settings::catalog(object)?;
-                let cold = catalog.facts.num("server.cold", 0.0) > 0.0;
-                let catalog = Rc::new(RefCell::new(catalog));
-                catch_unwind(AssertUnwindSafe(|| AdmissionController::with(catalog, cold, seed, now)))
+                let catalog = settings::catalog(object).map_err(|error| error.to_string())?;
+                catch_unwind(AssertUnwindSafe(|| AdmissionController::new(catalog, seed, now)))
                     .map_err(|p| panic_text(&*p))
             };
             let controller = start().map_err(|text| Trouble { text, instance: Some(server.into()) })?;
@@ -234,9 +231,9 @@
             let gauges: Option<Vec<(String, f64)>> =
                 gauges.split(',').filter(|pair| !pair.is_empty()).map(read).collect();
             let gauges = gauges.ok_or("field telemetry is unreadable")?;
-            let named: Vec<(&str, f64)> =
-                gauges.iter().map(|(name, value)| (name.as_str(), *value)).collect();
-            controller.timer(now, &named);
+            let on_cores = gauges.iter().find(|(name, _)| name == wire::REQUESTS_ON_CORES_GAUGE);
+            let gauges = RuntimeGauges { requests_on_cores: on_cores.map(|(_, value)| *value) };
+            controller.timer_tick(now, gauges);
         }
         "QUIESCE" => controller.shutdown_notice(now, Timestamp::from_us(fields.need("give-up-at-us")?)),
         _ => {}
--- a/crates/hazelspur-server/src/config/operator/checks.rs
+++ b/crates/hazelspur-server/src/config/operator/checks.rs
@@ -1,8 +1,9 @@
 //! Checks of the operator's file as a whole: bounds of single keys, and what concerns several.
 
 use super::error::{KeyFault, OperatorError};
+use super::operator_config::OperatorConfig;
+use super::queue::QueueConfig;
 use super::source::Source;
-use super::{OperatorConfig, QueueConfig};
 use garde::Validate;
 use hazelspur::Catalog;
 
@@ -56,9 +57,9 @@
 
 fn check_fleet(operator: &OperatorConfig, source: &Source<'_>) -> Result<(), OperatorError> {
     let Some(fleet) = &operator.fleet else { return Ok(()) };
-    match fleet.share_terms() {
+    match fleet.quota_config() {
         Ok(_) => Ok(()),
-        Err((key, why)) => Err(source.error(&format!("fleet.{key}"), KeyFault::Shares(why))),
+        Err(error) => Err(source.error(&format!("fleet.{}", error.key()), KeyFault::Quota(error))),
     }
 }
 
--- a/crates/hazelspur-server/src/config/operator/error.rs
+++ b/crates/hazelspur-server/src/config/operator/error.rs
@@ -1,5 +1,6 @@
 //! Errors of the operator's file. Each message names the file, the line and the key, as far as they are known.
 
+use crate::config::fleet_keys::{KeyFileError, QuotaKeysError};
 use thiserror::Error;
 
 /// What makes an operator's file unusable.
@@ -64,9 +65,9 @@
         /// What the system reported.
         source: std::io::Error,
     },
-    /// The fleet's key can't be read; the text names the key at fault.
-    #[error("{0}")]
-    FleetKey(String),
+    /// The fleet's key can't be read.
+    #[error(transparent)]
+    FleetKey(KeyFileError),
     /// The file has no fleet though one is asked for.
     #[error("{path}: there is no fleet(...)")]
     NoFleet {
@@ -85,8 +86,8 @@
     #[error("{0}")]
     OutOfBounds(String),
     /// The quota leases of the fleet do not fit together.
-    #[error("{0}")]
-    Shares(String),
+    #[error(transparent)]
+    Quota(QuotaKeysError),
     /// There are queues and no brokers.
     #[error("there is no amqp(...)")]
     NoBrokers,
--- a/crates/hazelspur-server/src/config/reload.rs
+++ b/crates/hazelspur-server/src/config/reload.rs
@@ -6,13 +6,13 @@
 #![warn(missing_docs)]
 
 use crate::config::error::ConfigError;
-use crate::config::fleet_keys::TENANT;
+use crate::config::fleet_keys::TENANT_PREFIX;
 use crate::config::operator::{self, OperatorConfig};
 use crate::config::server_config::{self, ReloadedChanges, ServerConfig};
 use crate::ingress::amqp::AmqpConsumer;
 use crate::request::dispatcher::Dispatcher;
 use crate::upstream::endpoints::UpstreamEndpoints;
-use hazelspur::config::change::{Change, Changed, Edit};
+use hazelspur::config::change::{Change, ChangeSummary, Edit, EditCounts};
 use hazelspur::{Catalog, RequestClass, Tenant};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -41,9 +41,9 @@
         /// The entry's name.
         name: String,
     },
-    /// The change does not fit the settings in force; the text names the key at fault.
-    #[error("{0}")]
-    Change(String),
+    /// The change does not fit the settings in force.
+    #[error(transparent)]
+    Change(#[from] hazelspur::ConfigError),
 }
 
 /// Request classes and tenants that the operator's file refers to; a change may not remove them.
@@ -59,7 +59,9 @@
         let shares = operator.fleet.iter().flat_map(|fleet| &fleet.shares);
         Self {
             request_classes: operator.queues.iter().filter_map(|queue| queue.request_class.clone()).collect(),
-            tenants: shares.filter_map(|key| Some(key.limit.as_str().strip_prefix(TENANT)?.into())).collect(),
+            tenants: shares
+                .filter_map(|key| Some(key.limit.as_str().strip_prefix(TENANT_PREFIX)?.into()))
+                .collect(),
         }
     }
 
@@ -170,11 +172,10 @@
 
     fn apply_settings(&self, change: &Change) -> Result<(), ReloadError> {
         self.references.borrow().check(change)?;
-        let changed = self.dispatcher.apply_change(&self.catalog, change);
-        let Changed { request_classes, tenants, facts } =
-            changed.map_err(|why| ReloadError::Change(why.to_string()))?;
-        let counts = |[added, altered, removed]: [usize; 3]| format!("+{added} ~{altered} -{removed}");
-        log::info!(op_types = counts(request_classes), tenants = counts(tenants), figures = facts;
+        let ChangeSummary { request_classes, tenants, settings } =
+            self.dispatcher.apply_change(&self.catalog, change)?;
+        let counts = |n: EditCounts| format!("+{} ~{} -{}", n.added, n.replaced, n.removed);
+        log::info!(op_types = counts(request_classes), tenants = counts(tenants), figures = settings;
             "settings changed");
         Ok(())
     }
--- a/crates/hazelspur-server/src/config/server_config.rs
+++ b/crates/hazelspur-server/src/config/server_config.rs
@@ -6,9 +6,9 @@
 
 use crate::config::error::ConfigError;
 use crate::upstream::endpoints::EndpointAddresses;
-use hazelspur::config::catalog::{Entries, Gathered};
-use hazelspur::config::change::Difference;
-use hazelspur::{Catalog, Change, Duration, Facts};
+use hazelspur::config::difference::Difference;
+use hazelspur::config::entries::{EntryVisitor, GatheredEntries};
+use hazelspur::{Catalog, Change, ControllerSettings, Duration, FlatSettings};
 use hazelspur_parsers::{Json, settings};
 use std::io::Read;
 use std::net::SocketAddr;
@@ -118,20 +118,20 @@
 pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Loaded, ConfigError> {
     let text = read_file(&variable)?;
     let mut catalog = Catalog::default();
-    let Parsed { config, facts } = parse(&text, variable, &mut catalog)?;
-    let (request_classes, _) = catalog.size();
+    let Parsed { config, flat } = parse(&text, variable, &mut catalog)?;
+    let request_classes = catalog.request_class_count();
     if request_classes == 0 {
         return Err(ConfigError::NoRequestClasses);
     }
-    let catalog = catalog.complete(facts).map_err(ConfigError::setting)?;
+    let catalog = catalog.complete(flat).map_err(ConfigError::setting)?;
     Ok(Loaded { config, catalog })
 }
 
 /// A configuration that was read again, possibly on another thread.
 pub struct Reloaded {
     config: ServerConfig,
-    entries: Gathered,
-    facts: Facts,
+    entries: GatheredEntries,
+    flat: FlatSettings,
 }
 
 /// What a configuration that was read again changes.
@@ -145,15 +145,16 @@
 /// Reads the file again, without comparing it with what is in force.
 pub fn reload(variable: impl Fn(&str) -> Option<String>) -> Result<Reloaded, ConfigError> {
     let text = read_file(&variable)?;
-    let mut entries = Gathered::default();
-    let Parsed { config, facts } = parse(&text, variable, &mut entries)?;
-    Ok(Reloaded { config, entries, facts })
+    let mut entries = GatheredEntries::default();
+    let Parsed { config, flat } = parse(&text, variable, &mut entries)?;
+    Ok(Reloaded { config, entries, flat })
 }
 
 impl Reloaded {
     /// Compares the settings with those in force.
     pub fn compare(self, in_force: &Catalog) -> Result<ReloadedChanges, ConfigError> {
-        let change = Difference::of(in_force, self.entries, &self.facts).map_err(ConfigError::setting)?;
+        let change =
+            Difference::of_gathered(in_force, self.entries, &self.flat).map_err(ConfigError::setting)?;
         Ok(ReloadedChanges { config: self.config, change })
     }
 }
@@ -176,20 +177,21 @@
 /// The file's content, but for the entries of its tables.
 struct Parsed {
     config: ServerConfig,
-    facts: Facts,
+    flat: FlatSettings,
 }
 
 /// Parses the file; request classes and tenants go to `entries`.
 fn parse(
     text: &[u8],
     variable: impl Fn(&str) -> Option<String>,
-    entries: &mut impl Entries,
+    entries: &mut impl EntryVisitor,
 ) -> Result<Parsed, ConfigError> {
     let object = Json::parse(text).filter(|all| all.is_object()).ok_or(ConfigError::NotAnObject)?;
     let file = ConfigFile { object };
     CORES.read(file.limit("cores"))?;
     let memory_mb = MEMORY_MB.read(file.limit("memory_mb"))?;
-    let facts = file.settings(entries)?;
+    let flat = file.settings(entries)?;
+    let settings = ControllerSettings::from_flat(&flat);
     let seed = file.seed()?;
     let config = ServerConfig {
         name: file.text("name", variable("ROUTER_NAME"))?,
@@ -199,11 +201,11 @@
         stop: Duration::from_secs(STOP_MS.read(object.get("stop_ms"))? / MS_PER_SECOND),
         max_sockets: SOCKETS.read(file.limit("sockets"))? as usize,
         max_memory_bytes: (memory_mb * BYTES_PER_MB) as usize,
-        gauge_names: gauge_names(&facts),
-        grace_period: duration_setting(&facts, "rules.drain_grace_us"),
-        read_freshness: duration_setting(&facts, "server.share_reads_us"),
+        gauge_names: settings.gauge_names,
+        grace_period: settings.drain_grace_period,
+        read_freshness: settings.read_sharing_window,
     };
-    Ok(Parsed { config, facts })
+    Ok(Parsed { config, flat })
 }
 
 /// The file's JSON object.
@@ -251,21 +253,12 @@
         u64::from_str_radix(&digits, SEED_RADIX).map_err(|_| ConfigError::InvalidSeed)
     }
 
-    fn settings(&self, entries: &mut impl Entries) -> Result<Facts, ConfigError> {
+    fn settings(&self, entries: &mut impl EntryVisitor) -> Result<FlatSettings, ConfigError> {
         let object =
             self.object.get("settings").filter(|value| value.is_object()).ok_or(ConfigError::NoSettings)?;
-        let mut facts = settings::read(object, entries).map_err(ConfigError::setting)?;
+        let mut flat = settings::read(object, entries).map_err(ConfigError::setting)?;
         // The protocol has no command that lets a run go on without its call.
-        facts.0.retain(|name, _| !name.starts_with("server.skip_worth"));
-        Ok(facts)
+        flat.remove_degraded_values();
+        Ok(flat)
     }
 }
-
-fn gauge_names(facts: &Facts) -> Vec<String> {
-    let name = |index: usize| facts.text(&format!("server.meters.{index}")).to_string();
-    (0..facts.0.len()).map(name).take_while(|name| !name.is_empty()).collect()
-}
-
-fn duration_setting(facts: &Facts, name: &str) -> Duration {
-    Duration::from_us(facts.num(name, 0.0) as u64)
-}
--- a/crates/hazelspur-server/src/ingress/amqp/message.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/message.rs
@@ -118,7 +118,10 @@
             queue,
             message_id: properties.message_id,
             redelivered: delivery.redelivered,
-            idempotency: request.as_ref().map(|request| request.class.repeats).map_err(|outcome| *outcome),
+            idempotency: request
+                .as_ref()
+                .map(|request| request.class.idempotency)
+                .map_err(|outcome| *outcome),
             deadline: times.deadline,
             wants_reply: properties.reply_to.is_some_and(|queue| !queue.is_empty()),
             previous_attempts: previous_attempts(&properties),
--- a/crates/hazelspur-server/src/ingress/amqp/request.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/request.rs
@@ -2,8 +2,8 @@
 
 use super::consumer::AmqpConsumer;
 use super::message::{QueuedRequest, StoredMessage};
-use crate::request::deduplication::{Lookup, Owner, ReceivedAttempt};
-use crate::request::lifecycle::{ReceivedRequest, RequestLifecycle, RetryOf};
+use crate::request::deduplication::{Lookup, Owner, ReceivedAttempt, RetryOf};
+use crate::request::lifecycle::{ReceivedRequest, RequestLifecycle};
 use crate::request::responder::{Responder, ResponseSink, RunPermission};
 use hazelspur::{ClientId, Duration, Timestamp};
 use hazelspur_deliveries::{DeliveryId, DeliveryOutcome};
--- a/crates/hazelspur-server/src/process/server.rs
+++ b/crates/hazelspur-server/src/process/server.rs
@@ -1,16 +1,13 @@
-//! Wires the process together and takes it from the start through its phases to the exit.
+//! Wires the parts of the process together and spawns its tasks.
 
 use super::descriptors::Descriptors;
-use super::error::{ProcessError, StartError};
-use super::listener::bind;
-use super::phases::{Phase, Phases};
-use super::shutdown;
+use super::error::StartError;
+use super::phases::Phases;
 use super::supervise::supervise;
-use crate::config::command::ServeOptions;
 use crate::config::operator::OperatorConfig;
 use crate::config::reload::{self, References, Reloader};
 use crate::config::server_config::{Loaded, ServerConfig};
-use crate::fleet::talk::{self, Around, Talk};
+use crate::fleet::transport::{self, GossipTransport, TransportContext};
 use crate::ingress::amqp::{AmqpConsumer, ConsumerContext};
 use crate::ingress::gateway::GatewayServer;
 use crate::ingress::gateway::{MAX_OVERDUE, MAX_TIMEOUT_FACTOR};
@@ -20,83 +17,30 @@
 use crate::upstream::dependency::DependencyClient;
 use crate::upstream::endpoints::UpstreamEndpoints;
 use crate::upstream::registry::HealthReporter;
-use crate::upstream::worker::{WorkerLink, WorkerState};
+use crate::upstream::worker::{WorkerLink, WorkerStatus};
 use hazelspur::{AdmissionController, Catalog};
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::net::TcpListener;
-use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::signal::unix::Signal;
 
 /// One part in this many of the process's memory may store results for retries.
 const RESULT_MEMORY_DIVISOR: usize = 8;
 
-/// The signals that the process handles.
-pub struct Signals {
-    hangup: Signal,
-    terminate: Signal,
-}
-
-impl Signals {
-    /// Handles SIGHUP and SIGTERM from now on; without a handler either would end the process.
-    pub fn register() -> std::io::Result<Self> {
-        let hangup = signal(SignalKind::hangup())?;
-        let terminate = signal(SignalKind::terminate())?;
-        Ok(Self { hangup, terminate })
-    }
-}
-
-/// What a process starts with.
-pub struct StartInputs {
-    /// The platform's configuration.
-    pub loaded: Loaded,
-    /// What the operator's file sets.
-    pub operator: OperatorConfig,
-    /// The command line's options.
-    pub options: ServeOptions,
-}
-
 /// The parts of the process.
 pub(super) struct Server {
     pub(super) config: Rc<ServerConfig>,
     pub(super) phases: Rc<Phases>,
     pub(super) services: Rc<Services>,
     pub(super) queues: Option<Rc<AmqpConsumer>>,
-    pub(super) talk: Option<Rc<Talk>>,
+    pub(super) gossip: Option<Rc<GossipTransport>>,
     catalog: Rc<RefCell<Catalog>>,
     endpoints: Rc<UpstreamEndpoints>,
     descriptors: Descriptors,
 }
 
-/// Serves until the shutdown notice and its end.
-pub async fn serve(inputs: StartInputs, mut signals: Signals) -> Result<(), ProcessError> {
-    let StartInputs { loaded, operator, options } = inputs;
-    let server = Server::new(loaded, &operator, options.clock_apart_ms).await?;
-    // From here on connections may be accepted: whatever ends the process ends them first.
-    let listener = tokio::select! {
-        bound = bind(server.config.listen) => bound?,
-        _ = signals.terminate.recv() => return Ok(()),
-    };
-    let gateways = server.gateways(listener);
-    server.log_start(&operator);
-    let reloader = server.reloader(&operator, options.file);
-    server.spawn_tasks(&gateways, signals.hangup, reloader);
-    let serves = tokio::select! {
-        worker = server.services.worker.ready() => {
-            server.start_controller(worker);
-            true
-        }
-        _ = signals.terminate.recv() => false,
-    };
-    if serves {
-        server.phases.enter(Phase::Serving, gateways.counts());
-        signals.terminate.recv().await;
-    }
-    shutdown::shut_down(&server, &gateways, serves).await;
-    Ok(())
-}
-
 impl Server {
-    async fn new(
+    pub(super) async fn new(
         loaded: Loaded,
         operator: &OperatorConfig,
         clock_offset_ms: i64,
@@ -119,13 +63,13 @@
             phases,
             services,
             queues: None,
-            talk: None,
+            gossip: None,
             catalog: Rc::new(RefCell::new(catalog)),
             endpoints,
             descriptors,
         };
         server.queues = server.queue_consumer(operator);
-        server.talk = server.join_fleet(operator).await?;
+        server.gossip = server.join_fleet(operator).await?;
         Ok(server)
     }
 
@@ -141,27 +85,26 @@
         Some(AmqpConsumer::new(context, amqp, operator))
     }
 
-    async fn join_fleet(&self, operator: &OperatorConfig) -> Result<Option<Rc<Talk>>, StartError> {
+    async fn join_fleet(&self, operator: &OperatorConfig) -> Result<Option<Rc<GossipTransport>>, StartError> {
         let Some(fleet) = &operator.fleet else { return Ok(None) };
-        let context = Around {
+        let context = TransportContext {
             dispatcher: self.services.dispatcher.clone(),
             endpoints: self.endpoints.clone(),
             phases: self.phases.clone(),
             catalog: self.catalog.clone(),
         };
-        let identity = (self.config.name.as_str(), self.config.seed);
-        let talk = Talk::new(fleet, identity, context).await;
-        let talk = Rc::new(talk.map_err(|why| StartError::Fleet(why.to_string()))?);
-        self.services.dependency.observe(talk.clone());
-        Ok(Some(talk))
+        let ServerConfig { name, seed, .. } = &*self.config;
+        let transport = Rc::new(GossipTransport::bind(fleet, name, *seed, context).await?);
+        self.services.dependency.observe(transport.clone());
+        Ok(Some(transport))
     }
 
-    fn gateways(&self, listener: TcpListener) -> Rc<GatewayServer> {
+    pub(super) fn gateways(&self, listener: TcpListener) -> Rc<GatewayServer> {
         let (services, phases) = (self.services.clone(), self.phases.clone());
         Rc::new(GatewayServer::new(services, phases, self.catalog.clone(), listener, self.descriptors))
     }
 
-    fn reloader(&self, operator: &OperatorConfig, operator_file: Option<String>) -> Rc<Reloader> {
+    pub(super) fn reloader(&self, operator: &OperatorConfig, operator_file: Option<String>) -> Rc<Reloader> {
         Rc::new(Reloader {
             endpoints: self.endpoints.clone(),
             running: self.config.clone(),
@@ -174,23 +117,24 @@
         })
     }
 
-    fn log_start(&self, operator: &OperatorConfig) {
+    pub(super) fn log_start(&self, operator: &OperatorConfig) {
         let ServerConfig { name, listen, stop, .. } = &*self.config;
-        let (request_classes, tenants) = self.catalog.borrow().size();
+        let request_classes = self.catalog.borrow().request_class_count();
+        let tenants = self.catalog.borrow().tenant_count();
         log::info!(name = name.as_str(), listen:%, stop_ms = stop.us() / 1000, op_types = request_classes,
             tenants, queues = operator.queues.len(), connections = self.descriptors.gateways,
             calls = self.descriptors.calls; "start");
     }
 
-    fn spawn_tasks(&self, gateways: &Rc<GatewayServer>, hangup: Signal, reloader: Rc<Reloader>) {
+    pub(super) fn spawn_tasks(&self, gateways: &Rc<GatewayServer>, hangup: Signal, reloader: Rc<Reloader>) {
         let Services { dispatcher, worker, .. } = &*self.services;
         let hangup = Rc::new(RefCell::new(hangup));
         supervise("reload", &hangup, move |hangup| reload::on_hangup(hangup, reloader.clone()));
         if let Some(queues) = &self.queues {
             supervise("queues", queues, AmqpConsumer::run);
         }
-        if let Some(talk) = &self.talk {
-            talk::begin(talk);
+        if let Some(transport) = &self.gossip {
+            transport::start(transport);
         }
         supervise("accept", gateways, GatewayServer::accept_connections);
         supervise("connections", gateways, GatewayServer::maintain_connections);
@@ -209,8 +153,8 @@
         });
     }
 
-    fn start_controller(&self, worker: WorkerState) {
-        let WorkerState { is_warm, uptime } = worker;
+    pub(super) fn start_controller(&self, worker: WorkerStatus) {
+        let WorkerStatus { is_warm, uptime } = worker;
         let dispatcher = &self.services.dispatcher;
         let started_at = dispatcher.clock.now().back(uptime);
         let catalog = self.catalog.clone();
@@ -221,7 +165,7 @@
 
 /// The store of idempotency keys and shared reads; it covers the longest time that any client waits.
 fn deduplication(config: &ServerConfig, catalog: &Catalog) -> Deduplication {
-    let receipt_delay = catalog.longest_timeout().scaled(MAX_TIMEOUT_FACTOR) + MAX_OVERDUE;
+    let receipt_delay = catalog.max_request_timeout().scaled(MAX_TIMEOUT_FACTOR) + MAX_OVERDUE;
     let max_bytes = config.max_memory_bytes / RESULT_MEMORY_DIVISOR;
     Deduplication::new(config.read_freshness, receipt_delay, max_bytes)
 }
--- a/crates/hazelspur-server/src/request/dispatcher.rs
+++ b/crates/hazelspur-server/src/request/dispatcher.rs
@@ -6,11 +6,11 @@
 use crate::clock::Clock;
 use crate::request::deduplication::Deduplication;
 use crate::request::event::{Completion, RequestEvent};
-use hazelspur::book::LoadReport;
-use hazelspur::config::change::{Change, Changed};
+use hazelspur::config::change::{Change, ChangeSummary};
 use hazelspur::{
-    AdmissionController, Catalog, Decision, Duration, GuidanceKey, RequestId, TenantId, Timestamp,
+    AdmissionController, Catalog, ConfigError, Decision, Duration, LoadReport, RequestId, TenantId, Timestamp,
 };
+use hazelspur_fleet::guidance::{ExpiredValue, GuidanceChange, GuidanceUpdate, LeaseExpiry};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -18,14 +18,6 @@
 use tokio::sync::Notify;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// What the controller goes by once the first of its quota leases expires.
-pub struct LeaseExpiry {
-    /// When that lease expires, by the monotonic clock.
-    pub at: Timestamp,
-    /// The guaranteed minimum of each leased quota.
-    pub guaranteed: BTreeMap<GuidanceKey, f64>,
-}
-
 /// A final response that is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Response {
@@ -95,33 +87,32 @@
 
     /// Applies a change of the settings whole, also before the start. The error names the key at fault, and
     /// nothing is changed then.
-    pub fn apply_change(&self, catalog: &RefCell<Catalog>, change: &Change) -> Result<Changed, String> {
+    pub fn apply_change(
+        &self,
+        catalog: &RefCell<Catalog>,
+        change: &Change,
+    ) -> Result<ChangeSummary, ConfigError> {
         let now = self.clock.now();
         let changed = match self.controller.borrow_mut().as_mut() {
             Some(controller) => controller.apply_change(now, change)?,
             None => {
                 let mut catalog = catalog.borrow_mut();
                 catalog.check(now, change)?;
-                catalog.apply(now, change).0
+                catalog.apply(now, change).summary
             }
         };
         self.input_notification.notify_one();
         Ok(changed)
     }
 
-    /// Sets guidance from the fleet, `None` to take a figure back, and what applies once a lease expires.
-    pub fn set_guidance(
-        &self,
-        guidance: impl IntoIterator<Item = (GuidanceKey, Option<f64>)>,
-        expiry: Option<LeaseExpiry>,
-    ) {
-        *self.lease_expiry.borrow_mut() = expiry;
-        let mut guidance = guidance.into_iter().peekable();
-        if guidance.peek().is_none() {
+    /// Gives the controller what has changed of the fleet's guidance, and keeps what applies once a lease expires.
+    pub fn set_guidance(&self, update: GuidanceUpdate) {
+        *self.lease_expiry.borrow_mut() = update.expiry;
+        if update.changes.is_empty() {
             return;
         }
         self.report(|controller, now| {
-            for (key, value) in guidance {
+            for GuidanceChange { key, value } in update.changes {
                 controller.set_guidance(now, key, value);
             }
         });
@@ -133,7 +124,7 @@
         let Some(expiry) = self.lease_expiry.borrow_mut().take_if(|expiry| now >= expiry.at) else { return };
         let now = self.clock.now();
         if let Some(controller) = self.controller.borrow_mut().as_mut() {
-            for (key, value) in expiry.guaranteed {
+            for ExpiredValue { key, value } in expiry.values {
                 controller.set_guidance(now, key, Some(value));
             }
         }
@@ -247,7 +238,7 @@
                 self.deduplication.borrow_mut().store_until(request, self.clock.now() + window);
             }
             Decision::RemoveKey(request) => self.deduplication.borrow_mut().release(request),
-            Decision::Log(text) => log::info!("{text}"),
+            Decision::Log(event) => log::info!("{event}"),
             Decision::SetTimer(at) => {
                 self.timer.set(Some(at));
                 self.timer_set.notify_one();
--- a/crates/hazelspur-server/src/request/lifecycle.rs
+++ b/crates/hazelspur-server/src/request/lifecycle.rs
@@ -3,7 +3,7 @@
 //! Inputs are `RequestEvent`s, outputs are commands to the worker, dependency calls and the final response.
 //! Whatever happens, the client gets at most one response and the controller is notified of the end.
 
-use crate::request::deduplication::DeduplicationKey;
+use crate::request::deduplication::RetryOf;
 use crate::request::dispatcher::Dispatcher;
 use crate::request::event::{Completion, RequestEvent};
 use crate::request::responder::{Responder, RunPermission};
@@ -31,15 +31,6 @@
     pub dependency: Rc<DependencyClient>,
 }
 
-/// The earlier attempt that a request repeats.
-#[derive(Clone)]
-pub struct RetryOf {
-    /// The key that both attempts have.
-    pub key: DeduplicationKey,
-    /// The attempt that held the key when this one was received.
-    pub original: RequestId,
-}
-
 /// What a received request states, besides its body.
 pub struct ReceivedRequest {
     /// The request class that it names.
@@ -261,7 +252,7 @@
     fn start_call(&self, run: &mut Run, timeout: Duration) {
         let (services, request, body) = (self.services.clone(), self.request, run.call_body.clone());
         // A reused connection may break after the call ran: only idempotent requests may use one.
-        let new_connection = run.call_was_attempted || self.class.repeats != Idempotency::Idempotent;
+        let new_connection = run.call_was_attempted || self.class.idempotency != Idempotency::Idempotent;
         run.call = Box::pin(async move {
             let call = Call { request, timeout, body: &body, new_connection };
             services.dependency.call(&services.dispatcher.clock, call).await
--- a/crates/hazelspur-server/tests/every_key.rs
+++ b/crates/hazelspur-server/tests/every_key.rs
@@ -317,7 +317,11 @@
             ),
         }
         request classes, tenants: (1, 2)"#]]
-    .assert_eq(&format!("{:#?}\nrequest classes, tenants: {:?}", loaded.config, loaded.catalog.size()));
+    .assert_eq(&format!(
+        "{:#?}\nrequest classes, tenants: {:?}",
+        loaded.config,
+        (loaded.catalog.request_class_count(), loaded.catalog.tenant_count())
+    ));
 }
 
 #[test]
--- a/crates/hazelspur-server/tests/queues.rs
+++ b/crates/hazelspur-server/tests/queues.rs
@@ -92,7 +92,7 @@
     if !settled {
         breaches.push("not settled in time".into());
     }
-    if std::env::var("HAZELSPUR_LEAKS").is_ok() && !said.text.contains("mode leaving in_hand=0") {
+    if std::env::var("HAZELSPUR_LEAKS").is_ok() && !said.text.contains("mode draining in_hand=0") {
         breaches.push("the controller still has requests".into());
     }
     if said.status != Some(0) || said.errors() > 0 {
@@ -148,7 +148,7 @@
     assert!(short > 0 && !shop.runs().contains("old"), "{short} short ones expired, ran: {}", shop.runs());
     assert!(shop.runs().contains("a clock minutes ahead 1"));
     assert_eq!((old, said.status, shop.breaches(0)), (100, Some(0), Vec::new()));
-    assert!(!said.text.contains("mode bound"), "expired messages were taken for load:\n{}", said.text);
+    assert!(!said.text.contains("mode rate_limited"), "expired messages were taken for load:\n{}", said.text);
 }
 
 #[test]
--- a/crates/hazelspur-simulator/src/capacity/constants.rs
+++ b/crates/hazelspur-simulator/src/capacity/constants.rs
@@ -16,84 +16,115 @@
     Constant { file, name, text, value }
 }
 
-const CATALOG: &str = "src/catalog.rs";
-const CONTROL: &str = "crates/hazelspur-server/src/upstream/control.rs";
-const DESCRIPTORS: &str = "crates/hazelspur-server/src/config/descriptors.rs";
-const GATE: &str = "crates/hazelspur-fleet/src/gate.rs";
+const ENTRY_KIND: &str = "src/config/entry_kind.rs";
+const REGISTRY: &str = "crates/hazelspur-server/src/upstream/registry.rs";
+const DESCRIPTORS: &str = "crates/hazelspur-server/src/process/descriptors.rs";
+const CIRCUIT_BREAKER: &str = "crates/hazelspur-fleet/src/circuit_breaker.rs";
 const KEYS: &str = "crates/hazelspur-server/src/config/fleet_keys.rs";
 
-/// Mean wait between reports to the list, s: the middle of `EVERY`.
-pub const REPORT_EVERY: Constant =
-    constant(CONTROL, "EVERY", "const EVERY: [Span; 2] = [Span::from_ms(640), Span::from_ms(960)];", 0.8);
-/// The same after a miss, s: the middle of `AGAIN`.
-pub const REPORT_AGAIN: Constant =
-    constant(CONTROL, "AGAIN", "const AGAIN: [Span; 2] = [Span::from_ms(125), Span::from_ms(375)];", 0.25);
+/// Mean wait between reports to the list, s: the middle of `REPORT_INTERVAL`.
+pub const REPORT_EVERY: Constant = constant(
+    REGISTRY,
+    "REPORT_INTERVAL",
+    "const REPORT_INTERVAL: RandomInterval =\n    RandomInterval { min: Duration::from_ms(640), max: Duration::from_ms(960) };",
+    0.8,
+);
+/// The same after a miss, s: the middle of `RETRY_INTERVAL`.
+pub const REPORT_AGAIN: Constant = constant(
+    REGISTRY,
+    "RETRY_INTERVAL",
+    "const RETRY_INTERVAL: RandomInterval =\n    RandomInterval { min: Duration::from_ms(125), max: Duration::from_ms(375) };",
+    0.25,
+);
 /// Descriptors of the program's own.
-pub const OWN: Constant = constant(DESCRIPTORS, "OWN", "const OWN: usize = 16;", 16.0);
+pub const OWN: Constant = constant(DESCRIPTORS, "RESERVED", "const RESERVED: usize = 16;", 16.0);
 /// Connections to the ledger, in use or kept.
 pub const CALLS: Constant = constant(DESCRIPTORS, "MAX_CALLS", "const MAX_CALLS: usize = 64;", 64.0);
 /// Gateways' connections on their way out.
 pub const CLOSING: Constant = constant(DESCRIPTORS, "MAX_CLOSING", "const MAX_CLOSING: usize = 64;", 64.0);
 /// `limits.sockets` where the platform says nothing.
 pub const SOCKETS: Constant = constant(
-    "crates/hazelspur-server/src/config/startup.rs",
+    "crates/hazelspur-server/src/config/server_config.rs",
     "limits.sockets",
-    "number(limit(\"sockets\"), \"limits.sockets\", 1024.0,",
+    "NumberKey { key: \"limits.sockets\", default: 1024.0,",
     1024.0,
 );
 /// Idle connections to the ledger that are kept.
 pub const IDLE: Constant = constant(
-    "crates/hazelspur-server/src/upstream/ledger.rs",
-    "MAX_IDLE",
-    "const MAX_IDLE: usize = 16;",
+    "crates/hazelspur-server/src/upstream/dependency.rs",
+    "MAX_IDLE_CONNECTIONS",
+    "const MAX_IDLE_CONNECTIONS: usize = 16;",
     16.0,
 );
 /// Callers and users that the decision module remembers.
-pub const SEEN: Constant = constant("src/book.rs", "SEEN_KEPT", "pub const SEEN_KEPT: usize = 4096;", 4096.0);
+pub const SEEN: Constant =
+    constant("src/last_seen.rs", "LAST_SEEN_CAPACITY", "const LAST_SEEN_CAPACITY: usize = 4096;", 4096.0);
 /// Op types that are held.
 pub const OP_TYPES: Constant =
-    constant(CATALOG, "MAX_OP_TYPES", "pub const MAX_OP_TYPES: usize = 17_400;", 17_400.0);
+    constant(ENTRY_KIND, "MAX_REQUEST_CLASSES", "pub const MAX_REQUEST_CLASSES: usize = 17_400;", 17_400.0);
 /// Tenants that are held.
 pub const TENANTS: Constant =
-    constant(CATALOG, "MAX_TENANTS", "pub const MAX_TENANTS: usize = 84_000;", 84_000.0);
+    constant(ENTRY_KIND, "MAX_TENANTS", "pub const MAX_TENANTS: usize = 84_000;", 84_000.0);
 /// Tenants, and op types, of which something learned is kept.
-pub const LEARNED: Constant =
-    constant("src/book.rs", "LEARNED_KEPT", "pub const LEARNED_KEPT: usize = 4096;", 4096.0);
+pub const LEARNED: Constant = constant(
+    "src/recently_seen.rs",
+    "RECENTLY_SEEN_CAPACITY",
+    "pub const RECENTLY_SEEN_CAPACITY: usize = 4096;",
+    4096.0,
+);
 /// The longest configuration that is read, in bytes.
 pub const LONGEST_FILE: Constant = constant(
-    "crates/hazelspur-server/src/config/startup.rs",
-    "LONGEST_FILE",
-    "pub const LONGEST_FILE: u64 = 8 * 1024 * 1024;",
+    "crates/hazelspur-server/src/config/server_config.rs",
+    "MAX_FILE_BYTES",
+    "const MAX_FILE_BYTES: u64 = 8 * 1024 * 1024;",
     8_388_608.0,
 );
 /// The greatest `most` of the operator's file.
 pub const MOST: Constant =
     constant(KEYS, "Fleet.most", "#[garde(range(min = 1, max = 4096))]\n    pub most: usize,", 4096.0);
 /// The part of a shared limit that is divided by `most` for good.
-pub const FLOOR: Constant = constant(KEYS, "floor()", "fn floor() -> f64 {\n    0.2\n}", 0.2);
+pub const FLOOR: Constant =
+    constant(KEYS, "DEFAULT_GUARANTEED_FRACTION", "const DEFAULT_GUARANTEED_FRACTION: f64 = 0.2;", 0.2);
 /// How long a vote holds, s.
-pub const LEASE: Constant = constant(KEYS, "lease()", "fn lease() -> f64 {\n    4.0\n}", 4.0);
+pub const LEASE: Constant = constant(KEYS, "DEFAULT_VOTE_SECS", "const DEFAULT_VOTE_SECS: f64 = 4.0;", 4.0);
 /// How often one other is probed, s.
-pub const PERIOD: Constant = constant(KEYS, "period()", "fn period() -> f64 {\n    1.0\n}", 1.0);
+pub const PERIOD: Constant =
+    constant(KEYS, "DEFAULT_PERIOD_SECS", "const DEFAULT_PERIOD_SECS: f64 = 1.0;", 1.0);
 /// The part of a lease after which a holder asks again.
 pub const RENEWAL: Constant = constant(
-    "crates/hazelspur-fleet/src/shares/terms.rs",
-    "Terms::renewal",
-    "pub fn renewal(&self) -> Span {\n        self.span.scaled(0.25)",
+    "crates/hazelspur-fleet/src/quota/config.rs",
+    "RENEWAL_FRACTION",
+    "const RENEWAL_FRACTION: f64 = 0.25;",
     0.25,
 );
 /// How often a chosen server tries a ledger that is gone, s.
-pub const CHOSEN_EVERY: Constant =
-    constant(GATE, "CHOSEN_EVERY", "const CHOSEN_EVERY: Span = Span::from_ms(250);", 0.25);
+pub const CHOSEN_EVERY: Constant = constant(
+    CIRCUIT_BREAKER,
+    "DESIGNATED_PROBE_INTERVAL",
+    "const DESIGNATED_PROBE_INTERVAL: Duration = Duration::from_ms(250);",
+    0.25,
+);
 /// The same of the others, s.
-pub const OTHERS_EVERY: Constant =
-    constant(GATE, "OTHERS_EVERY", "const OTHERS_EVERY: Span = Span::from_ms(4000);", 4.0);
+pub const OTHERS_EVERY: Constant = constant(
+    CIRCUIT_BREAKER,
+    "OTHER_PROBE_INTERVAL",
+    "const OTHER_PROBE_INTERVAL: Duration = Duration::from_ms(4000);",
+    4.0,
+);
 /// Parts of the list that one server answers in a period.
-pub const PAGES: Constant =
-    constant("crates/hazelspur-fleet/src/members/mod.rs", "PAGES", "const PAGES: usize = 64;", 64.0);
+pub const PAGES: Constant = constant(
+    "crates/hazelspur-fleet/src/membership/state.rs",
+    "LIST_PAGES_PER_PERIOD",
+    "const LIST_PAGES_PER_PERIOD: usize = 64;",
+    64.0,
+);
 /// How often a piece of news goes out, times the logarithm of the size.
-pub const NEWS_TIMES: Constant =
-    constant("crates/hazelspur-fleet/src/news.rs", "TIMES", "const TIMES: u32 = 4;", 4.0);
+pub const NEWS_TIMES: Constant = constant(
+    "crates/hazelspur-fleet/src/membership/gossip_queue.rs",
+    "TRANSMISSIONS_PER_LOG_SIZE",
+    "const TRANSMISSIONS_PER_LOG_SIZE: u32 = 4;",
+    4.0,
+);
 
 /// All of them.
 pub const ALL: [Constant; 21] = [
