--- a/crates/hazelspur-fault-harness/src/checker.rs
+++ b/crates/hazelspur-fault-harness/src/checker.rs
@@ -2,8 +2,8 @@
 //! nothing that a server says of itself counts, but for its picture of the fleet, which is what is judged
 //! there.
 
+use crate::observer::View;
 use crate::script::{Fault, Party, site};
-use crate::watch::View;
 use hazelspur_fleet::{LocalStatus, MemberStatus};
 use hazelspur_test_doubles::gateway::{Answer, Try};
 use std::collections::BTreeMap;
--- a/crates/hazelspur-fault-harness/src/lib.rs
+++ b/crates/hazelspur-fault-harness/src/lib.rs
@@ -11,11 +11,11 @@
 //! - `checker`: the four rules over all of it, and the pictures;
 //! - `hollow`: a large fleet of a few real servers and many hollow members, and what a member costs.
 
-pub mod bed;
 pub mod checker;
-pub mod hollow;
-pub mod play;
+pub mod lightweight;
+pub mod link_faults;
+pub mod observer;
 pub mod relay;
+pub mod run;
 pub mod script;
-pub mod watch;
-pub mod weather;
+pub mod test_fleet;
--- a/crates/hazelspur-fault-harness/src/hollow/line.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/command.rs
@@ -1,6 +1,6 @@
 //! The subcommand `hollow`: sizes one after the other, a table, and the file of measured figures.
 
-use super::{Outcome, Plan, figures, machine, run};
+use super::{Outcome, Plan, figures, process_usage, run};
 use anyhow::Context;
 use serde_json::{Value, json};
 use std::ops::ControlFlow;
@@ -25,7 +25,7 @@
     /// How many of them are real servers.
     #[arg(long, default_value_t = 24)]
     real: usize,
-    /// Hollow members of a process.
+    /// LightweightProcess members of a process.
     #[arg(long, default_value_t = 200)]
     per_process: usize,
     /// From the start to the end of the window; longer where they agree late.
@@ -93,7 +93,7 @@
         let sizes = if self.sizes.is_empty() { vec![self.members] } else { self.sizes.clone() };
         let plans: Vec<Plan> = sizes.into_iter().map(plan).collect();
         // All of them before the first one starts.
-        let limit = machine::descriptors()?;
+        let limit = process_usage::descriptors()?;
         plans.iter().try_for_each(|plan| plan.check(limit))?;
         let mut outcomes: Vec<Outcome> = Vec::new();
         for plan in &plans {
@@ -120,7 +120,7 @@
         let arguments: Vec<String> = std::env::args().skip(1).collect();
         let command = format!("cargo run --release -p hazelspur-fault-harness -- {}", arguments.join(" "));
         let cores = std::thread::available_parallelism()?;
-        let gib = (machine::memory()? as f64 / f64::from(1 << 30)).round();
+        let gib = (process_usage::memory()? as f64 / f64::from(1 << 30)).round();
         let text = self.text.clone().or_else(git_text).unwrap_or("not known".into());
         let head = json!({
             "study": STUDY,
--- a/crates/hazelspur-fault-harness/src/hollow/figures.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/figures.rs
@@ -6,9 +6,9 @@
 //! each hollow one. So that both kinds may be compared, what hollow members got of either is counted alike,
 //! by the sender.
 
-use super::machine::Process;
 use super::member::{Counted, Heard, Traffic};
-use super::processes::Hollow;
+use super::process_usage::Process;
+use super::processes::LightweightProcess;
 use super::{Fleet, Outcome};
 use comfy_table::{Table, presets};
 use hazelspur_fleet::MemberName;
@@ -35,18 +35,18 @@
     /// Real, and votes on that.
     Keeper,
     Real,
-    Hollow,
+    LightweightProcess,
 }
 
 impl Role {
-    pub const ALL: [Self; 4] = [Self::Real, Self::Hollow, Self::Keeper, Self::Divider];
+    pub const ALL: [Self; 4] = [Self::Real, Self::LightweightProcess, Self::Keeper, Self::Divider];
 
     pub fn name(self) -> &'static str {
         match self {
             Self::Divider => "divider",
             Self::Keeper => "keeper",
             Self::Real => "real",
-            Self::Hollow => "hollow",
+            Self::LightweightProcess => "hollow",
         }
     }
 }
@@ -94,7 +94,7 @@
     pub fn new(
         fleet: &Fleet,
         divider: Option<MemberName>,
-        hollows: &[Hollow],
+        hollows: &[LightweightProcess],
         before: &Reading,
         after: &Reading,
     ) -> Self {
@@ -153,7 +153,7 @@
                 not_taken += new.dropped - old.dropped;
                 unsent += new.unsent - old.unsent;
                 members.push(Member {
-                    role: Role::Hollow,
+                    role: Role::LightweightProcess,
                     sent: Rates::of(new.sent.since(old.sent), seconds),
                     heard: Rates::of(new.heard.since(old.heard), seconds),
                     told: Rates::of(told, seconds),
@@ -185,9 +185,9 @@
     /// got them, to each of them that is not the sender, as parts of the real one's; none where all real
     /// ones are keepers.
     pub fn difference(&self) -> Option<(f64, f64)> {
-        let receivers = self.of(Role::Hollow).count() as f64;
+        let receivers = self.of(Role::LightweightProcess).count() as f64;
         let part = |figure: Of| {
-            let hollow = self.mean(Role::Hollow, figure)? / (receivers - 1.0);
+            let hollow = self.mean(Role::LightweightProcess, figure)? / (receivers - 1.0);
             let real = self.mean(Role::Real, figure)? / receivers;
             (real > 0.0 && receivers > 1.0).then_some(hollow / real - 1.0)
         };
@@ -252,7 +252,7 @@
         let name = role.name();
         for (figure, unit, of) in EACH {
             put(format!("members.{name}.{figure}"), case, unit, figures.mean(role, of));
-            let even = role == Role::Hollow && !figure.contains("per_s");
+            let even = role == Role::LightweightProcess && !figure.contains("per_s");
             if role != Role::Divider && !even {
                 put(format!("members.{name}.most_{figure}"), case, unit, figures.most(role, of));
             }
@@ -357,7 +357,7 @@
     text += &format!(
         "as hollow members got them: of a real one {}, of a hollow one {}",
         as_heard(Role::Real),
-        as_heard(Role::Hollow)
+        as_heard(Role::LightweightProcess)
     );
     if let Some((datagrams, bytes)) = figures.difference() {
         text += &format!(
@@ -366,6 +366,9 @@
             bytes * 100.0
         );
     }
-    let (own, numbered) = (mean(Role::Hollow, |m| m.sent.datagrams), mean(Role::Hollow, |m| m.numbered));
+    let (own, numbered) = (
+        mean(Role::LightweightProcess, |m| m.sent.datagrams),
+        mean(Role::LightweightProcess, |m| m.numbered),
+    );
     text + &format!("; datagrams of a hollow one by its own count {own:.2}, by their numbers {numbered:.2}")
 }
--- a/crates/hazelspur-fault-harness/src/hollow/asking.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/fleet_queries.rs
@@ -15,7 +15,7 @@
 /// What did not come is asked for again after so long.
 const AGAIN: Duration = Duration::from_millis(150);
 
-pub struct Asker {
+pub struct FleetQuerier {
     socket: UdpSocket,
     from: MemberUpdate,
     key: Key,
@@ -23,7 +23,7 @@
     number: u32,
 }
 
-impl Asker {
+impl FleetQuerier {
     pub fn new() -> anyhow::Result<Self> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         let name = |what| anyhow::anyhow!("{what}: no good name");
--- a/crates/hazelspur-fault-harness/src/hollow/mod.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/mod.rs
@@ -11,16 +11,16 @@
 //! - `figures`: what a window's readings come to, as a table and as points;
 //! - `line`: the subcommand.
 
-pub mod asking;
+pub mod command;
 pub mod figures;
-pub mod line;
-pub mod machine;
+pub mod fleet_queries;
 pub mod member;
+pub mod process_usage;
 pub mod processes;
 
 use anyhow::Context;
-use asking::Asker;
 use figures::{Figures, Reading};
+use fleet_queries::FleetQuerier;
 use hazelspur::Duration;
 use hazelspur::pcg::Pcg;
 use hazelspur_fleet::quota::{QuotaConfig, SharedLimit};
@@ -28,7 +28,7 @@
     FleetSize, Installation, LimitName, LocalStatus, MemberName, MemberStatus, NodeConfig, SiteName,
 };
 use member::{Order, Task};
-use processes::{Hollow, Reals};
+use processes::{LightweightProcess, RealServers};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -85,7 +85,7 @@
     pub own_binary: PathBuf,
     pub members: usize,
     pub real: usize,
-    /// Hollow members of a process.
+    /// LightweightProcess members of a process.
     pub per_process: usize,
     /// All start within so long.
     pub spread: StdDuration,
@@ -292,10 +292,10 @@
 /// One run. `look` is told what the real members say while agreement is awaited, and may end that early.
 /// Errors: limits of the machine, processes that could not start or ended by themselves.
 pub fn run(plan: &Plan, look: &mut dyn FnMut(&Look) -> ControlFlow<()>) -> anyhow::Result<Outcome> {
-    plan.check(machine::descriptors()?)?;
+    plan.check(process_usage::descriptors()?)?;
     let run = RUNS.fetch_add(1, Ordering::Relaxed);
     let from = std::process::id().wrapping_mul(13) + run;
-    let (net, _claim) = crate::bed::claim_net(from).context("a net of its own")?;
+    let (net, _claim) = crate::test_fleet::claim_net(from).context("a net of its own")?;
     let fleet = Fleet {
         net,
         members: plan.members,
@@ -331,9 +331,9 @@
     plan: &'a Plan,
     fleet: Fleet,
     // Ended first.
-    reals: Reals,
-    hollows: Vec<Hollow>,
-    asker: Asker,
+    reals: RealServers,
+    hollows: Vec<LightweightProcess>,
+    asker: FleetQuerier,
     most_memory: u64,
     may_take: u64,
     memory_due: Instant,
@@ -341,13 +341,14 @@
 
 impl<'a> Run<'a> {
     fn start(plan: &'a Plan, fleet: Fleet, folder: &Folder) -> anyhow::Result<Self> {
-        let reals = Reals::new(plan, &fleet, folder.0.clone())?;
+        let reals = RealServers::new(plan, &fleet, folder.0.clone())?;
         let all = plan.whole + plan.agree_within + plan.settle + plan.window + plan.spread;
         let mut hollows = Vec::new();
         for first in (plan.real..plan.members).step_by(plan.per_process) {
             let count = plan.per_process.min(plan.members - first);
             let life_s = all.as_secs() + GRACE_S;
-            hollows.push(Hollow::start(plan, &Task { fleet: fleet.clone(), first, count, life_s })?);
+            hollows
+                .push(LightweightProcess::start(plan, &Task { fleet: fleet.clone(), first, count, life_s })?);
         }
         for hollow in &mut hollows {
             hollow.answer(READY).context("are all addresses free?")?;
@@ -357,9 +358,9 @@
             fleet,
             reals,
             hollows,
-            asker: Asker::new()?,
+            asker: FleetQuerier::new()?,
             most_memory: 0,
-            may_take: machine::memory()? / 2,
+            may_take: process_usage::memory()? / 2,
             memory_due: Instant::now(),
         })
     }
@@ -436,7 +437,7 @@
     }
 
     fn ids(&self) -> Vec<u32> {
-        let hollows = self.hollows.iter().map(Hollow::id);
+        let hollows = self.hollows.iter().map(LightweightProcess::id);
         hollows.chain(self.reals.ids().into_iter().flatten()).collect()
     }
 
@@ -466,12 +467,12 @@
     fn wait(&mut self, until: Instant) -> anyhow::Result<()> {
         loop {
             self.reals.check()?;
-            self.hollows.iter_mut().try_for_each(Hollow::check)?;
+            self.hollows.iter_mut().try_for_each(LightweightProcess::check)?;
             anyhow::ensure!(!self.plan.stop.load(Ordering::Relaxed), "stopped from outside");
             if Instant::now() >= self.memory_due {
                 self.memory_due = Instant::now() + LOOK_AT_MEMORY;
                 let ids = self.ids().into_iter().chain([std::process::id()]);
-                let taken: u64 = ids.filter_map(machine::taken).sum();
+                let taken: u64 = ids.filter_map(process_usage::taken).sum();
                 self.most_memory = self.most_memory.max(taken);
                 let may = self.may_take;
                 anyhow::ensure!(
@@ -493,8 +494,8 @@
         }
         let at = Instant::now();
         let counted = self.hollows.iter_mut().map(|hollow| hollow.answer(READY)).collect::<Result<_, _>>()?;
-        let reals = self.reals.ids().into_iter().map(|id| id.and_then(machine::process)).collect();
-        let hollows = self.hollows.iter().map(|hollow| machine::process(hollow.id())).collect();
-        Ok(Reading { at, counted, reals, hollows, drops: machine::udp_drops(self.fleet.net) })
+        let reals = self.reals.ids().into_iter().map(|id| id.and_then(process_usage::process)).collect();
+        let hollows = self.hollows.iter().map(|hollow| process_usage::process(hollow.id())).collect();
+        Ok(Reading { at, counted, reals, hollows, drops: process_usage::udp_drops(self.fleet.net) })
     }
 }
--- a/crates/hazelspur-fault-harness/src/hollow/processes.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/processes.rs
@@ -24,7 +24,7 @@
 const STEP: Duration = Duration::from_millis(2);
 
 /// Real servers.
-pub struct Reals {
+pub struct RealServers {
     fleet: Fleet,
     server_binary: PathBuf,
     pub folder: PathBuf,
@@ -35,7 +35,7 @@
     gateway: Option<Gateway>,
 }
 
-impl Reals {
+impl RealServers {
     /// All but the processes.
     pub fn new(plan: &Plan, fleet: &Fleet, folder: PathBuf) -> anyhow::Result<Self> {
         std::fs::write(folder.join("key"), KEY)?;
@@ -182,7 +182,7 @@
     }
 }
 
-impl Drop for Reals {
+impl Drop for RealServers {
     fn drop(&mut self) {
         for child in self.processes.iter_mut().flatten() {
             let _ = child.kill();
@@ -192,7 +192,7 @@
 }
 
 /// One process of hollow members.
-pub struct Hollow {
+pub struct LightweightProcess {
     child: Child,
     orders: Option<ChildStdin>,
     answers: Receiver<String>,
@@ -200,11 +200,11 @@
     pub count: usize,
 }
 
-impl Hollow {
+impl LightweightProcess {
     /// Returns at once; the first answer says that all sockets are there.
     pub fn start(plan: &Plan, task: &Task) -> anyhow::Result<Self> {
         let mut command = Command::new(&plan.own_binary);
-        command.arg(super::line::HIDDEN).stdin(Stdio::piped()).stdout(Stdio::piped());
+        command.arg(super::command::HIDDEN).stdin(Stdio::piped()).stdout(Stdio::piped());
         let mut child = command.spawn().with_context(|| format!("{:?}", plan.own_binary))?;
         let (mut orders, out) = (child.stdin.take(), child.stdout.take().context("its output")?);
         let (answer, answers) = sync_channel(1);
@@ -258,7 +258,7 @@
     }
 }
 
-impl Drop for Hollow {
+impl Drop for LightweightProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/crates/hazelspur-fault-harness/src/weather.rs
+++ b/crates/hazelspur-fault-harness/src/link_faults.rs
@@ -20,12 +20,12 @@
 }
 
 #[derive(Clone)]
-pub struct Weather {
+pub struct LinkFaults {
     script: Arc<Script>,
     began: Arc<Mutex<Option<Instant>>>,
 }
 
-impl Weather {
+impl LinkFaults {
     /// Fair until `begin`.
     pub fn new(script: Script) -> Self {
         Self { script: Arc::new(script), began: Arc::default() }
--- a/crates/hazelspur-fault-harness/src/main.rs
+++ b/crates/hazelspur-fault-harness/src/main.rs
@@ -2,10 +2,10 @@
 
 use anyhow::Context;
 use clap::{Parser, Subcommand};
-use hazelspur_fault_harness::bed::Plan;
-use hazelspur_fault_harness::hollow::line;
-use hazelspur_fault_harness::play::{Verdict, play, summary};
+use hazelspur_fault_harness::lightweight::command;
+use hazelspur_fault_harness::run::{Verdict, play, summary};
 use hazelspur_fault_harness::script::Script;
+use hazelspur_fault_harness::test_fleet::Plan;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -54,7 +54,7 @@
     },
     /// A fleet of a few real servers and many hollow members: what a member costs by size; exit status 1
     /// where they did not agree.
-    Hollow(line::Line),
+    LightweightProcess(line::Line),
     /// Serves hollow members by lines on its input; started by `hollow`.
     #[command(name = line::HIDDEN, hide = true)]
     HollowMembers,
@@ -76,13 +76,13 @@
 
 fn run() -> anyhow::Result<bool> {
     let command = Line::parse().command;
-    if let Command::Hollow(line) = command {
+    if let Command::LightweightProcess(line) = command {
         return line.run();
     }
     let Command::Run { servers, gateways, rate, script, seed, seeds, seconds, shrink, joint, quiet, server } =
         command
     else {
-        return hazelspur_fault_harness::hollow::member::serve().map(|()| true);
+        return hazelspur_fault_harness::lightweight::member::serve().map(|()| true);
     };
     let beside = std::env::current_exe()?.with_file_name("hazelspur-server");
     let server_binary = server.unwrap_or(beside);
@@ -98,7 +98,7 @@
         seed,
         rate,
         most: servers * 2,
-        calls: hazelspur_fault_harness::bed::CALLS,
+        calls: hazelspur_fault_harness::test_fleet::CALLS,
         joint,
     };
     let scripts: Vec<(u64, Script)> = match (script, seed) {
@@ -113,7 +113,7 @@
     for (seed, script) in scripts {
         println!("faults: {script}");
         let mut before = String::new();
-        let mut tell = |at: u64, views: &[Option<hazelspur_fault_harness::watch::View>]| {
+        let mut tell = |at: u64, views: &[Option<hazelspur_fault_harness::observer::View>]| {
             let now = summary(views);
             if !quiet && now != before {
                 println!("{:6.1} s  {now}", at as f64 / 1000.0);
--- a/crates/hazelspur-fault-harness/src/watch.rs
+++ b/crates/hazelspur-fault-harness/src/observer.rs
@@ -21,14 +21,14 @@
     pub others: Vec<(String, MemberStatus)>,
 }
 
-pub struct Watch {
+pub struct FleetObserver {
     socket: UdpSocket,
     key: Key,
     installation: Installation,
     number: u32,
 }
 
-impl Watch {
+impl FleetObserver {
     pub fn new(key: &str, installation: &str) -> std::io::Result<Self> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         Ok(Self {
--- a/crates/hazelspur-fault-harness/src/relay.rs
+++ b/crates/hazelspur-fault-harness/src/relay.rs
@@ -1,7 +1,7 @@
 //! Relays: what passes a link passes here, under the rule that holds just then.
 
+use crate::link_faults::LinkFaults;
 use crate::script::Party;
-use crate::weather::Weather;
 use hazelspur::pcg::Pcg;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
 
 /// Listens for one party on behalf of another; returns where.
 pub async fn tcp(
-    weather: Weather,
+    link_faults: LinkFaults,
     (client, server): (Party, Party),
     (listen, target): (SocketAddr, SocketAddr),
     refusals: Refusals,
@@ -35,22 +35,22 @@
     let at = listener.local_addr()?;
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let (weather, refusals) = (weather.clone(), refusals.clone());
-            tokio::spawn(carry(weather, client, server, stream, target, refusals));
+            let (link_faults, refusals) = (link_faults.clone(), refusals.clone());
+            tokio::spawn(carry(link_faults, client, server, stream, target, refusals));
         }
     });
     Ok(at)
 }
 
 async fn carry(
-    weather: Weather,
+    link_faults: LinkFaults,
     client: Party,
     server: Party,
     stream: TcpStream,
     target: SocketAddr,
     refusals: Refusals,
 ) {
-    let rule = weather.rule(client, server);
+    let rule = link_faults.rule(client, server);
     if rule.cut {
         return end(&stream, rule.reset);
     }
@@ -65,8 +65,8 @@
     let (client_read, client_write) = stream.into_split();
     let (server_read, server_write) = onward.into_split();
     let reset = tokio::select! {
-        reset = pump(&weather, client, server, client_read, server_write) => reset,
-        reset = pump(&weather, server, client, server_read, client_write) => reset,
+        reset = pump(&link_faults, client, server, client_read, server_write) => reset,
+        reset = pump(&link_faults, server, client, server_read, client_write) => reset,
     };
     if reset {
         for socket in [there, back].into_iter().flatten() {
@@ -88,7 +88,7 @@
 /// Carries one way until an end closes or a fault ends it; whether by a reset. A close of one side ends both:
 /// the parties here never go on reading after that.
 async fn pump(
-    weather: &Weather,
+    link_faults: &LinkFaults,
     from: Party,
     to: Party,
     mut read: OwnedReadHalf,
@@ -96,7 +96,7 @@
 ) -> bool {
     let mut part = vec![0; PART];
     loop {
-        let rule = weather.rule(from, to);
+        let rule = link_faults.rule(from, to);
         if rule.cut {
             return rule.reset;
         }
@@ -112,12 +112,12 @@
             },
             () = sleep(LOOK) => continue,
         };
-        let rule = weather.rule(from, to);
+        let rule = link_faults.rule(from, to);
         if rule.delay_ms > 0 {
             sleep(Duration::from_millis(rule.delay_ms)).await;
         }
         // What was read just before a mute arrives after it.
-        while weather.rule(from, to).mute {
+        while link_faults.rule(from, to).mute {
             sleep(LOOK).await;
         }
         let step = if rule.slow { 1 } else { PART };
@@ -134,7 +134,7 @@
 
 /// Stands where a server is reached by datagrams, and tells senders apart by their sockets.
 pub async fn udp(
-    weather: Weather,
+    link_faults: LinkFaults,
     to: Party,
     listen: SocketAddr,
     target: SocketAddr,
@@ -150,7 +150,7 @@
             let Ok((length, sender)) = socket.recv_from(&mut bytes).await else { continue };
             let from = senders.lock().expect("no panic before").get(&sender).copied();
             let Some(from) = from else { continue };
-            let rule = weather.rule(from, to);
+            let rule = link_faults.rule(from, to);
             let drawn = |chance: &mut Pcg, part: u64| u64::from(chance.draw() % 100) < part;
             if rule.cut || rule.mute || rule.swallow || drawn(&mut chance, rule.lose) {
                 continue;
--- a/crates/hazelspur-fault-harness/src/play.rs
+++ b/crates/hazelspur-fault-harness/src/run.rs
@@ -1,9 +1,11 @@
 //! One run from its start to its verdict.
 
-use crate::bed::{Bed, CALLS_OVER, CORES, CROWD_MULTIPLE, GRACE_MS, INSTALLATION, KEY, Plan, STOP_MS};
 use crate::checker::{Evidence, Ran};
+use crate::observer::{FleetObserver, View};
 use crate::script::Kind;
-use crate::watch::{View, Watch};
+use crate::test_fleet::{
+    CALLS_OVER, CORES, CROWD_MULTIPLE, GRACE_MS, INSTALLATION, KEY, Plan, STOP_MS, TestFleet,
+};
 use anyhow::Context;
 use hazelspur_fleet::{LocalStatus, MemberStatus};
 use hazelspur_test_doubles::gateway::Answer;
@@ -60,13 +62,13 @@
 
 pub fn play(plan: Plan, tell: Teller<'_>) -> anyhow::Result<Verdict> {
     let servers = plan.servers;
-    let mut bed = Bed::new(plan)?;
-    let mut watch = Watch::new(KEY, INSTALLATION)?;
-    let (mut views, up_ms) = come_up(&mut bed, &mut watch)?;
+    let mut bed = TestFleet::new(plan)?;
+    let mut observer = FleetObserver::new(KEY, INSTALLATION)?;
+    let (mut views, up_ms) = come_up(&mut bed, &mut observer)?;
     tell(0, &views);
 
     bed.start_gateways();
-    bed.weather.begin();
+    bed.link_faults.begin();
     let began_ms = now_ms();
     let script = bed.plan.script.clone();
     let mut moves: Vec<(u64, usize, bool)> = Vec::new();
@@ -87,7 +89,7 @@
         bed.reap();
         if at >= next_look {
             next_look = at + LOOK_MS;
-            views = look(&mut bed, &mut watch);
+            views = look(&mut bed, &mut observer);
             tell(at, &views);
             seen.extend(views.iter().flatten().cloned());
         }
@@ -99,7 +101,7 @@
     let over = now_ms();
     let mut together_ms = None;
     while together_ms.is_none() && now_ms() < over + TOGETHER_MS {
-        views = look(&mut bed, &mut watch);
+        views = look(&mut bed, &mut observer);
         tell(now_ms() - began_ms, &views);
         seen.extend(views.iter().flatten().cloned());
         bed.reap();
@@ -121,7 +123,10 @@
 
 /// Starts all servers and waits until they are listed and show one picture; the pictures, and how long that
 /// took in ms.
-pub fn come_up(bed: &mut Bed, watch: &mut Watch) -> anyhow::Result<(Vec<Option<View>>, u64)> {
+pub fn come_up(
+    bed: &mut TestFleet,
+    observer: &mut FleetObserver,
+) -> anyhow::Result<(Vec<Option<View>>, u64)> {
     let (began, servers) = (now_ms(), bed.plan.servers);
     for of in 0..servers {
         bed.start(of)?;
@@ -129,7 +134,7 @@
     loop {
         std::thread::sleep(Duration::from_millis(200));
         bed.reap();
-        let views = look(bed, watch);
+        let views = look(bed, observer);
         let all = views.iter().all(|view| whole(view, servers));
         if all && bed.control.list.listed(0).len() == servers {
             return Ok((views, now_ms() - began));
@@ -141,7 +146,7 @@
 
 type Seen = (u64, Vec<Vec<hazelspur_test_doubles::gateway::Try>>, Vec<View>, Vec<Option<View>>);
 
-fn evidence(bed: &Bed, (began_ms, tries, views, last): Seen) -> Evidence {
+fn evidence(bed: &TestFleet, (began_ms, tries, views, last): Seen) -> Evidence {
     let ran = bed.runtimes.iter().map(|runtime| {
         let town = runtime.town();
         let name = |body: &Vec<u8>| String::from_utf8_lossy(body).into_owned();
@@ -178,9 +183,9 @@
     }
 }
 
-fn look(bed: &mut Bed, watch: &mut Watch) -> Vec<Option<View>> {
+fn look(bed: &mut TestFleet, observer: &mut FleetObserver) -> Vec<Option<View>> {
     (0..bed.plan.servers)
-        .map(|of| if bed.runs(of) { watch.ask(of, bed.talks_at(of), ASK) } else { None })
+        .map(|of| if bed.runs(of) { observer.ask(of, bed.talks_at(of), ASK) } else { None })
         .collect()
 }
 
--- a/crates/hazelspur-fault-harness/src/bed.rs
+++ b/crates/hazelspur-fault-harness/src/test_fleet.rs
@@ -3,9 +3,9 @@
 //! server sees them, and each gateway's view of the servers from .10 on.
 
 use crate::checker::Life;
+use crate::link_faults::LinkFaults;
 use crate::relay::{self, Refusals};
 use crate::script::{Fault, Kind, Party, SITES, Script, site};
-use crate::weather::Weather;
 use anyhow::Context;
 use hazelspur_test_doubles::control::Control;
 use hazelspur_test_doubles::gateway::{Gateway, Habits};
@@ -67,13 +67,13 @@
     }
 }
 
-pub struct Bed {
+pub struct TestFleet {
     pub plan: Plan,
     net: u8,
     /// Holds the net against other runs on this machine for as long as the bed stands.
     _claim: TcpListener,
     folder: PathBuf,
-    pub weather: Weather,
+    pub link_faults: LinkFaults,
     pub refusals: Refusals,
     pub runtimes: Vec<Runtime>,
     pub ledger: Ledger,
@@ -86,7 +86,7 @@
     relays: tokio::runtime::Runtime,
 }
 
-impl Bed {
+impl TestFleet {
     fn at(&self, row: usize, of: usize, port: u16) -> SocketAddr {
         SocketAddr::from((Ipv4Addr::new(127, self.net, row as u8, of as u8 + 1), port))
     }
@@ -104,7 +104,7 @@
         std::fs::write(folder.join("key"), KEY)?;
         let relays = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
         let pace = Pace { run_ms: 15, calls: true, fails: 0, cores: CORES, over_ms: TIMEOUT_MS };
-        let weather = Weather::new(plan.script.clone());
+        let link_faults = LinkFaults::new(plan.script.clone());
         let mut bed = Self {
             runtimes: (0..plan.servers).map(|_| Runtime::start("127.0.0.1:0", pace)).collect(),
             ledger: Ledger::start("127.0.0.1:0", plan.slots(), 10.0),
@@ -116,7 +116,7 @@
             net,
             _claim: claim,
             folder,
-            weather,
+            link_faults,
             refusals: Refusals::default(),
             relays,
             plan,
@@ -141,13 +141,13 @@
                 (ends, self.at(10 + gateway, of, 9000), self.at(1, of, 9000))
             }));
             for (ends, listen, target) in links {
-                let (weather, refusals) = (self.weather.clone(), self.refusals.clone());
-                self.relays.block_on(relay::tcp(weather, ends, (listen, target), refusals))?;
+                let (link_faults, refusals) = (self.link_faults.clone(), self.refusals.clone());
+                self.relays.block_on(relay::tcp(link_faults, ends, (listen, target), refusals))?;
             }
             let (listen, target) = (self.at(2, of, 7946), self.at(1, of, 7946));
             let seed = self.plan.seed ^ of as u64;
-            let weather = self.weather.clone();
-            self.relays.block_on(relay::udp(weather, server, listen, target, senders.clone(), seed))?;
+            let link_faults = self.link_faults.clone();
+            self.relays.block_on(relay::udp(link_faults, server, listen, target, senders.clone(), seed))?;
         }
         Ok(())
     }
@@ -393,7 +393,7 @@
     line.and_then(|rest| rest.trim().trim_end_matches(" kB").parse().ok()).unwrap_or(0)
 }
 
-impl Drop for Bed {
+impl Drop for TestFleet {
     fn drop(&mut self) {
         for child in self.processes.iter_mut().flatten() {
             let _ = child.kill();
--- a/crates/hazelspur-fault-harness/tests/scripts.rs
+++ b/crates/hazelspur-fault-harness/tests/scripts.rs
@@ -1,8 +1,8 @@
 //! Scripts as text, drawn and shrunk; and a checker that finds what is planted.
 
 use hazelspur_fault_harness::checker::{Evidence, Life, Ran};
+use hazelspur_fault_harness::observer::View;
 use hazelspur_fault_harness::script::{Party, Script};
-use hazelspur_fault_harness::watch::View;
 use hazelspur_fleet::{FleetSize, LocalStatus, MemberStatus};
 use hazelspur_test_doubles::gateway::{Answer, Try};
 
--- a/crates/hazelspur-server/tests/choices.rs
+++ b/crates/hazelspur-server/tests/choices.rs
@@ -2,8 +2,8 @@
 //! within its limit at all times, the four rules hold for the whole fleet, and every open circuit breaker
 //! closes again.
 
-use hazelspur_fault_harness::bed::Plan;
-use hazelspur_fault_harness::play::{Verdict, play};
+use hazelspur_fault_harness::run::{Verdict, play};
+use hazelspur_fault_harness::test_fleet::Plan;
 
 fn run_case(script: &str) -> Verdict {
     let servers = 24;
@@ -15,7 +15,7 @@
         seed: 1,
         rate: 60.0,
         most: 30,
-        calls: hazelspur_fault_harness::bed::CALLS,
+        calls: hazelspur_fault_harness::test_fleet::CALLS,
         joint: true,
     };
     let verdict = play(plan, &mut |_, _| {}).unwrap_or_else(|why| panic!("{script}: {why:#}"));
--- a/crates/hazelspur-server/tests/fleet.rs
+++ b/crates/hazelspur-server/tests/fleet.rs
@@ -2,10 +2,10 @@
 //! seeds. Waits are for events with generous timeouts; `hazelspur_fault_harness::checker` judges the
 //! evidence.
 
-use hazelspur_fault_harness::bed::{Bed, INSTALLATION, KEY, Plan};
-use hazelspur_fault_harness::play::{Verdict, come_up, play};
+use hazelspur_fault_harness::observer::FleetObserver;
+use hazelspur_fault_harness::run::{Verdict, come_up, play};
 use hazelspur_fault_harness::script::Script;
-use hazelspur_fault_harness::watch::Watch;
+use hazelspur_fault_harness::test_fleet::{INSTALLATION, KEY, Plan, TestFleet};
 
 fn run_script(servers: usize, script: &Script, seed: u64) -> Verdict {
     let plan = Plan {
@@ -16,7 +16,7 @@
         seed,
         rate: 45.0,
         most: servers * 2,
-        calls: hazelspur_fault_harness::bed::CALLS,
+        calls: hazelspur_fault_harness::test_fleet::CALLS,
         joint: false,
     };
     let verdict = play(plan, &mut |_, _| {}).unwrap_or_else(|why| panic!("{script}: {why:#}"));
@@ -82,12 +82,12 @@
         seed: 1,
         rate: 1.0,
         most: 18,
-        calls: hazelspur_fault_harness::bed::CALLS,
+        calls: hazelspur_fault_harness::test_fleet::CALLS,
         joint: false,
     };
-    let mut bed = Bed::new(plan).expect("a bed");
-    let mut watch = Watch::new(KEY, INSTALLATION).expect("a socket");
-    come_up(&mut bed, &mut watch).expect("one picture");
+    let mut bed = TestFleet::new(plan).expect("a bed");
+    let mut observer = FleetObserver::new(KEY, INSTALLATION).expect("a socket");
+    come_up(&mut bed, &mut observer).expect("one picture");
     let query = |file: &std::path::Path, shape: &str| {
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_hazelspur-server"));
         let out = command.arg("fleet").arg(file).args(["--shape", shape]).output().expect("it runs");
--- a/crates/hazelspur-server/tests/restarts.rs
+++ b/crates/hazelspur-server/tests/restarts.rs
@@ -1,8 +1,8 @@
 //! Thirty processes between test doubles, restarted in waves while requests are in progress.
 
-use hazelspur_fault_harness::bed::Plan;
-use hazelspur_fault_harness::play::{Verdict, play};
+use hazelspur_fault_harness::run::{Verdict, play};
 use hazelspur_fault_harness::script::Script;
+use hazelspur_fault_harness::test_fleet::Plan;
 
 /// Servers in the tests of restart waves.
 const SERVERS: usize = 30;
@@ -25,7 +25,7 @@
         seed: 5,
         rate: 60.0,
         most: SERVERS * 2,
-        calls: hazelspur_fault_harness::bed::CALLS,
+        calls: hazelspur_fault_harness::test_fleet::CALLS,
         joint: false,
     };
     let verdict = play(plan, &mut |_, _| {}).unwrap_or_else(|why| panic!("{why:#}"));
