--- a/crates/hazelspur-parsers/src/http.rs
+++ b/crates/hazelspur-parsers/src/http.rs
@@ -97,7 +97,7 @@
 
 /// Reads one response as it arrives.
 #[derive(Default)]
-pub struct Reply {
+pub struct ResponseReader {
     /// Unread bytes in which no end of the head was found.
     searched: usize,
     interim_and_trailers: u32,
@@ -135,7 +135,7 @@
     Complete,
 }
 
-impl Reply {
+impl ResponseReader {
     /// Takes what the buffer has of the response and returns it once it is whole; `mark` names the header of
     /// `Response::is_marked`. Bytes behind the response belong to no request, so that the connection is not reusable.
     ///
--- a/crates/hazelspur-parsers/tests/texts.rs
+++ b/crates/hazelspur-parsers/tests/texts.rs
@@ -144,7 +144,7 @@
     ];
     let mut seen = String::new();
     for text in replies {
-        let (mut buffer, mut reply) = (Buffer::default(), http::Reply::default());
+        let (mut buffer, mut reply) = (Buffer::default(), http::ResponseReader::default());
         let mut read = |piece: &[u8]| {
             buffer.room().extend_from_slice(piece);
             let read = reply.read(&mut buffer, "X-Untouched");
