--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -3,9 +3,12 @@
 mod helpers;
 
 use expect_test::expect;
-use hazelspur::config::change::{EditCounts, MAX_EDITS};
+use hazelspur::config::change::{Edit, EditCounts, MAX_EDITS, SettingEdit};
 use hazelspur::pcg::Pcg;
-use hazelspur::{Catalog, Decision, Duration, Outcome, SettingValue};
+use hazelspur::{
+    Catalog, Change, ControllerSettings, Decision, Duration, Outcome, RequestClass, SettingValue, Tenant,
+    Timestamp,
+};
 use helpers::{Play, Read, flat_settings};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -369,3 +372,52 @@
     }
     assert!(changes == 1600 && most_id > 50, "{changes} {most_id}");
 }
+
+/// A change of one setting; `None` removes its key.
+fn setting_change(key: &str, value: Option<f64>) -> Change {
+    let edit = SettingEdit { key: key.into(), value: value.map(SettingValue::Number) };
+    Change { settings: vec![edit], ..Change::default() }
+}
+
+#[test]
+fn a_changed_setting_applies_and_a_removed_one_returns_to_the_figure_of_the_start() {
+    let settings = ControllerSettings { cores: 4.0, servers: 7.0, ..ControllerSettings::default() };
+    let mut catalog = Catalog::with_settings(settings);
+    let now = Timestamp::default();
+    for (value, servers) in [(Some(9.0), 9.0), (None, 7.0)] {
+        let change = setting_change("servers", value);
+        assert_eq!(catalog.check(now, &change), Ok(()));
+        assert_eq!(catalog.apply(now, &change).summary.settings, 1);
+        assert_eq!((catalog.settings().servers, catalog.settings().cores), (servers, 4.0));
+    }
+}
+
+#[test]
+fn errors_of_invalid_changes_name_the_key_or_the_entry() {
+    let catalog = Catalog::default();
+    let class = |name: &str| Edit::Put(RequestClass { name: name.into(), ..RequestClass::default() });
+    let classes = |edits: Vec<Edit<RequestClass>>| Change { request_classes: edits, ..Change::default() };
+    let tenants = |edits: Vec<Edit<Tenant>>| Change { tenants: edits, ..Change::default() };
+    let changes = [
+        classes((0..=MAX_EDITS).map(|i| class(&format!("n{i}"))).collect()),
+        classes(vec![class("")]),
+        classes(vec![class("a"), class("a")]),
+        tenants(vec![Edit::Remove("a".into())]),
+        Change { first_tenant: Some("a".into()), ..Change::default() },
+        setting_change("servers", Some(f64::NAN)),
+        setting_change("server.cores", Some(2.0)),
+    ];
+    let errors = changes.iter().map(|change| {
+        catalog.check(Timestamp::default(), change).expect_err("an invalid change").to_string() + "\n"
+    });
+    expect![[r#"
+        settings: 4097 differences, 4096 at most in one change
+        settings.lanes: : no name, one over 255 bytes, or edited twice
+        settings.lanes: a: no name, one over 255 bytes, or edited twice
+        settings.orgs: a: is not there to go
+        settings.orgs: a: the first tenant is none
+        settings: setting servers is absurd: NaN
+        settings: server.cores: waits for the next start
+    "#]]
+    .assert_eq(&errors.collect::<String>());
+}
