--- a/crates/hazelspur-amqp/src/connection/mod.rs
+++ b/crates/hazelspur-amqp/src/connection/mod.rs
@@ -115,7 +115,7 @@
 
     /// Where received bytes are appended before `process_input`.
     pub fn input_buffer(&mut self) -> &mut Vec<u8> {
-        self.input.room()
+        self.input.spare_capacity()
     }
 
     /// Takes all bytes that are to be sent now.
--- a/crates/hazelspur-fault-harness/src/main.rs
+++ b/crates/hazelspur-fault-harness/src/main.rs
@@ -54,9 +54,9 @@
     },
     /// A fleet of a few real servers and many hollow members: what a member costs by size; exit status 1
     /// where they did not agree.
-    LightweightProcess(line::Line),
+    LightweightProcess(command::Line),
     /// Serves hollow members by lines on its input; started by `hollow`.
-    #[command(name = line::HIDDEN, hide = true)]
+    #[command(name = command::HIDDEN, hide = true)]
     HollowMembers,
 }
 
--- a/crates/hazelspur-parsers/src/buffer.rs
+++ b/crates/hazelspur-parsers/src/buffer.rs
@@ -30,7 +30,7 @@
     }
 
     /// Where the next read appends, with some spare capacity.
-    pub fn room(&mut self) -> &mut Vec<u8> {
+    pub fn spare_capacity(&mut self) -> &mut Vec<u8> {
         if self.start > 0 {
             self.bytes.copy_within(self.start.., 0);
             self.bytes.truncate(self.bytes.len() - self.start);
--- a/crates/hazelspur-parsers/src/json.rs
+++ b/crates/hazelspur-parsers/src/json.rs
@@ -81,7 +81,7 @@
     }
 
     /// The value of a whole number from 0 on, without fraction or exponent.
-    pub fn whole(self) -> Option<u64> {
+    pub fn unsigned(self) -> Option<u64> {
         self.0.parse().ok()
     }
 
--- a/crates/hazelspur-parsers/src/rpc.rs
+++ b/crates/hazelspur-parsers/src/rpc.rs
@@ -13,7 +13,7 @@
 );
 
 /// Error code: the request was rejected and did not run.
-pub const NACKED: i32 = -32011;
+pub const REJECTED: i32 = -32011;
 /// Error code: the request failed and may have run.
 pub const FAILED: i32 = -32000;
 /// Error code: the line is not JSON.
@@ -83,7 +83,7 @@
 }
 
 /// Writes the goodbye message: no more requests are taken on this connection.
-pub fn farewell(out: &mut Vec<u8>) {
+pub fn goodbye(out: &mut Vec<u8>) {
     out.extend_from_slice(b"{\"jsonrpc\":\"2.0\",\"method\":\"farewell\"}\n");
 }
 
--- a/crates/hazelspur-parsers/src/runtime.rs
+++ b/crates/hazelspur-parsers/src/runtime.rs
@@ -39,13 +39,13 @@
     /// The runtime is up: whether it is warm, and for how long it has run, in ms.
     fn ready(&mut self, hot: bool, since_ms: u64);
     /// A run ended: its message number, request, outcome word and result.
-    fn end(&mut self, number: u64, id: &str, end: &str, result: &[u8]);
+    fn run_ended(&mut self, number: u64, id: &str, end: &str, result: &[u8]);
     /// A run requests a dependency call with this body.
-    fn wants(&mut self, number: u64, id: &str, body: &[u8]);
+    fn call_requested(&mut self, number: u64, id: &str, body: &[u8]);
     /// Gauges, as requested under this tag.
     fn load(&mut self, tag: &str, values: &[f64]);
     /// The runtime rejected a command for a request.
-    fn nack(&mut self, command: &str, id: &str);
+    fn command_rejected(&mut self, command: &str, id: &str);
     /// A remark for the log.
     fn info(&mut self, number: u64, text: &str);
 }
@@ -106,13 +106,13 @@
     let number = |word: &str| word.parse::<u64>().map_err(|_| unreadable(line));
     match *words {
         ["ready", state, ms] => listener.ready(state == "hot", number(ms)?),
-        ["end", sequence, id, end, _ms, _length] => listener.end(number(sequence)?, id, end, body),
-        ["wants", sequence, id, _length] => listener.wants(number(sequence)?, id, body),
+        ["end", sequence, id, end, _ms, _length] => listener.run_ended(number(sequence)?, id, end, body),
+        ["wants", sequence, id, _length] => listener.call_requested(number(sequence)?, id, body),
         ["load", tag, ref values @ ..] => {
             let values: Option<Vec<f64>> = values.iter().map(|value| value.parse().ok()).collect();
             listener.load(tag, &values.ok_or_else(|| unreadable(line))?);
         }
-        ["nack", command, id] => listener.nack(command, id),
+        ["nack", command, id] => listener.command_rejected(command, id),
         ["info", sequence, ..] => {
             listener.info(number(sequence)?, line.splitn(3, ' ').nth(2).unwrap_or_default());
         }
@@ -142,7 +142,7 @@
 }
 
 /// Passes the response of a dependency call to the run that requested it.
-pub fn give(out: &mut Vec<u8>, id: &str, reply: &[u8]) {
+pub fn call_reply(out: &mut Vec<u8>, id: &str, reply: &[u8]) {
     put(out, format_args!("give {id} {}\r\n", reply.len()));
     put_body(out, reply);
 }
--- a/crates/hazelspur-parsers/tests/texts.rs
+++ b/crates/hazelspur-parsers/tests/texts.rs
@@ -59,16 +59,16 @@
     fn ready(&mut self, hot: bool, since_ms: u64) {
         self.0 += &format!("ready {hot} {since_ms}\n");
     }
-    fn end(&mut self, number: u64, id: &str, end: &str, result: &[u8]) {
+    fn run_ended(&mut self, number: u64, id: &str, end: &str, result: &[u8]) {
         self.0 += &format!("end {number} {id} {end} {result:?}\n");
     }
-    fn wants(&mut self, number: u64, id: &str, body: &[u8]) {
+    fn call_requested(&mut self, number: u64, id: &str, body: &[u8]) {
         self.0 += &format!("wants {number} {id} {body:?}\n");
     }
     fn load(&mut self, tag: &str, values: &[f64]) {
         self.0 += &format!("load {tag} {values:?}\n");
     }
-    fn nack(&mut self, command: &str, id: &str) {
+    fn command_rejected(&mut self, command: &str, id: &str) {
         self.0 += &format!("nack {command} {id}\n");
     }
     fn info(&mut self, number: u64, text: &str) {
@@ -84,7 +84,7 @@
     let mut recorder = Recorder::default();
     let mut buffer = Buffer::default();
     for byte in text {
-        buffer.room().push(*byte);
+        buffer.spare_capacity().push(*byte);
         while let Some(used) = runtime::read(buffer.unread(), &mut recorder).expect("good lines") {
             buffer.take(used);
         }
@@ -144,9 +144,9 @@
     ];
     let mut seen = String::new();
     for text in replies {
-        let (mut buffer, mut reply) = (Buffer::default(), http::Reply::default());
+        let (mut buffer, mut reply) = (Buffer::default(), http::ResponseReader::default());
         let mut read = |piece: &[u8]| {
-            buffer.room().extend_from_slice(piece);
+            buffer.spare_capacity().extend_from_slice(piece);
             let read = reply.read(&mut buffer, "X-Untouched");
             read.map(|read| read.map(|r| (r.status, r.is_marked, r.is_reusable, String::from_utf8(r.body))))
                 .map_err(|error| error.to_string())
@@ -155,7 +155,7 @@
         let _ = writeln!(seen, "{:?}", read.unwrap_or(Ok(None)));
     }
     let mut out = Vec::new();
-    http::write_call(&mut out, "PUT", "/x", "h:1", &[("X-A", "b")], b"body");
+    http::write_request(&mut out, "PUT", "/x", "h:1", &[("X-A", "b")], b"body");
     seen += &String::from_utf8_lossy(&out).replace("\r\n", "|");
     expect_test::expect![[r#"
         Ok(Some((200, false, false, Ok("abc"))))
@@ -189,11 +189,11 @@
     rpc::result(&mut out, RpcId(7), b"done", Some(0.25));
     rpc::check(&mut out, RpcId(8), true, None);
     let full = ErrorData { retry_after_ms: Some(250.0), do_not_retry_elsewhere: true, signal: Some(1.0) };
-    rpc::error(&mut out, Some(RpcId(9)), rpc::NACKED, "refused", full);
+    rpc::error(&mut out, Some(RpcId(9)), rpc::REJECTED, "refused", full);
     let last = ErrorData { do_not_retry_elsewhere: true, ..ErrorData::default() };
-    rpc::error(&mut out, Some(RpcId(9)), rpc::NACKED, "refused", last);
+    rpc::error(&mut out, Some(RpcId(9)), rpc::REJECTED, "refused", last);
     rpc::error(&mut out, None, rpc::NOT_JSON, "a \"quote\"\n", ErrorData::default());
-    rpc::farewell(&mut out);
+    rpc::goodbye(&mut out);
     let lines = String::from_utf8(out).expect("text");
     assert!(lines.lines().all(|line| Json::parse(line.as_bytes()).is_some()));
     expect_test::expect![[r#"
--- a/crates/hazelspur-server/src/ingress/gateway/connection.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/connection.rs
@@ -131,6 +131,6 @@
     /// Asks the gateway to close the connection.
     pub(super) fn send_goodbye(&self) {
         self.stage.set(Stage::GoodbyeSent(self.dispatcher.clock.now()));
-        self.output.append(rpc::farewell);
+        self.output.append(rpc::goodbye);
     }
 }
--- a/crates/hazelspur-server/src/ingress/gateway/connection_task.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/connection_task.rs
@@ -128,7 +128,7 @@
         input: &mut Buffer,
     ) -> ReadEnd {
         loop {
-            match reader.read_buf(input.room()).await {
+            match reader.read_buf(input.spare_capacity()).await {
                 Ok(0) => return ReadEnd::PeerFinished,
                 Ok(_) => {}
                 Err(_) => return ReadEnd::Broken,
@@ -157,7 +157,7 @@
         let socket = socket2::SockRef::from(reader.as_ref());
         while received < MAX_FINAL_READ_BYTES && !connection.reputation.is_blocked() {
             let Ok(count @ 1..) = (&*socket).read(&mut chunk) else { break };
-            input.room().extend_from_slice(&chunk[..count]);
+            input.spare_capacity().extend_from_slice(&chunk[..count]);
             received += count;
         }
         let has_line = input.unread().contains(&b'\n');
@@ -169,7 +169,7 @@
 /// Reads and drops input up to a limit.
 async fn discard_input(reader: &mut ReadHalf<'_>, input: &mut Buffer) {
     let mut bytes_left = MAX_DISCARDED_BYTES;
-    while let Ok(count @ 1..) = reader.read_buf(input.room()).await
+    while let Ok(count @ 1..) = reader.read_buf(input.spare_capacity()).await
         && bytes_left > 0
     {
         input.take(input.unread().len());
--- a/crates/hazelspur-server/src/ingress/gateway/lines.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/lines.rs
@@ -41,7 +41,7 @@
         if version.as_deref() != Some(JSON_RPC_VERSION) {
             return Err(invalid(None, ProtocolError::NotJsonRpc));
         }
-        let id = fields.get("id").and_then(Json::whole).filter(|id| *id > 0).map(RpcId);
+        let id = fields.get("id").and_then(Json::unsigned).filter(|id| *id > 0).map(RpcId);
         let method = fields.get("method").and_then(Json::text);
         let method = method.ok_or(invalid(id, ProtocolError::MissingMethod))?;
         Ok(Self { method, id, params: fields.get("params") })
@@ -104,7 +104,7 @@
                 let message = rejection.to_string();
                 connection
                     .output
-                    .append(|out| rpc::error(out, id, rpc::NACKED, &message, rpc::ErrorData::default()));
+                    .append(|out| rpc::error(out, id, rpc::REJECTED, &message, rpc::ErrorData::default()));
             }
         }
     }
@@ -115,7 +115,7 @@
         let mut open_requests = connection.open_requests.borrow_mut();
         let by_request_id = field("req").and_then(Json::text).and_then(|text| RequestId::padded(&text));
         let by_request_id = by_request_id.filter(|named| open_requests.values().any(|open| open == named));
-        let rpc_id = field("id").and_then(Json::whole).map(RpcId).or(id);
+        let rpc_id = field("id").and_then(Json::unsigned).map(RpcId).or(id);
         let by_rpc_id = rpc_id.and_then(|id| open_requests.get(&id).copied());
         let Some(request) = by_request_id.or(by_rpc_id) else { return };
         // Its id is free for the next line already.
--- a/crates/hazelspur-server/src/ingress/gateway/request_params.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/request_params.rs
@@ -49,8 +49,10 @@
         let params = params.table();
         let request = params.get("req").and_then(Json::text).and_then(|text| RequestId::padded(&text));
         let request = request.ok_or(ProtocolError::InvalidRequestId)?;
-        let sent_unix_ms = params.get("ts").and_then(Json::whole).ok_or(ProtocolError::InvalidTimestamp)?;
-        let client = params.get("via").map_or(Some(0), Json::whole).ok_or(ProtocolError::InvalidClientId)?;
+        let sent_unix_ms =
+            params.get("ts").and_then(Json::unsigned).ok_or(ProtocolError::InvalidTimestamp)?;
+        let client =
+            params.get("via").map_or(Some(0), Json::unsigned).ok_or(ProtocolError::InvalidClientId)?;
         let size_kb = params.get("need").and_then(Json::number).filter(|size_kb| is_valid_size_kb(*size_kb));
         let size_kb = size_kb.ok_or(ProtocolError::SizeOutOfRange)?;
         let in_level_range = |level: f64| LEVEL_RANGE.contains(&level);
--- a/crates/hazelspur-server/src/ingress/gateway/responder.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/responder.rs
@@ -41,7 +41,7 @@
         self.respond(|id, out, capacity| {
             let message = "refused";
             let data = ErrorData { retry_after_ms, do_not_retry_elsewhere, signal: capacity };
-            rpc::error(out, Some(id), rpc::NACKED, message, data);
+            rpc::error(out, Some(id), rpc::REJECTED, message, data);
         });
     }
 
--- a/crates/hazelspur-server/src/upstream/dependency.rs
+++ b/crates/hazelspur-server/src/upstream/dependency.rs
@@ -198,7 +198,7 @@
     let limit_ms = to_std(limit).as_millis().max(1).to_string();
     let headers = [("X-Txn-Ref", id.as_str()), ("X-Limit-Ms", limit_ms.as_str())];
     let mut message = Vec::new();
-    http::write_call(&mut message, "POST", "/post", &address.to_string(), &headers, call.body);
+    http::write_request(&mut message, "POST", "/post", &address.to_string(), &headers, call.body);
     message
 }
 
--- a/crates/hazelspur-server/src/upstream/http_exchange.rs
+++ b/crates/hazelspur-server/src/upstream/http_exchange.rs
@@ -24,9 +24,9 @@
 pub async fn exchange(stream: &mut TcpStream, call: &[u8], mark: &str) -> Result<Response, ExchangeError> {
     stream.write_all(call).await?;
     let mut buffer = Buffer::default();
-    let mut reply = http::Reply::default();
-    while stream.read_buf(buffer.room()).await? > 0 {
-        if let Some(response) = reply.read(&mut buffer, mark)? {
+    let mut reader = http::ResponseReader::default();
+    while stream.read_buf(buffer.spare_capacity()).await? > 0 {
+        if let Some(response) = reader.read(&mut buffer, mark)? {
             return Ok(response);
         }
     }
--- a/crates/hazelspur-server/src/upstream/registry.rs
+++ b/crates/hazelspur-server/src/upstream/registry.rs
@@ -142,7 +142,7 @@
         let condition = if self.dispatcher.healthy.get() { "Ready" } else { "NotReady" };
         let body = format!("{{\"condition\":\"{condition}\"}}");
         let mut message = Vec::new();
-        http::write_call(&mut message, "PUT", &self.path, &address.to_string(), &[], body.as_bytes());
+        http::write_request(&mut message, "PUT", &self.path, &address.to_string(), &[], body.as_bytes());
         let mut stream = connect(address).await.map_err(ReportError::Connect)?;
         let sent_at = Instant::now();
         match timeout(to_std(self.reply_timeout), exchange(&mut stream, &message, "")).await {
--- a/crates/hazelspur-server/src/upstream/worker/link.rs
+++ b/crates/hazelspur-server/src/upstream/worker/link.rs
@@ -104,7 +104,7 @@
 
     /// Gives a run the reply of its call.
     pub fn give(&self, request: RequestId, reply: Vec<u8>) {
-        self.send(|out| runtime::give(out, &request.to_string(), &reply));
+        self.send(|out| runtime::call_reply(out, &request.to_string(), &reply));
         self.state.runs.borrow_mut().give(request, reply, self.state.gauge_query.latest());
     }
 
@@ -175,7 +175,7 @@
         let mut buffer = Buffer::default();
         loop {
             let idle_timeout = if self.is_synchronized.get() { IDLE_TIMEOUT } else { UNREADY_IDLE_TIMEOUT };
-            let reading = timeout(to_std(idle_timeout), read.read_buf(buffer.room()));
+            let reading = timeout(to_std(idle_timeout), read.read_buf(buffer.spare_capacity()));
             let count = reading.await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()))?;
             if count == 0 {
                 return Err(LinkError::Closed);
--- a/crates/hazelspur-server/src/upstream/worker/notices.rs
+++ b/crates/hazelspur-server/src/upstream/worker/notices.rs
@@ -21,14 +21,14 @@
         self.0.worker_ready(WorkerStatus { is_warm: hot, uptime: Duration::from_ms(since_ms) });
     }
 
-    fn end(&mut self, number: u64, id: &str, end: &str, result: &[u8]) {
+    fn run_ended(&mut self, number: u64, id: &str, end: &str, result: &[u8]) {
         let Some(request) = self.request_of_new_notice(number, id) else { return };
         let completion = Completion { outcome: outcome(end), result: result.into() };
         self.0.runs.borrow_mut().remove(request);
         self.0.dispatcher.deliver(request, RequestEvent::Finished(completion));
     }
 
-    fn wants(&mut self, number: u64, id: &str, body: &[u8]) {
+    fn call_requested(&mut self, number: u64, id: &str, body: &[u8]) {
         let Some(request) = self.request_of_new_notice(number, id) else { return };
         self.0.runs.borrow_mut().call_requested(request);
         self.0.dispatcher.deliver(request, RequestEvent::CallRequested(body.to_vec()));
@@ -40,7 +40,7 @@
         }
     }
 
-    fn nack(&mut self, command: &str, id: &str) {
+    fn command_rejected(&mut self, command: &str, id: &str) {
         // At debug level only: anybody may send requests that the worker does not know.
         log::debug!(command, id; "worker rejected a command");
         let Some(request) = RequestId::padded(id) else { return };
--- a/crates/hazelspur-server/src/upstream/worker/runs.rs
+++ b/crates/hazelspur-server/src/upstream/worker/runs.rs
@@ -38,7 +38,7 @@
         if let Some(given) = &self.given
             && given.gauge_query >= answered_gauge_query
         {
-            runtime::give(out, &id, &given.reply);
+            runtime::call_reply(out, &id, &given.reply);
         }
         if self.stopped {
             runtime::stop(out, &id);
