--- a/crates/hazelspur-fault-harness/src/checker.rs
+++ b/crates/hazelspur-fault-harness/src/checker.rs
@@ -1,6 +1,5 @@
-//! The four rules over the whole fleet, from what the stand-ins saw and what was done to the processes;
-//! nothing that a server says of itself counts, but for its picture of the fleet, which is what is judged
-//! there.
+//! Judges the four rules over the whole fleet by what the test doubles saw and what was done to the processes. What a
+//! server says of itself does not count, except for its view of the fleet, which is judged too.
 
 use crate::observer::View;
 use crate::script::{Fault, Party, site};
@@ -18,20 +17,27 @@
 /// A picture may count those who ended less than this long ago, and miss those who began less than that long
 /// ago.
 pub const NOTICE_MS: u64 = 90_000;
+/// Time after its start in which a server may be missing from views, in milliseconds.
 pub const JOIN_MS: u64 = 30_000;
 
 /// One life of a server's process.
 #[derive(Clone, Debug, Default)]
 pub struct Life {
+    /// The server.
     pub server: usize,
+    /// When it started, in Unix milliseconds.
     pub from_ms: u64,
     /// When it got SIGTERM, and how it ended.
     pub notice_ms: Option<u64>,
+    /// When it ended, in Unix milliseconds.
     pub ended_ms: Option<u64>,
+    /// Whether it was killed.
     pub killed: bool,
+    /// Its exit status.
     pub status: Option<i32>,
     /// When it stood still.
     pub stops: Vec<(u64, u64)>,
+    /// The most memory that it took, in kB.
     pub most_memory_kb: u64,
 }
 
@@ -42,14 +48,18 @@
     pub started: BTreeMap<String, u64>,
     /// How often each request ran.
     pub runs: BTreeMap<String, usize>,
+    /// The highest number of concurrent runs.
     pub most_running: usize,
 }
 
+/// What a run left to be judged.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
+    /// Servers.
     pub servers: usize,
     /// The script, and when it began; milliseconds since 1970.
     pub faults: Vec<Fault>,
+    /// When the script began, in Unix milliseconds.
     pub began_ms: u64,
     /// By gateway.
     pub tries: Vec<Vec<Try>>,
@@ -57,22 +67,32 @@
     pub refusals: Vec<(Party, Party, u64)>,
     /// By server.
     pub ran: Vec<Ran>,
+    /// All processes of servers.
     pub lives: Vec<Life>,
+    /// Views of the fleet during the run.
     pub views: Vec<View>,
     /// At the very end, with all faults over: the last picture of each.
     pub last: Vec<Option<View>>,
+    /// Calls that took effect, by the request's reference.
     pub effects: BTreeMap<String, u32>,
+    /// The highest number of concurrent calls.
     pub most_calls: usize,
     /// The most that were in hand on average over the time that the settings name.
     pub calls_on_average: f64,
+    /// Grace period, in milliseconds.
     pub grace_ms: u64,
+    /// Time to the end of a process, in milliseconds.
     pub stop_ms: u64,
+    /// Memory that a server may take, in kB.
     pub most_memory_kb: u64,
+    /// Concurrent runs that a worker may have.
     pub most_running: usize,
+    /// Concurrent calls that the dependency may have.
     pub calls_bound: usize,
 }
 
 impl Evidence {
+    /// All breaches of the rules, in words.
     pub fn breaches(&self) -> Vec<String> {
         let mut found = Vec::new();
         self.answers(&mut found);
@@ -89,6 +109,7 @@
         self.tries.iter().flatten().filter(late).count()
     }
 
+    /// Attempts whose first response is this one.
     pub fn count(&self, of: Answer) -> usize {
         let first = |t: &&Try| t.answers.first().is_some_and(|(answer, _)| *answer == of);
         self.tries.iter().flatten().filter(first).count()
--- a/crates/hazelspur-fault-harness/src/lib.rs
+++ b/crates/hazelspur-fault-harness/src/lib.rs
@@ -1,15 +1,12 @@
-//! Many real servers on loopback, each at its own address and in a named site, between stand-ins that they
-//! share. Every link passes a relay of ours, which puts faults there; processes are killed, stopped, ended
-//! and started again. What the stand-ins saw is judged by a checker over the whole fleet. Bounded, without
-//! privileges.
+//! Many real servers on loopback, each at its own address and in a named site, between shared test doubles. Every
+//! link passes a relay that injects faults; processes are killed, suspended, terminated and started again. A checker
+//! judges the whole fleet by what the test doubles saw. Bounded, without privileges.
 //!
-//! - `script`: faults over time, as a line of text; drawn from a seed; shrunk;
-//! - `weather`: which rule holds between two parties now;
-//! - `relay`: TCP and UDP between two parties, under that rule;
-//! - `bed`: the processes and stand-ins;
-//! - `watch`: what each server says of the fleet, while it runs;
-//! - `checker`: the four rules over all of it, and the pictures;
-//! - `hollow`: a large fleet of a few real servers and many hollow members, and what a member costs.
+//! - `script`: faults over time, as a line of text; drawn from a seed; reduced to the fewest that fail;
+//! - `link_faults`: the faults of each link now; `relay`: TCP and UDP under these faults;
+//! - `test_fleet`: the processes and test doubles of a run; `run`: a run from start to verdict;
+//! - `observer`: each server's view of the fleet; `checker`: the four rules over all of it;
+//! - `lightweight`: a large fleet of a few real servers and many lightweight members, and what a member costs.
 
 pub mod checker;
 pub mod lightweight;
--- a/crates/hazelspur-fault-harness/src/lightweight/command.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/command.rs
@@ -10,10 +10,12 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// The subcommand by which the program serves hollow members.
+/// The subcommand by which the program serves lightweight members.
 pub const HIDDEN: &str = "hollow-members";
+/// The study's name in its file.
 const STUDY: &str = "hollow";
 
+/// Arguments of the subcommand.
 #[derive(clap::Args, Debug)]
 pub struct Line {
     /// All members, real and hollow.
@@ -48,7 +50,7 @@
     rate: f64,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// So many hollow members never say a word: planted, to see that it is told.
+    /// So many lightweight members never say a word: planted, to see that it is told.
     #[arg(long, default_value_t = 0)]
     silent: usize,
     /// Measured figures; sizes of another run that are there already stay.
--- a/crates/hazelspur-fault-harness/src/lightweight/figures.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/figures.rs
@@ -1,9 +1,9 @@
 //! What two readings of a run come to: traffic, CPU and memory of a member, by what it is.
 //!
-//! A hollow member counts its own datagrams. What a real member sends is told by the numbers that its own
-//! datagrams bear, and their mean length by those that hollow members got; what it gets, by what hollow
+//! A lightweight member counts its own datagrams. What a real member sends is told by the numbers that its own
+//! datagrams bear, and their mean length by those that lightweight members got; what it gets, by what hollow
 //! members sent to it, as if real ones sent it as much, but for the divider, which sends it what it sends to
-//! each hollow one. So that both kinds may be compared, what hollow members got of either is counted alike,
+//! each hollow one. So that both kinds may be compared, what lightweight members got of either is counted alike,
 //! by the sender.
 
 use super::member::{Counted, Heard, Traffic};
@@ -19,34 +19,42 @@
 
 /// Everything at one time.
 pub struct Reading {
+    /// When it was read.
     pub at: Instant,
-    /// By process of hollow members.
+    /// By process of lightweight members.
     pub counted: Vec<Counted>,
+    /// Usage of the real servers' processes.
     pub reals: Vec<Option<Process>>,
+    /// Usage of the lightweight members' processes.
     pub hollows: Vec<Option<Process>>,
     /// Datagrams that the kernel dropped so far.
     pub drops: u64,
 }
 
+/// What a member is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
     /// Real, and divides what all share.
     Divider,
     /// Real, and votes on that.
     Keeper,
+    /// A real server.
     Real,
-    LightweightProcess,
+    /// A lightweight member.
+    Lightweight,
 }
 
 impl Role {
-    pub const ALL: [Self; 4] = [Self::Real, Self::LightweightProcess, Self::Keeper, Self::Divider];
+    /// All roles, in the order of the table.
+    pub const ALL: [Self; 4] = [Self::Real, Self::Lightweight, Self::Keeper, Self::Divider];
 
+    /// Its name in tables and points.
     pub fn name(self) -> &'static str {
         match self {
             Self::Divider => "divider",
             Self::Keeper => "keeper",
             Self::Real => "real",
-            Self::LightweightProcess => "hollow",
+            Self::Lightweight => "hollow",
         }
     }
 }
@@ -54,7 +62,9 @@
 /// Of one member, a second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rates {
+    /// Datagrams a second.
     pub datagrams: f64,
+    /// Bytes a second.
     pub bytes: f64,
 }
 
@@ -64,12 +74,16 @@
     }
 }
 
+/// What one member sends, receives and uses.
 #[derive(Clone, Copy, Debug)]
 pub struct Member {
+    /// What it is.
     pub role: Role,
+    /// What it sent.
     pub sent: Rates,
+    /// What it received.
     pub heard: Rates,
-    /// What hollow members got of it.
+    /// What lightweight members got of it.
     pub told: Rates,
     /// Datagrams that it sent, by their numbers.
     pub numbered: f64,
@@ -77,20 +91,27 @@
     pub cpu_share: f64,
     /// In bytes, likewise.
     pub resident: f64,
+    /// Anonymous memory, in bytes, likewise.
     pub anonymous: f64,
 }
 
+/// The figures of a window.
 #[derive(Clone, Debug)]
 pub struct Figures {
+    /// Length of the window, in seconds.
     pub seconds: f64,
+    /// The members, real ones first.
     pub members: Vec<Member>,
+    /// Datagrams that the kernel dropped.
     pub drops: u64,
-    /// Datagrams that hollow members got and did not take, and that they could not send.
+    /// Datagrams that lightweight members got and did not take, and that they could not send.
     pub not_taken: u64,
+    /// Datagrams that lightweight members could not send.
     pub unsent: u64,
 }
 
 impl Figures {
+    /// The figures between two readings.
     pub fn new(
         fleet: &Fleet,
         divider: Option<MemberName>,
@@ -153,7 +174,7 @@
                 not_taken += new.dropped - old.dropped;
                 unsent += new.unsent - old.unsent;
                 members.push(Member {
-                    role: Role::LightweightProcess,
+                    role: Role::Lightweight,
                     sent: Rates::of(new.sent.since(old.sent), seconds),
                     heard: Rates::of(new.heard.since(old.heard), seconds),
                     told: Rates::of(told, seconds),
@@ -167,6 +188,7 @@
         Self { seconds, members, drops: after.drops.saturating_sub(before.drops), not_taken, unsent }
     }
 
+    /// The members of a role.
     pub fn of(&self, role: Role) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(move |member| member.role == role)
     }
@@ -177,17 +199,18 @@
         (count > 0).then(|| self.of(role).map(figure).sum::<f64>() / count as f64)
     }
 
+    /// The highest figure of a role; none where there is no such member.
     pub fn most(&self, role: Role, figure: impl Fn(&Member) -> f64) -> Option<f64> {
         self.of(role).map(figure).reduce(f64::max)
     }
 
-    /// By how much a hollow member's datagrams and bytes differ from a real one's, both as hollow members
+    /// By how much a lightweight member's datagrams and bytes differ from a real one's, both as lightweight members
     /// got them, to each of them that is not the sender, as parts of the real one's; none where all real
     /// ones are keepers.
     pub fn difference(&self) -> Option<(f64, f64)> {
-        let receivers = self.of(Role::LightweightProcess).count() as f64;
+        let receivers = self.of(Role::Lightweight).count() as f64;
         let part = |figure: Of| {
-            let hollow = self.mean(Role::LightweightProcess, figure)? / (receivers - 1.0);
+            let hollow = self.mean(Role::Lightweight, figure)? / (receivers - 1.0);
             let real = self.mean(Role::Real, figure)? / receivers;
             (real > 0.0 && receivers > 1.0).then_some(hollow / real - 1.0)
         };
@@ -252,7 +275,7 @@
         let name = role.name();
         for (figure, unit, of) in EACH {
             put(format!("members.{name}.{figure}"), case, unit, figures.mean(role, of));
-            let even = role == Role::LightweightProcess && !figure.contains("per_s");
+            let even = role == Role::Lightweight && !figure.contains("per_s");
             if role != Role::Divider && !even {
                 put(format!("members.{name}.most_{figure}"), case, unit, figures.most(role, of));
             }
@@ -324,6 +347,7 @@
 
 /// What the table has no room for, a paragraph for one size.
 pub fn told(outcome: &Outcome) -> String {
+    /// Members that are named as missing.
     const MAX_NAMED: usize = 10;
     let named = |names: &std::collections::BTreeSet<String>| {
         let first: Vec<&str> = names.iter().take(MAX_NAMED).map(String::as_str).collect();
@@ -355,9 +379,9 @@
         format!("{datagrams:.2} datagrams and {bytes:.0} bytes a second")
     };
     text += &format!(
-        "as hollow members got them: of a real one {}, of a hollow one {}",
+        "as lightweight members got them: of a real one {}, of a hollow one {}",
         as_heard(Role::Real),
-        as_heard(Role::LightweightProcess)
+        as_heard(Role::Lightweight)
     );
     if let Some((datagrams, bytes)) = figures.difference() {
         text += &format!(
@@ -366,9 +390,7 @@
             bytes * 100.0
         );
     }
-    let (own, numbered) = (
-        mean(Role::LightweightProcess, |m| m.sent.datagrams),
-        mean(Role::LightweightProcess, |m| m.numbered),
-    );
+    let (own, numbered) =
+        (mean(Role::Lightweight, |m| m.sent.datagrams), mean(Role::Lightweight, |m| m.numbered));
     text + &format!("; datagrams of a hollow one by its own count {own:.2}, by their numbers {numbered:.2}")
 }
--- a/crates/hazelspur-fault-harness/src/lightweight/fleet_queries.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/fleet_queries.rs
@@ -15,6 +15,7 @@
 /// What did not come is asked for again after so long.
 const AGAIN: Duration = Duration::from_millis(150);
 
+/// Queries real servers for their views of the fleet.
 pub struct FleetQuerier {
     socket: UdpSocket,
     from: MemberUpdate,
@@ -24,6 +25,7 @@
 }
 
 impl FleetQuerier {
+    /// Opens a socket.
     pub fn new() -> anyhow::Result<Self> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         let name = |what| anyhow::anyhow!("{what}: no good name");
--- a/crates/hazelspur-fault-harness/src/lightweight/member.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/member.rs
@@ -1,4 +1,4 @@
-//! One process of hollow members: hundreds of sockets on one loop, behind each the machine that a server has
+//! One process of lightweight members: hundreds of sockets on one loop, behind each the machine that a server has
 //! (`Joint` and its datagrams), driven as the server's own talk drives it, and no server around it. The
 //! binary starts itself for this; it is told what to do by lines of JSON on its input, and ends when that
 //! ends.
@@ -23,10 +23,13 @@
 
 /// As the server's own talk has them.
 const IN_ONE_GO: usize = 64;
+/// Period of the membership protocol's rounds.
 const ROUND: Duration = Duration::from_ms(250);
+/// How often its load is reported.
 const LOOK: Duration = Duration::from_ms(200);
-/// A hollow member says that it makes a call each second, and that it takes so long.
+/// A lightweight member says that it makes a call each second, and that it takes so long.
 const CALL_EVERY: Duration = Duration::from_ms(1000);
+/// The call latency that a member reports, in seconds.
 const CALL_SECS: f64 = 0.01;
 /// Lines of input that wait.
 const MAX_LINES: usize = 16;
@@ -60,29 +63,36 @@
     pub went: BTreeMap<SocketAddr, Traffic>,
 }
 
+/// Datagrams and their bytes.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Traffic {
+    /// Datagrams.
     pub datagrams: u64,
+    /// Their bytes.
     pub bytes: u64,
 }
 
 impl Traffic {
+    /// Adds so many.
     pub fn add(&mut self, datagrams: u64, bytes: u64) {
         self.datagrams += datagrams;
         self.bytes += bytes;
     }
 
+    /// What came since an earlier count.
     pub fn since(self, before: Self) -> Self {
         Self { datagrams: self.datagrams - before.datagrams, bytes: self.bytes - before.bytes }
     }
 }
 
+/// What was received from one sender.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Heard {
     pub traffic: Traffic,
     pub number: u64,
 }
 
+/// The counters of one member.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Count {
     pub sent: Traffic,
@@ -208,7 +218,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let ended = here.block_on(&runtime, async { tokio::time::timeout(life, obey(task, orders)).await });
     // The reader's thread may stand at its input for ever; the end of the process is its end.
-    ended.unwrap_or_else(|_| Err(anyhow::anyhow!("hollow members: their time is over")))
+    ended.unwrap_or_else(|_| Err(anyhow::anyhow!("lightweight members: their time is over")))
 }
 
 async fn obey(task: Task, mut orders: mpsc::Receiver<Order>) -> anyhow::Result<()> {
--- a/crates/hazelspur-fault-harness/src/lightweight/mod.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/mod.rs
@@ -1,15 +1,11 @@
-//! A fleet of which a few members are real servers and all others hollow: the same machines with real
-//! datagrams, hundreds to a process. For what a member costs by the size of its fleet, at sizes that no
-//! machine here could hold in whole servers. Called by the subcommand `hollow` and by tests; takes addresses
-//! of a net of its own in 127.0.0.0/8, ends all that it started, and never more than a hundred processes or
-//! half of the machine's memory.
+//! A fleet of a few real servers and many lightweight members: the same state machines with real datagrams, hundreds
+//! to a process. It measures what a member costs by the size of its fleet, at sizes that one machine can't hold in real
+//! servers. Addresses are of a network of its own in 127.0.0.0/8; every process that it starts is ended; a run has at
+//! most a hundred processes and half of the machine's memory.
 //!
-//! - `member`: a process of hollow members;
-//! - `processes`: what is started, and ends;
-//! - `asking`: what the real members say of the fleet;
-//! - `machine`: limits and figures of processes;
-//! - `figures`: what a window's readings come to, as a table and as points;
-//! - `line`: the subcommand.
+//! - `member`: a process of lightweight members; `processes`: starting and ending processes;
+//! - `fleet_queries`: the real members' views of the fleet; `process_usage`: limits and usage of processes;
+//! - `figures`: a window's figures, as a table and as points; `command`: the subcommand `hollow`.
 
 pub mod command;
 pub mod figures;
@@ -38,52 +34,77 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::time::{Duration as StdDuration, Instant};
 
+/// The text of the fleet's key.
 pub const KEY: &str = "a key for the fleet on this machine only";
+/// The installation's name.
 pub const INSTALLATION: &str = "hollow";
 /// The limit that all share.
 pub const CALLS: &str = "calls";
+/// Duration of quota leases, in seconds.
 pub const LEASE_S: u64 = 4;
+/// Cores of each worker.
 pub const CORES: usize = 2;
+/// Time from the shutdown notice to the end of a real server, in milliseconds.
 pub const STOP_MS: u64 = 1500;
 /// Two regions of three zones.
 pub const SITES: [&str; 6] = ["r1-a", "r1-b", "r1-c", "r2-a", "r2-b", "r2-c"];
 /// `most` of the fleet is twice its members, and 4,096 at most.
 pub const MAX_MEMBERS: usize = 2048;
+/// The most real servers.
 pub const MAX_REAL: usize = 90;
+/// The most processes of a run.
 pub const MAX_PROCESSES: usize = 100;
+/// The most lightweight members of a process.
 pub const MAX_IN_A_PROCESS: usize = 500;
+/// The longest run, in seconds.
 pub const MAX_SECONDS: u64 = 600;
+/// Voters.
 const KEEPERS: usize = 5;
+/// Seed members.
 const CONTACTS: usize = 3;
-/// Addresses of hollow members by turns: so many a row, from this row on.
+/// Addresses of lightweight members by turns: so many a row, from this row on.
 const IN_A_ROW: usize = 200;
+/// The first row of addresses of lightweight members.
 const FIRST_ROW: usize = 20;
+/// Guaranteed minimum, as a part of the shared limit.
 const FLOOR: f64 = 0.2;
+/// Residual load of a call, in seconds.
 const LINGER_S: f64 = 1.0;
+/// How long members that left are remembered, in seconds.
 const REMEMBER_S: f64 = 900.0;
-/// Descriptors: of a process by itself; of ours for each real member with its stand-ins and for each process
-/// of hollow members; and what a server takes beside its 512 sockets.
+/// Descriptors of a process by itself.
 const OWN: u64 = 64;
+/// Descriptors of ours for each real server with its test doubles.
 const FOR_A_REAL: u64 = 24;
+/// Descriptors of ours for each process of lightweight members.
 const FOR_A_PROCESS: u64 = 4;
+/// Descriptors of a real server.
 const OF_A_SERVER: u64 = 512 + 64;
 /// How often the real members are asked, and what else is looked at.
 const LOOK: StdDuration = StdDuration::from_millis(100);
+/// How often memory is looked at.
 const LOOK_AT_MEMORY: StdDuration = StdDuration::from_secs(1);
+/// How long a server may take to answer a query.
 const ASKED_WITHIN: StdDuration = StdDuration::from_millis(500);
+/// How long all servers may take to send their views.
 const PICTURES_WITHIN: StdDuration = StdDuration::from_secs(10);
-/// All sockets of a process of hollow members are there within this; a count comes within this.
+/// All sockets of a process of lightweight members are there within this; a count comes within this.
 const READY: StdDuration = StdDuration::from_secs(20);
-/// A hollow process ends so long after all else would have.
+/// A lightweight process ends so long after all else would have.
 const GRACE_S: u64 = 60;
+/// Runs of this process so far; part of each run's network.
 static RUNS: AtomicU32 = AtomicU32::new(0);
 
+/// What a run consists of.
 #[derive(Clone, Debug)]
 pub struct Plan {
+    /// The server's program.
     pub server_binary: PathBuf,
-    /// The program that serves hollow members when started with the hidden subcommand.
+    /// The program that serves lightweight members when started with the hidden subcommand.
     pub own_binary: PathBuf,
+    /// Members in all.
     pub members: usize,
+    /// Members that are real servers.
     pub real: usize,
     /// LightweightProcess members of a process.
     pub per_process: usize,
@@ -99,14 +120,16 @@
     pub whole: StdDuration,
     /// Requests a second of all real members together.
     pub rate: f64,
+    /// The seed of everything random.
     pub seed: u64,
-    /// So many hollow members, the last ones, never say a word: planted.
+    /// So many lightweight members, the last ones, never say a word: planted.
     pub silent: usize,
     /// Set from outside, it ends the run early with an error.
     pub stop: Arc<AtomicBool>,
 }
 
 impl Plan {
+    /// Processes of the run.
     pub fn processes(&self) -> usize {
         1 + self.real + (self.members - self.real).div_ceil(self.per_process)
     }
@@ -151,12 +174,17 @@
 /// Who is who; all of it follows from a few numbers, the same in all processes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Fleet {
+    /// The network, 127.`net`.0.0/16.
     pub net: u8,
+    /// Members in all.
     pub members: usize,
     /// The first so many are real.
     pub real: usize,
+    /// The seed of everything random.
     pub seed: u64,
+    /// All start within so many milliseconds.
     pub spread_ms: u64,
+    /// Members, the last ones, that never send anything.
     pub silent: usize,
 }
 
@@ -166,10 +194,12 @@
         format!("{}{of:04}", if of < self.real { 'n' } else { 'h' })
     }
 
+    /// The site of a member.
     pub fn site(&self, of: usize) -> &'static str {
         SITES[of % SITES.len()]
     }
 
+    /// Where a member receives datagrams.
     pub fn talks_at(&self, of: usize) -> SocketAddr {
         let (row, place) = match of.checked_sub(self.real) {
             None => (1, of),
@@ -178,10 +208,12 @@
         SocketAddr::from((Ipv4Addr::new(127, self.net, row as u8, place as u8 + 1), 7946))
     }
 
+    /// Where a real member accepts gateways.
     pub fn serves_at(&self, of: usize) -> SocketAddr {
         SocketAddr::new(self.talks_at(of).ip(), 9000)
     }
 
+    /// The most members that the fleet may have.
     pub fn most(&self) -> usize {
         self.members * 2
     }
@@ -196,14 +228,17 @@
         (0..self.keeping()).map(|of| self.name(of)).collect()
     }
 
+    /// The number of voters.
     pub fn keeping(&self) -> usize {
         if self.real >= KEEPERS { KEEPERS } else { 1 }
     }
 
+    /// Addresses of the seed members.
     pub fn contacts(&self) -> Vec<SocketAddr> {
         (0..self.real.min(CONTACTS)).map(|of| self.talks_at(of)).collect()
     }
 
+    /// Whether a member never sends anything.
     pub fn is_silent(&self, of: usize) -> bool {
         of + self.silent >= self.members
     }
@@ -228,6 +263,7 @@
         }
     }
 
+    /// The quota configuration, as the server makes it of the operator's file.
     pub fn share_terms(&self) -> QuotaConfig {
         let keepers = self.keepers();
         QuotaConfig {
@@ -249,8 +285,9 @@
 pub struct Look {
     /// From the start.
     pub at: StdDuration,
+    /// What each real member said.
     pub said: Vec<Option<(LocalStatus, FleetSize)>>,
-    /// Processes that run: of hollow members, then real ones.
+    /// Processes that run: of lightweight members, then real ones.
     pub ids: Vec<u32>,
 }
 
--- a/crates/hazelspur-fault-harness/src/lightweight/process_usage.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/process_usage.rs
@@ -30,6 +30,7 @@
     pub anonymous: u64,
 }
 
+/// Usage of a process; none where it has ended.
 pub fn process(id: u32) -> Option<Process> {
     let (resident, anonymous) = resident(id)?;
     Some(Process { cpu: cpu(id)?, resident, anonymous })
--- a/crates/hazelspur-fault-harness/src/lightweight/processes.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/processes.rs
@@ -1,4 +1,4 @@
-//! The processes of one run: real servers with their stand-ins, and those of hollow members. Whatever is
+//! The processes of one run: real servers with their test doubles, and those of lightweight members. Whatever is
 //! started here ends with the value that holds it.
 
 use super::member::{Counted, Order, Task};
@@ -16,9 +16,13 @@
 use std::sync::mpsc::{Receiver, sync_channel};
 use std::time::{Duration, Instant};
 
+/// Request timeout, in milliseconds.
 const OP_TIMEOUT_MS: u64 = 3000;
+/// Time of a dependency call, in milliseconds.
 const CALL_MS: f64 = 10.0;
+/// Time of a run, in milliseconds.
 const RUN_MS: u64 = 15;
+/// Concurrency limit of a worker, by core.
 const CROWD_MULTIPLE: usize = 8;
 /// How often a process that was told to end is looked at.
 const STEP: Duration = Duration::from_millis(2);
@@ -52,6 +56,7 @@
         })
     }
 
+    /// Starts a real server.
     pub fn start(&mut self, of: usize) -> anyhow::Result<()> {
         let (fleet, name) = (&self.fleet, self.fleet.name(of));
         let file = |ending| self.folder.join(format!("{name}.{ending}"));
@@ -130,6 +135,7 @@
         self.gateway = Some(Gateway::start(0, habits, servers, lister, self.fleet.seed));
     }
 
+    /// Process ids of the real servers.
     pub fn ids(&self) -> Vec<Option<u32>> {
         self.processes.iter().map(|child| child.as_ref().map(Child::id)).collect()
     }
@@ -191,7 +197,7 @@
     }
 }
 
-/// One process of hollow members.
+/// One process of lightweight members.
 pub struct LightweightProcess {
     child: Child,
     orders: Option<ChildStdin>,
@@ -222,24 +228,32 @@
         Ok(hollow)
     }
 
+    /// Its process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
+    /// Sends an order.
     pub fn order(&mut self, order: Order) -> anyhow::Result<()> {
         let line = serde_json::to_string(&order)?;
-        writeln!(self.orders.as_mut().context("its input")?, "{line}").context("hollow members' input")
+        writeln!(self.orders.as_mut().context("its input")?, "{line}").context("lightweight members' input")
     }
 
+    /// Waits for the answer to an order.
     pub fn answer(&mut self, within: Duration) -> anyhow::Result<Counted> {
         let line = self.answers.recv_timeout(within);
-        let line = line.with_context(|| format!("hollow members from {}: no answer", self.first))?;
+        let line = line.with_context(|| format!("lightweight members from {}: no answer", self.first))?;
         Ok(serde_json::from_str(&line)?)
     }
 
+    /// Fails where the process has ended.
     pub fn check(&mut self) -> anyhow::Result<()> {
         let status = self.child.try_wait()?;
-        anyhow::ensure!(status.is_none(), "hollow members from {}: ended by itself, {status:?}", self.first);
+        anyhow::ensure!(
+            status.is_none(),
+            "lightweight members from {}: ended by itself, {status:?}",
+            self.first
+        );
         Ok(())
     }
 
@@ -249,12 +263,12 @@
         let until = Instant::now() + within;
         while Instant::now() < until {
             if let Some(status) = self.child.try_wait()? {
-                anyhow::ensure!(status.success(), "hollow members from {}: {status}", self.first);
+                anyhow::ensure!(status.success(), "lightweight members from {}: {status}", self.first);
                 return Ok(());
             }
             std::thread::sleep(STEP);
         }
-        anyhow::bail!("hollow members from {}: did not end by themselves", self.first)
+        anyhow::bail!("lightweight members from {}: did not end by themselves", self.first)
     }
 }
 
--- a/crates/hazelspur-fault-harness/src/link_faults.rs
+++ b/crates/hazelspur-fault-harness/src/link_faults.rs
@@ -7,18 +7,27 @@
 /// What holds one way of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rule {
+    /// Connections end and none is made.
     pub cut: bool,
+    /// They end with a reset.
     pub reset: bool,
+    /// Nothing arrives.
     pub mute: bool,
+    /// Connections are accepted and never read.
     pub swallow: bool,
+    /// One byte each millisecond.
     pub slow: bool,
+    /// Everything is late by so much, in milliseconds.
     pub delay_ms: u64,
+    /// Datagrams are late by up to so much, in milliseconds.
     pub shuffle_ms: u64,
     /// Hundredths.
     pub lose: u64,
+    /// Datagrams sent twice, in hundredths.
     pub double: u64,
 }
 
+/// The faults of links at each moment of a run.
 #[derive(Clone)]
 pub struct LinkFaults {
     script: Arc<Script>,
@@ -31,10 +40,12 @@
         Self { script: Arc::new(script), began: Arc::default() }
     }
 
+    /// Starts the script now.
     pub fn begin(&self) {
         *self.began.lock().expect("no panic before") = Some(Instant::now());
     }
 
+    /// Milliseconds since the script began.
     pub fn at_ms(&self) -> Option<u64> {
         let began = *self.began.lock().expect("no panic before");
         began.map(|began| began.elapsed().as_millis() as u64)
--- a/crates/hazelspur-fault-harness/src/main.rs
+++ b/crates/hazelspur-fault-harness/src/main.rs
@@ -52,10 +52,10 @@
         #[arg(long)]
         server: Option<PathBuf>,
     },
-    /// A fleet of a few real servers and many hollow members: what a member costs by size; exit status 1
+    /// A fleet of a few real servers and many lightweight members: what a member costs by size; exit status 1
     /// where they did not agree.
     LightweightProcess(command::Line),
-    /// Serves hollow members by lines on its input; started by `hollow`.
+    /// Serves lightweight members by lines on its input; started by `hollow`.
     #[command(name = command::HIDDEN, hide = true)]
     HollowMembers,
 }
@@ -140,6 +140,7 @@
 }
 
 fn judge(verdict: &Verdict) -> bool {
+    /// Breaches that are printed.
     const MOST: usize = 20;
     if verdict.breaches.is_empty() {
         println!("verdict: all rules held");
--- a/crates/hazelspur-fault-harness/src/observer.rs
+++ b/crates/hazelspur-fault-harness/src/observer.rs
@@ -12,15 +12,19 @@
 /// One picture, as far as it matters here.
 #[derive(Clone, Debug, PartialEq)]
 pub struct View {
+    /// The server.
     pub server: usize,
     /// Milliseconds since 1970 of the answer.
     pub at_ms: u64,
+    /// What it says of itself.
     pub condition: LocalStatus,
+    /// What it says of the fleet's size.
     pub fleet: FleetSize,
     /// Name and standing of all others.
     pub others: Vec<(String, MemberStatus)>,
 }
 
+/// Queries servers for their views of the fleet.
 pub struct FleetObserver {
     socket: UdpSocket,
     key: Key,
@@ -29,6 +33,7 @@
 }
 
 impl FleetObserver {
+    /// Opens a socket; errors name what is wrong with the key or the installation.
     pub fn new(key: &str, installation: &str) -> std::io::Result<Self> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         Ok(Self {
--- a/crates/hazelspur-fault-harness/src/relay.rs
+++ b/crates/hazelspur-fault-harness/src/relay.rs
@@ -16,6 +16,7 @@
 const LOOK: Duration = Duration::from_millis(10);
 /// A connection's bytes under way.
 const PART: usize = 16 * 1024;
+/// The longest datagram that is carried, in bytes.
 const LONGEST_DATAGRAM: usize = 2048;
 /// Datagrams held back by one relay.
 const MAX_HELD: usize = 4096;
--- a/crates/hazelspur-fault-harness/src/run.rs
+++ b/crates/hazelspur-fault-harness/src/run.rs
@@ -18,9 +18,11 @@
 const UP_MS: u64 = 60_000;
 /// At last all show one picture: within this after the last fault.
 const TOGETHER_MS: u64 = 120_000;
+/// How often faults are applied.
 const STEP: Duration = Duration::from_millis(5);
 /// Pictures are looked at so often, in ms.
 const LOOK_MS: u64 = 1000;
+/// How long a server may take to answer a query.
 const ASK: Duration = Duration::from_millis(120);
 /// A server may take so much memory, in KB.
 const MEMORY_KB: u64 = 64 * 1024;
@@ -28,16 +30,20 @@
 /// What came out.
 #[derive(Clone, Debug)]
 pub struct Verdict {
+    /// Breaches of the rules, in words.
     pub breaches: Vec<String>,
+    /// What they were found in.
     pub evidence: Evidence,
     /// From the last fault's end until all showed one picture; none if that did not come.
     pub together_ms: Option<u64>,
+    /// How long the start of all took, in milliseconds.
     pub up_ms: u64,
     /// What each server's lives have logged; no part of the verdict.
     pub logs: Vec<String>,
 }
 
 impl Verdict {
+    /// The figures of the run, in words.
     pub fn figures(&self) -> String {
         let of = &self.evidence;
         let tries: usize = of.tries.iter().map(Vec::len).sum();
@@ -60,6 +66,7 @@
 /// What is told while it runs.
 pub type Teller<'a> = &'a mut dyn FnMut(u64, &[Option<View>]);
 
+/// Plays a run and judges it; `tell` gets each change of the servers' views.
 pub fn play(plan: Plan, tell: Teller<'_>) -> anyhow::Result<Verdict> {
     let servers = plan.servers;
     let mut bed = TestFleet::new(plan)?;
--- a/crates/hazelspur-fault-harness/src/script.rs
+++ b/crates/hazelspur-fault-harness/src/script.rs
@@ -9,20 +9,28 @@
 /// One party, or several at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Party {
+    /// A server, by number.
     Server(usize),
     /// All servers of the site with this number.
     Site(usize),
     /// All servers.
     Servers,
+    /// A gateway, by number.
     Gateway(usize),
+    /// All gateways.
     Gateways,
+    /// The worker of a server.
     Runtime(usize),
+    /// The shared dependency.
     Ledger,
+    /// The list of servers.
     Control,
 }
 
+/// Sites of the fleet.
 pub const SITES: [&str; 3] = ["east", "west", "north"];
 
+/// The site of a server, by its number.
 pub fn site(of: usize) -> usize {
     of % SITES.len()
 }
@@ -76,6 +84,7 @@
     }
 }
 
+/// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Kind {
     // ---- on a link ----
@@ -93,6 +102,7 @@
     Slow,
     /// A share of datagrams, in hundredths, is lost, or comes twice.
     Lose(u64),
+    /// A share of datagrams, in hundredths, is sent twice.
     Double(u64),
     /// Datagrams come in another order, up to so many ms late.
     Shuffle(u64),
@@ -111,10 +121,12 @@
 }
 
 impl Kind {
+    /// Whether it is a fault of processes.
     pub fn on_process(self) -> bool {
         matches!(self, Self::Kill | Self::Stop | Self::Term | Self::Apart(_))
     }
 
+    /// Whether it is a fault of links.
     pub fn on_link(self) -> bool {
         !self.on_process() && !matches!(self, Self::Slower(_))
     }
@@ -173,16 +185,23 @@
     }
 }
 
+/// One fault of a script.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
+    /// When it begins, in milliseconds from the script's beginning.
     pub from_ms: u64,
+    /// How long it lasts, in milliseconds.
     pub for_ms: u64,
+    /// What goes wrong.
     pub kind: Kind,
+    /// With whom; the first end of a link.
     pub of: Party,
+    /// The other end of a link.
     pub to: Option<Party>,
 }
 
 impl Fault {
+    /// When it ends, in milliseconds from the script's beginning.
     pub fn end_ms(&self) -> u64 {
         self.from_ms + self.for_ms
     }
@@ -232,6 +251,7 @@
     }
 }
 
+/// Faults over time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Script(pub Vec<Fault>);
 
@@ -256,6 +276,7 @@
 }
 
 impl Script {
+    /// When its last fault ends, in milliseconds.
     pub fn end_ms(&self) -> u64 {
         let lasting = self.0.iter().filter(|fault| !matches!(fault.kind, Kind::Apart(_)));
         lasting.map(Fault::end_ms).max().unwrap_or(0)
--- a/crates/hazelspur-fault-harness/src/test_fleet.rs
+++ b/crates/hazelspur-fault-harness/src/test_fleet.rs
@@ -1,6 +1,6 @@
-//! The processes and stand-ins of one run. Every run has a net of its own in 127.0.0.0/8: servers in .1,
-//! where they are reached by datagrams in .2, their runtimes in .3, ledger in .4 and list in .5 as each
-//! server sees them, and each gateway's view of the servers from .10 on.
+//! The processes and test doubles of one run. Each run has a network of its own in 127.0.0.0/8: servers in .1, their
+//! datagram relays in .2, workers in .3, dependency in .4 and list in .5 as each server reaches them, and each gateway's
+//! addresses of the servers from .10 on.
 
 use crate::checker::Life;
 use crate::link_faults::LinkFaults;
@@ -22,27 +22,43 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
+/// The text of the fleet's key.
 pub const KEY: &str = "a key for the fleet on this machine only";
+/// The installation's name.
 pub const INSTALLATION: &str = "bed";
+/// Grace period of a drain, in milliseconds.
 pub const GRACE_MS: u64 = 300;
+/// Time from the shutdown notice to the end of a process, in milliseconds.
 pub const STOP_MS: u64 = 1500;
 /// By when a request's caller has given up, and its run ends at its call.
 const TIMEOUT_MS: u64 = 3000;
+/// Cores of each worker.
 pub const CORES: usize = 2;
+/// Concurrency limit of a worker, by core.
 pub const CROWD_MULTIPLE: usize = 8;
 /// Calls that a server may have out, where nothing else is planned, and the time over which they are averaged.
 pub const CALLS: f64 = 8.0;
+/// The time over which concurrent calls are averaged.
 pub const CALLS_OVER: Duration = Duration::from_secs(5);
+/// The most servers of a run.
 const MAX_SERVERS: usize = 200;
+/// The most gateways of a run.
 const MAX_GATEWAYS: usize = 40;
+/// Runs of this process so far; part of each run's network and folder.
 static RUNS: AtomicU32 = AtomicU32::new(0);
 
+/// What a run consists of.
 #[derive(Clone, Debug)]
 pub struct Plan {
+    /// The server's program.
     pub server_binary: PathBuf,
+    /// Servers.
     pub servers: usize,
+    /// Gateways.
     pub gateways: usize,
+    /// The faults.
     pub script: Script,
+    /// The seed of everything random.
     pub seed: u64,
     /// Requests a second of all gateways together.
     pub rate: f64,
@@ -67,21 +83,29 @@
     }
 }
 
+/// The processes, test doubles and relays of one run; all of them end with it.
 pub struct TestFleet {
+    /// What it consists of.
     pub plan: Plan,
     net: u8,
     /// Holds the net against other runs on this machine for as long as the bed stands.
     _claim: TcpListener,
     folder: PathBuf,
+    /// Faults on links.
     pub link_faults: LinkFaults,
+    /// Connections that were refused behind a relay.
     pub refusals: Refusals,
+    /// The worker of each server.
     pub runtimes: Vec<Runtime>,
+    /// The shared dependency.
     pub ledger: Ledger,
+    /// The list of servers.
     pub control: Control,
     processes: Vec<Option<Child>>,
     stopped: Vec<Option<u64>>,
     /// All lives so far; the last one of a server is the one that runs.
     pub lives: Vec<Life>,
+    /// The gateways.
     pub gateways: Vec<Gateway>,
     relays: tokio::runtime::Runtime,
 }
@@ -157,14 +181,17 @@
         self.at(1, of, 7946)
     }
 
+    /// The operator's file of a server.
     pub fn file(&self, of: usize) -> PathBuf {
         self.folder.join(format!("n{of}.star"))
     }
 
+    /// The log of a server.
     pub fn log(&self, of: usize) -> PathBuf {
         self.folder.join(format!("n{of}.log"))
     }
 
+    /// Whether a server's process runs.
     pub fn runs(&self, of: usize) -> bool {
         self.processes[of].is_some()
     }
@@ -235,6 +262,7 @@
         .to_string()
     }
 
+    /// Starts all gateways.
     pub fn start_gateways(&mut self) {
         for number in 0..self.plan.gateways {
             let habits = Habits {
@@ -266,6 +294,7 @@
         self.lives.iter_mut().rev().find(|life| life.server == of)
     }
 
+    /// The servers that a party names.
     pub fn servers_of(&self, party: Party) -> Vec<usize> {
         (0..self.plan.servers).filter(|of| party.covers(Party::Server(*of))).collect()
     }
@@ -380,6 +409,7 @@
 
 /// The first net from a number on that no other run on this machine has.
 pub(crate) fn claim_net(from: u32) -> std::io::Result<(u8, TcpListener)> {
+    /// Networks in 127.0.0.0/8 that a run may take.
     const NETS: u32 = 180;
     let net = |i: u32| 64 + (from.wrapping_add(i) % NETS) as u8;
     let claim = |net: u8| TcpListener::bind((Ipv4Addr::new(127, net, 250, 250), 7999)).map(|l| (net, l));
--- a/crates/hazelspur-fault-harness/tests/hollow.rs
+++ b/crates/hazelspur-fault-harness/tests/hollow.rs
@@ -74,15 +74,15 @@
     none_is_left(&outcome.ids);
 
     let figures = outcome.figures.as_ref().expect("a window");
-    assert_eq!(figures.of(Role::LightweightProcess).count(), 30);
+    assert_eq!(figures.of(Role::Lightweight).count(), 30);
     assert_eq!(figures.members.len(), 32);
     assert_eq!((figures.not_taken, figures.unsent), (0, 0));
     // What hollow members got is what they got of each sender, to the datagram.
-    let heard: f64 = figures.of(Role::LightweightProcess).map(|member| member.heard.datagrams).sum();
+    let heard: f64 = figures.of(Role::Lightweight).map(|member| member.heard.datagrams).sum();
     let by_sender: f64 = figures.members.iter().map(|member| member.told.datagrams).sum();
     assert!(heard > 0.0 && (heard - by_sender).abs() < 1e-6, "{heard} {by_sender}");
     let bytes = |of: fn(&_) -> f64| figures.members.iter().map(of).sum::<f64>();
-    let heard: f64 = figures.of(Role::LightweightProcess).map(|member| member.heard.bytes).sum();
+    let heard: f64 = figures.of(Role::Lightweight).map(|member| member.heard.bytes).sum();
     assert!((heard - bytes(|member| member.told.bytes)).abs() < 1e-3);
     for member in &figures.members {
         assert!(member.sent.bytes <= member.sent.datagrams * 1200.0 + 1e-6, "{member:?}");
