--- /dev/null
+++ b/crates/hazelspur-fleet/tests/membership_orders.rs
@@ -0,0 +1,242 @@
+//! All orders of few events among three and four members: any datagram in flight may arrive next, arrive twice or never, any
+//! timer may be next, one member may be killed and start again. After each step no member falls back to an older generation
+//! of another; after the last step a network without loss brings all running members to the same view.
+
+mod helpers;
+
+use hazelspur::pcg::Pcg;
+use hazelspur::{Duration, Timestamp};
+use hazelspur_fleet::membership::GenerationStatus;
+use hazelspur_fleet::membership::OutgoingDatagram;
+use hazelspur_fleet::{Datagram, Generation, MemberName, MemberStatus, Membership};
+use helpers::{START, config, name, number};
+use std::collections::BTreeMap;
+
+/// Datagrams in flight at once; older ones beyond that are lost.
+const MAX_IN_FLIGHT: usize = 5;
+
+#[derive(Clone)]
+struct TestFleet {
+    now: Timestamp,
+    members: BTreeMap<usize, Membership>,
+    in_flight: Vec<(usize, Datagram)>,
+    starts: u64,
+    /// The generation of each other member that each run of a member knew last.
+    known_generations: BTreeMap<(usize, Generation, MemberName), Generation>,
+}
+
+#[derive(Clone, Copy, Debug)]
+enum Step {
+    Deliver(usize),
+    Duplicate(usize),
+    Drop(usize),
+    Tick(usize),
+    Kill(usize),
+    Start(usize),
+}
+
+/// A member of which the observer knows an older generation than before.
+fn regressed_member(
+    known_generations: &mut BTreeMap<(usize, Generation, MemberName), Generation>,
+    observer: (usize, Generation),
+    now: impl Iterator<Item = (MemberName, Generation)>,
+) -> Option<MemberName> {
+    let mut found = None;
+    for (of, generation) in now {
+        let before = known_generations.entry((observer.0, observer.1, of)).or_insert(generation);
+        if generation < *before {
+            found = Some(of);
+        }
+        *before = generation;
+    }
+    found
+}
+
+impl TestFleet {
+    fn new(size: usize) -> Self {
+        let mut fleet = Self {
+            now: START,
+            members: BTreeMap::new(),
+            in_flight: Vec::new(),
+            starts: 0,
+            known_generations: BTreeMap::new(),
+        };
+        (0..size).for_each(|of| fleet.start(of));
+        fleet
+    }
+
+    fn start(&mut self, of: usize) {
+        self.starts += 1;
+        let generation = Generation(self.now.us() / 1000 + self.starts);
+        let seed = of as u64 * 1000 + self.starts;
+        self.members.insert(of, Membership::new(config(of, 8), generation, seed, self.now));
+    }
+
+    fn steps(&self) -> Vec<Step> {
+        let in_flight = 0..self.in_flight.len();
+        let mut steps: Vec<Step> = in_flight.clone().map(Step::Deliver).collect();
+        steps.extend(in_flight.clone().map(Step::Drop));
+        steps.extend(in_flight.map(Step::Duplicate));
+        steps.extend(self.members.keys().map(|of| Step::Tick(*of)));
+        // Killing and restarting one member is as good as any.
+        steps.push(if self.members.contains_key(&2) { Step::Kill(2) } else { Step::Start(2) });
+        steps
+    }
+
+    fn take(&mut self, step: Step) {
+        match step {
+            Step::Deliver(i) => {
+                let (to, datagram) = self.in_flight.remove(i);
+                self.deliver(to, &datagram);
+            }
+            Step::Duplicate(i) => {
+                let (to, datagram) = self.in_flight[i].clone();
+                self.deliver(to, &datagram);
+            }
+            Step::Drop(i) => drop(self.in_flight.remove(i)),
+            Step::Tick(of) => {
+                let Some(member) = self.members.get_mut(&of) else { return };
+                self.now = self.now.max(member.next_tick());
+                member.tick(self.now);
+                self.gather(of);
+            }
+            Step::Kill(of) => drop(self.members.remove(&of)),
+            Step::Start(of) => self.start(of),
+        }
+        self.in_flight.drain(..self.in_flight.len().saturating_sub(MAX_IN_FLIGHT));
+        self.check();
+    }
+
+    fn deliver(&mut self, to: usize, datagram: &Datagram) {
+        if let Some(member) = self.members.get_mut(&to) {
+            let _ = member.receive(self.now, datagram);
+            self.gather(to);
+        }
+    }
+
+    fn gather(&mut self, of: usize) {
+        let Some(member) = self.members.get_mut(&of) else { return };
+        while let Some(OutgoingDatagram { address: to, datagram }) = member.next_datagram(self.now) {
+            self.in_flight.push((number(to), datagram));
+        }
+        while member.next_event().is_some() {}
+    }
+
+    fn check(&mut self) {
+        for (of, member) in &self.members {
+            member.check_invariants().unwrap_or_else(|why| panic!("{of}: {why}"));
+            let known = member
+                .statuses()
+                .filter_map(|(name, _)| Some((name, member.member_status(name)?.generation)));
+            let observer = (*of, member.local_update().generation);
+            let back = regressed_member(&mut self.known_generations, observer, known);
+            assert_eq!(back, None, "n{of} fell back to an older generation");
+        }
+    }
+
+    /// Without further loss, all running members come to know each other in their newest generations, and nobody else.
+    fn converges(mut self) -> Result<(), String> {
+        let end = self.now + Duration::from_ms(150_000);
+        while self.now < end {
+            for (to, datagram) in std::mem::take(&mut self.in_flight) {
+                self.deliver(to, &datagram);
+            }
+            if self.in_flight.is_empty() {
+                let next = self.members.iter().min_by_key(|(_, member)| member.next_tick());
+                let Some(of) = next.map(|(of, _)| *of) else { return Ok(()) };
+                let member = self.members.get_mut(&of).expect("looked up above");
+                self.now = self.now.max(member.next_tick());
+                member.tick(self.now);
+                self.gather(of);
+            }
+        }
+        self.check();
+        for (of, member) in &self.members {
+            for (other, newest) in &self.members {
+                let right = Some(GenerationStatus {
+                    generation: newest.local_update().generation,
+                    status: MemberStatus::Alive,
+                });
+                if of != other && member.member_status(name(*other)) != right {
+                    return Err(format!("n{of} sees n{other} as {:?}", member.member_status(name(*other))));
+                }
+            }
+            let alive = member.statuses().filter(|(_, standing)| *standing == MemberStatus::Alive).count();
+            if alive + 1 != self.members.len() {
+                return Err(format!("n{of} sees {alive} others of {}", self.members.len() - 1));
+            }
+        }
+        Ok(())
+    }
+}
+
+/// 5 in CI; 6 takes a quarter of an hour without optimization.
+fn depth() -> usize {
+    std::env::var("HAZELSPUR_DEPTH").ok().and_then(|depth| depth.parse().ok()).unwrap_or(5)
+}
+
+/// Takes every order of steps to this depth, and lets one in `each` of the ends converge.
+fn explore(fleet: &TestFleet, depth: usize, each: usize, seen: &mut (usize, usize)) {
+    if depth == 0 {
+        seen.0 += 1;
+        if seen.0.is_multiple_of(each) {
+            seen.1 += 1;
+            fleet.clone().converges().unwrap_or_else(|why| panic!("{why}"));
+        }
+        return;
+    }
+    for step in fleet.steps() {
+        let mut next = fleet.clone();
+        next.take(step);
+        explore(&next, depth - 1, each, seen);
+    }
+}
+
+#[test]
+fn three_members_that_join_in_any_order_converge() {
+    let mut seen = (0, 0);
+    explore(&TestFleet::new(3), depth(), 211, &mut seen);
+    assert!(seen.0 > 20_000 && seen.1 > 100, "{seen:?}");
+}
+
+#[test]
+fn three_members_converge_after_any_order_of_loss_and_restart() {
+    let mut fleet = TestFleet::new(3);
+    fleet.clone().converges().expect("a quiet start");
+    for _ in 0..60 {
+        while !fleet.in_flight.is_empty() {
+            fleet.take(Step::Deliver(0));
+        }
+        let next = fleet.members.iter().min_by_key(|(_, member)| member.next_tick()).map(|(of, _)| *of);
+        fleet.take(Step::Tick(next.expect("three run")));
+    }
+    let mut seen = (0, 0);
+    explore(&fleet, depth(), 101, &mut seen);
+    assert!(seen.0 > 20_000 && seen.1 > 100, "{seen:?}");
+}
+
+#[test]
+fn random_walks_of_four_members_converge() {
+    for seed in 0..300 {
+        let mut random = Pcg::new(seed);
+        let mut fleet = TestFleet::new(4);
+        for _ in 0..150 {
+            let steps = fleet.steps();
+            fleet.take(steps[random.draw() as usize % steps.len()]);
+        }
+        fleet.converges().unwrap_or_else(|why| panic!("seed {seed}: {why}"));
+    }
+}
+
+#[test]
+fn injected_faults_are_found() {
+    let mut known_generations = BTreeMap::new();
+    let observer = (0, Generation(1));
+    let known = |generation| [(name(2), Generation(generation))].into_iter();
+    assert_eq!(regressed_member(&mut known_generations, observer, known(7)), None);
+    assert_eq!(regressed_member(&mut known_generations, observer, known(6)), Some(name(2)));
+    // A member that nobody can reach does not converge with the others.
+    let mut fleet = TestFleet::new(3);
+    fleet.members.insert(9, Membership::new(config(8, 8), Generation(1), 1, START));
+    assert!(fleet.converges().is_err());
+}
--- a/crates/hazelspur-server/src/commands.rs
+++ b/crates/hazelspur-server/src/commands.rs
@@ -35,9 +35,9 @@
         Ok(fleet) => fleet,
         Err(why) => return refuse(why),
     };
-    match fleet::ask::ask(&fleet) {
-        Ok(shown) => {
-            print!("{}", fleet::ask::print(&shown, shape));
+    match fleet::query::query(&fleet) {
+        Ok(output) => {
+            print!("{}", output.render(shape));
             ExitCode::SUCCESS
         }
         Err(why) => refuse(why),
--- a/crates/hazelspur-server/src/config/operator/checks.rs
+++ b/crates/hazelspur-server/src/config/operator/checks.rs
@@ -57,9 +57,9 @@
 
 fn check_fleet(operator: &OperatorConfig, source: &Source<'_>) -> Result<(), OperatorError> {
     let Some(fleet) = &operator.fleet else { return Ok(()) };
-    match fleet.share_terms() {
+    match fleet.quota_config() {
         Ok(_) => Ok(()),
-        Err((key, why)) => Err(source.error(&format!("fleet.{key}"), KeyFault::Shares(why))),
+        Err(error) => Err(source.error(&format!("fleet.{}", error.key()), KeyFault::Quota(error))),
     }
 }
 
--- a/crates/hazelspur-server/src/config/operator/mod.rs
+++ b/crates/hazelspur-server/src/config/operator/mod.rs
@@ -41,7 +41,7 @@
         amqp.read_password()?;
     }
     if let Some(fleet) = &mut operator.fleet {
-        fleet.read_key().map_err(|why| OperatorError::FleetKey(why.to_string()))?;
+        fleet.read_key()?;
     }
     Ok(operator)
 }
--- a/crates/hazelspur-server/src/config/operator/script.rs
+++ b/crates/hazelspur-server/src/config/operator/script.rs
@@ -149,8 +149,7 @@
         let mut eval = Evaluator::new(&module);
         eval.extra = Some(&recorder);
         set_bounds(&mut eval).map_err(|e| OperatorError::Interpreter(e.to_string()))?;
-        eval.eval_module(ast, &globals).map_err(failed)?;
-        Ok(())
+        eval.eval_module(ast, &globals).map(|_| ()).map_err(failed)
     })?;
     Ok(recorder.0.into_inner())
 }
--- a/crates/hazelspur-server/src/process/error.rs
+++ b/crates/hazelspur-server/src/process/error.rs
@@ -2,6 +2,7 @@
 
 use crate::config::error::ConfigError;
 use crate::config::operator::OperatorError;
+use crate::fleet::transport::TransportError;
 use std::process::ExitCode;
 use thiserror::Error;
 
@@ -17,9 +18,9 @@
     /// The operator's file is at fault.
     #[error(transparent)]
     Operator(#[from] OperatorError),
-    /// The fleet can't be joined; the text names the key at fault.
-    #[error("{0}")]
-    Fleet(String),
+    /// The fleet can't be joined.
+    #[error(transparent)]
+    Fleet(#[from] TransportError),
 }
 
 /// Why the process ends with a failure.
--- a/crates/hazelspur-server/src/process/server.rs
+++ b/crates/hazelspur-server/src/process/server.rs
@@ -7,7 +7,7 @@
 use crate::config::operator::OperatorConfig;
 use crate::config::reload::{self, References, Reloader};
 use crate::config::server_config::{Loaded, ServerConfig};
-use crate::fleet::talk::{self, Around, Talk};
+use crate::fleet::transport::{self, GossipTransport, TransportContext};
 use crate::ingress::amqp::{AmqpConsumer, ConsumerContext};
 use crate::ingress::gateway::GatewayServer;
 use crate::ingress::gateway::{MAX_OVERDUE, MAX_TIMEOUT_FACTOR};
@@ -33,7 +33,7 @@
     pub(super) phases: Rc<Phases>,
     pub(super) services: Rc<Services>,
     pub(super) queues: Option<Rc<AmqpConsumer>>,
-    pub(super) talk: Option<Rc<Talk>>,
+    pub(super) gossip: Option<Rc<GossipTransport>>,
     catalog: Rc<RefCell<Catalog>>,
     endpoints: Rc<UpstreamEndpoints>,
     descriptors: Descriptors,
@@ -63,13 +63,13 @@
             phases,
             services,
             queues: None,
-            talk: None,
+            gossip: None,
             catalog: Rc::new(RefCell::new(catalog)),
             endpoints,
             descriptors,
         };
         server.queues = server.queue_consumer(operator);
-        server.talk = server.join_fleet(operator).await?;
+        server.gossip = server.join_fleet(operator).await?;
         Ok(server)
     }
 
@@ -85,19 +85,18 @@
         Some(AmqpConsumer::new(context, amqp, operator))
     }
 
-    async fn join_fleet(&self, operator: &OperatorConfig) -> Result<Option<Rc<Talk>>, StartError> {
+    async fn join_fleet(&self, operator: &OperatorConfig) -> Result<Option<Rc<GossipTransport>>, StartError> {
         let Some(fleet) = &operator.fleet else { return Ok(None) };
-        let context = Around {
+        let context = TransportContext {
             dispatcher: self.services.dispatcher.clone(),
             endpoints: self.endpoints.clone(),
             phases: self.phases.clone(),
             catalog: self.catalog.clone(),
         };
-        let identity = (self.config.name.as_str(), self.config.seed);
-        let talk = Talk::new(fleet, identity, context).await;
-        let talk = Rc::new(talk.map_err(|why| StartError::Fleet(why.to_string()))?);
-        self.services.dependency.observe(talk.clone());
-        Ok(Some(talk))
+        let ServerConfig { name, seed, .. } = &*self.config;
+        let gossip = Rc::new(GossipTransport::bind(fleet, name, *seed, context).await?);
+        self.services.dependency.observe(gossip.clone());
+        Ok(Some(gossip))
     }
 
     pub(super) fn gateways(&self, listener: TcpListener) -> Rc<GatewayServer> {
@@ -133,8 +132,8 @@
         if let Some(queues) = &self.queues {
             supervise("queues", queues, AmqpConsumer::run);
         }
-        if let Some(talk) = &self.talk {
-            talk::begin(talk);
+        if let Some(gossip) = &self.gossip {
+            transport::start(gossip);
         }
         supervise("accept", gateways, GatewayServer::accept_connections);
         supervise("connections", gateways, GatewayServer::maintain_connections);
--- a/crates/hazelspur-server/src/process/shutdown.rs
+++ b/crates/hazelspur-server/src/process/shutdown.rs
@@ -30,8 +30,8 @@
     if let Some(queues) = &server.queues {
         queues.log_counters();
     }
-    if let Some(talk) = &server.talk {
-        talk.left();
+    if let Some(gossip) = &server.gossip {
+        gossip.announce_left();
     }
     server.phases.enter(Phase::Over, gateways.counts());
 }
--- a/crates/hazelspur-server/src/request/dispatcher.rs
+++ b/crates/hazelspur-server/src/request/dispatcher.rs
@@ -8,9 +8,8 @@
 use crate::request::event::{Completion, RequestEvent};
 use hazelspur::book::LoadReport;
 use hazelspur::config::change::{Change, Changed};
-use hazelspur::{
-    AdmissionController, Catalog, Decision, Duration, GuidanceKey, RequestId, TenantId, Timestamp,
-};
+use hazelspur::{AdmissionController, Catalog, Decision, Duration, RequestId, TenantId, Timestamp};
+use hazelspur_fleet::guidance::{GuidanceUpdate, LeaseExpiry};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -20,14 +19,6 @@
 use tokio::sync::Notify;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// What the controller goes by once the first of its quota leases expires.
-pub struct LeaseExpiry {
-    /// When that lease expires, by the monotonic clock.
-    pub at: Timestamp,
-    /// The guaranteed minimum of each leased quota.
-    pub guaranteed: BTreeMap<GuidanceKey, f64>,
-}
-
 /// Why a change of the settings was refused; the text names the key at fault.
 #[derive(Debug, Error)]
 #[error("{0}")]
@@ -122,20 +113,16 @@
         Ok(changed)
     }
 
-    /// Sets guidance from the fleet, `None` to take a figure back, and what applies once a lease expires.
-    pub fn set_guidance(
-        &self,
-        guidance: impl IntoIterator<Item = (GuidanceKey, Option<f64>)>,
-        expiry: Option<LeaseExpiry>,
-    ) {
+    /// Gives the controller the guidance of the fleet that changed; keeps what applies once a lease expires.
+    pub fn set_guidance(&self, update: GuidanceUpdate) {
+        let GuidanceUpdate { changes, expiry } = update;
         *self.lease_expiry.borrow_mut() = expiry;
-        let mut guidance = guidance.into_iter().peekable();
-        if guidance.peek().is_none() {
+        if changes.is_empty() {
             return;
         }
         self.report(|controller, now| {
-            for (key, value) in guidance {
-                controller.set_guidance(now, key, value);
+            for change in changes {
+                controller.set_guidance(now, change.key, change.value);
             }
         });
     }
@@ -146,8 +133,8 @@
         let Some(expiry) = self.lease_expiry.borrow_mut().take_if(|expiry| now >= expiry.at) else { return };
         let now = self.clock.now();
         if let Some(controller) = self.controller.borrow_mut().as_mut() {
-            for (key, value) in expiry.guaranteed {
-                controller.set_guidance(now, key, Some(value));
+            for expired in expiry.values {
+                controller.set_guidance(now, expired.key, Some(expired.value));
             }
         }
         self.leases_expired.set(true);
--- a/crates/hazelspur-simulator/src/capacity/constants.rs
+++ b/crates/hazelspur-simulator/src/capacity/constants.rs
@@ -19,7 +19,7 @@
 const CATALOG: &str = "src/catalog.rs";
 const REGISTRY: &str = "crates/hazelspur-server/src/upstream/registry.rs";
 const DESCRIPTORS: &str = "crates/hazelspur-server/src/process/descriptors.rs";
-const GATE: &str = "crates/hazelspur-fleet/src/gate.rs";
+const CIRCUIT_BREAKER: &str = "crates/hazelspur-fleet/src/circuit_breaker.rs";
 const KEYS: &str = "crates/hazelspur-server/src/config/fleet_keys.rs";
 
 /// Mean wait between reports to the list, s: the middle of `REPORT_INTERVAL`.
@@ -78,30 +78,48 @@
 pub const MOST: Constant =
     constant(KEYS, "Fleet.most", "#[garde(range(min = 1, max = 4096))]\n    pub most: usize,", 4096.0);
 /// The part of a shared limit that is divided by `most` for good.
-pub const FLOOR: Constant = constant(KEYS, "floor()", "fn floor() -> f64 {\n    0.2\n}", 0.2);
+pub const FLOOR: Constant =
+    constant(KEYS, "DEFAULT_GUARANTEED_FRACTION", "const DEFAULT_GUARANTEED_FRACTION: f64 = 0.2;", 0.2);
 /// How long a vote holds, s.
-pub const LEASE: Constant = constant(KEYS, "lease()", "fn lease() -> f64 {\n    4.0\n}", 4.0);
+pub const LEASE: Constant = constant(KEYS, "DEFAULT_VOTE_SECS", "const DEFAULT_VOTE_SECS: f64 = 4.0;", 4.0);
 /// How often one other is probed, s.
-pub const PERIOD: Constant = constant(KEYS, "period()", "fn period() -> f64 {\n    1.0\n}", 1.0);
+pub const PERIOD: Constant =
+    constant(KEYS, "DEFAULT_PERIOD_SECS", "const DEFAULT_PERIOD_SECS: f64 = 1.0;", 1.0);
 /// The part of a lease after which a holder asks again.
 pub const RENEWAL: Constant = constant(
-    "crates/hazelspur-fleet/src/shares/terms.rs",
-    "Terms::renewal",
-    "pub fn renewal(&self) -> Span {\n        self.span.scaled(0.25)",
+    "crates/hazelspur-fleet/src/quota/config.rs",
+    "RENEWAL_FRACTION",
+    "const RENEWAL_FRACTION: f64 = 0.25;",
     0.25,
 );
 /// How often a chosen server tries a ledger that is gone, s.
-pub const CHOSEN_EVERY: Constant =
-    constant(GATE, "CHOSEN_EVERY", "const CHOSEN_EVERY: Span = Span::from_ms(250);", 0.25);
+pub const CHOSEN_EVERY: Constant = constant(
+    CIRCUIT_BREAKER,
+    "DESIGNATED_PROBE_INTERVAL",
+    "const DESIGNATED_PROBE_INTERVAL: Duration = Duration::from_ms(250);",
+    0.25,
+);
 /// The same of the others, s.
-pub const OTHERS_EVERY: Constant =
-    constant(GATE, "OTHERS_EVERY", "const OTHERS_EVERY: Span = Span::from_ms(4000);", 4.0);
+pub const OTHERS_EVERY: Constant = constant(
+    CIRCUIT_BREAKER,
+    "OTHER_PROBE_INTERVAL",
+    "const OTHER_PROBE_INTERVAL: Duration = Duration::from_ms(4000);",
+    4.0,
+);
 /// Parts of the list that one server answers in a period.
-pub const PAGES: Constant =
-    constant("crates/hazelspur-fleet/src/members/mod.rs", "PAGES", "const PAGES: usize = 64;", 64.0);
+pub const PAGES: Constant = constant(
+    "crates/hazelspur-fleet/src/membership/state.rs",
+    "LIST_PAGES_PER_PERIOD",
+    "const LIST_PAGES_PER_PERIOD: usize = 64;",
+    64.0,
+);
 /// How often a piece of news goes out, times the logarithm of the size.
-pub const NEWS_TIMES: Constant =
-    constant("crates/hazelspur-fleet/src/news.rs", "TIMES", "const TIMES: u32 = 4;", 4.0);
+pub const NEWS_TIMES: Constant = constant(
+    "crates/hazelspur-fleet/src/membership/gossip_queue.rs",
+    "TRANSMISSIONS_PER_LOG_SIZE",
+    "const TRANSMISSIONS_PER_LOG_SIZE: u32 = 4;",
+    4.0,
+);
 
 /// All of them.
 pub const ALL: [Constant; 21] = [
--- a/crates/hazelspur-simulator/src/capacity/rows.rs
+++ b/crates/hazelspur-simulator/src/capacity/rows.rs
@@ -5,7 +5,7 @@
 use super::constants::Constant;
 use super::measured::Seeds;
 use super::size::Size;
-use hazelspur_fleet::{gate, shares, talk};
+use hazelspur_fleet::{circuit_breaker, datagram, quota};
 
 /// Whose cost a row is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -186,11 +186,11 @@
 
 const FILE: &str = "docs/capacity/size.toml";
 const AGREE: [&str; 2] = ["scale/members.agree_s", "scale/members.not_agreed_within_s"];
-const MEMBERS: &str = "crates/hazelspur-fleet/src/members/mod.rs Members";
-const JOINT: &str = "crates/hazelspur-fleet/src/joint.rs Joint";
-const TALK: &str = "crates/hazelspur-server/src/fleet/talk.rs Talk";
-const SHARES: &str = "crates/hazelspur-fleet/src/shares/mod.rs Shares";
-const DIVIDER: &str = "crates/hazelspur-fleet/src/shares/divide.rs Divider";
+const MEMBERS: &str = "crates/hazelspur-fleet/src/membership/state.rs Membership";
+const JOINT: &str = "crates/hazelspur-fleet/src/node.rs FleetNode";
+const TALK: &str = "crates/hazelspur-server/src/fleet/transport.rs GossipTransport";
+const SHARES: &str = "crates/hazelspur-fleet/src/quota/manager.rs QuotaManager";
+const DIVIDER: &str = "crates/hazelspur-fleet/src/quota/allocator.rs Allocator";
 const REPORT: &str = "crates/hazelspur-server/src/upstream/registry.rs HealthReporter";
 const RELOAD: &str = "crates/hazelspur-server/src/config/reload.rs Reloader";
 const CHECK: &str = "crates/hazelspur-server/src/config/server_config.rs ServerConfig";
@@ -380,8 +380,8 @@
         row(Server, "server.talk.sites", "sites that an operator is shown", "sites", ("zones", s.zones))
             .formula("one for each zone")
             .computed(FILE.to_string() + " zones", 1.0, 0.0)
-            .within(talk::MAX_SITES as f64, "talk.rs, MAX_SITES")
-            .by_mechanism("crates/hazelspur-fleet/src/talk.rs Body"),
+            .within(datagram::MAX_QUERY_SITES as f64, "datagram/mod.rs, MAX_QUERY_SITES")
+            .by_mechanism("crates/hazelspur-fleet/src/datagram/body.rs Body"),
         row(
             Server,
             "server.descriptors",
@@ -436,7 +436,7 @@
             .formula("4 of all by rendezvous, as many choosers as servers")
             .measured(&["subsets.most_over_mean"], &["rendezvous"])
             .within(a.most_over_mean_load, "assumed.most_over_mean_load")
-            .by_mechanism("crates/hazelspur-fleet/src/subsets.rs first"),
+            .by_mechanism("crates/hazelspur-fleet/src/subset.rs select"),
         row(
             Caller,
             "caller.tries",
@@ -586,12 +586,12 @@
             .formula("a real process among hollow members")
             .measured(&["members.keeper.cpu_share"], &["rest"])
             .within(b.control_cpu_share, CPU)
-            .by_mechanism("crates/hazelspur-fleet/src/shares/vote.rs Keeper"),
+            .by_mechanism("crates/hazelspur-fleet/src/quota/election.rs Voter"),
         row(KeeperAndDivider, "keeper.bytes", "bytes that the same sends", "B/s", servers)
             .formula("by its datagrams' numbers and their mean length")
             .measured(&["members.keeper.bytes_out_per_s"], &["rest"])
             .within(b.control_bytes_per_s, BYTES)
-            .by_mechanism("crates/hazelspur-fleet/src/shares/vote.rs Keeper"),
+            .by_mechanism("crates/hazelspur-fleet/src/quota/election.rs Voter"),
         row(KeeperAndDivider, "divider.entries", "entries in the divider's table", "entries", servers)
             .formula("one for each server that asks")
             .computed(FILE.to_string() + " servers", 1.0, 0.0)
@@ -600,14 +600,14 @@
         row(KeeperAndDivider, "shares.limits", "limits that must be shared at one time", "limits", limits)
             .formula("tenants near their quota, and calls")
             .computed(FILE.to_string() + " tenants_near_their_quota", near, 1.0)
-            .within(shares::MAX_LIMITS as f64, "shares/mod.rs, MAX_LIMITS")
+            .within(quota::MAX_LIMITS as f64, "quota/mod.rs, MAX_LIMITS")
             .by_mechanism(SHARES)
             .rests_on(&["config.in_force", "divider.bytes"]),
         row(KeeperAndDivider, "shares.datagram", "bytes of one demand for that many limits", "B", limits)
             .formula("two amounts of 4 bytes for each limit, in one datagram")
             .computed("shares/mod.rs Word::Want", near * 8.0, 8.0)
-            .within(talk::LONGEST as f64, "talk.rs, LONGEST")
-            .by_mechanism("crates/hazelspur-fleet/src/shares/mod.rs Word")
+            .within(datagram::MAX_DATAGRAM_BYTES as f64, "datagram/mod.rs, MAX_DATAGRAM_BYTES")
+            .by_mechanism("crates/hazelspur-fleet/src/quota/message.rs QuotaMessage")
             .rests_on(&["shares.limits"]),
         row(
             KeeperAndDivider,
@@ -619,7 +619,7 @@
         .formula("share_of_a_region_alone / (floor of the limit x its servers / `most`)")
         .computed(at(&[&code::FLOOR]), 0.0, a.share_of_a_region_alone / region)
         .within(1.0, "all that it needs")
-        .by_mechanism("crates/hazelspur-fleet/src/shares/terms.rs Terms")
+        .by_mechanism("crates/hazelspur-fleet/src/quota/config.rs QuotaConfig")
         .rests_on(&["regions.names"]),
         row(
             KeeperAndDivider,
@@ -667,7 +667,7 @@
     let (s, a) = (&size.size, &size.assumed);
     let servers = ("servers", s.servers);
     let (chosen, rest) = (1.0 / code::CHOSEN_EVERY.value, 1.0 / code::OTHERS_EVERY.value);
-    let few = gate::CHOSEN as f64;
+    let few = circuit_breaker::DESIGNATED_PROBERS as f64;
     vec![
         row(
             SharedDependency,
@@ -712,7 +712,7 @@
         .formula("6 chosen every 0.25 s, all others every 4 s")
         .computed(at(&[&code::CHOSEN_EVERY, &code::OTHERS_EVERY]), rest, few * (chosen - rest))
         .within(a.tries_at_a_lost_dependency_per_s, "assumed.tries_at_a_lost_dependency_per_s")
-        .by_mechanism("crates/hazelspur-fleet/src/gate.rs Gate"),
+        .by_mechanism("crates/hazelspur-fleet/src/circuit_breaker.rs CircuitBreaker"),
         row(
             SharedDependency,
             "dependency.return",
@@ -722,7 +722,7 @@
         )
         .formula("as simulated")
         .measured(&["dependency.first_second_over_usual"], &[])
-        .by_mechanism("crates/hazelspur-fleet/src/gate.rs Gate"),
+        .by_mechanism("crates/hazelspur-fleet/src/circuit_breaker.rs CircuitBreaker"),
     ]
 }
 
@@ -818,7 +818,7 @@
     };
     let per_minute = a.changes_in_busiest_minute / 60.0;
     let out = a.out_at_once_share * s.servers;
-    let keepers = shares::MAX_KEEPERS as f64;
+    let keepers = quota::MAX_VOTERS as f64;
     let region = s.servers * (s.regions - 1.0) / s.regions;
     let zone = s.servers * (s.zones - 1.0) / s.zones;
     let mean = s.servers * a.busiest_minute_over_mean;
@@ -899,9 +899,9 @@
             ("keepers", 1.0),
         )
         .formula("one at a time; a minority of 9 may go")
-        .computed("crates/hazelspur-fleet/src/shares/mod.rs MAX_KEEPERS", 1.0, 0.0)
+        .computed("crates/hazelspur-fleet/src/quota/mod.rs MAX_VOTERS", 1.0, 0.0)
         .within((keepers - 1.0) / 2.0, "a minority of MAX_KEEPERS")
-        .by_mechanism("crates/hazelspur-fleet/src/shares/vote.rs Keeper"),
+        .by_mechanism("crates/hazelspur-fleet/src/quota/election.rs Voter"),
         row(
             Event,
             "event.changes.cpu",
