--- a/crates/hazelspur-adapter/src/main.rs
+++ b/crates/hazelspur-adapter/src/main.rs
@@ -2,9 +2,6 @@
 //! and answers each committed batch with decisions on standard output. Faults go to standard error; one that no server
 //! can give in for ends the adapter with exit status 2.
 
-#![warn(missing_docs, unreachable_pub)]
-#![warn(clippy::too_many_lines, clippy::too_many_arguments, clippy::type_complexity)]
-
 mod decision_line;
 mod error;
 mod event;
--- a/crates/hazelspur-amqp/src/lib.rs
+++ b/crates/hazelspur-amqp/src/lib.rs
@@ -4,9 +4,6 @@
 //! Based on the AMQP 0-9-1 specification (sections 2.3, 4.2 and the XML description of classes and methods), its
 //! published errata and extensions (nack, confirms, `connection.blocked`, field types).
 
-#![warn(missing_docs, unreachable_pub)]
-#![warn(clippy::too_many_lines, clippy::too_many_arguments, clippy::type_complexity)]
-
 pub mod connection;
 mod error;
 pub mod frame;
--- a/crates/hazelspur-deliveries/src/lib.rs
+++ b/crates/hazelspur-deliveries/src/lib.rs
@@ -4,9 +4,6 @@
 //! No I/O and no clock. Whether and when the request of a delivery runs is decided by
 //! `hazelspur::AdmissionController`.
 
-#![warn(missing_docs, unreachable_pub)]
-#![warn(clippy::too_many_lines, clippy::too_many_arguments, clippy::type_complexity)]
-
 mod broker_selector;
 mod duty_cycle_gate;
 mod identifiers;
--- a/crates/hazelspur-fleet/src/lib.rs
+++ b/crates/hazelspur-fleet/src/lib.rs
@@ -9,9 +9,6 @@
 //! - `subset`, `time_slots`: who of many, and when, decided alike by each server on its own;
 //! - `node`: all of it for one server; `guidance`: what follows for its admission controller.
 
-#![warn(missing_docs, unreachable_pub)]
-#![warn(clippy::too_many_lines, clippy::too_many_arguments, clippy::type_complexity)]
-
 pub mod anti_replay;
 pub mod circuit_breaker;
 pub mod datagram;
--- a/crates/hazelspur-parsers/src/lib.rs
+++ b/crates/hazelspur-parsers/src/lib.rs
@@ -1,9 +1,6 @@
 //! Reads and writes the texts of all protocols but AMQP: JSON, JSON-RPC lines, the runtime link and HTTP/1.1, and maps
 //! the settings of the wire to typed ones. No I/O; every length has a bound.
 
-#![warn(missing_docs, unreachable_pub)]
-#![warn(clippy::too_many_lines, clippy::too_many_arguments, clippy::type_complexity)]
-
 pub mod buffer;
 pub mod http;
 pub mod json;
--- a/crates/hazelspur-server/src/config/server_config.rs
+++ b/crates/hazelspur-server/src/config/server_config.rs
@@ -2,8 +2,6 @@
 //!
 //! This is the one place where it is read, checked and given defaults; every error names the key at fault.
 
-#![warn(missing_docs)]
-
 use crate::config::error::ConfigError;
 use crate::upstream::endpoints::EndpointAddresses;
 use hazelspur::config::difference::Difference;
--- a/crates/hazelspur-server/src/main.rs
+++ b/crates/hazelspur-server/src/main.rs
@@ -1,7 +1,5 @@
 //! The `hazelspur-server` program: its commands and exit statuses.
 
-#![warn(missing_docs, unreachable_pub)]
-
 use clap::Parser;
 use hazelspur::Catalog;
 use hazelspur_server::commands;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,9 +4,6 @@
 //! rules. The policies import only the data modules (`request`, `request_table`, `statistics`); `controller`
 //! calls the policies.
 
-#![warn(missing_docs, unreachable_pub)]
-#![warn(clippy::too_many_lines, clippy::too_many_arguments, clippy::type_complexity)]
-
 mod admission;
 mod arrivals;
 pub mod config;
