--- a/crates/hazelspur-deliveries/src/settlement.rs
+++ b/crates/hazelspur-deliveries/src/settlement.rs
@@ -4,6 +4,11 @@
 use hazelspur::{Duration, Idempotency};
 use thiserror::Error;
 
+/// Attempts of a failing request where the queue does not configure them.
+const DEFAULT_MAX_ATTEMPTS: u32 = 8;
+/// Delay after a failed attempt where the queue does not configure it.
+const DEFAULT_FAILED_DELAY: Duration = Duration::from_ms(1000);
+
 /// How a delivery is settled with the broker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Settlement {
@@ -90,8 +95,8 @@
             malformed: Settlement::Reject,
             possible_duplicate: Settlement::Reject,
             exhausted: Settlement::Reject,
-            max_attempts: 8,
-            failed_delay: Duration::from_ms(1000),
+            max_attempts: DEFAULT_MAX_ATTEMPTS,
+            failed_delay: DEFAULT_FAILED_DELAY,
         }
     }
 }
--- a/crates/hazelspur-server/src/ingress/amqp/consumer.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/consumer.rs
@@ -13,6 +13,7 @@
 };
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
+use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, oneshot};
@@ -168,7 +169,7 @@
         self.finished.set(true);
     }
 
-    fn connection_failed(&self, address: std::net::SocketAddr, failure: &ConnectionFailure) {
+    fn connection_failed(&self, address: SocketAddr, failure: &ConnectionFailure) {
         let (in_hand, counters) = (self.tracker.borrow().active(), self.tracker.borrow().counters());
         let mut brokers = self.brokers.borrow_mut();
         let was_removed = self.broker_removed.take();
--- a/crates/hazelspur-server/src/ingress/gateway/lines.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/lines.rs
@@ -8,6 +8,7 @@
 use hazelspur::RequestId;
 use hazelspur_parsers::rpc::{self, RpcId};
 use hazelspur_parsers::{Buffer, Json};
+use std::borrow::Cow;
 use std::rc::Rc;
 
 /// Longest line, in bytes.
@@ -21,7 +22,7 @@
 
 /// A message of a gateway.
 struct Message<'a> {
-    method: std::borrow::Cow<'a, str>,
+    method: Cow<'a, str>,
     id: Option<RpcId>,
     params: Option<Json<'a>>,
 }
