--- a/crates/hazelspur-adapter/tests/wire.rs
+++ b/crates/hazelspur-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Odd rounds by hand through the built adapter.
+//! Unusual batches through the built adapter.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn unknown_words_pass_and_the_end_is_clean() {
+fn unknown_lines_and_fields_are_ignored_and_the_end_of_input_is_a_success() {
     let rest = format!("NOVELTY x=1\nCALL odd=3 kb=5 class=0 request-id={OP} neighbour=3\nCOMMIT\n");
     let done = format!(
         "BATCH at-time-us=9000\nSELECT server-id=server_1\nCOMPLETED request-id={OP} disposition=0\nCOMPLETED request-id={OP} disposition=0\nCOMMIT\nBATCH at-time-us=9900\nCOMMIT\n"
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn bad_fields_give_in_for_their_instance() {
+fn unreadable_fields_make_their_server_give_in() {
     let calls = [
         "CALL class=0 kb=5",
         "CALL request-id=short class=0",
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn what_no_instance_can_tell_ends_the_adapter() {
+fn faults_of_no_server_end_the_adapter() {
     let inputs = [
         "COMMIT\n".to_string(),
         START.to_string(),
@@ -123,3 +123,54 @@
     "#]]
     .assert_eq(&seen);
 }
+
+#[test]
+fn every_line_of_a_request_is_read_and_every_event_is_answered() {
+    let other = OP.replace("5d3a", "6d3a");
+    let third = OP.replace("5d3a", "7d3a");
+    let batches = [
+        format!(
+            "CALL class=0 kb=5 bits=5 cost-us=1000 give-up-at-us=4000000 realm=0 name-key=u age-us=10 prior=0 \
+             request-id={OP} neighbour=3\nCALL class=0 request-id={other} prior={OP}\nCALL class=0 request-id={third}"
+        ),
+        format!("WANTS_CALL request-id={OP}\nDROPPED request-id={third}"),
+        format!("DEP_REPLY request-id={OP} disposition=0"),
+        format!("COMPLETED request-id={OP} disposition=0\nCOMPLETED request-id={other} disposition=255"),
+        "TIMER nonce=beat telemetry=on_cores:1.5,odd:2".to_string(),
+        "QUIESCE give-up-at-us=9000000".to_string(),
+        "EXIT".to_string(),
+    ];
+    let mut input = START.to_string() + "COMMIT\n";
+    for (number, events) in batches.iter().enumerate() {
+        let at_us = 2000 + number * 50_000;
+        input += &format!("BATCH at-time-us={at_us}\nSELECT server-id=server_1\n{events}\nCOMMIT\n");
+    }
+    input +=
+        &format!("BATCH at-time-us=900000\nSELECT server-id=server_1\nDROPPED request-id={OP}\nCOMMIT\n");
+    expect_test::expect![[r#"
+        CONTEXT server-id=server_1
+        SET_HEALTH active=1 cached=1
+        REMIND fire-at-us=41000 nonce=beat
+        READY
+        CONTEXT server-id=server_1
+        ADMIT request-id=5d3a91c4-c55e-4ea8-a723-2965583e6a4c
+        ADMIT request-id=6d3a91c4-c55e-4ea8-a723-2965583e6a4c
+        READY
+        CONTEXT server-id=server_1
+        GO_CALL request-id=5d3a91c4-c55e-4ea8-a723-2965583e6a4c patience-us=3948000
+        READY
+        READY
+        READY
+        CONTEXT server-id=server_1
+        REMIND fire-at-us=242000 nonce=beat
+        READY
+        CONTEXT server-id=server_1
+        RECORD message=mode draining in_hand=0
+        SET_HEALTH active=0 cached=1
+        READY
+        READY
+        line 39: event for unknown instance server_1: DROPPED request-id=5d3a91c4-c55e-4ea8-a723-2965583e6a4c
+        exit Some(2)
+    "#]]
+    .assert_eq(&play(&input));
+}
--- a/crates/hazelspur-fleet/src/membership/receive.rs
+++ b/crates/hazelspur-fleet/src/membership/receive.rs
@@ -26,8 +26,8 @@
     /// Takes a datagram that `datagram::open` has accepted.
     ///
     /// # Errors
-    /// `DatagramError::Content` for an implausible sender, `DatagramError::Replayed` for a datagram that was received
-    /// before, of a generation that is over, or under this process's own name.
+    /// `DatagramError::Content` for an implausible sender, `DatagramError::Replayed` for a datagram that was
+    /// received before, of a generation that is over, or under this process's own name.
     pub fn receive(&mut self, now: Timestamp, datagram: &Datagram) -> Result<(), DatagramError> {
         let sender = &datagram.sender;
         if let Body::FleetQuery { number, after } = datagram.body {
@@ -163,7 +163,7 @@
     }
 
     fn add_member(&mut self, now: Timestamp, update: &MemberUpdate, reported_by: MemberName) {
-        if !self.make_room() {
+        if !self.ensure_capacity() {
             self.rejected_members += 1;
             return;
         }
@@ -181,7 +181,7 @@
     }
 
     /// Whether the table has capacity for another member, if need be by forgetting one that is gone.
-    fn make_room(&mut self) -> bool {
+    fn ensure_capacity(&mut self) -> bool {
         if self.members.len() < self.members.capacity() {
             return true;
         }
--- a/crates/hazelspur-parsers/tests/texts.rs
+++ b/crates/hazelspur-parsers/tests/texts.rs
@@ -1,11 +1,11 @@
-//! What the parsers make of whole, cut and broken texts.
+//! The parsers on whole, split and malformed texts.
 
-use hazelspur_parsers::rpc::RpcId;
-use hazelspur_parsers::{Buffer, Json, http, rpc, runtime, settings};
+use hazelspur_parsers::rpc::{ErrorData, RpcId};
+use hazelspur_parsers::{Buffer, Json, http, rpc, runtime};
 use std::fmt::Write;
 
 #[test]
-fn json_is_read_where_it_stands() {
+fn json_is_read_in_place_and_malformed_json_is_refused() {
     let texts = [
         r#" {"a":1.5e1,"b":[true,null,"x\u00e9\ud83d\ude00\n"],"a":2} "#,
         r#"{"a":01}"#,
@@ -52,28 +52,10 @@
     .assert_eq(&seen);
 }
 
-#[test]
-fn settings_come_out_flat_and_in_our_words() {
-    let text = r#"{"lanes":[{"aim-us":1800000,"semantics":"safe"}],"family-info":{"n-cores":6,"cold":true,
-        "below":"silent","new":null,"odd":1e999},"orgs":[{"quota-rps":49.0}]}"#;
-    let facts = settings::facts(Json::parse(text.as_bytes()).expect("good"), 8).expect("few");
-    let seen: String = facts.0.iter().map(|(name, fact)| format!("{name} {fact:?}\n")).collect();
-    expect_test::expect![[r#"
-        op_types.0.repeats Text("retryable")
-        op_types.0.target_latency_us Num(1800000.0)
-        server.below Text("none")
-        server.cold Num(1.0)
-        server.cores Num(6.0)
-        server.odd Num(NaN)
-        tenants.0.quota_per_s Num(49.0)
-    "#]]
-    .assert_eq(&seen);
-}
-
 #[derive(Default)]
-struct Heard(String);
+struct Recorder(String);
 
-impl runtime::Listener for Heard {
+impl runtime::Listener for Recorder {
     fn ready(&mut self, hot: bool, since_ms: u64) {
         self.0 += &format!("ready {hot} {since_ms}\n");
     }
@@ -95,26 +77,28 @@
 }
 
 #[test]
-fn runtime_lines_come_whole_however_they_are_cut() {
+fn runtime_messages_are_read_whole_however_they_are_split() {
     let text =
         b"ready chilly 12\r\nend 1 aa complete 80 3\r\n\r\nx\r\nwants 2 bb 0\r\n\r\nload t 0.5 3 0 12\r\n\
         info 3 all is well\r\nnack give cc\r\n";
-    let mut heard = Heard::default();
+    let mut recorder = Recorder::default();
     let mut buffer = Buffer::default();
     for byte in text {
         buffer.room().push(*byte);
-        while let Some(used) = runtime::read(buffer.unread(), &mut heard).expect("good lines") {
+        while let Some(used) = runtime::read(buffer.unread(), &mut recorder).expect("good lines") {
             buffer.take(used);
         }
     }
-    heard.0 += &format!("left {}\n", buffer.unread().len());
+    recorder.0 += &format!("left {}\n", buffer.unread().len());
     for bad in
         ["end 1 aa complete 80 x\r\n", "hello\r\n", "end 1 aa error 0 0\r\nxx", "ready hot -1\r\n", "\r\n"]
     {
-        heard.0 += &format!("{:?}\n", runtime::read(bad.as_bytes(), &mut Heard::default()));
+        let read = runtime::read(bad.as_bytes(), &mut Recorder::default()).map_err(|error| error.to_string());
+        recorder.0 += &format!("{read:?}\n");
     }
     let endless = [b'x'; 9000];
-    heard.0 += &format!("{:?}\n", runtime::read(&endless, &mut Heard::default()));
+    let read = runtime::read(&endless, &mut Recorder::default()).map_err(|error| error.to_string());
+    recorder.0 += &format!("{read:?}\n");
     expect_test::expect![[r#"
         ready false 12
         end 1 aa complete [13, 10, 120]
@@ -130,11 +114,11 @@
         Err("an unreadable line: ")
         Err("a line of over 8192 bytes")
     "#]]
-    .assert_eq(&heard.0);
+    .assert_eq(&recorder.0);
 }
 
 #[test]
-fn replies_of_all_kinds() {
+fn http_responses_of_all_kinds() {
     let replies = [
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabcHTTP",
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab",
@@ -164,7 +148,8 @@
         let mut read = |piece: &[u8]| {
             buffer.room().extend_from_slice(piece);
             let read = reply.read(&mut buffer, "X-Untouched");
-            read.map(|r| r.map(|(status, mark, stays, body)| (status, mark, stays, String::from_utf8(body))))
+            read.map(|read| read.map(|r| (r.status, r.is_marked, r.is_reusable, String::from_utf8(r.body))))
+                .map_err(|error| error.to_string())
         };
         let read = text.as_bytes().chunks(3).map(&mut read).find(|read| !matches!(read, Ok(None)));
         let _ = writeln!(seen, "{:?}", read.unwrap_or(Ok(None)));
@@ -199,13 +184,15 @@
 }
 
 #[test]
-fn answers_as_they_go_out() {
+fn json_rpc_messages_are_written_one_a_line() {
     let mut out = Vec::new();
     rpc::result(&mut out, RpcId(7), b"done", Some(0.25));
     rpc::check(&mut out, RpcId(8), true, None);
-    rpc::error(&mut out, Some(RpcId(9)), rpc::NACKED, "refused", Some(250.0), true, Some(1.0));
-    rpc::error(&mut out, Some(RpcId(9)), rpc::NACKED, "refused", None, true, None);
-    rpc::error(&mut out, None, rpc::NOT_JSON, "a \"quote\"\n", None, false, None);
+    let full = ErrorData { retry_after_ms: Some(250.0), do_not_retry_elsewhere: true, signal: Some(1.0) };
+    rpc::error(&mut out, Some(RpcId(9)), rpc::NACKED, "refused", full);
+    let last = ErrorData { do_not_retry_elsewhere: true, ..ErrorData::default() };
+    rpc::error(&mut out, Some(RpcId(9)), rpc::NACKED, "refused", last);
+    rpc::error(&mut out, None, rpc::NOT_JSON, "a \"quote\"\n", ErrorData::default());
     rpc::farewell(&mut out);
     let lines = String::from_utf8(out).expect("text");
     assert!(lines.lines().all(|line| Json::parse(line.as_bytes()).is_some()));
--- a/crates/hazelspur-server/src/commands.rs
+++ b/crates/hazelspur-server/src/commands.rs
@@ -36,8 +36,8 @@
         Err(why) => return refuse(why),
     };
     match fleet::query::query(&fleet) {
-        Ok(output) => {
-            print!("{}", output.render(shape));
+        Ok(shown) => {
+            print!("{}", shown.render(shape));
             ExitCode::SUCCESS
         }
         Err(why) => refuse(why),
--- a/crates/hazelspur-server/src/config/operator/error.rs
+++ b/crates/hazelspur-server/src/config/operator/error.rs
@@ -67,7 +67,7 @@
     },
     /// The fleet's key can't be read.
     #[error(transparent)]
-    FleetKey(#[from] KeyFileError),
+    FleetKey(KeyFileError),
     /// The file has no fleet though one is asked for.
     #[error("{path}: there is no fleet(...)")]
     NoFleet {
--- a/crates/hazelspur-server/src/config/operator/mod.rs
+++ b/crates/hazelspur-server/src/config/operator/mod.rs
@@ -41,7 +41,7 @@
         amqp.read_password()?;
     }
     if let Some(fleet) = &mut operator.fleet {
-        fleet.read_key()?;
+        fleet.read_key().map_err(OperatorError::FleetKey)?;
     }
     Ok(operator)
 }
--- a/crates/hazelspur-server/src/config/reload.rs
+++ b/crates/hazelspur-server/src/config/reload.rs
@@ -10,9 +10,9 @@
 use crate::config::operator::{self, OperatorConfig};
 use crate::config::server_config::{self, ReloadedChanges, ServerConfig};
 use crate::ingress::amqp::AmqpConsumer;
-use crate::request::dispatcher::{ChangeError, Dispatcher};
+use crate::request::dispatcher::Dispatcher;
 use crate::upstream::endpoints::UpstreamEndpoints;
-use hazelspur::config::change::{Change, Changed, Edit};
+use hazelspur::config::change::{Change, ChangeSummary, Edit, EditCounts};
 use hazelspur::{Catalog, RequestClass, Tenant};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -43,7 +43,7 @@
     },
     /// The change does not fit the settings in force.
     #[error(transparent)]
-    Change(#[from] ChangeError),
+    Change(#[from] hazelspur::ConfigError),
 }
 
 /// Request classes and tenants that the operator's file refers to; a change may not remove them.
@@ -172,10 +172,10 @@
 
     fn apply_settings(&self, change: &Change) -> Result<(), ReloadError> {
         self.references.borrow().check(change)?;
-        let Changed { request_classes, tenants, facts } =
+        let ChangeSummary { request_classes, tenants, settings } =
             self.dispatcher.apply_change(&self.catalog, change)?;
-        let counts = |[added, altered, removed]: [usize; 3]| format!("+{added} ~{altered} -{removed}");
-        log::info!(op_types = counts(request_classes), tenants = counts(tenants), figures = facts;
+        let counts = |n: EditCounts| format!("+{} ~{} -{}", n.added, n.replaced, n.removed);
+        log::info!(op_types = counts(request_classes), tenants = counts(tenants), figures = settings;
             "settings changed");
         Ok(())
     }
--- a/crates/hazelspur-server/src/fleet/coordinator.rs
+++ b/crates/hazelspur-server/src/fleet/coordinator.rs
@@ -1,5 +1,5 @@
-//! Between `hazelspur_fleet` and the admission controller: reports this server's load and demand to `FleetNode`, and gives
-//! the controller what follows where it has changed.
+//! Between `hazelspur_fleet` and the admission controller: reports this server's load and demand to
+//! `FleetNode`, and gives the controller what follows where it has changed.
 
 use crate::config::fleet_keys::{CALLS, TENANT_PREFIX};
 use crate::request::dispatcher::Dispatcher;
@@ -81,10 +81,13 @@
         }
         self.reported_at = now.monotonic;
         let Some(report) = dispatcher.load_report() else { return };
-        node.observe(now, LocalLoad { call_secs: report.call_secs, rejected_fraction: report.refused });
+        node.observe(
+            now,
+            LocalLoad { call_secs: report.call_latency_s, rejected_fraction: report.rejected_share },
+        );
         for limit in &self.limits {
             let demand = match limit.target {
-                LimitTarget::Calls => report.calls.unwrap_or(INITIAL_CALL_DEMAND),
+                LimitTarget::Calls => report.needed_call_concurrency.unwrap_or(INITIAL_CALL_DEMAND),
                 LimitTarget::Tenant(tenant) => dispatcher.tenant_rate(tenant) * TENANT_DEMAND_OVER_RATE,
             };
             node.set_demand(limit.name.as_str(), demand);
--- a/crates/hazelspur-server/src/ingress/gateway/lines.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/lines.rs
@@ -102,7 +102,9 @@
             Err(RequestError::Invalid(error)) => connection.reject_input(id, error),
             Err(RequestError::Rejected(rejection)) => {
                 let message = rejection.to_string();
-                connection.output.append(|out| rpc::error(out, id, rpc::NACKED, &message, None, false, None));
+                connection
+                    .output
+                    .append(|out| rpc::error(out, id, rpc::NACKED, &message, rpc::ErrorData::default()));
             }
         }
     }
--- a/crates/hazelspur-server/src/process/server.rs
+++ b/crates/hazelspur-server/src/process/server.rs
@@ -94,9 +94,9 @@
             catalog: self.catalog.clone(),
         };
         let ServerConfig { name, seed, .. } = &*self.config;
-        let gossip = Rc::new(GossipTransport::bind(fleet, name, *seed, context).await?);
-        self.services.dependency.observe(gossip.clone());
-        Ok(Some(gossip))
+        let transport = Rc::new(GossipTransport::bind(fleet, name, *seed, context).await?);
+        self.services.dependency.observe(transport.clone());
+        Ok(Some(transport))
     }
 
     pub(super) fn gateways(&self, listener: TcpListener) -> Rc<GatewayServer> {
@@ -119,7 +119,8 @@
 
     pub(super) fn log_start(&self, operator: &OperatorConfig) {
         let ServerConfig { name, listen, stop, .. } = &*self.config;
-        let (request_classes, tenants) = self.catalog.borrow().size();
+        let request_classes = self.catalog.borrow().request_class_count();
+        let tenants = self.catalog.borrow().tenant_count();
         log::info!(name = name.as_str(), listen:%, stop_ms = stop.us() / 1000, op_types = request_classes,
             tenants, queues = operator.queues.len(), connections = self.descriptors.gateways,
             calls = self.descriptors.calls; "start");
@@ -132,8 +133,8 @@
         if let Some(queues) = &self.queues {
             supervise("queues", queues, AmqpConsumer::run);
         }
-        if let Some(gossip) = &self.gossip {
-            transport::start(gossip);
+        if let Some(transport) = &self.gossip {
+            transport::start(transport);
         }
         supervise("accept", gateways, GatewayServer::accept_connections);
         supervise("connections", gateways, GatewayServer::maintain_connections);
@@ -164,7 +165,7 @@
 
 /// The store of idempotency keys and shared reads; it covers the longest time that any client waits.
 fn deduplication(config: &ServerConfig, catalog: &Catalog) -> Deduplication {
-    let receipt_delay = catalog.longest_timeout().scaled(MAX_TIMEOUT_FACTOR) + MAX_OVERDUE;
+    let receipt_delay = catalog.max_request_timeout().scaled(MAX_TIMEOUT_FACTOR) + MAX_OVERDUE;
     let max_bytes = config.max_memory_bytes / RESULT_MEMORY_DIVISOR;
     Deduplication::new(config.read_freshness, receipt_delay, max_bytes)
 }
--- a/crates/hazelspur-server/src/request/deduplication.rs
+++ b/crates/hazelspur-server/src/request/deduplication.rs
@@ -45,7 +45,7 @@
         idempotency_key: Option<&str>,
         subject: Option<&str>,
     ) -> Option<Self> {
-        let (scope, text) = match class.repeats {
+        let (scope, text) = match class.idempotency {
             Idempotency::IdempotentWithKey => (Scope::IdempotentWithKey, idempotency_key?),
             Idempotency::Idempotent => (Scope::Read, subject?),
             Idempotency::NonIdempotent => return None,
--- a/crates/hazelspur-server/src/request/dispatcher.rs
+++ b/crates/hazelspur-server/src/request/dispatcher.rs
@@ -6,30 +6,18 @@
 use crate::clock::Clock;
 use crate::request::deduplication::Deduplication;
 use crate::request::event::{Completion, RequestEvent};
-use hazelspur::book::LoadReport;
-use hazelspur::config::change::{Change, Changed};
-use hazelspur::{AdmissionController, Catalog, Decision, Duration, RequestId, TenantId, Timestamp};
-use hazelspur_fleet::guidance::{GuidanceUpdate, LeaseExpiry};
+use hazelspur::config::change::{Change, ChangeSummary};
+use hazelspur::{
+    AdmissionController, Catalog, ConfigError, Decision, Duration, LoadReport, RequestId, TenantId, Timestamp,
+};
+use hazelspur_fleet::guidance::{ExpiredValue, GuidanceChange, GuidanceUpdate, LeaseExpiry};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
-use std::fmt::Display;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::rc::Rc;
-use thiserror::Error;
 use tokio::sync::Notify;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// Why a change of the settings was refused; the text names the key at fault.
-#[derive(Debug, Error)]
-#[error("{0}")]
-pub struct ChangeError(String);
-
-impl ChangeError {
-    fn new(why: impl Display) -> Self {
-        Self(why.to_string())
-    }
-}
-
 /// A final response that is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Response {
@@ -99,30 +87,33 @@
 
     /// Applies a change of the settings whole, also before the start. The error names the key at fault, and
     /// nothing is changed then.
-    pub fn apply_change(&self, catalog: &RefCell<Catalog>, change: &Change) -> Result<Changed, ChangeError> {
+    pub fn apply_change(
+        &self,
+        catalog: &RefCell<Catalog>,
+        change: &Change,
+    ) -> Result<ChangeSummary, ConfigError> {
         let now = self.clock.now();
         let changed = match self.controller.borrow_mut().as_mut() {
-            Some(controller) => controller.apply_change(now, change).map_err(ChangeError::new)?,
+            Some(controller) => controller.apply_change(now, change)?,
             None => {
                 let mut catalog = catalog.borrow_mut();
-                catalog.check(now, change).map_err(ChangeError::new)?;
-                catalog.apply(now, change).0
+                catalog.check(now, change)?;
+                catalog.apply(now, change).summary
             }
         };
         self.input_notification.notify_one();
         Ok(changed)
     }
 
-    /// Gives the controller the guidance of the fleet that changed; keeps what applies once a lease expires.
+    /// Gives the controller what has changed of the fleet's guidance, and keeps what applies once a lease expires.
     pub fn set_guidance(&self, update: GuidanceUpdate) {
-        let GuidanceUpdate { changes, expiry } = update;
-        *self.lease_expiry.borrow_mut() = expiry;
-        if changes.is_empty() {
+        *self.lease_expiry.borrow_mut() = update.expiry;
+        if update.changes.is_empty() {
             return;
         }
         self.report(|controller, now| {
-            for change in changes {
-                controller.set_guidance(now, change.key, change.value);
+            for GuidanceChange { key, value } in update.changes {
+                controller.set_guidance(now, key, value);
             }
         });
     }
@@ -133,8 +124,8 @@
         let Some(expiry) = self.lease_expiry.borrow_mut().take_if(|expiry| now >= expiry.at) else { return };
         let now = self.clock.now();
         if let Some(controller) = self.controller.borrow_mut().as_mut() {
-            for expired in expiry.values {
-                controller.set_guidance(now, expired.key, Some(expired.value));
+            for ExpiredValue { key, value } in expiry.values {
+                controller.set_guidance(now, key, Some(value));
             }
         }
         self.leases_expired.set(true);
@@ -247,7 +238,7 @@
                 self.deduplication.borrow_mut().store_until(request, self.clock.now() + window);
             }
             Decision::RemoveKey(request) => self.deduplication.borrow_mut().release(request),
-            Decision::Log(text) => log::info!("{text}"),
+            Decision::Log(event) => log::info!("{event}"),
             Decision::SetTimer(at) => {
                 self.timer.set(Some(at));
                 self.timer_set.notify_one();
--- a/crates/hazelspur-server/src/request/lifecycle.rs
+++ b/crates/hazelspur-server/src/request/lifecycle.rs
@@ -41,7 +41,7 @@
     pub session: Option<SessionKey>,
     /// The client that sent it.
     pub client: ClientId,
-    /// By when it has to begin; else the class's request timeout applies.
+    /// When its response is due; without it the class's request timeout applies.
     pub deadline: Option<Timestamp>,
     /// The memory that its run takes, in KiB.
     pub size_kb: f64,
@@ -252,7 +252,7 @@
     fn start_call(&self, run: &mut Run, timeout: Duration) {
         let (services, request, body) = (self.services.clone(), self.request, run.call_body.clone());
         // A reused connection may break after the call ran: only idempotent requests may use one.
-        let new_connection = run.call_was_attempted || self.class.repeats != Idempotency::Idempotent;
+        let new_connection = run.call_was_attempted || self.class.idempotency != Idempotency::Idempotent;
         run.call = Box::pin(async move {
             let call = Call { request, timeout, body: &body, new_connection };
             services.dependency.call(&services.dispatcher.clock, call).await
--- a/crates/hazelspur-server/src/upstream/worker/link.rs
+++ b/crates/hazelspur-server/src/upstream/worker/link.rs
@@ -9,7 +9,7 @@
 use crate::clock::{sleep, to_std};
 use crate::request::dispatcher::Dispatcher;
 use crate::upstream::endpoints::UpstreamEndpoints;
-use hazelspur::{Duration, RequestId};
+use hazelspur::{Duration, RequestId, RuntimeGauges};
 use hazelspur_parsers::{Buffer, runtime};
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -41,6 +41,8 @@
 const UNREADY_IDLE_TIMEOUT: Duration = Duration::from_ms(4000);
 /// How long the controller's timer waits for gauges.
 const GAUGES_TIMEOUT: Duration = Duration::from_ms(2);
+/// The name under which the worker sends the number of requests on its cores.
+const REQUESTS_ON_CORES_GAUGE: &str = "on_cores";
 
 /// Why a connection ended.
 #[derive(Debug, Error)]
@@ -49,8 +51,8 @@
     Io(#[from] std::io::Error),
     #[error("closed")]
     Closed,
-    #[error("{0}")]
-    InvalidNotice(String),
+    #[error(transparent)]
+    InvalidNotice(#[from] runtime::RuntimeProtocolError),
     #[error("no end of the replay")]
     ReplayTimedOut,
 }
@@ -188,7 +190,7 @@
     fn handle_notices(&self, buffer: &mut Buffer) -> Result<(), LinkError> {
         loop {
             let read = runtime::read(buffer.unread(), &mut Notices(&self.state));
-            match read.map_err(|why| LinkError::InvalidNotice(why.to_string()))? {
+            match read? {
                 Some(length) => buffer.take(length),
                 None => return Ok(()),
             }
@@ -234,8 +236,10 @@
             };
             self.state.dispatcher.clock.sleep_until(at).await;
             let values = timeout(to_std(GAUGES_TIMEOUT), self.query_gauges()).await.unwrap_or_default();
-            let gauges: Vec<_> = self.gauge_names.iter().map(String::as_str).zip(values).collect();
-            self.state.dispatcher.report(|controller, now| controller.timer(now, &gauges));
+            let mut gauges = self.gauge_names.iter().zip(values);
+            let on_cores = gauges.find(|(name, _)| *name == REQUESTS_ON_CORES_GAUGE);
+            let gauges = RuntimeGauges { requests_on_cores: on_cores.map(|(_, value)| value) };
+            self.state.dispatcher.report(|controller, now| controller.timer_tick(now, gauges));
         }
     }
 
--- a/crates/hazelspur-server/tests/settings_reload.rs
+++ b/crates/hazelspur-server/tests/settings_reload.rs
@@ -257,7 +257,7 @@
     let mut gateway = server.connect_gateway();
     server.start_run(&mut gateway, &mut link, &request(1, 1, "stats", ",\"owner\":\"a\""));
     server.signal("-TERM");
-    let _ = writeln!(server.trace, "{}", lines.next(&["mode leaving"]));
+    let _ = writeln!(server.trace, "{}", lines.next(&["mode draining"]));
     server.reload(&old);
     let _ = writeln!(server.trace, "{}", lines.next_reload_result());
     link.send(&success_notice(1, 1));
@@ -268,7 +268,7 @@
         runtime < sync 0
         info settings changed op_types="+1 ~0 -1" tenants="+0 ~0 -0" figures=0
         runtime < start 0000000000000001 stats 5 hello
-        info mode leaving in_hand=1
+        info mode draining in_hand=1
         info settings changed op_types="+1 ~0 -1" tenants="+0 ~0 -0" figures=0
         gateway < {"jsonrpc":"2.0","id":1,"result":{"data":"ZG9uZQ=="}}
         gateway < {"jsonrpc":"2.0","method":"farewell"}
--- a/crates/hazelspur-simulator/src/drive/together.rs
+++ b/crates/hazelspur-simulator/src/drive/together.rs
@@ -88,8 +88,11 @@
         let server = &mut self.servers[of];
         let (Some(controller), Some(part)) = (&server.controller, &mut self.parts[of]) else { return };
         let view = controller.load_report(now);
-        part.node.observe(at, LocalLoad { call_secs: view.call_secs, rejected_fraction: view.refused });
-        part.node.set_demand(CALLS, view.calls.unwrap_or(1.0));
+        part.node.observe(
+            at,
+            LocalLoad { call_secs: view.call_latency_s, rejected_fraction: view.rejected_share },
+        );
+        part.node.set_demand(CALLS, view.needed_call_concurrency.unwrap_or(1.0));
         let life = server.life;
         self.kernel.at(now + LOOK, Event::Look(of, life));
         self.spoke(of);
@@ -208,8 +211,11 @@
             .collect();
         let here = views.iter().flatten().count().max(1) as f64;
         self.truth = Truth {
-            wants: views.iter().map(|v| v.map_or(0.0, |v| v.calls.unwrap_or(1.0))).collect(),
-            refused: views.iter().flatten().map(|view| view.refused).sum::<f64>() / here,
+            wants: views
+                .iter()
+                .map(|v| v.map_or(0.0, |v| v.needed_call_concurrency.unwrap_or(1.0)))
+                .collect(),
+            refused: views.iter().flatten().map(|view| view.rejected_share).sum::<f64>() / here,
             down: self.ledger.down,
         };
         self.kernel.at(now + ORACLE_LATE, Event::Oracle);
--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -1,16 +1,16 @@
-//! Settings that change while requests are in hand: what holds for whom, what is refused, what survives.
+//! Changes of the configuration while requests are in progress: which terms apply, what is refused, what survives.
 
 mod helpers;
 
 use expect_test::expect;
-use hazelspur::config::change::MAX_EDITS;
+use hazelspur::config::change::{EditCounts, MAX_EDITS};
 use hazelspur::pcg::Pcg;
-use hazelspur::{Catalog, Decision, Duration, Fact, Outcome};
-use helpers::{Play, Read, facts};
+use hazelspur::{Catalog, Decision, Duration, Outcome, SettingValue};
+use helpers::{Harness, RequestSpec, flat_settings};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// Three request classes and two tenants; each word in `edits` replaces what is said of its key.
+/// Three request classes and two tenants; each `key=value` in `edits` replaces that of its key.
 fn file(edits: &str) -> String {
     let plain = "op_types.0.name=view op_types.1.name=book op_types.1.target_latency_us=1000000 \
         op_types.1.op_timeout_us=4000000 op_types.1.repeats=keyed op_types.1.window_us=5000000 \
@@ -20,7 +20,7 @@
     plain.to_string() + edits
 }
 
-/// The same without some request classes or tenants, counted anew.
+/// The same without some request classes or tenants; those left are numbered again.
 fn without(gone: &[&str], edits: &str) -> String {
     let all: Vec<String> = file(edits).split_whitespace().map(String::from).collect();
     let mut out = String::new();
@@ -41,34 +41,41 @@
     out + "op_types.0.target_latency_us=1000000 op_types.0.op_timeout_us=4000000"
 }
 
-fn play() -> Play {
-    let mut play = Play::new(&file(""));
-    play.pull();
-    play.seen(&[]);
-    play
+fn harness() -> Harness {
+    let mut harness = Harness::new(&file(""));
+    harness.decide();
+    harness.take_trace(&[]);
+    harness
 }
 
 #[test]
-fn ops_in_hand_go_on_by_the_terms_under_which_they_were_read() {
-    let mut play = play();
-    // Two run, two wait by the old terms; a call of the first may be made again, it being retryable.
+fn requests_in_progress_keep_the_terms_under_which_they_were_read() {
+    let mut harness = harness();
+    // Two run and two are queued by the old terms; the first is idempotent, so its call may be retried.
     for (name, request_class) in [("one", 0), ("two", 0), ("old-low", 0), ("old-pay", 2)] {
-        play.read(name, Read { request_class, wait_ms: 4000, ..Read::default() });
+        harness
+            .receive(name, RequestSpec { request_class, remaining_wait_ms: 4000, ..RequestSpec::default() });
     }
-    play.pull();
-    play.call_requested("one").pull();
-    let changed = play.change(&file(
+    harness.decide();
+    harness.call_requested("one").decide();
+    let changed = harness.apply_settings(&file(
         "op_types.0.importance=9 op_types.0.op_timeout_us=900000 op_types.0.target_latency_us=800000 \
          op_types.0.repeats=non-retryable tenants.0.quota_per_s=5",
     ));
-    assert_eq!(changed.map(|changed| changed.request_classes), Ok([0, 1, 0]));
-    play.read("new-high", Read { request_class: 0, wait_ms: 900, ..Read::default() });
-    play.pull();
-    play.call_finished("one", Outcome::ConnectionLost).pull();
-    play.at(100).ended("two", Outcome::Ok).pull();
-    play.at(860).beat(2.0).pull();
-    play.at(960).beat(2.0).pull();
-    play.at(4000).beat(2.0).pull();
+    assert_eq!(
+        changed.map(|changed| changed.request_classes),
+        Ok(EditCounts { added: 0, replaced: 1, removed: 0 })
+    );
+    harness.receive(
+        "new-high",
+        RequestSpec { request_class: 0, remaining_wait_ms: 900, ..RequestSpec::default() },
+    );
+    harness.decide();
+    harness.call_finished("one", Outcome::ConnectionLost).decide();
+    harness.at(100).finish_run("two", Outcome::Ok).decide();
+    harness.at(860).tick(2.0).decide();
+    harness.at(960).tick(2.0).decide();
+    harness.at(4000).tick(2.0).decide();
     expect![[r#"
         0     Run(one)
         0     Run(two)
@@ -85,26 +92,26 @@
         4000  Preempt(old-low)
         4000  Preempt(new-high)
     "#]]
-    .assert_eq(&play.seen(&[]));
+    .assert_eq(&harness.take_trace(&[]));
 }
 
 #[test]
-fn the_ops_of_a_type_that_went_end_as_they_began_and_new_ones_are_unknown() {
-    let mut play = play();
-    play.read("runs", Read { request_class: 2, ..Read::default() });
-    play.read("runs-too", Read { request_class: 0, ..Read::default() });
-    play.read("waits", Read { request_class: 2, ..Read::default() });
-    play.pull();
-    play.change(&without(&["pay"], "")).expect("a sound change");
-    play.read("late", Read { request_class: 2, ..Read::default() });
-    play.pull();
-    play.at(50).ended("runs", Outcome::Ok).pull();
-    play.at(90).ended("waits", Outcome::Ok).pull();
-    play.change(&file("")).expect("a sound change");
-    let again = play.catalog.borrow().find_request_class("pay").expect("back").0;
+fn requests_of_a_removed_class_finish_and_new_ones_are_rejected() {
+    let mut harness = harness();
+    harness.receive("runs", RequestSpec { request_class: 2, ..RequestSpec::default() });
+    harness.receive("runs-too", RequestSpec { request_class: 0, ..RequestSpec::default() });
+    harness.receive("waits", RequestSpec { request_class: 2, ..RequestSpec::default() });
+    harness.decide();
+    harness.apply_settings(&without(&["pay"], "")).expect("a valid change");
+    harness.receive("late", RequestSpec { request_class: 2, ..RequestSpec::default() });
+    harness.decide();
+    harness.at(50).finish_run("runs", Outcome::Ok).decide();
+    harness.at(90).finish_run("waits", Outcome::Ok).decide();
+    harness.apply_settings(&file("")).expect("a valid change");
+    let again = harness.catalog.borrow().find_request_class("pay").expect("in force again").0;
     assert_eq!(again.0, 3, "another id than before");
-    play.read("back", Read { request_class: again.0, ..Read::default() });
-    play.pull();
+    harness.receive("back", RequestSpec { request_class: again.0, ..RequestSpec::default() });
+    harness.decide();
     expect![[r#"
         0     Run(runs)
         0     Run(runs-too)
@@ -112,20 +119,20 @@
         50    Run(waits)
         90    Run(back)
     "#]]
-    .assert_eq(&play.seen(&[]));
+    .assert_eq(&harness.take_trace(&[]));
 }
 
 #[test]
-fn what_cannot_be_safe_is_refused_with_its_key_and_nothing_of_it_holds() {
-    let mut play = play();
-    let seen = |play: &Play| {
-        let catalog = play.catalog.borrow();
-        format!("{:?} {:?} {:?}", catalog.request_classes(), catalog.tenants(), catalog.facts)
+fn unsafe_changes_are_refused_with_their_key_and_no_part_applies() {
+    let mut harness = harness();
+    let in_force = |harness: &Harness| {
+        let catalog = harness.catalog.borrow();
+        format!("{:?} {:?} {:?}", catalog.request_classes(), catalog.tenants(), catalog.flat_settings())
     };
-    let before = seen(&play);
+    let before = in_force(&harness);
     let many: String = (2..MAX_EDITS + 4).map(|i| format!(" tenants.{i}.name=n{i}")).collect();
-    // With each, something that would be taken by itself.
-    let good = "op_types.0.importance=9 tenants.1.quota_per_s=70 ";
+    // Stands beside each fault; alone it is accepted.
+    let valid = "op_types.0.importance=9 tenants.1.quota_per_s=70 ";
     let faults = [
         "op_types.1.window_us=4999999",
         "op_types.1.repeats=retryable",
@@ -145,11 +152,11 @@
         "limits.max_retry_after_us=-1",
         &many,
     ];
-    let mut told = String::new();
+    let mut errors = String::new();
     for fault in faults {
-        let why = play.change(&file(&format!("{good}{fault}"))).expect_err(fault);
-        let _ = writeln!(told, "{why}");
-        assert_eq!(seen(&play), before, "{fault}");
+        let why = harness.apply_settings(&file(&format!("{valid}{fault}"))).expect_err(fault);
+        let _ = writeln!(errors, "{why}");
+        assert_eq!(in_force(&harness), before, "{fault}");
     }
     for other in ["op_types.0.name=x op_types.0.target_latency_us=9", "tenants.0.name=x"] {
         let file = file("").replace("view", "x1").replace("book", "x2").replace("pay", "x3");
@@ -158,8 +165,8 @@
         } else {
             self::file("").replace("name=a", "name=c").replace("name=b", "name=d")
         };
-        let _ = writeln!(told, "{}", play.change(&file).expect_err(other));
-        assert_eq!(seen(&play), before, "{other}");
+        let _ = writeln!(errors, "{}", harness.apply_settings(&file).expect_err(other));
+        assert_eq!(in_force(&harness), before, "{other}");
     }
     expect![[r#"
         settings: op_types.book.window_us: shorter than that of ops whose keys are kept; waits for the next start
@@ -181,51 +188,52 @@
         settings: more than 4096 differences, the most of one change
         settings.lanes: none of those in force is left: another installation's file
         settings.orgs: none of those in force is left: another installation's file
-    "#]].assert_eq(&told);
-    play.change(&file(good)).expect("what is good alone");
+    "#]].assert_eq(&errors);
+    harness.apply_settings(&file(valid)).expect("a valid change");
 }
 
 #[test]
-fn a_keyed_type_that_went_does_not_come_back_with_less_memory_while_keys_are_kept() {
-    let mut play = play();
-    play.change(&without(&["book"], "")).expect("a sound change");
+fn a_removed_class_may_not_return_with_less_deduplication_while_its_keys_are_stored() {
+    let mut harness = harness();
+    harness.apply_settings(&without(&["book"], "")).expect("a valid change");
     let back = |repeats: &str| {
         file("").replace("op_types.1.repeats=keyed", &format!("op_types.1.repeats={repeats}"))
     };
-    let early = play.change(&back("retryable")).expect_err("its keys are kept");
-    play.at(20_999);
-    let kept = play.change(&back("retryable")).expect_err("the last repeat may still be read");
-    play.at(21_000);
-    let late = play.change(&back("retryable")).map(|changed| changed.request_classes);
+    let early = harness.apply_settings(&back("retryable")).expect_err("its keys are stored");
+    harness.at(20_999);
+    let before_expiry =
+        harness.apply_settings(&back("retryable")).expect_err("the last retry may still arrive");
+    harness.at(21_000);
+    let late = harness.apply_settings(&back("retryable")).map(|changed| changed.request_classes);
     expect![[r#"
         settings: op_types.book.repeats: its keys are kept, a repeat would run again; waits for the next start
         settings: op_types.book.repeats: its keys are kept, a repeat would run again; waits for the next start
-        Ok([1, 0, 0])
+        Ok(EditCounts { added: 1, replaced: 0, removed: 0 })
     "#]]
-    .assert_eq(&format!("{early}\n{kept}\n{late:?}\n"));
+    .assert_eq(&format!("{early}\n{before_expiry}\n{late:?}\n"));
 }
 
 #[test]
-fn the_rate_what_was_learned_and_users_under_way_survive() {
-    let (mut changed, mut unchanged) = (play(), play());
+fn admission_rate_learned_values_and_active_sessions_survive_a_change() {
+    let (mut changed, mut unchanged) = (harness(), harness());
     let mut seen = [String::new(), String::new()];
-    for (play, seen) in [&mut changed, &mut unchanged].into_iter().zip(&mut seen) {
-        play.load(8000, 9);
-        play.run = Duration::from_ms(300);
-        play.load(6000, 20);
-        *seen = play.seen(&["mode bound"]);
+    for (harness, seen) in [&mut changed, &mut unchanged].into_iter().zip(&mut seen) {
+        harness.offer_load(8000, 9);
+        harness.run_time = Duration::from_ms(300);
+        harness.offer_load(6000, 20);
+        *seen = harness.take_trace(&["mode rate_limited"]);
     }
-    changed.change(&file("op_types.2.importance=3 tenants.1.quota_per_s=9")).expect("a sound change");
-    for (play, seen) in [&mut changed, &mut unchanged].into_iter().zip(&mut seen) {
-        play.load(6000, 20);
-        *seen += &play.seen(&["mode"]);
+    changed.apply_settings(&file("op_types.2.importance=3 tenants.1.quota_per_s=9")).expect("a valid change");
+    for (harness, seen) in [&mut changed, &mut unchanged].into_iter().zip(&mut seen) {
+        harness.offer_load(6000, 20);
+        *seen += &harness.take_trace(&["mode"]);
     }
-    assert!(seen[0].contains("mode bound"), "{}", seen[0]);
+    assert!(seen[0].contains("mode rate_limited"), "{}", seen[0]);
     assert_eq!(seen[0], seen[1], "the same lines at the same times");
 }
 
-/// What each request was answered, by the decisions that were pulled.
-fn answers(all: &mut BTreeMap<String, u32>, decisions: &[Decision]) {
+/// Counts the final responses of each request among the decisions.
+fn count_responses(all: &mut BTreeMap<String, u32>, decisions: &[Decision]) {
     for decision in decisions {
         if let Decision::Reject { request, .. } | Decision::Fail(request) = decision {
             *all.entry(request.to_string()).or_default() += 1;
@@ -234,29 +242,29 @@
 }
 
 #[test]
-fn thirty_changes_in_a_minute_and_one_in_a_drain_cost_no_answer() {
+fn thirty_changes_in_a_minute_and_one_while_draining_lose_no_response() {
     let mut chance = Pcg::new(5);
-    let mut play = play();
+    let mut harness = harness();
     let (mut answered, mut read, mut ends) = (BTreeMap::new(), 0, BTreeMap::new());
     for step in 0..6000u64 {
-        play.at(step * 10);
+        harness.at(step * 10);
         if step % 200 == 100 {
             let gone: &[&str] = if step % 400 == 100 { &["pay"] } else { &[] };
             let more = format!("op_types.0.importance={} tenants.0.quota_per_s={}", 1 + step % 7, step);
-            play.change(&without(gone, &more)).expect("a sound change");
+            harness.apply_settings(&without(gone, &more)).expect("a valid change");
         }
         if step == 5500 {
-            play.controller.shutdown_notice(play.now, play.now + Duration::from_ms(4000));
+            harness.controller.shutdown_notice(harness.now, harness.now + Duration::from_ms(4000));
         }
         if step < 5500 {
             for name in ["view", "book", "pay"] {
-                let id = play.catalog.borrow().find_request_class(name).map(|(id, _)| id.0);
+                let id = harness.catalog.borrow().find_request_class(name).map(|(id, _)| id.0);
                 if let Some(request_class) = id.filter(|_| chance.unit() < 0.08) {
                     read += 1;
                     let (user, tenant) = (format!("u{}", read % 50), read % 2);
-                    play.read(
+                    harness.receive(
                         &format!("op{read}"),
-                        Read { request_class, tenant, user: &user, ..Read::default() },
+                        RequestSpec { request_class, tenant, session: &user, ..RequestSpec::default() },
                     );
                 }
             }
@@ -268,24 +276,24 @@
             .collect();
         for request in over {
             ends.remove(&request);
-            play.ended(&request, Outcome::Ok);
+            harness.finish_run(&request, Outcome::Ok);
             *answered.entry(request).or_default() += 1;
         }
         if step % 4 == 0 {
-            play.beat(ends.len() as f64);
+            harness.tick(ends.len() as f64);
         }
-        let decisions = play.pull();
-        answers(&mut answered, &decisions);
+        let decisions = harness.decide();
+        count_responses(&mut answered, &decisions);
         for decision in &decisions {
             let name = |request: &hazelspur::RequestId| request.to_string().trim_end_matches('-').to_string();
             match decision {
                 Decision::Run(request) => {
-                    drop(ends.insert(name(request), step + 5 + u64::from(chance.draw() % 40)))
+                    ends.insert(name(request), step + 5 + u64::from(chance.draw() % 40));
                 }
-                // The answer is out already: what ends later is no second one.
+                // The response was sent already: the end of the run is no second one.
                 Decision::Preempt(request) => {
                     ends.remove(&name(request));
-                    play.ended(&name(request), Outcome::Preempted);
+                    harness.finish_run(&name(request), Outcome::Preempted);
                 }
                 _ => {}
             }
@@ -297,28 +305,31 @@
             all
         });
     assert!(read > 1000, "{read}");
-    assert_eq!(answered.len(), read, "each op has an answer");
+    assert_eq!(answered.len(), read, "each request has a response");
     let twice: Vec<&String> = answered.iter().filter(|(_, n)| **n > 1).map(|(request, _)| request).collect();
     assert!(twice.is_empty(), "{twice:?}");
 }
 
-/// A file of some request classes and tenants, each with figures, all drawn.
-fn drawn(chance: &mut Pcg) -> Vec<(String, Fact)> {
-    let mut words: Vec<(String, Fact)> = Vec::new();
+/// Random request classes and tenants with random terms.
+fn random_entries(chance: &mut Pcg) -> Vec<(String, SettingValue)> {
+    let mut words: Vec<(String, SettingValue)> = Vec::new();
     for (table, most) in [("op_types", 9), ("tenants", 7)] {
         let mut at = 0;
         for of in 0..most {
-            // The first stays, so that no file is another one altogether.
+            // The first entry stays, so that no change removes a whole table.
             if of > 0 && chance.unit() < 0.4 {
                 continue;
             }
             let mut put = |key: &str, fact| words.push((format!("{table}.{at}.{key}"), fact));
-            put("name", Fact::Text(format!("{table}{of}")));
+            put("name", SettingValue::Text(format!("{table}{of}")));
             if table == "op_types" {
-                put("target_latency_us", Fact::Num(f64::from(chance.draw() % 3 + 1) * 1e5));
-                put("repeats", Fact::Text(["retryable", "non-retryable"][chance.draw() as usize % 2].into()));
+                put("target_latency_us", SettingValue::Number(f64::from(chance.draw() % 3 + 1) * 1e5));
+                put(
+                    "repeats",
+                    SettingValue::Text(["retryable", "non-retryable"][chance.draw() as usize % 2].into()),
+                );
             } else {
-                put("quota_per_s", Fact::Num(f64::from(chance.draw() % 5)));
+                put("quota_per_s", SettingValue::Number(f64::from(chance.draw() % 5)));
             }
             at += 1;
         }
@@ -327,37 +338,37 @@
 }
 
 #[test]
-fn after_any_walk_of_changes_what_holds_is_what_the_last_file_says() {
+fn after_any_sequence_of_changes_the_catalog_equals_the_last_file() {
     let (mut most_id, mut changes) = (0, 0);
     for seed in 0..40 {
         let mut chance = Pcg::new(seed);
-        let mut play = Play::new("op_types.0.name=op_types0 tenants.0.name=tenants0");
+        let mut harness = Harness::new("op_types.0.name=op_types0 tenants.0.name=tenants0");
         let mut names: BTreeMap<usize, String> = BTreeMap::new();
         for _ in 0..40 {
-            let more: String = drawn(&mut chance)
+            let more: String = random_entries(&mut chance)
                 .into_iter()
                 .map(|(key, fact)| match fact {
-                    Fact::Num(n) => format!("{key}={n} "),
-                    Fact::Text(text) => format!("{key}={text} "),
+                    SettingValue::Number(n) => format!("{key}={n} "),
+                    SettingValue::Text(text) => format!("{key}={text} "),
                 })
                 .collect();
-            play.change(&more).expect("a sound change");
+            harness.apply_settings(&more).expect("a valid change");
             changes += 1;
-            let fresh = Catalog::from_facts(facts(&more)).expect("sound settings");
-            let held = play.catalog.borrow();
+            let fresh = Catalog::from_flat(flat_settings(&more)).expect("valid settings");
+            let in_force = harness.catalog.borrow();
             let by_name = |catalog: &Catalog| {
                 let mut all: Vec<String> =
                     catalog.request_classes().iter().map(|(_, of)| format!("{of:?}")).collect();
                 all.extend(catalog.tenants().iter().map(|(_, of)| format!("{of:?}")));
                 all.sort();
                 let first = catalog.find_tenant(None).map(|(_, name)| name);
-                (all, catalog.facts.0.clone(), first)
+                (all, catalog.flat_settings().clone(), first)
             };
-            assert_eq!(by_name(&held), by_name(&fresh), "seed {seed}: {more}");
-            for (id, terms) in held.request_classes() {
+            assert_eq!(by_name(&in_force), by_name(&fresh), "seed {seed}: {more}");
+            for (id, terms) in in_force.request_classes() {
                 most_id = most_id.max(id.0);
                 let of = names.entry(id.0).or_insert_with(|| terms.name.to_string());
-                assert_eq!(**of, *terms.name, "an id has one name for good");
+                assert_eq!(**of, *terms.name, "an id keeps its name");
             }
         }
     }
