--- a/crates/hazelspur-server/src/clock.rs
+++ b/crates/hazelspur-server/src/clock.rs
@@ -4,8 +4,6 @@
 //! evenly, so that setting the system clock changes no timeout, window or deadline. `wall` is the Unix clock as
 //! other servers see it, never going back. `monotonic` has no relation to the time of day.
 
-#![warn(missing_docs)]
-
 use hazelspur::{Duration, Timeline, Timestamp};
 use std::cell::{Cell, OnceCell};
 use std::time::{Duration as StdDuration, Instant, SystemTime, UNIX_EPOCH};
--- a/crates/hazelspur-server/src/commands.rs
+++ b/crates/hazelspur-server/src/commands.rs
@@ -1,7 +1,5 @@
 //! The commands that do not serve: checking an operator's file, showing the fleet.
 
-#![warn(missing_docs)]
-
 use crate::config::command::Shape;
 use crate::config::operator::{self, OperatorConfig, OperatorError};
 use crate::fleet;
--- a/crates/hazelspur-server/src/config/command.rs
+++ b/crates/hazelspur-server/src/config/command.rs
@@ -1,8 +1,6 @@
 //! The command line. Exit statuses: 0 served and shut down in order, or a file checked and found good; 1 the
 //! server failed; 2 a fault in the command line, the configuration or the operator's file.
 
-#![warn(missing_docs)]
-
 use clap::builder::PossibleValue;
 use clap::{Args, Parser, Subcommand, ValueEnum};
 
--- a/crates/hazelspur-server/src/config/error.rs
+++ b/crates/hazelspur-server/src/config/error.rs
@@ -1,7 +1,5 @@
 //! Errors of the platform's configuration. Each message names the key at fault.
 
-#![warn(missing_docs)]
-
 use std::fmt::Display;
 use thiserror::Error;
 
--- a/crates/hazelspur-server/src/config/operator/mod.rs
+++ b/crates/hazelspur-server/src/config/operator/mod.rs
@@ -4,8 +4,6 @@
 //! Input is the file's path, output an `OperatorConfig` that was decoded and checked as a whole. The script has
 //! no files and no network, and bounded steps and memory. Every error names the key and the line.
 
-#![warn(missing_docs)]
-
 mod amqp;
 mod checks;
 mod error;
--- a/crates/hazelspur-server/src/config/reload.rs
+++ b/crates/hazelspur-server/src/config/reload.rs
@@ -3,8 +3,6 @@
 //! New addresses of upstream endpoints take effect at once; so do changed settings where the operator's file
 //! has `reload(settings = True)`. A file takes effect whole or not at all; other keys wait for the next start.
 
-#![warn(missing_docs)]
-
 use crate::config::error::ConfigError;
 use crate::config::fleet_keys::TENANT_PREFIX;
 use crate::config::operator::{self, OperatorConfig};
--- a/crates/hazelspur-server/src/config/server_config.rs
+++ b/crates/hazelspur-server/src/config/server_config.rs
@@ -2,8 +2,6 @@
 //!
 //! This is the one place where it is read, checked and given defaults; every error names the key at fault.
 
-#![warn(missing_docs)]
-
 use crate::config::error::ConfigError;
 use crate::upstream::endpoints::EndpointAddresses;
 use hazelspur::config::difference::Difference;
@@ -194,7 +192,7 @@
     let settings = ControllerSettings::from_flat(&flat);
     let seed = file.seed()?;
     let config = ServerConfig {
-        name: file.text("name", variable("ROUTER_NAME"))?,
+        name: file.string("name", variable("ROUTER_NAME"))?,
         listen: file.address("listen", variable("ROUTER_LISTEN"))?,
         addresses: file.addresses()?,
         seed,
@@ -215,7 +213,7 @@
 }
 
 impl<'a> ConfigFile<'a> {
-    fn text(&self, key: &'static str, default: Option<String>) -> Result<String, ConfigError> {
+    fn string(&self, key: &'static str, default: Option<String>) -> Result<String, ConfigError> {
         match self.object.get(key) {
             Some(value) => value.text().map(|text| text.into_owned()).ok_or(ConfigError::NotAString { key }),
             None => default.ok_or(ConfigError::Missing { key }),
@@ -223,7 +221,7 @@
     }
 
     fn address(&self, key: &'static str, default: Option<String>) -> Result<SocketAddr, ConfigError> {
-        let text = self.text(key, default)?;
+        let text = self.string(key, default)?;
         text.parse().map_err(|_| ConfigError::NotAnAddress { key, text })
     }
 
--- a/crates/hazelspur-server/src/lib.rs
+++ b/crates/hazelspur-server/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! `request` and `process` use `upstream`, `ingress` and `fleet` use `request`; `config` is read first.
 
-#![warn(unreachable_pub)]
+#![warn(missing_docs, unreachable_pub)]
 #![warn(clippy::too_many_lines, clippy::too_many_arguments, clippy::type_complexity)]
 
 pub mod clock;
--- a/crates/hazelspur-server/src/logging.rs
+++ b/crates/hazelspur-server/src/logging.rs
@@ -2,8 +2,6 @@
 //!
 //! Invariant: writing a line never waits for the reader of standard error and never ends the process.
 
-#![warn(missing_docs)]
-
 use crate::config::command::LogFormat;
 use log::kv::{Error, Key, Value, VisitSource};
 use log::{LevelFilter, Log, Metadata, Record};
--- a/crates/hazelspur-server/src/process/mod.rs
+++ b/crates/hazelspur-server/src/process/mod.rs
@@ -1,7 +1,5 @@
 //! The process: its phases, its tasks and its descriptors.
 
-#![warn(missing_docs)]
-
 pub mod descriptors;
 pub mod error;
 mod listener;
--- a/crates/hazelspur-server/src/request/mod.rs
+++ b/crates/hazelspur-server/src/request/mod.rs
@@ -1,7 +1,5 @@
 //! A request between its receipt and its final response.
 
-#![warn(missing_docs)]
-
 pub mod deduplication;
 pub mod dispatcher;
 pub mod event;
--- a/crates/hazelspur-server/src/upstream/mod.rs
+++ b/crates/hazelspur-server/src/upstream/mod.rs
@@ -1,7 +1,5 @@
 //! Connections that the server makes: the worker process, the shared dependency, the registry.
 
-#![warn(missing_docs)]
-
 pub mod dependency;
 pub mod endpoints;
 pub mod http_exchange;
