--- /dev/null
+++ b/crates/hazelspur-simulator/src/cli/choices.rs
@@ -0,0 +1,144 @@
+//! The subcommand `choices`: hard cases of decisions that add up, under each kind of coordination.
+
+use super::table::{interval, markdown_table};
+use clap::Args;
+use comfy_table::Table;
+use hazelspur_simulator::on_all_cores;
+use hazelspur_simulator::simulation::Coordination;
+use hazelspur_simulator::studies::choices::{Case, Hard, Outcome, play};
+use std::time::Instant;
+
+/// Virtual seconds of one run, for the speed column.
+const RUN_S: f64 = 40.0;
+/// Virtual seconds of a run that count.
+const COUNTED_S: f64 = 24.0;
+/// The least gap to the oracle of which a part is a meaningful figure.
+const MIN_GAP_TO_ORACLE: f64 = 0.005;
+/// Columns of the table.
+const HEADER: [&str; 13] = [
+    "case",
+    "servers",
+    "way",
+    "service",
+    "more than apart",
+    "of the way to the oracle",
+    "worst second",
+    "tries an op",
+    "most calls, of slots",
+    "vain tries/s",
+    "in force, of slots",
+    "datagrams/s",
+    "server-seconds/s",
+];
+
+#[derive(Args)]
+pub(crate) struct ChoicesArguments {
+    #[arg(long, value_delimiter = ',', default_value = "100")]
+    sizes: Vec<usize>,
+    /// Seeds from 1 on.
+    #[arg(long, default_value_t = 4)]
+    seeds: u64,
+    /// Only the cases whose name has this in it.
+    #[arg(long, default_value = "")]
+    case: String,
+    /// Only the ways whose name has this in it.
+    #[arg(long, default_value = "")]
+    way: String,
+    /// The part of shared limits that is each server's for good.
+    #[arg(long, default_value_t = 0.2)]
+    floor: f64,
+    #[arg(long)]
+    by_second: bool,
+    #[arg(long, default_value_t = std::thread::available_parallelism().map_or(1, |n| n.get()))]
+    threads: usize,
+}
+
+/// The runs of one hard case under one kind of coordination.
+struct Runs {
+    coordination: Coordination,
+    outcomes: Vec<Outcome>,
+    /// Server-seconds played in a second of real time.
+    speed: f64,
+}
+
+impl Runs {
+    fn mean(&self, figure: impl Fn(&Outcome) -> f64) -> f64 {
+        self.outcomes.iter().map(figure).sum::<f64>() / self.outcomes.len() as f64
+    }
+}
+
+/// What the runs of one hard case are compared with.
+struct Baselines {
+    /// Service of each seed without coordination; empty where that was not asked for.
+    uncoordinated: Vec<f64>,
+    /// Mean service with the oracle.
+    oracle: Option<f64>,
+}
+
+impl Baselines {
+    fn of(runs: &[Runs]) -> Self {
+        let by = |coordination| runs.iter().find(move |runs| runs.coordination == coordination);
+        let uncoordinated = by(Coordination::None)
+            .map(|runs| runs.outcomes.iter().map(Outcome::service).collect())
+            .unwrap_or_default();
+        let oracle = by(Coordination::Oracle).map(|runs| runs.mean(Outcome::service));
+        Self { uncoordinated, oracle }
+    }
+}
+
+/// Plays each hard case at each size, and prints a table.
+pub(crate) fn run(arguments: &ChoicesArguments) {
+    let mut table = markdown_table(HEADER);
+    for size in &arguments.sizes {
+        for hard in Hard::ALL.into_iter().filter(|hard| hard.name().contains(&arguments.case)) {
+            let kinds = Coordination::ALL.into_iter().filter(|kind| kind.name().contains(&arguments.way));
+            let all: Vec<Runs> = kinds.map(|kind| play_all(arguments, hard, *size, kind)).collect();
+            let baselines = Baselines::of(&all);
+            all.iter().for_each(|runs| add_row(&mut table, hard, *size, runs, &baselines));
+        }
+    }
+    println!("{table}");
+}
+
+fn play_all(arguments: &ChoicesArguments, hard: Hard, servers: usize, way: Coordination) -> Runs {
+    let cases: Vec<Case> =
+        (1..=arguments.seeds).map(|seed| Case { hard, way, servers, seed, floor: arguments.floor }).collect();
+    let began = Instant::now();
+    let outcomes = on_all_cores(&cases, arguments.threads, play);
+    let speed = RUN_S * (servers as u64 * arguments.seeds) as f64 / began.elapsed().as_secs_f64();
+    if arguments.by_second {
+        let by_second = &outcomes[0].figures.succeeded_by_second;
+        println!("{} {servers} {}: {by_second:?}", hard.name(), way.name());
+    }
+    Runs { coordination: way, outcomes, speed }
+}
+
+fn add_row(table: &mut Table, hard: Hard, servers: usize, runs: &Runs, baselines: &Baselines) {
+    let Baselines { uncoordinated, oracle } = baselines;
+    let pairs = runs.outcomes.iter().zip(uncoordinated);
+    let gains: Vec<f64> = pairs.map(|(outcome, baseline)| outcome.service() - baseline).collect();
+    let gain = interval(&gains);
+    let gap = oracle.map_or(f64::NAN, |oracle| oracle - interval(uncoordinated).mean);
+    let gain_cell = format!("{:+.3} ± {:.3}", gain.mean, gain.half_width);
+    let part = if gap.abs() < MIN_GAP_TO_ORACLE { "-".into() } else { format!("{:.2}", gain.mean / gap) };
+    let in_force = runs.outcomes.iter().map(|outcome| outcome.most_in_force).fold(0.0, f64::max);
+    let attempts = |o: &Outcome| o.figures.attempts as f64 / o.figures.requests.max(1) as f64;
+    let calls_of_slots = |o: &Outcome| o.figures.max_concurrent_calls as f64 / o.slots;
+    let unreachable_calls = |o: &Outcome| o.figures.unreachable_calls as f64 / COUNTED_S;
+    let datagrams = |o: &Outcome| o.figures.datagrams as f64 / COUNTED_S / o.servers as f64;
+    table.add_row([
+        hard.name().to_string(),
+        servers.to_string(),
+        runs.coordination.name().to_string(),
+        format!("{:.3}", runs.mean(Outcome::service)),
+        if uncoordinated.is_empty() { "-".into() } else { gain_cell },
+        part,
+        format!("{:.2}", runs.mean(Outcome::worst_second)),
+        format!("{:.2}", runs.mean(attempts)),
+        format!("{:.2}", runs.mean(calls_of_slots)),
+        format!("{:.0}", runs.mean(unreachable_calls)),
+        format!("{in_force:.2}"),
+        format!("{:.1}", runs.mean(datagrams)),
+        format!("{:.0}", runs.speed),
+    ]);
+}
--- /dev/null
+++ b/crates/hazelspur-simulator/src/cli/scale.rs
@@ -0,0 +1,222 @@
+//! The subcommand `scale`: what coordination costs a server as the fleet grows, in two regions of three zones.
+
+use clap::Args;
+use comfy_table::{Table, presets};
+use hazelspur::Duration;
+use hazelspur_simulator::on_all_cores;
+use hazelspur_simulator::studies::scale::points::{Point, Study, lines};
+use hazelspur_simulator::studies::scale::{Between, Case, Machine, SharesCase, Situation, play, play_shares};
+use hazelspur_simulator::studies::shares::Trouble;
+use std::path::PathBuf;
+use std::time::Instant;
+
+/// Seconds in a minute.
+const SECONDS_PER_MINUTE: f64 = 60.0;
+/// Milliseconds in a second.
+const MS_PER_SECOND: u64 = 1000;
+/// The name by which quota leases by themselves are asked for.
+const SHARES: &str = "shares";
+
+#[derive(Args)]
+pub(crate) struct ScaleArguments {
+    #[arg(long, value_delimiter = ',', default_value = "100,200,400,810,1620")]
+    sizes: Vec<usize>,
+    #[arg(long, value_delimiter = ',', default_value = "1,2,3")]
+    seeds: Vec<u64>,
+    /// Of members, joint (members, signals and shares of one limit together), shares (by themselves).
+    #[arg(long, value_delimiter = ',', default_value = "members,joint,shares")]
+    of: Vec<String>,
+    /// Of storm-and-rest, zone, regions, bunch; shares have troubles of their own.
+    #[arg(long, value_delimiter = ',', default_value = "storm-and-rest,zone,regions,bunch")]
+    cases: Vec<String>,
+    /// Limits, for shares by themselves.
+    #[arg(long, value_delimiter = ',', default_value = "1,16")]
+    limits: Vec<usize>,
+    /// One way, from region to region.
+    #[arg(long, default_value_t = 40)]
+    region_lag_ms: u64,
+    /// The share of datagrams lost from region to region.
+    #[arg(long, default_value_t = 0.0)]
+    region_loss: f64,
+    /// The share of all datagrams lost.
+    #[arg(long, default_value_t = 0.0)]
+    loss: f64,
+    /// Traffic is counted for so long in each case.
+    #[arg(long, default_value_t = 30)]
+    window_s: u64,
+    /// No run is begun after so many minutes; what was left out is said. A run that was begun is ended.
+    #[arg(long, default_value_t = 30.0)]
+    minutes: f64,
+    /// Writes all points there.
+    #[arg(long)]
+    json: Option<PathBuf>,
+    /// Keeps what the file has of other points.
+    #[arg(long, requires = "json")]
+    append: bool,
+    /// Runs played at once. What CPU a run costs grows with them, since they share the machine's caches.
+    #[arg(long, default_value_t = std::thread::available_parallelism().map_or(1, |n| n.get()))]
+    threads: usize,
+}
+
+/// One run to play.
+enum Run {
+    Machine(Case),
+    Shares(SharesCase),
+}
+
+/// What a run measured, and how long it took in real time.
+struct Played {
+    points: Vec<Point>,
+    elapsed_s: f64,
+}
+
+impl Run {
+    fn play(&self) -> Played {
+        let began = Instant::now();
+        let points = match self {
+            Self::Machine(case) => play(case),
+            Self::Shares(case) => play_shares(case),
+        };
+        Played { points, elapsed_s: began.elapsed().as_secs_f64() }
+    }
+
+    fn describe(&self) -> String {
+        match self {
+            Self::Machine(Case { machine, situation, size, seed, .. }) => {
+                format!("{} {} {size} seed {seed}", machine.name(), situation.name())
+            }
+            Self::Shares(SharesCase { limits, trouble, servers, seed, .. }) => {
+                format!("shares of {limits}, {}, {servers} seed {seed}", trouble.name())
+            }
+        }
+    }
+}
+
+impl ScaleArguments {
+    fn wants(&self, name: &str) -> bool {
+        self.of.iter().any(|wanted| wanted == name)
+    }
+
+    fn check_names(&self) -> anyhow::Result<()> {
+        let machines: Vec<&str> = Machine::ALL.iter().map(|m| m.name()).chain([SHARES]).collect();
+        let situations: Vec<&str> = Situation::ALL.iter().map(|s| s.name()).collect();
+        check_known("of", &self.of, &machines)?;
+        check_known("cases", &self.cases, &situations)
+    }
+
+    fn runs(&self) -> Vec<Run> {
+        let mut runs = Vec::new();
+        for size in &self.sizes {
+            for seed in &self.seeds {
+                self.add_machine_runs(&mut runs, *size, *seed);
+                if self.wants(SHARES) {
+                    self.add_shares_runs(&mut runs, *size, *seed);
+                }
+            }
+        }
+        runs
+    }
+
+    fn between(&self) -> Between {
+        let lag = Duration::from_ms(self.region_lag_ms);
+        Between { lag, region_loss: self.region_loss, loss: self.loss }
+    }
+
+    fn add_machine_runs(&self, runs: &mut Vec<Run>, size: usize, seed: u64) {
+        let between = self.between();
+        let window = Duration::from_ms(self.window_s.max(1) * MS_PER_SECOND);
+        for machine in Machine::ALL.into_iter().filter(|machine| self.wants(machine.name())) {
+            let wanted = |s: &Situation| self.cases.iter().any(|name| name == s.name());
+            for situation in Situation::ALL.into_iter().filter(wanted) {
+                runs.push(Run::Machine(Case { machine, situation, size, seed, between, window }));
+            }
+        }
+    }
+
+    fn add_shares_runs(&self, runs: &mut Vec<Run>, servers: usize, seed: u64) {
+        let between = self.between();
+        for limits in self.limits.iter().copied() {
+            for trouble in Trouble::OF_SCALE {
+                runs.push(Run::Shares(SharesCase { servers, limits, trouble, seed, between }));
+            }
+        }
+    }
+
+    fn save(&self, file: &std::path::Path, points: Vec<Point>) -> anyhow::Result<()> {
+        let cores = std::thread::available_parallelism().map_or(1, |n| n.get());
+        let arguments: Vec<String> = std::env::args().skip(1).collect();
+        let mut study = Study {
+            study: "scale".into(),
+            command: format!("cargo run --release -p hazelspur-simulator -- {}", arguments.join(" ")),
+            text: checked_out_revision(),
+            machine: format!("{cores} cores, simulated, {} runs at once", self.threads),
+            points,
+        };
+        if self.append {
+            study = study.append_to(file).map_err(anyhow::Error::msg)?;
+        }
+        study.write(file).map_err(anyhow::Error::msg)
+    }
+}
+
+fn check_known(flag: &str, names: &[String], known: &[&str]) -> anyhow::Result<()> {
+    for name in names {
+        anyhow::ensure!(known.contains(&name.as_str()), "--{flag}: {name} is none of {}", known.join(", "));
+    }
+    Ok(())
+}
+
+/// Plays all runs that begin in time, prints a table, and writes the points where a file is named.
+///
+/// # Errors
+/// Where a name is unknown, or the study's file cannot be read or written.
+pub(crate) fn run(arguments: &ScaleArguments) -> anyhow::Result<()> {
+    arguments.check_names()?;
+    let runs = arguments.runs();
+    let began = Instant::now();
+    let outcomes = on_all_cores(&runs, arguments.threads, |run| {
+        let in_time = began.elapsed().as_secs_f64() <= arguments.minutes * SECONDS_PER_MINUTE;
+        in_time.then(|| run.play())
+    });
+    report_progress(&runs, &outcomes);
+    let points: Vec<Point> = outcomes.into_iter().flatten().flat_map(|played| played.points).collect();
+    print_points(&points, &arguments.sizes);
+    match &arguments.json {
+        Some(file) => arguments.save(file, points),
+        None => Ok(()),
+    }
+}
+
+fn report_progress(runs: &[Run], outcomes: &[Option<Played>]) {
+    for (run, outcome) in runs.iter().zip(outcomes) {
+        let description = run.describe();
+        match outcome {
+            Some(played) => eprintln!("{description}: played in {:.1} s", played.elapsed_s),
+            None => eprintln!("{description}: NOT RUN, the time was over"),
+        }
+    }
+}
+
+fn print_points(points: &[Point], sizes: &[usize]) {
+    let mut table = Table::new();
+    table.load_style(presets::ASCII_MARKDOWN);
+    let head = ["figure", "case", "unit"].map(str::to_string).into_iter();
+    table.set_header(head.chain(sizes.iter().map(|size| format!("{size} servers"))));
+    for line in lines(points, sizes) {
+        let cells = line.cells.iter().map(|cell| match cell {
+            Some((least, mean, most)) if least < most => format!("{mean:.1} ({least:.1} to {most:.1})"),
+            Some((_, mean, _)) => format!("{mean:.1}"),
+            None => "not measured".into(),
+        });
+        table.add_row([line.figure, line.case, line.unit].into_iter().chain(cells));
+    }
+    println!("{table}");
+}
+
+/// The short hash of the commit that is checked out here, with a mark where files were changed.
+fn checked_out_revision() -> String {
+    let output = std::process::Command::new("git").args(["describe", "--always", "--dirty"]).output();
+    let stdout = output.ok().filter(|out| out.status.success()).map(|out| out.stdout).unwrap_or_default();
+    let revision = String::from_utf8_lossy(&stdout).trim().to_string();
+    if revision.is_empty() { "not known".into() } else { revision }
+}
--- /dev/null
+++ b/crates/hazelspur-simulator/src/cli/sums.rs
@@ -0,0 +1,96 @@
+//! The subcommand `sums`: what choices that all servers make alike come to in sum.
+
+use super::table::markdown_table;
+use clap::Args;
+use hazelspur::Duration;
+use hazelspur_simulator::studies::sums::{Reports, Subsets, reports, study, subsets, turns};
+use std::path::PathBuf;
+
+/// Seeds over which reports are averaged.
+const REPORT_SEEDS: u64 = 20;
+/// Servers in the subset of each client.
+const SUBSET_SIZE: usize = 4;
+/// The least fleet for which subsets are compared.
+const MIN_SUBSET_FLEET: usize = 10;
+/// Seed of the subsets.
+const SUBSET_SEED: u64 = 1;
+/// Wanted time slots a second over all servers.
+const SLOTS_PER_SECOND: f64 = 100.0;
+/// The longest period of the slot schedule.
+const MAX_SLOT_PERIOD: Duration = Duration::from_ms(2000);
+/// Microseconds in a millisecond.
+const US_PER_MS: u64 = 1000;
+
+#[derive(Args)]
+pub(crate) struct SumsArguments {
+    #[arg(long, value_delimiter = ',', default_value = "1,10,100,300,1000")]
+    sizes: Vec<usize>,
+    /// Writes what the capacity command reads of it.
+    #[arg(long, requires = "text")]
+    json: Option<PathBuf>,
+    /// The commit that this is made on.
+    #[arg(long)]
+    text: Option<String>,
+}
+
+/// Prints the tables, and writes the study where a file is named.
+///
+/// # Errors
+/// Where the study's file cannot be written.
+pub(crate) fn run(arguments: &SumsArguments) -> anyhow::Result<()> {
+    print_reports(&arguments.sizes);
+    print_subsets(&arguments.sizes);
+    print_slots(&arguments.sizes);
+    let (Some(file), Some(text)) = (&arguments.json, &arguments.text) else { return Ok(()) };
+    std::fs::write(file, study(&arguments.sizes, text))
+        .map_err(|error| anyhow::anyhow!("{}: {error}", file.display()))
+}
+
+fn print_reports(sizes: &[usize]) {
+    let mut table =
+        markdown_table(["servers", "reports", "most in 20 ms over the mean", "longest without a place, ms"]);
+    for size in sizes {
+        for (how, name) in [(Reports::InStep, "in step"), (Reports::Spread, "spread")] {
+            let all: Vec<_> = (1..=REPORT_SEEDS).map(|seed| reports(*size, how, seed)).collect();
+            let peak = all.iter().map(|(peak, _)| peak).sum::<f64>() / all.len() as f64;
+            let longest = all.iter().map(|(_, longest)| longest.us() / US_PER_MS).max().unwrap_or(0);
+            table.add_row([size.to_string(), name.into(), format!("{peak:.1}"), longest.to_string()]);
+        }
+    }
+    println!("{table}\n");
+}
+
+fn print_subsets(sizes: &[usize]) {
+    let mut table = markdown_table([
+        "servers",
+        "4 of them by",
+        "least load",
+        "most load",
+        "choices that move when one goes",
+        "that differ between pictures a tenth apart",
+    ]);
+    for size in sizes.iter().filter(|size| **size >= MIN_SUBSET_FLEET) {
+        for way in Subsets::ALL {
+            let (least, most, moved, differ) = subsets(*size, SUBSET_SIZE, way, SUBSET_SEED);
+            let cells = [least, most, moved, differ].map(|figure| format!("{figure:.3}"));
+            table.add_row([vec![size.to_string(), way.name().into()], cells.to_vec()].concat());
+        }
+    }
+    println!("{table}\n");
+}
+
+fn print_slots(sizes: &[usize]) {
+    let mut table = markdown_table([
+        "servers",
+        "turns, 100 a second wanted",
+        "most in 100 ms over the mean",
+        "longest wait, ms",
+    ]);
+    for size in sizes {
+        let (peak, wait) = turns(*size, SLOTS_PER_SECOND, MAX_SLOT_PERIOD);
+        let name = "slots of a period of 2 s at most";
+        let wait_ms = wait.us() / US_PER_MS;
+        table.add_row([size.to_string(), name.into(), format!("{peak:.1}"), wait_ms.to_string()]);
+    }
+    println!("{table}");
+}
--- /dev/null
+++ b/crates/hazelspur-simulator/src/cli/who_is_here.rs
@@ -0,0 +1,65 @@
+//! The subcommand `who-is-here`: compares membership protocols.
+
+use clap::Args;
+use comfy_table::{Table, presets};
+use hazelspur::Duration;
+use hazelspur_simulator::on_all_cores;
+use hazelspur_simulator::studies::who_is_here::{Case, Row, play};
+use hazelspur_simulator::ways::Way;
+use hazelspur_simulator::ways::beats::Beats;
+use hazelspur_simulator::ways::library::Library;
+use hazelspur_simulator::ways::own::Own;
+use std::time::Instant;
+
+#[derive(Args)]
+pub(crate) struct WhoIsHereArguments {
+    /// Sizes of the fleet.
+    #[arg(long, value_delimiter = ',', default_value = "10,100,300")]
+    sizes: Vec<usize>,
+    /// Seeds from 1 on.
+    #[arg(long, default_value_t = 20)]
+    seeds: u64,
+    /// Minutes of stops and loss.
+    #[arg(long, default_value_t = 10)]
+    minutes: u64,
+    /// The share of datagrams that is lost then.
+    #[arg(long, default_value_t = 0.01)]
+    loss: f64,
+    /// How long each stop lasts, in ms.
+    #[arg(long, default_value_t = 2000)]
+    stop_ms: u64,
+    /// Only the ways whose name has this in it.
+    #[arg(long, default_value = "")]
+    way: String,
+    #[arg(long, default_value_t = std::thread::available_parallelism().map_or(1, |n| n.get()))]
+    threads: usize,
+}
+
+/// Compares the membership protocols, and prints a table.
+pub(crate) fn run(asked: &WhoIsHereArguments) {
+    let mut table = Table::new();
+    table.load_style(presets::ASCII_MARKDOWN).set_header(Row::HEAD);
+    for size in &asked.sizes {
+        let rows = [rows::<Own>(asked, *size), rows::<Library>(asked, *size), rows::<Beats>(asked, *size)];
+        for row in rows.into_iter().flatten() {
+            table.add_row(row.cells());
+        }
+    }
+    println!("{table}");
+}
+
+fn rows<W: Way>(asked: &WhoIsHereArguments, size: usize) -> Option<Row> {
+    if !W::NAME.contains(&asked.way) {
+        return None;
+    }
+    let (trouble, stop) = (Duration::from_ms(asked.minutes * 60_000), Duration::from_ms(asked.stop_ms));
+    let cases: Vec<Case> =
+        (1..=asked.seeds).map(|seed| Case { size, seed, trouble, loss: asked.loss, stop }).collect();
+    let began = Instant::now();
+    let outcomes = on_all_cores(&cases, asked.threads, play::<W>);
+    // Storm, rests, kills and halves take about eleven minutes besides.
+    let simulated = (trouble.secs() + 660.0) * size as f64 * asked.seeds as f64;
+    let speed = simulated / began.elapsed().as_secs_f64();
+    eprintln!("{}, {size} servers: {speed:.0} server-seconds a second", W::NAME);
+    Some(Row { way: W::NAME, size, outcomes })
+}
--- a/crates/hazelspur-simulator/src/kernel.rs
+++ b/crates/hazelspur-simulator/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! What happens when: events in the order of their time, and of their making where that is the same.
+//! A queue of events in virtual time, ordered by time, then by the order in which they were scheduled.
 
 use hazelspur::Timestamp;
 use std::cmp::Reverse;
@@ -30,24 +30,27 @@
     }
 }
 
-pub struct Kernel<E> {
+/// Events to come, and the virtual time.
+pub struct EventQueue<E> {
+    /// The virtual time.
     pub now: Timestamp,
     entries: BinaryHeap<Reverse<Entry<E>>>,
     number: u64,
 }
 
-impl<E> Kernel<E> {
+impl<E> EventQueue<E> {
+    /// An empty queue whose virtual time begins at `now`.
     pub fn new(now: Timestamp) -> Self {
         Self { now, entries: BinaryHeap::new(), number: 0 }
     }
 
-    /// What is set for the past happens next.
-    pub fn at(&mut self, at: Timestamp, event: E) {
+    /// Schedules an event; one for the past happens now.
+    pub fn schedule(&mut self, at: Timestamp, event: E) {
         self.number += 1;
         self.entries.push(Reverse(Entry { at: at.max(self.now), number: self.number, event }));
     }
 
-    /// The next event up to `end`, to which time goes on where there is none.
+    /// Takes the next event up to `end` and advances the time to it, or to `end` where there is none.
     pub fn next(&mut self, end: Timestamp) -> Option<E> {
         match self.entries.peek() {
             Some(Reverse(entry)) if entry.at <= end => {
--- a/crates/hazelspur-simulator/src/lib.rs
+++ b/crates/hazelspur-simulator/src/lib.rs
@@ -2,10 +2,10 @@
 //! each. One seed gives one run; a run is played by one thread, so the bytes don't depend on how many there
 //! are.
 //!
-//! - `kernel`: what happens when;
+//! - `event_queue`: events in the order of virtual time;
 //! - `network`: datagrams lost, late, doubled, cut one way;
 //! - `town`: many talkers over that network, stopped, killed and started by a script;
-//! - `drive`: the real `AdmissionController` of many servers between `models` of cores, ledger, list and gateways;
+//! - `simulation`: the real `AdmissionController` of many servers between `models` of cores, ledger, list and gateways;
 //! - `ways`: the ways of knowing who is here that are compared;
 //! - `studies`: what is measured, as tables;
 //! - `cpu`, `heap`: what a run cost the machine that played it;
@@ -14,12 +14,12 @@
 
 pub mod capacity;
 pub mod cpu;
-pub mod drive;
+pub mod event_queue;
 pub mod heap;
-pub mod kernel;
 pub mod models;
 pub mod network;
 pub mod path;
+pub mod simulation;
 pub mod studies;
 pub mod town;
 pub mod ways;
--- /dev/null
+++ b/crates/hazelspur-simulator/src/simulation/client.rs
@@ -0,0 +1,71 @@
+//! Clients and their gateways: new requests, the choice of a server, retries and answers.
+
+use super::event::Event;
+use super::{ONE_WAY_LATENCY, Simulation};
+use crate::models::gateways::{Asked, Habits};
+use hazelspur::{Duration, RequestId};
+
+/// Skewed requests go to one server in so many, the first ones.
+const SKEWED_SERVERS_DIVISOR: usize = 3;
+
+impl Simulation {
+    /// Sends a new request, and schedules the one after it.
+    pub(super) fn next_request(&mut self) {
+        let now = self.queue.now;
+        let request = self.gateways.next(now, &mut self.random);
+        self.figures.requests += 1;
+        self.send(request, None);
+        let gap = self.gateways.gap(&mut self.random);
+        self.queue.schedule(now + gap, Event::NextRequest);
+    }
+
+    /// Sends one attempt to a listed server other than the one that rejected the last.
+    pub(super) fn send(&mut self, request: Asked, rejected_by: Option<usize>) {
+        let now = self.queue.now;
+        let candidates = self.candidates(rejected_by.is_none());
+        let list = &self.list;
+        let picked = self.gateways.pick(candidates, rejected_by, |server| list.shows(now, server));
+        let Some(server) = picked else {
+            self.figures.failed += 1;
+            return;
+        };
+        self.figures.attempts += 1;
+        let id = self.next_request_id();
+        let incarnation = self.servers[server].incarnation;
+        let received = Event::RequestReceived { server, incarnation, id, request };
+        self.queue.schedule(now + ONE_WAY_LATENCY, received);
+    }
+
+    /// Among how many servers, from the first on, a gateway picks.
+    fn candidates(&mut self, first_attempt: bool) -> usize {
+        let (servers, skewed_fraction) = (self.config.servers, self.config.skewed_fraction);
+        let skewed = skewed_fraction > 0.0 && first_attempt && self.random.unit() < skewed_fraction;
+        if skewed { servers.div_ceil(SKEWED_SERVERS_DIVISOR) } else { servers }
+    }
+
+    fn next_request_id(&mut self) -> RequestId {
+        self.last_request_number += 1;
+        RequestId::padded(&format!("{:x}", self.last_request_number)).expect("under 36 characters")
+    }
+
+    /// Retries a rejected request elsewhere, if its gateway does that and its deadline allows it.
+    pub(super) fn retry(&mut self, rejected_by: usize, mut request: Asked, wait: Duration) {
+        let at = self.queue.now + wait + ONE_WAY_LATENCY;
+        if Habits::of(request.gateway).walk_on && request.left > 0 && at < request.due {
+            request.left -= 1;
+            self.queue.schedule(at, Event::Retry { rejected_by, request });
+        } else {
+            self.figures.rejected += 1;
+        }
+    }
+
+    /// Counts a response on its arrival at the client.
+    pub(super) fn answered(&mut self, request: &Asked) {
+        let arrival = self.queue.now + ONE_WAY_LATENCY;
+        if arrival > request.due {
+            self.figures.late += 1;
+            return;
+        }
+        self.figures.count_success(arrival);
+    }
+}
--- /dev/null
+++ b/crates/hazelspur-simulator/src/simulation/mod.rs
@@ -0,0 +1,144 @@
+//! Simulates many servers in virtual time: the real `AdmissionController` of each, between models of cores, ledger,
+//! server list and gateways. Its inputs are a configuration and a script, its output is `Figures`; one seed gives
+//! one run.
+
+mod client;
+mod config;
+pub mod coordination;
+mod decisions;
+mod event;
+mod figures;
+mod script;
+mod server;
+
+pub use config::{Coordination, SimulationConfig};
+pub use figures::Figures;
+pub use script::ScriptAction;
+
+use crate::event_queue::EventQueue;
+use crate::models::gateways::Gateways;
+use crate::models::ledger::Ledger;
+use crate::models::list::List;
+use crate::network::Network;
+use crate::town::START;
+use config::{REQUEST_TIMEOUT, WORK_BY_CLASS_S};
+use coordination::{Coordinator, FleetState, ORACLE_PERIOD};
+use event::Event;
+use hazelspur::Duration;
+use hazelspur::pcg::Pcg;
+use script::LedgerLink;
+use server::Server;
+
+/// Fraction of a request's work that comes before its call.
+const WORK_BEFORE_CALL: f64 = 0.5;
+/// Latency from a gateway to a server, and back.
+const ONE_WAY_LATENCY: Duration = Duration::from_us(500);
+/// When the first request arrives after the start.
+const FIRST_REQUEST_AFTER: Duration = Duration::from_ms(2000);
+/// Age of the server list that gateways read.
+const LIST_DELAY: Duration = Duration::from_ms(1200);
+/// The least number of gateways.
+const MIN_GATEWAYS: usize = 4;
+/// Sites over which the servers are spread.
+const SITES: usize = 3;
+
+/// A fleet in virtual time.
+pub struct Simulation {
+    config: SimulationConfig,
+    queue: EventQueue<Event>,
+    random: Pcg,
+    servers: Vec<Server>,
+    gateways: Gateways,
+    /// The shared dependency of all servers.
+    pub ledger: Ledger,
+    list: List,
+    last_request_number: u64,
+    coordinators: Vec<Option<Coordinator>>,
+    links: Vec<LedgerLink>,
+    /// Carries datagrams between servers.
+    pub network: Network,
+    oracle_state: FleetState,
+    /// Counts so far.
+    pub figures: Figures,
+}
+
+impl Simulation {
+    /// Starts the initial servers and schedules the first request.
+    pub fn new(config: SimulationConfig) -> Self {
+        let mut simulation = Self::without_servers_running(config);
+        (0..config.initial_servers.min(config.servers)).for_each(|server| simulation.start(server, false));
+        if config.coordination == Coordination::Oracle {
+            simulation.queue.schedule(START + ORACLE_PERIOD, Event::Oracle);
+        }
+        simulation.queue.schedule(START + FIRST_REQUEST_AFTER, Event::NextRequest);
+        simulation
+    }
+
+    fn without_servers_running(config: SimulationConfig) -> Self {
+        let servers = config.servers;
+        let gateways = (servers / 2).max(MIN_GATEWAYS);
+        let work = WORK_BY_CLASS_S.to_vec();
+        Self {
+            queue: EventQueue::new(START),
+            random: Pcg::new(config.seed),
+            servers: (0..servers).map(|_| Server::down(&config)).collect(),
+            gateways: Gateways::new(gateways, servers, config.request_rate(), REQUEST_TIMEOUT, work),
+            ledger: Ledger::new(config.ledger_slots(), config.call_duration),
+            list: List::new(servers, LIST_DELAY),
+            last_request_number: 0,
+            coordinators: (0..servers).map(|_| None).collect(),
+            links: vec![LedgerLink { slowdown: 1.0, down: false }; servers],
+            network: Network::new(SITES),
+            oracle_state: FleetState::default(),
+            figures: Figures::default(),
+            config,
+        }
+    }
+
+    /// Schedules an action for this long after the start.
+    pub fn script(&mut self, after: Duration, action: ScriptAction) {
+        self.queue.schedule(START + after, Event::Script(action));
+    }
+
+    /// Resets all counts but those by second.
+    pub fn reset_figures(&mut self) {
+        let succeeded_by_second = std::mem::take(&mut self.figures).succeeded_by_second;
+        self.figures.succeeded_by_second = succeeded_by_second;
+        (self.ledger.calls, self.ledger.most_out) = (0, 0);
+    }
+
+    /// Runs for this long in virtual time.
+    pub fn run(&mut self, duration: Duration) {
+        let end = self.queue.now + duration;
+        while let Some(event) = self.queue.next(end) {
+            self.handle(event);
+        }
+        self.figures.calls = self.ledger.calls;
+        self.figures.max_concurrent_calls = self.ledger.most_out;
+    }
+
+    /// Handles an event, or puts it off while its server is paused.
+    fn handle(&mut self, event: Event) {
+        let now = self.queue.now;
+        let paused_until = event.server().and_then(|server| self.servers[server].paused_until);
+        if let Some(until) = paused_until.filter(|until| now < *until) {
+            return self.queue.schedule(until, event);
+        }
+        match event {
+            Event::NextRequest => self.next_request(),
+            Event::Retry { rejected_by, request } => self.send(request, Some(rejected_by)),
+            Event::RequestReceived { server, incarnation, id, request } => {
+                self.request_received(server, incarnation, id, request);
+            }
+            Event::ControllerTimer { server, incarnation } => self.controller_timer(server, incarnation),
+            Event::CoreCheck { server, incarnation, at } => self.check_cores(server, incarnation, at),
+            Event::CallFinished(end) => self.call_finished(&end),
+            Event::Report { server, incarnation } => self.report(server, incarnation),
+            Event::Script(action) => self.apply(action),
+            Event::FleetTick { server, incarnation, at } => self.fleet_tick(server, incarnation, at),
+            Event::DatagramReceived { server, datagram } => self.datagram_received(server, &datagram),
+            Event::LoadObservation { server, incarnation } => self.load_observation(server, incarnation),
+            Event::Oracle => self.guide_by_oracle(),
+        }
+    }
+}
--- a/crates/hazelspur-simulator/src/studies/choices.rs
+++ b/crates/hazelspur-simulator/src/studies/choices.rs
@@ -1,7 +1,7 @@
 //! The hard cases of choices that add up, under each way of choosing: service beside no joint choice at all
 //! and beside an oracle that sees the true state of all a little late.
 
-use crate::drive::{Drive, Figures, Plan, Turn, Way};
+use crate::simulation::{Coordination, Figures, ScriptAction, Simulation, SimulationConfig};
 use hazelspur::Duration;
 
 /// Servers have found each other and shares are held by then; what came before does not count.
@@ -62,7 +62,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
     pub hard: Hard,
-    pub way: Way,
+    pub way: Coordination,
     pub servers: usize,
     pub seed: u64,
     pub floor: f64,
@@ -86,7 +86,7 @@
     /// The least second that was served over the mean one, from `WARM` on and without the last second.
     pub fn worst_second(&self) -> f64 {
         let from = (WARM.us() / 1_000_000) as usize;
-        let seconds = &self.figures.by_second;
+        let seconds = &self.figures.succeeded_by_second;
         let counted =
             &seconds[from.min(seconds.len())..seconds.len().saturating_sub(1).max(from.min(seconds.len()))];
         let mean = counted.iter().map(|n| f64::from(*n)).sum::<f64>() / counted.len().max(1) as f64;
@@ -97,74 +97,77 @@
 pub fn play(case: &Case) -> Outcome {
     let n = case.servers;
     let load = if case.hard == Hard::Crowded { 1.5 } else { 0.42 };
-    let lean = if case.hard == Hard::Crowded { 0.0 } else { 0.5 };
-    let first = if case.hard == Hard::Doubles { n.div_ceil(2) } else { n };
-    let plan = Plan {
-        slots_each: 4.0,
-        call: Duration::from_ms(20),
-        lean,
-        way: case.way,
-        floor: case.floor,
-        first,
-        ..Plan::new(n, case.seed, if case.hard == Hard::Doubles { load / 2.0 } else { load })
+    let skewed_fraction = if case.hard == Hard::Crowded { 0.0 } else { 0.5 };
+    let initial_servers = if case.hard == Hard::Doubles { n.div_ceil(2) } else { n };
+    let plan = SimulationConfig {
+        slots_per_server: 4.0,
+        call_duration: Duration::from_ms(20),
+        skewed_fraction,
+        coordination: case.way,
+        guaranteed_fraction: case.floor,
+        initial_servers,
+        ..SimulationConfig::new(n, case.seed, if case.hard == Hard::Doubles { load / 2.0 } else { load })
     };
-    let mut drive = Drive::new(plan);
-    script(&mut drive, case.hard, n);
-    drive.play(WARM);
-    drive.forget();
+    let mut simulation = Simulation::new(plan);
+    script(&mut simulation, case.hard, n);
+    simulation.run(WARM);
+    simulation.reset_figures();
     let mut most_in_force: f64 = 0.0;
     for _ in 0..PLAYED.us() / 100_000 {
-        drive.play(Duration::from_ms(100));
-        most_in_force = most_in_force.max(drive.in_force().0);
+        simulation.run(Duration::from_ms(100));
+        most_in_force = most_in_force.max(simulation.quota_in_force().fraction);
     }
-    let slots = plan.slots_each * n as f64;
-    Outcome { figures: drive.figures.clone(), most_in_force, slots, servers: n }
+    let slots = plan.slots_per_server * n as f64;
+    Outcome { figures: simulation.figures.clone(), most_in_force, slots, servers: n }
 }
 
-fn script(drive: &mut Drive, hard: Hard, n: usize) {
+fn script(simulation: &mut Simulation, hard: Hard, n: usize) {
     let at = |ms: u64| WARM + Duration::from_ms(ms);
     let every = |by: usize| (0..n).filter(move |of| of % by == by / 2);
     match hard {
         Hard::Uneven | Hard::Crowded => {}
         Hard::LedgerGone => {
-            drive.script(at(3000), Turn::LedgerDown(true));
-            drive.script(at(7000), Turn::LedgerDown(false));
+            simulation.script(at(3000), ScriptAction::SetLedgerDown(true));
+            simulation.script(at(7000), ScriptAction::SetLedgerDown(false));
         }
         Hard::LedgerSlow => {
-            drive.script(at(3000), Turn::LedgerSlow(3.0));
-            drive.script(at(13_000), Turn::LedgerSlow(1.0));
+            simulation.script(at(3000), ScriptAction::SetLedgerSlowdown(3.0));
+            simulation.script(at(13_000), ScriptAction::SetLedgerSlowdown(1.0));
         }
         Hard::LinksSlow => {
             for of in every(10) {
-                drive.script(at(3000), Turn::LinkSlow(of, 10.0));
-                drive.script(at(18_000), Turn::LinkSlow(of, 1.0));
+                simulation.script(at(3000), ScriptAction::SetLinkSlowdown(of, 10.0));
+                simulation.script(at(18_000), ScriptAction::SetLinkSlowdown(of, 1.0));
             }
         }
         Hard::Replaced => {
             let gone: Vec<usize> = (0..n).filter(|of| of % 5 < 2).collect();
             for (i, of) in gone.iter().enumerate() {
                 let ms = 3000 + 7000 * i as u64 / gone.len().max(1) as u64;
-                drive.script(at(ms), Turn::Kill(*of));
-                drive.script(at(ms + 1500), Turn::Start(*of));
+                simulation.script(at(ms), ScriptAction::Kill(*of));
+                simulation.script(at(ms + 1500), ScriptAction::Start(*of));
             }
         }
         Hard::Halves => {
-            drive.script(at(3000), Turn::Cut(Some(|from, to| from % 2 != to % 2)));
-            drive.script(at(18_000), Turn::Cut(None));
+            simulation.script(at(3000), ScriptAction::SetPartition(Some(|from, to| from % 2 != to % 2)));
+            simulation.script(at(18_000), ScriptAction::SetPartition(None));
         }
         Hard::Stopped => {
             for of in every(20) {
-                drive.script(at(3000), Turn::Stop(of, Duration::from_ms(10_000)));
+                simulation.script(at(3000), ScriptAction::Pause(of, Duration::from_ms(10_000)));
             }
         }
         Hard::Doubles => {
             for (i, of) in (n.div_ceil(2)..n).enumerate() {
-                drive.script(at(3000 + 8000 * i as u64 / n as u64), Turn::Start(of));
+                simulation.script(at(3000 + 8000 * i as u64 / n as u64), ScriptAction::Start(of));
             }
             for of in every(5) {
-                drive.script(at(3000), Turn::Speed(of, 0.5));
+                simulation.script(at(3000), ScriptAction::SetCoreSpeed(of, 0.5));
             }
-            drive.script(at(3000), Turn::Cut(Some(|from, to| (from * 31 + to * 17) % 10 == 0)));
+            simulation.script(
+                at(3000),
+                ScriptAction::SetPartition(Some(|from, to| (from * 31 + to * 17) % 10 == 0)),
+            );
         }
     }
 }
--- a/crates/hazelspur-simulator/src/studies/shares.rs
+++ b/crates/hazelspur-simulator/src/studies/shares.rs
@@ -1,7 +1,7 @@
 //! Shares of one limit among many servers, without the servers' other work: whether the sum ever passes the
 //! limit, how much of it is in use once things have settled, how fairly, and how long settling takes.
 
-use crate::kernel::Kernel;
+use crate::event_queue::EventQueue;
 use crate::network::{Cut, Network};
 use crate::studies::scale::Between;
 use crate::town::START;
@@ -129,7 +129,7 @@
 }
 
 struct Sim {
-    kernel: Kernel<Event>,
+    queue: EventQueue<Event>,
     network: Network,
     chance: Pcg,
     terms: QuotaConfig,
@@ -175,7 +175,7 @@
 
 impl Sim {
     fn start(&mut self, of: usize) {
-        let now = self.kernel.now;
+        let now = self.queue.now;
         self.lives += 1;
         let life = ProcessIncarnation { name: name(of), generation: Generation(self.lives) };
         let seed = u64::from(self.chance.draw());
@@ -194,7 +194,7 @@
     }
 
     fn spoke(&mut self, of: usize) {
-        let now = self.kernel.now;
+        let now = self.queue.now;
         let node = &mut self.nodes[of];
         let Some(shares) = &mut node.shares else { return };
         let divides = shares.allocates_until(now).is_some();
@@ -205,19 +205,19 @@
                 self.bytes_at_divider += framed(&mut self.frame, &word);
             }
             for after in self.network.carry(&mut self.chance, of, to) {
-                self.kernel.at(now + after, Event::Message(to, node.life, word.clone()));
+                self.queue.schedule(now + after, Event::Message(to, node.life, word.clone()));
             }
         }
         while shares.next_event().is_some() {}
         let next = shares.next_tick().max(now + Duration::from_us(1));
         if next < node.set || node.set <= now {
             node.set = next;
-            self.kernel.at(next, Event::Tick(of, node.life.generation.0));
+            self.queue.schedule(next, Event::Tick(of, node.life.generation.0));
         }
     }
 
     fn take(&mut self, event: Event) {
-        let now = self.kernel.now;
+        let now = self.queue.now;
         match event {
             Event::Tick(of, life) => {
                 let node = &mut self.nodes[of];
@@ -225,7 +225,7 @@
                     return;
                 }
                 if now < node.stopped {
-                    return self.kernel.at(node.stopped, event);
+                    return self.queue.schedule(node.stopped, event);
                 }
                 if let Some(shares) = &mut node.shares {
                     node.set = Timestamp::default();
@@ -236,7 +236,7 @@
             Event::Message(to, from, ref word) => {
                 let Some(node) = self.nodes.get_mut(to) else { return };
                 if now < node.stopped {
-                    return self.kernel.at(node.stopped, event);
+                    return self.queue.schedule(node.stopped, event);
                 }
                 if let Some(shares) = &mut node.shares {
                     if shares.allocates_until(now).is_some() {
@@ -254,7 +254,7 @@
                     |node: &Node| node.shares.as_ref().is_some_and(|s| s.allocates_until(now).is_some());
                 if let Some(of) = self.nodes.iter().position(divides) {
                     self.nodes[of].shares = None;
-                    self.kernel.at(now + Duration::from_ms(3000), Event::Start(of));
+                    self.queue.schedule(now + Duration::from_ms(3000), Event::Start(of));
                 }
             }
             Event::Stop(of, span) => self.nodes[of].stopped = now + span,
@@ -264,7 +264,7 @@
 
     /// The sum of all that might be in use, and of what may be used now; what could be; fair shares.
     fn look(&mut self) -> (f64, f64, Vec<(f64, f64)>) {
-        let now = self.kernel.now;
+        let now = self.queue.now;
         let keep = (LINGER.us() / LOOK.us()) as usize + 1;
         let (mut most, mut used) = (0.0, 0.0);
         let (mut held, mut wants) = (Vec::new(), Vec::new());
@@ -320,7 +320,7 @@
         set: Timestamp::default(),
     };
     let mut sim = Sim {
-        kernel: Kernel::new(START),
+        queue: EventQueue::new(START),
         network,
         chance: Pcg::new(case.seed),
         nodes: (0..terms.max_servers).map(|_| gone()).collect(),
@@ -339,34 +339,34 @@
         Trouble::GrowAndShrink => {
             for of in first..n {
                 let part = 30_000 * (of - first) as u64 / (n - first).max(1) as u64;
-                sim.kernel.at(at(part), Event::Start(of));
-                sim.kernel.at(at(50_000 + part), Event::End(of));
+                sim.queue.schedule(at(part), Event::Start(of));
+                sim.queue.schedule(at(50_000 + part), Event::End(of));
             }
             over = 80_000;
         }
         Trouble::Replaced => {
             for (i, of) in (0..n).filter(|of| of % 5 < 2).enumerate() {
                 let ms = 7000 * i as u64 / (n * 2 / 5).max(1) as u64;
-                sim.kernel.at(at(ms), Event::End(of));
-                sim.kernel.at(at(ms + 1500), Event::Start(of));
+                sim.queue.schedule(at(ms), Event::End(of));
+                sim.queue.schedule(at(ms + 1500), Event::Start(of));
             }
             over = 8500;
         }
-        Trouble::DividerEnds => sim.kernel.at(at(0), Event::EndDivider),
+        Trouble::DividerEnds => sim.queue.schedule(at(0), Event::EndDivider),
         Trouble::Halves => {
-            sim.kernel.at(at(0), Event::Cut(Some(|from, to| from % 2 != to % 2)));
-            sim.kernel.at(at(20_000), Event::Cut(None));
+            sim.queue.schedule(at(0), Event::Cut(Some(|from, to| from % 2 != to % 2)));
+            sim.queue.schedule(at(20_000), Event::Cut(None));
             over = 20_000;
         }
         Trouble::RegionsApart => {
             let cut: Cut = |from, to| from % ZONES % REGIONS != to % ZONES % REGIONS;
-            sim.kernel.at(at(0), Event::Cut(Some(cut)));
-            sim.kernel.at(START + FROM + APART, Event::Cut(None));
+            sim.queue.schedule(at(0), Event::Cut(Some(cut)));
+            sim.queue.schedule(START + FROM + APART, Event::Cut(None));
             over = APART.us() / 1000;
         }
         Trouble::Stopped => {
             for of in (0..n).filter(|of| of % 10 == 3) {
-                sim.kernel.at(at(0), Event::Stop(of, Duration::from_ms(10_000)));
+                sim.queue.schedule(at(0), Event::Stop(of, Duration::from_ms(10_000)));
             }
             over = 10_000;
         }
@@ -375,23 +375,23 @@
     let mut out = Outcome { dip: 1.0, ..Outcome::default() };
     let (mut last, mut unsettled, mut tail): (Vec<(f64, f64)>, f64, Vec<f64>) = (Vec::new(), 0.0, Vec::new());
     let mut counted = (0, 0);
-    while sim.kernel.now < START + end {
-        let next = sim.kernel.now + LOOK;
-        while let Some(event) = sim.kernel.next(next) {
+    while sim.queue.now < START + end {
+        let next = sim.queue.now + LOOK;
+        while let Some(event) = sim.queue.next(next) {
             sim.take(event);
         }
         let (most, used, held) = sim.look();
         out.most = out.most.max(most);
         let could: f64 = held.iter().map(|(_, fair)| fair).sum();
         let part = used / could.max(1e-9);
-        let since = (sim.kernel.now - START).secs() - FROM.secs();
+        let since = (sim.queue.now - START).secs() - FROM.secs();
         if since >= 0.0 {
             out.dip = out.dip.min(part);
             if part < SETTLED {
                 unsettled = since + LOOK.secs();
             }
         }
-        if sim.kernel.now + Duration::from_ms(10_000) >= START + end {
+        if sim.queue.now + Duration::from_ms(10_000) >= START + end {
             if tail.is_empty() {
                 counted = (sim.at_divider, sim.bytes_at_divider);
             }
--- a/crates/hazelspur-simulator/src/studies/together.rs
+++ b/crates/hazelspur-simulator/src/studies/together.rs
@@ -1,6 +1,6 @@
 //! The same trouble at several sizes: service, and how long a run takes.
 
-use crate::drive::{Drive, Figures, Plan, Turn};
+use crate::simulation::{Figures, ScriptAction, Simulation, SimulationConfig};
 use hazelspur::Duration;
 
 #[derive(Clone, Copy, Debug)]
@@ -14,13 +14,13 @@
 }
 
 pub fn play(case: &Case) -> Figures {
-    let plan = Plan::new(case.servers, case.seed, case.load);
-    let mut drive = Drive::new(plan);
+    let plan = SimulationConfig::new(case.servers, case.seed, case.load);
+    let mut simulation = Simulation::new(plan);
     if case.ledger_down > Duration::ZERO {
         let from = Duration::from_ms(10_000);
-        drive.script(from, Turn::LedgerDown(true));
-        drive.script(from + case.ledger_down, Turn::LedgerDown(false));
+        simulation.script(from, ScriptAction::SetLedgerDown(true));
+        simulation.script(from + case.ledger_down, ScriptAction::SetLedgerDown(false));
     }
-    drive.play(Duration::from_ms(case.seconds * 1000));
-    drive.figures
+    simulation.run(Duration::from_ms(case.seconds * 1000));
+    simulation.figures
 }
--- a/crates/hazelspur-simulator/src/town.rs
+++ b/crates/hazelspur-simulator/src/town.rs
@@ -1,6 +1,6 @@
 //! Many talkers over one network, stopped, killed and started by a script.
 
-use crate::kernel::Kernel;
+use crate::event_queue::EventQueue;
 use crate::network::Network;
 use crate::ways::{Notice, Way};
 use hazelspur::pcg::Pcg;
@@ -62,7 +62,7 @@
 
 pub struct Town<W: Way> {
     pub network: Network,
-    kernel: Kernel<Event<W::Packet>>,
+    queue: EventQueue<Event<W::Packet>>,
     nodes: Vec<Node<W>>,
     chance: Pcg,
     most: usize,
@@ -75,7 +75,7 @@
     pub fn new(network: Network, most: usize, seed: u64) -> Self {
         Self {
             network,
-            kernel: Kernel::new(START),
+            queue: EventQueue::new(START),
             nodes: Vec::new(),
             chance: Pcg::new(seed),
             most,
@@ -86,7 +86,7 @@
     }
 
     pub fn now(&self) -> Timestamp {
-        self.kernel.now
+        self.queue.now
     }
 
     /// A new life of this one.
@@ -140,7 +140,7 @@
         if node.way.is_some() && node.stopped.is_none_or(|at| at < until) {
             (node.stopped, node.last_stop) = (Some(until), until);
             let life = node.life;
-            self.kernel.at(until, Event::GoesOn(of, life));
+            self.queue.schedule(until, Event::GoesOn(of, life));
         }
     }
 
@@ -175,7 +175,7 @@
     /// Plays on for so long.
     pub fn play(&mut self, span: Duration) {
         let end = self.now() + span;
-        while let Some(event) = self.kernel.next(end) {
+        while let Some(event) = self.queue.next(end) {
             let now = self.now();
             match event {
                 Event::Tick(of, life) => {
@@ -230,7 +230,7 @@
             node.traffic.out += 1;
             node.traffic.bytes_out += bytes as u64;
             for after in self.network.carry(&mut self.chance, of, to) {
-                self.kernel.at(now + after, Event::Arrives(to, packet.clone(), bytes));
+                self.queue.schedule(now + after, Event::Arrives(to, packet.clone(), bytes));
             }
         }
         while let Some(notice) = way.next_notice() {
@@ -239,7 +239,7 @@
         let next = way.next_tick();
         if next != node.set || next <= now {
             node.set = next;
-            self.kernel.at(next.max(now + Duration::from_us(1)), Event::Tick(of, node.life));
+            self.queue.schedule(next.max(now + Duration::from_us(1)), Event::Tick(of, node.life));
         }
     }
 }
--- a/crates/hazelspur-simulator/tests/runs.rs
+++ b/crates/hazelspur-simulator/tests/runs.rs
@@ -1,8 +1,8 @@
 //! What the laboratory promises of its runs.
 
 use hazelspur::Duration;
-use hazelspur_simulator::drive::{Drive, Figures, Plan, Turn, Way as DriveWay};
 use hazelspur_simulator::on_all_cores;
+use hazelspur_simulator::simulation::{Coordination, Figures, ScriptAction, Simulation, SimulationConfig};
 use hazelspur_simulator::studies::choices::{self, Hard};
 use hazelspur_simulator::studies::sums::{self, Reports, Subsets};
 use hazelspur_simulator::studies::together;
@@ -64,41 +64,49 @@
     let quiet = together::play(&together(6, 1, 0.4, 0));
     assert!(quiet.service() > 0.99, "{quiet:?}");
     let crowded = together::play(&together(2, 1, 1.6, 0));
-    assert!((0.3..0.75).contains(&crowded.service()) && crowded.refused > 0, "{crowded:?}");
+    assert!((0.3..0.75).contains(&crowded.service()) && crowded.rejected > 0, "{crowded:?}");
     let down = together::play(&together(6, 1, 0.4, 5000));
-    let second = |at: usize| down.by_second.get(at).copied().unwrap_or(0);
-    assert!(second(12) < 30 && second(16) > 400, "{:?}", down.by_second);
-    let all = down.served + down.refused + down.failed + down.late;
-    assert!(all <= down.asked && all + 200 > down.asked, "{down:?}");
+    let second = |at: usize| down.succeeded_by_second.get(at).copied().unwrap_or(0);
+    assert!(second(12) < 30 && second(16) > 400, "{:?}", down.succeeded_by_second);
+    let all = down.succeeded + down.rejected + down.failed + down.late;
+    assert!(all <= down.requests && all + 200 > down.requests, "{down:?}");
 }
 
 #[test]
 fn a_site_that_is_killed_costs_service_until_it_is_back_and_slow_cores_cost_less() {
-    let run = |turns: &[(u64, Turn)]| {
-        let mut drive = Drive::new(Plan::new(6, 1, 0.6));
-        turns.iter().for_each(|(ms, turn)| drive.script(Duration::from_ms(*ms), *turn));
-        drive.play(Duration::from_ms(20_000));
-        drive.figures
+    let run = |turns: &[(u64, ScriptAction)]| {
+        let mut simulation = Simulation::new(SimulationConfig::new(6, 1, 0.6));
+        turns.iter().for_each(|(ms, turn)| simulation.script(Duration::from_ms(*ms), *turn));
+        simulation.run(Duration::from_ms(20_000));
+        simulation.figures
     };
     let whole = run(&[]);
-    let ends =
-        [(8000, Turn::Kill(0)), (8000, Turn::Kill(1)), (13_000, Turn::Start(0)), (13_000, Turn::Start(1))];
+    let ends = [
+        (8000, ScriptAction::Kill(0)),
+        (8000, ScriptAction::Kill(1)),
+        (13_000, ScriptAction::Start(0)),
+        (13_000, ScriptAction::Start(1)),
+    ];
     let killed = run(&ends);
-    let slow =
-        run(&[(8000, Turn::Speed(0, 0.2)), (13_000, Turn::Speed(0, 1.0)), (8000, Turn::LedgerSlow(2.0))]);
+    let slow = run(&[
+        (8000, ScriptAction::SetCoreSpeed(0, 0.2)),
+        (13_000, ScriptAction::SetCoreSpeed(0, 1.0)),
+        (8000, ScriptAction::SetLedgerSlowdown(2.0)),
+    ]);
     assert!(whole.service() > 0.99 && slow.service() < whole.service(), "{whole:?}\n{slow:?}");
     assert!((0.5..0.99).contains(&killed.service()), "{killed:?}");
-    let second = |of: &Figures, at: usize| of.by_second.get(at).copied().unwrap_or(0);
-    assert!(second(&killed, 19) * 10 > second(&whole, 19) * 9, "{:?}", killed.by_second);
+    let second = |of: &Figures, at: usize| of.succeeded_by_second.get(at).copied().unwrap_or(0);
+    assert!(second(&killed, 19) * 10 > second(&whole, 19) * 9, "{:?}", killed.succeeded_by_second);
 }
 
-fn choice(hard: Hard, way: DriveWay, seed: u64) -> choices::Case {
+fn choice(hard: Hard, way: Coordination, seed: u64) -> choices::Case {
     choices::Case { hard, way, servers: 12, seed, floor: 0.2 }
 }
 
 #[test]
 fn talk_and_modules_play_one_run_for_one_seed() {
-    let cases = [choice(Hard::Halves, DriveWay::Talk, 1), choice(Hard::Halves, DriveWay::Talk, 2)];
+    let cases =
+        [choice(Hard::Halves, Coordination::Gossip, 1), choice(Hard::Halves, Coordination::Gossip, 2)];
     let (one, two) = (on_all_cores(&cases, 1, choices::play), on_all_cores(&cases, 2, choices::play));
     assert!(one == two && one[0] != one[1]);
     let spent = one[0].figures.datagrams as f64 / 24.0 / 12.0;
@@ -108,7 +116,7 @@
 #[test]
 fn shares_by_demand_serve_more_than_equal_ones_and_never_pass_the_slots() {
     let hards = [Hard::Uneven, Hard::Stopped, Hard::Replaced];
-    let ways = [DriveWay::Apart, DriveWay::Talk, DriveWay::Oracle];
+    let ways = [Coordination::None, Coordination::Gossip, Coordination::Oracle];
     let cases: Vec<_> = hards.iter().flat_map(|hard| ways.map(|way| choice(*hard, way, 1))).collect();
     let all = on_all_cores(&cases, 4, choices::play);
     for (hard, of) in hards.iter().zip(all.chunks(3)) {
@@ -121,15 +129,15 @@
 
 #[test]
 fn a_ledger_that_is_gone_is_tried_by_few_and_served_from_again() {
-    let cases =
-        [DriveWay::Apart, DriveWay::Alone, DriveWay::Talk].map(|way| choice(Hard::LedgerGone, way, 1));
+    let cases = [Coordination::None, Coordination::Local, Coordination::Gossip]
+        .map(|way| choice(Hard::LedgerGone, way, 1));
     let all = on_all_cores(&cases, 3, choices::play);
-    let vain: Vec<u64> = all.iter().map(|outcome| outcome.figures.vain).collect();
+    let vain: Vec<u64> = all.iter().map(|outcome| outcome.figures.unreachable_calls).collect();
     assert!(vain[1] * 3 < vain[0] && vain[2] * 3 < vain[0], "{vain:?}");
     for outcome in &all {
-        let after: u32 = outcome.figures.by_second[26..36].iter().sum();
-        let before: u32 = outcome.figures.by_second[16..18].iter().sum();
-        assert!(after > before * 4, "{:?}", outcome.figures.by_second);
+        let after: u32 = outcome.figures.succeeded_by_second[26..36].iter().sum();
+        let before: u32 = outcome.figures.succeeded_by_second[16..18].iter().sum();
+        assert!(after > before * 4, "{:?}", outcome.figures.succeeded_by_second);
     }
 }
 
