--- a/crates/hazelspur-simulator/src/cli/who_is_here.rs
+++ b/crates/hazelspur-simulator/src/cli/who_is_here.rs
@@ -3,12 +3,12 @@
 use clap::Args;
 use comfy_table::{Table, presets};
 use hazelspur::Duration;
+use hazelspur_simulator::membership_protocols::MembershipProtocol;
+use hazelspur_simulator::membership_protocols::foca::FocaProtocol;
+use hazelspur_simulator::membership_protocols::heartbeat::Heartbeat;
+use hazelspur_simulator::membership_protocols::swim::Swim;
 use hazelspur_simulator::on_all_cores;
 use hazelspur_simulator::studies::who_is_here::{Case, Row, play};
-use hazelspur_simulator::ways::Way;
-use hazelspur_simulator::ways::beats::Beats;
-use hazelspur_simulator::ways::library::Library;
-use hazelspur_simulator::ways::own::Own;
 use std::time::Instant;
 
 #[derive(Args)]
@@ -40,7 +40,8 @@
     let mut table = Table::new();
     table.load_style(presets::ASCII_MARKDOWN).set_header(Row::HEAD);
     for size in &asked.sizes {
-        let rows = [rows::<Own>(asked, *size), rows::<Library>(asked, *size), rows::<Beats>(asked, *size)];
+        let rows =
+            [rows::<Swim>(asked, *size), rows::<FocaProtocol>(asked, *size), rows::<Heartbeat>(asked, *size)];
         for row in rows.into_iter().flatten() {
             table.add_row(row.cells());
         }
@@ -48,7 +49,7 @@
     println!("{table}");
 }
 
-fn rows<W: Way>(asked: &WhoIsHereArguments, size: usize) -> Option<Row> {
+fn rows<W: MembershipProtocol>(asked: &WhoIsHereArguments, size: usize) -> Option<Row> {
     if !W::NAME.contains(&asked.way) {
         return None;
     }
--- a/crates/hazelspur-simulator/src/lib.rs
+++ b/crates/hazelspur-simulator/src/lib.rs
@@ -4,9 +4,9 @@
 //!
 //! - `event_queue`: events in the order of virtual time;
 //! - `network`: datagrams lost, late, doubled, cut one way;
-//! - `town`: many talkers over that network, stopped, killed and started by a script;
+//! - `test_fleet`: many members over that network, paused, killed and started by a study;
 //! - `simulation`: the real `AdmissionController` of many servers between `models` of cores, ledger, list and gateways;
-//! - `ways`: the ways of knowing who is here that are compared;
+//! - `membership_protocols`: the membership protocols that are compared;
 //! - `studies`: what is measured, as tables;
 //! - `cpu`, `heap`: what a run cost the machine that played it;
 //! - `capacity`: what was measured against budgets, for a size that a file names;
@@ -16,13 +16,13 @@
 pub mod cpu;
 pub mod event_queue;
 pub mod heap;
+pub mod membership_protocols;
 pub mod models;
 pub mod network;
 pub mod path;
 pub mod simulation;
 pub mod studies;
-pub mod town;
-pub mod ways;
+pub mod test_fleet;
 
 /// Plays each of `inputs` on the machine's cores; results in the order of the inputs.
 pub fn on_all_cores<T: Sync, R: Send>(inputs: &[T], threads: usize, play: impl Fn(&T) -> R + Sync) -> Vec<R> {
--- a/crates/hazelspur-simulator/src/ways/library.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/foca.rs
@@ -1,7 +1,7 @@
 //! The `foca` crate: SWIM as a machine without I/O. Its suspicion lasts as long as the own machine's
 //! shortest, its probes come as often, so that the two differ by what they do and not by their figures.
 
-use super::{CONTACTS, Notice, Way};
+use super::{MembershipNotice, MembershipProtocol, OutgoingPacket, SEED_MEMBERS};
 use foca::{
     Config, Foca, Identity, NoCustomBroadcast, Notification, PeriodicParams, PostcardCodec, Runtime, Timer,
 };
@@ -62,14 +62,14 @@
     timers: BinaryHeap<Reverse<(Timestamp, u64)>>,
     set: std::collections::BTreeMap<u64, Timer<Id>>,
     number: u64,
-    notices: VecDeque<Notice>,
+    notices: VecDeque<MembershipNotice>,
 }
 
 impl Runtime<Id> for Host {
     fn notify(&mut self, notification: Notification<'_, Id>) {
         match notification {
-            Notification::MemberUp(id) => self.notices.push_back(Notice::Here(id.number.into())),
-            Notification::MemberDown(id) => self.notices.push_back(Notice::Gone(id.number.into())),
+            Notification::MemberUp(id) => self.notices.push_back(MembershipNotice::Alive(id.number.into())),
+            Notification::MemberDown(id) => self.notices.push_back(MembershipNotice::Dead(id.number.into())),
             _ => {}
         }
     }
@@ -86,7 +86,7 @@
     }
 }
 
-pub struct Library {
+pub struct FocaProtocol {
     foca: Foca<Id, PostcardCodec, Chance, NoCustomBroadcast>,
     host: Host,
     me: Id,
@@ -94,9 +94,9 @@
     chance: Pcg,
 }
 
-impl Library {
+impl FocaProtocol {
     fn announce_to_one(&mut self) {
-        let contact = CONTACTS[self.chance.draw() as usize % CONTACTS.len()];
+        let contact = SEED_MEMBERS[self.chance.draw() as usize % SEED_MEMBERS.len()];
         if contact != usize::from(self.me.number) {
             let to = Id { number: contact as u16, generation: 0 };
             let _ = self.foca.announce(to, &mut self.host); // tried again
@@ -105,7 +105,7 @@
     }
 }
 
-impl Way for Library {
+impl MembershipProtocol for FocaProtocol {
     const NAME: &'static str = "foca";
     type Packet = Vec<u8>;
 
@@ -141,7 +141,7 @@
         way
     }
 
-    fn heard(&mut self, now: Timestamp, packet: &Vec<u8>) {
+    fn receive(&mut self, now: Timestamp, packet: &Vec<u8>) {
         self.host.now = now;
         let _ = self.foca.handle_data(packet, &mut self.host); // what is dropped is dropped
     }
@@ -166,14 +166,14 @@
         self.host.timers.peek().map_or(self.announce, |Reverse((at, _))| (*at).min(self.announce))
     }
 
-    fn next_out(&mut self, _now: Timestamp) -> Option<(usize, Vec<u8>, usize)> {
+    fn next_packet(&mut self, _now: Timestamp) -> Option<OutgoingPacket<Vec<u8>>> {
         let (to, data) = self.host.out.pop_front()?;
         // The same version octet and tag as ours would go before it.
         let bytes = data.len() + 17;
-        Some((to, data, bytes))
+        Some(OutgoingPacket { receiver: to, packet: data, bytes })
     }
 
-    fn next_notice(&mut self) -> Option<Notice> {
+    fn next_notice(&mut self) -> Option<MembershipNotice> {
         self.host.notices.pop_front()
     }
 
--- a/crates/hazelspur-simulator/src/ways/beats.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/heartbeat.rs
@@ -3,7 +3,7 @@
 //! heartbeats at home. The plainest thing that could serve: silence for as long as the others' shortest
 //! suspicion means gone.
 
-use super::{CONTACTS, Notice, Way};
+use super::{MembershipNotice, MembershipProtocol, OutgoingPacket, SEED_MEMBERS};
 use hazelspur::{Duration, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -21,12 +21,12 @@
 
 /// Who was alive how long ago, by the sender's account.
 #[derive(Clone)]
-pub struct Beat {
+pub struct HeartbeatMessage {
     from: usize,
     list: Rc<Vec<(usize, Duration)>>,
 }
 
-pub struct Beats {
+pub struct Heartbeat {
     me: usize,
     silence: Duration,
     next: Timestamp,
@@ -34,11 +34,11 @@
     seen: BTreeMap<usize, Timestamp>,
     met: BTreeMap<usize, Timestamp>,
     now: Timestamp,
-    out: VecDeque<(usize, Beat, usize)>,
-    notices: VecDeque<Notice>,
+    out: VecDeque<OutgoingPacket<HeartbeatMessage>>,
+    notices: VecDeque<MembershipNotice>,
 }
 
-impl Beats {
+impl Heartbeat {
     fn note(&mut self, of: usize, at: Timestamp) {
         if of == self.me {
             return;
@@ -48,7 +48,7 @@
             None => {
                 self.seen.insert(of, at);
                 self.met.insert(of, self.now);
-                self.notices.push_back(Notice::Here(of));
+                self.notices.push_back(MembershipNotice::Alive(of));
             }
         }
     }
@@ -64,13 +64,14 @@
     fn send(&mut self, to: usize, list: Rc<Vec<(usize, Duration)>>) {
         let datagrams = (list.len() * EACH).div_ceil(DATAGRAM - HEAD).max(1);
         let bytes = datagrams * HEAD + list.len() * EACH;
-        self.out.push_back((to, Beat { from: self.me, list }, bytes));
+        let packet = HeartbeatMessage { from: self.me, list };
+        self.out.push_back(OutgoingPacket { receiver: to, packet, bytes });
     }
 }
 
-impl Way for Beats {
+impl MembershipProtocol for Heartbeat {
     const NAME: &'static str = "heartbeats, two speakers a site";
-    type Packet = Beat;
+    type Packet = HeartbeatMessage;
 
     fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
         let silence = Duration::from_secs(4.0 * (most as f64 + 1.0).log10().max(1.0));
@@ -80,7 +81,7 @@
         Self { me, silence, next, seen, met, now, out, notices }
     }
 
-    fn heard(&mut self, now: Timestamp, packet: &Beat) {
+    fn receive(&mut self, now: Timestamp, packet: &HeartbeatMessage) {
         self.now = now;
         self.note(packet.from, now);
         let (list, silence) = (packet.list.clone(), self.silence);
@@ -100,7 +101,7 @@
         for of in gone {
             self.seen.remove(&of);
             self.met.remove(&of);
-            self.notices.push_back(Notice::Gone(of));
+            self.notices.push_back(MembershipNotice::Dead(of));
         }
         let site = self.me % SITES;
         let ages = |mine: bool| -> Rc<Vec<(usize, Duration)>> {
@@ -125,7 +126,7 @@
             let to: Vec<usize> = others.flat_map(|other| self.speakers(other)).collect();
             to.into_iter().for_each(|of| self.send(of, home.clone()));
         }
-        for contact in CONTACTS {
+        for contact in SEED_MEMBERS {
             if contact != self.me && !self.seen.contains_key(&contact) {
                 self.send(contact, home.clone());
             } else if self.seen.len() < 3 && contact != self.me {
@@ -138,11 +139,11 @@
         self.next
     }
 
-    fn next_out(&mut self, _now: Timestamp) -> Option<(usize, Beat, usize)> {
+    fn next_packet(&mut self, _now: Timestamp) -> Option<OutgoingPacket<HeartbeatMessage>> {
         self.out.pop_front()
     }
 
-    fn next_notice(&mut self) -> Option<Notice> {
+    fn next_notice(&mut self) -> Option<MembershipNotice> {
         self.notices.pop_front()
     }
 
--- a/crates/hazelspur-simulator/src/ways/hollow.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/lightweight.rs
@@ -1,8 +1,8 @@
 //! Talkers without a machine, that send as many datagrams of as many claims as asked for and forget what they
 //! hear: played to measure what the laboratory itself costs. They know nobody and hold nothing.
 
-use super::own::{address, name};
-use super::{Notice, Way};
+use super::swim::{address, name};
+use super::{MembershipNotice, MembershipProtocol, OutgoingPacket};
 use hazelspur::pcg::Pcg;
 use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::{
@@ -18,7 +18,7 @@
     pub bytes: f64,
 }
 
-pub struct Hollow {
+pub struct Lightweight {
     chance: Pcg,
     servers: usize,
     every: Duration,
@@ -27,7 +27,7 @@
     packet: Datagram,
 }
 
-impl Hollow {
+impl Lightweight {
     /// Claims go along until the datagram is as long as is asked for.
     pub fn new(me: usize, rate: Rate, seed: u64, now: Timestamp) -> Self {
         let claim = |of: usize| MemberUpdate {
@@ -60,7 +60,7 @@
     }
 }
 
-impl Way for Hollow {
+impl MembershipProtocol for Lightweight {
     const NAME: &'static str = "no machine";
     type Packet = Datagram;
 
@@ -68,7 +68,7 @@
         Self::new(me, Rate { servers: most, datagrams: 10.0, bytes: 1000.0 }, seed, now)
     }
 
-    fn heard(&mut self, _now: Timestamp, _packet: &Datagram) {}
+    fn receive(&mut self, _now: Timestamp, _packet: &Datagram) {}
 
     fn tick(&mut self, now: Timestamp) {
         if now >= self.next {
@@ -80,15 +80,19 @@
         self.next
     }
 
-    fn next_out(&mut self, _now: Timestamp) -> Option<(usize, Datagram, usize)> {
+    fn next_packet(&mut self, _now: Timestamp) -> Option<OutgoingPacket<Datagram>> {
         if !std::mem::take(&mut self.waits) {
             return None;
         }
         let to = self.chance.draw() as usize % self.servers.max(1);
-        Some((to, self.packet.clone(), datagram::encoded_length(&self.packet)))
+        Some(OutgoingPacket {
+            receiver: to,
+            packet: self.packet.clone(),
+            bytes: datagram::encoded_length(&self.packet),
+        })
     }
 
-    fn next_notice(&mut self) -> Option<Notice> {
+    fn next_notice(&mut self) -> Option<MembershipNotice> {
         None
     }
 
--- a/crates/hazelspur-simulator/src/ways/own.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/swim.rs
@@ -1,6 +1,6 @@
 //! `hazelspur_fleet::Membership`, as the program runs it.
 
-use super::{CONTACTS, Notice, Way};
+use super::{MembershipNotice, MembershipProtocol, OutgoingPacket, SEED_MEMBERS};
 use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::membership::OutgoingDatagram;
 use hazelspur_fleet::{
@@ -9,7 +9,7 @@
 };
 use std::net::SocketAddr;
 
-pub struct Own(pub Membership);
+pub struct Swim(pub Membership);
 
 pub fn name(of: usize) -> MemberName {
     MemberName::new(&format!("n{of}")).expect("a short name")
@@ -36,14 +36,14 @@
         name: name(me),
         site: SiteName::new(["east", "west", "north"][me % 3]).expect("a short name"),
         address: address(me),
-        seeds: CONTACTS.iter().map(|of| address(*of)).collect(),
+        seeds: SEED_MEMBERS.iter().map(|of| address(*of)).collect(),
         max_servers: most,
         probe_period: Duration::from_ms(1000),
         retention: Duration::from_ms(900_000),
     }
 }
 
-impl Way for Own {
+impl MembershipProtocol for Swim {
     const NAME: &'static str = "own machine";
     type Packet = Datagram;
 
@@ -51,7 +51,7 @@
         Self(Membership::new(terms(me, most), Generation(now.us() / 1000), seed, now))
     }
 
-    fn heard(&mut self, now: Timestamp, packet: &Datagram) {
+    fn receive(&mut self, now: Timestamp, packet: &Datagram) {
         let _ = self.0.receive(now, packet); // what is dropped is dropped
     }
 
@@ -63,13 +63,13 @@
         self.0.next_tick()
     }
 
-    fn next_out(&mut self, now: Timestamp) -> Option<(usize, Datagram, usize)> {
+    fn next_packet(&mut self, now: Timestamp) -> Option<OutgoingPacket<Datagram>> {
         let OutgoingDatagram { address, datagram } = self.0.next_datagram(now)?;
         let bytes = datagram::encoded_length(&datagram);
-        Some((number(address), datagram, bytes))
+        Some(OutgoingPacket { receiver: number(address), packet: datagram, bytes })
     }
 
-    fn next_notice(&mut self) -> Option<Notice> {
+    fn next_notice(&mut self) -> Option<MembershipNotice> {
         notice(&mut self.0)
     }
 
@@ -93,14 +93,14 @@
 }
 
 /// The next event that concerns who is here.
-pub fn notice(members: &mut Membership) -> Option<Notice> {
+pub fn notice(members: &mut Membership) -> Option<MembershipNotice> {
     loop {
         match members.next_event()? {
             MembershipEvent::Joined(name) | MembershipEvent::Recovered(name) => {
-                return Some(Notice::Here(number_of(name)));
+                return Some(MembershipNotice::Alive(number_of(name)));
             }
             MembershipEvent::Died(name) | MembershipEvent::Left(name) => {
-                return Some(Notice::Gone(number_of(name)));
+                return Some(MembershipNotice::Dead(number_of(name)));
             }
             _ => {}
         }
--- a/crates/hazelspur-simulator/src/ways/zoned.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/zoned.rs
@@ -1,8 +1,8 @@
 //! The real machines in two regions of three zones each: members by themselves, and members, signals and shares
 //! together as one server has them. The studies of scale play them; nothing here decides.
 
-use super::own::{Own, alive, name, notice, number, terms as terms_of_three};
-use super::{Notice, Way};
+use super::swim::{Swim, alive, name, notice, number, terms as terms_of_three};
+use super::{MembershipNotice, MembershipProtocol, OutgoingPacket};
 use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::membership::OutgoingDatagram;
 use hazelspur_fleet::node::LocalLoad;
@@ -15,7 +15,7 @@
 pub const ZONES: usize = 6;
 const ZONE_NAMES: [&str; ZONES] = ["east-1", "west-1", "east-2", "west-2", "east-3", "west-3"];
 /// Voters, one in each of so many zones.
-pub const KEEPERS: usize = 5;
+pub const VOTERS: usize = 5;
 /// A server looks at its own work so often, as the program does.
 const LOOK: Duration = Duration::from_ms(200);
 /// What it sees there: calls of so many seconds, and nothing refused.
@@ -41,7 +41,7 @@
         residual_duration: LINGER,
         max_turn: None,
     };
-    let voters = (0..KEEPERS).map(name).collect();
+    let voters = (0..VOTERS).map(name).collect();
     QuotaConfig {
         voters,
         max_servers: most,
@@ -51,18 +51,18 @@
 }
 
 /// Membership alone.
-pub struct Zoned(pub Own);
+pub struct ZonedSwim(pub Swim);
 
-impl Way for Zoned {
+impl MembershipProtocol for ZonedSwim {
     const NAME: &'static str = "members";
     type Packet = Datagram;
 
     fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
-        Self(Own(Membership::new(terms(me, most), Generation(now.us() / 1000), seed, now)))
+        Self(Swim(Membership::new(terms(me, most), Generation(now.us() / 1000), seed, now)))
     }
 
-    fn heard(&mut self, now: Timestamp, packet: &Datagram) {
-        self.0.heard(now, packet);
+    fn receive(&mut self, now: Timestamp, packet: &Datagram) {
+        self.0.receive(now, packet);
     }
 
     fn tick(&mut self, now: Timestamp) {
@@ -73,11 +73,11 @@
         self.0.next_tick()
     }
 
-    fn next_out(&mut self, now: Timestamp) -> Option<(usize, Datagram, usize)> {
-        self.0.next_out(now)
+    fn next_packet(&mut self, now: Timestamp) -> Option<OutgoingPacket<Datagram>> {
+        self.0.next_packet(now)
     }
 
-    fn next_notice(&mut self) -> Option<Notice> {
+    fn next_notice(&mut self) -> Option<MembershipNotice> {
         self.0.next_notice()
     }
 
@@ -107,7 +107,7 @@
     Clocks { wall: now, monotonic: now }
 }
 
-impl<const LIMITS: usize> Way for Together<LIMITS> {
+impl<const LIMITS: usize> MembershipProtocol for Together<LIMITS> {
     const NAME: &'static str = "members, signals and shares";
     type Packet = Datagram;
 
@@ -124,7 +124,7 @@
         Self { node, last: now, next_look: now + LOOK.scaled((seed % 1000) as f64 / 1000.0) }
     }
 
-    fn heard(&mut self, now: Timestamp, packet: &Datagram) {
+    fn receive(&mut self, now: Timestamp, packet: &Datagram) {
         self.last = now;
         let _ = self.node.receive(at(now), packet); // what is dropped is dropped
     }
@@ -142,13 +142,13 @@
         self.next_look.min(self.last + self.node.time_to_next_tick(at(self.last)))
     }
 
-    fn next_out(&mut self, now: Timestamp) -> Option<(usize, Datagram, usize)> {
+    fn next_packet(&mut self, now: Timestamp) -> Option<OutgoingPacket<Datagram>> {
         let OutgoingDatagram { address, datagram } = self.node.next_datagram(at(now))?;
         let bytes = datagram::encoded_length(&datagram);
-        Some((number(address), datagram, bytes))
+        Some(OutgoingPacket { receiver: number(address), packet: datagram, bytes })
     }
 
-    fn next_notice(&mut self) -> Option<Notice> {
+    fn next_notice(&mut self) -> Option<MembershipNotice> {
         notice(&mut self.node.membership)
     }
 
--- a/crates/hazelspur-simulator/src/simulation/coordination.rs
+++ b/crates/hazelspur-simulator/src/simulation/coordination.rs
@@ -3,7 +3,7 @@
 
 use super::event::Event;
 use super::{Coordination, Simulation, SimulationConfig};
-use crate::ways::own::{address, name, number, terms};
+use crate::membership_protocols::swim::{address, name, number, terms};
 use hazelspur::{Duration, GuidanceKey, LoadReport, Timestamp};
 use hazelspur_fleet::guidance::{Guidance, GuidanceUpdate, GuidedLimit, LeaseExpiry};
 use hazelspur_fleet::membership::OutgoingDatagram;
--- a/crates/hazelspur-simulator/src/simulation/figures.rs
+++ b/crates/hazelspur-simulator/src/simulation/figures.rs
@@ -1,6 +1,6 @@
 //! The counts of one simulation, over all its servers.
 
-use crate::town::START;
+use crate::test_fleet::START;
 use hazelspur::Timestamp;
 
 /// Microseconds in a second.
--- a/crates/hazelspur-simulator/src/simulation/mod.rs
+++ b/crates/hazelspur-simulator/src/simulation/mod.rs
@@ -20,7 +20,7 @@
 use crate::models::ledger::Ledger;
 use crate::models::list::List;
 use crate::network::Network;
-use crate::town::START;
+use crate::test_fleet::START;
 use config::{REQUEST_TIMEOUT, WORK_BY_CLASS_S};
 use coordination::{Coordinator, FleetState, ORACLE_PERIOD};
 use event::Event;
--- a/crates/hazelspur-simulator/src/studies/scale/mod.rs
+++ b/crates/hazelspur-simulator/src/studies/scale/mod.rs
@@ -7,11 +7,11 @@
 
 pub use shares::{SharesCase, play_shares};
 
+use crate::membership_protocols::MembershipProtocol;
+use crate::membership_protocols::lightweight::{Lightweight, Rate};
+use crate::membership_protocols::zoned::{REGIONS, Together, ZONES, ZonedSwim};
 use crate::network::Network;
-use crate::town::{Town, Traffic};
-use crate::ways::Way;
-use crate::ways::hollow::{Hollow, Rate};
-use crate::ways::zoned::{REGIONS, Together, ZONES, Zoned};
+use crate::test_fleet::{TestFleet, Traffic};
 use crate::{cpu, heap};
 use hazelspur::Duration;
 use points::Point;
@@ -115,7 +115,7 @@
 
 pub fn play(case: &Case) -> Vec<Point> {
     match case.machine {
-        Machine::Members => play_as::<Zoned>(case),
+        Machine::Members => play_as::<ZonedSwim>(case),
         Machine::Joint => play_as::<Together<1>>(case),
     }
 }
@@ -163,18 +163,18 @@
 }
 
 /// Plays for `window`, and on until all agree or three minutes are over.
-fn watch<W: Way>(town: &mut Town<W>, window: Duration, size: usize) -> Watched {
-    let from = town.now();
-    let before: Vec<Traffic> = town.traffic().collect();
+fn watch<W: MembershipProtocol>(fleet: &mut TestFleet<W>, window: Duration, size: usize) -> Watched {
+    let from = fleet.now();
+    let before: Vec<Traffic> = fleet.traffic().collect();
     let (mut second, mut worst) = (before.clone(), 0);
     let (mut agreed, mut load, mut looks) = (None, None, 0);
     loop {
-        let passed = town.now() - from;
-        if agreed.is_none() && town.agree() {
+        let passed = fleet.now() - from;
+        if agreed.is_none() && fleet.agree() {
             agreed = Some(passed.secs());
         }
         if load.is_none() && passed >= window {
-            let after: Vec<Traffic> = town.traffic().collect();
+            let after: Vec<Traffic> = fleet.traffic().collect();
             load = Some(Load::of(&before, &after, worst, passed.secs(), size));
         }
         if let Some(load) = load
@@ -182,10 +182,10 @@
         {
             return Watched { load, agreed };
         }
-        town.play(LOOK);
+        fleet.play(LOOK);
         looks += 1;
         if looks % LOOKS_A_SECOND == 0 {
-            let after: Vec<Traffic> = town.traffic().collect();
+            let after: Vec<Traffic> = fleet.traffic().collect();
             let sent = |(at, after): (usize, &Traffic)| {
                 after.bytes_out - second.get(at).map_or(0, |before| before.bytes_out)
             };
@@ -196,24 +196,27 @@
 }
 
 /// All start within a second, each at its part of it.
-pub fn start_all<W: Way>(town: &mut Town<W>, numbers: impl ExactSizeIterator<Item = usize>) {
+pub fn start_all<W: MembershipProtocol>(
+    fleet: &mut TestFleet<W>,
+    numbers: impl ExactSizeIterator<Item = usize>,
+) {
     let part = Duration::from_us(STORM.us() / numbers.len().max(1) as u64);
     for of in numbers {
-        town.start(of);
-        town.play(part);
+        fleet.start(of);
+        fleet.play(part);
     }
 }
 
 /// A fleet of so many, started and at rest.
-pub fn at_rest<W: Way>(size: usize, seed: u64, between: &Between) -> Town<W> {
-    let mut town = Town::new(between.network(), most(size), seed);
-    start_all(&mut town, 0..size);
-    let from = town.now();
-    while !town.agree() && town.now() - from < LONGEST {
-        town.play(LOOK);
+pub fn at_rest<W: MembershipProtocol>(size: usize, seed: u64, between: &Between) -> TestFleet<W> {
+    let mut fleet = TestFleet::new(between.network(), most(size), seed);
+    start_all(&mut fleet, 0..size);
+    let from = fleet.now();
+    while !fleet.agree() && fleet.now() - from < LONGEST {
+        fleet.play(LOOK);
     }
-    town.play(SETTLE);
-    town
+    fleet.play(SETTLE);
+    fleet
 }
 
 /// What a fleet at rest sends and holds.
@@ -225,91 +228,91 @@
     pub most_entries: usize,
 }
 
-/// Counts `town` for so long.
-pub fn rest<W: Way>(town: &mut Town<W>, window: Duration, size: usize) -> Rest {
-    let before: Vec<Traffic> = town.traffic().collect();
-    let (mut second, mut worst, from) = (before.clone(), 0, town.now());
-    while town.now() - from < window {
-        town.play(Duration::from_ms(1000));
-        let after: Vec<Traffic> = town.traffic().collect();
+/// Counts the traffic of `fleet` for `window`.
+pub fn rest<W: MembershipProtocol>(fleet: &mut TestFleet<W>, window: Duration, size: usize) -> Rest {
+    let before: Vec<Traffic> = fleet.traffic().collect();
+    let (mut second, mut worst, from) = (before.clone(), 0, fleet.now());
+    while fleet.now() - from < window {
+        fleet.play(Duration::from_ms(1000));
+        let after: Vec<Traffic> = fleet.traffic().collect();
         let sent = after.iter().zip(&second).map(|(after, before)| after.bytes_out - before.bytes_out);
         worst = sent.max().unwrap_or(0).max(worst);
         second = after;
     }
-    let load = Load::of(&before, &second, worst, (town.now() - from).secs(), size);
-    let entries: Vec<usize> = town.ways().map(|(_, way)| way.entries()).collect();
+    let load = Load::of(&before, &second, worst, (fleet.now() - from).secs(), size);
+    let entries: Vec<usize> = fleet.members().map(|(_, way)| way.entries()).collect();
     let sum: usize = entries.iter().sum();
     let mean = sum as f64 / entries.len().max(1) as f64;
     Rest { load, entries: mean, most_entries: entries.into_iter().max().unwrap_or(0) }
 }
 
 /// One situation of one fleet as points, from a storm of starts on.
-pub fn play_as<W: Way>(case: &Case) -> Vec<Point> {
+pub fn play_as<W: MembershipProtocol>(case: &Case) -> Vec<Point> {
     let mut out = Sheet { case, points: Vec::new() };
     let (size, between) = (case.size, &case.between);
     if case.situation == Situation::StormAndRest {
-        let mut town: Town<W> = Town::new(between.network(), most(size), case.seed);
+        let mut fleet: TestFleet<W> = TestFleet::new(between.network(), most(size), case.seed);
         // Traffic of the second in which they start counts too; the time until all agree is from its end.
-        let before: Vec<Traffic> = town.traffic().collect();
-        start_all(&mut town, 0..size);
-        let first = Load::of(&before, &town.traffic().collect::<Vec<_>>(), 0, 1.0, size);
-        let watched = watch(&mut town, case.window, size);
+        let before: Vec<Traffic> = fleet.traffic().collect();
+        start_all(&mut fleet, 0..size);
+        let first = Load::of(&before, &fleet.traffic().collect::<Vec<_>>(), 0, 1.0, size);
+        let watched = watch(&mut fleet, case.window, size);
         out.watched("storm", &watched);
         out.point("datagrams_out_per_s", "first second of the storm", "1/s", first.datagrams_out);
         out.point("bytes_out_per_s", "first second of the storm", "B/s", first.bytes_out);
-        town.play(SETTLE);
-        rest_points(&mut out, &mut town);
+        fleet.play(SETTLE);
+        rest_points(&mut out, &mut fleet);
         return out.points;
     }
-    let mut town: Town<W> = at_rest(size, case.seed, between);
+    let mut fleet: TestFleet<W> = at_rest(size, case.seed, between);
     match case.situation {
         Situation::StormAndRest => {}
         Situation::Zone => {
             let lost: Vec<usize> = (0..size).filter(|of| of % ZONES == LOST_ZONE).collect();
-            lost.iter().for_each(|of| town.kill(*of));
-            let gone = watch(&mut town, case.window, size - lost.len());
+            lost.iter().for_each(|of| fleet.kill(*of));
+            let gone = watch(&mut fleet, case.window, size - lost.len());
             out.watched("zone lost", &gone);
-            start_all(&mut town, lost.into_iter());
-            let back = watch(&mut town, case.window, size);
+            start_all(&mut fleet, lost.into_iter());
+            let back = watch(&mut fleet, case.window, size);
             out.watched("zone back", &back);
         }
         Situation::Regions => {
-            town.network.cut = Some(|from, to| from % ZONES % REGIONS != to % ZONES % REGIONS);
-            town.play(APART);
-            town.network.cut = None;
-            let healed = watch(&mut town, case.window, size);
+            fleet.network.cut = Some(|from, to| from % ZONES % REGIONS != to % ZONES % REGIONS);
+            fleet.play(APART);
+            fleet.network.cut = None;
+            let healed = watch(&mut fleet, case.window, size);
             out.watched("regions healed", &healed);
         }
         Situation::Bunch => {
-            let before: Vec<Traffic> = town.traffic().collect();
+            let before: Vec<Traffic> = fleet.traffic().collect();
             let many = (size / BUNCH_PART).max(1);
             let gap = Duration::from_us(BUNCH.us() / many as u64);
             let mut away = std::collections::VecDeque::new();
-            let from = town.now();
+            let from = fleet.now();
             for i in 0..many {
                 // Neither contact points nor keepers, and of all zones in turn.
                 let of = (i * BUNCH_PART + i % ZONES + 7) % size;
-                town.leave(of);
-                away.push_back((town.now() + AWAY, of));
+                fleet.leave(of);
+                away.push_back((fleet.now() + AWAY, of));
                 if i + 1 == many {
                     break;
                 }
                 let next = from + gap.scaled((i + 1) as f64);
                 while let Some((at, of)) = away.front().copied().filter(|(at, _)| *at <= next) {
-                    town.play(at - town.now());
-                    town.start(of);
+                    fleet.play(at - fleet.now());
+                    fleet.start(of);
                     away.pop_front();
                 }
-                town.play(next - town.now());
+                fleet.play(next - fleet.now());
             }
             for (at, of) in away {
-                town.play(at - town.now());
-                town.start(of);
+                fleet.play(at - fleet.now());
+                fleet.start(of);
             }
-            let during = (town.now() - from).secs();
-            let load = Load::of(&before, &town.traffic().collect::<Vec<_>>(), 0, during, size);
+            let during = (fleet.now() - from).secs();
+            let load = Load::of(&before, &fleet.traffic().collect::<Vec<_>>(), 0, during, size);
             out.load("bunched restarts, while they go on", &load);
-            let watched = watch(&mut town, case.window, size);
+            let watched = watch(&mut fleet, case.window, size);
             out.watched("bunched restarts, after the last", &watched);
         }
     }
@@ -318,19 +321,19 @@
 
 /// Traffic, entries, CPU and heap at rest. The heap is that of a zone's servers, taken from what their end
 /// gives back.
-fn rest_points<W: Way>(out: &mut Sheet, town: &mut Town<W>) {
+fn rest_points<W: MembershipProtocol>(out: &mut Sheet, fleet: &mut TestFleet<W>) {
     let case = out.case;
-    let rest = rest(town, case.window, case.size);
+    let rest = rest(fleet, case.window, case.size);
     // The kernel counts in steps of some milliseconds: a small fleet is played for longer.
     let long = case.window.max(Duration::from_secs(CPU_SERVER_SECS / case.size as f64));
     let before = cpu::of_this_thread();
-    town.play(long);
+    fleet.play(long);
     let spent = before.zip(cpu::of_this_thread()).map(|(before, after)| after - before);
     out.load("rest", &rest.load);
     out.point("entries", "rest", "entries", rest.entries);
     let held = heap::live();
     let zone: Vec<usize> = (0..case.size).filter(|of| of % ZONES == LOST_ZONE).collect();
-    zone.iter().for_each(|of| town.kill(*of));
+    zone.iter().for_each(|of| fleet.kill(*of));
     if let Some((before, after)) = held.zip(heap::live()) {
         let each = (before - after) as f64 / zone.len().max(1) as f64 + size_of::<W>() as f64;
         out.point("state_bytes", "rest", "B", each);
@@ -348,14 +351,15 @@
 /// CPU of the laboratory's own queue and network for the same traffic, in microseconds a server-second.
 fn queue_alone(case: &Case, load: &Load, long: Duration) -> Option<f64> {
     let rate = Rate { servers: case.size, datagrams: load.datagrams_out, bytes: load.bytes_out };
-    let mut town: Town<Hollow> = Town::new(case.between.network(), case.size, case.seed);
+    let mut fleet: TestFleet<Lightweight> = TestFleet::new(case.between.network(), case.size, case.seed);
     for of in 0..case.size {
-        let hollow = Hollow::new(of, rate, case.seed.wrapping_mul(1_000_003) + of as u64, town.now());
-        town.start_as(of, hollow);
+        let lightweight =
+            Lightweight::new(of, rate, case.seed.wrapping_mul(1_000_003) + of as u64, fleet.now());
+        fleet.start_as(of, lightweight);
     }
-    town.play(Duration::from_ms(2000));
+    fleet.play(Duration::from_ms(2000));
     let before = cpu::of_this_thread()?;
-    town.play(long);
+    fleet.play(long);
     let spent = cpu::of_this_thread()? - before;
     Some(spent.us() as f64 / (long.secs() * case.size as f64))
 }
--- a/crates/hazelspur-simulator/src/studies/shares.rs
+++ b/crates/hazelspur-simulator/src/studies/shares.rs
@@ -2,11 +2,11 @@
 //! limit, how much of it is in use once things have settled, how fairly, and how long settling takes.
 
 use crate::event_queue::EventQueue;
+use crate::membership_protocols::swim::{address, name};
+use crate::membership_protocols::zoned::{REGIONS, ZONES};
 use crate::network::{Cut, Network};
 use crate::studies::scale::Between;
-use crate::town::START;
-use crate::ways::own::{address, name};
-use crate::ways::zoned::{REGIONS, ZONES};
+use crate::test_fleet::START;
 use hazelspur::pcg::Pcg;
 use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::quota::{
--- a/crates/hazelspur-simulator/src/studies/who_is_here.rs
+++ b/crates/hazelspur-simulator/src/studies/who_is_here.rs
@@ -1,9 +1,9 @@
 //! The ways of knowing who is here, side by side: false deaths, time to notice, time to grow together,
 //! traffic.
 
+use crate::membership_protocols::{MembershipNotice, MembershipProtocol};
 use crate::network::Network;
-use crate::town::{Said, Town};
-use crate::ways::{Notice, Way};
+use crate::test_fleet::{Observation, TestFleet};
 use hazelspur::pcg::Pcg;
 use hazelspur::{Duration, Timestamp};
 use hdrhistogram::Histogram;
@@ -43,48 +43,48 @@
 }
 
 /// One seed, through a storm of starts, rest, stops with loss, a kill, and two halves.
-pub fn play<W: Way>(case: &Case) -> Outcome {
+pub fn play<W: MembershipProtocol>(case: &Case) -> Outcome {
     let mut chance = Pcg::new(case.seed ^ 0x57a6);
-    let mut town: Town<W> = Town::new(Network::new(3), case.size * 2, case.seed);
+    let mut fleet: TestFleet<W> = TestFleet::new(Network::new(3), case.size * 2, case.seed);
     for of in 0..case.size {
-        town.start(of);
-        town.play(Duration::from_us(1_000_000 / case.size as u64));
+        fleet.start(of);
+        fleet.play(Duration::from_us(1_000_000 / case.size as u64));
     }
-    let storm_s = until_agreed(&mut town, 60.0);
-    let storm_datagrams = rate(town.datagrams, case.size, storm_s.unwrap_or(60.0) + 1.0);
-    town.play(SETTLE);
+    let storm_s = until_agreed(&mut fleet, 60.0);
+    let storm_datagrams = rate(fleet.datagrams, case.size, storm_s.unwrap_or(60.0) + 1.0);
+    fleet.play(SETTLE);
 
-    let (datagrams, bytes) = (town.datagrams, town.bytes);
+    let (datagrams, bytes) = (fleet.datagrams, fleet.bytes);
     let rest = Duration::from_ms(60_000);
-    town.play(rest);
-    let datagrams = rate(town.datagrams - datagrams, case.size, rest.secs());
-    let bytes = rate(town.bytes - bytes, case.size, rest.secs());
+    fleet.play(rest);
+    let datagrams = rate(fleet.datagrams - datagrams, case.size, rest.secs());
+    let bytes = rate(fleet.bytes - bytes, case.size, rest.secs());
 
-    town.network.loss = case.loss;
-    town.said.clear();
-    let end = town.now() + case.trouble;
+    fleet.network.loss = case.loss;
+    fleet.observations.clear();
+    let end = fleet.now() + case.trouble;
     let (mut false_deaths, mut without_cause) = (0, 0);
-    while town.now() < end {
+    while fleet.now() < end {
         // In each ten seconds one in twenty stands still for a while.
         for _ in 0..(case.size / 20).max(1) {
             let of = chance.draw() as usize % case.size;
-            town.stop(of, case.stop);
+            fleet.stop(of, case.stop);
         }
-        town.play(Duration::from_ms(10_000));
-        for said in std::mem::take(&mut town.said) {
-            if let Notice::Gone(of) = said.notice
-                && town.runs(of)
+        fleet.play(Duration::from_ms(10_000));
+        for said in std::mem::take(&mut fleet.observations) {
+            if let MembershipNotice::Dead(of) = said.notice
+                && fleet.runs(of)
             {
                 false_deaths += 1;
-                without_cause += u64::from(said.at - town.last_stop(of) > Duration::from_ms(30_000));
+                without_cause += u64::from(said.at - fleet.last_stop(of) > Duration::from_ms(30_000));
             }
         }
     }
-    town.network.loss = 0.0;
-    town.play(SETTLE);
+    fleet.network.loss = 0.0;
+    fleet.play(SETTLE);
 
-    let (notice_ms, unnoticed) = killed(&mut town, &mut chance, case.size);
-    let together_s = halves(&mut town);
+    let (notice_ms, unnoticed) = killed(&mut fleet, &mut chance, case.size);
+    let together_s = halves(&mut fleet);
     Outcome {
         false_deaths,
         without_cause,
@@ -102,54 +102,58 @@
     count as f64 / size as f64 / secs
 }
 
-fn until_agreed<W: Way>(town: &mut Town<W>, most_s: f64) -> Option<f64> {
-    let from = town.now();
+fn until_agreed<W: MembershipProtocol>(fleet: &mut TestFleet<W>, most_s: f64) -> Option<f64> {
+    let from = fleet.now();
     loop {
-        let passed = (town.now() - from).secs();
-        if town.agree() {
+        let passed = (fleet.now() - from).secs();
+        if fleet.agree() {
             return Some(passed);
         }
         if passed >= most_s {
             return None;
         }
-        town.play(Duration::from_ms(250));
+        fleet.play(Duration::from_ms(250));
     }
 }
 
 /// Three are killed one after the other; when each of the others noticed.
-fn killed<W: Way>(town: &mut Town<W>, chance: &mut Pcg, size: usize) -> (Histogram<u64>, u64) {
+fn killed<W: MembershipProtocol>(
+    fleet: &mut TestFleet<W>,
+    chance: &mut Pcg,
+    size: usize,
+) -> (Histogram<u64>, u64) {
     let mut notice_ms = Histogram::new_with_bounds(1, 600_000, 3).expect("sound bounds");
     let mut unnoticed = 0;
     for _ in 0..3 {
         let of = loop {
             let of = chance.draw() as usize % size;
-            if town.runs(of) && !crate::ways::CONTACTS.contains(&of) {
+            if fleet.runs(of) && !crate::membership_protocols::SEED_MEMBERS.contains(&of) {
                 break of;
             }
         };
-        town.said.clear();
-        town.kill(of);
-        let at = town.now();
-        town.play(Duration::from_ms(120_000));
-        let noticed = |said: &&Said| said.notice == Notice::Gone(of);
+        fleet.observations.clear();
+        fleet.kill(of);
+        let at = fleet.now();
+        fleet.play(Duration::from_ms(120_000));
+        let noticed = |said: &&Observation| said.notice == MembershipNotice::Dead(of);
         let mut by: Vec<(usize, Timestamp)> =
-            town.said.iter().filter(noticed).map(|said| (said.by, said.at)).collect();
+            fleet.observations.iter().filter(noticed).map(|said| (said.by, said.at)).collect();
         by.sort_unstable();
         by.dedup_by_key(|(by, _)| *by);
-        unnoticed += (town.running() - by.len().min(town.running())) as u64;
+        unnoticed += (fleet.running() - by.len().min(fleet.running())) as u64;
         by.iter().for_each(|(_, when)| notice_ms.saturating_record((*when - at).us() / 1000));
-        town.start(of);
-        town.play(Duration::from_ms(30_000));
+        fleet.start(of);
+        fleet.play(Duration::from_ms(30_000));
     }
     (notice_ms, unnoticed)
 }
 
 /// Two halves don't hear each other for a minute; how long after it all agree.
-fn halves<W: Way>(town: &mut Town<W>) -> Option<f64> {
-    town.network.cut = Some(|from, to| from % 2 != to % 2);
-    town.play(Duration::from_ms(60_000));
-    town.network.cut = None;
-    until_agreed(town, 180.0)
+fn halves<W: MembershipProtocol>(fleet: &mut TestFleet<W>) -> Option<f64> {
+    fleet.network.cut = Some(|from, to| from % 2 != to % 2);
+    fleet.play(Duration::from_ms(60_000));
+    fleet.network.cut = None;
+    until_agreed(fleet, 180.0)
 }
 
 /// One line of the table, over the seeds of a size.
--- a/crates/hazelspur-simulator/tests/runs.rs
+++ b/crates/hazelspur-simulator/tests/runs.rs
@@ -1,16 +1,16 @@
 //! What the laboratory promises of its runs.
 
 use hazelspur::Duration;
+use hazelspur_simulator::membership_protocols::MembershipProtocol;
+use hazelspur_simulator::membership_protocols::foca::FocaProtocol;
+use hazelspur_simulator::membership_protocols::heartbeat::Heartbeat;
+use hazelspur_simulator::membership_protocols::swim::Swim;
 use hazelspur_simulator::on_all_cores;
 use hazelspur_simulator::simulation::{Coordination, Figures, ScriptAction, Simulation, SimulationConfig};
 use hazelspur_simulator::studies::choices::{self, Hard};
 use hazelspur_simulator::studies::sums::{self, Reports, Subsets};
 use hazelspur_simulator::studies::together;
 use hazelspur_simulator::studies::who_is_here::{Case, Row, play};
-use hazelspur_simulator::ways::Way;
-use hazelspur_simulator::ways::beats::Beats;
-use hazelspur_simulator::ways::library::Library;
-use hazelspur_simulator::ways::own::Own;
 
 fn cases(size: usize, seeds: u64) -> Vec<Case> {
     let trouble = Duration::from_ms(120_000);
@@ -18,21 +18,21 @@
     (1..=seeds).map(|seed| Case { size, seed, trouble, loss: 0.01, stop }).collect()
 }
 
-fn row<W: Way>(size: usize, seeds: u64, threads: usize) -> Row {
+fn row<W: MembershipProtocol>(size: usize, seeds: u64, threads: usize) -> Row {
     Row { way: W::NAME, size, outcomes: on_all_cores(&cases(size, seeds), threads, play::<W>) }
 }
 
 #[test]
 fn one_seed_gives_one_run_on_any_number_of_threads() {
-    let on = |threads| row::<Own>(12, 4, threads).cells().join(" | ");
+    let on = |threads| row::<Swim>(12, 4, threads).cells().join(" | ");
     assert_eq!(on(1), on(4));
-    let other = row::<Own>(12, 3, 2).cells().join(" | ");
+    let other = row::<Swim>(12, 3, 2).cells().join(" | ");
     assert_ne!(on(2), other, "seeds make no difference");
 }
 
 #[test]
 fn two_second_stops_and_lost_datagrams_kill_nobody_and_a_kill_is_noticed_by_all() {
-    for outcome in row::<Own>(40, 3, 4).outcomes {
+    for outcome in row::<Swim>(40, 3, 4).outcomes {
         assert_eq!((outcome.false_deaths, outcome.unnoticed), (0, 0));
         assert!(outcome.notice_ms.value_at_quantile(0.99) < 40_000);
         assert!(outcome.together_s.is_some_and(|s| s < 30.0) && outcome.storm_s.is_some());
@@ -41,7 +41,7 @@
 
 #[test]
 fn the_ways_that_are_compared_do_what_they_are_for() {
-    for row in [row::<Library>(12, 2, 2), row::<Beats>(12, 2, 2)] {
+    for row in [row::<FocaProtocol>(12, 2, 2), row::<Heartbeat>(12, 2, 2)] {
         let found = row.outcomes.iter().all(|o| o.unnoticed == 0 && o.storm_s.is_some());
         assert!(found, "{}: {:?}", row.way, row.cells());
     }
@@ -116,8 +116,8 @@
 #[test]
 fn shares_by_demand_serve_more_than_equal_ones_and_never_pass_the_slots() {
     let hards = [Hard::Uneven, Hard::Stopped, Hard::Replaced];
-    let ways = [Coordination::None, Coordination::Gossip, Coordination::Oracle];
-    let cases: Vec<_> = hards.iter().flat_map(|hard| ways.map(|way| choice(*hard, way, 1))).collect();
+    let kinds = [Coordination::None, Coordination::Gossip, Coordination::Oracle];
+    let cases: Vec<_> = hards.iter().flat_map(|hard| kinds.map(|way| choice(*hard, way, 1))).collect();
     let all = on_all_cores(&cases, 4, choices::play);
     for (hard, of) in hards.iter().zip(all.chunks(3)) {
         let service: Vec<f64> = of.iter().map(choices::Outcome::service).collect();
--- a/crates/hazelspur-simulator/tests/slopes.rs
+++ b/crates/hazelspur-simulator/tests/slopes.rs
@@ -3,14 +3,14 @@
 
 use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::{Datagram, Generation, Membership};
+use hazelspur_simulator::membership_protocols::swim::Swim;
+use hazelspur_simulator::membership_protocols::zoned::{Together, ZonedSwim, terms};
+use hazelspur_simulator::membership_protocols::{MembershipNotice, MembershipProtocol, OutgoingPacket};
 use hazelspur_simulator::studies::scale::{
     Between, Rest, SharesCase, at_rest, most, play_shares, rest, start_all,
 };
 use hazelspur_simulator::studies::shares::Trouble;
-use hazelspur_simulator::town::Town;
-use hazelspur_simulator::ways::own::Own;
-use hazelspur_simulator::ways::zoned::{Together, Zoned, terms};
-use hazelspur_simulator::ways::{Notice, Way};
+use hazelspur_simulator::test_fleet::TestFleet;
 use std::collections::BTreeSet;
 
 const SIZES: [usize; 4] = [50, 100, 200, 400];
@@ -20,11 +20,11 @@
     Between { lag: Duration::from_ms(40), region_loss: 0.0, loss: 0.0 }
 }
 
-fn at_sizes<W: Way>(sizes: &[usize]) -> Vec<(usize, Rest)> {
+fn at_sizes<W: MembershipProtocol>(sizes: &[usize]) -> Vec<(usize, Rest)> {
     let plays = |size: &usize| {
-        let mut town: Town<W> = at_rest(*size, 1, &between());
-        assert!(town.agree(), "{size} servers don't agree at rest");
-        (*size, rest(&mut town, WINDOW, *size))
+        let mut fleet: TestFleet<W> = at_rest(*size, 1, &between());
+        assert!(fleet.agree(), "{size} servers don't agree at rest");
+        (*size, rest(&mut fleet, WINDOW, *size))
     };
     hazelspur_simulator::on_all_cores(sizes, 4, plays)
 }
@@ -67,7 +67,7 @@
 
 #[test]
 fn a_server_at_rest_costs_as_much_in_a_large_fleet_as_in_a_small_one() {
-    check_rest(&at_sizes::<Zoned>(&SIZES), &MEMBERS).unwrap();
+    check_rest(&at_sizes::<ZonedSwim>(&SIZES), &MEMBERS).unwrap();
 }
 
 #[test]
@@ -77,24 +77,24 @@
 
 /// Planted: probes all of its table in each period.
 struct AllToAll {
-    own: Own,
+    own: Swim,
     period: Duration,
     next: Timestamp,
 }
 
-impl Way for AllToAll {
+impl MembershipProtocol for AllToAll {
     const NAME: &'static str = "planted: all to all";
     type Packet = Datagram;
 
     fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
         let terms = terms(me, most);
         let period = terms.probe_period;
-        let own = Own(Membership::new(terms, Generation(now.us() / 1000), seed, now));
+        let own = Swim(Membership::new(terms, Generation(now.us() / 1000), seed, now));
         Self { own, period, next: now + period }
     }
 
-    fn heard(&mut self, now: Timestamp, packet: &Datagram) {
-        self.own.heard(now, packet);
+    fn receive(&mut self, now: Timestamp, packet: &Datagram) {
+        self.own.receive(now, packet);
     }
 
     fn tick(&mut self, now: Timestamp) {
@@ -112,11 +112,11 @@
         self.own.next_tick().min(self.next)
     }
 
-    fn next_out(&mut self, now: Timestamp) -> Option<(usize, Datagram, usize)> {
-        self.own.next_out(now)
+    fn next_packet(&mut self, now: Timestamp) -> Option<OutgoingPacket<Datagram>> {
+        self.own.next_packet(now)
     }
 
-    fn next_notice(&mut self) -> Option<Notice> {
+    fn next_notice(&mut self) -> Option<MembershipNotice> {
         self.own.next_notice()
     }
 
@@ -149,22 +149,22 @@
 const MARGIN: Duration = Duration::from_ms(180_000);
 
 /// Whether those who ended are gone from the tables of all others.
-fn check_forgotten<W: Way>(end: End) -> Result<(), String> {
+fn check_forgotten<W: MembershipProtocol>(end: End) -> Result<(), String> {
     let size = SIZES[0];
-    let mut town: Town<W> = at_rest(size, 1, &between());
+    let mut fleet: TestFleet<W> = at_rest(size, 1, &between());
     let gone: Vec<usize> = (0..size).filter(|of| of % 3 == 1).take(ENDS).collect();
     for of in gone {
         match end {
-            End::Leaves => town.leave(of),
-            End::Killed => town.kill(of),
+            End::Leaves => fleet.leave(of),
+            End::Killed => fleet.kill(of),
         }
     }
-    town.play(terms(0, most(size)).retention + MARGIN);
+    fleet.play(terms(0, most(size)).retention + MARGIN);
     let left = size - ENDS - 1;
-    let all: Vec<usize> = town.ways().map(|(_, way)| way.entries()).collect();
+    let all: Vec<usize> = fleet.members().map(|(_, way)| way.entries()).collect();
     let wrong = all.iter().filter(|entries| **entries != left).count();
     let fullest = all.iter().max().copied().unwrap_or(0);
-    if wrong == 0 && town.agree() {
+    if wrong == 0 && fleet.agree() {
         return Ok(());
     }
     Err(format!("{wrong} of {} tables don't hold the {left} that are left; the fullest {fullest}", all.len()))
@@ -172,31 +172,31 @@
 
 #[test]
 fn who_leaves_is_gone_from_all_tables_once_it_need_not_be_remembered() {
-    check_forgotten::<Zoned>(End::Leaves).unwrap();
+    check_forgotten::<ZonedSwim>(End::Leaves).unwrap();
     check_forgotten::<Together<1>>(End::Leaves).unwrap();
 }
 
 #[test]
 fn who_is_killed_is_gone_from_all_tables_once_it_need_not_be_remembered() {
-    check_forgotten::<Zoned>(End::Killed).unwrap();
+    check_forgotten::<ZonedSwim>(End::Killed).unwrap();
 }
 
 /// Planted: keeps each name that it ever heard of.
 struct Hoarder {
-    own: Zoned,
+    own: ZonedSwim,
     names: BTreeSet<String>,
 }
 
-impl Way for Hoarder {
+impl MembershipProtocol for Hoarder {
     const NAME: &'static str = "planted: a table that is never emptied";
     type Packet = Datagram;
 
     fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
-        Self { own: Zoned::start(me, most, seed, now), names: BTreeSet::new() }
+        Self { own: ZonedSwim::start(me, most, seed, now), names: BTreeSet::new() }
     }
 
-    fn heard(&mut self, now: Timestamp, packet: &Datagram) {
-        self.own.heard(now, packet);
+    fn receive(&mut self, now: Timestamp, packet: &Datagram) {
+        self.own.receive(now, packet);
         let all = packet.updates.iter().chain([&packet.sender]).map(|update| update.name);
         let me = self.own.0.0.local_update().name;
         self.names.extend(all.filter(|name| *name != me).map(|name| name.to_string()));
@@ -210,11 +210,11 @@
         self.own.next_tick()
     }
 
-    fn next_out(&mut self, now: Timestamp) -> Option<(usize, Datagram, usize)> {
-        self.own.next_out(now)
+    fn next_packet(&mut self, now: Timestamp) -> Option<OutgoingPacket<Datagram>> {
+        self.own.next_packet(now)
     }
 
-    fn next_notice(&mut self) -> Option<Notice> {
+    fn next_notice(&mut self) -> Option<MembershipNotice> {
         self.own.next_notice()
     }
 
@@ -277,12 +277,12 @@
 #[test]
 fn a_zone_that_starts_cold_finds_all_and_is_found() {
     let size = 120;
-    let mut town: Town<Zoned> = at_rest(size, 2, &between());
+    let mut fleet: TestFleet<ZonedSwim> = at_rest(size, 2, &between());
     let zone: Vec<usize> = (0..size).filter(|of| of % 6 == 0).collect();
-    zone.iter().for_each(|of| town.kill(*of));
-    town.play(NOTICED);
-    assert!(town.agree(), "a zone that is gone is not noticed by all");
-    start_all(&mut town, zone.into_iter());
-    town.play(Duration::from_ms(30_000));
-    assert!(town.agree(), "a zone that is back is not known to all");
+    zone.iter().for_each(|of| fleet.kill(*of));
+    fleet.play(NOTICED);
+    assert!(fleet.agree(), "a zone that is gone is not noticed by all");
+    start_all(&mut fleet, zone.into_iter());
+    fleet.play(Duration::from_ms(30_000));
+    assert!(fleet.agree(), "a zone that is back is not known to all");
 }
