--- a/crates/hazelspur-adapter/src/main.rs
+++ b/crates/hazelspur-adapter/src/main.rs
@@ -1,6 +1,6 @@
 //! Runs one `hazelspur::AdmissionController` for each server of the bench: reads the bench's lines on standard input
-//! and answers each committed batch with decisions on standard output. Faults go to standard error; one that no server
-//! can give in for ends the adapter with exit status 2.
+//! and answers each committed batch with decisions on standard output. Faults go to standard error; one that
+//! belongs to no server ends the adapter with exit status 2.
 
 mod decision_line;
 mod error;
--- a/crates/hazelspur-fleet/src/circuit_breaker.rs
+++ b/crates/hazelspur-fleet/src/circuit_breaker.rs
@@ -2,6 +2,9 @@
 //! server but probes, and the fleet shares the probes out: a few designated probers of all sites probe often
 //! while servers hear of each other, and each server probes in its time slot while they do not.
 //!
+//! Calls that could not connect or broke count as failures; a call that timed out counts neither way. Servers use it
+//! only where the operator's file has `together = True`.
+//!
 //! Inputs: ended calls and probes (`call_finished`, `probe_sent`), recoveries of others (`recovery_hint`),
 //! and what the load reports of others say (`set_peer_view`). Outputs: whether calls may leave, when to probe
 //! next, state changes.
--- a/crates/hazelspur-fleet/src/guidance.rs
+++ b/crates/hazelspur-fleet/src/guidance.rs
@@ -82,9 +82,9 @@
         let current = self.current(now, node);
         let changed =
             |key: &GuidanceKey, value: f64| self.given.get(key).is_none_or(|given| differs(*given, value));
-        let grown = current.iter().filter(|(key, value)| changed(key, **value));
+        let changed_figures = current.iter().filter(|(key, value)| changed(key, **value));
         let mut changes: Vec<GuidanceChange> =
-            grown.map(|(key, value)| GuidanceChange { key: *key, value: Some(*value) }).collect();
+            changed_figures.map(|(key, value)| GuidanceChange { key: *key, value: Some(*value) }).collect();
         let withdrawn = self.given.keys().filter(|key| !current.contains_key(*key));
         changes.extend(withdrawn.map(|key| GuidanceChange { key: *key, value: None }));
         for change in &changes {
--- a/crates/hazelspur-fleet/src/membership/failure_detector.rs
+++ b/crates/hazelspur-fleet/src/membership/failure_detector.rs
@@ -1,5 +1,13 @@
-//! SWIM's failure detector: one probe in each period, indirect probes where it is not answered, and the end
-//! of suspicions.
+//! SWIM's failure detector. When a member misses a probe:
+//!
+//! 1. `send_next_probe` pings one member a period;
+//! 2. without an answer after `DIRECT_PROBE_FRACTION` of the period, `probe_indirectly` asks others to ping it;
+//! 3. without any answer at the end of the period, `probe_failed` lowers the own local health and, unless this process is
+//!    isolated or was just suspended itself, suspects the member;
+//! 4. the suspicion spreads by gossip; further accusers shorten its timeout (`suspicion`), the member may refute it
+//!    (`refutation`);
+//! 5. one period before the timeout a final probe goes to the member;
+//! 6. at the timeout each process concludes for itself that the member is dead; a degraded or isolated one waits.
 
 use super::event::MembershipEvent;
 use super::state::{Membership, PeriodBudget};
--- a/crates/hazelspur-fleet/src/membership/table.rs
+++ b/crates/hazelspur-fleet/src/membership/table.rs
@@ -79,7 +79,7 @@
     }
 }
 
-/// A suspicion whose timer has run out.
+/// When the timer of a suspicion runs out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SuspicionTimer {
     at: Timestamp,
--- a/crates/hazelspur-fleet/src/membership/view.rs
+++ b/crates/hazelspur-fleet/src/membership/view.rs
@@ -26,6 +26,7 @@
             Self::Suspected => "suspected",
             Self::Leaving => "leaving",
             Self::Left => "left",
+            // The word of the operators' output.
             Self::Dead => "lost",
         }
     }
--- a/crates/hazelspur-fleet/src/quota/allocator.rs
+++ b/crates/hazelspur-fleet/src/quota/allocator.rs
@@ -68,7 +68,7 @@
     demands: Vec<Demand>,
 }
 
-/// The leader that grants leases of the shared pools.
+/// The elected server's table: who demands how much, and which leases are outstanding.
 #[derive(Clone, Debug)]
 pub(super) struct Allocator {
     lessees: BTreeMap<ProcessIncarnation, Lessee>,
--- a/crates/hazelspur-fleet/src/quota/config.rs
+++ b/crates/hazelspur-fleet/src/quota/config.rs
@@ -57,7 +57,8 @@
     pub limits: Vec<SharedLimit>,
 }
 
-/// Why a quota configuration is refused. The texts name fields as the operator's file does.
+/// Why a quota configuration is refused. The texts name fields as the operator's file does; its `lease_s`, the vote
+/// duration, is their `span`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum QuotaConfigError {
     /// There are more than `MAX_VOTERS` voters.
--- a/crates/hazelspur-parsers/src/runtime.rs
+++ b/crates/hazelspur-parsers/src/runtime.rs
@@ -1,4 +1,4 @@
-//! The protocol of the runtime link: lines of words. Where the last word of a line is a length, so many bytes and a line
+//! The protocol of the link to the worker process (the configuration's `runtime`): lines of words. Where the last word of a line is a length, so many bytes and a line
 //! end follow.
 
 use crate::put;
--- a/crates/hazelspur-server/src/config/reload.rs
+++ b/crates/hazelspur-server/src/config/reload.rs
@@ -1,7 +1,7 @@
 //! Reload on SIGHUP: the platform's configuration and the operator's file are read and checked as at the start.
 //!
-//! New addresses of upstream endpoints take effect at once; so do changed settings where the operator's file
-//! has `reload(settings = True)`. A file takes effect whole or not at all; other keys wait for the next start.
+//! A refused file changes nothing. Of an accepted one, new addresses of upstream endpoints apply at once, and so do
+//! changed settings where the operator's file has `reload(settings = True)`; all other keys apply at the next start.
 
 use crate::config::error::ConfigError;
 use crate::config::fleet_keys::TENANT_PREFIX;
--- a/crates/hazelspur-server/src/ingress/amqp/message.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/message.rs
@@ -24,7 +24,7 @@
 const DELIVERY_COUNT_HEADER: &str = "x-delivery-count";
 /// Header: name of the tenant.
 const TENANT_HEADER: &str = "x-owner";
-/// Header: memory that the request takes, in KiB.
+/// Header: memory that the request takes while queued, in kB.
 const SIZE_HEADER: &str = "x-need-kb";
 /// Header: subject of the request, which names its session.
 const SUBJECT_HEADER: &str = "x-subject";
--- a/crates/hazelspur-server/src/ingress/gateway/request_params.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/request_params.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Valid values of `level`.
+/// Valid values of `level`, which the protocol has and this server does not use.
 const LEVEL_RANGE: RangeInclusive<f64> = 0.0..=1.0;
 
 /// The parameters of a request.
--- a/crates/hazelspur-server/src/ingress/limits.rs
+++ b/crates/hazelspur-server/src/ingress/limits.rs
@@ -2,7 +2,7 @@
 
 use hazelspur::Duration;
 
-/// Upper bound, exclusive, of the memory that a request may take, in KiB.
+/// Upper bound, exclusive, of the memory that a request may take while queued, in kB.
 const MAX_SIZE_KB: f64 = 2000.0;
 /// A timestamp further ahead of this server's clock is not accepted.
 pub(super) const MAX_CLOCK_LEAD: Duration = Duration::from_ms(2000);
--- a/crates/hazelspur-server/src/request/lifecycle.rs
+++ b/crates/hazelspur-server/src/request/lifecycle.rs
@@ -43,7 +43,7 @@
     pub client: ClientId,
     /// When its response is due; without it the class's request timeout applies.
     pub deadline: Option<Timestamp>,
-    /// The memory that its run takes, in KiB.
+    /// Memory that it takes while queued, in kB.
     pub size_kb: f64,
     /// When the client sent it.
     pub sent_at: Timestamp,
@@ -116,6 +116,7 @@
                 cost: None,
                 size_kb: received.size_kb,
                 age: now - received.sent_at,
+                // Neither ingress states it; the class's idempotency decides.
                 is_write: false,
                 retry_of,
             };
--- a/crates/hazelspur-server/src/request/responder.rs
+++ b/crates/hazelspur-server/src/request/responder.rs
@@ -1,4 +1,5 @@
-//! The final response of a request: exactly one, whichever ingress received the request.
+//! The final response of a request: one, whichever ingress received the request; none only where the client is known to
+//! be gone or the ingress has withdrawn the request.
 
 use crate::request::dispatcher::{Dispatcher, Response};
 use hazelspur::Duration;
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Ends the request without a response, since its client is gone.
+    /// Ends the request without a response: its client is gone, or its ingress has withdrawn it.
     pub fn release(&mut self) {
         if self.take_pending() {
             self.sink.client_gone();
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -17,9 +17,9 @@
 const DEFAULT_RUN_MEMORY_FACTOR: f64 = 8.0;
 /// The limit of concurrent dependency calls by default, which is none in effect.
 const DEFAULT_CALL_CONCURRENCY_LIMIT: f64 = 1e9;
-/// How long the dependency survives calls over its limit, by default.
+/// How long the dependency tolerates calls over its limit, by default.
 const DEFAULT_CALL_OVERLOAD_TOLERANCE: Duration = Duration::from_ms(5000);
-/// Requests on the cores that they survive, over the number of cores, by default.
+/// Running requests per core above which the cores lose throughput, by default.
 const DEFAULT_CONCURRENCY_LIMIT_PER_CORE: f64 = 3.0;
 /// The part of a warm server's limit that applies at a cold start, by default.
 const DEFAULT_WARM_UP_INITIAL_SHARE: f64 = 0.2;
@@ -61,9 +61,9 @@
 /// Figures of the settings other than request classes and tenants.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControllerSettings {
-    /// Cores of the runtime (`server.cores`).
+    /// Cores of the worker process, the platform's runtime (`server.cores`).
     pub cores: f64,
-    /// Memory of the runtime, in kB (`server.memory_kb`).
+    /// Memory of the worker process, in kB (`server.memory_kb`).
     pub memory_kb: f64,
     /// Memory of a running request over that of a queued one (`server.run_factor`).
     pub run_memory_factor: f64,
@@ -83,11 +83,11 @@
     pub call_residual_load: Duration,
     /// Concurrent calls that this server may have on the shared dependency (`server.calls_bound`).
     pub call_concurrency_limit: f64,
-    /// How long the dependency survives calls over the limit (`server.calls_over_us`).
+    /// How long the dependency tolerates calls over the limit (`server.calls_over_us`).
     pub call_overload_tolerance: Duration,
     /// For how long results of idempotent reads are shared; zero where they are not (`server.share_reads_us`).
     pub read_sharing_window: Duration,
-    /// Requests on the cores that they survive, over the number of cores (`rules.crowd_multiple`).
+    /// Running requests per core above which the cores lose throughput (`rules.crowd_multiple`).
     pub concurrency_limit_per_core: f64,
     /// The part of a warm server's limit that applies at a cold start (`rules.cold_share`).
     pub warm_up_initial_share: f64,
--- a/src/controller/rules.rs
+++ b/src/controller/rules.rs
@@ -89,7 +89,7 @@
         self.reject(now, Rejection { request: id, reason: RejectionReason::CallAttemptsExhausted })
     }
 
-    /// The time in calls stays within this server's share of what the dependency survives.
+    /// The time in calls stays within this server's share of what the dependency tolerates.
     pub(super) fn start_call(&mut self, now: Timestamp) -> Option<Decision> {
         if self.guidance.breaker_open {
             return None;
--- a/src/dependency/call_budget.rs
+++ b/src/dependency/call_budget.rs
@@ -1,8 +1,8 @@
 //! The call-time budget: seconds that calls may still take.
 //!
-//! What a dependency survives is a mean over time, summed over all servers, and a server's share can be under
+//! What a dependency tolerates is a mean over time, summed over all servers, and a server's share can be under
 //! one call. So the time in calls is bounded, not their number. The budget grows by this server's share each
-//! second, and calls in progress use it up; at most [`MAX_SAVED_SHARE`] of what the dependency survives can
+//! second, and calls in progress use it up; at most [`MAX_SAVED_SHARE`] of what the dependency tolerates can
 //! be saved up.
 
 use crate::config::settings::ControllerSettings;
--- a/src/rejection.rs
+++ b/src/rejection.rs
@@ -1,4 +1,7 @@
-//! Why requests are rejected or failed, and how many were of late.
+//! Why the controller rejects or fails a request, by rule, and the share of recent requests that it rejected.
+//!
+//! Requests that never reach the controller have reasons of their own in the server: `ProtocolError` and
+//! `EarlyRejection` of a gateway's line, `DeliveryOutcome` of a delivery.
 
 use crate::RequestId;
 use crate::statistics::SampleWindow;
@@ -10,27 +13,27 @@
 /// The rule that ends a request without a successful response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectionReason {
-    /// No settings exist for its class.
+    /// No settings exist for its class (`controller/inputs.rs`).
     UnknownClass,
-    /// Its deadline is one timer tick away.
+    /// Its deadline is one timer tick away (`scheduling/expiry.rs`).
     DeadlineReached,
-    /// The server is about to stop.
+    /// The server is about to stop (`scheduling/expiry.rs`).
     ServerStops,
-    /// Its run can't earn anything any more: its objective is one timer tick away.
+    /// Its run has no value any more: its objective is one timer tick away (`scheduling/expiry.rs`).
     ObjectiveReached,
-    /// Memory is short and it ranks last.
+    /// Memory is short and it ranks last (`memory.rs`).
     MemoryLimit,
-    /// No memory is left for its idempotency key.
+    /// No memory is left for its idempotency key (`idempotency.rs`).
     KeyMemoryLimit,
-    /// Its dependency call failed as often as it may be attempted.
+    /// Its dependency call failed as often as it may be attempted (`dependency/call_attempts.rs`).
     CallAttemptsExhausted,
-    /// It opens a session and found no admission token in time.
+    /// It opens a session and found no admission token in time (`admission/session_admission.rs`).
     AdmissionRate,
-    /// It arrived after the grace period of the shutdown.
+    /// It arrived after the grace period of the shutdown (`scheduling/late_rejection.rs`).
     ArrivedWhileDraining,
-    /// The work ahead of it would make it late.
+    /// The work ahead of it would make it late (`scheduling/late_rejection.rs`).
     WouldBeLate,
-    /// Its run was preempted and the work is lost.
+    /// Its run was preempted and the work is lost (`scheduling/late_rejection.rs`).
     WorkLost,
 }
 
--- a/src/scheduling/attempt_age.rs
+++ b/src/scheduling/attempt_age.rs
@@ -1,8 +1,9 @@
 //! How long ago the client made its first attempt, worked out from how long it still waits for this one.
 //!
-//! The waits that are common in a class are those of first attempts. A shorter wait is a retry within the
-//! first one's wait, a longer one a last attempt with all the time that is left. Guards against late
-//! successes after retries; says nothing where clients draw their waits at random.
+//! Waits that are common in a class are those of first attempts. A request that waits less than a common value counts
+//! as a retry, its age being the difference; one that waits longer than all common values counts as the last attempt of
+//! a client that began a request timeout ago. Guards against late successes after retries. There is no estimate where
+//! waits are random.
 
 use crate::Duration;
 use crate::statistics::SampleWindow;
--- a/src/scheduling/concurrency.rs
+++ b/src/scheduling/concurrency.rs
@@ -1,4 +1,4 @@
-//! How many requests run at once: the limit that the cores survive, and the target that keeps them busy.
+//! How many requests run at once: the limit above which the cores lose throughput, and the target that keeps them busy.
 
 use crate::Timestamp;
 use crate::config::settings::ControllerSettings;
@@ -9,7 +9,7 @@
 
 /// Running requests per core that keep the cores busy.
 const TARGET_PER_CORE: f64 = 1.16;
-/// The part of the concurrency that the cores survive which is used.
+/// The part of the tolerated concurrency that is used.
 const LIMIT_SAFETY_FACTOR: f64 = 0.75;
 /// The smallest limit, so that a server always serves.
 const MIN_LIMIT: f64 = 1.0;
