--- /dev/null
+++ b/crates/hazelspur-simulator/src/studies/shares/mod.rs
@@ -0,0 +1,271 @@
+//! Quota leases of one limit among many servers, without the servers' other work: whether their sum ever passes the
+//! limit, how much of it is in use once the fleet has settled, how fairly, and how long settling takes.
+
+mod fleet;
+
+use crate::membership_protocols::swim::name;
+use crate::membership_protocols::zoned::{REGIONS, ZONES};
+use crate::network::{Cut, Network};
+use crate::studies::scale::Between;
+use crate::test_fleet::START;
+use fleet::{AllocatorTraffic, Event, OBSERVATION_PERIOD, Observation, Quota, QuotaFleet, RESIDUAL_DURATION};
+use hazelspur::{Duration, Timestamp};
+use hazelspur_fleet::LimitName;
+use hazelspur_fleet::quota::{QuotaConfig, SharedLimit};
+
+/// When the fault begins, after the start; the fleet is at rest by then.
+const FAULT_START: Duration = Duration::from_ms(20_000);
+/// How long the run goes on after the fault.
+const REST: Duration = Duration::from_ms(30_000);
+/// The last part of a run, over which use and traffic are averaged.
+const TAIL: Duration = Duration::from_ms(10_000);
+/// How long regions are partitioned.
+const REGIONS_APART: Duration = Duration::from_ms(60_000);
+/// Fraction in use of what could be, from which on the fleet counts as settled.
+const SETTLED: f64 = 0.9;
+/// Fraction of messages lost under `Trouble::Loss`.
+const LOSS: f64 = 0.05;
+/// Sites where no network is given.
+const SITES: usize = 3;
+/// Servers of the fleet that grows and shrinks, at its smallest.
+const SMALL_FLEET: usize = 10;
+/// Slots of each limit for a server.
+const SLOTS_PER_SERVER: f64 = 4.0;
+/// Fraction of each limit that is guaranteed without a lease.
+const GUARANTEED_FRACTION: f64 = 0.2;
+/// Voters of the allocator.
+const VOTERS: usize = 5;
+/// How long a vote is valid.
+const VOTE_DURATION: Duration = Duration::from_ms(4000);
+/// Guards divisions by zero.
+const MIN_DIVISOR: f64 = 1e-9;
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Trouble {
+    None,
+    /// A twentieth of all messages is lost.
+    Loss,
+    /// From ten servers to all within 30 s, and back to ten.
+    GrowAndShrink,
+    /// Two in five end within 7 s, and as many others start.
+    Replaced,
+    /// The divider ends.
+    DividerEnds,
+    /// Two halves for 20 s.
+    Halves,
+    /// A tenth stand still for 10 s.
+    Stopped,
+    /// Two regions don't hear each other for a minute; three of the five keepers are in one of them.
+    RegionsApart,
+}
+
+impl Trouble {
+    pub const ALL: [Self; 7] = [
+        Self::None,
+        Self::Loss,
+        Self::GrowAndShrink,
+        Self::Replaced,
+        Self::DividerEnds,
+        Self::Halves,
+        Self::Stopped,
+    ];
+
+    /// Those that are played as the fleet grows.
+    pub const OF_SCALE: [Self; 4] = [Self::None, Self::Replaced, Self::DividerEnds, Self::RegionsApart];
+
+    /// How long regions are apart.
+    pub fn apart(self) -> Duration {
+        if self == Self::RegionsApart { REGIONS_APART } else { Duration::ZERO }
+    }
+
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::None => "none",
+            Self::Loss => "loss of 5%",
+            Self::GrowAndShrink => "grows from 10 and shrinks",
+            Self::Replaced => "two in five replaced in 7 s",
+            Self::DividerEnds => "divider ends",
+            Self::Halves => "halves for 20 s",
+            Self::Stopped => "a tenth stopped for 10 s",
+            Self::RegionsApart => "regions apart for 60 s",
+        }
+    }
+}
+
+#[derive(Clone, Copy, Debug)]
+pub struct Case {
+    pub servers: usize,
+    pub trouble: Trouble,
+    pub seed: u64,
+    /// Limits alike, of which the first is looked at.
+    pub limits: usize,
+    /// Two regions of three zones each; three sites of one region where none is given.
+    pub between: Option<Between>,
+}
+
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Outcome {
+    /// The greatest sum of what might be in use, with what lingers, over the limit.
+    pub most: f64,
+    /// What may be used over what could be, in the last 10 s.
+    pub used: f64,
+    /// The least share over the fair one, and Jain's index of shares over fair ones, at the end.
+    pub least: f64,
+    pub jain: f64,
+    /// From the beginning of the trouble until `used` stays settled; the worst dip on the way.
+    pub settled_s: f64,
+    pub dip: f64,
+    /// Messages to and from the divider in a second, at the end.
+    pub divider: f64,
+    /// Bytes of these as datagrams, without IP and UDP heads and without claims that go along.
+    pub divider_bytes: f64,
+}
+
+/// Plays one fault of one fleet.
+pub fn play(case: &Case) -> Outcome {
+    let mut network = case.between.map_or(Network::new(SITES), |between| between.network());
+    if case.trouble == Trouble::Loss {
+        network.loss = LOSS;
+    }
+    let mut fleet = QuotaFleet::new(quota_config(case), network, case.seed);
+    (0..initial_servers(case)).for_each(|server| fleet.start(server));
+    let fault_duration = schedule(case, &mut fleet);
+    Measurement::new(FAULT_START + fault_duration + REST).measure(&mut fleet)
+}
+
+fn quota_config(case: &Case) -> QuotaConfig {
+    let servers = case.servers;
+    let limit = |at: usize| SharedLimit {
+        name: LimitName::new(&format!("calls-{at}")).expect("a short name"),
+        total: SLOTS_PER_SERVER * servers as f64,
+        guaranteed_fraction: GUARANTEED_FRACTION,
+        residual_duration: RESIDUAL_DURATION,
+        max_turn: None,
+    };
+    QuotaConfig {
+        voters: (0..VOTERS).map(name).collect(),
+        max_servers: servers + servers.div_ceil(4),
+        vote_duration: VOTE_DURATION,
+        limits: (0..case.limits).map(limit).collect(),
+    }
+}
+
+fn initial_servers(case: &Case) -> usize {
+    if case.trouble == Trouble::GrowAndShrink { case.servers.min(SMALL_FLEET) } else { case.servers }
+}
+
+/// Schedules the fault, and returns how long it goes on.
+fn schedule(case: &Case, fleet: &mut QuotaFleet) -> Duration {
+    let n = case.servers;
+    let mut at = |ms: u64, event: Event| {
+        fleet.queue.schedule(START + FAULT_START + Duration::from_ms(ms), event);
+    };
+    match case.trouble {
+        Trouble::None | Trouble::Loss => Duration::ZERO,
+        Trouble::GrowAndShrink => {
+            let first = initial_servers(case);
+            for server in first..n {
+                let ms = 30_000 * (server - first) as u64 / (n - first).max(1) as u64;
+                at(ms, Event::Start(server));
+                at(50_000 + ms, Event::End(server));
+            }
+            Duration::from_ms(80_000)
+        }
+        Trouble::Replaced => {
+            for (i, server) in (0..n).filter(|server| server % 5 < 2).enumerate() {
+                let ms = 7000 * i as u64 / (n * 2 / 5).max(1) as u64;
+                at(ms, Event::End(server));
+                at(ms + 1500, Event::Start(server));
+            }
+            Duration::from_ms(8500)
+        }
+        Trouble::DividerEnds => {
+            at(0, Event::EndAllocator);
+            Duration::ZERO
+        }
+        Trouble::Halves => {
+            at(0, Event::SetPartition(Some(|from, to| from % 2 != to % 2)));
+            at(20_000, Event::SetPartition(None));
+            Duration::from_ms(20_000)
+        }
+        Trouble::RegionsApart => {
+            let cut: Cut = |from, to| from % ZONES % REGIONS != to % ZONES % REGIONS;
+            at(0, Event::SetPartition(Some(cut)));
+            at(REGIONS_APART.us() / 1000, Event::SetPartition(None));
+            REGIONS_APART
+        }
+        Trouble::Stopped => {
+            for server in (0..n).filter(|server| server % 10 == 3) {
+                at(0, Event::Pause(server, Duration::from_ms(10_000)));
+            }
+            Duration::from_ms(10_000)
+        }
+    }
+}
+
+/// Observations of one run, from its start to its end.
+struct Measurement {
+    end: Timestamp,
+    outcome: Outcome,
+    last: Vec<Quota>,
+    /// Used fractions in the last seconds, and the allocator's traffic at their beginning.
+    tail: Vec<f64>,
+    before_tail: AllocatorTraffic,
+}
+
+impl Measurement {
+    fn new(duration: Duration) -> Self {
+        let outcome = Outcome { dip: 1.0, ..Outcome::default() };
+        let before_tail = AllocatorTraffic::default();
+        Self { end: START + duration, outcome, last: Vec::new(), tail: Vec::new(), before_tail }
+    }
+
+    fn measure(mut self, fleet: &mut QuotaFleet) -> Outcome {
+        while fleet.queue.now < self.end {
+            fleet.run_until(fleet.queue.now + OBSERVATION_PERIOD);
+            let observation = fleet.observe();
+            self.add(fleet, observation);
+        }
+        self.finish(fleet.allocator)
+    }
+
+    fn add(&mut self, fleet: &QuotaFleet, observation: Observation) {
+        let now = fleet.queue.now;
+        self.outcome.most = self.outcome.most.max(observation.in_force);
+        let fair: f64 = observation.quotas.iter().map(|quota| quota.fair).sum();
+        let used = observation.usable / fair.max(MIN_DIVISOR);
+        let since_fault_s = (now - START).secs() - FAULT_START.secs();
+        if since_fault_s >= 0.0 {
+            self.outcome.dip = self.outcome.dip.min(used);
+            if used < SETTLED {
+                self.outcome.settled_s = since_fault_s + OBSERVATION_PERIOD.secs();
+            }
+        }
+        if now + TAIL >= self.end {
+            if self.tail.is_empty() {
+                self.before_tail = fleet.allocator;
+            }
+            self.tail.push(used);
+        }
+        self.last = observation.quotas;
+    }
+
+    fn finish(mut self, allocator: AllocatorTraffic) -> Outcome {
+        let out = &mut self.outcome;
+        out.used = self.tail.iter().sum::<f64>() / self.tail.len().max(1) as f64;
+        out.divider = (allocator.messages - self.before_tail.messages) as f64 / TAIL.secs();
+        out.divider_bytes = (allocator.bytes - self.before_tail.bytes) as f64 / TAIL.secs();
+        let parts: Vec<f64> =
+            self.last.iter().map(|quota| quota.usable / quota.fair.max(MIN_DIVISOR)).collect();
+        out.least = parts.iter().copied().fold(f64::INFINITY, f64::min);
+        out.jain = jain_index(&parts);
+        self.outcome
+    }
+}
+
+/// Jain's fairness index: 1 where all parts are equal.
+fn jain_index(parts: &[f64]) -> f64 {
+    let sum = parts.iter().sum::<f64>();
+    let squares = parts.iter().map(|part| part * part).sum::<f64>();
+    sum * sum / (parts.len().max(1) as f64 * squares.max(MIN_DIVISOR))
+}
