--- /dev/null
+++ b/crates/hazelspur-simulator/src/path/cost.rs
@@ -0,0 +1,166 @@
+//! The measurement of `path --cost`: what a server without requests costs, by the size of its tables.
+
+use crate::path::command::{Asked, SETTLE};
+use crate::path::figures::Point;
+use crate::path::plan::TableSize;
+use crate::path::process::{Memory, Server};
+use crate::path::tables::table;
+use anyhow::Context;
+use comfy_table::Table;
+use std::time::Duration as StdDuration;
+
+/// Bytes in a megabyte.
+const BYTES_PER_MB: f64 = 1e6;
+
+/// What an idle server of one size took.
+struct IdleCost {
+    serving_after: StdDuration,
+    start_cpu: StdDuration,
+    rest_cpu_share: f64,
+    memory: Memory,
+    file_bytes: u64,
+    /// Answers to requests of the last request class, the last tenant, and both.
+    answers: [String; 3],
+}
+
+/// What reloads of the settings took.
+struct ReloadCost {
+    /// Mean CPU time of a reload, in seconds.
+    cpu_s: f64,
+    /// The longest until the settings were in force, in seconds.
+    max_s: f64,
+    /// The longest health check meanwhile, in seconds.
+    max_stall_s: f64,
+    memory: Memory,
+}
+
+/// Measures servers of each size, prints the tables, and saves the points.
+pub(super) fn cost(asked: &Asked) -> anyhow::Result<()> {
+    let (mut idle_rows, mut reload_rows) = (idle_table(), reload_table());
+    let mut points = Vec::new();
+    for size in &asked.sizes {
+        let idle = measure_idle(asked, *size)?;
+        idle_rows.add_row(idle_row(*size, &idle));
+        add_idle_points(&mut points, asked, *size, &idle);
+        if asked.reloads > 0 {
+            let reload = measure_reloads(asked, *size)?;
+            reload_rows.add_row(reload_row(*size, &reload));
+            add_reload_points(&mut points, asked, *size, &reload);
+        }
+    }
+    if asked.reloads > 0 {
+        println!("One server whose file changes by one tenant, {} times:\n{reload_rows}", asked.reloads);
+    }
+    println!("One server that nothing is asked of, beside runtime and control plane:\n{idle_rows}");
+    asked.save(points)
+}
+
+fn idle_table() -> Table {
+    table(&[
+        "op types x tenants",
+        "file MB",
+        "serving after s",
+        "CPU of the start s",
+        "anon MB",
+        "resident MB",
+        "peak MB",
+        "rest, share of a core",
+        "last op type",
+        "last tenant",
+        "both",
+    ])
+}
+
+fn reload_table() -> Table {
+    table(&[
+        "op types x tenants",
+        "CPU of a reload s",
+        "longest until it holds s",
+        "longest health check meanwhile s",
+        "anon MB after",
+        "peak MB",
+    ])
+}
+
+fn measure_idle(asked: &Asked, size: TableSize) -> anyhow::Result<IdleCost> {
+    let server = asked.start(size)?;
+    let (serving_after, start_cpu) = server.until_serving().with_context(|| format!("{size} tables"))?;
+    std::thread::sleep(SETTLE);
+    let rest_cpu_share = server.rest_share(StdDuration::from_secs_f64(asked.rest_seconds))?;
+    let memory = server.memory()?;
+    let answers = probe_last_entries(&server, size);
+    let file_bytes = server.file_bytes;
+    Ok(IdleCost { serving_after, start_cpu, rest_cpu_share, memory, file_bytes, answers })
+}
+
+fn probe_last_entries(server: &Server, size: TableSize) -> [String; 3] {
+    let (request_class, tenant) = (size.request_classes - 1, size.tenants - 1);
+    let probes = [(request_class, 0), (0, tenant), (request_class, tenant)];
+    probes.map(|(request_class, tenant)| server.probe(request_class, tenant))
+}
+
+fn measure_reloads(asked: &Asked, size: TableSize) -> anyhow::Result<ReloadCost> {
+    let server = asked.start_changing(size)?;
+    server.until_serving().with_context(|| format!("{size} tables"))?;
+    let (mut longest, mut cpu, mut stall) = (StdDuration::ZERO, StdDuration::ZERO, StdDuration::ZERO);
+    for n in 0..asked.reloads {
+        let (each, its_cpu, its_stall) = server.reload(n)?;
+        (longest, cpu, stall) = (longest.max(each), cpu + its_cpu, stall.max(its_stall));
+    }
+    Ok(ReloadCost {
+        cpu_s: cpu.as_secs_f64() / f64::from(asked.reloads),
+        max_s: longest.as_secs_f64(),
+        max_stall_s: stall.as_secs_f64(),
+        memory: server.memory()?,
+    })
+}
+
+fn megabytes(bytes: u64) -> String {
+    format!("{:.2}", bytes as f64 / BYTES_PER_MB)
+}
+
+fn idle_row(size: TableSize, idle: &IdleCost) -> Vec<String> {
+    let Memory { anon_bytes, resident_bytes, peak_bytes } = idle.memory;
+    let mut row = vec![size.to_string(), megabytes(idle.file_bytes)];
+    row.push(format!("{:.3}", idle.serving_after.as_secs_f64()));
+    row.push(format!("{:.3}", idle.start_cpu.as_secs_f64()));
+    row.extend([anon_bytes, resident_bytes, peak_bytes].map(megabytes));
+    row.push(format!("{:.4}", idle.rest_cpu_share));
+    row.extend(idle.answers.iter().cloned());
+    row
+}
+
+fn reload_row(size: TableSize, reload: &ReloadCost) -> Vec<String> {
+    let mut row = vec![size.to_string()];
+    row.extend([reload.cpu_s, reload.max_s, reload.max_stall_s].map(|secs| format!("{secs:.4}")));
+    row.extend([reload.memory.anon_bytes, reload.memory.peak_bytes].map(megabytes));
+    row
+}
+
+fn add_idle_points(points: &mut Vec<Point>, asked: &Asked, size: TableSize, idle: &IdleCost) {
+    let (case, by) = (size.to_string(), ("tenants", size.tenants as f64));
+    for (figure, unit, value) in [
+        ("server.memory.anon_bytes", "B", idle.memory.anon_bytes as f64),
+        ("server.memory.resident_bytes", "B", idle.memory.resident_bytes as f64),
+        ("server.memory.peak_bytes", "B", idle.memory.peak_bytes as f64),
+        ("server.start.cpu_s", "s", idle.start_cpu.as_secs_f64()),
+        ("server.start.s", "s", idle.serving_after.as_secs_f64()),
+        ("server.rest.cpu_share", "share", idle.rest_cpu_share),
+        ("server.file_bytes", "B", idle.file_bytes as f64),
+    ] {
+        points.push(asked.point(figure, &case, unit, by, value));
+    }
+}
+
+fn add_reload_points(points: &mut Vec<Point>, asked: &Asked, size: TableSize, reload: &ReloadCost) {
+    let (case, by) = (size.to_string(), ("tenants", size.tenants as f64));
+    for (figure, unit, value) in [
+        ("server.reload.stall_s", "s", reload.max_stall_s),
+        ("server.reload.anon_bytes", "B", reload.memory.anon_bytes as f64),
+        ("server.reload.cpu_s", "s", reload.cpu_s),
+        ("server.reload.s", "s", reload.max_s),
+        ("server.reload.peak_bytes", "B", reload.memory.peak_bytes as f64),
+    ] {
+        points.push(asked.point(figure, &case, unit, by, value));
+    }
+}
--- a/crates/hazelspur-simulator/src/path/mod.rs
+++ b/crates/hazelspur-simulator/src/path/mod.rs
@@ -8,11 +8,17 @@
 //! - `wires`: how requests go to a server as from a gateway, and straight to a runtime;
 //! - `process`: one server beside its stand-ins, and what /proc says of it;
 //! - `figures`: quantiles of what was added, and the file of measured points;
-//! - `command`: the command line, what is played when, tables.
+//! - `command`: the arguments, the check of the plan, the study's file;
+//! - `rounds`, `tables`, `points`: the measured rounds, and what is printed and saved of them;
+//! - `cost`: what a server without requests costs.
 
 pub mod command;
+mod cost;
 pub mod figures;
 pub mod load;
 pub mod plan;
+mod points;
 pub mod process;
+mod rounds;
+mod tables;
 pub mod wires;
--- a/crates/hazelspur-simulator/src/path/process.rs
+++ b/crates/hazelspur-simulator/src/path/process.rs
@@ -83,6 +83,23 @@
     pub peak_bytes: u64,
 }
 
+/// What a server is started with.
+#[derive(Clone, Copy, Debug)]
+pub struct ServerStart<'a> {
+    /// The server's program.
+    pub program: &'a Path,
+    /// Sizes of its tables.
+    pub size: TableSize,
+    /// Servers of the fleet, by the settings.
+    pub servers: usize,
+    /// How long the runtime takes for a request, in ms.
+    pub run_ms: u64,
+    /// Seed of the settings.
+    pub seed: u64,
+    /// Text of the operator's file, if there is one.
+    pub operator: Option<&'a str>,
+}
+
 /// A server that runs, and what it is connected to.
 pub struct Server {
     id: u32,
@@ -107,14 +124,8 @@
     ///
     /// # Errors
     /// Where the files or the process can't be made.
-    pub fn start(
-        program: &Path,
-        size: TableSize,
-        servers: usize,
-        run_ms: u64,
-        seed: u64,
-        operator: Option<&str>,
-    ) -> anyhow::Result<Self> {
+    pub fn start(start: &ServerStart<'_>) -> anyhow::Result<Self> {
+        let ServerStart { program, size, servers, run_ms, seed, operator } = *start;
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("hazelspur-path-{}-{run}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
