--- a/crates/hazelspur-simulator/src/capacity/report.rs
+++ b/crates/hazelspur-simulator/src/capacity/report.rs
@@ -133,57 +133,57 @@
     }
 }
 
+/// The curve of the first source that has figures.
 fn curve(row: &Row, measured: &Measured) -> Option<Curve> {
-    for source in &row.sources {
-        match source {
-            Source::Computed { from, slope, base } => {
-                return Some(Curve {
-                    fit: None,
-                    slope: *slope,
-                    base: *base,
-                    times: 1.0,
-                    over_all: false,
-                    seen: None,
-                    from: format!("computed from {from}"),
-                    points: None,
-                });
-            }
-            Source::Measured { figures, cases, seeds, times, over_all } => {
-                let Some(series) = measured.find(figures, cases, row.by) else { continue };
-                let scaled = if *over_all { times * row.size } else { *times };
-                let seen = series.seen_at(row.size, *seeds).map(|seen| seen * scaled);
-                let fit = series.fit(*seeds);
-                let from = series.command.clone();
-                let Some(fit) = fit else {
-                    // One size tells nothing of another.
-                    let Some(seen) = seen else { continue };
-                    return Some(Curve {
-                        fit,
-                        slope: f64::NAN,
-                        base: f64::NAN,
-                        times: 1.0,
-                        over_all: false,
-                        seen: Some(seen),
-                        from,
-                        points: Some("at the target only".into()),
-                    });
-                };
-                let (least, most) = (digits(fit.least), digits(fit.most));
-                let points = format!("{} sizes from {least} to {most}, {} points", fit.sizes, fit.points);
-                return Some(Curve {
-                    points: Some(points),
-                    fit: Some(fit),
-                    slope: fit.slope,
-                    base: fit.base,
-                    times: *times,
-                    over_all: *over_all,
-                    seen,
-                    from,
-                });
+    row.sources.iter().find_map(|source| match source {
+        Source::Computed { from, slope, base } => Some(computed_curve(from, *slope, *base)),
+        Source::Measured { figures, cases, seeds, times, over_all } => {
+            let series = measured.find(figures, cases, row.by)?;
+            let scaled = if *over_all { times * row.size } else { *times };
+            let seen = series.seen_at(row.size, *seeds).map(|seen| seen * scaled);
+            let from = series.command.clone();
+            match series.fit(*seeds) {
+                Some(fit) => {
+                    Some(Curve { times: *times, over_all: *over_all, seen, ..fitted_curve(fit, from) })
+                }
+                // One size tells nothing of another.
+                None => seen.map(|seen| curve_at_one_size(seen, from)),
             }
         }
+    })
+}
+
+fn computed_curve(from: &str, slope: f64, base: f64) -> Curve {
+    let from = format!("computed from {from}");
+    Curve { fit: None, slope, base, times: 1.0, over_all: false, seen: None, from, points: None }
+}
+
+fn fitted_curve(fit: Fit, from: String) -> Curve {
+    let (least, most) = (digits(fit.least), digits(fit.most));
+    let points = format!("{} sizes from {least} to {most}, {} points", fit.sizes, fit.points);
+    Curve {
+        fit: Some(fit),
+        slope: fit.slope,
+        base: fit.base,
+        times: 1.0,
+        over_all: false,
+        seen: None,
+        from,
+        points: Some(points),
+    }
+}
+
+fn curve_at_one_size(seen: f64, from: String) -> Curve {
+    Curve {
+        fit: None,
+        slope: f64::NAN,
+        base: f64::NAN,
+        times: 1.0,
+        over_all: false,
+        seen: Some(seen),
+        from,
+        points: Some("at the target only".into()),
     }
-    None
 }
 
 fn finite(value: f64) -> Option<f64> {
--- a/crates/hazelspur-simulator/src/studies/scale/mod.rs
+++ b/crates/hazelspur-simulator/src/studies/scale/mod.rs
@@ -13,23 +13,29 @@
 use crate::network::Network;
 use crate::test_fleet::{TestFleet, Traffic};
 use crate::{cpu, heap};
-use hazelspur::Duration;
+use hazelspur::{Duration, Timestamp};
 use points::Point;
+use std::collections::VecDeque;
 
 /// All start within this.
 const STORM: Duration = Duration::from_ms(1000);
 /// After a storm of starts the fleet is left alone for so long.
 const SETTLE: Duration = Duration::from_ms(30_000);
-/// A minute apart.
+/// How long regions are partitioned.
 const APART: Duration = Duration::from_ms(60_000);
-/// One in so many restarts in a bunch, within so long, and is away for so long.
+/// One server in so many restarts in a bunch.
 const BUNCH_PART: usize = 40;
+/// How long a bunch of restarts takes.
 const BUNCH: Duration = Duration::from_ms(10_000);
+/// How long a restarting server is away.
 const AWAY: Duration = Duration::from_ms(1500);
+/// The first server that restarts in a bunch.
+const FIRST_RESTARTED: usize = 7;
 /// CPU is taken over so many server-seconds at least.
 const CPU_SERVER_SECS: f64 = 40_000.0;
-/// How often it is looked whether all agree; traffic's worst second is over so many looks.
+/// Between two checks whether all agree.
 const LOOK: Duration = Duration::from_ms(250);
+/// Checks in a second, over which the worst second of traffic is counted.
 const LOOKS_A_SECOND: usize = 4;
 /// Nobody waits longer than this for all to agree.
 const LONGEST: Duration = Duration::from_ms(180_000);
@@ -246,77 +252,100 @@
     Rest { load, entries: mean, most_entries: entries.into_iter().max().unwrap_or(0) }
 }
 
-/// One situation of one fleet as points, from a storm of starts on.
+/// Plays one situation of one fleet, and returns its points.
 pub fn play_as<W: MembershipProtocol>(case: &Case) -> Vec<Point> {
     let mut out = Sheet { case, points: Vec::new() };
-    let (size, between) = (case.size, &case.between);
-    if case.situation == Situation::StormAndRest {
-        let mut fleet: TestFleet<W> = TestFleet::new(between.network(), most(size), case.seed);
-        // Traffic of the second in which they start counts too; the time until all agree is from its end.
-        let before: Vec<Traffic> = fleet.traffic().collect();
-        start_all(&mut fleet, 0..size);
-        let first = Load::of(&before, &fleet.traffic().collect::<Vec<_>>(), 0, 1.0, size);
-        let watched = watch(&mut fleet, case.window, size);
-        out.watched("storm", &watched);
-        out.point("datagrams_out_per_s", "first second of the storm", "1/s", first.datagrams_out);
-        out.point("bytes_out_per_s", "first second of the storm", "B/s", first.bytes_out);
-        fleet.play(SETTLE);
-        rest_points(&mut out, &mut fleet);
-        return out.points;
-    }
-    let mut fleet: TestFleet<W> = at_rest(size, case.seed, between);
     match case.situation {
-        Situation::StormAndRest => {}
-        Situation::Zone => {
-            let lost: Vec<usize> = (0..size).filter(|of| of % ZONES == LOST_ZONE).collect();
-            lost.iter().for_each(|of| fleet.kill(*of));
-            let gone = watch(&mut fleet, case.window, size - lost.len());
-            out.watched("zone lost", &gone);
-            start_all(&mut fleet, lost.into_iter());
-            let back = watch(&mut fleet, case.window, size);
-            out.watched("zone back", &back);
-        }
-        Situation::Regions => {
-            fleet.network.cut = Some(|from, to| from % ZONES % REGIONS != to % ZONES % REGIONS);
-            fleet.play(APART);
-            fleet.network.cut = None;
-            let healed = watch(&mut fleet, case.window, size);
-            out.watched("regions healed", &healed);
+        Situation::StormAndRest => storm_and_rest::<W>(case, &mut out),
+        Situation::Zone => zone_lost::<W>(case, &mut out),
+        Situation::Regions => regions_apart::<W>(case, &mut out),
+        Situation::Bunch => bunched_restarts::<W>(case, &mut out),
+    }
+    out.points
+}
+
+fn storm_and_rest<W: MembershipProtocol>(case: &Case, out: &mut Sheet) {
+    let size = case.size;
+    let mut fleet: TestFleet<W> = TestFleet::new(case.between.network(), most(size), case.seed);
+    // Traffic of the second in which they start counts too; the time until all agree is from its end.
+    let before: Vec<Traffic> = fleet.traffic().collect();
+    start_all(&mut fleet, 0..size);
+    let first = Load::of(&before, &fleet.traffic().collect::<Vec<_>>(), 0, 1.0, size);
+    let watched = watch(&mut fleet, case.window, size);
+    out.watched("storm", &watched);
+    out.point("datagrams_out_per_s", "first second of the storm", "1/s", first.datagrams_out);
+    out.point("bytes_out_per_s", "first second of the storm", "B/s", first.bytes_out);
+    fleet.play(SETTLE);
+    rest_points(out, &mut fleet);
+}
+
+fn zone_lost<W: MembershipProtocol>(case: &Case, out: &mut Sheet) {
+    let size = case.size;
+    let mut fleet: TestFleet<W> = at_rest(size, case.seed, &case.between);
+    let lost: Vec<usize> = (0..size).filter(|server| server % ZONES == LOST_ZONE).collect();
+    lost.iter().for_each(|server| fleet.kill(*server));
+    let gone = watch(&mut fleet, case.window, size - lost.len());
+    out.watched("zone lost", &gone);
+    start_all(&mut fleet, lost.into_iter());
+    let back = watch(&mut fleet, case.window, size);
+    out.watched("zone back", &back);
+}
+
+fn regions_apart<W: MembershipProtocol>(case: &Case, out: &mut Sheet) {
+    let mut fleet: TestFleet<W> = at_rest(case.size, case.seed, &case.between);
+    fleet.network.cut = Some(|from, to| from % ZONES % REGIONS != to % ZONES % REGIONS);
+    fleet.play(APART);
+    fleet.network.cut = None;
+    let healed = watch(&mut fleet, case.window, case.size);
+    out.watched("regions healed", &healed);
+}
+
+fn bunched_restarts<W: MembershipProtocol>(case: &Case, out: &mut Sheet) {
+    let size = case.size;
+    let mut fleet: TestFleet<W> = at_rest(size, case.seed, &case.between);
+    let before: Vec<Traffic> = fleet.traffic().collect();
+    let from = fleet.now();
+    restart_in_a_bunch(&mut fleet, size);
+    let during = (fleet.now() - from).secs();
+    let load = Load::of(&before, &fleet.traffic().collect::<Vec<_>>(), 0, during, size);
+    out.load("bunched restarts, while they go on", &load);
+    let watched = watch(&mut fleet, case.window, size);
+    out.watched("bunched restarts, after the last", &watched);
+}
+
+/// A server that left, and when it starts again.
+#[derive(Clone, Copy)]
+struct Restart {
+    at: Timestamp,
+    server: usize,
+}
+
+/// Restarts one server in so many, one after the other, each of which is away for `AWAY`.
+fn restart_in_a_bunch<W: MembershipProtocol>(fleet: &mut TestFleet<W>, size: usize) {
+    let many = (size / BUNCH_PART).max(1);
+    let gap = Duration::from_us(BUNCH.us() / many as u64);
+    let mut away: VecDeque<Restart> = VecDeque::new();
+    let from = fleet.now();
+    for i in 0..many {
+        // Neither seed members nor voters, and of all zones in turn.
+        let server = (i * BUNCH_PART + i % ZONES + FIRST_RESTARTED) % size;
+        fleet.leave(server);
+        away.push_back(Restart { at: fleet.now() + AWAY, server });
+        if i + 1 == many {
+            break;
         }
-        Situation::Bunch => {
-            let before: Vec<Traffic> = fleet.traffic().collect();
-            let many = (size / BUNCH_PART).max(1);
-            let gap = Duration::from_us(BUNCH.us() / many as u64);
-            let mut away = std::collections::VecDeque::new();
-            let from = fleet.now();
-            for i in 0..many {
-                // Neither contact points nor keepers, and of all zones in turn.
-                let of = (i * BUNCH_PART + i % ZONES + 7) % size;
-                fleet.leave(of);
-                away.push_back((fleet.now() + AWAY, of));
-                if i + 1 == many {
-                    break;
-                }
-                let next = from + gap.scaled((i + 1) as f64);
-                while let Some((at, of)) = away.front().copied().filter(|(at, _)| *at <= next) {
-                    fleet.play(at - fleet.now());
-                    fleet.start(of);
-                    away.pop_front();
-                }
-                fleet.play(next - fleet.now());
-            }
-            for (at, of) in away {
-                fleet.play(at - fleet.now());
-                fleet.start(of);
-            }
-            let during = (fleet.now() - from).secs();
-            let load = Load::of(&before, &fleet.traffic().collect::<Vec<_>>(), 0, during, size);
-            out.load("bunched restarts, while they go on", &load);
-            let watched = watch(&mut fleet, case.window, size);
-            out.watched("bunched restarts, after the last", &watched);
+        let next = from + gap.scaled((i + 1) as f64);
+        while let Some(restart) = away.pop_front_if(|restart| restart.at <= next) {
+            start_again(fleet, restart);
         }
+        fleet.play(next - fleet.now());
     }
-    out.points
+    away.into_iter().for_each(|restart| start_again(fleet, restart));
+}
+
+fn start_again<W: MembershipProtocol>(fleet: &mut TestFleet<W>, restart: Restart) {
+    fleet.play(restart.at - fleet.now());
+    fleet.start(restart.server);
 }
 
 /// Traffic, entries, CPU and heap at rest. The heap is that of a zone's servers, taken from what their end
--- a/crates/hazelspur-simulator/src/studies/who_is_here.rs
+++ b/crates/hazelspur-simulator/src/studies/who_is_here.rs
@@ -10,6 +10,22 @@
 
 /// A quiet fleet is left alone for this long after its start.
 const SETTLE: Duration = Duration::from_ms(60_000);
+/// How long traffic at rest is counted.
+const REST: Duration = Duration::from_ms(60_000);
+/// The longest wait for agreement after a storm of starts, in seconds.
+const MAX_STORM_S: f64 = 60.0;
+/// Between two rounds of pauses.
+const PAUSE_PERIOD: Duration = Duration::from_ms(10_000);
+/// One member in so many pauses in each round.
+const PAUSED_DIVISOR: usize = 20;
+/// A pause explains a false death for this long.
+const MAX_PAUSE_EFFECT: Duration = Duration::from_ms(30_000);
+/// Sites of the network.
+const SITES: usize = 3;
+/// Makes the seed of faults differ from the fleet's.
+const FAULT_SEED_MASK: u64 = 0x57a6;
+/// Microseconds in a second.
+const US_PER_SECOND: u64 = 1_000_000;
 
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
@@ -42,60 +58,106 @@
     pub storm_datagrams: f64,
 }
 
-/// One seed, through a storm of starts, rest, stops with loss, a kill, and two halves.
+/// Plays one seed: a storm of starts, rest, pauses with loss, kills, and two halves.
 pub fn play<W: MembershipProtocol>(case: &Case) -> Outcome {
-    let mut chance = Pcg::new(case.seed ^ 0x57a6);
-    let mut fleet: TestFleet<W> = TestFleet::new(Network::new(3), case.size * 2, case.seed);
-    for of in 0..case.size {
-        fleet.start(of);
-        fleet.play(Duration::from_us(1_000_000 / case.size as u64));
-    }
-    let storm_s = until_agreed(&mut fleet, 60.0);
-    let storm_datagrams = rate(fleet.datagrams, case.size, storm_s.unwrap_or(60.0) + 1.0);
+    let mut random = Pcg::new(case.seed ^ FAULT_SEED_MASK);
+    let mut fleet: TestFleet<W> = TestFleet::new(Network::new(SITES), case.size * 2, case.seed);
+    let storm = start_storm(&mut fleet, case.size);
+    fleet.play(SETTLE);
+    let rest = rest(&mut fleet, case.size);
+    let deaths = pauses_with_loss(&mut fleet, &mut random, case);
     fleet.play(SETTLE);
+    let (notice_ms, unnoticed) = killed(&mut fleet, &mut random, case.size);
+    let together_s = halves(&mut fleet);
+    Outcome {
+        false_deaths: deaths.all,
+        without_cause: deaths.without_cause,
+        notice_ms,
+        unnoticed,
+        together_s,
+        datagrams: rest.datagrams,
+        bytes: rest.bytes,
+        storm_s: storm.duration_s,
+        storm_datagrams: storm.datagrams,
+    }
+}
+
+/// What a start of all members took.
+struct Storm {
+    /// Seconds until all agreed; `None` where they did not.
+    duration_s: Option<f64>,
+    /// For each server and second.
+    datagrams: f64,
+}
 
+/// Starts all members within a second, and waits until they agree.
+fn start_storm<W: MembershipProtocol>(fleet: &mut TestFleet<W>, size: usize) -> Storm {
+    for server in 0..size {
+        fleet.start(server);
+        fleet.play(Duration::from_us(US_PER_SECOND / size as u64));
+    }
+    let duration_s = until_agreed(fleet, MAX_STORM_S);
+    let datagrams = rate(fleet.datagrams, size, duration_s.unwrap_or(MAX_STORM_S) + 1.0);
+    Storm { duration_s, datagrams }
+}
+
+/// Traffic at rest, for each server and second.
+struct Rest {
+    datagrams: f64,
+    bytes: f64,
+}
+
+fn rest<W: MembershipProtocol>(fleet: &mut TestFleet<W>, size: usize) -> Rest {
     let (datagrams, bytes) = (fleet.datagrams, fleet.bytes);
-    let rest = Duration::from_ms(60_000);
-    fleet.play(rest);
-    let datagrams = rate(fleet.datagrams - datagrams, case.size, rest.secs());
-    let bytes = rate(fleet.bytes - bytes, case.size, rest.secs());
+    fleet.play(REST);
+    Rest {
+        datagrams: rate(fleet.datagrams - datagrams, size, REST.secs()),
+        bytes: rate(fleet.bytes - bytes, size, REST.secs()),
+    }
+}
+
+/// Running members that others considered dead.
+#[derive(Default)]
+struct FalseDeaths {
+    all: u64,
+    /// Those that had not been paused lately.
+    without_cause: u64,
+}
 
+impl FalseDeaths {
+    fn add<W: MembershipProtocol>(&mut self, fleet: &TestFleet<W>, observation: &Observation) {
+        if let MembershipNotice::Dead(server) = observation.notice
+            && fleet.runs(server)
+        {
+            self.all += 1;
+            let since_pause = observation.at - fleet.last_stop(server);
+            self.without_cause += u64::from(since_pause > MAX_PAUSE_EFFECT);
+        }
+    }
+}
+
+/// Pauses one member in twenty in each ten seconds, while the network loses datagrams.
+fn pauses_with_loss<W: MembershipProtocol>(
+    fleet: &mut TestFleet<W>,
+    random: &mut Pcg,
+    case: &Case,
+) -> FalseDeaths {
     fleet.network.loss = case.loss;
     fleet.observations.clear();
     let end = fleet.now() + case.trouble;
-    let (mut false_deaths, mut without_cause) = (0, 0);
+    let mut deaths = FalseDeaths::default();
     while fleet.now() < end {
-        // In each ten seconds one in twenty stands still for a while.
-        for _ in 0..(case.size / 20).max(1) {
-            let of = chance.draw() as usize % case.size;
-            fleet.stop(of, case.stop);
+        for _ in 0..(case.size / PAUSED_DIVISOR).max(1) {
+            let server = random.draw() as usize % case.size;
+            fleet.stop(server, case.stop);
         }
-        fleet.play(Duration::from_ms(10_000));
-        for said in std::mem::take(&mut fleet.observations) {
-            if let MembershipNotice::Dead(of) = said.notice
-                && fleet.runs(of)
-            {
-                false_deaths += 1;
-                without_cause += u64::from(said.at - fleet.last_stop(of) > Duration::from_ms(30_000));
-            }
+        fleet.play(PAUSE_PERIOD);
+        for observation in std::mem::take(&mut fleet.observations) {
+            deaths.add(fleet, &observation);
         }
     }
     fleet.network.loss = 0.0;
-    fleet.play(SETTLE);
-
-    let (notice_ms, unnoticed) = killed(&mut fleet, &mut chance, case.size);
-    let together_s = halves(&mut fleet);
-    Outcome {
-        false_deaths,
-        without_cause,
-        notice_ms,
-        unnoticed,
-        together_s,
-        datagrams,
-        bytes,
-        storm_s,
-        storm_datagrams,
-    }
+    deaths
 }
 
 fn rate(count: u64, size: usize, secs: f64) -> f64 {
