--- a/crates/hazelspur-fault-harness/src/script.rs
+++ b/crates/hazelspur-fault-harness/src/script.rs
@@ -5,6 +5,75 @@
 use hazelspur::pcg::Pcg;
 use std::fmt;
 use std::str::FromStr;
+use thiserror::Error;
+
+/// Faults that a script may have.
+const MAX_FAULTS: usize = 200;
+/// The furthest that a wall clock may be apart, in milliseconds.
+const MAX_APART_MS: i64 = 60_000;
+/// The latest second of a script.
+const MAX_SECONDS: f64 = 3600.0;
+
+/// Why a script is refused.
+#[derive(Clone, Debug, PartialEq, Error)]
+pub enum ScriptError {
+    /// There is no such party.
+    #[error("{0}: no such party")]
+    UnknownParty(String),
+    /// There is no such fault.
+    #[error("{0}: no such fault")]
+    UnknownFault(String),
+    /// A fault's figure is no whole number.
+    #[error("{0}: not a whole number")]
+    NotWholeNumber(String),
+    /// A fault's figure is missing or out of range.
+    #[error("{text}: needs a number from 0 to {max}, as in {word}:5")]
+    FigureOutOfRange {
+        /// The fault as written.
+        text: String,
+        /// The largest figure.
+        max: u64,
+        /// The fault's word.
+        word: String,
+    },
+    /// A clock is to be too far apart.
+    #[error("apart:MS up to {MAX_APART_MS}")]
+    ApartOutOfRange,
+    /// A fault takes no figure.
+    #[error("{0}: takes no number")]
+    UnexpectedFigure(String),
+    /// A fault has too few words.
+    #[error("{0:?}: as in 2+5 cut east west")]
+    Incomplete(String),
+    /// A fault has too many words.
+    #[error("{0:?}: too many words")]
+    TooManyWords(String),
+    /// A time is no number of seconds.
+    #[error("{0}: not seconds up to {MAX_SECONDS}")]
+    InvalidSeconds(String),
+    /// A fault's beginning and length are not joined by a plus.
+    #[error("{0}: as in 2+5")]
+    InvalidTimes(String),
+    /// A fault of a link has one end, or another fault two parties.
+    #[error("{text:?}: {wanted}")]
+    WrongParties {
+        /// The fault as written.
+        text: String,
+        /// What is wanted.
+        wanted: &'static str,
+    },
+    /// The fault does not go with the party.
+    #[error("{text:?}: not with {party}")]
+    UnsuitableParty {
+        /// The fault as written.
+        text: String,
+        /// The party.
+        party: Party,
+    },
+    /// There are too many faults.
+    #[error("more than {MAX_FAULTS} faults")]
+    TooManyFaults,
+}
 
 /// One party, or several at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -62,9 +131,9 @@
 }
 
 impl FromStr for Party {
-    type Err = String;
+    type Err = ScriptError;
 
-    fn from_str(text: &str) -> Result<Self, String> {
+    fn from_str(text: &str) -> Result<Self, ScriptError> {
         let number = |rest: &str| rest.parse::<usize>().ok().filter(|n| *n < 1000);
         if let Some(site) = SITES.iter().position(|name| *name == text) {
             return Ok(Self::Site(site));
@@ -79,7 +148,7 @@
             "gateways" => Ok(Self::Gateways),
             "ledger" => Ok(Self::Ledger),
             "list" => Ok(Self::Control),
-            _ => numbered.into_iter().flatten().next().ok_or(format!("{text}: no such party")),
+            _ => numbered.into_iter().flatten().next().ok_or_else(|| ScriptError::UnknownParty(text.into())),
         }
     }
 }
@@ -150,17 +219,19 @@
         }
     }
 
-    fn read(text: &str) -> Result<Self, String> {
+    fn read(text: &str) -> Result<Self, ScriptError> {
         let (word, figure) = match text.split_once(':') {
             None => (text, None),
             Some((word, figure)) => {
-                (word, Some(figure.parse::<i64>().map_err(|_| format!("{text}: not a whole number"))?))
+                let figure = figure.parse::<i64>().map_err(|_| ScriptError::NotWholeNumber(text.into()))?;
+                (word, Some(figure))
             }
         };
-        let up = |most: u64| {
-            let n = figure.and_then(|n| u64::try_from(n).ok()).filter(|n| *n <= most);
-            n.ok_or(format!("{text}: needs a number from 0 to {most}, as in {word}:5"))
+        let up = |max: u64| {
+            let n = figure.and_then(|n| u64::try_from(n).ok()).filter(|n| *n <= max);
+            n.ok_or_else(|| ScriptError::FigureOutOfRange { text: text.into(), max, word: word.into() })
         };
+        let apart = || figure.filter(|ms| ms.abs() <= MAX_APART_MS).ok_or(ScriptError::ApartOutOfRange);
         let kind = match word {
             "cut" => Self::Cut,
             "reset" => Self::Reset,
@@ -175,11 +246,11 @@
             "double" => Self::Double(up(100)?),
             "shuffle" => Self::Shuffle(up(10_000)?),
             "slower" => Self::Slower(up(100)?),
-            "apart" => Self::Apart(figure.filter(|ms| ms.abs() <= 60_000).ok_or("apart:MS up to 60000")?),
-            _ => return Err(format!("{text}: no such fault")),
+            "apart" => Self::Apart(apart()?),
+            _ => return Err(ScriptError::UnknownFault(text.into())),
         };
         if kind.parts().1.is_none() && figure.is_some() {
-            return Err(format!("{text}: takes no number"));
+            return Err(ScriptError::UnexpectedFigure(text.into()));
         }
         Ok(kind)
     }
@@ -220,32 +291,33 @@
 }
 
 impl FromStr for Fault {
-    type Err = String;
+    type Err = ScriptError;
 
-    fn from_str(text: &str) -> Result<Self, String> {
+    fn from_str(text: &str) -> Result<Self, ScriptError> {
         let words: Vec<&str> = text.split_whitespace().collect();
         let [times, kind, of, to @ ..] = &words[..] else {
-            return Err(format!("{text:?}: as in 2+5 cut east west"));
+            return Err(ScriptError::Incomplete(text.into()));
         };
         let secs = |text: &str| {
-            let secs = text.parse::<f64>().ok().filter(|s| (0.0..=3600.0).contains(s));
-            secs.map(|s| (s * 1000.0).round() as u64).ok_or(format!("{text}: not seconds up to 3600"))
+            let secs = text.parse::<f64>().ok().filter(|s| (0.0..=MAX_SECONDS).contains(s));
+            secs.map(|s| (s * 1000.0).round() as u64).ok_or_else(|| ScriptError::InvalidSeconds(text.into()))
         };
-        let (from, lasts) = times.split_once('+').ok_or(format!("{times}: as in 2+5"))?;
+        let (from, lasts) =
+            times.split_once('+').ok_or_else(|| ScriptError::InvalidTimes((*times).into()))?;
         let kind = Kind::read(kind)?;
         let to = match to {
             [] => None,
             [to] => Some(to.parse()?),
-            _ => return Err(format!("{text:?}: too many words")),
+            _ => return Err(ScriptError::TooManyWords(text.into())),
         };
         if kind.on_link() != to.is_some() {
             let wanted = if kind.on_link() { "a link has two ends" } else { "one party is enough" };
-            return Err(format!("{text:?}: {wanted}"));
+            return Err(ScriptError::WrongParties { text: text.into(), wanted });
         }
         let of: Party = of.parse()?;
         let servers = matches!(of, Party::Server(_) | Party::Site(_) | Party::Servers);
         if kind.on_process() && !servers || matches!(kind, Kind::Slower(_)) && of != Party::Ledger {
-            return Err(format!("{text:?}: not with {of}"));
+            return Err(ScriptError::UnsuitableParty { text: text.into(), party: of });
         }
         Ok(Self { from_ms: secs(from)?, for_ms: secs(lasts)?, kind, of, to })
     }
@@ -263,13 +335,13 @@
 }
 
 impl FromStr for Script {
-    type Err = String;
+    type Err = ScriptError;
 
-    fn from_str(text: &str) -> Result<Self, String> {
+    fn from_str(text: &str) -> Result<Self, ScriptError> {
         let faults = text.split(';').map(str::trim).filter(|fault| !fault.is_empty());
         let faults: Vec<Fault> = faults.map(str::parse).collect::<Result<_, _>>()?;
-        if faults.len() > 200 {
-            return Err("more than 200 faults".into());
+        if faults.len() > MAX_FAULTS {
+            return Err(ScriptError::TooManyFaults);
         }
         Ok(Self(faults))
     }
--- a/crates/hazelspur-fault-harness/tests/scripts.rs
+++ b/crates/hazelspur-fault-harness/tests/scripts.rs
@@ -25,7 +25,8 @@
         "2+5 stop ledger",
         "1+1 lose:101 n1 n2",
     ];
-    let said: Vec<String> = wrong.iter().map(|text| text.parse::<Script>().expect_err(text)).collect();
+    let said: Vec<String> =
+        wrong.iter().map(|text| text.parse::<Script>().expect_err(text).to_string()).collect();
     expect_test::expect![[r#"
         "2+5 cut east": a link has two ends
         "2+5 kill east west": one party is enough
