--- a/crates/hazelspur-test-doubles/src/broker/methods.rs
+++ b/crates/hazelspur-test-doubles/src/broker/methods.rs
@@ -125,16 +125,7 @@
                 on.prefetch = qos.prefetch_count;
                 self.method(number, channel, AMQPClass::Basic(Basic::QosOk(basic::QosOk {})));
             }
-            AMQPClass::Basic(Basic::Consume(consume)) => {
-                let queue = consume.queue.as_str().to_string();
-                if self.queues.get(&queue).is_none_or(|queue| queue.deleted) {
-                    return self.close_channel(number, channel, 404, "no such queue");
-                }
-                let tag = consume.consumer_tag.as_str().to_string();
-                on.consumer = Some(Consumer { queue, tag, active: true });
-                let ok = basic::ConsumeOk { consumer_tag: consume.consumer_tag };
-                self.method(number, channel, AMQPClass::Basic(Basic::ConsumeOk(ok)));
-            }
+            AMQPClass::Basic(Basic::Consume(consume)) => self.on_consume(number, channel, consume),
             AMQPClass::Basic(Basic::Cancel(cancel)) => {
                 on.consumer = None;
                 let ok = basic::CancelOk { consumer_tag: cancel.consumer_tag };
@@ -159,20 +150,37 @@
                 self.method(number, channel, AMQPClass::Confirm(Confirm::SelectOk(ok)));
             }
             AMQPClass::Queue(queue::AMQPMethod::Declare(declare)) => {
-                let name = declare.queue.as_str();
-                self.queues.entry(name.into()).or_default();
-                let (queue, message_count, consumer_count) = (declare.queue.clone(), 0, 0);
-                let ok = queue::DeclareOk { queue, message_count, consumer_count };
-                self.method(number, channel, AMQPClass::Queue(queue::AMQPMethod::DeclareOk(ok)));
-            }
-            AMQPClass::Channel(OnChannel::Close(_)) => {
-                if let Some(on) = self.connections[number].channels.remove(&channel) {
-                    self.requeue_all(on);
-                }
-                let ok = channel::CloseOk {};
-                self.method(number, channel, AMQPClass::Channel(OnChannel::CloseOk(ok)));
+                self.on_declare(number, channel, declare)
             }
+            AMQPClass::Channel(OnChannel::Close(_)) => self.on_channel_close(number, channel),
             other => self.faults.push(format!("on channel {channel}: {other:?}")),
         }
     }
+
+    fn on_consume(&mut self, number: usize, channel: u16, consume: basic::Consume) {
+        let queue = consume.queue.as_str().to_string();
+        if self.queues.get(&queue).is_none_or(|queue| queue.deleted) {
+            return self.close_channel(number, channel, 404, "no such queue");
+        }
+        let tag = consume.consumer_tag.as_str().to_string();
+        if let Some(on) = self.connections[number].channels.get_mut(&channel) {
+            on.consumer = Some(Consumer { queue, tag, active: true });
+        }
+        let ok = basic::ConsumeOk { consumer_tag: consume.consumer_tag };
+        self.method(number, channel, AMQPClass::Basic(Basic::ConsumeOk(ok)));
+    }
+
+    fn on_declare(&mut self, number: usize, channel: u16, declare: queue::Declare) {
+        self.queues.entry(declare.queue.as_str().into()).or_default();
+        let ok = queue::DeclareOk { queue: declare.queue, message_count: 0, consumer_count: 0 };
+        self.method(number, channel, AMQPClass::Queue(queue::AMQPMethod::DeclareOk(ok)));
+    }
+
+    fn on_channel_close(&mut self, number: usize, channel: u16) {
+        if let Some(on) = self.connections[number].channels.remove(&channel) {
+            self.requeue_all(on);
+        }
+        let ok = channel::CloseOk {};
+        self.method(number, channel, AMQPClass::Channel(OnChannel::CloseOk(ok)));
+    }
 }
