--- a/crates/hazelspur-fault-harness/src/lightweight/figures.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/figures.rs
@@ -379,7 +379,7 @@
         format!("{datagrams:.2} datagrams and {bytes:.0} bytes a second")
     };
     text += &format!(
-        "as lightweight members got them: of a real one {}, of a hollow one {}",
+        "as hollow members got them: of a real one {}, of a hollow one {}",
         as_heard(Role::Real),
         as_heard(Role::Lightweight)
     );
--- a/crates/hazelspur-fault-harness/src/lightweight/member.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/member.rs
@@ -218,7 +218,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let ended = here.block_on(&runtime, async { tokio::time::timeout(life, obey(task, orders)).await });
     // The reader's thread may stand at its input for ever; the end of the process is its end.
-    ended.unwrap_or_else(|_| Err(anyhow::anyhow!("lightweight members: their time is over")))
+    ended.unwrap_or_else(|_| Err(anyhow::anyhow!("hollow members: their time is over")))
 }
 
 async fn obey(task: Task, mut orders: mpsc::Receiver<Order>) -> anyhow::Result<()> {
--- a/crates/hazelspur-fault-harness/src/lightweight/processes.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/processes.rs
@@ -236,24 +236,20 @@
     /// Sends an order.
     pub fn order(&mut self, order: Order) -> anyhow::Result<()> {
         let line = serde_json::to_string(&order)?;
-        writeln!(self.orders.as_mut().context("its input")?, "{line}").context("lightweight members' input")
+        writeln!(self.orders.as_mut().context("its input")?, "{line}").context("hollow members' input")
     }
 
     /// Waits for the answer to an order.
     pub fn answer(&mut self, within: Duration) -> anyhow::Result<Counted> {
         let line = self.answers.recv_timeout(within);
-        let line = line.with_context(|| format!("lightweight members from {}: no answer", self.first))?;
+        let line = line.with_context(|| format!("hollow members from {}: no answer", self.first))?;
         Ok(serde_json::from_str(&line)?)
     }
 
     /// Fails where the process has ended.
     pub fn check(&mut self) -> anyhow::Result<()> {
         let status = self.child.try_wait()?;
-        anyhow::ensure!(
-            status.is_none(),
-            "lightweight members from {}: ended by itself, {status:?}",
-            self.first
-        );
+        anyhow::ensure!(status.is_none(), "hollow members from {}: ended by itself, {status:?}", self.first);
         Ok(())
     }
 
@@ -263,12 +259,12 @@
         let until = Instant::now() + within;
         while Instant::now() < until {
             if let Some(status) = self.child.try_wait()? {
-                anyhow::ensure!(status.success(), "lightweight members from {}: {status}", self.first);
+                anyhow::ensure!(status.success(), "hollow members from {}: {status}", self.first);
                 return Ok(());
             }
             std::thread::sleep(STEP);
         }
-        anyhow::bail!("lightweight members from {}: did not end by themselves", self.first)
+        anyhow::bail!("hollow members from {}: did not end by themselves", self.first)
     }
 }
 
--- a/crates/hazelspur-fault-harness/src/main.rs
+++ b/crates/hazelspur-fault-harness/src/main.rs
@@ -54,7 +54,8 @@
     },
     /// A fleet of a few real servers and many lightweight members: what a member costs by size; exit status 1
     /// where they did not agree.
-    LightweightProcess(command::Line),
+    #[command(name = "hollow")]
+    Lightweight(command::Line),
     /// Serves lightweight members by lines on its input; started by `hollow`.
     #[command(name = command::HIDDEN, hide = true)]
     HollowMembers,
@@ -76,7 +77,7 @@
 
 fn run() -> anyhow::Result<bool> {
     let command = Line::parse().command;
-    if let Command::LightweightProcess(line) = command {
+    if let Command::Lightweight(line) = command {
         return line.run();
     }
     let Command::Run { servers, gateways, rate, script, seed, seeds, seconds, shrink, joint, quiet, server } =
