--- a/crates/hazelspur-simulator/src/capacity/command.rs
+++ b/crates/hazelspur-simulator/src/capacity/command.rs
@@ -4,6 +4,7 @@
 use super::report::{Known, Report, report};
 use super::size::{Size, figures};
 use super::{digits, page, with_unit};
+use anyhow::anyhow;
 use clap::Args;
 use comfy_table::{Table, presets};
 use std::path::{Path, PathBuf};
@@ -38,25 +39,29 @@
     pub known: Known,
 }
 
-fn read(path: &Path) -> Result<String, String> {
-    std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))
+/// An error with the file that it concerns.
+fn at(path: &Path, error: impl std::fmt::Display) -> anyhow::Error {
+    anyhow!("{}: {error}", path.display())
+}
+
+fn read(path: &Path) -> anyhow::Result<String> {
+    std::fs::read_to_string(path).map_err(|error| at(path, error))
 }
 
 /// All studies of a directory, in the order of the files' names.
-fn read_studies(directory: &Path) -> Result<Measured, String> {
-    let of = |path: &Path, why: String| format!("{}: {why}", path.display());
-    let there = std::fs::read_dir(directory).map_err(|e| of(directory, e.to_string()))?;
+fn read_studies(directory: &Path) -> anyhow::Result<Measured> {
+    let there = std::fs::read_dir(directory).map_err(|error| at(directory, error))?;
     let mut files: Vec<PathBuf> = there.filter_map(|entry| entry.ok().map(|entry| entry.path())).collect();
     files.retain(|path| path.extension().is_some_and(|kind| kind == "json"));
     files.sort();
     let mut studies: Vec<Study> = Vec::new();
     for file in files {
-        let study = Study::read(&read(&file)?).map_err(|why| of(&file, why))?;
+        let study = Study::read(&read(&file)?).map_err(|error| at(&file, error))?;
         if studies.iter().any(|other| other.study == study.study) {
             // One line through two texts would be neither's.
             let why =
                 format!("study: {} is in another file too; an earlier text's goes to before/", study.study);
-            return Err(of(&file, why));
+            return Err(at(&file, why));
         }
         // A report of this command may have been left there.
         if study.study != "capacity" {
@@ -67,20 +72,19 @@
 }
 
 /// Errors name the file and the key.
-pub fn read_all(size: &Path, measured: &Path) -> Result<Told, String> {
-    let of = |path: &Path, why: String| format!("{}: {why}", path.display());
+pub fn read_all(size: &Path, measured: &Path) -> anyhow::Result<Told> {
     let text = read(size)?;
     let known_at = measured.join("missing.toml");
     let known = if known_at.exists() {
-        Known::read(&read(&known_at)?).map_err(|why| of(&known_at, why))?
+        Known::read(&read(&known_at)?).map_err(|error| at(&known_at, error))?
     } else {
         Known::default()
     };
     let before = measured.join("before");
     let before = if before.is_dir() { read_studies(&before)? } else { Measured::default() };
     Ok(Told {
-        size: Size::read(&text).map_err(|why| of(size, why))?,
-        figures: figures(&text).map_err(|why| of(size, why))?,
+        size: Size::read(&text).map_err(|error| at(size, error))?,
+        figures: figures(&text).map_err(|error| at(size, error))?,
         measured: read_studies(measured)?,
         before,
         known,
@@ -120,34 +124,31 @@
     })
 }
 
-fn run_quietly(asked: &Asked) -> Result<i32, String> {
+fn run_quietly(asked: &Asked) -> anyhow::Result<i32> {
     let told = read_all(&asked.size, &asked.measured)?;
     let report = report(&told.size, &told.measured, &told.known);
     if let Some(unknown) = report.unknown.first() {
-        return Err(format!(
-            "{}: row: there is no row {unknown}",
-            asked.measured.join("missing.toml").display()
-        ));
+        let list = asked.measured.join("missing.toml");
+        return Err(at(&list, format!("row: there is no row {unknown}")));
     }
     println!("{}", summary(&report));
     if let Some(file) = &asked.json {
-        let text = serde_json::to_string_pretty(&report.json()).map_err(|e| e.to_string())? + "\n";
-        std::fs::write(file, text).map_err(|e| format!("{}: {e}", file.display()))?;
+        let text = serde_json::to_string_pretty(&report.json())? + "\n";
+        std::fs::write(file, text).map_err(|error| at(file, error))?;
     }
     let mut status = i32::from(!report.faults.is_empty());
     report.faults.iter().for_each(|fault| eprintln!("{fault}"));
     if let Some(file) = &asked.page {
         let text = read(file)?;
         let blocks = page::blocks(&told, &report);
-        let of = |why: String| format!("{}: {why}", file.display());
         if asked.check {
-            for name in page::differing(&text, &blocks).map_err(of)? {
+            for name in page::differing(&text, &blocks).map_err(|error| at(file, error))? {
                 eprintln!("{}: the table {name} is not what its slopes give", file.display());
                 status = 1;
             }
         } else {
-            let made = page::filled(&text, &blocks).map_err(of)?;
-            std::fs::write(file, made).map_err(|e| format!("{}: {e}", file.display()))?;
+            let made = page::filled(&text, &blocks).map_err(|error| at(file, error))?;
+            std::fs::write(file, made).map_err(|error| at(file, error))?;
         }
     }
     Ok(status)
--- a/crates/hazelspur-simulator/src/capacity/measured.rs
+++ b/crates/hazelspur-simulator/src/capacity/measured.rs
@@ -93,8 +93,8 @@
 
 impl Study {
     /// Errors name the key at fault.
-    pub fn read(text: &str) -> Result<Self, String> {
-        serde_json::from_str(text).map_err(|e| e.to_string())
+    pub fn read(text: &str) -> serde_json::Result<Self> {
+        serde_json::from_str(text)
     }
 }
 
--- a/crates/hazelspur-simulator/src/capacity/page.rs
+++ b/crates/hazelspur-simulator/src/capacity/page.rs
@@ -196,23 +196,40 @@
     all
 }
 
+/// Why a page's tables cannot be made anew.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum PageError {
+    /// A marker names a table that does not exist.
+    #[error("generated: there is no table {0}")]
+    UnknownTable(String),
+    /// A table's end marker is missing.
+    #[error("generated: {0} has no end")]
+    NoEnd(String),
+    /// A table has two markers.
+    #[error("generated: {0} stands there twice")]
+    Twice(String),
+    /// A table has no marker.
+    #[error("generated: {0} is not on the page")]
+    NotOnPage(String),
+}
+
 const BEGINS: &str = "<!-- generated: ";
 const ENDS: &str = "<!-- end -->";
 
 /// The page with each of its tables made anew. Errors say which marker is wrong, or not there.
-pub fn filled(page: &str, blocks: &[Block]) -> Result<String, String> {
+pub fn filled(page: &str, blocks: &[Block]) -> Result<String, PageError> {
     let (mut out, mut rest, mut seen) = (String::new(), page, Vec::new());
     while let Some(begins) = rest.find(BEGINS) {
         let after = &rest[begins + BEGINS.len()..];
         let name = after.split(" -->").next().unwrap_or_default();
         let block = blocks.iter().find(|block| block.name == name);
-        let block = block.ok_or(format!("generated: there is no table {name}"))?;
-        let ends = after.find(ENDS).ok_or(format!("generated: {name} has no end"))?;
+        let block = block.ok_or_else(|| PageError::UnknownTable(name.into()))?;
+        let ends = after.find(ENDS).ok_or_else(|| PageError::NoEnd(name.into()))?;
         if after[..ends].contains(BEGINS) {
-            return Err(format!("generated: {name} has no end"));
+            return Err(PageError::NoEnd(name.into()));
         }
         if seen.contains(&name) {
-            return Err(format!("generated: {name} stands there twice"));
+            return Err(PageError::Twice(name.into()));
         }
         seen.push(name);
         out += &rest[..begins];
@@ -220,13 +237,13 @@
         rest = &after[ends + ENDS.len()..];
     }
     match blocks.iter().find(|block| !seen.contains(&block.name.as_str())) {
-        Some(block) => Err(format!("generated: {} is not on the page", block.name)),
+        Some(block) => Err(PageError::NotOnPage(block.name.clone())),
         None => Ok(out + rest),
     }
 }
 
 /// The names of tables on the page that are not what the report gives; errors as in `filled`.
-pub fn differing(page: &str, blocks: &[Block]) -> Result<Vec<String>, String> {
+pub fn differing(page: &str, blocks: &[Block]) -> Result<Vec<String>, PageError> {
     let made = filled(page, blocks)?;
     let of = |text: &str, name: &str| {
         let begins = text.find(&format!("{BEGINS}{name} -->"))?;
--- a/crates/hazelspur-simulator/src/capacity/report.rs
+++ b/crates/hazelspur-simulator/src/capacity/report.rs
@@ -26,10 +26,15 @@
     pub roadmap: String,
 }
 
+/// Why a list of known rows is refused; names the key at fault.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
+pub struct KnownError(String);
+
 impl Known {
     /// Errors name the key at fault.
-    pub fn read(text: &str) -> Result<Self, String> {
-        toml::from_str(text).map_err(|e| e.message().to_string())
+    pub fn read(text: &str) -> Result<Self, KnownError> {
+        toml::from_str(text).map_err(|error| KnownError(error.message().to_string()))
     }
 }
 
--- a/crates/hazelspur-simulator/src/capacity/size.rs
+++ b/crates/hazelspur-simulator/src/capacity/size.rs
@@ -2,6 +2,47 @@
 //! list of the size says nothing. An unknown key, a missing one and an absurd figure are refused by name.
 
 use serde::Deserialize;
+use thiserror::Error;
+
+/// Why a size file is refused.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum SizeError {
+    /// The text is no TOML, or has an unknown or a missing key.
+    #[error("{0}")]
+    Syntax(String),
+    /// A figure is no number.
+    #[error("{section}.{key}: not a number")]
+    NotANumber {
+        /// Section of the figure.
+        section: String,
+        /// Key of the figure.
+        key: String,
+    },
+    /// A figure is negative or not finite.
+    #[error("{section}.{key}: no number from 0 on")]
+    OutOfRange {
+        /// Section of the figure.
+        section: String,
+        /// Key of the figure.
+        key: String,
+    },
+    /// A figure that counts or divides is 0.
+    #[error("{section}.{key}: nothing fits a size of 0")]
+    Zero {
+        /// Section of the figure.
+        section: String,
+        /// Key of the figure.
+        key: String,
+    },
+    /// No comment above a figure gives its reason.
+    #[error("{section}.{key}: no comment above it gives a reason")]
+    NoReason {
+        /// Section of the figure.
+        section: String,
+        /// Key of the figure.
+        key: String,
+    },
+}
 
 /// The file, whole.
 #[derive(Clone, Debug, Deserialize)]
@@ -90,19 +131,20 @@
 
 impl Size {
     /// Errors name the key at fault.
-    pub fn read(text: &str) -> Result<Self, String> {
-        let size: Self = toml::from_str(text).map_err(|e| e.message().to_string())?;
+    pub fn read(text: &str) -> Result<Self, SizeError> {
+        let size: Self =
+            toml::from_str(text).map_err(|error| SizeError::Syntax(error.message().to_string()))?;
         for figure in figures(text)? {
-            let (section, key) = (&figure.section, &figure.key);
-            if !figure.value.is_finite() || figure.value < 0.0 {
-                return Err(format!("{section}.{key}: no number from 0 on"));
+            let Figure { section, key, value, reason } = figure;
+            if !value.is_finite() || value < 0.0 {
+                return Err(SizeError::OutOfRange { section, key });
             }
             // Parts may be nothing; what is counted or divided by may not.
-            if figure.value == 0.0 && (section != "assumed" || !PARTS.contains(&key.as_str())) {
-                return Err(format!("{section}.{key}: nothing fits a size of 0"));
+            if value == 0.0 && (section != "assumed" || !PARTS.contains(&key.as_str())) {
+                return Err(SizeError::Zero { section, key });
             }
-            if figure.reason.is_empty() {
-                return Err(format!("{section}.{key}: no comment above it gives a reason"));
+            if reason.is_empty() {
+                return Err(SizeError::NoReason { section, key });
             }
         }
         Ok(size)
@@ -112,8 +154,12 @@
 const PARTS: [&str; 2] = ["region_loss", "changes_that_need_a_restart"];
 
 /// All figures in the order of the file.
-pub fn figures(text: &str) -> Result<Vec<Figure>, String> {
-    let table: toml::Table = toml::from_str(text).map_err(|e| e.message().to_string())?;
+///
+/// # Errors
+/// Where the text is no TOML, or a value no number.
+pub fn figures(text: &str) -> Result<Vec<Figure>, SizeError> {
+    let table: toml::Table =
+        toml::from_str(text).map_err(|error| SizeError::Syntax(error.message().to_string()))?;
     let (mut section, mut reason, mut found) = (String::new(), Vec::new(), Vec::new());
     for line in text.lines().map(str::trim) {
         if let Some(comment) = line.strip_prefix('#') {
@@ -124,7 +170,8 @@
             let key = key.trim().to_string();
             let value = table.get(&section).and_then(|section| section.get(&key));
             let value = value.and_then(|value| value.as_float().or(value.as_integer().map(|n| n as f64)));
-            let value = value.ok_or(format!("{section}.{key}: not a number"))?;
+            let value =
+                value.ok_or_else(|| SizeError::NotANumber { section: section.clone(), key: key.clone() })?;
             found.push(Figure {
                 section: section.clone(),
                 key,
--- a/crates/hazelspur-simulator/src/cli/mod.rs
+++ b/crates/hazelspur-simulator/src/cli/mod.rs
@@ -52,16 +52,29 @@
             Command::Capacity(asked) => std::process::exit(capacity::command::run(asked)),
             Command::Choices(arguments) => choices::run(arguments),
             Command::Shares(arguments) => shares::run(arguments),
-            Command::Scale(arguments) => exit_on_error(scale::run(arguments), EXIT_STUDY_FAILED),
-            Command::Sums(arguments) => exit_on_error(sums::run(arguments), EXIT_STUDY_FAILED),
-            Command::Path(asked) => exit_on_error(path::command::run(asked), EXIT_PATH_FAILED),
+            Command::Scale(arguments) => exit_on_error(scale::run(arguments), EXIT_STUDY_FAILED, message),
+            Command::Sums(arguments) => exit_on_error(sums::run(arguments), EXIT_STUDY_FAILED, message),
+            Command::Path(asked) => {
+                exit_on_error(path::command::run(asked), EXIT_PATH_FAILED, message_with_causes)
+            }
         }
     }
 }
 
-fn exit_on_error(result: anyhow::Result<()>, status: i32) {
+/// Ends the process with this status where a subcommand failed; `text` says whether causes are printed too.
+fn exit_on_error(result: anyhow::Result<()>, status: i32, text: fn(&anyhow::Error) -> String) {
     if let Err(error) = result {
-        eprintln!("{error:#}");
+        eprintln!("{}", text(&error));
         std::process::exit(status);
     }
 }
+
+/// The message of an error that names its cause itself.
+fn message(error: &anyhow::Error) -> String {
+    error.to_string()
+}
+
+/// The message of an error and of its causes.
+fn message_with_causes(error: &anyhow::Error) -> String {
+    format!("{error:#}")
+}
--- a/crates/hazelspur-simulator/src/cli/scale.rs
+++ b/crates/hazelspur-simulator/src/cli/scale.rs
@@ -153,9 +153,9 @@
             points,
         };
         if self.append {
-            study = study.append_to(file).map_err(anyhow::Error::msg)?;
+            study = study.append_to(file)?;
         }
-        study.write(file).map_err(anyhow::Error::msg)
+        Ok(study.write(file)?)
     }
 }
 
--- a/crates/hazelspur-simulator/src/path/command.rs
+++ b/crates/hazelspur-simulator/src/path/command.rs
@@ -130,7 +130,7 @@
     ) -> anyhow::Result<Vec<Arrival>> {
         let met = Met { request_classes: self.met_op_types, tenants: self.met_tenants };
         let seed = self.seed.wrapping_mul(1_000_003).wrapping_add(part);
-        arrivals(size, met, rate, length, seed).map_err(anyhow::Error::msg)
+        Ok(arrivals(size, met, rate, length, seed)?)
     }
 
     /// What one call of this takes at most as planned, so that a play is refused rather than cut short.
--- a/crates/hazelspur-simulator/src/path/plan.rs
+++ b/crates/hazelspur-simulator/src/path/plan.rs
@@ -33,11 +33,26 @@
     }
 }
 
+/// A text that is no size of tables.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}: not op types x tenants, as in 87x420, each 1 to {MAX_ENTRIES}")]
+pub struct TableSizeError(String);
+
+/// A rate and length of which no plan follows.
+#[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
+#[error("{rate_per_s} ops a second for {length_s} s: not 0 to {MAX_ARRIVALS} ops")]
+pub struct ArrivalsError {
+    /// Requests a second.
+    pub rate_per_s: f64,
+    /// Length of the plan, in seconds.
+    pub length_s: f64,
+}
+
 impl FromStr for TableSize {
-    type Err = String;
+    type Err = TableSizeError;
 
-    fn from_str(text: &str) -> Result<Self, String> {
-        let wrong = || format!("{text}: not op types x tenants, as in 87x420, each 1 to {MAX_ENTRIES}");
+    fn from_str(text: &str) -> Result<Self, TableSizeError> {
+        let wrong = || TableSizeError(text.to_string());
         let (request_classes, tenants) = text.split_once('x').ok_or_else(wrong)?;
         let number = |text: &str| text.parse().ok().filter(|n| (1..=MAX_ENTRIES).contains(n));
         Ok(Self {
@@ -118,10 +133,10 @@
     rate: f64,
     length: Duration,
     seed: u64,
-) -> Result<Vec<Arrival>, String> {
+) -> Result<Vec<Arrival>, ArrivalsError> {
     let wanted = rate * length.secs();
     if !(rate > 0.0 && wanted <= MAX_ARRIVALS as f64 * 0.9) {
-        return Err(format!("{rate} ops a second for {} s: not 0 to {MAX_ARRIVALS} ops", length.secs()));
+        return Err(ArrivalsError { rate_per_s: rate, length_s: length.secs() });
     }
     let mut chance = Pcg::new(seed);
     let pick = |of: usize, met: Option<usize>, unit: f64| {
--- a/crates/hazelspur-simulator/src/studies/scale/points.rs
+++ b/crates/hazelspur-simulator/src/studies/scale/points.rs
@@ -1,7 +1,39 @@
 //! Measured figures as points, their file, and their table. The capacity command reads the file.
 
 use serde::{Deserialize, Serialize};
-use std::path::Path;
+use std::path::{Path, PathBuf};
+
+/// Why a study's file cannot be read or written.
+#[derive(Debug, thiserror::Error)]
+pub enum StudyError {
+    /// The file system refused.
+    #[error("{file}: {source}", file = file.display())]
+    Io {
+        /// The study's file, or its folder.
+        file: PathBuf,
+        /// What the file system said.
+        source: std::io::Error,
+    },
+    /// The file is no study.
+    #[error("{file}: {source}", file = file.display())]
+    Syntax {
+        /// The study's file.
+        file: PathBuf,
+        /// What is wrong in it.
+        source: serde_json::Error,
+    },
+    /// The file has the points of another study.
+    #[error("{file}: is of the study {study}", file = file.display())]
+    OtherStudy {
+        /// The study's file.
+        file: PathBuf,
+        /// The study that it has.
+        study: String,
+    },
+    /// The study cannot be encoded.
+    #[error(transparent)]
+    Encode(#[from] serde_json::Error),
+}
 
 /// One figure of one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -43,10 +75,10 @@
 impl Study {
     /// What was written before stays, but for points that were measured anew; commands and revisions are
     /// listed one after the other. Errors name the file.
-    pub fn append_to(mut self, file: &Path) -> Result<Self, String> {
+    pub fn append_to(mut self, file: &Path) -> Result<Self, StudyError> {
         let Some(old) = Self::read(file)? else { return Ok(self) };
         if old.study != self.study {
-            return Err(format!("{}: is of the study {}", file.display(), old.study));
+            return Err(StudyError::OtherStudy { file: file.into(), study: old.study });
         }
         let joined = |old: String, new: String| {
             if old.split("; ").any(|one| one == new) { old } else { format!("{old}; {new}") }
@@ -63,21 +95,22 @@
     }
 
     /// `None` where there is no such file.
-    pub fn read(file: &Path) -> Result<Option<Self>, String> {
-        let name = file.display();
+    pub fn read(file: &Path) -> Result<Option<Self>, StudyError> {
         match std::fs::read_to_string(file) {
-            Ok(text) => serde_json::from_str(&text).map(Some).map_err(|why| format!("{name}: {why}")),
+            Ok(text) => serde_json::from_str(&text)
+                .map(Some)
+                .map_err(|source| StudyError::Syntax { file: file.into(), source }),
             Err(why) if why.kind() == std::io::ErrorKind::NotFound => Ok(None),
-            Err(why) => Err(format!("{name}: {why}")),
+            Err(source) => Err(StudyError::Io { file: file.into(), source }),
         }
     }
 
     /// One point a line, sorted, so that two files are easily compared.
-    pub fn write(&mut self, file: &Path) -> Result<(), String> {
+    pub fn write(&mut self, file: &Path) -> Result<(), StudyError> {
         self.points.sort_by(|a, b| a.key().cmp(&b.key()));
-        let said = |text: &str| serde_json::to_string(text).map_err(|why| why.to_string());
+        let said = |text: &str| serde_json::to_string(text);
         let points: Result<Vec<String>, _> = self.points.iter().map(serde_json::to_string).collect();
-        let points = points.map_err(|why| why.to_string())?.join(",\n  ");
+        let points = points?.join(",\n  ");
         let text = format!(
             "{{\"study\":{},\n \"command\":{},\n \"text\":{},\n \"machine\":{},\n \"points\":[\n  {points}\n]}}\n",
             said(&self.study)?,
@@ -86,9 +119,10 @@
             said(&self.machine)?,
         );
         if let Some(folder) = file.parent() {
-            std::fs::create_dir_all(folder).map_err(|why| format!("{}: {why}", folder.display()))?;
+            std::fs::create_dir_all(folder)
+                .map_err(|source| StudyError::Io { file: folder.into(), source })?;
         }
-        std::fs::write(file, text).map_err(|why| format!("{}: {why}", file.display()))
+        std::fs::write(file, text).map_err(|source| StudyError::Io { file: file.into(), source })
     }
 }
 
--- a/crates/hazelspur-simulator/tests/capacity.rs
+++ b/crates/hazelspur-simulator/tests/capacity.rs
@@ -165,7 +165,9 @@
     let report = report(&told.size, &told.measured, &told.known);
     let blocks = blocks(&told, &report);
     let page = page_text();
-    let wrong = |from: &str, to: &str| filled(&page.replacen(from, to, 1), &blocks).err();
+    let wrong = |from: &str, to: &str| {
+        filled(&page.replacen(from, to, 1), &blocks).err().map(|error| error.to_string())
+    };
     assert_eq!(
         wrong("generated: list -->", "generated: lists -->"),
         Some("generated: there is no table lists".into())
@@ -233,7 +235,7 @@
     let refused = |from: &str, to: &str| {
         let text = size_text().replacen(from, to, 1);
         assert_ne!(text, size_text());
-        Size::read(&text).expect_err("refused")
+        Size::read(&text).expect_err("refused").to_string()
     };
     expect![[r#"
         unknown field `severs`, expected one of `servers`, `callers`, `services`, `requests_per_s`, `op_types`, `tenants`, `regions`, `zones`, `changes_per_day`, `machines_failing_per_day`, `restarts_per_day`, `control_machines`
