--- a/crates/hazelspur-simulator/src/capacity/constants.rs
+++ b/crates/hazelspur-simulator/src/capacity/constants.rs
@@ -16,10 +16,15 @@
     Constant { file, name, text, value }
 }
 
+/// The source file of the kinds of configuration entries.
 const ENTRY_KIND: &str = "src/config/entry_kind.rs";
+/// The source file of the registry connection.
 const REGISTRY: &str = "crates/hazelspur-server/src/upstream/registry.rs";
+/// The source file of the file descriptor budget.
 const DESCRIPTORS: &str = "crates/hazelspur-server/src/process/descriptors.rs";
+/// The source file of the circuit breaker.
 const CIRCUIT_BREAKER: &str = "crates/hazelspur-fleet/src/circuit_breaker.rs";
+/// The source file of the fleet settings.
 const KEYS: &str = "crates/hazelspur-server/src/config/fleet_keys.rs";
 
 /// Mean wait between reports to the list, s: the middle of `REPORT_INTERVAL`.
--- a/crates/hazelspur-simulator/src/capacity/measured.rs
+++ b/crates/hazelspur-simulator/src/capacity/measured.rs
@@ -19,6 +19,7 @@
     pub points: Vec<Point>,
 }
 
+/// One measured figure.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Point {
     pub figure: String,
@@ -78,6 +79,7 @@
 }
 
 impl Fit {
+    /// The value of the line at this size.
     pub fn at(&self, size: f64) -> f64 {
         self.slope * size + self.base
     }
@@ -99,6 +101,7 @@
 }
 
 impl Measured {
+    /// Sorts the points of all studies into series.
     pub fn of(studies: Vec<Study>) -> Self {
         let mut series: BTreeMap<Of, Series> = BTreeMap::new();
         for study in &studies {
@@ -143,6 +146,7 @@
         self
     }
 
+    /// Sizes and values of the seeds that count.
     pub fn chosen(&self, seeds: Seeds) -> Vec<(f64, f64)> {
         if seeds == Seeds::All {
             return self.points.clone();
--- a/crates/hazelspur-simulator/src/capacity/page.rs
+++ b/crates/hazelspur-simulator/src/capacity/page.rs
@@ -16,7 +16,9 @@
     pub text: String,
 }
 
+/// The cell of a figure that does not exist.
 const NONE: &str = "-";
+/// The cell of a figure that was not measured.
 const NOT_MEASURED: &str = "not measured";
 
 fn table(head: &[&str], rows: impl Iterator<Item = Vec<String>>) -> String {
@@ -213,7 +215,9 @@
     NotOnPage(String),
 }
 
+/// Opens the marker before a generated table.
 const BEGINS: &str = "<!-- generated: ";
+/// The marker after a generated table.
 const ENDS: &str = "<!-- end -->";
 
 /// The page with each of its tables made anew. Errors say which marker is wrong, or not there.
--- a/crates/hazelspur-simulator/src/capacity/report.rs
+++ b/crates/hazelspur-simulator/src/capacity/report.rs
@@ -16,6 +16,7 @@
     pub missing: Vec<KnownMissing>,
 }
 
+/// A row that is known to be over its budget.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KnownMissing {
@@ -38,6 +39,7 @@
     }
 }
 
+/// How a row stands beside its budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
@@ -50,6 +52,7 @@
 }
 
 impl State {
+    /// Its name in tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Fits => "fits",
--- a/crates/hazelspur-simulator/src/capacity/size.rs
+++ b/crates/hazelspur-simulator/src/capacity/size.rs
@@ -151,6 +151,7 @@
     }
 }
 
+/// Assumed fractions that may be 0.
 const PARTS: [&str; 2] = ["region_loss", "changes_that_need_a_restart"];
 
 /// All figures in the order of the file.
--- a/crates/hazelspur-simulator/src/membership_protocols/foca.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/foca.rs
@@ -13,6 +13,7 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration as StdDuration;
 
+/// The identity of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Id {
     number: u16,
@@ -86,6 +87,7 @@
     }
 }
 
+/// A member by the `foca` crate.
 pub struct FocaProtocol {
     foca: Foca<Id, PostcardCodec, Chance, NoCustomBroadcast>,
     host: Host,
--- a/crates/hazelspur-simulator/src/membership_protocols/heartbeat.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/heartbeat.rs
@@ -8,15 +8,20 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
+/// Between two heartbeats.
 const EVERY: Duration = Duration::from_ms(1000);
+/// Sites of the fleet.
 const SITES: usize = 3;
+/// Members of a site that exchange heartbeats with other sites.
 const SPEAKERS: usize = 2;
 /// A newcomer is news for so long.
 const FRESH: Duration = Duration::from_ms(5000);
 /// Bytes of a datagram's head (tag, installation, sender) and of one in a list, by the own machine's
 /// encoding.
 const HEAD: usize = 60;
+/// Encoded bytes of one listed member.
 const EACH: usize = 12;
+/// The longest datagram, in bytes.
 const DATAGRAM: usize = 1200;
 
 /// Who was alive how long ago, by the sender's account.
@@ -26,6 +31,7 @@
     list: Rc<Vec<(usize, Duration)>>,
 }
 
+/// A member by heartbeats.
 pub struct Heartbeat {
     me: usize,
     silence: Duration,
--- a/crates/hazelspur-simulator/src/membership_protocols/lightweight.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/lightweight.rs
@@ -18,6 +18,7 @@
     pub bytes: f64,
 }
 
+/// A member that only sends.
 pub struct Lightweight {
     chance: Pcg,
     servers: usize,
--- a/crates/hazelspur-simulator/src/membership_protocols/swim.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/swim.rs
@@ -9,16 +9,20 @@
 };
 use std::net::SocketAddr;
 
+/// A member by the project's SWIM implementation.
 pub struct Swim(pub Membership);
 
+/// The name of a server by its number.
 pub fn name(of: usize) -> MemberName {
     MemberName::new(&format!("n{of}")).expect("a short name")
 }
 
+/// The address of a server by its number.
 pub fn address(of: usize) -> SocketAddr {
     SocketAddr::from(([127, 1, (of >> 8) as u8, (of & 255) as u8], 7000))
 }
 
+/// The number of a server by its address; `usize::MAX` for an unknown one.
 pub fn number(at: SocketAddr) -> usize {
     match at {
         SocketAddr::V4(at) => usize::from(at.ip().octets()[2]) << 8 | usize::from(at.ip().octets()[3]),
@@ -30,6 +34,7 @@
     name.as_str()[1..].parse().unwrap_or(usize::MAX)
 }
 
+/// The configuration of a member in a fleet of at most `most` servers.
 pub fn terms(me: usize, most: usize) -> NodeConfig {
     NodeConfig {
         installation: Installation::new("lab").expect("a short name"),
--- a/crates/hazelspur-simulator/src/membership_protocols/zoned.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/zoned.rs
@@ -11,8 +11,11 @@
     Clocks, Datagram, FleetNode, Generation, LimitName, Membership, NodeConfig, SiteName, datagram,
 };
 
+/// Regions of the fleet.
 pub const REGIONS: usize = 2;
+/// Zones of all regions.
 pub const ZONES: usize = 6;
+/// Names of the zones, by number.
 const ZONE_NAMES: [&str; ZONES] = ["east-1", "west-1", "east-2", "west-2", "east-3", "west-3"];
 /// Voters, one in each of so many zones.
 pub const VOTERS: usize = 5;
@@ -22,8 +25,11 @@
 const CALL_SECS: f64 = 0.02;
 /// Slots of each shared limit for a server.
 const SLOTS_EACH: f64 = 4.0;
+/// Fraction of each limit that is guaranteed without a lease.
 const FLOOR: f64 = 0.2;
+/// How long quota may be in use after its lease ended.
 const LINGER: Duration = Duration::from_ms(500);
+/// How long a vote is valid.
 const VOTE_SPAN: Duration = Duration::from_ms(4000);
 
 /// As those of three sites, in its zone.
--- a/crates/hazelspur-simulator/src/models/cores.rs
+++ b/crates/hazelspur-simulator/src/models/cores.rs
@@ -4,6 +4,7 @@
 use hazelspur::{RequestId, Timestamp};
 use std::collections::BTreeMap;
 
+/// The cores of one server and the requests on them.
 #[derive(Clone, Debug)]
 pub struct Cores {
     pub cores: f64,
@@ -17,14 +18,17 @@
 }
 
 impl Cores {
+    /// Idle cores at full speed.
     pub fn new(cores: f64, crowd_multiple: f64) -> Self {
         Self { cores, crowd_multiple, speed: 1.0, running: BTreeMap::new(), since: Timestamp::default() }
     }
 
+    /// How many requests run.
     pub fn on(&self) -> usize {
         self.running.len()
     }
 
+    /// Whether a request runs.
     pub fn has(&self, request: RequestId) -> bool {
         self.running.contains_key(&request)
     }
@@ -42,11 +46,13 @@
         self.since = now;
     }
 
+    /// Starts this many core seconds of work for a request.
     pub fn put(&mut self, now: Timestamp, request: RequestId, work: f64) {
         self.pass(now);
         self.running.insert(request, work);
     }
 
+    /// Takes a request off the cores; returns whether it ran.
     pub fn take(&mut self, now: Timestamp, request: RequestId) -> bool {
         self.pass(now);
         self.running.remove(&request).is_some()
--- a/crates/hazelspur-simulator/src/models/gateways.rs
+++ b/crates/hazelspur-simulator/src/models/gateways.rs
@@ -4,6 +4,7 @@
 use hazelspur::pcg::Pcg;
 use hazelspur::{Duration, Timestamp};
 
+/// How a gateway treats rejected requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Habits {
     /// Tries after the first.
@@ -36,6 +37,7 @@
     pub left: u32,
 }
 
+/// All gateways and their arrival process.
 pub struct Gateways {
     pub count: usize,
     pub rate: f64,
@@ -50,14 +52,17 @@
 }
 
 impl Gateways {
+    /// Gateways that send `rate` requests a second in all.
     pub fn new(count: usize, all: usize, rate: f64, timeout: Duration, work: Vec<f64>) -> Self {
         Self { count, rate, timeout, work, all, turn: 0, first_turn: 0 }
     }
 
+    /// Draws the time until the next request.
     pub fn gap(&self, chance: &mut Pcg) -> Duration {
         Duration::from_secs(-(1.0 - chance.unit()).ln() / self.rate.max(1e-9))
     }
 
+    /// Draws the next request.
     pub fn next(&mut self, now: Timestamp, chance: &mut Pcg) -> Asked {
         let gateway = chance.draw() as usize % self.count;
         let request_class = chance.draw() as usize % self.work.len();
--- a/crates/hazelspur-simulator/src/models/ledger.rs
+++ b/crates/hazelspur-simulator/src/models/ledger.rs
@@ -3,6 +3,7 @@
 
 use hazelspur::Duration;
 
+/// The shared dependency of all servers.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     pub slots: f64,
@@ -16,6 +17,7 @@
 }
 
 impl Ledger {
+    /// A healthy ledger without calls.
     pub fn new(slots: f64, call: Duration) -> Self {
         Self { slots, call, slow: 1.0, down: false, out: 0, most_out: 0, calls: 0 }
     }
@@ -32,6 +34,7 @@
         Some(self.call.scaled(self.slow * crowd * crowd))
     }
 
+    /// Ends one call.
     pub fn end(&mut self) {
         self.out = self.out.saturating_sub(1);
     }
--- a/crates/hazelspur-simulator/src/models/list.rs
+++ b/crates/hazelspur-simulator/src/models/list.rs
@@ -3,10 +3,14 @@
 use hazelspur::{Duration, Timestamp};
 use std::collections::VecDeque;
 
+/// Between two reports of a server.
 pub const REPORT_EVERY: Duration = Duration::from_ms(800);
+/// How long a server stays listed after a report.
 const LAPSE: Duration = Duration::from_ms(3000);
+/// Reports kept for each server.
 const KEPT: usize = 16;
 
+/// The server list as gateways read it.
 #[derive(Clone, Debug)]
 pub struct List {
     reports: Vec<VecDeque<Timestamp>>,
@@ -14,10 +18,12 @@
 }
 
 impl List {
+    /// A list that gateways read `late` later.
     pub fn new(servers: usize, late: Duration) -> Self {
         Self { reports: vec![VecDeque::new(); servers], late }
     }
 
+    /// Records a server's report.
     pub fn report(&mut self, now: Timestamp, server: usize) {
         let reports = &mut self.reports[server];
         reports.push_back(now);
--- a/crates/hazelspur-simulator/src/network.rs
+++ b/crates/hazelspur-simulator/src/network.rs
@@ -6,14 +6,17 @@
 use hazelspur::Duration;
 use hazelspur::pcg::Pcg;
 
-/// One way, within a site and from site to site, in ms; the tail's mean in ms.
+/// One-way latency within a site, in ms.
 const WITHIN_MS: f64 = 0.2;
+/// One-way latency from site to site, in ms.
 const ACROSS_MS: f64 = 1.0;
+/// Mean of the exponential latency tail, in ms.
 const TAIL_MS: f64 = 0.1;
 
 /// Which links carry nothing: by number and site of sender and receiver.
 pub type Cut = fn(from: usize, to: usize) -> bool;
 
+/// The links between all servers.
 #[derive(Clone)]
 pub struct Network {
     pub sites: usize,
@@ -30,15 +33,18 @@
 }
 
 impl Network {
+    /// A healthy network of one region.
     pub fn new(sites: usize) -> Self {
         let region_lag = Duration::from_us((ACROSS_MS * 1000.0) as u64);
         Self { sites, regions: 1, region_lag, region_loss: 0.0, loss: 0.0, doubled: 0.0, cut: None }
     }
 
+    /// The site of a server.
     pub fn site(&self, of: usize) -> usize {
         of % self.sites.max(1)
     }
 
+    /// The region of a server.
     pub fn region(&self, of: usize) -> usize {
         self.site(of) % self.regions.max(1)
     }
--- a/crates/hazelspur-simulator/src/path/figures.rs
+++ b/crates/hazelspur-simulator/src/path/figures.rs
@@ -90,6 +90,7 @@
     added
 }
 
+/// A quantile of a histogram of microseconds, in milliseconds.
 pub fn ms(histogram: &Histogram<u64>, quantile: f64) -> f64 {
     histogram.value_at_quantile(quantile) as f64 / 1000.0
 }
--- a/crates/hazelspur-simulator/src/path/load.rs
+++ b/crates/hazelspur-simulator/src/path/load.rs
@@ -18,10 +18,13 @@
 const MAX_LINKS: usize = 4096;
 /// Unread bytes of a connection; more is no answer of ours.
 const MAX_UNREAD: usize = 1 << 20;
+/// Timeout of a connect.
 const CONNECTING: StdDuration = StdDuration::from_millis(500);
+/// Timeout of a write.
 const WRITING: StdDuration = StdDuration::from_millis(500);
 /// How often a reader looks whether it is to end, and the end whether all is answered.
 const LOOK: StdDuration = StdDuration::from_millis(50);
+/// Between two checks whether all answers came.
 const END_LOOK: StdDuration = StdDuration::from_millis(2);
 /// The last part of a wait is spun, since sleeps end late.
 const SPUN: StdDuration = StdDuration::from_micros(150);
@@ -38,6 +41,7 @@
     Failed,
 }
 
+/// What a line from the other side means.
 pub enum Message {
     Answer(usize, Answer),
     /// Nothing more may be sent on this connection.
@@ -114,6 +118,7 @@
 }
 
 impl Tally {
+    /// Adds the counts of another tally.
     pub fn add(&mut self, other: &Self) {
         self.planned += other.planned;
         self.acked += other.acked;
@@ -142,6 +147,7 @@
     pub took: StdDuration,
 }
 
+/// An empty histogram of microseconds.
 pub fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, LONGEST_US, 3).expect("bounds that fit")
 }
--- a/crates/hazelspur-simulator/src/path/plan.rs
+++ b/crates/hazelspur-simulator/src/path/plan.rs
@@ -14,8 +14,11 @@
 pub const MAX_ARRIVALS: usize = 1_000_000;
 /// Cores of the runtime by the settings: the server admits by them, and is not to refuse here.
 const CORES: u32 = 16;
+/// Latency objective of each request class, in microseconds.
 const TARGET_US: u64 = 1_000_000;
+/// Request timeout of each request class, in microseconds.
 const OP_TIMEOUT_US: u64 = 3_000_000;
+/// Quota of each tenant, in requests a second.
 const QUOTA_PER_S: u32 = 10;
 /// From the notice to leave until the process ends.
 const STOP_MS: u64 = 400;
@@ -62,10 +65,12 @@
     }
 }
 
+/// The name of a request class by its number.
 pub fn op_type_name(number: usize) -> String {
     format!("route-{number}")
 }
 
+/// The name of a tenant by its number.
 pub fn tenant_name(number: usize) -> String {
     format!("tenant-{number}")
 }
--- a/crates/hazelspur-simulator/src/path/process.rs
+++ b/crates/hazelspur-simulator/src/path/process.rs
@@ -22,15 +22,19 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// Within this a server has to be serving, and to end.
+/// Timeout of a server's start.
 const START: Duration = Duration::from_secs(20);
+/// Timeout of a server's end.
 const END: Duration = Duration::from_secs(4);
+/// Between two health checks.
 const LOOK: Duration = Duration::from_millis(5);
+/// Timeout of an answer.
 const ANSWER: Duration = Duration::from_secs(3);
 /// Lines of a server's log that are shown where it failed.
 const LAST_LINES: usize = 5;
 /// Notices looked through for a probe's answer.
 const MAX_LINES: usize = 16;
+/// A health check on the wire.
 const HEALTH: &[u8] = b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n";
 
 static LIVE: Mutex<BTreeMap<u32, (Child, PathBuf)>> = Mutex::new(BTreeMap::new());
--- a/crates/hazelspur-simulator/src/path/wires.rs
+++ b/crates/hazelspur-simulator/src/path/wires.rs
@@ -6,15 +6,20 @@
 use serde_json::{Value, json};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// How long a gateway waits, and what it says a request takes of memory.
+/// Timeout of a request at its gateway, in ms.
 const TIMEOUT_MS: u64 = 2000;
+/// Memory of a request, in kB.
 const NEED_KB: f64 = 24.5;
 /// Different callers that the requests are said to be from.
 const CALLERS: usize = 64;
 
+/// Error code of a rejected request.
 const NACKED: i64 = -32011;
+/// Error code of an unknown request class.
 const NO_METHOD: i64 = -32601;
+/// Error code of invalid parameters.
 const BAD_PARAMS: i64 = -32602;
+/// Message for an unknown tenant.
 const OWNER_UNKNOWN: &str = "owner is not known";
 
 /// JSON-RPC lines to a server. Request ids carry `play`, so that those of two plays differ.
@@ -91,6 +96,7 @@
 }
 
 impl RuntimeWire {
+    /// A wire for the requests of one play.
     pub fn new(play: u32, body_bytes: usize) -> Self {
         Self { play, body: b"haz".repeat(body_bytes / 3) }
     }
--- a/crates/hazelspur-simulator/src/studies/choices.rs
+++ b/crates/hazelspur-simulator/src/studies/choices.rs
@@ -6,8 +6,10 @@
 
 /// Servers have found each other and shares are held by then; what came before does not count.
 pub const WARM: Duration = Duration::from_ms(16_000);
+/// How long the counted part of a run takes.
 const PLAYED: Duration = Duration::from_ms(24_000);
 
+/// A hard case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Hard {
     /// Half of all requests seek out a third of the servers.
@@ -32,6 +34,7 @@
 }
 
 impl Hard {
+    /// All cases, in the order of the table.
     pub const ALL: [Self; 9] = [
         Self::Uneven,
         Self::LedgerGone,
@@ -44,6 +47,7 @@
         Self::Crowded,
     ];
 
+    /// Its name in tables and on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Self::Uneven => "uneven",
@@ -59,6 +63,7 @@
     }
 }
 
+/// One run.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
     pub hard: Hard,
@@ -79,6 +84,7 @@
 }
 
 impl Outcome {
+    /// Fraction of all requests that succeeded.
     pub fn service(&self) -> f64 {
         self.figures.service()
     }
@@ -94,6 +100,7 @@
     }
 }
 
+/// Plays one run.
 pub fn play(case: &Case) -> Outcome {
     let n = case.servers;
     let load = if case.hard == Hard::Crowded { 1.5 } else { 0.42 };
--- a/crates/hazelspur-simulator/src/studies/scale/mod.rs
+++ b/crates/hazelspur-simulator/src/studies/scale/mod.rs
@@ -59,6 +59,7 @@
 }
 
 impl Between {
+    /// The network with these links.
     pub fn network(&self) -> Network {
         let mut network = Network::new(ZONES);
         network.regions = REGIONS;
@@ -67,6 +68,7 @@
     }
 }
 
+/// What happens to the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Situation {
     /// A storm of starts, and rest after it; CPU and heap are those at rest.
@@ -78,6 +80,7 @@
 }
 
 impl Situation {
+    /// All situations, in the order of the table.
     pub const ALL: [Self; 4] = [Self::StormAndRest, Self::Zone, Self::Regions, Self::Bunch];
 
     pub fn name(self) -> &'static str {
@@ -90,6 +93,7 @@
     }
 }
 
+/// Which protocols run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Machine {
     Members,
@@ -98,6 +102,7 @@
 }
 
 impl Machine {
+    /// Both machines, in the order of the table.
     pub const ALL: [Self; 2] = [Self::Members, Self::Joint];
 
     pub fn name(self) -> &'static str {
@@ -108,6 +113,7 @@
     }
 }
 
+/// One run.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
     pub machine: Machine,
@@ -119,6 +125,7 @@
     pub window: Duration,
 }
 
+/// Plays one run and returns its points.
 pub fn play(case: &Case) -> Vec<Point> {
     match case.machine {
         Machine::Members => play_as::<ZonedSwim>(case),
--- a/crates/hazelspur-simulator/src/studies/scale/points.rs
+++ b/crates/hazelspur-simulator/src/studies/scale/points.rs
@@ -51,6 +51,7 @@
 }
 
 impl Point {
+    /// A point whose size counts servers.
     pub fn of_servers(figure: &str, case: &str, unit: &str, size: usize, seed: u64, value: f64) -> Self {
         let (figure, case, unit) = (figure.into(), case.into(), unit.into());
         Self { figure, case, unit, by: "servers".into(), size, seed, value }
--- a/crates/hazelspur-simulator/src/studies/shares/mod.rs
+++ b/crates/hazelspur-simulator/src/studies/shares/mod.rs
@@ -40,6 +40,7 @@
 /// Guards divisions by zero.
 const MIN_DIVISOR: f64 = 1e-9;
 
+/// A fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trouble {
     None,
@@ -60,6 +61,7 @@
 }
 
 impl Trouble {
+    /// All faults of `shares`, in the order of the table.
     pub const ALL: [Self; 7] = [
         Self::None,
         Self::Loss,
@@ -78,6 +80,7 @@
         if self == Self::RegionsApart { REGIONS_APART } else { Duration::ZERO }
     }
 
+    /// Its name in tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::None => "none",
@@ -92,6 +95,7 @@
     }
 }
 
+/// One run.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
     pub servers: usize,
@@ -103,6 +107,7 @@
     pub between: Option<Between>,
 }
 
+/// What one run came to.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Outcome {
     /// The greatest sum of what might be in use, with what lingers, over the limit.
--- a/crates/hazelspur-simulator/src/studies/sums.rs
+++ b/crates/hazelspur-simulator/src/studies/sums.rs
@@ -16,6 +16,7 @@
 }
 
 impl Reports {
+    /// The wait before the next report.
     pub fn wait(self, missed: bool, chance: &mut Pcg) -> Duration {
         let (wait, part) = if missed { (250.0, 0.5) } else { (800.0, 0.2) };
         match self {
@@ -28,7 +29,9 @@
 /// Reports of `servers` while the list takes none for 5 s and takes them again: the most within 20 ms over
 /// the mean of the 20 s after that, and the longest that any server's place was without a report.
 pub fn reports(servers: usize, how: Reports, seed: u64) -> (f64, Duration) {
+    /// When the control plane is down, in ms.
     const DOWN: std::ops::Range<u64> = 10_000..15_000;
+    /// Width of a bin, in ms.
     const BIN: u64 = 20;
     let mut chance = Pcg::new(seed);
     let (mut bins, mut longest) = (vec![0u32; 40_000 / BIN as usize], Duration::ZERO);
@@ -71,8 +74,10 @@
 }
 
 impl Subsets {
+    /// All ways, in the order of the table.
     pub const ALL: [Self; 3] = [Self::Chance, Self::Rounds, Self::Rendezvous];
 
+    /// Its name in tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Chance => "chance",
--- a/crates/hazelspur-simulator/src/studies/together.rs
+++ b/crates/hazelspur-simulator/src/studies/together.rs
@@ -3,6 +3,7 @@
 use crate::simulation::{Figures, ScriptAction, Simulation, SimulationConfig};
 use hazelspur::Duration;
 
+/// One run.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
     pub servers: usize,
@@ -13,6 +14,7 @@
     pub ledger_down: Duration,
 }
 
+/// Plays one run.
 pub fn play(case: &Case) -> Figures {
     let plan = SimulationConfig::new(case.servers, case.seed, case.load);
     let mut simulation = Simulation::new(plan);
--- a/crates/hazelspur-simulator/src/studies/who_is_here.rs
+++ b/crates/hazelspur-simulator/src/studies/who_is_here.rs
@@ -27,6 +27,7 @@
 /// Microseconds in a second.
 const US_PER_SECOND: u64 = 1_000_000;
 
+/// One run.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
     pub size: usize,
@@ -226,6 +227,7 @@
 }
 
 impl Row {
+    /// The cells of the row.
     pub fn cells(&self) -> Vec<String> {
         let all = |of: &dyn Fn(&Outcome) -> f64| -> Vec<f64> { self.outcomes.iter().map(of).collect() };
         let middle = |mut of: Vec<f64>| {
@@ -262,6 +264,7 @@
         ]
     }
 
+    /// The header of the table.
     pub const HEAD: [&str; 9] = [
         "way",
         "servers",
