--- a/crates/hazelspur-simulator/src/lib.rs
+++ b/crates/hazelspur-simulator/src/lib.rs
@@ -12,6 +12,9 @@
 //! - `capacity`: what was measured against budgets, for a size that a file names;
 //! - `path`: beside all that, one real server as a process, its own path and its cost.
 
+#![warn(unreachable_pub)]
+#![warn(clippy::too_many_lines, clippy::too_many_arguments, clippy::type_complexity)]
+
 pub mod capacity;
 pub mod cpu;
 pub mod event_queue;
--- a/crates/hazelspur-simulator/src/main.rs
+++ b/crates/hazelspur-simulator/src/main.rs
@@ -1,5 +1,8 @@
 //! The simulator's program: runs the subcommand that the command line names.
 
+#![warn(missing_docs, unreachable_pub)]
+#![warn(clippy::too_many_lines, clippy::too_many_arguments, clippy::type_complexity)]
+
 mod cli;
 
 use clap::Parser;
--- a/crates/hazelspur-simulator/src/membership_protocols/heartbeat.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/heartbeat.rs
@@ -9,20 +9,20 @@
 use std::rc::Rc;
 
 /// Between two heartbeats.
-const EVERY: Duration = Duration::from_ms(1000);
+const HEARTBEAT_PERIOD: Duration = Duration::from_ms(1000);
 /// Sites of the fleet.
 const SITES: usize = 3;
 /// Members of a site that exchange heartbeats with other sites.
-const SPEAKERS: usize = 2;
+const SPEAKERS_PER_SITE: usize = 2;
 /// A newcomer is news for so long.
-const FRESH: Duration = Duration::from_ms(5000);
+const NEWCOMER_DURATION: Duration = Duration::from_ms(5000);
 /// Bytes of a datagram's head (tag, installation, sender) and of one in a list, by the own machine's
 /// encoding.
-const HEAD: usize = 60;
+const HEADER_BYTES: usize = 60;
 /// Encoded bytes of one listed member.
-const EACH: usize = 12;
+const ENTRY_BYTES: usize = 12;
 /// The longest datagram, in bytes.
-const DATAGRAM: usize = 1200;
+const MAX_DATAGRAM_BYTES: usize = 1200;
 
 /// Who was alive how long ago, by the sender's account.
 #[derive(Clone)]
@@ -63,13 +63,13 @@
         let here = self.seen.keys().copied().chain([self.me]).filter(|of| of % SITES == site);
         let mut here: Vec<usize> = here.collect();
         here.sort_unstable();
-        here.truncate(SPEAKERS);
+        here.truncate(SPEAKERS_PER_SITE);
         here
     }
 
     fn send(&mut self, to: usize, list: Rc<Vec<(usize, Duration)>>) {
-        let datagrams = (list.len() * EACH).div_ceil(DATAGRAM - HEAD).max(1);
-        let bytes = datagrams * HEAD + list.len() * EACH;
+        let datagrams = (list.len() * ENTRY_BYTES).div_ceil(MAX_DATAGRAM_BYTES - HEADER_BYTES).max(1);
+        let bytes = datagrams * HEADER_BYTES + list.len() * ENTRY_BYTES;
         let packet = HeartbeatMessage { from: self.me, list };
         self.out.push_back(OutgoingPacket { receiver: to, packet, bytes });
     }
@@ -81,7 +81,7 @@
 
     fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
         let silence = Duration::from_secs(4.0 * (most as f64 + 1.0).log10().max(1.0));
-        let next = now + Duration::from_us(seed % EVERY.us());
+        let next = now + Duration::from_us(seed % HEARTBEAT_PERIOD.us());
         let (seen, met) = (BTreeMap::new(), BTreeMap::new());
         let (out, notices) = (VecDeque::new(), VecDeque::new());
         Self { me, silence, next, seen, met, now, out, notices }
@@ -100,7 +100,7 @@
         if now < self.next {
             return;
         }
-        (self.next, self.now) = (now + EVERY, now);
+        (self.next, self.now) = (now + HEARTBEAT_PERIOD, now);
         let silence = self.silence;
         let gone: Vec<usize> =
             self.seen.iter().filter(|(_, at)| now - **at > silence).map(|(of, _)| *of).collect();
@@ -117,7 +117,7 @@
         let (home, away) = (ages(true), ages(false));
         let speaks = self.speakers(site).contains(&self.me);
         let neighbours: Vec<usize> = self.seen.keys().copied().filter(|of| of % SITES == site).collect();
-        let fresh = |of: &usize| self.met.get(of).is_some_and(|met| now - *met < FRESH);
+        let fresh = |of: &usize| self.met.get(of).is_some_and(|met| now - *met < NEWCOMER_DURATION);
         let new: Vec<(usize, Duration)> = home.iter().filter(|(of, _)| fresh(of)).copied().collect();
         // All hear of newcomers, and newcomers of all.
         let rest = if speaks { away.iter() } else { [].iter() };
--- a/crates/hazelspur-simulator/src/membership_protocols/zoned.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/zoned.rs
@@ -20,17 +20,17 @@
 /// Voters, one in each of so many zones.
 pub const VOTERS: usize = 5;
 /// A server looks at its own work so often, as the program does.
-const LOOK: Duration = Duration::from_ms(200);
+const OBSERVATION_PERIOD: Duration = Duration::from_ms(200);
 /// What it sees there: calls of so many seconds, and nothing refused.
-const CALL_SECS: f64 = 0.02;
+const CALL_DURATION_S: f64 = 0.02;
 /// Slots of each shared limit for a server.
-const SLOTS_EACH: f64 = 4.0;
+const SLOTS_PER_SERVER: f64 = 4.0;
 /// Fraction of each limit that is guaranteed without a lease.
-const FLOOR: f64 = 0.2;
+const GUARANTEED_FRACTION: f64 = 0.2;
 /// How long quota may be in use after its lease ended.
-const LINGER: Duration = Duration::from_ms(500);
+const RESIDUAL_DURATION: Duration = Duration::from_ms(500);
 /// How long a vote is valid.
-const VOTE_SPAN: Duration = Duration::from_ms(4000);
+const VOTE_DURATION: Duration = Duration::from_ms(4000);
 
 /// As those of three sites, in its zone.
 pub fn terms(me: usize, most: usize) -> NodeConfig {
@@ -42,16 +42,16 @@
 pub fn share_terms(servers: usize, most: usize, limits: usize) -> QuotaConfig {
     let limit = |at: usize| SharedLimit {
         name: LimitName::new(&format!("limit-{at}")).expect("a short name"),
-        total: SLOTS_EACH * servers as f64,
-        guaranteed_fraction: FLOOR,
-        residual_duration: LINGER,
+        total: SLOTS_PER_SERVER * servers as f64,
+        guaranteed_fraction: GUARANTEED_FRACTION,
+        residual_duration: RESIDUAL_DURATION,
         max_turn: None,
     };
     let voters = (0..VOTERS).map(name).collect();
     QuotaConfig {
         voters,
         max_servers: most,
-        vote_duration: VOTE_SPAN,
+        vote_duration: VOTE_DURATION,
         limits: (0..limits).map(limit).collect(),
     }
 }
@@ -124,10 +124,10 @@
         let mut node = FleetNode::new(terms(me, most), Some(shares), generation, seed, at(now));
         for limit in 0..LIMITS {
             // Some want half of what an equal share were, some twice that.
-            let want = SLOTS_EACH * [0.5, 0.8, 1.2, 2.0][(me + limit) % 4];
+            let want = SLOTS_PER_SERVER * [0.5, 0.8, 1.2, 2.0][(me + limit) % 4];
             node.set_demand(&format!("limit-{limit}"), want);
         }
-        Self { node, last: now, next_look: now + LOOK.scaled((seed % 1000) as f64 / 1000.0) }
+        Self { node, last: now, next_look: now + OBSERVATION_PERIOD.scaled((seed % 1000) as f64 / 1000.0) }
     }
 
     fn receive(&mut self, now: Timestamp, packet: &Datagram) {
@@ -138,8 +138,9 @@
     fn tick(&mut self, now: Timestamp) {
         self.last = now;
         if now >= self.next_look {
-            self.next_look = now + LOOK;
-            self.node.observe(at(now), LocalLoad { call_secs: Some(CALL_SECS), rejected_fraction: 0.0 });
+            self.next_look = now + OBSERVATION_PERIOD;
+            self.node
+                .observe(at(now), LocalLoad { call_secs: Some(CALL_DURATION_S), rejected_fraction: 0.0 });
         }
         self.node.tick(at(now));
     }
--- a/crates/hazelspur-simulator/src/models/list.rs
+++ b/crates/hazelspur-simulator/src/models/list.rs
@@ -4,11 +4,11 @@
 use std::collections::VecDeque;
 
 /// Between two reports of a server.
-pub const REPORT_EVERY: Duration = Duration::from_ms(800);
+pub const REPORT_PERIOD: Duration = Duration::from_ms(800);
 /// How long a server stays listed after a report.
-const LAPSE: Duration = Duration::from_ms(3000);
+const LISTING_DURATION: Duration = Duration::from_ms(3000);
 /// Reports kept for each server.
-const KEPT: usize = 16;
+const MAX_REPORTS: usize = 16;
 
 /// The server list as gateways read it.
 #[derive(Clone, Debug)]
@@ -27,7 +27,7 @@
     pub fn report(&mut self, now: Timestamp, server: usize) {
         let reports = &mut self.reports[server];
         reports.push_back(now);
-        if reports.len() > KEPT {
+        if reports.len() > MAX_REPORTS {
             reports.pop_front();
         }
     }
@@ -35,6 +35,6 @@
     /// Whether gateways see it now.
     pub fn shows(&self, now: Timestamp, server: usize) -> bool {
         let at = now.back(self.late);
-        self.reports[server].iter().any(|report| *report <= at && *report + LAPSE > at)
+        self.reports[server].iter().any(|report| *report <= at && *report + LISTING_DURATION > at)
     }
 }
--- a/crates/hazelspur-simulator/src/path/load.rs
+++ b/crates/hazelspur-simulator/src/path/load.rs
@@ -19,9 +19,9 @@
 /// Unread bytes of a connection; more is no answer of ours.
 const MAX_UNREAD: usize = 1 << 20;
 /// Timeout of a connect.
-const CONNECTING: StdDuration = StdDuration::from_millis(500);
+const CONNECT_TIMEOUT: StdDuration = StdDuration::from_millis(500);
 /// Timeout of a write.
-const WRITING: StdDuration = StdDuration::from_millis(500);
+const WRITE_TIMEOUT: StdDuration = StdDuration::from_millis(500);
 /// How often a reader looks whether it is to end, and the end whether all is answered.
 const LOOK: StdDuration = StdDuration::from_millis(50);
 /// Between two checks whether all answers came.
@@ -165,9 +165,9 @@
 impl Loop<'_> {
     fn connect(&mut self, place: usize) -> anyhow::Result<()> {
         anyhow::ensure!(self.readers.len() < MAX_LINKS, "{MAX_LINKS} connections were made");
-        let mut stream = TcpStream::connect_timeout(&self.address, CONNECTING)?;
+        let mut stream = TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT)?;
         stream.set_nodelay(true)?;
-        stream.set_write_timeout(Some(WRITING))?;
+        stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
         stream.set_read_timeout(Some(LOOK))?;
         stream.write_all(&self.wire.greeting())?;
         let reading = stream.try_clone()?;
--- a/crates/hazelspur-simulator/src/path/process.rs
+++ b/crates/hazelspur-simulator/src/path/process.rs
@@ -23,13 +23,13 @@
 use std::time::{Duration, Instant};
 
 /// Timeout of a server's start.
-const START: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// Timeout of a server's end.
-const END: Duration = Duration::from_secs(4);
+const END_TIMEOUT: Duration = Duration::from_secs(4);
 /// Between two health checks.
-const LOOK: Duration = Duration::from_millis(5);
+const HEALTH_CHECK_PERIOD: Duration = Duration::from_millis(5);
 /// Timeout of an answer.
-const ANSWER: Duration = Duration::from_secs(3);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Lines of a server's log that are shown where it failed.
 const LAST_LINES: usize = 5;
 /// Notices looked through for a probe's answer.
@@ -159,14 +159,14 @@
     /// # Errors
     /// Where it ends, or is not serving within 20 s; the last lines of its log are in the message.
     pub fn until_serving(&self) -> anyhow::Result<(Duration, Duration)> {
-        while self.began.elapsed() < START {
+        while self.began.elapsed() < START_TIMEOUT {
             ensure!(self.runs(), "the server ended: {}", self.last_words());
             if self.serving().unwrap_or(false) {
                 return Ok((self.began.elapsed(), self.cpu()?));
             }
-            sleep(LOOK);
+            sleep(HEALTH_CHECK_PERIOD);
         }
-        bail!("not serving within {} s: {}", START.as_secs(), self.last_words())
+        bail!("not serving within {} s: {}", START_TIMEOUT.as_secs(), self.last_words())
     }
 
     /// Gives the last tenant another quota in the file, `n` times more than one, and has the server read it again: how
@@ -188,7 +188,11 @@
         let mut stall = Duration::ZERO;
         kill(Pid::from_raw(self.id as i32), Signal::SIGHUP)?;
         while said()? == before {
-            ensure!(self.runs() && began.elapsed() < START, "no change in force: {}", self.last_words());
+            ensure!(
+                self.runs() && began.elapsed() < START_TIMEOUT,
+                "no change in force: {}",
+                self.last_words()
+            );
             let asked = Instant::now();
             ensure!(self.serving()?, "not serving");
             stall = stall.max(asked.elapsed());
@@ -198,7 +202,7 @@
 
     fn serving(&self) -> anyhow::Result<bool> {
         let mut stream = TcpStream::connect(self.address)?;
-        stream.set_read_timeout(Some(ANSWER))?;
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
         stream.write_all(HEALTH)?;
         let mut line = String::new();
         BufReader::new(&stream).read_line(&mut line)?;
@@ -214,7 +218,7 @@
     fn ask(&self, request_class: usize, tenant: usize) -> anyhow::Result<String> {
         let wire = GatewayWire::new(RUNS.fetch_add(1, Ordering::Relaxed) | 0x8000_0000, 30);
         let mut stream = TcpStream::connect(self.address)?;
-        stream.set_read_timeout(Some(ANSWER))?;
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
         let arrival = Arrival { at: hazelspur::Duration::ZERO, request_class, tenant };
         stream.write_all(&wire.request(0, &arrival))?;
         let mut reader = BufReader::new(&stream);
@@ -298,13 +302,17 @@
             // Not waited for yet, so the number is still its own.
             let _ = kill(Pid::from_raw(self.id as i32), Signal::SIGTERM);
         }
-        let until = Instant::now() + END;
+        let until = Instant::now() + END_TIMEOUT;
         while self.runs() && Instant::now() < until {
-            sleep(LOOK);
+            sleep(HEALTH_CHECK_PERIOD);
         }
         if let Some((mut child, folder)) = live().remove(&self.id) {
             if child.try_wait().ok().flatten().is_none() {
-                eprintln!("server {} did not leave within {} s and is killed", self.id, END.as_secs());
+                eprintln!(
+                    "server {} did not leave within {} s and is killed",
+                    self.id,
+                    END_TIMEOUT.as_secs()
+                );
                 let _ = child.kill();
                 let _ = child.wait();
             }
--- a/crates/hazelspur-simulator/src/simulation/server.rs
+++ b/crates/hazelspur-simulator/src/simulation/server.rs
@@ -5,7 +5,7 @@
 use super::{ONE_WAY_LATENCY, Simulation};
 use crate::models::cores::Cores;
 use crate::models::gateways::Asked;
-use crate::models::list::REPORT_EVERY;
+use crate::models::list::REPORT_PERIOD;
 use hazelspur::{
     AdmissionController, ClientId, NewRequest, Outcome, RequestClassId, RequestId, RuntimeGauges, TenantId,
     Timestamp,
@@ -66,7 +66,7 @@
         let controller = AdmissionController::new(catalog(&self.config, starts_cold), seed, now);
         self.servers[server].restart(&self.config, controller);
         self.start_coordinator(server, seed);
-        let first_report = REPORT_EVERY.scaled(self.random.unit());
+        let first_report = REPORT_PERIOD.scaled(self.random.unit());
         let incarnation = self.servers[server].incarnation;
         self.queue.schedule(now + first_report, Event::Report { server, incarnation });
         self.carry_out_decisions(server);
@@ -157,7 +157,7 @@
         if self.is_current(server, incarnation) && self.servers[server].controller.is_some() {
             let now = self.queue.now;
             self.list.report(now, server);
-            self.queue.schedule(now + REPORT_EVERY, Event::Report { server, incarnation });
+            self.queue.schedule(now + REPORT_PERIOD, Event::Report { server, incarnation });
         }
     }
 }
