--- a/crates/hazelspur-simulator/src/capacity/measured.rs
+++ b/crates/hazelspur-simulator/src/capacity/measured.rs
@@ -19,6 +19,7 @@
     pub points: Vec<Point>,
 }
 
+/// One measured figure.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Point {
     pub figure: String,
@@ -78,6 +79,7 @@
 }
 
 impl Fit {
+    /// The value of the line at this size.
     pub fn at(&self, size: f64) -> f64 {
         self.slope * size + self.base
     }
@@ -93,12 +95,13 @@
 
 impl Study {
     /// Errors name the key at fault.
-    pub fn read(text: &str) -> Result<Self, String> {
-        serde_json::from_str(text).map_err(|e| e.to_string())
+    pub fn read(text: &str) -> serde_json::Result<Self> {
+        serde_json::from_str(text)
     }
 }
 
 impl Measured {
+    /// Sorts the points of all studies into series.
     pub fn of(studies: Vec<Study>) -> Self {
         let mut series: BTreeMap<Of, Series> = BTreeMap::new();
         for study in &studies {
@@ -143,6 +146,7 @@
         self
     }
 
+    /// Sizes and values of the seeds that count.
     pub fn chosen(&self, seeds: Seeds) -> Vec<(f64, f64)> {
         if seeds == Seeds::All {
             return self.points.clone();
--- a/crates/hazelspur-simulator/src/capacity/report.rs
+++ b/crates/hazelspur-simulator/src/capacity/report.rs
@@ -16,6 +16,7 @@
     pub missing: Vec<KnownMissing>,
 }
 
+/// A row that is known to be over its budget.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KnownMissing {
@@ -26,13 +27,19 @@
     pub roadmap: String,
 }
 
+/// Why a list of known rows is refused; names the key at fault.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
+pub struct KnownError(String);
+
 impl Known {
     /// Errors name the key at fault.
-    pub fn read(text: &str) -> Result<Self, String> {
-        toml::from_str(text).map_err(|e| e.message().to_string())
+    pub fn read(text: &str) -> Result<Self, KnownError> {
+        toml::from_str(text).map_err(|error| KnownError(error.message().to_string()))
     }
 }
 
+/// How a row stands beside its budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
@@ -45,6 +52,7 @@
 }
 
 impl State {
+    /// Its name in tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Fits => "fits",
--- a/crates/hazelspur-simulator/src/models/list.rs
+++ b/crates/hazelspur-simulator/src/models/list.rs
@@ -3,10 +3,14 @@
 use hazelspur::{Duration, Timestamp};
 use std::collections::VecDeque;
 
-pub const REPORT_EVERY: Duration = Duration::from_ms(800);
-const LAPSE: Duration = Duration::from_ms(3000);
-const KEPT: usize = 16;
+/// Between two reports of a server.
+pub const REPORT_PERIOD: Duration = Duration::from_ms(800);
+/// How long a server stays listed after a report.
+const LISTING_DURATION: Duration = Duration::from_ms(3000);
+/// Reports kept for each server.
+const MAX_REPORTS: usize = 16;
 
+/// The server list as gateways read it.
 #[derive(Clone, Debug)]
 pub struct List {
     reports: Vec<VecDeque<Timestamp>>,
@@ -14,14 +18,16 @@
 }
 
 impl List {
+    /// A list that gateways read `late` later.
     pub fn new(servers: usize, late: Duration) -> Self {
         Self { reports: vec![VecDeque::new(); servers], late }
     }
 
+    /// Records a server's report.
     pub fn report(&mut self, now: Timestamp, server: usize) {
         let reports = &mut self.reports[server];
         reports.push_back(now);
-        if reports.len() > KEPT {
+        if reports.len() > MAX_REPORTS {
             reports.pop_front();
         }
     }
@@ -29,6 +35,6 @@
     /// Whether gateways see it now.
     pub fn shows(&self, now: Timestamp, server: usize) -> bool {
         let at = now.back(self.late);
-        self.reports[server].iter().any(|report| *report <= at && *report + LAPSE > at)
+        self.reports[server].iter().any(|report| *report <= at && *report + LISTING_DURATION > at)
     }
 }
--- a/crates/hazelspur-simulator/src/path/plan.rs
+++ b/crates/hazelspur-simulator/src/path/plan.rs
@@ -14,8 +14,11 @@
 pub const MAX_ARRIVALS: usize = 1_000_000;
 /// Cores of the runtime by the settings: the server admits by them, and is not to refuse here.
 const CORES: u32 = 16;
+/// Latency objective of each request class, in microseconds.
 const TARGET_US: u64 = 1_000_000;
+/// Request timeout of each request class, in microseconds.
 const OP_TIMEOUT_US: u64 = 3_000_000;
+/// Quota of each tenant, in requests a second.
 const QUOTA_PER_S: u32 = 10;
 /// From the notice to leave until the process ends.
 const STOP_MS: u64 = 400;
@@ -33,11 +36,26 @@
     }
 }
 
+/// A text that is no size of tables.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}: not op types x tenants, as in 87x420, each 1 to {MAX_ENTRIES}")]
+pub struct TableSizeError(String);
+
+/// A rate and length of which no plan follows.
+#[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
+#[error("{rate_per_s} ops a second for {length_s} s: not 0 to {MAX_ARRIVALS} ops")]
+pub struct ArrivalsError {
+    /// Requests a second.
+    pub rate_per_s: f64,
+    /// Length of the plan, in seconds.
+    pub length_s: f64,
+}
+
 impl FromStr for TableSize {
-    type Err = String;
+    type Err = TableSizeError;
 
-    fn from_str(text: &str) -> Result<Self, String> {
-        let wrong = || format!("{text}: not op types x tenants, as in 87x420, each 1 to {MAX_ENTRIES}");
+    fn from_str(text: &str) -> Result<Self, TableSizeError> {
+        let wrong = || TableSizeError(text.to_string());
         let (request_classes, tenants) = text.split_once('x').ok_or_else(wrong)?;
         let number = |text: &str| text.parse().ok().filter(|n| (1..=MAX_ENTRIES).contains(n));
         Ok(Self {
@@ -47,10 +65,12 @@
     }
 }
 
+/// The name of a request class by its number.
 pub fn op_type_name(number: usize) -> String {
     format!("route-{number}")
 }
 
+/// The name of a tenant by its number.
 pub fn tenant_name(number: usize) -> String {
     format!("tenant-{number}")
 }
@@ -118,10 +138,10 @@
     rate: f64,
     length: Duration,
     seed: u64,
-) -> Result<Vec<Arrival>, String> {
+) -> Result<Vec<Arrival>, ArrivalsError> {
     let wanted = rate * length.secs();
     if !(rate > 0.0 && wanted <= MAX_ARRIVALS as f64 * 0.9) {
-        return Err(format!("{rate} ops a second for {} s: not 0 to {MAX_ARRIVALS} ops", length.secs()));
+        return Err(ArrivalsError { rate_per_s: rate, length_s: length.secs() });
     }
     let mut chance = Pcg::new(seed);
     let pick = |of: usize, met: Option<usize>, unit: f64| {
