--- a/crates/hazelspur-fault-harness/src/lightweight/command.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/command.rs
@@ -27,7 +27,7 @@
     /// How many of them are real servers.
     #[arg(long, default_value_t = 24)]
     real: usize,
-    /// LightweightProcess members of a process.
+    /// Lightweight members of a process.
     #[arg(long, default_value_t = 200)]
     per_process: usize,
     /// From the start to the end of the window; longer where they agree late.
--- a/crates/hazelspur-fault-harness/src/lightweight/mod.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/mod.rs
@@ -106,7 +106,7 @@
     pub members: usize,
     /// Members that are real servers.
     pub real: usize,
-    /// LightweightProcess members of a process.
+    /// Lightweight members of a process.
     pub per_process: usize,
     /// All start within so long.
     pub spread: StdDuration,
--- a/crates/hazelspur-simulator/src/membership_protocols/foca.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/foca.rs
@@ -108,6 +108,7 @@
 }
 
 impl MembershipProtocol for FocaProtocol {
+    /// How this protocol is named in the printed tables.
     const NAME: &'static str = "foca";
     type Packet = Vec<u8>;
 
--- a/crates/hazelspur-simulator/src/membership_protocols/heartbeat.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/heartbeat.rs
@@ -76,6 +76,7 @@
 }
 
 impl MembershipProtocol for Heartbeat {
+    /// How this protocol is named in the printed tables.
     const NAME: &'static str = "heartbeats, two speakers a site";
     type Packet = HeartbeatMessage;
 
--- a/crates/hazelspur-simulator/src/membership_protocols/lightweight.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/lightweight.rs
@@ -62,6 +62,7 @@
 }
 
 impl MembershipProtocol for Lightweight {
+    /// How this protocol is named in the printed tables.
     const NAME: &'static str = "no machine";
     type Packet = Datagram;
 
--- a/crates/hazelspur-simulator/src/membership_protocols/swim.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/swim.rs
@@ -49,6 +49,7 @@
 }
 
 impl MembershipProtocol for Swim {
+    /// How this protocol is named in the printed tables.
     const NAME: &'static str = "own machine";
     type Packet = Datagram;
 
--- a/crates/hazelspur-simulator/src/membership_protocols/zoned.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/zoned.rs
@@ -60,6 +60,7 @@
 pub struct ZonedSwim(pub Swim);
 
 impl MembershipProtocol for ZonedSwim {
+    /// How this protocol is named in the printed tables.
     const NAME: &'static str = "members";
     type Packet = Datagram;
 
@@ -114,6 +115,7 @@
 }
 
 impl<const LIMITS: usize> MembershipProtocol for Together<LIMITS> {
+    /// How this protocol is named in the printed tables.
     const NAME: &'static str = "members, signals and shares";
     type Packet = Datagram;
 
--- a/crates/hazelspur-simulator/src/path/command.rs
+++ b/crates/hazelspur-simulator/src/path/command.rs
@@ -37,7 +37,7 @@
     #[arg(long)]
     pub server: Option<PathBuf>,
     /// Request classes of the large tables.
-    #[arg(long, default_value_t = LARGE.request_classes)]
+    #[arg(long = "op-types", default_value_t = LARGE.request_classes)]
     pub request_classes: usize,
     /// Tenants of the large tables.
     #[arg(long, default_value_t = LARGE.tenants)]
--- a/crates/hazelspur-simulator/src/studies/scale/mod.rs
+++ b/crates/hazelspur-simulator/src/studies/scale/mod.rs
@@ -83,6 +83,8 @@
     /// All situations, in the order of the table.
     pub const ALL: [Self; 4] = [Self::StormAndRest, Self::Zone, Self::Regions, Self::Bunch];
 
+    /// How it is named in the printed tables.
+
     pub fn name(self) -> &'static str {
         match self {
             Self::StormAndRest => "storm-and-rest",
@@ -105,6 +107,8 @@
     /// Both machines, in the order of the table.
     pub const ALL: [Self; 2] = [Self::Members, Self::Joint];
 
+    /// How it is named in the printed tables.
+
     pub fn name(self) -> &'static str {
         match self {
             Self::Members => "members",
