--- a/crates/hazelspur-simulator/src/studies/scale/mod.rs
+++ b/crates/hazelspur-simulator/src/studies/scale/mod.rs
@@ -84,7 +84,6 @@
     pub const ALL: [Self; 4] = [Self::StormAndRest, Self::Zone, Self::Regions, Self::Bunch];
 
     /// How it is named in the printed tables.
-
     pub fn name(self) -> &'static str {
         match self {
             Self::StormAndRest => "storm-and-rest",
@@ -108,7 +107,6 @@
     pub const ALL: [Self; 2] = [Self::Members, Self::Joint];
 
     /// How it is named in the printed tables.
-
     pub fn name(self) -> &'static str {
         match self {
             Self::Members => "members",
