--- a/crates/hazelspur-adapter/src/main.rs
+++ b/crates/hazelspur-adapter/src/main.rs
@@ -1,8 +1,10 @@
-//! Hosts one `hazelspur::Logic` for each server of the bench, on standard input and output.
+//! Hosts one `hazelspur::AdmissionController` for each server of the bench, on standard input and output.
 
 mod wire;
 
-use hazelspur::{CallerId, Logic, Moment, OpTypeId, Span, TenantId, UserKey};
+use hazelspur::{
+    AdmissionController, ClientId, Duration, NewRequest, RequestClassId, SessionKey, TenantId, Timestamp,
+};
 use hazelspur_parsers::{Json, settings};
 use std::any::Any;
 use std::cell::RefCell;
@@ -16,8 +18,8 @@
 /// The instances, and what has been read of the batch in hand.
 #[derive(Default)]
 struct Host {
-    instances: BTreeMap<String, Logic>,
-    now: Option<Moment>,
+    instances: BTreeMap<String, AdmissionController>,
+    now: Option<Timestamp>,
     selected: Option<String>,
     /// Instances with an event in this batch, in order of appearance, with what went wrong for each.
     touched: Vec<(String, Option<String>)>,
@@ -93,7 +95,7 @@
         match (name, self.now) {
             ("BATCH", Some(_)) => return Err(plain("BATCH within a batch".into())),
             ("BATCH", None) => {
-                self.now = Some(Moment::from_us(fields.need("at-time-us").map_err(plain)?));
+                self.now = Some(Timestamp::from_us(fields.need("at-time-us").map_err(plain)?));
             }
             ("", None) => {}
             (_, None) => return Err(plain("line outside a batch".into())),
@@ -114,26 +116,32 @@
         Ok(())
     }
 
-    fn take_event(&mut self, server: &str, now: Moment, name: &str, fields: Fields) -> Result<(), Trouble> {
+    fn take_event(
+        &mut self,
+        server: &str,
+        now: Timestamp,
+        name: &str,
+        fields: Fields,
+    ) -> Result<(), Trouble> {
         let known = self.instances.contains_key(server).then(|| server.to_string());
         if name == "ENLIST" {
-            let start = || -> Result<Logic, String> {
+            let start = || -> Result<AdmissionController, String> {
                 let seed = fields.need("salt")?;
                 let info = fields.rest("boot-info").ok_or("field boot-info is missing")?;
                 let object = Json::parse(info.as_bytes()).ok_or("field boot-info is unreadable")?;
                 let catalog = settings::catalog(object)?;
                 let cold = catalog.facts.num("server.cold", 0.0) > 0.0;
                 let catalog = Rc::new(RefCell::new(catalog));
-                catch_unwind(AssertUnwindSafe(|| Logic::with(catalog, cold, seed, now)))
+                catch_unwind(AssertUnwindSafe(|| AdmissionController::with(catalog, cold, seed, now)))
                     .map_err(|p| panic_text(&*p))
             };
-            let logic = start().map_err(|text| Trouble { text, instance: Some(server.into()) })?;
-            self.instances.insert(server.into(), logic);
+            let controller = start().map_err(|text| Trouble { text, instance: Some(server.into()) })?;
+            self.instances.insert(server.into(), controller);
             self.touched.retain(|(touched, _)| touched != server);
             self.touch(server, None);
             return Ok(());
         }
-        let Some(logic) = self.instances.get_mut(server) else {
+        let Some(controller) = self.instances.get_mut(server) else {
             return Err(Trouble { text: format!("event for unknown instance {server}"), instance: None });
         };
         if name == "EXIT" {
@@ -141,7 +149,7 @@
             self.touched.retain(|(touched, _)| touched != server);
             return Ok(());
         }
-        let heard = catch_unwind(AssertUnwindSafe(|| hear(logic, now, name, fields)));
+        let heard = catch_unwind(AssertUnwindSafe(|| hear(controller, now, name, fields)));
         self.touch(server, None);
         match heard {
             Ok(Ok(())) => Ok(()),
@@ -166,9 +174,9 @@
                 tell(reply, &|r| r.push_str(&give_in(&text)));
                 continue;
             }
-            let Some(logic) = self.instances.get_mut(&server) else { continue };
+            let Some(controller) = self.instances.get_mut(&server) else { continue };
             loop {
-                match catch_unwind(AssertUnwindSafe(|| logic.next_decision(now))) {
+                match catch_unwind(AssertUnwindSafe(|| controller.next_decision(now))) {
                     Ok(Some(decision)) => tell(reply, &|r| wire::write_decision(r, &decision)),
                     Ok(None) => break,
                     Err(panic) => {
@@ -183,35 +191,40 @@
     }
 }
 
-fn hear(logic: &mut Logic, now: Moment, name: &str, fields: Fields) -> Result<(), String> {
+fn hear(
+    controller: &mut AdmissionController,
+    now: Timestamp,
+    name: &str,
+    fields: Fields,
+) -> Result<(), String> {
     match name {
         "CALL" => {
             let bits: u32 = fields.optional("bits")?.unwrap_or(0);
-            let due = fields.optional("give-up-at-us")?.filter(|at| *at > 0).map(Moment::from_us);
-            let cost = fields.optional("cost-us")?.filter(|_| bits & 1 != 0).map(Span::from_us);
-            let repeat_of = match fields.get("prior") {
+            let due = fields.optional("give-up-at-us")?.filter(|at| *at > 0).map(Timestamp::from_us);
+            let cost = fields.optional("cost-us")?.filter(|_| bits & 1 != 0).map(Duration::from_us);
+            let retry_of = match fields.get("prior") {
                 None | Some("0" | "") => None,
-                Some(_) => Some(fields.op("prior")?),
+                Some(_) => Some(fields.request("prior")?),
             };
-            logic.op_read(
-                now,
-                fields.op("request-id")?,
-                OpTypeId(fields.need("class")?),
-                TenantId(fields.optional("realm")?.unwrap_or(0)),
-                fields.get("name-key").filter(|key| !key.is_empty()).map(UserKey::of),
-                CallerId(fields.optional("neighbour")?.unwrap_or(0)),
-                due,
+            let new = NewRequest {
+                id: fields.request("request-id")?,
+                class: RequestClassId(fields.need("class")?),
+                tenant: TenantId(fields.optional("realm")?.unwrap_or(0)),
+                session: fields.get("name-key").filter(|key| !key.is_empty()).map(SessionKey::of),
+                client: ClientId(fields.optional("neighbour")?.unwrap_or(0)),
+                deadline: due,
                 cost,
-                fields.number("kb", 0.0)?,
-                Span::from_us(fields.optional("age-us")?.unwrap_or(0)),
-                bits & 4 != 0,
-                repeat_of,
-            );
+                size_kb: fields.number("kb", 0.0)?,
+                age: Duration::from_us(fields.optional("age-us")?.unwrap_or(0)),
+                is_write: bits & 4 != 0,
+                retry_of,
+            };
+            controller.request_received(now, new);
         }
-        "WANTS_CALL" => logic.call_wanted(now, fields.op("request-id")?),
-        "DEP_REPLY" => logic.call_ended(now, fields.op("request-id")?, wire::outcome(fields)?),
-        "COMPLETED" => logic.run_ended(now, fields.op("request-id")?, wire::outcome(fields)?),
-        "DROPPED" => logic.op_gone(fields.op("request-id")?),
+        "WANTS_CALL" => controller.call_requested(now, fields.request("request-id")?),
+        "DEP_REPLY" => controller.call_finished(now, fields.request("request-id")?, wire::outcome(fields)?),
+        "COMPLETED" => controller.run_finished(now, fields.request("request-id")?, wire::outcome(fields)?),
+        "DROPPED" => controller.request_abandoned(fields.request("request-id")?),
         "TIMER" => {
             let gauges = fields.get("telemetry").unwrap_or("");
             let read = |pair: &str| {
@@ -223,9 +236,9 @@
             let gauges = gauges.ok_or("field telemetry is unreadable")?;
             let named: Vec<(&str, f64)> =
                 gauges.iter().map(|(name, value)| (name.as_str(), *value)).collect();
-            logic.timer(now, &named);
+            controller.timer(now, &named);
         }
-        "QUIESCE" => logic.leave_notice(now, Moment::from_us(fields.need("give-up-at-us")?)),
+        "QUIESCE" => controller.shutdown_notice(now, Timestamp::from_us(fields.need("give-up-at-us")?)),
         _ => {}
     }
     Ok(())
--- a/crates/hazelspur-adapter/src/wire.rs
+++ b/crates/hazelspur-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! The wire's lines, read in place.
 
-use hazelspur::{Decision, OpId, Outcome};
+use hazelspur::{Decision, Outcome, RequestId};
 use std::fmt::Write;
 
 /// A message's fields, looked up where they stand.
@@ -34,9 +34,9 @@
         if n.is_finite() && n >= 0.0 { Ok(n) } else { Err(format!("field {name} is unreadable: {n}")) }
     }
 
-    pub fn op(self, name: &str) -> Result<OpId, String> {
+    pub fn request(self, name: &str) -> Result<RequestId, String> {
         let text = self.get(name).ok_or_else(|| format!("field {name} is missing"))?;
-        OpId::parse(text).ok_or_else(|| format!("field {name} is unreadable: {text}"))
+        RequestId::parse(text).ok_or_else(|| format!("field {name} is unreadable: {text}"))
     }
 }
 
@@ -45,12 +45,12 @@
     Ok(match code {
         0 => Outcome::Ok,
         255 => Outcome::Error,
-        254 => Outcome::Full,
+        254 => Outcome::Rejected,
         253 => Outcome::TimedOut,
-        252 => Outcome::Unreached,
-        251 => Outcome::Broken,
-        250 => Outcome::Stopped,
-        249 => Outcome::Moot,
+        252 => Outcome::Unreachable,
+        251 => Outcome::ConnectionLost,
+        250 => Outcome::Preempted,
+        249 => Outcome::NeverStarted,
         _ => return Err(format!("field disposition is unreadable: {code}")),
     })
 }
@@ -58,28 +58,28 @@
 pub fn write_decision(reply: &mut String, decision: &Decision) {
     let flag = |b: bool| u8::from(b);
     let line = match decision {
-        Decision::Run(op) => writeln!(reply, "ADMIT request-id={op}"),
-        Decision::Stop(op) => writeln!(reply, "HALT request-id={op}"),
-        Decision::Nack { op, come_back, nowhere_else } => {
-            let (wait, last) = (come_back.us(), flag(*nowhere_else));
-            writeln!(reply, "DENY request-id={op} hold-off-us={wait} terminal={last}")
+        Decision::Run(request) => writeln!(reply, "ADMIT request-id={request}"),
+        Decision::Preempt(request) => writeln!(reply, "HALT request-id={request}"),
+        Decision::Reject { request, retry_after, do_not_retry_elsewhere } => {
+            let (wait, last) = (retry_after.us(), flag(*do_not_retry_elsewhere));
+            writeln!(reply, "DENY request-id={request} hold-off-us={wait} terminal={last}")
         }
-        Decision::Fail(op) => writeln!(reply, "ABORT request-id={op}"),
-        Decision::AnswerFrom(op) => writeln!(reply, "ANSWER_FROM request-id={op}"),
-        Decision::Call { op, patience } => {
-            writeln!(reply, "GO_CALL request-id={op} patience-us={}", patience.us())
+        Decision::Fail(request) => writeln!(reply, "ABORT request-id={request}"),
+        Decision::AnswerFromOriginal(request) => writeln!(reply, "ANSWER_FROM request-id={request}"),
+        Decision::StartCall { request, timeout } => {
+            writeln!(reply, "GO_CALL request-id={request} patience-us={}", timeout.us())
         }
-        Decision::SkipCall(op) => writeln!(reply, "FALL_BACK request-id={op}"),
-        Decision::KeepKey { op, span } => {
-            writeln!(reply, "RECORD_KEY request-id={op} hold-for-us={}", span.us())
+        Decision::SkipCall(request) => writeln!(reply, "FALL_BACK request-id={request}"),
+        Decision::StoreKey { request, window } => {
+            writeln!(reply, "RECORD_KEY request-id={request} hold-for-us={}", window.us())
         }
-        Decision::DropKey(op) => writeln!(reply, "RELEASE_KEY request-id={op}"),
-        Decision::Say(x) => writeln!(reply, "SAY x={x}"),
-        Decision::Health { good, from_store } => {
-            writeln!(reply, "SET_HEALTH active={} cached={}", flag(*good), flag(*from_store))
+        Decision::RemoveKey(request) => writeln!(reply, "RELEASE_KEY request-id={request}"),
+        Decision::AdvertiseCapacity(x) => writeln!(reply, "SAY x={x}"),
+        Decision::SetHealth { active, cached } => {
+            writeln!(reply, "SET_HEALTH active={} cached={}", flag(*active), flag(*cached))
         }
-        Decision::CloseIdle(span) => writeln!(reply, "KEEPALIVE hold-for-us={}", span.us()),
-        Decision::Wake(at) => writeln!(reply, "REMIND fire-at-us={} nonce=beat", at.us()),
+        Decision::SetIdleTimeout(span) => writeln!(reply, "KEEPALIVE hold-for-us={}", span.us()),
+        Decision::SetTimer(at) => writeln!(reply, "REMIND fire-at-us={} nonce=beat", at.us()),
         Decision::Log(text) => writeln!(reply, "RECORD message={text}"),
     };
     line.expect("a string takes any text");
--- a/crates/hazelspur-amqp/src/session.rs
+++ b/crates/hazelspur-amqp/src/session.rs
@@ -10,23 +10,23 @@
 use crate::properties::Properties;
 use crate::table::{Table, TableWriter};
 use crate::wire::{Malformed, Wire, put_long_bytes, put_short_text};
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 use hazelspur_parsers::Buffer;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// The largest body taken; a larger one is counted past and handed over as oversized.
-pub const MOST_BODY: usize = 256 * 1024;
+pub const MAX_BODY: usize = 256 * 1024;
 /// What a body may reserve before its bytes come.
 const BODY_AT_FIRST: usize = 16 * 1024;
 /// Within this a message that has begun is whole.
-const WHOLE_MESSAGE: Span = Span::from_ms(20_000);
+const WHOLE_MESSAGE: Duration = Duration::from_ms(20_000);
 /// Within this a connection is open, or closed after `connection.close`.
-const HANDSHAKE: Span = Span::from_ms(10_000);
-const GOODBYE: Span = Span::from_ms(2000);
+const HANDSHAKE: Duration = Duration::from_ms(10_000);
+const GOODBYE: Duration = Duration::from_ms(2000);
 /// A silence found too long is looked at once more after this: the machine may have stood still.
-const SECOND_LOOK: Span = Span::from_ms(250);
+const SECOND_LOOK: Duration = Duration::from_ms(250);
 /// Fences and windows that may be unanswered on a channel.
-const MOST_ASKED: usize = 1024;
+const MAX_ASKED: usize = 1024;
 /// Why a connection or a channel is closed (specification, constants).
 const SYNTAX: u16 = 502;
 const UNEXPECTED: u16 = 505;
@@ -43,7 +43,7 @@
     /// Shown to the broker's operator.
     pub name: String,
     /// Zero for none; the smaller wish of both sides holds.
-    pub heartbeat: Span,
+    pub heartbeat: Duration,
     pub longest_frame: u32,
     /// Deliveries that may be unsettled on one channel, whatever the broker sends.
     pub most_unsettled: usize,
@@ -56,7 +56,7 @@
     fn open(&mut self) {}
     /// The broker has taken the consumer, or the publishing channel is in confirm mode.
     fn ready(&mut self, channel: u16);
-    /// `body` is `None` where it was larger than `MOST_BODY`.
+    /// `body` is `None` where it was larger than `MAX_BODY`.
     fn delivered(
         &mut self,
         channel: u16,
@@ -126,7 +126,7 @@
     left: Option<u64>,
     oversized: bool,
     body: Vec<u8>,
-    began: Moment,
+    began: Timestamp,
 }
 
 struct Channel {
@@ -143,15 +143,15 @@
 pub struct Session {
     terms: Terms,
     phase: Phase,
-    since: Moment,
+    since: Timestamp,
     buffer: Buffer,
     out: Vec<u8>,
     channels: BTreeMap<u16, Channel>,
     longest_frame: usize,
-    heartbeat: Span,
-    heard: Moment,
-    spoke: Moment,
-    suspect: Option<Moment>,
+    heartbeat: Duration,
+    heard: Timestamp,
+    spoke: Timestamp,
+    suspect: Option<Timestamp>,
     challenged: bool,
     ended: Option<String>,
     refused: bool,
@@ -168,7 +168,7 @@
 }
 
 impl Session {
-    pub fn new(terms: Terms, now: Moment) -> Self {
+    pub fn new(terms: Terms, now: Timestamp) -> Self {
         Self {
             longest_frame: terms.longest_frame.max(LEAST_FRAME) as usize,
             terms,
@@ -177,7 +177,7 @@
             buffer: Buffer::default(),
             out: PROTOCOL_HEADER.to_vec(),
             channels: BTreeMap::new(),
-            heartbeat: Span::ZERO,
+            heartbeat: Duration::ZERO,
             heard: now,
             spoke: now,
             suspect: None,
@@ -208,7 +208,7 @@
     }
 
     /// What is to be written now; the caller takes it all.
-    pub fn out(&mut self, now: Moment) -> Vec<u8> {
+    pub fn out(&mut self, now: Timestamp) -> Vec<u8> {
         if !self.out.is_empty() {
             self.spoke = now;
         }
@@ -222,7 +222,7 @@
     // ---- what came ----
 
     /// Takes all whole frames that are in the buffer.
-    pub fn take(&mut self, now: Moment, listener: &mut impl Listener) {
+    pub fn take(&mut self, now: Timestamp, listener: &mut impl Listener) {
         self.heard = now;
         self.suspect = None;
         let mut buffer = std::mem::take(&mut self.buffer);
@@ -261,14 +261,14 @@
     }
 
     /// The broker did what it may not do: one close, and nothing more is taken but its answer.
-    fn fault(&mut self, now: Moment, code: u16, why: &'static str) {
+    fn fault(&mut self, now: Timestamp, code: u16, why: &'static str) {
         if !matches!(self.phase, Phase::Closing | Phase::Over) {
             self.ended = Some(format!("fault of the broker: {why}"));
             self.send_close(now, code, why);
         }
     }
 
-    fn send_close(&mut self, now: Moment, code: u16, why: &str) {
+    fn send_close(&mut self, now: Timestamp, code: u16, why: &str) {
         if self.phase == Phase::Started {
             return self.end(why.into());
         }
@@ -283,7 +283,7 @@
 
     fn frame(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         kind: u8,
         channel: u16,
         payload: &[u8],
@@ -394,7 +394,7 @@
         let frame = least(u64::from(frame), u64::from(self.terms.longest_frame)) as u32;
         let beat = least(u64::from(beat), self.terms.heartbeat.us().div_ceil(1_000_000)) as u16;
         self.longest_frame = frame as usize;
-        self.heartbeat = Span::from_ms(u64::from(beat) * 1000);
+        self.heartbeat = Duration::from_ms(u64::from(beat) * 1000);
         frames::put_method(&mut self.out, 0, 10, 31, |out| {
             out.extend_from_slice(&channels.to_be_bytes());
             out.extend_from_slice(&frame.to_be_bytes());
@@ -409,7 +409,7 @@
 
     fn channel_method(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         number: u16,
         wire: &mut Wire<'_>,
         listener: &mut impl Listener,
@@ -547,7 +547,7 @@
                 }
                 content.properties = wire.0.to_vec();
                 content.left = Some(size);
-                content.oversized = size > MOST_BODY as u64;
+                content.oversized = size > MAX_BODY as u64;
                 if !content.oversized {
                     content.body.reserve((size as usize).min(BODY_AT_FIRST));
                 }
@@ -585,14 +585,14 @@
     // ---- time ----
 
     /// When `tick` is wanted next.
-    pub fn next_tick(&self) -> Option<Moment> {
+    pub fn next_tick(&self) -> Option<Timestamp> {
         let handshake = match self.phase {
             Phase::Started | Phase::Tuning | Phase::Opening => Some(self.since + HANDSHAKE),
             Phase::Closing => Some(self.since + GOODBYE),
             Phase::Open => None,
             Phase::Over => return None,
         };
-        let beats = self.heartbeat > Span::ZERO;
+        let beats = self.heartbeat > Duration::ZERO;
         let speak = beats.then(|| self.spoke + self.heartbeat.scaled(0.5));
         let hear = beats.then(|| self.suspect.unwrap_or(self.heard + self.heartbeat.scaled(2.0)));
         let began = |channel: &Channel| channel.content.as_ref().map(|content| content.began + WHOLE_MESSAGE);
@@ -600,7 +600,7 @@
         [handshake, speak, hear, whole].into_iter().flatten().min()
     }
 
-    pub fn tick(&mut self, now: Moment) {
+    pub fn tick(&mut self, now: Timestamp) {
         let late = match self.phase {
             Phase::Started | Phase::Tuning | Phase::Opening => now >= self.since + HANDSHAKE,
             Phase::Closing => now >= self.since + GOODBYE,
@@ -614,7 +614,7 @@
         if self.channels.values().any(began) {
             return self.fault(now, UNEXPECTED, "a message that does not end");
         }
-        if self.heartbeat == Span::ZERO {
+        if self.heartbeat == Duration::ZERO {
             return;
         }
         if now >= self.spoke + self.heartbeat.scaled(0.5) {
@@ -664,7 +664,7 @@
     pub fn window(&mut self, number: u16, window: u16) {
         if let Some(channel) = self.channels.get_mut(&number)
             && matches!(channel.phase, ChannelPhase::Ready)
-            && channel.asked.len() < MOST_ASKED
+            && channel.asked.len() < MAX_ASKED
         {
             if let Use::Consume { window: kept, .. } = &mut channel.purpose {
                 *kept = window.max(1);
@@ -679,7 +679,7 @@
     pub fn fence(&mut self, number: u16, fence: u64) -> bool {
         let Some(channel) = self.channels.get_mut(&number) else { return false };
         let Use::Consume { window, .. } = channel.purpose else { return false };
-        let fits = channel.phase != ChannelPhase::Closing && channel.asked.len() < MOST_ASKED;
+        let fits = channel.phase != ChannelPhase::Closing && channel.asked.len() < MAX_ASKED;
         if fits {
             put_qos(&mut self.out, number, window, Asked::Fence(fence), channel);
         }
@@ -776,7 +776,7 @@
     }
 
     /// Closes the connection in good order; the broker's answer shows that it has read all before.
-    pub fn close(&mut self, now: Moment) {
+    pub fn close(&mut self, now: Timestamp) {
         if !matches!(self.phase, Phase::Closing | Phase::Over) {
             self.send_close(now, DONE, "leaving");
         }
@@ -791,7 +791,7 @@
 const NUMBER: &str = "x-hazelspur-number";
 
 impl Content {
-    fn begun(now: Moment, tag: u64, redelivered: bool, returned: bool, routing_key: String) -> Self {
+    fn begun(now: Timestamp, tag: u64, redelivered: bool, returned: bool, routing_key: String) -> Self {
         let (properties, body) = (Vec::new(), Vec::new());
         let (left, oversized, began) = (None, false, now);
         Self { tag, redelivered, returned, routing_key, properties, left, oversized, body, began }
--- a/crates/hazelspur-amqp/src/table.rs
+++ b/crates/hazelspur-amqp/src/table.rs
@@ -3,9 +3,9 @@
 use crate::wire::{Malformed, Wire, put_long_bytes, put_short_text};
 
 /// Tables and arrays within each other; deeper ones are refused before they are entered.
-pub const MOST_DEPTH: usize = 8;
+pub const MAX_DEPTH: usize = 8;
 /// Fields in one table with all that it holds.
-pub const MOST_FIELDS: usize = 512;
+pub const MAX_FIELDS: usize = 512;
 
 /// A table that has been found well-formed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -48,7 +48,7 @@
     /// Reads a table's length and then the table.
     pub fn read(wire: &mut Wire<'a>) -> Result<Self, Malformed> {
         let table = Table(wire.long_bytes()?);
-        table.check(0, &mut MOST_FIELDS.clone())?;
+        table.check(0, &mut MAX_FIELDS.clone())?;
         Ok(table)
     }
 
@@ -88,7 +88,7 @@
 fn check_value(wire: &mut Wire<'_>, depth: usize, fields_left: &mut usize) -> Result<(), Malformed> {
     *fields_left = fields_left.checked_sub(1).ok_or(Malformed("too many fields in a table"))?;
     match wire.0.first() {
-        Some(b'F' | b'A') if depth + 1 >= MOST_DEPTH => Err(Malformed("a table is nested too deep")),
+        Some(b'F' | b'A') if depth + 1 >= MAX_DEPTH => Err(Malformed("a table is nested too deep")),
         Some(b'F') => {
             wire.u8()?;
             Table(wire.long_bytes()?).check(depth + 1, fields_left)
--- a/crates/hazelspur-deliveries/src/book.rs
+++ b/crates/hazelspur-deliveries/src/book.rs
@@ -12,19 +12,19 @@
 
 use crate::memory::{Known, Memory};
 use crate::settlement::{Ending, Settlement, Table};
-use hazelspur::Repeats;
-use hazelspur::{Moment, Span};
+use hazelspur::Idempotency;
+use hazelspur::{Duration, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
 /// A delivery is settled as expired this long before its time is over; the module's own beat is shorter.
-pub const EXPIRY_MARGIN: Span = Span::from_ms(80);
+pub const EXPIRY_MARGIN: Duration = Duration::from_ms(80);
 /// A confirm that has not come by then is not waited for.
-pub const CONFIRM_WITHIN: Span = Span::from_ms(5000);
+pub const CONFIRM_WITHIN: Duration = Duration::from_ms(5000);
 /// Replies of lost connections that wait for the next one; past this the oldest is dropped.
-pub const MOST_ORPHANS: usize = 1024;
+pub const MAX_ORPHANS: usize = 1024;
 /// The longest that a closed gate keeps a delivery.
-const LONGEST_GATE: Span = Span::from_ms(5000);
+const LONGEST_GATE: Duration = Duration::from_ms(5000);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueId(pub usize);
@@ -60,9 +60,9 @@
     pub queue: QueueId,
     pub message: Option<&'a str>,
     pub redelivered: bool,
-    /// Its op type's, or why it is no op.
-    pub repeats: Result<Repeats, Ending>,
-    pub due: Option<Moment>,
+    /// Its request class's, or why it is no request.
+    pub repeats: Result<Idempotency, Ending>,
+    pub due: Option<Timestamp>,
     /// Somebody asked for a reply.
     pub reply: bool,
     /// How often it was tried before, as far as its headers tell.
@@ -71,11 +71,11 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Begin the op's life.
+    /// Begin the request's life.
     Offer(DeliveryId),
-    /// Nobody waits for this op any more.
+    /// Nobody waits for this request any more.
     Withdraw(DeliveryId),
-    /// The op whose run was decided may begin, or never will.
+    /// The request whose run was decided may begin, or never will.
     Begin(DeliveryId, bool),
     Ack(Tag),
     Reject(Tag),
@@ -83,7 +83,7 @@
     /// Tell once the broker has read all that was sent on this channel.
     Fence(Tag, DeliveryId),
     Reply(DeliveryId, Ending, Rc<[u8]>),
-    Retry(DeliveryId, Span, u32),
+    Retry(DeliveryId, Duration, u32),
     /// Whatever is kept for it may go.
     Forget(DeliveryId, Ending),
 }
@@ -101,11 +101,11 @@
     Running,
     /// A reply or a copy for the retry queue is to go out, or is out since.
     Publishing {
-        copy: Option<Span>,
-        out: Option<Moment>,
+        copy: Option<Duration>,
+        out: Option<Timestamp>,
     },
     /// Goes back to its queue then.
-    Waiting(Moment),
+    Waiting(Timestamp),
 }
 
 impl Phase {
@@ -121,8 +121,8 @@
     /// Whether the tag is to be settled yet: no longer once it is, or once its channel is lost.
     open: bool,
     message: Option<Rc<str>>,
-    repeats: Repeats,
-    due: Option<Moment>,
+    repeats: Idempotency,
+    due: Option<Timestamp>,
     reply: bool,
     tries: u32,
     phase: Phase,
@@ -132,8 +132,8 @@
     result: Rc<[u8]>,
     returned: bool,
     /// Where it stands in `times`.
-    look: Option<Moment>,
-    offered: Moment,
+    look: Option<Timestamp>,
+    offered: Timestamp,
 }
 
 impl Delivery {
@@ -166,13 +166,13 @@
 #[derive(Clone, Debug)]
 struct Gate {
     duty: f64,
-    opens: Moment,
+    opens: Timestamp,
     queued: VecDeque<DeliveryId>,
 }
 
 impl Default for Gate {
     fn default() -> Self {
-        Self { duty: 1.0, opens: Moment::default(), queued: VecDeque::new() }
+        Self { duty: 1.0, opens: Timestamp::default(), queued: VecDeque::new() }
     }
 }
 
@@ -182,7 +182,7 @@
     pub memory: Memory,
     deliveries: BTreeMap<DeliveryId, Delivery>,
     /// By when each has to be looked at.
-    times: BTreeSet<(Moment, DeliveryId)>,
+    times: BTreeSet<(Timestamp, DeliveryId)>,
     last: u64,
     steps: VecDeque<Step>,
     /// Whether something can be published now, and what waits for it.
@@ -215,7 +215,7 @@
     // ---- inputs ----
 
     /// A delivery was read; its id, under which its parts are to be kept until `Forget`.
-    pub fn arrived(&mut self, now: Moment, came: Arrived<'_>) -> DeliveryId {
+    pub fn arrived(&mut self, now: Timestamp, came: Arrived<'_>) -> DeliveryId {
         self.last += 1;
         self.figures.read += 1;
         let id = DeliveryId(self.last);
@@ -225,7 +225,7 @@
             tag: came.tag,
             open: true,
             message: message.clone(),
-            repeats: came.repeats.unwrap_or(Repeats::NonRetryable),
+            repeats: came.repeats.unwrap_or(Idempotency::NonIdempotent),
             due: came.due,
             reply: came.reply,
             tries: came.tries,
@@ -265,7 +265,7 @@
             }
             _ if self.past(now, id) => self.finish(now, id, Ending::Expired, &[].into()),
             _ if came.redelivered
-                && repeats != Repeats::Retryable
+                && repeats != Idempotency::Idempotent
                 && !self.queues[came.queue.0].settle_first =>
             {
                 self.figures.doubtful += 1;
@@ -324,7 +324,7 @@
         self.gates[queue.0].duty = duty;
     }
 
-    fn offer(&mut self, now: Moment, id: DeliveryId) {
+    fn offer(&mut self, now: Timestamp, id: DeliveryId) {
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
         let gate = &mut self.gates[delivery.queue.0];
         if gate.duty < 1.0 {
@@ -341,7 +341,7 @@
     }
 
     /// Offers what a gate kept, one at a time while the queue's window is under 1.
-    fn open_gates(&mut self, now: Moment) -> bool {
+    fn open_gates(&mut self, now: Timestamp) -> bool {
         for queue in 0..self.gates.len() {
             let busy = self.gates[queue].duty < 1.0 && self.busy(queue);
             let gate = &mut self.gates[queue];
@@ -361,7 +361,7 @@
     }
 
     /// The module has its run decided: `Begin` says whether it may.
-    pub fn run_decided(&mut self, now: Moment, id: DeliveryId) {
+    pub fn run_decided(&mut self, now: Timestamp, id: DeliveryId) {
         let settle_first = self.settles_first(id);
         let past = self.past(now, id);
         let Some(delivery) = self.deliveries.get_mut(&id) else {
@@ -384,7 +384,7 @@
     }
 
     /// The broker has read the ack that went before this delivery's run.
-    pub fn fenced(&mut self, now: Moment, id: DeliveryId) {
+    pub fn fenced(&mut self, now: Timestamp, id: DeliveryId) {
         if self.deliveries.get(&id).is_none_or(|d| d.phase != Phase::Proving) {
             return;
         }
@@ -399,20 +399,20 @@
         self.steps.push_back(Step::Begin(id, true));
     }
 
-    fn never_runs(&mut self, now: Moment, id: DeliveryId) {
+    fn never_runs(&mut self, now: Timestamp, id: DeliveryId) {
         self.steps.push_back(Step::Begin(id, false));
         self.finish(now, id, Ending::Expired, &[].into());
     }
 
-    /// Its op has its final answer.
-    pub fn ended(&mut self, now: Moment, id: DeliveryId, ending: Ending, result: &Rc<[u8]>) {
+    /// Its request has its final answer.
+    pub fn ended(&mut self, now: Timestamp, id: DeliveryId, ending: Ending, result: &Rc<[u8]>) {
         if self.deliveries.get(&id).is_some_and(|delivery| delivery.phase.with_module()) {
             self.finish(now, id, ending, result);
         }
     }
 
     /// The broker has taken what was published for this delivery, or refuses it.
-    pub fn confirmed(&mut self, now: Moment, id: DeliveryId, taken: bool) {
+    pub fn confirmed(&mut self, now: Timestamp, id: DeliveryId, taken: bool) {
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
         let Phase::Publishing { copy, .. } = delivery.phase else { return };
         let arrived = taken && !delivery.returned;
@@ -464,7 +464,7 @@
 
     /// The broker has closed the channel for what it was given: all that was to go out counts as refused,
     /// since any of it may be the cause.
-    pub fn publishing_refused(&mut self, now: Moment) {
+    pub fn publishing_refused(&mut self, now: Timestamp) {
         let publishing = |d: &Delivery| matches!(d.phase, Phase::Publishing { .. });
         let ids: Vec<DeliveryId> =
             self.deliveries.iter().filter(|(_, d)| publishing(d)).map(|(id, _)| *id).collect();
@@ -509,7 +509,7 @@
         let orphan = |d: &Delivery| !d.open && matches!(d.phase, Phase::Publishing { .. });
         let orphans: Vec<DeliveryId> =
             self.deliveries.iter().filter(|(_, d)| orphan(d)).map(|(id, _)| *id).collect();
-        for id in orphans.iter().take(orphans.len().saturating_sub(MOST_ORPHANS)) {
+        for id in orphans.iter().take(orphans.len().saturating_sub(MAX_ORPHANS)) {
             self.figures.replies_lost += 1;
             self.settle_final(*id);
         }
@@ -525,7 +525,7 @@
     }
 
     /// From now on what is read goes back at once, and so does what waits here for its time.
-    pub fn leave_notice(&mut self) {
+    pub fn shutdown_notice(&mut self) {
         self.leaving = true;
         let waits = |d: &Delivery| matches!(d.phase, Phase::Waiting(_) | Phase::Queued);
         let ids: Vec<DeliveryId> =
@@ -535,7 +535,7 @@
 
     // ---- steps ----
 
-    pub fn next_step(&mut self, now: Moment) -> Option<Step> {
+    pub fn next_step(&mut self, now: Timestamp) -> Option<Step> {
         loop {
             if let Some(step) = self.steps.pop_front() {
                 return Some(step);
@@ -567,7 +567,7 @@
     }
 
     /// When `next_step` may have something to do though nothing came.
-    pub fn next_time(&self) -> Option<Moment> {
+    pub fn next_time(&self) -> Option<Timestamp> {
         let waits = |(queue, gate): &(usize, &Gate)| !gate.queued.is_empty() && !self.busy(*queue);
         let gates = self.gates.iter().enumerate().filter(waits).map(|(_, gate)| gate.opens).min();
         let time = self.times.first().map(|(at, _)| *at);
@@ -620,16 +620,16 @@
     // ---- inside ----
 
     fn settles_first(&self, id: DeliveryId) -> bool {
-        let once = |d: &Delivery| d.repeats != Repeats::Retryable && self.queues[d.queue.0].settle_first;
+        let once = |d: &Delivery| d.repeats != Idempotency::Idempotent && self.queues[d.queue.0].settle_first;
         self.deliveries.get(&id).is_some_and(once)
     }
 
-    fn past(&self, now: Moment, id: DeliveryId) -> bool {
+    fn past(&self, now: Timestamp, id: DeliveryId) -> bool {
         let due = self.deliveries.get(&id).and_then(|delivery| delivery.due);
         due.is_some_and(|due| now + EXPIRY_MARGIN >= due)
     }
 
-    fn look_at(&mut self, id: DeliveryId, at: Option<Moment>) {
+    fn look_at(&mut self, id: DeliveryId, at: Option<Timestamp>) {
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
         let before = std::mem::replace(&mut delivery.look, at);
         before.map(|at| self.times.remove(&(at, id)));
@@ -637,7 +637,7 @@
     }
 
     /// A time that was set for this delivery is there; what it was set for may be long over.
-    fn look(&mut self, now: Moment, id: DeliveryId) {
+    fn look(&mut self, now: Timestamp, id: DeliveryId) {
         let past = self.past(now, id);
         let Some(delivery) = self.deliveries.get(&id) else { return };
         match delivery.phase {
@@ -655,7 +655,7 @@
     }
 
     /// What is done with it from here on follows from the queue's table.
-    fn finish(&mut self, now: Moment, id: DeliveryId, ending: Ending, result: &Rc<[u8]>) {
+    fn finish(&mut self, now: Timestamp, id: DeliveryId, ending: Ending, result: &Rc<[u8]>) {
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
         (delivery.ending, delivery.result) = (ending, result.clone());
         let gate = &mut self.gates[delivery.queue.0];
@@ -671,8 +671,8 @@
         }
         let pause = table.pause(ending);
         delivery.settlement = settlement;
-        // A failed op that may run again is not held against its message: an operator may bring it back.
-        let once = delivery.repeats != Repeats::Retryable;
+        // A failed request that may run again is not held against its message: an operator may bring it back.
+        let once = delivery.repeats != Idempotency::Idempotent;
         let may_have_run = ending == Ending::Acked || ending == Ending::Failed && once;
         let followers = std::mem::take(&mut delivery.followers);
         if let Some(message) = delivery.message.clone() {
@@ -704,7 +704,7 @@
         }
     }
 
-    fn publish(&mut self, now: Moment, id: DeliveryId, copy: Option<Span>) {
+    fn publish(&mut self, now: Timestamp, id: DeliveryId, copy: Option<Duration>) {
         if let Some(delivery) = self.deliveries.get_mut(&id) {
             delivery.phase = Phase::Publishing { copy, out: None };
             self.to_publish.push_back(id);
@@ -712,7 +712,7 @@
         }
     }
 
-    fn wait(&mut self, now: Moment, id: DeliveryId, pause: Span) {
+    fn wait(&mut self, now: Timestamp, id: DeliveryId, pause: Duration) {
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
         if !delivery.open || self.leaving {
             return self.requeue(id);
--- a/crates/hazelspur-deliveries/src/brokers.rs
+++ b/crates/hazelspur-deliveries/src/brokers.rs
@@ -2,25 +2,25 @@
 //! try waits by chance; the spread is what keeps any second from seeing more than its share of them.
 
 use hazelspur::pcg::Pcg;
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 use std::net::SocketAddr;
 
 /// Tries without success before a broker is given up for a while.
 const TRIES: u32 = 3;
 /// How long a broker that was given up is passed over, doubled each time up to a bound.
-const SHUN: Span = Span::from_ms(15_000);
-const LONGEST_SHUN: Span = Span::from_ms(240_000);
+const SHUN: Duration = Duration::from_ms(15_000);
+const LONGEST_SHUN: Duration = Duration::from_ms(240_000);
 /// The longest wait of one that is leaving and has results to bring.
-const HURRY: Span = Span::from_ms(200);
+const HURRY: Duration = Duration::from_ms(200);
 /// A connection that lasted so long counts as good: what was held against its broker is forgotten.
-const GOOD: Span = Span::from_ms(5000);
+const GOOD: Duration = Duration::from_ms(5000);
 
 #[derive(Clone, Debug)]
 struct Broker {
     address: SocketAddr,
     failures: u32,
-    shun: Span,
-    shunned_until: Moment,
+    shun: Duration,
+    shunned_until: Timestamp,
 }
 
 #[derive(Clone, Debug)]
@@ -28,15 +28,15 @@
     brokers: Vec<Broker>,
     at: usize,
     chance: Pcg,
-    spread: Span,
-    next_try: Moment,
-    up_since: Option<Moment>,
+    spread: Duration,
+    next_try: Timestamp,
+    up_since: Option<Timestamp>,
 }
 
 impl Brokers {
     /// In the order of preference. `spread` is the longest wait after a loss, and the usual one between tries: in
     /// each second about its inverse of all instances come.
-    pub fn new(addresses: &[SocketAddr], spread: Span, seed: u64, now: Moment) -> Self {
+    pub fn new(addresses: &[SocketAddr], spread: Duration, seed: u64, now: Timestamp) -> Self {
         let mut this = Self {
             brokers: Vec::new(),
             at: 0,
@@ -53,8 +53,8 @@
         let fresh = |address: &SocketAddr| Broker {
             address: *address,
             failures: 0,
-            shun: Span::ZERO,
-            shunned_until: Moment::default(),
+            shun: Duration::ZERO,
+            shunned_until: Timestamp::default(),
         };
         let known = std::mem::take(&mut self.brokers);
         let kept = |address: &SocketAddr| known.iter().find(|b| b.address == *address).cloned();
@@ -63,7 +63,7 @@
     }
 
     /// Other addresses hold from now on; true where the present one is no longer among them.
-    pub fn move_to(&mut self, now: Moment, addresses: &[SocketAddr]) -> bool {
+    pub fn move_to(&mut self, now: Timestamp, addresses: &[SocketAddr]) -> bool {
         let present = self.address();
         self.set(addresses);
         self.at = self.brokers.iter().position(|b| b.address == present).unwrap_or(0);
@@ -79,27 +79,27 @@
     }
 
     /// When `address` is to be tried.
-    pub fn next_try(&self) -> Moment {
+    pub fn next_try(&self) -> Timestamp {
         self.next_try
     }
 
     /// There is little time left: the next try is at once, or nearly.
-    pub fn hurry(&mut self, now: Moment) {
+    pub fn hurry(&mut self, now: Timestamp) {
         self.next_try = self.next_try.min(now + HURRY.scaled(self.chance.unit()));
     }
 
-    pub fn up(&mut self, now: Moment) {
+    pub fn up(&mut self, now: Timestamp) {
         self.up_since = Some(now);
     }
 
     /// A try failed, or a connection ended. `refused`: the broker said that it won't have us, so that more tries
     /// are no use for now. Says whether another broker's turn has come.
-    pub fn lost(&mut self, now: Moment, refused: bool) -> bool {
+    pub fn lost(&mut self, now: Timestamp, refused: bool) -> bool {
         let was_up = self.up_since.is_some();
         let lasted = self.up_since.take().is_some_and(|since| now - since >= GOOD);
         let broker = &mut self.brokers[self.at];
         if lasted && !refused {
-            (broker.failures, broker.shun) = (0, Span::ZERO);
+            (broker.failures, broker.shun) = (0, Duration::ZERO);
         } else {
             broker.failures += 1;
         }
--- a/crates/hazelspur-deliveries/src/lib.rs
+++ b/crates/hazelspur-deliveries/src/lib.rs
@@ -1,6 +1,6 @@
 //! Decisions of a front that takes deliveries from a broker's queues: how each is settled, how many are taken,
 //! what a repeat is owed, and when to come back to a broker. No I/O and no clock; whether and when a delivery
-//! runs stays with `hazelspur::Logic`.
+//! runs stays with `hazelspur::AdmissionController`.
 
 pub mod book;
 pub mod brokers;
--- a/crates/hazelspur-deliveries/src/memory.rs
+++ b/crates/hazelspur-deliveries/src/memory.rs
@@ -3,7 +3,7 @@
 
 use crate::book::DeliveryId;
 use crate::settlement::Ending;
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
@@ -17,13 +17,13 @@
 
 #[derive(Clone, Debug)]
 pub struct Memory {
-    span: Span,
+    span: Duration,
     most_entries: usize,
     most_bytes: usize,
     bytes: usize,
     by_message: BTreeMap<Rc<str>, Kept>,
     /// Ended ones, oldest first.
-    ages: VecDeque<(Moment, Rc<str>)>,
+    ages: VecDeque<(Timestamp, Rc<str>)>,
     /// Ended ones that had to go before their time.
     pub pressed_out: u64,
 }
@@ -37,12 +37,12 @@
 }
 
 impl Memory {
-    pub fn new(span: Span, most_entries: usize, most_bytes: usize) -> Self {
+    pub fn new(span: Duration, most_entries: usize, most_bytes: usize) -> Self {
         let (by_message, ages) = (BTreeMap::new(), VecDeque::new());
         Self { span, most_entries, most_bytes, bytes: 0, by_message, ages, pressed_out: 0 }
     }
 
-    pub fn known(&mut self, now: Moment, message: &str) -> Known {
+    pub fn known(&mut self, now: Timestamp, message: &str) -> Known {
         self.age(now);
         match self.by_message.get(message) {
             None => Known::Not,
@@ -65,14 +65,14 @@
     }
 
     /// It failed for the nth time and goes back to its queue, which does not count.
-    pub fn tried(&mut self, now: Moment, message: &Rc<str>, times: u32) {
+    pub fn tried(&mut self, now: Timestamp, message: &Rc<str>, times: u32) {
         self.by_message.insert(message.clone(), Kept::Tried(times));
         self.ages.push_back((now, message.clone()));
         self.press();
     }
 
     /// It ran, or may have: repeats are settled alike.
-    pub fn ended(&mut self, now: Moment, message: &Rc<str>, ending: Ending, result: Rc<[u8]>) {
+    pub fn ended(&mut self, now: Timestamp, message: &Rc<str>, ending: Ending, result: Rc<[u8]>) {
         if matches!(self.by_message.get(message), Some(Kept::Ended(..))) {
             return;
         }
@@ -97,7 +97,7 @@
         self.by_message.is_empty()
     }
 
-    fn age(&mut self, now: Moment) {
+    fn age(&mut self, now: Timestamp) {
         while self.ages.front().is_some_and(|(ended, _)| now - *ended >= self.span) {
             self.drop_oldest();
         }
--- a/crates/hazelspur-deliveries/src/settlement.rs
+++ b/crates/hazelspur-deliveries/src/settlement.rs
@@ -1,21 +1,21 @@
 //! What is done with a delivery once its ending is known: a table, set for each queue.
 
-use hazelspur::Repeats;
-use hazelspur::Span;
+use hazelspur::Duration;
+use hazelspur::Idempotency;
 
 /// How a delivery ended here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     Acked,
     /// Turned away, never ran; may come back after this.
-    Nacked(Span),
+    Nacked(Duration),
     /// It ran, or may have, and brought no result.
     Failed,
     /// Its waiting time ran out before it could run.
     Expired,
-    /// Its op type is not in the settings.
+    /// Its request class is not in the settings.
     Unknown,
-    /// Its bytes can't be read as an op.
+    /// Its bytes can't be read as a request.
     Poison,
     /// It may have run before, and may not run twice.
     Doubtful,
@@ -60,7 +60,7 @@
     pub exhausted: Settlement,
     pub most_tries: u32,
     /// How long a failed delivery stays away before its next try, where it gets one.
-    pub failed_pause: Span,
+    pub failed_pause: Duration,
 }
 
 impl Default for Table {
@@ -74,7 +74,7 @@
             doubtful: Settlement::Reject,
             exhausted: Settlement::Reject,
             most_tries: 8,
-            failed_pause: Span::from_ms(1000),
+            failed_pause: Duration::from_ms(1000),
         }
     }
 }
@@ -107,8 +107,8 @@
     /// What follows for a delivery that was tried `tries` times before. A copy in the retry queue and the
     /// original may for a while both be there, should the connection break in between: what must not run twice
     /// is never copied, and once it may have run it does not come back.
-    pub fn settle(&self, ending: Ending, repeats: Repeats, tries: u32) -> Settlement {
-        let once = repeats != Repeats::Retryable;
+    pub fn settle(&self, ending: Ending, repeats: Idempotency, tries: u32) -> Settlement {
+        let once = repeats != Idempotency::Idempotent;
         let row = match ending {
             Ending::Acked => Settlement::Ack,
             Ending::Nacked(_) => self.nacked,
@@ -132,9 +132,9 @@
         }
     }
 
-    pub fn pause(&self, ending: Ending) -> Span {
+    pub fn pause(&self, ending: Ending) -> Duration {
         match ending {
-            Ending::Nacked(come_back) => come_back,
+            Ending::Nacked(retry_after) => retry_after,
             _ => self.failed_pause,
         }
     }
--- a/crates/hazelspur-deliveries/src/window.rs
+++ b/crates/hazelspur-deliveries/src/window.rs
@@ -1,13 +1,13 @@
 //! How many deliveries may be unsettled here. What is not taken waits in the queue at no cost, so a pull front
-//! takes little when ops are turned away, on whichever front.
+//! takes little when requests are turned away, on whichever front.
 
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 
 /// A cycle is at least so long and holds an outcome.
-const CYCLE: Span = Span::from_ms(500);
+const CYCLE: Duration = Duration::from_ms(500);
 /// The window begins with this, and rises by such parts after a cycle without nacks in which it was used up: fast
 /// until the first nack and once there were none for so many cycles, else slowly, since each rise is a question
-/// that gateways' ops may have to answer.
+/// that gateways' requests may have to answer.
 const FIRST: f64 = 2.0;
 const FAST: f64 = 1.25;
 const SLOW: f64 = 1.05;
@@ -35,7 +35,7 @@
     rule: Rule,
     most: u16,
     size: f64,
-    began: Moment,
+    began: Timestamp,
     acked: u32,
     nacked: u32,
     used_up: bool,
@@ -44,12 +44,12 @@
 }
 
 impl Window {
-    pub fn new(rule: Rule, most: u16, now: Moment) -> Self {
+    pub fn new(rule: Rule, most: u16, now: Timestamp) -> Self {
         let size = if rule == Rule::Fixed { f64::from(most) } else { FIRST.min(f64::from(most)) };
         Self { rule, most, size, began: now, acked: 0, nacked: 0, used_up: false, calm: CALM }
     }
 
-    /// An op of any front was answered.
+    /// A request of any front was answered.
     pub fn outcomes(&mut self, acked: u32, nacked: u32) {
         self.acked += acked;
         self.nacked += nacked;
@@ -60,8 +60,8 @@
         self.used_up |= self.size < 1.0 || count as f64 >= self.size.floor();
     }
 
-    /// The window, where it differs from before. `room` is how many more ops the module could take.
-    pub fn next(&mut self, now: Moment, room: f64) -> Option<u16> {
+    /// The window, where it differs from before. `room` is how many more requests the module could take.
+    pub fn next(&mut self, now: Timestamp, room: f64) -> Option<u16> {
         if now - self.began < CYCLE || (self.acked + self.nacked == 0 && self.rule == Rule::Step) {
             return None;
         }
--- a/crates/hazelspur-fleetbed/src/bed.rs
+++ b/crates/hazelspur-fault-harness/src/bed.rs
@@ -7,11 +7,11 @@
 use crate::script::{Fault, Kind, Party, SITES, Script, site};
 use crate::weather::Weather;
 use anyhow::Context;
-use hazelspur_standins::control::Control;
-use hazelspur_standins::gateway::{Gateway, Habits};
-use hazelspur_standins::ledger::Ledger;
-use hazelspur_standins::now_ms;
-use hazelspur_standins::runtime::{Pace, Runtime};
+use hazelspur_test_doubles::control::Control;
+use hazelspur_test_doubles::gateway::{Gateway, Habits};
+use hazelspur_test_doubles::ledger::Ledger;
+use hazelspur_test_doubles::now_ms;
+use hazelspur_test_doubles::runtime::{Pace, Runtime};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use std::collections::BTreeMap;
@@ -26,15 +26,15 @@
 pub const INSTALLATION: &str = "bed";
 pub const GRACE_MS: u64 = 300;
 pub const STOP_MS: u64 = 1500;
-/// By when an op's caller has given up, and its run ends at its call.
+/// By when a request's caller has given up, and its run ends at its call.
 const TIMEOUT_MS: u64 = 3000;
 pub const CORES: usize = 2;
 pub const CROWD_MULTIPLE: usize = 8;
 /// Calls that a server may have out, where nothing else is planned, and the time over which they are averaged.
 pub const CALLS: f64 = 8.0;
 pub const CALLS_OVER: Duration = Duration::from_secs(5);
-const MOST_SERVERS: usize = 200;
-const MOST_GATEWAYS: usize = 40;
+const MAX_SERVERS: usize = 200;
+const MAX_GATEWAYS: usize = 40;
 static RUNS: AtomicU32 = AtomicU32::new(0);
 
 #[derive(Clone, Debug)]
@@ -44,7 +44,7 @@
     pub gateways: usize,
     pub script: Script,
     pub seed: u64,
-    /// Ops a second of all gateways together.
+    /// Requests a second of all gateways together.
     pub rate: f64,
     /// What the operator's file says is the most servers.
     pub most: usize,
@@ -93,8 +93,8 @@
 
     /// All but the servers' processes and gateways.
     pub fn new(plan: Plan) -> anyhow::Result<Self> {
-        anyhow::ensure!((1..=MOST_SERVERS).contains(&plan.servers), "1 to {MOST_SERVERS} servers");
-        anyhow::ensure!(plan.gateways <= MOST_GATEWAYS, "up to {MOST_GATEWAYS} gateways");
+        anyhow::ensure!((1..=MAX_SERVERS).contains(&plan.servers), "1 to {MAX_SERVERS} servers");
+        anyhow::ensure!(plan.gateways <= MAX_GATEWAYS, "up to {MAX_GATEWAYS} gateways");
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
         let (net, claim) =
             claim_net(std::process::id().wrapping_mul(13) + run).context("a net of its own")?;
--- a/crates/hazelspur-fleetbed/src/hollow/asking.rs
+++ b/crates/hazelspur-fault-harness/src/hollow/asking.rs
@@ -1,12 +1,12 @@
 //! What the real members say of the fleet, asked as an operator's command asks, all of them at once.
 
 use super::{INSTALLATION, KEY};
-use hazelspur::Moment;
+use hazelspur::Timestamp;
 use hazelspur_fleet::talk::{self, Body, Datagram};
 use hazelspur_fleet::{
     Claim, Condition, Generation, Installation, Key, MemberName, Says, SiteName, Size, Standing,
 };
-use hazelspur_standins::now_ms;
+use hazelspur_test_doubles::now_ms;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
@@ -120,7 +120,7 @@
             let left = due.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
             let _ = self.socket.set_read_timeout(Some(left));
             let Ok((length, _)) = self.socket.recv_from(&mut bytes) else { continue };
-            let now = Moment::from_us(now_ms() * 1000);
+            let now = Timestamp::from_us(now_ms() * 1000);
             let Ok(came) = talk::open(&self.key, &self.installation, now, &bytes[..length]) else { continue };
             let (Body::Shown { number, .. } | Body::Choices { number, .. }) = came.body else { continue };
             let Some((i, _, _)) = open.remove(&number) else { continue };
--- a/crates/hazelspur-fleetbed/src/hollow/line.rs
+++ b/crates/hazelspur-fault-harness/src/hollow/line.rs
@@ -43,7 +43,7 @@
     /// All start within so many milliseconds.
     #[arg(long, default_value_t = 1000)]
     spread_ms: u64,
-    /// Ops a second of all real members together.
+    /// Requests a second of all real members together.
     #[arg(long, default_value_t = 24.0)]
     rate: f64,
     #[arg(long, default_value_t = 1)]
@@ -118,7 +118,7 @@
         points.extend(figures::points(outcome, self.seed));
         points.sort_by_key(|point| point["size"].as_u64());
         let arguments: Vec<String> = std::env::args().skip(1).collect();
-        let command = format!("cargo run --release -p hazelspur-fleetbed -- {}", arguments.join(" "));
+        let command = format!("cargo run --release -p hazelspur-fault-harness -- {}", arguments.join(" "));
         let cores = std::thread::available_parallelism()?;
         let gib = (machine::memory()? as f64 / f64::from(1 << 30)).round();
         let text = self.text.clone().or_else(git_text).unwrap_or("not known".into());
--- a/crates/hazelspur-fleetbed/src/hollow/processes.rs
+++ b/crates/hazelspur-fault-harness/src/hollow/processes.rs
@@ -4,10 +4,10 @@
 use super::member::{Counted, Order, Task};
 use super::{CALLS, CORES, Fleet, INSTALLATION, KEY, LEASE_S, Plan, STOP_MS};
 use anyhow::Context;
-use hazelspur_standins::control::Control;
-use hazelspur_standins::gateway::{Answer, Gateway, Habits};
-use hazelspur_standins::ledger::Ledger;
-use hazelspur_standins::runtime::{Pace, Runtime};
+use hazelspur_test_doubles::control::Control;
+use hazelspur_test_doubles::gateway::{Answer, Gateway, Habits};
+use hazelspur_test_doubles::ledger::Ledger;
+use hazelspur_test_doubles::runtime::{Pace, Runtime};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use std::io::{BufRead, BufReader, Write};
@@ -106,7 +106,7 @@
         .to_string()
     }
 
-    /// Ops a second over all of them, round and round.
+    /// Requests a second over all of them, round and round.
     pub fn begin_ops(&mut self, rate: f64) {
         if rate <= 0.0 {
             return;
@@ -147,12 +147,13 @@
         Ok(())
     }
 
-    /// All leave in good order; how many ops were acked and how many sent. Fails where one had to be killed
+    /// All leave in good order; how many requests were acked and how many sent. Fails where one had to be killed
     /// or ended badly.
     pub fn end(&mut self) -> anyhow::Result<(usize, usize)> {
         let tries = self.gateway.take().map(|mut gateway| gateway.end()).unwrap_or_default();
-        let acked = |t: &&hazelspur_standins::gateway::Try| t.answers.iter().any(|a| a.0 == Answer::Acked);
-        let ops = (tries.iter().filter(acked).count(), tries.len());
+        let acked =
+            |t: &&hazelspur_test_doubles::gateway::Try| t.answers.iter().any(|a| a.0 == Answer::Acked);
+        let requests = (tries.iter().filter(acked).count(), tries.len());
         for child in self.processes.iter().flatten() {
             // Not waited for yet, so the number is still its own.
             let _ = kill(Pid::from_raw(child.id() as i32), Signal::SIGTERM);
@@ -177,7 +178,7 @@
             }
         }
         anyhow::ensure!(bad.is_empty(), bad.join("; "));
-        Ok(ops)
+        Ok(requests)
     }
 }
 
--- a/crates/hazelspur-fleetbed/src/main.rs
+++ b/crates/hazelspur-fault-harness/src/main.rs
@@ -2,15 +2,15 @@
 
 use anyhow::Context;
 use clap::{Parser, Subcommand};
-use hazelspur_fleetbed::bed::Plan;
-use hazelspur_fleetbed::hollow::line;
-use hazelspur_fleetbed::play::{Verdict, play, summary};
-use hazelspur_fleetbed::script::Script;
+use hazelspur_fault_harness::bed::Plan;
+use hazelspur_fault_harness::hollow::line;
+use hazelspur_fault_harness::play::{Verdict, play, summary};
+use hazelspur_fault_harness::script::Script;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(name = "hazelspur-fleetbed", version, about = "Many real servers with faults between them")]
+#[command(name = "hazelspur-fault-harness", version, about = "Many real servers with faults between them")]
 struct Line {
     #[command(subcommand)]
     command: Command,
@@ -25,7 +25,7 @@
         servers: usize,
         #[arg(long, default_value_t = 4)]
         gateways: usize,
-        /// Ops a second of all gateways.
+        /// Requests a second of all gateways.
         #[arg(long, default_value_t = 60.0)]
         rate: f64,
         /// Faults over time, as in "2+5 cut east west; 3+4 stop n4; 8+2 kill north".
@@ -82,7 +82,7 @@
     let Command::Run { servers, gateways, rate, script, seed, seeds, seconds, shrink, joint, quiet, server } =
         command
     else {
-        return hazelspur_fleetbed::hollow::member::serve().map(|()| true);
+        return hazelspur_fault_harness::hollow::member::serve().map(|()| true);
     };
     let beside = std::env::current_exe()?.with_file_name("hazelspur-server");
     let server_binary = server.unwrap_or(beside);
@@ -98,7 +98,7 @@
         seed,
         rate,
         most: servers * 2,
-        calls: hazelspur_fleetbed::bed::CALLS,
+        calls: hazelspur_fault_harness::bed::CALLS,
         joint,
     };
     let scripts: Vec<(u64, Script)> = match (script, seed) {
@@ -113,7 +113,7 @@
     for (seed, script) in scripts {
         println!("faults: {script}");
         let mut before = String::new();
-        let mut tell = |at: u64, views: &[Option<hazelspur_fleetbed::watch::View>]| {
+        let mut tell = |at: u64, views: &[Option<hazelspur_fault_harness::watch::View>]| {
             let now = summary(views);
             if !quiet && now != before {
                 println!("{:6.1} s  {now}", at as f64 / 1000.0);
@@ -130,7 +130,7 @@
             };
             let least = if shrink { script.shrunk(fails) } else { script };
             println!(
-                "again: hazelspur-fleetbed run --servers {servers} --gateways {gateways} --rate {rate}{} --script {:?}",
+                "again: hazelspur-fault-harness run --servers {servers} --gateways {gateways} --rate {rate}{} --script {:?}",
                 if joint { " --joint" } else { "" },
                 least.to_string()
             );
--- a/crates/hazelspur-fleetbed/src/play.rs
+++ b/crates/hazelspur-fault-harness/src/play.rs
@@ -6,8 +6,8 @@
 use crate::watch::{View, Watch};
 use anyhow::Context;
 use hazelspur_fleet::{Condition, Standing};
-use hazelspur_standins::gateway::Answer;
-use hazelspur_standins::now_ms;
+use hazelspur_test_doubles::gateway::Answer;
+use hazelspur_test_doubles::now_ms;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -139,7 +139,7 @@
     }
 }
 
-type Seen = (u64, Vec<Vec<hazelspur_standins::gateway::Try>>, Vec<View>, Vec<Option<View>>);
+type Seen = (u64, Vec<Vec<hazelspur_test_doubles::gateway::Try>>, Vec<View>, Vec<Option<View>>);
 
 fn evidence(bed: &Bed, (began_ms, tries, views, last): Seen) -> Evidence {
     let ran = bed.runtimes.iter().map(|runtime| {
--- a/crates/hazelspur-fleetbed/src/watch.rs
+++ b/crates/hazelspur-fault-harness/src/watch.rs
@@ -1,6 +1,6 @@
 //! What each server says of the fleet while it runs, asked as its operator would ask.
 
-use hazelspur::Moment;
+use hazelspur::Timestamp;
 use hazelspur_fleet::talk::{self, Body, Datagram};
 use hazelspur_fleet::{
     Claim, Condition, Generation, Installation, Key, MemberName, Says, SiteName, Size, Standing,
@@ -58,7 +58,7 @@
                     says: Says::Alive,
                 },
                 number: 1,
-                sent_ms: hazelspur_standins::now_ms(),
+                sent_ms: hazelspur_test_doubles::now_ms(),
                 body: Body::Show { number: asked, after },
                 word: None,
                 claims: Vec::new(),
@@ -68,7 +68,7 @@
                 let left = until.checked_duration_since(Instant::now())?;
                 let _ = self.socket.set_read_timeout(Some(left.max(Duration::from_millis(1))));
                 let Ok((length, _)) = self.socket.recv_from(&mut bytes) else { continue };
-                let now = Moment::from_us(hazelspur_standins::now_ms() * 1000);
+                let now = Timestamp::from_us(hazelspur_test_doubles::now_ms() * 1000);
                 let Ok(came) = talk::open(&self.key, &self.installation, now, &bytes[..length]) else {
                     continue;
                 };
@@ -77,7 +77,7 @@
                 }
             };
             let Body::Shown { condition, fleet, rows, next, .. } = answer else { return None };
-            let at_ms = hazelspur_standins::now_ms();
+            let at_ms = hazelspur_test_doubles::now_ms();
             let view = view.get_or_insert(View { server, at_ms, condition, fleet, others: Vec::new() });
             view.others.extend(rows.into_iter().map(|row| (row.claim.name.to_string(), row.standing)));
             if next.is_none() || next <= after {
--- a/crates/hazelspur-fleet/src/doubt.rs
+++ b/crates/hazelspur-fleet/src/doubt.rs
@@ -3,7 +3,7 @@
 //! Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection" (2018); that a late timer
 //! counts is ours.
 
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 use serde::{Deserialize, Serialize};
 
 /// Lifeguard's S: waits grow up to this many times.
@@ -40,15 +40,15 @@
 
 #[derive(Clone, Debug)]
 pub struct Doubt {
-    period: Span,
+    period: Duration,
     score: u32,
-    heard: Moment,
+    heard: Timestamp,
     /// Until then what was concluded before a standstill is not acted on.
-    until: Moment,
+    until: Timestamp,
 }
 
 impl Doubt {
-    pub fn new(period: Span, now: Moment) -> Self {
+    pub fn new(period: Duration, now: Timestamp) -> Self {
         Self { period, score: 0, heard: now, until: now }
     }
 
@@ -66,19 +66,19 @@
         self.score = (self.score + 1).min(WORST - 1);
     }
 
-    pub fn heard(&mut self, now: Moment) {
+    pub fn heard(&mut self, now: Timestamp) {
         self.heard = self.heard.max(now);
     }
 
-    pub fn last_heard(&self) -> Moment {
+    pub fn last_heard(&self) -> Timestamp {
         self.heard
     }
 
     /// A timer was due at `due`: how long the process stood still, zero if it did not.
-    pub fn ran(&mut self, now: Moment, due: Moment) -> Span {
+    pub fn ran(&mut self, now: Timestamp, due: Timestamp) -> Duration {
         let late = now - due;
         if late < self.period.scaled(LATE_PART) {
-            return Span::ZERO;
+            return Duration::ZERO;
         }
         self.score = (self.score + 2).min(WORST - 1);
         self.until = now + self.period + self.period;
@@ -87,11 +87,11 @@
         late
     }
 
-    pub fn doubtful(&self, now: Moment) -> bool {
+    pub fn doubtful(&self, now: Timestamp) -> bool {
         now < self.until || self.score >= WORST / 2
     }
 
-    pub fn cut_off(&self, now: Moment) -> bool {
-        now - self.heard > Span::from_us(self.period.us() * SILENT_PERIODS)
+    pub fn cut_off(&self, now: Timestamp) -> bool {
+        now - self.heard > Duration::from_us(self.period.us() * SILENT_PERIODS)
     }
 }
--- a/crates/hazelspur-fleet/src/gate.rs
+++ b/crates/hazelspur-fleet/src/gate.rs
@@ -1,4 +1,4 @@
-//! Who tries what all depend on while nobody reaches it. Ops that need it make one server's tries into those
+//! Who tries what all depend on while nobody reaches it. Requests that need it make one server's tries into those
 //! of all: three hundred servers at work try it tens of thousands of times a second, and all that they run
 //! meanwhile ends in vain. Shut, the gate lets no call out, and this server tries only when it is its turn:
 //! chosen ones of each site often where servers talk, each in its slot where they don't. It opens with the
@@ -10,24 +10,24 @@
 use crate::hash::unit;
 use crate::names::MemberName;
 use crate::turns::Round;
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 
 /// Calls in a row that reached nobody, over at least so long, before it shuts.
 const MISSES: u32 = 6;
-const MISSED_FOR: Span = Span::from_ms(200);
+const MISSED_FOR: Duration = Duration::from_ms(200);
 /// With most others in the same trouble fewer of one's own are enough.
 const MISSES_TOLD: u32 = 2;
 /// A chosen one tries so often, and one that is not chosen though servers talk.
-const CHOSEN_EVERY: Span = Span::from_ms(250);
-const OTHERS_EVERY: Span = Span::from_ms(4000);
+const CHOSEN_EVERY: Duration = Duration::from_ms(250);
+const OTHERS_EVERY: Duration = Duration::from_ms(4000);
 /// Where servers can't talk: tries a second of all, and how long the longest waits for its own.
 const TRIES: f64 = 100.0;
-const LONGEST: Span = Span::from_ms(2000);
+const LONGEST: Duration = Duration::from_ms(2000);
 /// Where most others get through and this one does not: its own link, which nobody else will try.
-const ALONE_EVERY: Span = Span::from_ms(1000);
+const ALONE_EVERY: Duration = Duration::from_ms(1000);
 /// After the news that another got through, tries spread over this long, one for all such news of a second.
-const SPREAD: Span = Span::from_ms(400);
-const HINTS_EVERY: Span = Span::from_ms(1000);
+const SPREAD: Duration = Duration::from_ms(400);
+const HINTS_EVERY: Duration = Duration::from_ms(1000);
 /// Chosen of each fleet.
 pub const CHOSEN: usize = 6;
 
@@ -35,7 +35,7 @@
 pub enum Change {
     Shut,
     /// After so long.
-    Opened(Span),
+    Opened(Duration),
 }
 
 #[derive(Clone, Debug)]
@@ -44,10 +44,10 @@
     what: &'static str,
     round: Round,
     misses: u32,
-    first_miss: Moment,
-    shut: Option<Moment>,
-    next_try: Moment,
-    hinted: Moment,
+    first_miss: Timestamp,
+    shut: Option<Timestamp>,
+    next_try: Timestamp,
+    hinted: Timestamp,
     /// Where servers talk: whether this one is among the chosen, and whether most others reach nobody.
     told: Option<(bool, bool)>,
     changes: std::collections::VecDeque<Change>,
@@ -63,10 +63,10 @@
             what,
             round: Round::new(most, TRIES, LONGEST),
             misses: 0,
-            first_miss: Moment::default(),
+            first_miss: Timestamp::default(),
             shut: None,
-            next_try: Moment::default(),
-            hinted: Moment::default(),
+            next_try: Timestamp::default(),
+            hinted: Timestamp::default(),
             told: None,
             changes: std::collections::VecDeque::new(),
             tries: 0,
@@ -77,9 +77,9 @@
         self.shut.is_none()
     }
 
-    /// A call of an op, or a try, is over: whether anybody was reached, however it ended otherwise. Points in
+    /// A call of a request, or a try, is over: whether anybody was reached, however it ended otherwise. Points in
     /// time are those of the wall clock, so that slots are common.
-    pub fn ended(&mut self, now: Moment, reached: bool) {
+    pub fn ended(&mut self, now: Timestamp, reached: bool) {
         if reached {
             self.misses = 0;
             if let Some(since) = self.shut.take() {
@@ -101,7 +101,7 @@
     }
 
     /// Another server got through just now.
-    pub fn hint(&mut self, now: Moment) {
+    pub fn hint(&mut self, now: Timestamp) {
         if self.shut.is_some() && now - self.hinted >= HINTS_EVERY {
             self.hinted = now;
             self.next_try = self.next_try.min(now + self.spread(now));
@@ -110,7 +110,7 @@
 
     /// What is heard from others: whether this server is among the chosen, and whether most reach nobody.
     /// `None` where too few are heard.
-    pub fn common(&mut self, now: Moment, told: Option<(bool, bool)>) {
+    pub fn common(&mut self, now: Timestamp, told: Option<(bool, bool)>) {
         let changed = std::mem::replace(&mut self.told, told) != told;
         if self.shut.is_some() && changed {
             self.next_try = self.next_try.min(self.turn(now));
@@ -118,26 +118,26 @@
     }
 
     /// When this server is to try by itself; none while it is open.
-    pub fn next_try(&self) -> Option<Moment> {
+    pub fn next_try(&self) -> Option<Timestamp> {
         self.shut.map(|_| self.next_try)
     }
 
     /// A try goes out now; its end is told by `ended`.
-    pub fn tried(&mut self, now: Moment) {
+    pub fn tried(&mut self, now: Timestamp) {
         self.tries += 1;
-        self.next_try = self.turn(now + Span::from_us(1));
+        self.next_try = self.turn(now + Duration::from_us(1));
     }
 
     pub fn next_change(&mut self) -> Option<Change> {
         self.changes.pop_front()
     }
 
-    fn spread(&self, now: Moment) -> Span {
+    fn spread(&self, now: Timestamp) -> Duration {
         SPREAD.scaled(unit(self.what, self.me.as_str(), now.us()))
     }
 
-    fn turn(&self, now: Moment) -> Moment {
-        let around = |span: Span| span.scaled(0.75 + 0.5 * unit(self.what, self.me.as_str(), now.us()));
+    fn turn(&self, now: Timestamp) -> Timestamp {
+        let around = |span: Duration| span.scaled(0.75 + 0.5 * unit(self.what, self.me.as_str(), now.us()));
         match self.told {
             Some((true, _)) => now + around(CHOSEN_EVERY),
             Some((false, true)) => now + around(OTHERS_EVERY),
--- a/crates/hazelspur-fleet/src/guidance.rs
+++ b/crates/hazelspur-fleet/src/guidance.rs
@@ -3,7 +3,7 @@
 
 use crate::joint::{At, Joint};
 use crate::shares::LimitId;
-use hazelspur::Moment;
+use hazelspur::{GuidanceKey, Timestamp};
 use std::collections::BTreeMap;
 
 /// A figure that has grown by less than this part is the same; a smaller one never is, since what is used
@@ -13,9 +13,9 @@
 /// Facts by name; `None` takes one back.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Told {
-    pub facts: Vec<(String, Option<f64>)>,
+    pub facts: Vec<(GuidanceKey, Option<f64>)>,
     /// When the first lease in force ends by the steady clock, and what holds from then on.
-    pub leases: Option<(Moment, Vec<(String, f64)>)>,
+    pub leases: Option<(Timestamp, Vec<(GuidanceKey, f64)>)>,
 }
 
 #[derive(Clone, Debug)]
@@ -23,12 +23,12 @@
     /// Whether the gate and what others say count.
     together: bool,
     /// Which limit is which fact of the module.
-    limits: Vec<(LimitId, String)>,
-    told: BTreeMap<String, f64>,
+    limits: Vec<(LimitId, GuidanceKey)>,
+    told: BTreeMap<GuidanceKey, f64>,
 }
 
 impl Guidance {
-    pub fn new(together: bool, limits: Vec<(LimitId, String)>) -> Self {
+    pub fn new(together: bool, limits: Vec<(LimitId, GuidanceKey)>) -> Self {
         Self { together, limits, told: BTreeMap::new() }
     }
 
@@ -38,40 +38,40 @@
     }
 
     pub fn next(&mut self, at: At, joint: &Joint) -> Told {
-        let mut now: BTreeMap<String, f64> = BTreeMap::new();
-        let mut leases: Option<(Moment, Vec<(String, f64)>)> = None;
+        let mut now: BTreeMap<GuidanceKey, f64> = BTreeMap::new();
+        let mut leases: Option<(Timestamp, Vec<(GuidanceKey, f64)>)> = None;
         if let Some(shares) = &joint.shares {
             for (limit, name) in &self.limits {
                 let share = shares.share(at.steady, *limit);
-                now.insert(name.clone(), share.amount);
+                now.insert(*name, share.amount);
                 if let Some(until) = share.until {
                     let (ends, floors) = leases.get_or_insert((until, Vec::new()));
                     *ends = until.min(*ends);
-                    floors.push((name.clone(), share.floor));
+                    floors.push((*name, share.floor));
                 }
             }
         }
         if self.together {
             if let Some(common) = joint.common() {
-                now.insert("joint.refused".into(), common.refused);
+                now.insert(GuidanceKey::RejectedShare, common.refused);
             }
             if !joint.gate.is_open() {
-                now.insert("joint.breaker_open".into(), 1.0);
+                now.insert(GuidanceKey::BreakerOpen, 1.0);
             }
         }
-        let moved = |name: &str, value: f64| {
+        let moved = |name: &GuidanceKey, value: f64| {
             self.told.get(name).is_none_or(|old| value < *old || value - old > SAME * old.abs().max(1e-3))
         };
-        let mut facts: Vec<(String, Option<f64>)> = now
+        let mut facts: Vec<(GuidanceKey, Option<f64>)> = now
             .iter()
             .filter(|(name, value)| moved(name, **value))
-            .map(|(name, value)| (name.clone(), Some(*value)))
+            .map(|(name, value)| (*name, Some(*value)))
             .collect();
         let gone = self.told.keys().filter(|name| !now.contains_key(*name));
-        facts.extend(gone.map(|name| (name.clone(), None)));
+        facts.extend(gone.map(|name| (*name, None)));
         for (name, value) in &facts {
             match value {
-                Some(value) => self.told.insert(name.clone(), *value),
+                Some(value) => self.told.insert(*name, *value),
                 None => self.told.remove(name),
             };
         }
--- a/crates/hazelspur-fleet/src/joint.rs
+++ b/crates/hazelspur-fleet/src/joint.rs
@@ -11,7 +11,7 @@
 use crate::signals::{Board, Common, Pace, Whose, Word};
 use crate::subsets::{Candidate, over_sites};
 use crate::talk::{Body, Datagram, Dropped, Shown};
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 use std::net::SocketAddr;
 
 /// Others that hear this server's word in each period, besides those who get a datagram anyway.
@@ -22,15 +22,15 @@
 const HERALDS: usize = 8;
 const LAST_CALL: f64 = 0.3;
 /// Who made no call for so long says nothing of what calls reach.
-const LATELY: Span = Span::from_ms(3000);
+const LATELY: Duration = Duration::from_ms(3000);
 /// The chosen change so often.
 const CHOSEN_FOR_US: u64 = 60_000_000;
 
 /// One moment by both clocks.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct At {
-    pub wall: Moment,
-    pub steady: Moment,
+    pub wall: Timestamp,
+    pub steady: Timestamp,
 }
 
 /// What this server sees of its own work.
@@ -38,7 +38,7 @@
 pub struct Seen {
     /// How long calls to what all share take now; none where there were none.
     pub call_secs: Option<f64>,
-    /// Share of the last ops that it refused.
+    /// Share of the last requests that it refused.
     pub refused: f64,
 }
 
@@ -55,9 +55,9 @@
     whose: Whose,
     /// Share of the last calls that reached nobody; the last one for three tenths of it.
     unreached: f64,
-    called: Moment,
-    period: Span,
-    next_round: Moment,
+    called: Timestamp,
+    period: Duration,
+    next_round: Timestamp,
     /// Datagrams about shares by other terms than ours.
     pub other_terms: u64,
 }
@@ -82,7 +82,7 @@
             common: None,
             whose: Whose::None,
             unreached: 0.0,
-            called: Moment::default(),
+            called: Timestamp::default(),
             period,
             next_round: at.steady + period,
             members: Members::new(members, generation, seed, at.wall),
@@ -133,7 +133,7 @@
     }
 
     /// A call to what all share is over, or a try while the gate was shut: whether anybody was reached.
-    pub fn call_ended(&mut self, at: At, reached: bool) {
+    pub fn call_finished(&mut self, at: At, reached: bool) {
         let was_open = self.gate.is_open();
         self.called = at.steady;
         self.unreached += LAST_CALL * (f64::from(u8::from(!reached)) - self.unreached);
@@ -173,10 +173,10 @@
     // ---- what comes of it ----
 
     /// After how long `tick` is to be called.
-    pub fn wait(&self, at: At) -> Span {
+    pub fn wait(&self, at: At) -> Duration {
         let rest = [Some(self.next_round), self.shares.as_ref().map(Shares::next_tick)];
         let rest = rest.into_iter().flatten().map(|next| next - at.steady);
-        rest.fold(self.members.next_tick() - at.wall, Span::min)
+        rest.fold(self.members.next_tick() - at.wall, Duration::min)
     }
 
     pub fn next_out(&mut self, at: At) -> Option<(SocketAddr, Datagram)> {
@@ -229,7 +229,7 @@
 
     /// For an operator.
     pub fn shown(&self, at: At) -> Shown {
-        let left = |until: Moment| ((until - at.steady).us() / 1000).min(u64::from(u32::MAX)) as u32;
+        let left = |until: Timestamp| ((until - at.steady).us() / 1000).min(u64::from(u32::MAX)) as u32;
         let mut shown = Shown {
             shut: !self.gate.is_open(),
             whose: self.whose,
--- a/crates/hazelspur-fleet/src/members/hearing.rs
+++ b/crates/hazelspur-fleet/src/members/hearing.rs
@@ -6,11 +6,11 @@
 use crate::picture::Standing;
 use crate::replay::Seen;
 use crate::talk::{Body, Datagram, Dropped};
-use hazelspur::Moment;
+use hazelspur::Timestamp;
 
 impl Members {
     /// The sender's own word: it lives, whatever others say.
-    pub(super) fn hear_itself(&mut self, now: Moment, came: &Datagram) -> Result<(), Dropped> {
+    pub(super) fn hear_itself(&mut self, now: Timestamp, came: &Datagram) -> Result<(), Dropped> {
         let (name, from) = (came.from.name, &came.from);
         if let Some(entry) = self.table.get_mut(&name) {
             let (known, gone) = (entry.claim.generation, entry.said_left);
@@ -39,12 +39,12 @@
         Ok(())
     }
 
-    pub(super) fn possible(&self, now: Moment, claim: &Claim) -> bool {
+    pub(super) fn possible(&self, now: Timestamp, claim: &Claim) -> bool {
         claim.generation.0 <= now.us() / 1000 + AHEAD_MS
     }
 
     /// Hearsay.
-    pub(super) fn merge(&mut self, now: Moment, claim: &Claim, by: MemberName) {
+    pub(super) fn merge(&mut self, now: Timestamp, claim: &Claim, by: MemberName) {
         if !self.possible(now, claim) {
             self.figures.absurd += 1;
             return;
@@ -85,7 +85,7 @@
 
     pub(super) fn stand_by_claim(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         claim: &Claim,
         by: MemberName,
         was: Standing,
@@ -124,7 +124,7 @@
     }
 
     /// A name that was not known.
-    pub(super) fn meet(&mut self, now: Moment, claim: &Claim, by: MemberName) {
+    pub(super) fn meet(&mut self, now: Timestamp, claim: &Claim, by: MemberName) {
         if self.table.len() >= self.room() && !self.make_room() {
             self.figures.no_room += 1;
             return;
@@ -139,7 +139,7 @@
             seen: Seen::default(),
             said_left: false,
             accusers: Vec::new(),
-            until: Moment::default(),
+            until: Timestamp::default(),
             called: false,
         };
         self.table.insert(claim.name, entry);
@@ -213,7 +213,7 @@
         self.tell(Event::Refuted(self.me.incarnation));
     }
 
-    pub(super) fn take_body(&mut self, now: Moment, came: &Datagram) {
+    pub(super) fn take_body(&mut self, now: Timestamp, came: &Datagram) {
         let (from, at) = (came.from.name, came.from.at);
         match came.body {
             Body::Ping { number, to } if to.is_none_or(|to| to == self.me.name) => {
@@ -251,7 +251,7 @@
         }
     }
 
-    pub(super) fn answered(&mut self, now: Moment, number: u32) {
+    pub(super) fn answered(&mut self, now: Timestamp, number: u32) {
         if self.probe.as_ref().is_some_and(|probe| probe.number == number) {
             self.probe = None;
             self.doubt.answered();
--- a/crates/hazelspur-fleet/src/members/mod.rs
+++ b/crates/hazelspur-fleet/src/members/mod.rs
@@ -20,9 +20,9 @@
 use crate::picture::{Picture, Row, Size, Standing};
 use crate::replay::Seen;
 use crate::signals;
-use crate::talk::{self, Body, Datagram, Dropped, MOST_CLAIMS, MOST_ROWS, ShownRow};
+use crate::talk::{self, Body, Datagram, Dropped, MAX_CLAIMS, MAX_ROWS, ShownRow};
 use hazelspur::pcg::Pcg;
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::ops::Bound::{Excluded, Unbounded};
@@ -43,14 +43,14 @@
 /// Told at once when this process leaves, and when it has left.
 const FAREWELLS: usize = 8;
 /// Lost ones called in a period where some have come back.
-const MOST_CALLS: usize = 7;
+const MAX_CALLS: usize = 7;
 /// Parts of the list and shows that are answered in a period, probes made for others at once.
 const PAGES: usize = 64;
 const SHOWS: usize = 128;
 const RELAYS: usize = 64;
 /// Datagrams and events that wait; more are dropped, as a network would.
-const MOST_OUT: usize = 512;
-const MOST_EVENTS: usize = 1024;
+const MAX_OUT: usize = 512;
+const MAX_EVENTS: usize = 1024;
 /// A generation this far ahead of the clock is nobody's, in ms.
 const AHEAD_MS: u64 = 600_000;
 /// How often a process takes a new generation in a period at most: two of one name would go on for ever.
@@ -81,9 +81,9 @@
     /// No more servers than this exist at once, 1 to 4096: the upper bound where nothing better is known.
     pub most: usize,
     /// How often one other is probed.
-    pub period: Span,
+    pub period: Duration,
     /// How long those who are lost or left are remembered. Until then the lost count to the upper bound.
-    pub remember: Span,
+    pub remember: Duration,
 }
 
 /// A change that is worth a line.
@@ -123,16 +123,16 @@
     /// The last word, and from whom.
     claim: Claim,
     by: MemberName,
-    word: Moment,
+    word: Timestamp,
     standing: Standing,
-    since: Moment,
-    heard: Option<Moment>,
+    since: Timestamp,
+    heard: Option<Timestamp>,
     seen: Seen,
     /// It said itself that it has left; hearsay of that is believed only until it speaks.
     said_left: bool,
     accusers: Vec<MemberName>,
     /// While suspected: when it is called once more, and once that is done until when it may speak up.
-    until: Moment,
+    until: Timestamp,
     called: bool,
 }
 
@@ -141,7 +141,7 @@
     of: MemberName,
     number: u32,
     /// When others are asked; none once they are.
-    help_at: Option<Moment>,
+    help_at: Option<Timestamp>,
 }
 
 /// A probe made for another.
@@ -150,7 +150,7 @@
     number: u32,
     asker: SocketAddr,
     asked: u32,
-    until: Moment,
+    until: Timestamp,
 }
 
 #[derive(Clone, Debug)]
@@ -170,7 +170,7 @@
     doubt: Doubt,
     condition: Condition,
     table: BTreeMap<MemberName, Entry>,
-    suspects: BTreeSet<(Moment, MemberName)>,
+    suspects: BTreeSet<(Timestamp, MemberName)>,
     lost: BTreeSet<MemberName>,
     /// All in the table, in no order, to draw from.
     all: Vec<MemberName>,
@@ -179,8 +179,8 @@
     round: Vec<MemberName>,
     probe: Option<Probe>,
     relays: Vec<Relay>,
-    next_period: Moment,
-    gossip_at: Option<Moment>,
+    next_period: Timestamp,
+    gossip_at: Option<Timestamp>,
     periods: u64,
     /// The list was read to its end; behind which name it goes on, and whether it was asked for in this
     /// period.
@@ -197,7 +197,7 @@
     shows_left: usize,
     bumps_left: u32,
     /// Since the last standstill.
-    awake: Moment,
+    awake: Timestamp,
     out: VecDeque<Out>,
     events: VecDeque<Event>,
     /// Goes along with each datagram.
@@ -208,7 +208,7 @@
 impl Members {
     /// A new life. `generation` is the wall clock in Unix milliseconds; a greater one that is heard of is
     /// passed.
-    pub fn new(terms: Terms, generation: Generation, seed: u64, now: Moment) -> Self {
+    pub fn new(terms: Terms, generation: Generation, seed: u64, now: Timestamp) -> Self {
         let me = Claim {
             name: terms.name,
             site: terms.site,
@@ -260,7 +260,7 @@
     // ---- inputs ----
 
     /// A datagram that `talk::open` let through.
-    pub fn heard(&mut self, now: Moment, came: &Datagram) -> Result<(), Dropped> {
+    pub fn heard(&mut self, now: Timestamp, came: &Datagram) -> Result<(), Dropped> {
         if let Body::Show { number, after } = came.body {
             self.show(now, came.from.at, number, after);
             return Ok(());
@@ -278,20 +278,20 @@
         self.figures.heard += 1;
         self.doubt.heard(now);
         let by = came.from.name;
-        came.claims.iter().take(MOST_CLAIMS).for_each(|claim| self.merge(now, claim, by));
+        came.claims.iter().take(MAX_CLAIMS).for_each(|claim| self.merge(now, claim, by));
         self.take_body(now, came);
         self.judge(now);
         Ok(())
     }
 
     /// The time that `next_tick` named is there, or past.
-    pub fn tick(&mut self, now: Moment) {
+    pub fn tick(&mut self, now: Timestamp) {
         let due = self.next_tick();
         if now < due {
             return;
         }
         let stood = self.doubt.ran(now, due);
-        if stood > Span::ZERO {
+        if stood > Duration::ZERO {
             self.woke(now, stood);
         }
         if let Some(Probe { help_at: Some(at), .. }) = &self.probe
@@ -312,12 +312,12 @@
     }
 
     /// From now on nothing new is taken; others are told, so that nobody suspects us.
-    pub fn leave(&mut self, now: Moment) {
+    pub fn leave(&mut self, now: Timestamp) {
         self.say_of_me(now, Says::Leaving);
     }
 
     /// The last word of this life.
-    pub fn left(&mut self, now: Moment) {
+    pub fn left(&mut self, now: Timestamp) {
         self.say_of_me(now, Says::Left);
     }
 
@@ -347,14 +347,14 @@
 
     // ---- what comes of it ----
 
-    pub fn next_tick(&self) -> Moment {
+    pub fn next_tick(&self) -> Timestamp {
         let help = self.probe.as_ref().and_then(|probe| probe.help_at);
         let suspects = self.suspects.first().map(|(at, _)| *at);
-        [help, self.gossip_at, suspects].into_iter().flatten().fold(self.next_period, Moment::min)
+        [help, self.gossip_at, suspects].into_iter().flatten().fold(self.next_period, Timestamp::min)
     }
 
     /// What is to be sent, and where to.
-    pub fn next_out(&mut self, now: Moment) -> Option<(SocketAddr, Datagram)> {
+    pub fn next_out(&mut self, now: Timestamp) -> Option<(SocketAddr, Datagram)> {
         let Out { to, name, body } = self.out.pop_front()?;
         self.number += 1;
         self.figures.sent += 1;
@@ -426,7 +426,7 @@
         }
     }
 
-    pub fn picture(&self, now: Moment) -> Picture {
+    pub fn picture(&self, now: Timestamp) -> Picture {
         let row = |(name, entry): (&MemberName, &Entry)| Row {
             name: *name,
             site: entry.claim.site,
@@ -471,7 +471,7 @@
             return Err(format!("{} members, room for {}", self.table.len(), self.room()));
         }
         let size = self.size(None);
-        if size.least > size.most || self.out.len() > MOST_OUT {
+        if size.least > size.most || self.out.len() > MAX_OUT {
             return Err(format!("{size:?}, {} datagrams wait", self.out.len()));
         }
         Ok(())
@@ -479,7 +479,7 @@
 
     // ---- inside ----
 
-    fn suspect(&mut self, now: Moment, name: MemberName, accuser: MemberName) {
+    fn suspect(&mut self, now: Timestamp, name: MemberName, accuser: MemberName) {
         let Some(entry) = self.table.get_mut(&name) else { return };
         if entry.standing == Standing::Suspected {
             self.suspects.remove(&(entry.until, name));
@@ -495,7 +495,7 @@
 
     /// When a suspicion ends, by how many have the same: Lifeguard's formula. Not before now, though a late accuser may
     /// make it shorter than it has lasted: a time that was never waited for is no standstill of this process.
-    fn set_end(&mut self, now: Moment, name: MemberName) {
+    fn set_end(&mut self, now: Timestamp, name: MemberName) {
         let known = self.table.len();
         let fleet = known as f64 + 1.0;
         let Some(entry) = self.table.get_mut(&name) else { return };
@@ -513,7 +513,7 @@
         self.suspects.insert((entry.until, name));
     }
 
-    fn stands(&mut self, now: Moment, name: MemberName, standing: Standing) {
+    fn stands(&mut self, now: Timestamp, name: MemberName, standing: Standing) {
         let Some(entry) = self.table.get_mut(&name) else { return };
         self.suspects.remove(&(entry.until, name));
         if standing == Standing::Lost {
@@ -527,7 +527,7 @@
         entry.accusers.clear();
     }
 
-    fn judge(&mut self, now: Moment) {
+    fn judge(&mut self, now: Timestamp) {
         let others = self.table.values().any(|entry| entry.standing.may_serve());
         let is = match () {
             () if self.me.says != Says::Alive => Condition::Leaving,
@@ -542,7 +542,7 @@
         }
     }
 
-    fn say_of_me(&mut self, now: Moment, says: Says) {
+    fn say_of_me(&mut self, now: Timestamp, says: Says) {
         self.me.says = says;
         self.news.add(self.me.name);
         let names = self.pick(FAREWELLS, |entry| entry.standing == Standing::Alive);
@@ -551,7 +551,7 @@
     }
 
     fn tell(&mut self, event: Event) {
-        if self.events.len() < MOST_EVENTS {
+        if self.events.len() < MAX_EVENTS {
             self.events.push_back(event);
         }
     }
@@ -592,7 +592,7 @@
     }
 
     fn send(&mut self, to: SocketAddr, name: Option<MemberName>, body: Body) {
-        if self.out.len() < MOST_OUT {
+        if self.out.len() < MAX_OUT {
             self.out.push_back(Out { to, name, body });
         }
     }
--- a/crates/hazelspur-fleet/src/members/rounds.rs
+++ b/crates/hazelspur-fleet/src/members/rounds.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Members {
-    pub(super) fn period(&mut self, now: Moment) {
+    pub(super) fn period(&mut self, now: Timestamp) {
         self.periods += 1;
         (self.pages_left, self.shows_left, self.bumps_left) = (PAGES, SHOWS, BUMPS);
         self.next_period = now + self.terms.period.scaled(self.stretch());
@@ -32,7 +32,7 @@
         self.doubt.factor().min(LONGEST_PERIOD)
     }
 
-    pub(super) fn next_probe(&mut self, now: Moment) {
+    pub(super) fn next_probe(&mut self, now: Timestamp) {
         let probed = |standing| !matches!(standing, Standing::Left | Standing::Lost);
         let mut fresh_round = false;
         let of = loop {
@@ -67,7 +67,7 @@
         helpers.into_iter().for_each(|helper| self.send_to(helper, Body::PingFor { number, to: of, at }));
     }
 
-    pub(super) fn unanswered(&mut self, now: Moment, of: MemberName) {
+    pub(super) fn unanswered(&mut self, now: Timestamp, of: MemberName) {
         self.figures.unanswered += 1;
         self.doubt.blamed();
         // A process that hears nobody, or stood still, suspects nobody.
@@ -102,7 +102,7 @@
         }
     }
 
-    pub(super) fn end_suspicions(&mut self, now: Moment) {
+    pub(super) fn end_suspicions(&mut self, now: Timestamp) {
         while let Some((at, name)) = self.suspects.first().copied().filter(|(at, _)| *at <= now) {
             if self.doubt.cut_off(now) || self.doubt.doubtful(now) {
                 // Not now: nobody is given up by one who can't be sure of himself.
@@ -122,14 +122,14 @@
         }
     }
 
-    fn look_again(&mut self, now: Moment, name: MemberName, called: bool) {
+    fn look_again(&mut self, now: Timestamp, name: MemberName, called: bool) {
         let Some(entry) = self.table.get_mut(&name) else { return };
         self.suspects.remove(&(entry.until, name));
         (entry.until, entry.called) = (now + self.terms.period, called);
         self.suspects.insert((entry.until, name));
     }
 
-    pub(super) fn woke(&mut self, now: Moment, stood: Span) {
+    pub(super) fn woke(&mut self, now: Timestamp, stood: Duration) {
         self.awake = now;
         self.probe = None;
         let moved = std::mem::take(&mut self.suspects);
@@ -145,7 +145,7 @@
         }
     }
 
-    pub(super) fn forget_old(&mut self, now: Moment) {
+    pub(super) fn forget_old(&mut self, now: Timestamp) {
         let remember = self.terms.remember;
         let gone = |e: &Entry| matches!(e.standing, Standing::Left | Standing::Lost);
         let old: Vec<MemberName> = self
@@ -179,7 +179,7 @@
             let number = self.chance.draw();
             self.send(at, None, Body::Ping { number, to: None });
         }
-        let calls = 1 + (2 * std::mem::take(&mut self.returned)).min(MOST_CALLS);
+        let calls = 1 + (2 * std::mem::take(&mut self.returned)).min(MAX_CALLS);
         for _ in 0..calls.min(self.lost.len()) {
             let at = self.chance.draw() as usize % self.lost.len();
             let Some(lost) = self.lost.iter().nth(at).copied() else { break };
--- a/crates/hazelspur-fleet/src/members/telling.rs
+++ b/crates/hazelspur-fleet/src/members/telling.rs
@@ -1,7 +1,7 @@
 //! What goes out: with each datagram, as a part of the list, and to an operator.
 
 use super::*;
-use crate::talk::MOST_SITES;
+use crate::talk::MAX_SITES;
 
 impl Members {
     /// What is passed on about a member; the lost go as suspected, so that they can speak up. Not for as long as
@@ -22,7 +22,7 @@
         let mut claims: Vec<Claim> = of_it.into_iter().collect();
         let mut left = claims.iter().fold(room, |left, claim| left.saturating_sub(size(claim)));
         let mut news = std::mem::take(&mut self.news);
-        news.take(MOST_CLAIMS - 1, self.table.len() + 1, |name| {
+        news.take(MAX_CLAIMS - 1, self.table.len() + 1, |name| {
             let claim =
                 if name == self.me.name { Some(self.me) } else { self.table.get(&name).map(|e| e.claim) };
             let Some(claim) = claim else { return true };
@@ -33,7 +33,7 @@
             }
             fits
         });
-        let most = PAGE.min(MOST_CLAIMS.saturating_sub(claims.len()));
+        let most = PAGE.min(MAX_CLAIMS.saturating_sub(claims.len()));
         for claim in news.page(&self.table, most, |entry| self.told(entry)) {
             if size(&claim) <= left && !claims.iter().any(|other| other.name == claim.name) {
                 left -= size(&claim);
@@ -60,7 +60,7 @@
         let mut last = after;
         for (name, entry) in behind.by_ref() {
             if let Some(claim) = self.told(entry) {
-                if size(&claim) > left || claims.len() >= MOST_CLAIMS {
+                if size(&claim) > left || claims.len() >= MAX_CLAIMS {
                     return (claims, last);
                 }
                 left -= size(&claim);
@@ -80,12 +80,12 @@
     }
 
     /// Answers an operator's command, a part at a time.
-    pub(super) fn show(&mut self, now: Moment, to: SocketAddr, number: u32, after: Option<MemberName>) {
+    pub(super) fn show(&mut self, now: Timestamp, to: SocketAddr, number: u32, after: Option<MemberName>) {
         if self.shows_left == 0 {
             return;
         }
         self.shows_left -= 1;
-        let ms = |since: Moment| (now - since).us() / 1000;
+        let ms = |since: Timestamp| (now - since).us() / 1000;
         let shown = |entry: &Entry| ShownRow {
             claim: entry.claim,
             standing: entry.standing,
@@ -95,15 +95,15 @@
             heard_ms: entry.heard.map(ms),
         };
         let behind = self.table.range((after.map_or(Unbounded, Excluded), Unbounded));
-        let mut rows: Vec<ShownRow> = behind.take(MOST_ROWS + 1).map(|(_, entry)| shown(entry)).collect();
-        let more = rows.len() > MOST_ROWS;
-        rows.truncate(MOST_ROWS);
+        let mut rows: Vec<ShownRow> = behind.take(MAX_ROWS + 1).map(|(_, entry)| shown(entry)).collect();
+        let more = rows.len() > MAX_ROWS;
+        rows.truncate(MAX_ROWS);
         let next = rows.last().filter(|_| more).map(|row| row.claim.name);
         let mut sites = Vec::new();
         if after.is_none() {
             let names: BTreeSet<SiteName> = self.table.values().map(|entry| entry.claim.site).collect();
             let names = names.into_iter().chain([self.me.site]).collect::<BTreeSet<_>>();
-            sites.extend(names.into_iter().take(MOST_SITES).map(|site| (site, self.size(Some(site)))));
+            sites.extend(names.into_iter().take(MAX_SITES).map(|site| (site, self.size(Some(site)))));
         }
         let (condition, fleet) = (self.condition, self.size(None));
         self.send(to, None, Body::Shown { number, condition, fleet, sites, rows, next });
--- a/crates/hazelspur-fleet/src/picture.rs
+++ b/crates/hazelspur-fleet/src/picture.rs
@@ -2,7 +2,7 @@
 
 use crate::doubt::Condition;
 use crate::names::{Generation, MemberName, SiteName};
-use hazelspur::Span;
+use hazelspur::Duration;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Whether it may run ops now.
+    /// Whether it may run requests now.
     pub fn may_serve(self) -> bool {
         self != Self::Left
     }
@@ -52,12 +52,12 @@
     pub generation: Generation,
     pub standing: Standing,
     /// Since when it stands so.
-    pub since: Span,
+    pub since: Duration,
     /// How long ago the last word on it came, and from whom.
-    pub word: Span,
+    pub word: Duration,
     pub by: MemberName,
     /// How long ago it was heard itself; none if never.
-    pub heard: Option<Span>,
+    pub heard: Option<Duration>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/hazelspur-fleet/src/shares/divide.rs
+++ b/crates/hazelspur-fleet/src/shares/divide.rs
@@ -2,39 +2,39 @@
 
 use super::{Figures, Life, Terms};
 use crate::shares::terms::{Limit, LimitId};
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
 /// Leases of one holder and limit that have not ended; more are counted as one.
-const MOST_CHARGES: usize = 6;
+const MAX_CHARGES: usize = 6;
 /// With more holders than this, levels and sums are worked out once in `EACH`; in between sums only grow.
 const FEW: usize = 48;
-const EACH: Span = Span::from_ms(100);
+const EACH: Duration = Duration::from_ms(100);
 
 /// What one holder may still use of one limit: amounts with their ends. It uses one of them at a time.
 #[derive(Clone, Debug, Default)]
-struct Charges(Vec<(f64, Moment)>);
+struct Charges(Vec<(f64, Timestamp)>);
 
 impl Charges {
-    fn now(&self, now: Moment) -> f64 {
+    fn now(&self, now: Timestamp) -> f64 {
         self.0.iter().filter(|(_, end)| now < *end).map(|(amount, _)| *amount).fold(0.0, f64::max)
     }
 
-    fn add(&mut self, now: Moment, amount: f64, end: Moment) {
+    fn add(&mut self, now: Timestamp, amount: f64, end: Timestamp) {
         self.0.retain(|(_, end)| now < *end);
         // What is covered by another counts no more.
         self.0.retain(|(other, ends)| *other > amount || *ends > end);
         if !self.0.iter().any(|(other, ends)| *other >= amount && *ends >= end) {
             self.0.push((amount, end));
         }
-        if self.0.len() > MOST_CHARGES {
+        if self.0.len() > MAX_CHARGES {
             let most = self.0.iter().fold((0.0, end), |(a, e), (b, f)| (f64::max(a, *b), e.max(*f)));
             self.0 = vec![most];
         }
     }
 
     /// The holder uses no more than this from before `now` on; what it began may go on until `lingers`.
-    fn given_back(&mut self, now: Moment, keeps: f64, lingers: Moment) {
+    fn given_back(&mut self, now: Timestamp, keeps: f64, lingers: Timestamp) {
         let old = std::mem::take(&mut self.0);
         for (amount, end) in old.into_iter().filter(|(_, end)| now < *end) {
             if amount > keeps {
@@ -50,13 +50,13 @@
 #[derive(Clone, Debug)]
 struct Row {
     number: u32,
-    heard: Moment,
+    heard: Timestamp,
     /// Of the pool: what it would use beyond its floor.
     wants: Vec<f64>,
     charges: Vec<Charges>,
     /// Turns: since when it waits, and since when it has one.
-    waits: Vec<Option<Moment>>,
-    has: Vec<Option<Moment>>,
+    waits: Vec<Option<Timestamp>>,
+    has: Vec<Option<Timestamp>>,
 }
 
 #[derive(Clone, Debug)]
@@ -64,18 +64,18 @@
     rows: BTreeMap<Life, Row>,
     levels: Vec<f64>,
     sums: Vec<f64>,
-    looked: Moment,
+    looked: Timestamp,
     /// Until then others may use what a former divider gave, so that nobody gets more than it holds.
-    inherits: Moment,
+    inherits: Timestamp,
 }
 
 impl Divider {
-    pub fn new(limits: usize, inherits: Moment) -> Self {
+    pub fn new(limits: usize, inherits: Timestamp) -> Self {
         Self {
             rows: BTreeMap::new(),
             levels: vec![0.0; limits],
             sums: vec![0.0; limits],
-            looked: Moment::default(),
+            looked: Timestamp::default(),
             inherits,
         }
     }
@@ -84,7 +84,7 @@
         self.rows.len()
     }
 
-    pub fn given(&self, now: Moment, limit: usize) -> f64 {
+    pub fn given(&self, now: Timestamp, limit: usize) -> f64 {
         self.rows.values().filter_map(|row| row.charges.get(limit)).map(|c| c.now(now)).sum()
     }
 
@@ -92,11 +92,11 @@
     /// older than one that came before, or can't be read.
     pub fn wanted(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         terms: &Terms,
         from: Life,
         (number, wants, keeps): (u32, &[f32], &[f32]),
-        lasts: Span,
+        lasts: Duration,
         figures: &mut Figures,
     ) -> Option<Vec<f32>> {
         let limits = terms.limits.len();
@@ -165,7 +165,7 @@
         Some(amounts.collect())
     }
 
-    fn give(&mut self, now: Moment, to: Life, at: usize, amount: f64, end: Moment) {
+    fn give(&mut self, now: Timestamp, to: Life, at: usize, amount: f64, end: Timestamp) {
         let Some(row) = self.rows.get_mut(&to) else { return };
         let before = row.charges[at].now(now);
         row.charges[at].add(now, amount, end);
@@ -173,7 +173,7 @@
     }
 
     /// A turn: kept for so long at most; a free one goes to who has waited longest.
-    fn turn(&mut self, now: Moment, from: Life, at: usize, longest: Span, free: f64) -> f64 {
+    fn turn(&mut self, now: Timestamp, from: Life, at: usize, longest: Duration, free: f64) -> f64 {
         let row = &self.rows[&from];
         let Some(waits) = row.waits[at] else { return 0.0 };
         if let Some(has) = row.has[at] {
@@ -204,7 +204,7 @@
     }
 
     /// Levels and sums, anew.
-    fn look(&mut self, now: Moment, terms: &Terms) {
+    fn look(&mut self, now: Timestamp, terms: &Terms) {
         if self.rows.len() > FEW && now - self.looked < EACH {
             return;
         }
@@ -218,7 +218,7 @@
     }
 
     /// Those who ask no more and hold nothing; of turns, those who ask no more wait no more.
-    fn forget_old(&mut self, now: Moment, terms: &Terms) {
+    fn forget_old(&mut self, now: Timestamp, terms: &Terms) {
         self.rows.retain(|_, row| {
             let silent = now - row.heard >= terms.span.scaled(0.75);
             if silent {
--- a/crates/hazelspur-fleet/src/shares/hold.rs
+++ b/crates/hazelspur-fleet/src/shares/hold.rs
@@ -3,12 +3,12 @@
 use super::terms::{LimitId, Terms};
 use super::{DRIFT, Share, Word};
 use crate::names::MemberName;
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 
 #[derive(Clone, Debug)]
 pub struct Holder {
     number: u32,
-    pub sent: Moment,
+    pub sent: Timestamp,
     /// Whom it was last asked of, and whether that one answered.
     asked: Option<MemberName>,
     pub answered: bool,
@@ -17,23 +17,23 @@
     wants: Vec<f64>,
     /// Of the pool.
     have: Vec<f64>,
-    until: Moment,
+    until: Timestamp,
     holds: bool,
     pub divider: Option<MemberName>,
-    pub next: Moment,
+    pub next: Timestamp,
 }
 
 impl Holder {
-    pub fn new(limits: usize, next: Moment) -> Self {
+    pub fn new(limits: usize, next: Timestamp) -> Self {
         Self {
             number: 0,
-            sent: Moment::default(),
+            sent: Timestamp::default(),
             asked: None,
             answered: false,
             sent_on: false,
             wants: vec![0.0; limits],
             have: vec![0.0; limits],
-            until: Moment::default(),
+            until: Timestamp::default(),
             holds: false,
             divider: None,
             next,
@@ -47,31 +47,38 @@
         }
     }
 
-    pub fn share(&self, now: Moment, terms: &Terms, limit: LimitId) -> Share {
+    pub fn share(&self, now: Timestamp, terms: &Terms, limit: LimitId) -> Share {
         let floor = terms.floor(limit);
         let held = now < self.until;
         let of_pool = if held { self.have.get(limit.0).copied().unwrap_or(0.0) } else { 0.0 };
         Share { amount: floor + of_pool, floor, until: held.then_some(self.until) }
     }
 
-    pub fn holds(&self, now: Moment) -> bool {
+    pub fn holds(&self, now: Timestamp) -> bool {
         now < self.until
     }
 
     /// When the lease in force ends.
-    pub fn ends(&self) -> Option<Moment> {
+    pub fn ends(&self) -> Option<Timestamp> {
         self.holds.then_some(self.until)
     }
 
     /// Whether the pool is held, where that has changed.
-    pub fn changed(&mut self, now: Moment) -> Option<bool> {
+    pub fn changed(&mut self, now: Timestamp) -> Option<bool> {
         let holds = now < self.until;
         (std::mem::replace(&mut self.holds, holds) != holds).then_some(holds)
     }
 
     /// The next question. From here on no more is used of what is held than is wanted: that is what lets the
     /// divider give it to others.
-    pub fn ask(&mut self, now: Moment, terms: &Terms, to: MemberName, again: Span, sent_on: bool) -> Word {
+    pub fn ask(
+        &mut self,
+        now: Timestamp,
+        terms: &Terms,
+        to: MemberName,
+        again: Duration,
+        sent_on: bool,
+    ) -> Word {
         if now >= self.until {
             self.have.fill(0.0);
         }
@@ -93,10 +100,10 @@
     /// An answer counts to the last question only, and once.
     pub fn had(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         terms: &Terms,
         by: MemberName,
-        (number, span, amounts): (u32, Span, &[f32]),
+        (number, span, amounts): (u32, Duration, &[f32]),
     ) -> bool {
         let fits = amounts.len() == self.have.len() && amounts.iter().all(|n| n.is_finite() && *n >= 0.0);
         if number != self.number || self.answered || self.asked != Some(by) || !fits {
--- a/crates/hazelspur-fleet/src/shares/mod.rs
+++ b/crates/hazelspur-fleet/src/shares/mod.rs
@@ -31,21 +31,21 @@
 use crate::names::{Generation, MemberName};
 use divide::Divider;
 use hazelspur::pcg::Pcg;
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 use hold::Holder;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use vote::{Candidate, Keeper};
 
-pub const MOST_LIMITS: usize = 16;
-pub const MOST_KEEPERS: usize = 9;
+pub const MAX_LIMITS: usize = 16;
+pub const MAX_KEEPERS: usize = 9;
 /// Clocks run apart by less than this part.
 const DRIFT: f64 = 0.02;
 /// Who holds nothing asks again after this part of a renewal.
 const IMPATIENT: f64 = 0.25;
 /// Messages and events that wait; more are dropped, as a network would.
-const MOST_OUT: usize = 64;
-const MOST_EVENTS: usize = 64;
+const MAX_OUT: usize = 64;
+const MAX_EVENTS: usize = 64;
 
 /// One life of one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -76,8 +76,8 @@
     /// Whether it is of a length that is read.
     pub fn fits(&self) -> bool {
         match self {
-            Self::Want { wants, keeps, .. } => wants.len() <= MOST_LIMITS && keeps.len() <= MOST_LIMITS,
-            Self::Have { amounts, .. } => amounts.len() <= MOST_LIMITS,
+            Self::Want { wants, keeps, .. } => wants.len() <= MAX_LIMITS && keeps.len() <= MAX_LIMITS,
+            Self::Have { amounts, .. } => amounts.len() <= MAX_LIMITS,
             _ => true,
         }
     }
@@ -89,7 +89,7 @@
     pub amount: f64,
     pub floor: f64,
     /// None where nothing of the pool is held.
-    pub until: Option<Moment>,
+    pub until: Option<Timestamp>,
 }
 
 /// A change that is worth a line.
@@ -132,7 +132,7 @@
 
 impl Shares {
     /// A new life. The terms have passed `Terms::check`.
-    pub fn new(terms: Terms, me: Life, seed: u64, now: Moment) -> Self {
+    pub fn new(terms: Terms, me: Life, seed: u64, now: Timestamp) -> Self {
         let mut chance = Pcg::new(seed ^ 0x5ba5);
         let keeps = terms.keepers.contains(&me.name);
         let first = now + terms.renewal().scaled(IMPATIENT * chance.unit());
@@ -163,7 +163,7 @@
     }
 
     /// What another server said; whoever hands it in vouches for the sender.
-    pub fn heard(&mut self, now: Moment, from: Life, word: &Word) {
+    pub fn heard(&mut self, now: Timestamp, from: Life, word: &Word) {
         match word {
             Word::Ask { round } => {
                 if let Some(keeper) = &mut self.keeper
@@ -180,7 +180,7 @@
             }
             Word::Want { number, wants, keeps } => self.wanted(now, from, *number, (wants, keeps)),
             Word::Have { number, span_ms, amounts } => {
-                let span = Span::from_ms(u64::from(*span_ms)).min(self.terms.lease());
+                let span = Duration::from_ms(u64::from(*span_ms)).min(self.terms.lease());
                 if self.holder.had(now, &self.terms, from.name, (*number, span, amounts)) {
                     self.figures.had += 1;
                     if self.holder.changed(now) == Some(true) {
@@ -197,7 +197,7 @@
     }
 
     /// The time that `next_tick` named is there, or past.
-    pub fn tick(&mut self, now: Moment) {
+    pub fn tick(&mut self, now: Timestamp) {
         self.run_for_it(now);
         if self.holder.changed(now) == Some(false) {
             self.tell(Event::FloorOnly);
@@ -211,7 +211,7 @@
     }
 
     /// This life is about to end in good order: nothing of the pool is used from here on.
-    pub fn leave(&mut self, now: Moment) {
+    pub fn leave(&mut self, now: Timestamp) {
         for at in 0..self.terms.limits.len() {
             self.want(LimitId(at), 0.0);
         }
@@ -222,10 +222,10 @@
 
     // ---- what comes of it ----
 
-    pub fn next_tick(&self) -> Moment {
+    pub fn next_tick(&self) -> Timestamp {
         let candidate = self.candidate.as_ref().map(|candidate| candidate.next);
         let ends = self.candidate.as_ref().and_then(|candidate| candidate.until);
-        [candidate, ends, self.holder.ends()].into_iter().flatten().fold(self.holder.next, Moment::min)
+        [candidate, ends, self.holder.ends()].into_iter().flatten().fold(self.holder.next, Timestamp::min)
     }
 
     pub fn next_out(&mut self) -> Option<(MemberName, Word)> {
@@ -237,28 +237,28 @@
     }
 
     /// What may be used at this moment: to be asked for at each use, since leases end by themselves.
-    pub fn share(&self, now: Moment, limit: LimitId) -> Share {
+    pub fn share(&self, now: Timestamp, limit: LimitId) -> Share {
         self.holder.share(now, &self.terms, limit)
     }
 
     /// Until when this server divides, by itself.
-    pub fn divides(&self, now: Moment) -> Option<Moment> {
+    pub fn divides(&self, now: Timestamp) -> Option<Timestamp> {
         self.candidate.as_ref().and_then(|candidate| candidate.until).filter(|until| now < *until)
     }
 
     /// Who divides, as far as is known here.
-    pub fn divider(&self, now: Moment) -> Option<MemberName> {
+    pub fn divider(&self, now: Timestamp) -> Option<MemberName> {
         if self.divides(now).is_some() { Some(self.me.name) } else { self.holder.divider }
     }
 
     /// What the divider counts as given out of a limit's pool, by whom it was asked, and what the pool is.
-    pub fn given(&self, now: Moment, limit: LimitId) -> Option<(f64, usize, f64)> {
+    pub fn given(&self, now: Timestamp, limit: LimitId) -> Option<(f64, usize, f64)> {
         let divider = self.divider.as_ref().filter(|_| self.divides(now).is_some())?;
         Some((divider.given(now, limit.0), divider.holders(), self.terms.pool(limit)))
     }
 
     /// What must hold after each input; the text names what does not.
-    pub fn check(&self, now: Moment) -> Result<(), String> {
+    pub fn check(&self, now: Timestamp) -> Result<(), String> {
         for at in 0..self.terms.limits.len() {
             let pool = self.terms.pool(LimitId(at));
             if let Some((given, ..)) = self.given(now, LimitId(at))
@@ -280,7 +280,13 @@
 
     // ---- inside ----
 
-    fn voted(&mut self, now: Moment, by: MemberName, (round, yes): (u32, bool), divider: Option<MemberName>) {
+    fn voted(
+        &mut self,
+        now: Timestamp,
+        by: MemberName,
+        (round, yes): (u32, bool),
+        divider: Option<MemberName>,
+    ) {
         if !self.terms.keepers.contains(&by) {
             return;
         }
@@ -300,7 +306,7 @@
     }
 
     /// A keeper's own part in the vote: asks where nobody divides, and again in time while it does.
-    fn run_for_it(&mut self, now: Moment) {
+    fn run_for_it(&mut self, now: Timestamp) {
         if self.candidate.as_mut().is_some_and(|candidate| candidate.ended(now)) {
             self.divider = None;
             self.tell(Event::DividesNoMore);
@@ -336,7 +342,7 @@
         }
     }
 
-    fn wanted(&mut self, now: Moment, from: Life, number: u32, (wants, keeps): (&[f32], &[f32])) {
+    fn wanted(&mut self, now: Timestamp, from: Life, number: u32, (wants, keeps): (&[f32], &[f32])) {
         if self.divides(now).is_none() {
             let divider = self.keeper.as_ref().and_then(|keeper| keeper.promised_to(now));
             let divider = divider.filter(|name| *name != self.me.name);
@@ -352,7 +358,7 @@
         }
     }
 
-    fn whom_to_ask(&mut self, now: Moment) -> Option<MemberName> {
+    fn whom_to_ask(&mut self, now: Timestamp) -> Option<MemberName> {
         if self.divides(now).is_some() {
             return Some(self.me.name);
         }
@@ -364,7 +370,7 @@
         known.filter(|name| *name != self.me.name).or(others.get(drawn % others.len().max(1)).copied())
     }
 
-    fn ask_for_shares(&mut self, now: Moment, to: MemberName, sent_on: bool) {
+    fn ask_for_shares(&mut self, now: Timestamp, to: MemberName, sent_on: bool) {
         // Who holds nothing does not wait for a renewal.
         let part = if self.holder.holds(now) { 1.0 } else { IMPATIENT };
         let around = self.terms.renewal().scaled(part * (0.9 + 0.2 * self.chance.unit()));
@@ -385,13 +391,13 @@
             }
             return;
         }
-        if self.out.len() < MOST_OUT {
+        if self.out.len() < MAX_OUT {
             self.out.push_back((to, word));
         }
     }
 
     fn tell(&mut self, event: Event) {
-        if self.events.len() < MOST_EVENTS {
+        if self.events.len() < MAX_EVENTS {
             self.events.push_back(event);
         }
     }
--- a/crates/hazelspur-fleet/src/shares/terms.rs
+++ b/crates/hazelspur-fleet/src/shares/terms.rs
@@ -1,8 +1,8 @@
 //! What all servers that share must be told alike.
 
-use super::{MOST_KEEPERS, MOST_LIMITS};
+use super::{MAX_KEEPERS, MAX_LIMITS};
 use crate::names::{LimitName, MemberName};
-use hazelspur::Span;
+use hazelspur::Duration;
 use serde::{Deserialize, Serialize};
 
 /// A limit by its place in the terms.
@@ -21,9 +21,9 @@
     /// The part of it that is each server's for good, divided by the most servers there may be, 0 to 1.
     pub floor: f64,
     /// How long what was begun under a share may go on after it: the longest call, say.
-    pub linger: Span,
+    pub linger: Duration,
     /// Turns: given whole, to who has waited longest, for so long at most.
-    pub whole: Option<Span>,
+    pub whole: Option<Duration>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -33,15 +33,15 @@
     /// No more servers than this exist at once.
     pub most: usize,
     /// How long a vote holds.
-    pub span: Span,
+    pub span: Duration,
     pub limits: Vec<Limit>,
 }
 
 impl Terms {
     /// Errors name what is wrong.
     pub fn check(&self) -> Result<(), String> {
-        if self.keepers.len() > MOST_KEEPERS {
-            return Err(format!("more than {MOST_KEEPERS} keepers"));
+        if self.keepers.len() > MAX_KEEPERS {
+            return Err(format!("more than {MAX_KEEPERS} keepers"));
         }
         let mut sorted = self.keepers.clone();
         sorted.sort();
@@ -49,8 +49,8 @@
         if sorted.len() != self.keepers.len() {
             return Err("a keeper is named twice: its vote would count twice".into());
         }
-        if self.limits.len() > MOST_LIMITS {
-            return Err(format!("more than {MOST_LIMITS} limits"));
+        if self.limits.len() > MAX_LIMITS {
+            return Err(format!("more than {MAX_LIMITS} limits"));
         }
         for (at, limit) in self.limits.iter().enumerate() {
             let name = limit.name;
@@ -72,19 +72,19 @@
                 ));
             }
         }
-        if self.most == 0 || self.span < Span::from_ms(200) || self.span > Span::from_ms(600_000) {
+        if self.most == 0 || self.span < Duration::from_ms(200) || self.span > Duration::from_ms(600_000) {
             return Err("span is not from 0.2 s to 600 s, or most is 0".into());
         }
         Ok(())
     }
 
     /// How often a holder asks again, and a divider for its votes.
-    pub fn renewal(&self) -> Span {
+    pub fn renewal(&self) -> Duration {
         self.span.scaled(0.25)
     }
 
     /// How long what is given may be used: past the end of a divider, until the next one is known to all.
-    pub fn lease(&self) -> Span {
+    pub fn lease(&self) -> Duration {
         self.span.scaled(2.0)
     }
 
@@ -92,8 +92,8 @@
         self.keepers.len() / 2 + 1
     }
 
-    pub fn linger(&self) -> Span {
-        self.limits.iter().map(|limit| limit.linger).max().unwrap_or(Span::ZERO)
+    pub fn linger(&self) -> Duration {
+        self.limits.iter().map(|limit| limit.linger).max().unwrap_or(Duration::ZERO)
     }
 
     /// Each server's for good.
--- a/crates/hazelspur-fleet/src/shares/vote.rs
+++ b/crates/hazelspur-fleet/src/shares/vote.rs
@@ -2,24 +2,24 @@
 
 use super::{Life, Word};
 use crate::names::MemberName;
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 use std::collections::BTreeSet;
 
 /// One vote, for one life at a time, kept in memory only.
 #[derive(Clone, Debug)]
 pub struct Keeper {
     /// A former life may have promised until then.
-    quiet: Moment,
-    vote: Option<(Life, u32, Moment)>,
+    quiet: Timestamp,
+    vote: Option<(Life, u32, Timestamp)>,
 }
 
 impl Keeper {
-    pub fn new(now: Moment, span: Span) -> Self {
+    pub fn new(now: Timestamp, span: Duration) -> Self {
         Self { quiet: now + span, vote: None }
     }
 
     /// The answer; none to what was asked before the last thing asked.
-    pub fn asked(&mut self, now: Moment, span: Span, by: Life, round: u32) -> Option<Word> {
+    pub fn asked(&mut self, now: Timestamp, span: Duration, by: Life, round: u32) -> Option<Word> {
         let no = |divider| Some(Word::Vote { round, yes: false, divider });
         if now < self.quiet {
             return no(None);
@@ -38,12 +38,12 @@
         self.vote.take_if(|(of, last, _)| *of == by && *last == round);
     }
 
-    pub fn promised_to(&self, now: Moment) -> Option<MemberName> {
+    pub fn promised_to(&self, now: Timestamp) -> Option<MemberName> {
         self.vote.filter(|(.., until)| now < *until).map(|(of, ..)| of.name)
     }
 
     /// Until when the vote is another's, or nobody's.
-    pub fn promised_until(&self, now: Moment, me: Life) -> Option<Moment> {
+    pub fn promised_until(&self, now: Timestamp, me: Life) -> Option<Timestamp> {
         let others = self.vote.filter(|(of, _, until)| now < *until && *of != me).map(|(.., until)| until);
         others.max(Some(self.quiet).filter(|quiet| now < *quiet))
     }
@@ -53,24 +53,24 @@
 pub struct Candidate {
     round: u32,
     /// When this round was asked for, and who has said yes; none where no round is open.
-    open: Option<(Moment, BTreeSet<MemberName>)>,
+    open: Option<(Timestamp, BTreeSet<MemberName>)>,
     /// It divides until then.
-    pub until: Option<Moment>,
+    pub until: Option<Timestamp>,
     /// When it asks, asks again, or gives up.
-    pub next: Moment,
+    pub next: Timestamp,
 }
 
 impl Candidate {
-    pub fn new(next: Moment) -> Self {
+    pub fn new(next: Timestamp) -> Self {
         Self { round: 0, open: None, until: None, next }
     }
 
-    pub fn holds(&self, now: Moment) -> bool {
+    pub fn holds(&self, now: Timestamp) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 
     /// A new round, asked for at this moment.
-    pub fn ask(&mut self, now: Moment, renewal: Span) -> u32 {
+    pub fn ask(&mut self, now: Timestamp, renewal: Duration) -> u32 {
         self.round += 1;
         self.open = Some((now, BTreeSet::new()));
         self.next = now + renewal;
@@ -80,11 +80,11 @@
     /// Whether it holds now by this vote. `sure` is how long a vote surely lasts from when it was asked for.
     pub fn voted(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         by: MemberName,
         (round, yes): (u32, bool),
         majority: usize,
-        sure: Span,
+        sure: Duration,
     ) -> bool {
         let Some((asked, all)) = self.open.as_mut().filter(|_| yes && round == self.round) else {
             return false;
@@ -98,7 +98,7 @@
     }
 
     /// It held and does not any more; said once.
-    pub fn ended(&mut self, now: Moment) -> bool {
+    pub fn ended(&mut self, now: Timestamp) -> bool {
         let ended = self.until.is_some_and(|until| now >= until);
         if ended {
             self.until = None;
--- a/crates/hazelspur-fleet/src/signals.rs
+++ b/crates/hazelspur-fleet/src/signals.rs
@@ -4,7 +4,7 @@
 //! further. Nothing older than a stated age counts.
 
 use crate::names::{MemberName, SiteName};
-use hazelspur::{Moment, Span};
+use hazelspur::{Duration, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -24,7 +24,7 @@
     pub pace: f32,
     /// Share of its last calls that reached nobody, 0 to 1; none where it made none lately.
     pub unreached: Option<f32>,
-    /// Share of its last ops that it refused, 0 to 1.
+    /// Share of its last requests that it refused, 0 to 1.
     pub refused: f32,
 }
 
@@ -80,21 +80,21 @@
 #[derive(Clone, Debug)]
 pub struct Board {
     /// No word older than this counts.
-    age: Span,
+    age: Duration,
     /// Servers of whom a word is kept.
     most: usize,
-    words: BTreeMap<MemberName, (SiteName, Moment, Word)>,
+    words: BTreeMap<MemberName, (SiteName, Timestamp, Word)>,
     /// Words that could not be true.
     pub absurd: u64,
 }
 
 impl Board {
-    pub fn new(most: usize, age: Span) -> Self {
+    pub fn new(most: usize, age: Duration) -> Self {
         Self { age, most, words: BTreeMap::new(), absurd: 0 }
     }
 
     /// A word that came from that server itself, just now.
-    pub fn heard(&mut self, now: Moment, from: MemberName, site: SiteName, word: Word) {
+    pub fn heard(&mut self, now: Timestamp, from: MemberName, site: SiteName, word: Word) {
         if !word.sound() {
             self.absurd += 1;
             // What it said before says nothing of it any more.
@@ -112,10 +112,10 @@
     }
 
     /// `None` where fewer than three have said anything lately.
-    pub fn common(&self, now: Moment) -> Option<Common> {
+    pub fn common(&self, now: Timestamp) -> Option<Common> {
         let fresh = self.words.values().filter(|(_, at, _)| now - *at <= self.age);
         let mut sites: BTreeMap<SiteName, Vec<Word>> = BTreeMap::new();
-        let (mut voices, mut oldest) = (0, Span::ZERO);
+        let (mut voices, mut oldest) = (0, Duration::ZERO);
         for (site, at, word) in fresh {
             sites.entry(*site).or_default().push(*word);
             voices += 1;
@@ -138,7 +138,7 @@
     }
 
     /// Whose trouble it is that calls are slow or reach nobody here.
-    pub fn whose(&self, now: Moment, mine: &Word) -> Whose {
+    pub fn whose(&self, now: Timestamp, mine: &Word) -> Whose {
         let bad_here = f64::from(mine.pace) >= SLOW || mine.unreached.is_some_and(|n| n >= 0.5);
         if !bad_here {
             return Whose::None;
@@ -168,15 +168,15 @@
 pub struct Pace {
     best: std::collections::VecDeque<f64>,
     window: f64,
-    began: Moment,
+    began: Timestamp,
 }
 
-const WINDOW: Span = Span::from_ms(8000);
+const WINDOW: Duration = Duration::from_ms(8000);
 const WINDOWS: usize = 16;
 
 impl Pace {
     /// The usual call takes so many seconds now; the figure over the best.
-    pub fn seen(&mut self, now: Moment, secs: f64) -> f32 {
+    pub fn seen(&mut self, now: Timestamp, secs: f64) -> f32 {
         if !(secs.is_finite() && secs > 0.0) {
             return 0.0;
         }
--- a/crates/hazelspur-fleet/src/talk.rs
+++ b/crates/hazelspur-fleet/src/talk.rs
@@ -8,7 +8,7 @@
 use crate::picture::{Size, Standing};
 use crate::signals::{Common, Whose};
 use crate::{shares, signals};
-use hazelspur::Moment;
+use hazelspur::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -17,12 +17,12 @@
 /// The longest datagram, in bytes: fits an Ethernet frame with room to spare.
 pub const LONGEST: usize = 1200;
 /// Claims in one datagram; more is not read.
-pub const MOST_CLAIMS: usize = 64;
+pub const MAX_CLAIMS: usize = 64;
 /// Rows and sites in one answer to an operator: with the longest names they just fit.
-pub const MOST_ROWS: usize = 4;
-pub const MOST_SITES: usize = 8;
+pub const MAX_ROWS: usize = 4;
+pub const MAX_SITES: usize = 8;
 /// Clocks further apart than this don't talk: it is what bounds the age of a datagram played again, in ms.
-pub const MOST_APART_MS: u64 = 120_000;
+pub const MAX_APART_MS: u64 = 120_000;
 
 /// The installation's key, as derived from the text of a key file.
 #[derive(Clone, PartialEq, Eq)]
@@ -213,7 +213,7 @@
 }
 
 /// Reads what came. Everything about the bytes is checked here, what they say by `Members`.
-pub fn open(key: &Key, ours: &Installation, now: Moment, bytes: &[u8]) -> Result<Datagram, Dropped> {
+pub fn open(key: &Key, ours: &Installation, now: Timestamp, bytes: &[u8]) -> Result<Datagram, Dropped> {
     if !(2 + TAG..=LONGEST).contains(&bytes.len()) {
         return Err(Dropped::Size);
     }
@@ -233,20 +233,20 @@
     }
     let read: Result<(Datagram, &[u8]), _> = postcard::take_from_bytes(&bytes[1 + TAG..]);
     let (datagram, rest) = read.map_err(|_| Dropped::Content)?;
-    let shown = |rows: &Vec<ShownRow>, sites: &Vec<_>| rows.len() <= MOST_ROWS && sites.len() <= MOST_SITES;
+    let shown = |rows: &Vec<ShownRow>, sites: &Vec<_>| rows.len() <= MAX_ROWS && sites.len() <= MAX_SITES;
     let fits = match &datagram.body {
         Body::Shown { rows, sites, .. } => shown(rows, sites),
         Body::Share { word, .. } => word.fits(),
-        Body::Choices { shown, .. } => shown.shares.len() <= shares::MOST_LIMITS,
+        Body::Choices { shown, .. } => shown.shares.len() <= shares::MAX_LIMITS,
         _ => true,
     };
-    if !rest.is_empty() || datagram.claims.len() > MOST_CLAIMS || !fits {
+    if !rest.is_empty() || datagram.claims.len() > MAX_CLAIMS || !fits {
         return Err(Dropped::Content);
     }
     if datagram.installation != *ours {
         return Err(Dropped::Foreign);
     }
-    if datagram.sent_ms.abs_diff(now.us() / 1000) > MOST_APART_MS {
+    if datagram.sent_ms.abs_diff(now.us() / 1000) > MAX_APART_MS {
         return Err(Dropped::Stale);
     }
     Ok(datagram)
--- a/crates/hazelspur-parsers/src/http.rs
+++ b/crates/hazelspur-parsers/src/http.rs
@@ -6,7 +6,7 @@
 const LONGEST_BODY: usize = 64 * 1024;
 const LONGEST_SIZE_LINE: usize = 256;
 /// Interim replies before the one that counts.
-const MOST_INTERIM: u32 = 8;
+const MAX_INTERIM: u32 = 8;
 
 pub fn write_call(out: &mut Vec<u8>, verb: &str, path: &str, host: &str, more: &[(&str, &str)], body: &[u8]) {
     put(out, format_args!("{verb} {path} HTTP/1.1\r\nHost: {host}\r\n"));
@@ -58,7 +58,7 @@
             self.looked_at = 0;
             if (100..200).contains(&head.0) {
                 self.interim += 1;
-                if self.interim > MOST_INTERIM {
+                if self.interim > MAX_INTERIM {
                     return Err("too many interim replies");
                 }
             } else {
@@ -99,7 +99,7 @@
                     self.interim += 1;
                     if last {
                         break;
-                    } else if self.interim > 2 * MOST_INTERIM {
+                    } else if self.interim > 2 * MAX_INTERIM {
                         return Err("too many trailers");
                     }
                 }
--- a/crates/hazelspur-parsers/src/settings.rs
+++ b/crates/hazelspur-parsers/src/settings.rs
@@ -1,9 +1,9 @@
-//! The settings object in the project's words: each of `lanes` is an op type, each of `orgs` a tenant, all else is
+//! The settings object in the project's words: each of `lanes` is a request class, each of `orgs` a tenant, all else is
 //! flattened: `family-info.n-cores` becomes `server.cores`, and so on. Each entry is handed on as it is read, so that
 //! the whole is never held twice.
 
 use crate::Json;
-use hazelspur::catalog::{Catalog, Entries, EntryOf, MOST_FACTS, MOST_KEYS, take_entry};
+use hazelspur::config::catalog::{Catalog, Entries, EntryOf, MAX_FACTS, MAX_KEYS, take_entry};
 use hazelspur::{Fact, Facts};
 
 /// All of it as a catalog.
@@ -13,9 +13,9 @@
     catalog.complete(facts)
 }
 
-/// Hands op types and tenants to who takes them, and gives back all else.
+/// Hands request classes and tenants to who takes them, and gives back all else.
 pub fn read(object: Json, to: &mut impl Entries) -> Result<Facts, String> {
-    let (mut rest, mut tables) = (Flat::new(MOST_FACTS), Vec::new());
+    let (mut rest, mut tables) = (Flat::new(MAX_FACTS), Vec::new());
     for (key, value) in object.fields() {
         let table = match &*key {
             "lanes" => EntryOf::OpTypes,
@@ -31,7 +31,7 @@
         tables.push(table);
         table.fits(value.items().count())?;
         for (at, entry) in value.items().enumerate() {
-            let mut of = Flat::new(MOST_KEYS);
+            let mut of = Flat::new(MAX_KEYS);
             of.take(entry, String::new());
             take_entry(to, table, at, &of.done(&format!("settings.{key}.{at}"))?)?;
         }
--- a/crates/hazelspur-server/src/start/descriptors.rs
+++ b/crates/hazelspur-server/src/config/descriptors.rs
@@ -5,9 +5,9 @@
 /// report 1, broker 1 and one being dialled 1, talk among servers 1 and a try at the ledger 1, one to spare.
 const OWN: usize = 16;
 /// Connections to the ledger, in use or kept.
-const MOST_CALLS: usize = 64;
+const MAX_CALLS: usize = 64;
 /// Gateways' connections that are being closed.
-const MOST_CLOSING: usize = 64;
+const MAX_CLOSING: usize = 64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Descriptors {
@@ -19,7 +19,7 @@
 impl Descriptors {
     pub fn divide(limit: usize) -> Self {
         let part = |most: usize| (limit / 8).clamp(4, most);
-        let (closing, calls) = (part(MOST_CLOSING), part(MOST_CALLS));
+        let (closing, calls) = (part(MAX_CLOSING), part(MAX_CALLS));
         Self { gateways: limit.saturating_sub(OWN + closing + calls).max(4), closing, calls }
     }
 
--- a/crates/hazelspur-server/src/start/fleet_keys.rs
+++ b/crates/hazelspur-server/src/config/fleet_keys.rs
@@ -1,7 +1,7 @@
 //! `fleet(...)` of the operator's file: who belongs together, and where others are found.
 
 use garde::Validate;
-use hazelspur::Span;
+use hazelspur::Duration;
 use hazelspur_fleet::shares::{Limit, Terms as ShareTerms};
 use hazelspur_fleet::{Installation, Key, LimitName, MemberName, SiteName, Terms};
 use serde::Deserialize;
@@ -44,7 +44,7 @@
     #[garde(range(min = 30.0, max = 86_400.0))]
     pub remember_s: f64,
     /// Whether servers go by what they hear of each other: who tries a ledger that nobody reaches, whether
-    /// a refused op has better luck elsewhere.
+    /// a refused request has better luck elsewhere.
     #[serde(default)]
     #[garde(skip)]
     pub together: bool,
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShareKey {
-    /// `calls`: at once at the ledger; `tenant.NAME`: ops a second of a tenant of the settings.
+    /// `calls`: at once at the ledger; `tenant.NAME`: requests a second of a tenant of the settings.
     pub limit: LimitName,
     pub total: f64,
     /// The part that is divided by `most` for good.
@@ -126,7 +126,7 @@
             name: key.limit,
             total: key.total,
             floor: key.floor,
-            linger: Span::from_secs(key.linger_s),
+            linger: Duration::from_secs(key.linger_s),
             whole: None,
         };
         if self.shares.is_empty() {
@@ -145,7 +145,7 @@
         let terms = ShareTerms {
             keepers: self.keepers.clone(),
             most: self.most,
-            span: Span::from_secs(self.lease_s),
+            span: Duration::from_secs(self.lease_s),
             limits: self.shares.iter().map(limit).collect(),
         };
         let keepers = terms.keepers.len();
@@ -170,8 +170,8 @@
             at: self.at,
             contacts: self.contacts.clone(),
             most: self.most,
-            period: Span::from_secs(self.period_s),
-            remember: Span::from_secs(self.remember_s),
+            period: Duration::from_secs(self.period_s),
+            remember: Duration::from_secs(self.remember_s),
         }
     }
 }
