--- a/crates/hazelspur-adapter/src/event.rs
+++ b/crates/hazelspur-adapter/src/event.rs
@@ -175,7 +175,7 @@
         cost: cost_us.map(Duration::from_us),
         size_kb: fields.number("kb")?,
         age: Duration::from_us(fields.optional("age-us")?.unwrap_or(0)),
-        read_after: Duration::ZERO,
+        read_offset: Duration::ZERO,
         is_write: bits & IS_WRITE != 0,
         retry_of,
     })
--- a/crates/hazelspur-server/src/process/server.rs
+++ b/crates/hazelspur-server/src/process/server.rs
@@ -167,7 +167,12 @@
         let dispatcher = &self.services.dispatcher;
         let started_at = dispatcher.clock.now().back(uptime);
         let catalog = self.catalog.clone();
-        dispatcher.start(AdmissionController::with(catalog, !is_warm, self.config.seed, started_at));
+        dispatcher.start(AdmissionController::with_shared_catalog(
+            catalog,
+            !is_warm,
+            self.config.seed,
+            started_at,
+        ));
         log::info!(cold = !is_warm, up_ms = uptime.us() / 1000; "worker known, requests are admitted");
     }
 }
--- a/crates/hazelspur-server/src/request/lifecycle.rs
+++ b/crates/hazelspur-server/src/request/lifecycle.rs
@@ -129,7 +129,7 @@
                 cost: None,
                 size_kb: received.size_kb,
                 age: now - received.sent_at,
-                read_after: read_at - now,
+                read_offset: read_at - now,
                 // Neither ingress states it; the class's idempotency decides.
                 is_write: false,
                 retry_of,
--- a/crates/hazelspur-server/tests/event_loop/decisions.rs
+++ b/crates/hazelspur-server/tests/event_loop/decisions.rs
@@ -105,7 +105,7 @@
         spawn_local(worker.clone().run_timer());
         spawn_local(dispatcher.clone().run());
         let catalog = Rc::new(RefCell::new(catalog));
-        dispatcher.start(AdmissionController::with(catalog.clone(), false, 1, clock.now()));
+        dispatcher.start(AdmissionController::with_shared_catalog(catalog.clone(), false, 1, clock.now()));
         Self { services: Rc::new(Services { dispatcher, worker, dependency }), catalog }
     }
 
--- a/crates/hazelspur-simulator/src/simulation/server.rs
+++ b/crates/hazelspur-simulator/src/simulation/server.rs
@@ -173,7 +173,7 @@
         cost: None,
         size_kb: REQUEST_SIZE_KB,
         age: ONE_WAY_LATENCY,
-        read_after: hazelspur::Duration::ZERO,
+        read_offset: hazelspur::Duration::ZERO,
         is_write: false,
         retry_of: None,
     }
--- a/src/controller/inputs.rs
+++ b/src/controller/inputs.rs
@@ -65,7 +65,7 @@
             session: new.session,
             client: new.client,
             arrived,
-            received: now + new.read_after,
+            received: now + new.read_offset,
             deadline,
             objective_at,
             size_kb: new.size_kb,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -70,11 +70,16 @@
     /// Builds a controller whose settings say whether it starts cold.
     pub fn new(catalog: Catalog, seed: u64, now: Timestamp) -> Self {
         let is_cold = catalog.settings().starts_cold;
-        Self::with(Rc::new(RefCell::new(catalog)), is_cold, seed, now)
+        Self::with_shared_catalog(Rc::new(RefCell::new(catalog)), is_cold, seed, now)
     }
 
     /// Builds a controller on a catalog that the host shares.
-    pub fn with(catalog: Rc<RefCell<Catalog>>, is_cold: bool, seed: u64, now: Timestamp) -> Self {
+    pub fn with_shared_catalog(
+        catalog: Rc<RefCell<Catalog>>,
+        is_cold: bool,
+        seed: u64,
+        now: Timestamp,
+    ) -> Self {
         let settings = catalog.borrow().settings().clone();
         // Servers that start together would otherwise end their cycles, and so move R, in step for ever.
         let first_cycle_began = now.back(MAX_CYCLE.scaled(Pcg::new(!seed).unit()));
--- a/src/request.rs
+++ b/src/request.rs
@@ -35,7 +35,7 @@
     pub age: Duration,
     /// How long after the present time, at which an event loop's turn began, the last of it was read; whether it
     /// came within the grace period of a shutdown goes by that.
-    pub read_after: Duration,
+    pub read_offset: Duration,
     /// Whether it changes data.
     pub is_write: bool,
     /// The request in hand that this one retries.
--- a/tests/fleet_totals.rs
+++ b/tests/fleet_totals.rs
@@ -113,7 +113,7 @@
             cost: None,
             size_kb: 10.0,
             age: Duration::ZERO,
-            read_after: Duration::ZERO,
+            read_offset: Duration::ZERO,
             is_write: false,
             retry_of: None,
         };
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -106,7 +106,7 @@
         let catalog = Catalog::from_flat(flat_settings(more)).expect("valid settings");
         let cold = catalog.settings().starts_cold;
         let catalog = Rc::new(RefCell::new(catalog));
-        let controller = AdmissionController::with(catalog.clone(), cold, 7, now);
+        let controller = AdmissionController::with_shared_catalog(catalog.clone(), cold, 7, now);
         Self {
             controller,
             catalog,
@@ -147,7 +147,7 @@
             cost: spec.cost_ms.map(Duration::from_ms),
             size_kb: spec.size_kb,
             age: Duration::from_ms(spec.age_ms),
-            read_after: Duration::ZERO,
+            read_offset: Duration::ZERO,
             is_write: false,
             retry_of: spec.retry_of.map(id),
         };
