--- a/src/admission/power_test.rs
+++ b/src/admission/power_test.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Cycle {
     power: f64,
-    response: f64,
+    response_time_per_cost: f64,
 }
 
 /// What a control cycle showed.
@@ -55,7 +55,7 @@
 /// The control cycle under way and the last ones.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PowerTest {
-    began: Timestamp,
+    cycle_began_at: Timestamp,
     successes: Vec<Success>,
     started_runs: u32,
     ticks: u32,
@@ -64,9 +64,9 @@
 }
 
 impl PowerTest {
-    /// A test whose first cycle counts as begun at `began`.
-    pub(crate) fn new(began: Timestamp) -> Self {
-        Self { began, ..Self::default() }
+    /// A test whose first cycle counts as begun at `cycle_began_at`.
+    pub(crate) fn new(cycle_began_at: Timestamp) -> Self {
+        Self { cycle_began_at, ..Self::default() }
     }
 
     /// Records a response within the latency objective.
@@ -93,40 +93,44 @@
         is_limited: bool,
         core_saturation: f64,
     ) -> Option<CycleResult> {
-        let length = now - self.began;
+        let length = now - self.cycle_began_at;
         let had_queue = self.ticks_with_queue * 2 >= self.ticks.max(1);
         let idles_cores = is_limited && !had_queue && core_saturation < IDLE_CORE_SATURATION;
         let is_complete = self.successes.len() >= CYCLE_SUCCESSES || length >= MAX_CYCLE;
         if length < MIN_CYCLE || !(is_complete || idles_cores) {
             return None;
         }
-        let cycle = self.measure(length);
+        let cycle = self.measure_cycle(length);
         let had_successes = !self.successes.is_empty();
         let admitted_per_s = f64::from(self.started_runs) / length.secs();
-        self.restart(now);
+        self.start_cycle(now);
         self.cycles.push(cycle);
         let best = self.cycles.iter().max_by(|a, b| a.power.total_cmp(&b.power))?;
         let power_ratio = cycle.power / best.power;
-        let is_slower = cycle.response > best.response || !had_successes;
+        let is_slower = cycle.response_time_per_cost > best.response_time_per_cost || !had_successes;
         Some(CycleResult {
             is_congested: power_ratio < MIN_POWER_RATIO && is_slower,
             had_queue,
             idles_cores,
             admitted_per_s,
-            figures: CycleFigures { power_ratio, response: cycle.response, best_response: best.response },
+            figures: CycleFigures {
+                power_ratio,
+                response: cycle.response_time_per_cost,
+                best_response: best.response_time_per_cost,
+            },
         })
     }
 
-    fn measure(&self, length: Duration) -> Cycle {
+    fn measure_cycle(&self, length: Duration) -> Cycle {
         let cost_s = self.successes.iter().fold(0.0, |sum, success| sum + success.cost_s);
         let response_s = self.successes.iter().fold(0.0, |sum, success| sum + success.response_s);
-        let response = response_s / cost_s.max(MIN_DIVISOR);
-        let power = cost_s / length.secs() / response.max(MIN_DIVISOR);
-        Cycle { power, response }
+        let response_time_per_cost = response_s / cost_s.max(MIN_DIVISOR);
+        let power = cost_s / length.secs() / response_time_per_cost.max(MIN_DIVISOR);
+        Cycle { power, response_time_per_cost }
     }
 
-    fn restart(&mut self, now: Timestamp) {
-        self.began = now;
+    fn start_cycle(&mut self, now: Timestamp) {
+        self.cycle_began_at = now;
         self.successes.clear();
         self.started_runs = 0;
         self.ticks = 0;
--- a/src/admission/session_admission.rs
+++ b/src/admission/session_admission.rs
@@ -12,23 +12,23 @@
 use crate::{RequestId, Timestamp};
 
 /// The request that is admitted next.
-pub(crate) fn next_admitted(requests: &RequestTable, rate: &AdmissionRate) -> Option<RequestId> {
+pub(crate) fn next_to_admit(requests: &RequestTable, rate: &AdmissionRate) -> Option<RequestId> {
     let admits_new_session = rate.admits_new_session();
     let passes =
         |request: &Request| !request.is_admitted && (request.has_active_session || admits_new_session);
     let passing = requests.queued().filter(|request| passes(request));
-    let best = passing
+    let first = passing
         .min_by(|a, b| b.has_active_session.cmp(&a.has_active_session).then(queue_order::compare(a, b)));
-    best.map(|request| request.id)
+    first.map(|request| request.id)
 }
 
 /// The first received request that found no token within the early part of its time.
 pub(crate) fn first_without_token(requests: &RequestTable, now: Timestamp) -> Option<Rejection> {
-    let waited = |request: &Request| now + TIMER_TICK - request.arrived;
+    let wait_by_next_tick = |request: &Request| now + TIMER_TICK - request.sent_at;
     let request = requests.first_received(|request| {
         request.state.is_queued()
             && !request.is_admitted
-            && waited(request) >= late_rejection::early_period(request)
+            && wait_by_next_tick(request) >= late_rejection::early_period(request)
     })?;
     Some(Rejection { request, reason: RejectionReason::AdmissionRate })
 }
--- a/src/arrivals.rs
+++ b/src/arrivals.rs
@@ -1,7 +1,7 @@
 //! The last requests received: how fast they come, from which clients, and how long they are expected to run.
 
 use crate::last_seen::LastSeen;
-use crate::rejection::RECENT_REQUESTS;
+use crate::rejection::RECENT_REQUEST_CAPACITY;
 use crate::statistics::{SampleWindow, effective_count, mean};
 use crate::{ClientId, Duration, Timestamp};
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
 /// The last requests received, and when each client sent its last one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RecentArrivals {
-    window: SampleWindow<Arrival, RECENT_REQUESTS>,
+    window: SampleWindow<Arrival, RECENT_REQUEST_CAPACITY>,
     clients: LastSeen<ClientId>,
 }
 
--- a/src/controller/inputs.rs
+++ b/src/controller/inputs.rs
@@ -33,7 +33,7 @@
 
     fn reject_unknown_class(&mut self, request: RequestId) {
         self.rejections.count(RejectionReason::UnknownClass);
-        self.pending.push_back(Decision::Reject {
+        self.pending_decisions.push_back(Decision::Reject {
             request,
             retry_after: Duration::ZERO,
             do_not_retry_elsewhere: true,
@@ -41,10 +41,10 @@
     }
 
     fn build_request(&mut self, now: Timestamp, new: &NewRequest, class: Rc<RequestClass>) -> Request {
-        let arrived = now.back(new.age);
-        let deadline = new.deadline.unwrap_or(arrived + class.request_timeout);
+        let sent_at = now.back(new.age);
+        let deadline = new.deadline.unwrap_or(sent_at + class.request_timeout);
         let cost_s = new.cost.map_or(DEFAULT_COST_S, |cost| cost.secs().max(MIN_COST_S));
-        let objective_at = self.objective_at(new, &class, arrived, cost_s).min(deadline);
+        let objective_at = self.objective_at(new, &class, sent_at, cost_s).min(deadline);
         let has_active_session = new.session.is_some_and(|session| self.sessions.is_active(now, session));
         let quota_factor = self.quota_factor(now, new.tenant);
         let expected_run_s = self.profiles.expected_run_s(new.class, class.latency_objective, cost_s);
@@ -64,8 +64,8 @@
             class,
             session: new.session,
             client: new.client,
-            arrived,
-            received: now + new.read_offset,
+            sent_at,
+            received_at: now + new.read_offset,
             deadline,
             objective_at,
             size_kb: new.size_kb,
@@ -93,25 +93,25 @@
         &mut self,
         new: &NewRequest,
         class: &RequestClass,
-        arrived: Timestamp,
+        sent_at: Timestamp,
         cost_s: f64,
     ) -> Timestamp {
         let timeout = class.request_timeout;
         let since_first_attempt = new.deadline.map_or(Duration::ZERO, |deadline| {
-            self.profiles.record_client_wait(new.class, deadline - arrived, timeout)
+            self.profiles.record_client_wait(new.class, deadline - sent_at, timeout)
         });
-        let for_cost = Duration::from_secs(class.latency_objective_per_cost * cost_s);
-        let objective = class.latency_objective + for_cost;
-        arrived + (objective.min(timeout) - since_first_attempt)
+        let extra_for_cost = Duration::from_secs(class.latency_objective_per_cost * cost_s);
+        let objective = class.latency_objective + extra_for_cost;
+        sent_at + (objective.min(timeout) - since_first_attempt)
     }
 
     /// The factor on the value of a tenant's request, by this server's part of the tenant's quota.
     fn quota_factor(&mut self, now: Timestamp, tenant: TenantId) -> f64 {
-        let quota = self.catalog.borrow().tenant(tenant).and_then(|tenant| tenant.quota_per_s);
-        let Some(quota_per_s) = quota else { return 1.0 };
-        let equal_part = quota_per_s / self.settings.servers.max(1.0);
-        let part = self.guidance.tenant_rates.get(&tenant).copied().unwrap_or(equal_part);
-        self.tenants.record(now, tenant, part, self.settings.over_quota_value)
+        let fleet_quota_per_s = self.catalog.borrow().tenant(tenant).and_then(|tenant| tenant.quota_per_s);
+        let Some(fleet_quota_per_s) = fleet_quota_per_s else { return 1.0 };
+        let equal_share = fleet_quota_per_s / self.settings.servers.max(1.0);
+        let server_quota_per_s = self.guidance.tenant_rates.get(&tenant).copied().unwrap_or(equal_share);
+        self.tenant_traffic.record(now, tenant, server_quota_per_s, self.settings.over_quota_value)
     }
 
     fn run_length(&self, expected_run_s: f64) -> RunLength {
@@ -130,18 +130,18 @@
 
     /// A run ended, or was preempted.
     pub fn run_finished(&mut self, now: Timestamp, id: RequestId, outcome: Outcome) {
-        self.refill(now);
+        self.refill_budgets(now);
         let request = self.requests.get_mut(id).filter(|request| !request.state.is_queued());
         let Some(request) = request else { return };
         if request.state == RequestState::Calling {
             self.call_budget.charge_residual_load(self.settings.call_residual_load);
         }
-        let had_run = request.state.is_started();
-        if outcome == Outcome::Preempted && request.awaits_response && had_run {
+        let was_started = request.state.is_started();
+        if outcome == Outcome::Preempted && request.awaits_response && was_started {
             request.return_to_queue(self.settings.preemption);
             return self.requests.enqueue(id);
         }
-        if outcome == Outcome::Ok && had_run {
+        if outcome == Outcome::Ok && was_started {
             self.record_success(now, id);
         }
         self.requests.remove(id);
@@ -157,7 +157,7 @@
             self.profiles.record_run(request.class_id, request.cost_s, run_s, call_time_s);
         }
         if request.awaits_response && now <= request.objective_at {
-            self.power_test.record_success(request.cost_s, (now - request.arrived).secs());
+            self.power_test.record_success(request.cost_s, (now - request.sent_at).secs());
         }
     }
 
@@ -165,20 +165,20 @@
     pub fn call_requested(&mut self, now: Timestamp, id: RequestId) {
         let request = self.requests.get_mut(id).filter(|request| request.state == RequestState::Running);
         if let Some(request) = request {
-            request.request_call(now);
+            request.await_call(now);
         }
     }
 
     /// An attempt of a dependency call ended.
     pub fn call_finished(&mut self, now: Timestamp, id: RequestId, outcome: Outcome) {
-        self.refill(now);
+        self.refill_budgets(now);
         let request = self.requests.get_mut(id).filter(|request| request.state == RequestState::Calling);
         let Some(request) = request else { return };
         let latency_s = (now - request.call.started_at).secs();
         match outcome {
             Outcome::Ok => {
                 self.call_budget.record_success(latency_s);
-                return request.leave_call(now);
+                return request.resume_after_call(now);
             }
             Outcome::TimedOut => {
                 self.call_budget.record_timeout(latency_s);
@@ -208,12 +208,12 @@
     pub fn shutdown_notice(&mut self, now: Timestamp, stops_at: Timestamp) {
         self.shutdown = Some(Shutdown { notified_at: now, stops_at });
         self.log(ControllerEvent::Draining { requests: self.requests.len() });
-        self.pending.push_back(Decision::SetHealth { active: false, cached: true });
+        self.pending_decisions.push_back(Decision::SetHealth { active: false, cached: true });
     }
 
     /// Takes a figure that the servers of the fleet agreed on; `None` once it is not known any more.
     pub fn set_guidance(&mut self, now: Timestamp, key: GuidanceKey, value: Option<f64>) {
-        self.refill(now);
+        self.refill_budgets(now);
         self.guidance.set(key, value);
     }
 
@@ -224,7 +224,7 @@
     /// # Errors
     /// Names the key at fault; nothing has changed then.
     pub fn apply_change(&mut self, now: Timestamp, change: &Change) -> Result<ChangeSummary, ConfigError> {
-        self.refill(now);
+        self.refill_budgets(now);
         let mut catalog = self.catalog.borrow_mut();
         catalog.check(now, change)?;
         let applied = catalog.apply(now, change);
@@ -233,7 +233,7 @@
             self.profiles.remove(class);
         }
         for tenant in applied.removed_tenants {
-            self.tenants.remove(tenant);
+            self.tenant_traffic.remove(tenant);
             self.guidance.tenant_rates.remove(&tenant);
         }
         Ok(applied.summary)
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -18,7 +18,7 @@
 use crate::config::settings::ControllerSettings;
 use crate::dependency::call_budget::CallBudget;
 use crate::idempotency::StoredKeys;
-use crate::idle_connections::IdleConnections;
+use crate::idle_connections::IdleTimeout;
 use crate::load_signal::AdvertisedCapacity;
 use crate::pcg::Pcg;
 use crate::rejection::RejectionHistory;
@@ -54,16 +54,16 @@
     slowdown: Slowdown,
     core_usage: CoreUsage,
     warm_up: WarmUp,
-    tenants: TenantTraffic,
+    tenant_traffic: TenantTraffic,
     call_budget: CallBudget,
     stored_keys: StoredKeys,
     shutdown: Option<Shutdown>,
     advertised_capacity: AdvertisedCapacity,
-    idle_connections: IdleConnections,
+    idle_timeout: IdleTimeout,
     /// When the next timer tick is due, if it is set.
     next_tick: Option<Timestamp>,
     /// Decisions that follow from inputs, in order.
-    pending: VecDeque<Decision>,
+    pending_decisions: VecDeque<Decision>,
 }
 
 impl AdmissionController {
@@ -83,9 +83,9 @@
         let settings = catalog.borrow().settings().clone();
         // Servers that start together would otherwise end their cycles, and so move R, in step for ever.
         let first_cycle_began = now.back(MAX_CYCLE.scaled(Pcg::new(!seed).unit()));
-        let mut pending = VecDeque::from([Decision::SetHealth { active: true, cached: true }]);
+        let mut pending_decisions = VecDeque::from([Decision::SetHealth { active: true, cached: true }]);
         if is_cold {
-            pending.push_back(Decision::Log(ControllerEvent::WarmingUp));
+            pending_decisions.push_back(Decision::Log(ControllerEvent::WarmingUp));
         }
         Self {
             guidance: FleetGuidance::default(),
@@ -102,14 +102,14 @@
             slowdown: Slowdown::default(),
             core_usage: CoreUsage::default(),
             warm_up: WarmUp::new(now, is_cold),
-            tenants: TenantTraffic::default(),
+            tenant_traffic: TenantTraffic::default(),
             call_budget: CallBudget::new(now, &settings),
             stored_keys: StoredKeys::default(),
             shutdown: None,
             advertised_capacity: AdvertisedCapacity::default(),
-            idle_connections: IdleConnections::default(),
+            idle_timeout: IdleTimeout::default(),
             next_tick: None,
-            pending,
+            pending_decisions,
             settings,
         }
     }
@@ -117,12 +117,12 @@
     /// The next decision, or `None` until something else is reported. The rules are asked in this order; the
     /// first one that has a decision makes it.
     pub fn next_decision(&mut self, now: Timestamp) -> Option<Decision> {
-        self.refill(now);
+        self.refill_budgets(now);
         self.end_control_cycle(now);
         self.stored_keys.expire(now);
-        (self.pending.pop_front())
+        (self.pending_decisions.pop_front())
             .or_else(|| self.answer_expiring(now))
-            .or_else(|| self.preempt_unwanted(now))
+            .or_else(|| self.preempt_unawaited_run(now))
             .or_else(|| self.enforce_memory_limit(now))
             .or_else(|| self.apply_idempotency(now))
             .or_else(|| self.end_failed_call(now))
@@ -136,7 +136,7 @@
     }
 
     /// Adds the call time and the tokens of the time since the last input or decision.
-    fn refill(&mut self, now: Timestamp) {
+    fn refill_budgets(&mut self, now: Timestamp) {
         let calls = self.requests.count(RequestState::Calling);
         let limits = self.call_limits();
         self.call_budget.refill(now, limits, calls);
@@ -144,6 +144,6 @@
     }
 
     fn log(&mut self, event: ControllerEvent) {
-        self.pending.push_back(Decision::Log(event));
+        self.pending_decisions.push_back(Decision::Log(event));
     }
 }
--- a/src/controller/reports.rs
+++ b/src/controller/reports.rs
@@ -34,7 +34,7 @@
 
     /// Requests a second of a tenant with a quota, over its last requests.
     pub fn tenant_rate(&self, now: Timestamp, tenant: TenantId) -> f64 {
-        self.tenants.rate_per_s(now, tenant)
+        self.tenant_traffic.rate_per_s(now, tenant)
     }
 
     /// How many requests each rule has rejected or failed since the start; rules with none are left out.
--- a/src/controller/rules.rs
+++ b/src/controller/rules.rs
@@ -10,11 +10,11 @@
 use crate::memory::MemoryUse;
 use crate::rejection::{Rejection, RejectionReason};
 use crate::request::{Request, RequestState};
-use crate::retry_after::{self, RetryAfter};
+use crate::retry_after::{self, RetryAfterInputs};
 use crate::scheduling::concurrency::Concurrency;
-use crate::scheduling::expiry::Expiry;
-use crate::scheduling::late_rejection::{CallEstimate, LateRejection};
-use crate::scheduling::next_runnable::NextRunnable;
+use crate::scheduling::expiry::ExpiryRule;
+use crate::scheduling::late_rejection::{CallEstimate, LateRejectionRule};
+use crate::scheduling::next_runnable::NextRunRule;
 use crate::scheduling::{TIMER_TICK, preemption, slowdown};
 use crate::{ClientId, Decision, Duration, Timestamp, load_signal};
 
@@ -31,7 +31,7 @@
 
     /// Every request is answered before its deadline, whatever has happened to it.
     pub(super) fn answer_expiring(&mut self, now: Timestamp) -> Option<Decision> {
-        let expiry = Expiry {
+        let expiry = ExpiryRule {
             now,
             is_stopping: self.shutdown.is_some_and(|shutdown| shutdown.is_stopping(now)),
             can_preempt: preemption::is_supported(self.settings.preemption),
@@ -41,8 +41,8 @@
     }
 
     /// Runs whose client does not wait any more leave the cores.
-    pub(super) fn preempt_unwanted(&mut self, now: Timestamp) -> Option<Decision> {
-        let id = preemption::first_unwanted(&self.requests, now, self.settings.preemption)?;
+    pub(super) fn preempt_unawaited_run(&mut self, now: Timestamp) -> Option<Decision> {
+        let id = preemption::first_unawaited_run(&self.requests, now, self.settings.preemption)?;
         self.requests.get_mut(id)?.preempted_at = Some(now);
         Some(Decision::Preempt(id))
     }
@@ -83,7 +83,7 @@
         let id = call_attempts::first_without_attempts(&self.requests, now, self.guidance.breaker_open)?;
         let request = self.requests.get_mut(id)?;
         if request.allows_degraded_response() {
-            request.leave_call(now);
+            request.resume_after_call(now);
             return Some(Decision::SkipCall(id));
         }
         self.reject(now, Rejection { request: id, reason: RejectionReason::CallAttemptsExhausted })
@@ -97,17 +97,17 @@
         let limits = self.call_limits();
         let calls = self.requests.count(RequestState::Calling) + 1.0;
         let id = call_start::next_call(&self.requests, now, &self.call_budget, limits)?;
-        let lasts = self.call_budget.lasts(limits, calls);
+        let time_to_exhaustion = self.call_budget.time_to_exhaustion(limits, calls);
         let request = self.requests.get_mut(id)?;
         request.start_call(now);
-        let timeout = call_start::timeout(request, now, &self.call_budget, lasts);
+        let timeout = call_start::timeout(request, now, &self.call_budget, time_to_exhaustion);
         Some(Decision::StartCall { request: id, timeout })
     }
 
     /// Requests of active sessions pass; new sessions need a token while the rate limits, and are rejected
     /// early without.
     pub(super) fn apply_admission_rate(&mut self, now: Timestamp) -> Option<Decision> {
-        while let Some(id) = session_admission::next_admitted(&self.requests, &self.admission_rate) {
+        while let Some(id) = session_admission::next_to_admit(&self.requests, &self.admission_rate) {
             self.admission_rate.take_token();
             self.requests.get_mut(id)?.is_admitted = true;
         }
@@ -117,7 +117,7 @@
 
     /// A request that can't succeed any more is rejected at once.
     pub(super) fn reject_late(&mut self, now: Timestamp) -> Option<Decision> {
-        let rule = LateRejection {
+        let rule = LateRejectionRule {
             now,
             slowdown: self.slowdown.factor(now, self.cores, &self.requests),
             concurrency_target: self.concurrency(now).target,
@@ -139,7 +139,7 @@
         if !self.concurrency(now).allows_another_run(&self.requests) || self.are_calls_backed_up() {
             return None;
         }
-        let rule = NextRunnable {
+        let rule = NextRunRule {
             now,
             cores: self.cores,
             is_breaker_open: self.guidance.breaker_open,
@@ -164,7 +164,7 @@
     fn are_calls_backed_up(&self) -> bool {
         let awaiting_call = self.requests.count(RequestState::AwaitingCall);
         let is_call_queue_long = awaiting_call > self.cores && !self.guidance.breaker_open;
-        is_call_queue_long || awaiting_call > 0.0 && self.call_budget.is_short(self.call_limits())
+        is_call_queue_long || awaiting_call > 0.0 && self.call_budget.is_insufficient(self.call_limits())
     }
 
     /// Clients learn how much capacity is left, so that they send no request in vain.
@@ -191,8 +191,8 @@
         let core_saturation = self.core_usage.saturated_share();
         let rejected_share = self.rejections.rejected_share();
         let client_timeout = self.settings.client_idle_timeout;
-        let connections = &mut self.idle_connections;
-        let timeout = connections.update(&self.arrivals, core_saturation, rejected_share, client_timeout)?;
+        let idle_timeout = &mut self.idle_timeout;
+        let timeout = idle_timeout.update(&self.arrivals, core_saturation, rejected_share, client_timeout)?;
         Some(Decision::SetIdleTimeout(timeout))
     }
 
@@ -229,7 +229,7 @@
         }
         if is_key_handled {
             self.stored_keys.remove(id);
-            self.pending.push_back(Decision::RemoveKey(id));
+            self.pending_decisions.push_back(Decision::RemoveKey(id));
         }
         let do_not_retry_elsewhere = is_too_late || self.is_fleet_overloaded();
         Some(Decision::Reject { request: id, retry_after, do_not_retry_elsewhere })
@@ -237,9 +237,10 @@
 
     /// Whether demand is too high for the whole fleet; a server that warms up or drains can't tell.
     fn is_fleet_overloaded(&self) -> bool {
-        let can_tell = !self.warm_up.is_warming_up() && self.shutdown.is_none();
+        let is_share_representative = !self.warm_up.is_warming_up() && self.shutdown.is_none();
         let own_share = self.rejections.rejected_share();
-        can_tell && retry_after::is_demand_too_high(self.guidance.rejected_share.unwrap_or(own_share))
+        is_share_representative
+            && retry_after::is_demand_too_high(self.guidance.rejected_share.unwrap_or(own_share))
     }
 
     fn retry_after(&mut self, now: Timestamp, client: ClientId) -> Duration {
@@ -247,8 +248,8 @@
             return Duration::ZERO;
         }
         let queued_s: f64 = self.requests.queued().map(|request| request.expected_run_s).sum();
-        let running_s = slowdown::remaining_run_s(now, &self.requests, slowdown::EXPECTED_SPEED);
-        let inputs = RetryAfter {
+        let running_s = slowdown::remaining_run_s(now, &self.requests, slowdown::NO_SLOWDOWN);
+        let inputs = RetryAfterInputs {
             work_s: running_s + queued_s,
             cores: self.cores,
             client_gap_s: self.arrivals.mean_gap_s(now, client),
--- a/src/dependency/call_attempts.rs
+++ b/src/dependency/call_attempts.rs
@@ -22,8 +22,8 @@
     is_breaker_open: bool,
 ) -> Option<RequestId> {
     requests.first_received(|request| {
-        let skips = is_breaker_open && request.allows_degraded_response();
-        is_ready(request, now) && (request.call.attempts >= MAX_ATTEMPTS || skips)
+        let skips_call = is_breaker_open && request.allows_degraded_response();
+        is_ready(request, now) && (request.call.attempts >= MAX_ATTEMPTS || skips_call)
     })
 }
 
@@ -36,9 +36,9 @@
 /// something about load; a call that may have run is repeated only if the request is idempotent.
 pub(crate) fn plan_retry(request: &mut Request, now: Timestamp, outcome: Outcome) {
     let never_ran = outcome.proves_never_ran();
-    let delays = if never_ran { request.call.attempts } else { 0 };
+    let delay_factor = if never_ran { request.call.attempts } else { 0 };
     request.state = RequestState::AwaitingCall;
-    request.call.not_before = now + RETRY_DELAY_PER_ATTEMPT.scaled(f64::from(delays));
+    request.call.not_before = now + RETRY_DELAY_PER_ATTEMPT.scaled(f64::from(delay_factor));
     if !never_ran && !request.is_idempotent() {
         request.call.attempts = MAX_ATTEMPTS;
     }
--- a/src/dependency/call_budget.rs
+++ b/src/dependency/call_budget.rs
@@ -89,16 +89,16 @@
     }
 
     /// Whether the budget is too small for another call.
-    pub(crate) fn is_short(&self, limits: CallLimits) -> bool {
-        let for_one_call = LATENCIES_PER_CALL * self.usual_latency_s().unwrap_or(0.0);
-        self.available_s <= for_one_call.min(SUFFICIENT_SHARE_OF_MAX_SAVED * limits.max_saved_s)
+    pub(crate) fn is_insufficient(&self, limits: CallLimits) -> bool {
+        let needed_for_call_s = LATENCIES_PER_CALL * self.usual_latency_s().unwrap_or(0.0);
+        self.available_s <= needed_for_call_s.min(SUFFICIENT_SHARE_OF_MAX_SAVED * limits.max_saved_s)
     }
 
     /// How long the budget lasts with this many calls in progress.
-    pub(crate) fn lasts(&self, limits: CallLimits, calls_in_progress: f64) -> Duration {
+    pub(crate) fn time_to_exhaustion(&self, limits: CallLimits, calls_in_progress: f64) -> Duration {
         /// Seconds that stand for a budget that does not shrink.
         const UNLIMITED_S: f64 = 1e6;
-        let net_use = calls_in_progress - limits.mean_concurrency;
-        Duration::from_secs(if net_use > 0.0 { self.available_s / net_use } else { UNLIMITED_S })
+        let net_use_per_s = calls_in_progress - limits.mean_concurrency;
+        Duration::from_secs(if net_use_per_s > 0.0 { self.available_s / net_use_per_s } else { UNLIMITED_S })
     }
 }
--- a/src/dependency/call_start.rs
+++ b/src/dependency/call_start.rs
@@ -27,7 +27,7 @@
 ) -> Option<RequestId> {
     let calls = requests.count(RequestState::Calling) + 1.0;
     let max_calls = (MAX_CONCURRENCY_FACTOR * limits.mean_concurrency).max(MIN_CONCURRENCY);
-    if budget.is_short(limits) || calls > max_calls {
+    if budget.is_insufficient(limits) || calls > max_calls {
         return None;
     }
     let ready = requests.iter().filter(|request| call_attempts::is_ready(request, now));
@@ -36,12 +36,17 @@
 
 /// The timeout of an attempt that starts now: until the deadline, but not longer than the budget lasts, and
 /// for an attempt that may be retried not longer than a few usual calls.
-pub(crate) fn timeout(request: &Request, now: Timestamp, budget: &CallBudget, lasts: Duration) -> Duration {
+pub(crate) fn timeout(
+    request: &Request,
+    now: Timestamp,
+    budget: &CallBudget,
+    time_to_exhaustion: Duration,
+) -> Duration {
     let usual_s = budget.usual_latency_s().unwrap_or(f64::INFINITY);
     let max_s = if call_attempts::is_last_attempt(request) {
         f64::INFINITY
     } else {
         usual_s * RETRYABLE_TIMEOUT_LATENCIES
     };
-    (request.deadline - now).min(lasts).min(Duration::from_secs(max_s)).max(TIMER_TICK)
+    (request.deadline - now).min(time_to_exhaustion).min(Duration::from_secs(max_s)).max(TIMER_TICK)
 }
--- a/src/idle_connections.rs
+++ b/src/idle_connections.rs
@@ -22,11 +22,11 @@
 
 /// The idle timeout that was set last.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct IdleConnections {
+pub(crate) struct IdleTimeout {
     timeout_s: f64,
 }
 
-impl IdleConnections {
+impl IdleTimeout {
     /// The timeout to set, if it changes. `client_idle_timeout` is when clients close idle connections
     /// themselves, zero where that is not known.
     pub(crate) fn update(
@@ -39,8 +39,8 @@
         if arrivals.len() < MIN_ARRIVALS {
             return None;
         }
-        let free_share = (1.0 - core_saturation / KEEP_ALL_CORE_SATURATION).max(0.0);
-        let cost_per_s = free_share * (1.0 / CONNECTION_COST_S + rejected_share);
+        let free_core_factor = (1.0 - core_saturation / KEEP_ALL_CORE_SATURATION).max(0.0);
+        let cost_per_s = free_core_factor * (1.0 / CONNECTION_COST_S + rejected_share);
         let timeout_s = cheapest_timeout_s(arrivals, cost_per_s)?;
         let timeout = Duration::from_secs(timeout_s);
         let is_client_timeout_known = client_idle_timeout > Duration::ZERO;
@@ -53,11 +53,11 @@
 /// The timeout with the least cost for these requests; of equal ones the longest.
 fn cheapest_timeout_s(arrivals: &RecentArrivals, cost_per_s: f64) -> Option<f64> {
     let cost = |timeout_s: f64| {
-        let of_gap = |arrival: Arrival| {
+        let gap_cost = |arrival: Arrival| {
             let is_reopened = arrival.gap_s > timeout_s;
             arrival.gap_s.min(timeout_s) * cost_per_s + f64::from(u8::from(is_reopened))
         };
-        arrivals.iter().map(of_gap).sum::<f64>()
+        arrivals.iter().map(gap_cost).sum::<f64>()
     };
     let timeouts = (0..TIMEOUT_STEPS).rev().map(|step| MIN_TIMEOUT_S * f64::from(1 << step));
     timeouts.min_by(|a, b| cost(*a).total_cmp(&cost(*b)))
--- a/src/load_signal.rs
+++ b/src/load_signal.rs
@@ -56,8 +56,8 @@
 /// run.
 pub(crate) fn spare_capacity(concurrency_target: f64, mean_objective_s: f64, mean_run_s: f64) -> f64 {
     let runs_per_objective = mean_objective_s / mean_run_s.max(MIN_EXPECTED_RUN_S);
-    let per_run = (runs_per_objective - 1.0) * ADVERTISED_SHARE;
-    concurrency_target * per_run.clamp(MIN_REQUESTS_PER_RUN, MAX_REQUESTS_PER_RUN)
+    let requests_per_run = (runs_per_objective - 1.0) * ADVERTISED_SHARE;
+    concurrency_target * requests_per_run.clamp(MIN_REQUESTS_PER_RUN, MAX_REQUESTS_PER_RUN)
 }
 
 /// The capacity advertised to clients, and the figure that was sent last.
--- a/src/rejection.rs
+++ b/src/rejection.rs
@@ -9,7 +9,7 @@
 use std::fmt;
 
 /// Requests whose outcome is remembered for the rejected share.
-pub(crate) const RECENT_REQUESTS: usize = 64;
+pub(crate) const RECENT_REQUEST_CAPACITY: usize = 64;
 
 /// The rule that ends a request without a successful response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RejectionHistory {
     /// 1 for a rejected or failed request, 0 for one that ran.
-    recent: SampleWindow<f64, RECENT_REQUESTS>,
+    recent: SampleWindow<f64, RECENT_REQUEST_CAPACITY>,
     counts: BTreeMap<RejectionReason, u64>,
 }
 
@@ -90,9 +90,9 @@
         self.recent.push(0.0);
     }
 
-    /// The rejected requests over [`RECENT_REQUESTS`], from 0 to 1.
+    /// The rejected requests over [`RECENT_REQUEST_CAPACITY`], from 0 to 1.
     pub(crate) fn rejected_share(&self) -> f64 {
-        self.recent.iter().sum::<f64>() / RECENT_REQUESTS as f64
+        self.recent.iter().sum::<f64>() / RECENT_REQUEST_CAPACITY as f64
     }
 
     /// How many requests each rule has rejected since the start; rules that rejected none are left out.
--- a/src/request.rs
+++ b/src/request.rs
@@ -109,9 +109,9 @@
     /// The client that sent it.
     pub(crate) client: ClientId,
     /// When it arrived at the machine, as its client stamped it.
-    pub(crate) arrived: Timestamp,
+    pub(crate) sent_at: Timestamp,
     /// When this server had received all of it.
-    pub(crate) received: Timestamp,
+    pub(crate) received_at: Timestamp,
     /// When the client needs the response.
     pub(crate) deadline: Timestamp,
     /// When its latency objective ends.
@@ -204,7 +204,7 @@
     }
 
     /// Running to awaiting a call.
-    pub(crate) fn request_call(&mut self, now: Timestamp) {
+    pub(crate) fn await_call(&mut self, now: Timestamp) {
         self.state = RequestState::AwaitingCall;
         self.call = CallProgress { requested_at: now, not_before: now, started_at: now, attempts: 0 };
     }
@@ -217,7 +217,7 @@
     }
 
     /// Goes on running: the call succeeded or is skipped.
-    pub(crate) fn leave_call(&mut self, now: Timestamp) {
+    pub(crate) fn resume_after_call(&mut self, now: Timestamp) {
         self.time_in_calls = self.time_in_calls + (now - self.call.requested_at);
         self.state = RequestState::Running;
     }
--- a/src/retry_after.rs
+++ b/src/retry_after.rs
@@ -14,7 +14,7 @@
 
 /// The inputs of the delay.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct RetryAfter {
+pub(crate) struct RetryAfterInputs {
     /// Seconds of work in hand, running and queued.
     pub(crate) work_s: f64,
     /// Cores of the runtime.
@@ -25,7 +25,7 @@
     pub(crate) max: Duration,
 }
 
-impl RetryAfter {
+impl RetryAfterInputs {
     /// The delay: until the work in hand is done, but not longer than the client's usual gap, so that a
     /// rejection keeps away about one request. The jitter, from 0 to 1, keeps clients from coming back
     /// together.
--- a/src/scheduling/attempt_age.rs
+++ b/src/scheduling/attempt_age.rs
@@ -26,12 +26,12 @@
     pub(crate) fn record(&mut self, remaining: Duration, request_timeout: Duration) -> Duration {
         let step = remaining.us() / WAIT_STEP.us();
         self.steps.push(step);
-        let near = |step: u64| self.steps.iter().filter(|other| other.abs_diff(step) <= 1).count();
-        let is_common = |step: &u64| near(*step) * COMMON_WAIT_DIVISOR >= self.steps.len();
-        let common: Vec<u64> = self.steps.iter().filter(is_common).collect();
-        match common.iter().copied().filter(|common| *common + 1 >= step).min() {
-            Some(first) => Duration::from_us(first.saturating_sub(step + 1) * WAIT_STEP.us()),
-            None if !common.is_empty() => request_timeout - remaining,
+        let count_nearby = |step: u64| self.steps.iter().filter(|other| other.abs_diff(step) <= 1).count();
+        let is_common = |step: &u64| count_nearby(*step) * COMMON_WAIT_DIVISOR >= self.steps.len();
+        let common_steps: Vec<u64> = self.steps.iter().filter(is_common).collect();
+        match common_steps.iter().copied().filter(|common| *common + 1 >= step).min() {
+            Some(common) => Duration::from_us(common.saturating_sub(step + 1) * WAIT_STEP.us()),
+            None if !common_steps.is_empty() => request_timeout - remaining,
             None => Duration::ZERO,
         }
     }
--- a/src/scheduling/class_profile.rs
+++ b/src/scheduling/class_profile.rs
@@ -9,7 +9,7 @@
 /// server.
 const IGNORED_TOP_SHARE: f64 = 0.125;
 /// Expected run time over the latency objective, of a request without cost in a class without samples.
-const UNKNOWN_RUN_SHARE_OF_OBJECTIVE: f64 = 0.2;
+const DEFAULT_RUN_SHARE_OF_OBJECTIVE: f64 = 0.2;
 /// The cost of a request that names none, in seconds.
 pub(crate) const DEFAULT_COST_S: f64 = 1.0;
 /// Costs with a smaller variance, in square seconds, count as equal.
@@ -34,7 +34,8 @@
     /// grow with cost, and rough hints say less than they claim.
     fn expected_run_s(&self, cost_s: f64) -> Option<f64> {
         let count = self.runs.len().max(1) as f64;
-        let average = |figure: &dyn Fn(RunSample) -> f64| self.runs.iter().map(figure).sum::<f64>() / count;
+        let average =
+            |value_of: &dyn Fn(RunSample) -> f64| self.runs.iter().map(value_of).sum::<f64>() / count;
         let mean_cost = average(&|sample| sample.cost_s);
         let mean_run = average(&|sample| sample.run_s);
         let variance = average(&|sample| (sample.cost_s - mean_cost).powi(2));
@@ -78,11 +79,11 @@
         latency_objective: Duration,
         cost_s: f64,
     ) -> f64 {
-        let has_cost = cost_s != DEFAULT_COST_S;
-        let unknown =
-            if has_cost { cost_s } else { latency_objective.secs() * UNKNOWN_RUN_SHARE_OF_OBJECTIVE };
+        let is_cost_stated = cost_s != DEFAULT_COST_S;
+        let fallback_s =
+            if is_cost_stated { cost_s } else { latency_objective.secs() * DEFAULT_RUN_SHARE_OF_OBJECTIVE };
         let profile = self.profiles.get(&class);
-        profile.and_then(|profile| profile.expected_run_s(cost_s)).unwrap_or(unknown)
+        profile.and_then(|profile| profile.expected_run_s(cost_s)).unwrap_or(fallback_s)
     }
 
     /// Seconds that requests of a class spend in calls.
--- a/src/scheduling/expiry.rs
+++ b/src/scheduling/expiry.rs
@@ -11,7 +11,7 @@
 
 /// What decides about expiry besides the requests.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Expiry {
+pub(crate) struct ExpiryRule {
     /// The time now.
     pub(crate) now: Timestamp,
     /// Whether the server is about to stop.
@@ -20,7 +20,7 @@
     pub(crate) can_preempt: bool,
 }
 
-impl Expiry {
+impl ExpiryRule {
     /// The first received request that must be answered now.
     pub(crate) fn first(self, requests: &RequestTable) -> Option<Rejection> {
         let request = requests.first_received(|request| self.reason(request).is_some())?;
--- a/src/scheduling/late_rejection.rs
+++ b/src/scheduling/late_rejection.rs
@@ -15,7 +15,7 @@
 /// The first part of the request timeout, in which a request counts as new.
 const EARLY_SHARE_OF_TIMEOUT: f64 = 0.09;
 /// The part of its slack that the estimated wait of a new request may take.
-const MAX_WAIT_SHARE_OF_EARLY_REQUEST: f64 = 0.45;
+const MAX_WAIT_SHARE_IN_EARLY_PERIOD: f64 = 0.45;
 /// The smallest number of runs at once that the estimate assumes.
 const MIN_SLOTS: f64 = 1.0;
 
@@ -44,7 +44,7 @@
 
 /// The inputs of the rule besides the requests.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct LateRejection<'a> {
+pub(crate) struct LateRejectionRule<'a> {
     /// The time now.
     pub(crate) now: Timestamp,
     /// The slowdown factor.
@@ -68,7 +68,7 @@
     requests: f64,
 }
 
-impl LateRejection<'_> {
+impl LateRejectionRule<'_> {
     /// The first queued request, in queue order, that can't succeed.
     pub(crate) fn first(&self, requests: &RequestTable) -> Option<Rejection> {
         let awaiting_call = requests.count(RequestState::AwaitingCall);
@@ -92,25 +92,26 @@
     /// Seconds until a request behind this work may start, by cores and by calls.
     fn wait_s(&self, ahead: WorkAhead, awaiting_call: f64) -> f64 {
         let slots = self.concurrency_target.max(MIN_SLOTS);
-        let for_cores = if ahead.requests < slots { 0.0 } else { ahead.run_s / slots };
-        for_cores.max(self.calls.wait_s(ahead.requests + awaiting_call))
+        let core_wait_s = if ahead.requests < slots { 0.0 } else { ahead.run_s / slots };
+        core_wait_s.max(self.calls.wait_s(ahead.requests + awaiting_call))
     }
 
     fn reason(&self, request: &Request, wait_s: f64) -> Option<RejectionReason> {
         let grace = self.drain_grace_period;
-        if self.shutdown.is_some_and(|shutdown| shutdown.rejects_arrival(request.received, grace)) {
+        if self.shutdown.is_some_and(|shutdown| shutdown.rejects_arrival(request.received_at, grace)) {
             return Some(RejectionReason::ArrivedWhileDraining);
         }
-        let last = if request.allows_late_response() { request.deadline } else { request.objective_at };
-        if self.estimated_finish(request, wait_s) > last {
+        let latest_finish =
+            if request.allows_late_response() { request.deadline } else { request.objective_at };
+        if self.estimated_finish(request, wait_s) > latest_finish {
             return Some(RejectionReason::WouldBeLate);
         }
         (request.has_run && !request.is_paused()).then_some(RejectionReason::WorkLost)
     }
 
     fn estimated_finish(&self, request: &Request, wait_s: f64) -> Timestamp {
-        let is_early = self.now - request.arrived < early_period(request);
-        let wait_factor = if is_early { 1.0 / MAX_WAIT_SHARE_OF_EARLY_REQUEST } else { 1.0 };
+        let is_in_early_period = self.now - request.sent_at < early_period(request);
+        let wait_factor = if is_in_early_period { 1.0 / MAX_WAIT_SHARE_IN_EARLY_PERIOD } else { 1.0 };
         let run_s = request.expected_run_s * self.slowdown;
         let call_time_s = self.profiles.expected_call_time_s(request.class_id).unwrap_or(0.0);
         self.now + Duration::from_secs(wait_s).scaled(wait_factor) + Duration::from_secs(run_s + call_time_s)
--- a/src/scheduling/next_runnable.rs
+++ b/src/scheduling/next_runnable.rs
@@ -11,7 +11,7 @@
 
 /// The inputs of the rule besides the requests.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct NextRunnable<'a> {
+pub(crate) struct NextRunRule<'a> {
     /// The time now.
     pub(crate) now: Timestamp,
     /// Cores of the runtime.
@@ -26,11 +26,11 @@
     pub(crate) profiles: &'a ClassProfiles,
 }
 
-impl NextRunnable<'_> {
+impl NextRunRule<'_> {
     /// The request that runs next.
     pub(crate) fn choose(&self, requests: &RequestTable) -> Option<RequestId> {
-        let short = self.first_in_queue(requests, RunLength::Short);
-        let long = self.first_in_queue(requests, RunLength::Long);
+        let short = self.first_runnable(requests, RunLength::Short);
+        let long = self.first_runnable(requests, RunLength::Long);
         let (Some(short), Some(long)) = (short, long) else {
             return short.or(long).map(|request| request.id);
         };
@@ -44,7 +44,7 @@
         (long_runs.count() as f64) < self.cores * MAX_LONG_RUN_SHARE_OF_CORES
     }
 
-    fn first_in_queue<'r>(&self, requests: &'r RequestTable, length: RunLength) -> Option<&'r Request> {
+    fn first_runnable<'r>(&self, requests: &'r RequestTable, length: RunLength) -> Option<&'r Request> {
         requests.queue(length).find(|request| self.is_runnable(request))
     }
 
--- a/src/scheduling/preemption.rs
+++ b/src/scheduling/preemption.rs
@@ -14,7 +14,7 @@
 }
 
 /// The first received request whose run is to be preempted now.
-pub(crate) fn first_unwanted(
+pub(crate) fn first_unawaited_run(
     requests: &RequestTable,
     now: Timestamp,
     preemption: Preemption,
--- a/src/scheduling/slowdown.rs
+++ b/src/scheduling/slowdown.rs
@@ -12,7 +12,7 @@
 /// The smallest part of a run that counts as remaining, however long it has run.
 const MIN_REMAINING_SHARE: f64 = 0.2;
 /// The factor of a server at its expected speed.
-pub(crate) const EXPECTED_SPEED: f64 = 1.0;
+pub(crate) const NO_SLOWDOWN: f64 = 1.0;
 
 /// The run-time ratios (actual over expected) of the last successful runs.
 #[derive(Clone, Debug, Default)]
@@ -33,12 +33,12 @@
         let ratios = requests
             .running()
             .map(|request| request.run_time_s(now) / request.expected_run_s)
-            .chain(std::iter::repeat_n(EXPECTED_SPEED, free_cores));
-        let of_running = geometric_median(ratios).unwrap_or(EXPECTED_SPEED);
-        if of_running > EXPECTED_SPEED {
-            return of_running;
+            .chain(std::iter::repeat_n(NO_SLOWDOWN, free_cores));
+        let running_ratio = geometric_median(ratios).unwrap_or(NO_SLOWDOWN);
+        if running_ratio > NO_SLOWDOWN {
+            return running_ratio;
         }
-        self.ratios.mean().unwrap_or(EXPECTED_SPEED).min(EXPECTED_SPEED)
+        self.ratios.mean().unwrap_or(NO_SLOWDOWN).min(NO_SLOWDOWN)
     }
 }
 
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -21,7 +21,7 @@
     }
 
     /// Whether a request is too late to be served that was received at this time, whenever its client sent it.
-    pub(crate) fn rejects_arrival(self, received: Timestamp, grace_period: Duration) -> bool {
-        received > self.notified_at + grace_period
+    pub(crate) fn rejects_arrival(self, received_at: Timestamp, grace_period: Duration) -> bool {
+        received_at > self.notified_at + grace_period
     }
 }
--- a/src/tenant_quota.rs
+++ b/src/tenant_quota.rs
@@ -22,21 +22,22 @@
 }
 
 impl TenantTraffic {
-    /// Records a request of a tenant with a quota and returns the factor on its value. `quota_per_s` is this
-    /// server's part of the quota, `over_quota_value` the value of a request past the quota, of one within.
+    /// Records a request of a tenant with a quota and returns the factor on its value. `server_quota_per_s` is
+    /// this server's part of the quota, `over_quota_value` the value of a request past the quota, of one
+    /// within.
     pub(crate) fn record(
         &mut self,
         now: Timestamp,
         tenant: TenantId,
-        quota_per_s: f64,
+        server_quota_per_s: f64,
         over_quota_value: f64,
     ) -> f64 {
         let arrivals = self.arrivals.touch(tenant);
         arrivals.push(now);
         let Some(oldest) = arrivals.oldest().filter(|_| arrivals.len() >= MIN_ARRIVALS) else { return 1.0 };
         let rate = arrivals.len() as f64 / (now - oldest).secs().max(MIN_QUOTA_PERIOD_S);
-        let share_within = (quota_per_s / rate).min(1.0);
-        share_within + (1.0 - share_within) * over_quota_value
+        let within_quota_share = (server_quota_per_s / rate).min(1.0);
+        within_quota_share + (1.0 - within_quota_share) * over_quota_value
     }
 
     /// Requests a second of a tenant with a quota.
--- a/tests/dependency.rs
+++ b/tests/dependency.rs
@@ -8,7 +8,7 @@
 use helpers::{Harness, RequestSpec, check};
 
 #[test]
-fn calls_stay_within_limits_and_non_idempotent_ones_are_not_retried() {
+fn call_limits_hold_and_lost_non_idempotent_calls_fail() {
     let settings = "server.calls_bound=1.2 op_types.1.target_latency_us=1000000 op_types.1.op_timeout_us=4000000 \
         op_types.1.repeats=non-retryable";
     let mut harness = Harness::new(settings);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_lost_call_reply_blocks_its_run_for_a_few_usual_latencies() {
+fn a_call_without_reply_times_out_after_a_few_usual_latencies() {
     // Guards against runs that wait for lost replies until their deadline and use up all call time.
     let mut harness = Harness::new("server.calls_bound=20 server.lingers_us=200000");
     harness.receive("a", RequestSpec::default()).decide();
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn an_open_breaker_skips_the_call_of_a_request_with_a_degraded_response() {
+fn an_open_breaker_skips_calls_if_degraded_responses_have_value() {
     let mut harness = Harness::new("server.calls_bound=4 server.skip_worth.0=0.5");
     harness.receive("a", RequestSpec::default()).decide();
     harness.at(50).call_requested("a").decide();
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_lower_call_limit_applies_at_once_and_invalid_guidance_is_ignored() {
+fn a_call_limit_applies_at_once_and_an_invalid_one_clears_it() {
     let mut harness = Harness::new("server.calls_bound=4 server.cores=8");
     let started_calls = |harness: &mut Harness, from: usize| {
         for i in from..from + 4 {
@@ -169,10 +169,10 @@
         harness.at(i * 1000 + 100).call_requested(&name).decide();
         harness.at(i * 1000 + 600).call_finished(&name, Outcome::TimedOut).decide();
     }
-    let mut none = Harness::new("server.calls_bound=0");
-    none.receive("b", RequestSpec::default()).decide();
-    none.call_requested("b").decide();
-    let trace = format!("{}none:\n{}", harness.take_trace(&[]), none.take_trace(&[]));
+    let mut zero_limit = Harness::new("server.calls_bound=0");
+    zero_limit.receive("b", RequestSpec::default()).decide();
+    zero_limit.call_requested("b").decide();
+    let trace = format!("{}none:\n{}", harness.take_trace(&[]), zero_limit.take_trace(&[]));
     expect![[r#"
         0     Run(a0)
         100   StartCall { request: a0, timeout: Duration(241463) }
--- a/tests/idempotency.rs
+++ b/tests/idempotency.rs
@@ -8,14 +8,14 @@
 use helpers::{Harness, RequestSpec, check};
 
 #[test]
-fn retries_with_a_key_are_answered_from_their_original() {
+fn retries_of_keyed_requests_are_answered_from_the_original() {
     let mut harness = Harness::new("op_types.0.repeats=keyed op_types.0.window_us=5000000");
-    let repeat = |of| RequestSpec { retry_of: Some(of), ..RequestSpec::default() };
+    let retry_of = |original| RequestSpec { retry_of: Some(original), ..RequestSpec::default() };
     harness.receive("first", RequestSpec::default()).decide();
-    harness.at(50).receive("second", repeat("first")).decide();
-    harness.at(60).receive("long-gone", repeat("unknown")).decide();
+    harness.at(50).receive("second", retry_of("first")).decide();
+    harness.at(60).receive("long-gone", retry_of("unknown")).decide();
     // Two attempts received together name each other.
-    harness.at(70).receive("left", repeat("right")).receive("right", repeat("left")).decide();
+    harness.at(70).receive("left", retry_of("right")).receive("right", retry_of("left")).decide();
     harness.at(200).finish_run("first", Outcome::Ok).finish_run("second", Outcome::Ok);
     check(
         &mut harness,
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn non_idempotent_requests_of_one_session_share_nothing() {
+fn non_idempotent_requests_of_a_session_share_no_result() {
     let mut harness = Harness::new("server.share_reads_us=500000 op_types.0.repeats=non-retryable");
     harness.receive("first", RequestSpec { session: "u", ..RequestSpec::default() });
     harness.decide();
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -84,8 +84,8 @@
 }
 
 #[test]
-fn minimal_settings_still_give_decisions() {
-    let seen = |settings: &str, clients: u64, gauges: RuntimeGauges| {
+fn extreme_settings_still_give_decisions() {
+    let decision_counts = |settings: &str, clients: u64, gauges: RuntimeGauges| {
         let mut harness = Harness::new(settings);
         for i in 0..6000 {
             let name = format!("a{i}");
@@ -105,26 +105,26 @@
         )
     };
     let idle = RuntimeGauges::with_requests_on_cores(0.0);
-    let bare = seen("server.cores=1 servers=0", 1, RuntimeGauges::default());
-    let many = seen("server.caller_idle_us=30000000", 5000, idle);
-    let no_memory = seen("server.memory_kb=5", 3, idle);
-    let no_calls = seen("server.calls_bound=0 server.calls_over_us=0", 3, idle);
-    let seen = format!("bare {bare}\nmany {many}\nno memory {no_memory}\nno calls {no_calls}\n");
+    let bare = decision_counts("server.cores=1 servers=0", 1, RuntimeGauges::default());
+    let many = decision_counts("server.caller_idle_us=30000000", 5000, idle);
+    let no_memory = decision_counts("server.memory_kb=5", 3, idle);
+    let no_calls = decision_counts("server.calls_bound=0 server.calls_over_us=0", 3, idle);
+    let counts = format!("bare {bare}\nmany {many}\nno memory {no_memory}\nno calls {no_calls}\n");
     expect![[r#"
         bare run 6000 reject 0 fail 0 idle 2
         many run 6000 reject 0 fail 0 idle 1
         no memory run 0 reject 6000 fail 0 idle 2
         no calls run 6000 reject 0 fail 0 idle 2
     "#]]
-    .assert_eq(&seen);
+    .assert_eq(&counts);
 }
 
 #[test]
-fn settings_out_of_range_are_named() {
+fn an_error_names_the_setting_that_is_out_of_range() {
     let error_text = |settings: &str| {
         Catalog::from_flat(flat_settings(settings)).err().map(|error| error.to_string()).unwrap_or_default()
     };
-    let seen = format!(
+    let errors = format!(
         "{}\n{}\n{}\n",
         error_text("server.cores=0"),
         error_text("server.memory_kb=-1"),
@@ -135,5 +135,5 @@
         setting server.memory_kb is absurd: -1
         setting rules.cold_us is absurd: -5
     "#]]
-    .assert_eq(&seen);
+    .assert_eq(&errors);
 }
--- a/tests/load_signals.rs
+++ b/tests/load_signals.rs
@@ -8,9 +8,9 @@
 use helpers::{Harness, RequestSpec, check};
 
 #[test]
-fn rejections_forbid_retries_elsewhere_once_many_requests_are_rejected() {
+fn a_high_rejected_share_forbids_retries_elsewhere() {
     // Guards against retry storms: each rejection by an overloaded server led to nine attempts elsewhere.
-    let rejected_for_good = |settings: &str, per_s: u64| {
+    let rejections_forbidding_retries = |settings: &str, per_s: u64| {
         let mut harness = Harness::new(settings);
         harness.offer_load(6000, per_s);
         harness.take_trace(&[]);
@@ -20,9 +20,9 @@
     };
     let trace = format!(
         "few {}\nmost {}\ncold {}\n",
-        rejected_for_good("", 11),
-        rejected_for_good("", 60),
-        rejected_for_good("server.cold=1", 60)
+        rejections_forbidding_retries("", 11),
+        rejections_forbidding_retries("", 60),
+        rejections_forbidding_retries("server.cold=1", 60)
     );
     expect![[r#"
         few 0 of 2
@@ -34,7 +34,7 @@
 
 #[test]
 fn retries_elsewhere_follow_the_fleets_rejected_share() {
-    let rejected_for_good = |rejected_share: f64, per_s: u64| {
+    let rejections_forbidding_retries = |rejected_share: f64, per_s: u64| {
         let mut harness = Harness::new("");
         harness.set_guidance(GuidanceKey::RejectedShare, Some(rejected_share));
         harness.offer_load(6000, per_s);
@@ -43,8 +43,11 @@
         let trace = harness.take_trace(&["Reject"]);
         format!("{} of {}", trace.matches("do_not_retry_elsewhere: true").count(), trace.lines().count())
     };
-    let trace =
-        format!("only here {}\neverywhere {}\n", rejected_for_good(0.0, 60), rejected_for_good(0.9, 11));
+    let trace = format!(
+        "only here {}\neverywhere {}\n",
+        rejections_forbidding_retries(0.0, 60),
+        rejections_forbidding_retries(0.9, 11)
+    );
     expect![[r#"
         only here 0 of 100
         everywhere 2 of 2
@@ -68,7 +71,7 @@
 }
 
 #[test]
-fn idle_connections_close_where_cores_are_free_and_clients_do_not_return() {
+fn idle_timeout_is_short_for_free_cores_and_one_time_clients() {
     // Guards against a table full of clients that never return, which left 97 in 100 attempts without a
     // connection; where all cores are taken a full table turns attempts away unread.
     let last_timeout = |clients: u64, on_cores: f64| {
@@ -119,7 +122,7 @@
 }
 
 #[test]
-fn connections_are_not_closed_at_once_where_the_clients_timeout_is_unknown() {
+fn idle_timeout_is_not_zero_if_the_client_timeout_is_unknown() {
     let mut harness = Harness::new("");
     harness.offer_load(3000, 9);
     check(
--- a/tests/rejections.rs
+++ b/tests/rejections.rs
@@ -6,7 +6,7 @@
 use helpers::{Harness, RequestSpec};
 
 /// All reasons with a count above zero.
-fn counted(harness: &Harness) -> Vec<(RejectionReason, u64)> {
+fn counts_by_reason(harness: &Harness) -> Vec<(RejectionReason, u64)> {
     use RejectionReason::*;
     let all = [
         UnknownClass,
@@ -29,29 +29,29 @@
 fn an_unknown_class_is_counted() {
     let mut harness = Harness::new("");
     harness.receive("odd", RequestSpec { request_class: 9, ..RequestSpec::default() }).decide();
-    assert_eq!(counted(&harness), [(RejectionReason::UnknownClass, 1)]);
+    assert_eq!(counts_by_reason(&harness), [(RejectionReason::UnknownClass, 1)]);
 }
 
 #[test]
-fn a_reached_deadline_and_a_reached_objective_have_different_reasons() {
+fn deadline_and_objective_have_different_reasons() {
     let mut late = Harness::new("op_types.0.target_latency_us=4000000");
     late.receive("a", RequestSpec { remaining_wait_ms: 900, ..RequestSpec::default() }).decide();
     late.at(870).decide();
-    assert_eq!(counted(&late), [(RejectionReason::DeadlineReached, 1)]);
+    assert_eq!(counts_by_reason(&late), [(RejectionReason::DeadlineReached, 1)]);
     let mut worthless = Harness::new("");
     worthless.receive("a", RequestSpec::default()).decide();
     worthless.at(970).decide();
-    assert_eq!(counted(&worthless), [(RejectionReason::ObjectiveReached, 1)]);
+    assert_eq!(counts_by_reason(&worthless), [(RejectionReason::ObjectiveReached, 1)]);
 }
 
 #[test]
-fn memory_of_requests_and_memory_of_keys_have_different_reasons() {
+fn request_memory_and_key_memory_have_different_reasons() {
     let mut requests = Harness::new("server.memory_kb=100");
     requests.receive("a", RequestSpec { size_kb: 200.0, ..RequestSpec::default() }).decide();
-    assert_eq!(counted(&requests), [(RejectionReason::MemoryLimit, 1)]);
+    assert_eq!(counts_by_reason(&requests), [(RejectionReason::MemoryLimit, 1)]);
     let mut keys = Harness::new("server.memory_kb=100 server.key_kb=200 op_types.0.repeats=keyed");
     keys.receive("a", RequestSpec::default()).decide();
-    assert_eq!(counted(&keys), [(RejectionReason::KeyMemoryLimit, 1)]);
+    assert_eq!(counts_by_reason(&keys), [(RejectionReason::KeyMemoryLimit, 1)]);
 }
 
 #[test]
@@ -60,36 +60,36 @@
     harness.receive("a", RequestSpec::default()).decide();
     harness.call_requested("a").decide();
     harness.at(100).call_finished("a", Outcome::ConnectionLost).decide();
-    assert_eq!(counted(&harness), [(RejectionReason::CallAttemptsExhausted, 1)]);
+    assert_eq!(counts_by_reason(&harness), [(RejectionReason::CallAttemptsExhausted, 1)]);
 }
 
 #[test]
-fn arrivals_after_the_grace_period_and_the_stop_have_different_reasons() {
+fn late_arrival_and_server_stop_have_different_reasons() {
     let mut harness = Harness::new("");
     let stops_at = Timestamp::from_us(53_000_000);
     harness.controller.shutdown_notice(harness.now, stops_at);
     harness.at(2200).receive("past-grace", RequestSpec::default()).decide();
-    assert_eq!(counted(&harness), [(RejectionReason::ArrivedWhileDraining, 1)]);
+    assert_eq!(counts_by_reason(&harness), [(RejectionReason::ArrivedWhileDraining, 1)]);
     let mut stopping = Harness::new("op_types.0.target_latency_us=4000000");
     stopping.at(1900).receive("running", RequestSpec::default()).decide();
     stopping.controller.shutdown_notice(stopping.now, stops_at);
     stopping.at(2760).decide();
-    assert_eq!(counted(&stopping), [(RejectionReason::ServerStops, 1)]);
+    assert_eq!(counts_by_reason(&stopping), [(RejectionReason::ServerStops, 1)]);
 }
 
 /// Guards against a run past the grace period, of a request that was on its way for long.
 #[test]
-fn a_request_received_after_the_grace_period_is_rejected_whenever_it_was_sent() {
+fn request_sent_in_grace_period_but_received_later_is_rejected() {
     let mut harness = Harness::new("");
     harness.controller.shutdown_notice(harness.now, Timestamp::from_us(53_000_000));
     harness.at(2000).receive("at-its-end", RequestSpec { age_ms: 300, ..RequestSpec::default() }).decide();
-    assert_eq!(counted(&harness), []);
+    assert_eq!(counts_by_reason(&harness), []);
     harness.at(2001).receive("past-it", RequestSpec { age_ms: 300, ..RequestSpec::default() }).decide();
-    assert_eq!(counted(&harness), [(RejectionReason::ArrivedWhileDraining, 1)]);
+    assert_eq!(counts_by_reason(&harness), [(RejectionReason::ArrivedWhileDraining, 1)]);
 }
 
 #[test]
-fn the_counts_by_rule_leave_out_rules_that_rejected_none_and_are_shown_by_name() {
+fn rejection_counts_omit_zeros_and_show_reason_names() {
     let mut harness = Harness::new("");
     harness.receive("odd", RequestSpec { request_class: 9, ..RequestSpec::default() });
     harness.receive("long", RequestSpec { cost_ms: Some(3000), ..RequestSpec::default() }).decide();
@@ -99,14 +99,14 @@
 }
 
 #[test]
-fn a_request_that_would_be_late_and_a_run_whose_work_is_lost_have_different_reasons() {
+fn late_request_and_lost_work_have_different_reasons() {
     let mut late = Harness::new("");
     late.receive("a", RequestSpec { cost_ms: Some(3000), ..RequestSpec::default() }).decide();
-    assert_eq!(counted(&late), [(RejectionReason::WouldBeLate, 1)]);
+    assert_eq!(counts_by_reason(&late), [(RejectionReason::WouldBeLate, 1)]);
     let mut lost = Harness::new("");
     lost.receive("a", RequestSpec::default()).decide();
     lost.at(100).finish_run("a", Outcome::Preempted).decide();
-    assert_eq!(counted(&lost), [(RejectionReason::WorkLost, 1)]);
+    assert_eq!(counts_by_reason(&lost), [(RejectionReason::WorkLost, 1)]);
 }
 
 #[test]
@@ -129,5 +129,5 @@
     harness.now = harness.now + Duration::from_ms(330);
     harness.decide();
     let after = harness.controller.rejection_count(RejectionReason::AdmissionRate);
-    assert!(after > before, "{:?}", counted(&harness));
+    assert!(after > before, "{:?}", counts_by_reason(&harness));
 }
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -9,17 +9,17 @@
 
 #[test]
 fn short_and_long_runs_wait_in_two_queues() {
-    let more = "server.cores=4 counted_by=work op_types.0.target_latency_us=9000000 op_types.0.op_timeout_us=9000000";
-    let mut harness = Harness::new(more);
-    let cost = |ms| RequestSpec { cost_ms: Some(ms), remaining_wait_ms: 9000, ..RequestSpec::default() };
+    let settings = "server.cores=4 counted_by=work op_types.0.target_latency_us=9000000 op_types.0.op_timeout_us=9000000";
+    let mut harness = Harness::new(settings);
+    let with_cost = |ms| RequestSpec { cost_ms: Some(ms), remaining_wait_ms: 9000, ..RequestSpec::default() };
     for i in 0..6 {
-        harness.receive(&format!("short{i}"), cost(100));
+        harness.receive(&format!("short{i}"), with_cost(100));
     }
     for i in 0..4 {
-        harness.receive(&format!("long{i}"), cost(1000));
+        harness.receive(&format!("long{i}"), with_cost(1000));
     }
     for i in 6..9 {
-        harness.receive(&format!("short{i}"), cost(100));
+        harness.receive(&format!("short{i}"), with_cost(100));
     }
     harness.decide();
     for i in 0..5 {
@@ -91,17 +91,17 @@
 
 #[test]
 fn a_cold_server_has_a_lower_concurrency_limit() {
-    let run = |more: &str| {
-        let mut harness = Harness::new(more);
+    let started_runs = |settings: &str| {
+        let mut harness = Harness::new(settings);
         for _ in 0..24 {
             harness.tick(-20.0);
         }
         for i in 0..12 {
             harness.receive(&format!("op{i:02}"), RequestSpec::default());
         }
-        harness.decide().iter().filter(|d| format!("{d:?}").starts_with("Run")).count()
+        harness.decide().iter().filter(|decision| format!("{decision:?}").starts_with("Run")).count()
     };
-    let trace = format!("warm {} cold {}\n", run("server.cold=0"), run("server.cold=1"));
+    let trace = format!("warm {} cold {}\n", started_runs("server.cold=0"), started_runs("server.cold=1"));
     expect![[r#"
         warm 7 cold 2
     "#]]
@@ -123,7 +123,7 @@
         for i in 0..12 {
             harness.receive(&format!("b{i}"), RequestSpec::default());
         }
-        harness.decide().iter().filter(|d| format!("{d:?}").starts_with("Run")).count() + 6
+        harness.decide().iter().filter(|decision| format!("{decision:?}").starts_with("Run")).count() + 6
     };
     let trace =
         format!("reads {} plain {} disk {}\n", started_runs(8.0), started_runs(6.0), started_runs(3.0));
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_large_request_with_a_rough_cost_hint_is_not_rejected_as_late() {
+fn a_large_rough_cost_hint_does_not_reject_a_request_as_late() {
     // Runs of 300 ms, mostly disk, whatever the hint says: three times the hint is not three times the run.
     let mut harness = Harness::new("counted_by=work");
     for i in 0..24 {
@@ -157,22 +157,22 @@
 }
 
 #[test]
-fn a_late_attempt_is_recognized_by_the_remaining_wait_of_its_client() {
+fn a_late_attempt_is_recognized_by_its_clients_remaining_wait() {
     let mut harness = Harness::new("");
     // Each client is seen once: common waits show over all clients.
-    let wait = |ms| RequestSpec { remaining_wait_ms: ms, client: ms, ..RequestSpec::default() };
+    let with_wait = |ms| RequestSpec { remaining_wait_ms: ms, client: ms, ..RequestSpec::default() };
     for i in 0..8 {
         let name = format!("first{i}");
-        harness.at(i * 500).receive(&name, RequestSpec { client: i, ..wait(2000) }).decide();
+        harness.at(i * 500).receive(&name, RequestSpec { client: i, ..with_wait(2000) }).decide();
         harness.at(i * 500 + 200).finish_run(&name, Outcome::Ok).decide();
     }
     harness.take_trace(&[]);
-    harness.at(4000).receive("within", wait(1900)).receive("too-late", wait(1100)).decide();
+    harness.at(4000).receive("within", with_wait(1900)).receive("too-late", with_wait(1100)).decide();
     harness
         .at(4300)
         .finish_run("within", Outcome::Ok)
-        .receive("last-try", wait(3100))
-        .receive("fresh", wait(2000));
+        .receive("last-try", with_wait(3100))
+        .receive("fresh", with_wait(2000));
     check(
         &mut harness,
         &[],
