--- a/src/admission/admission_rate.rs
+++ b/src/admission/admission_rate.rs
@@ -1,64 +1,64 @@
-//! The admission rate R and its token bucket (the paper's section IV, equation 2).
+//! The admission rate R and its token bucket (Wu, Tantawi and Yu, section IV, equation 2).
 //!
-//! R starts to limit after a congested cycle with queued requests, from the rate then admitted. It falls by
-//! [`DECREASE_DIVISOR`] in congested cycles and rises by [`INCREASE_PER_S`] in others, and stops limiting
-//! once it is above the admitted rate or keeps the cores idle. Input: one [`CycleResult`] a cycle. Output: a
-//! change of the mode.
+//! R starts to limit after a congested cycle with queued requests, at the rate admitted in that cycle. Each
+//! further such cycle divides it by [`DECREASE_DIVISOR`]; a cycle without congestion raises it by
+//! [`INCREASE_PER_S`]. It stops limiting once it exceeds the admitted rate or keeps the cores idle. Input:
+//! one [`CycleResult`] per control cycle. Output: an event when limiting starts or stops.
 
 use crate::Timestamp;
 use crate::admission::power_test::CycleResult;
 use crate::event::ControllerEvent;
 
-/// A congested cycle divides R by this.
+/// Divisor of R after a congested cycle with queued requests.
 const DECREASE_DIVISOR: f64 = 1.1;
-/// Any other cycle adds this to R, in requests a second.
+/// Increase of R after a cycle without congestion, in requests per second.
 const INCREASE_PER_S: f64 = 2.0;
-/// The smallest R, in requests a second.
+/// Lower bound of R, in requests per second.
 const MIN_RATE_PER_S: f64 = 1.0;
-/// The bucket takes the tokens of this time.
+/// Capacity of the bucket, as the time in which R fills it, in seconds.
 const BURST_S: f64 = 0.25;
-/// The bucket takes this many tokens at least, so that a low R admits at all.
+/// Lower bound of the capacity of the bucket, so that a low R still admits requests.
 const MIN_BURST_TOKENS: f64 = 1.0;
 /// Tokens that one admission takes.
 const TOKENS_PER_ADMISSION: f64 = 1.0;
 
-/// The rate R with its tokens.
+/// The admission rate R with its token bucket.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AdmissionRate {
-    /// R in requests a second, while it limits.
+    /// R in requests per second; `None` while it does not limit.
     rate_per_s: Option<f64>,
     tokens: f64,
     refilled_at: Timestamp,
 }
 
 impl AdmissionRate {
-    /// A rate that limits nothing.
+    /// Returns a rate that does not limit.
     pub(crate) fn unlimited(now: Timestamp) -> Self {
         Self { rate_per_s: None, tokens: 0.0, refilled_at: now }
     }
 
-    /// Whether R limits new sessions now.
+    /// Returns whether R limits new sessions now.
     pub(crate) fn is_limited(&self) -> bool {
         self.rate_per_s.is_some()
     }
 
-    /// Whether a new session may pass now.
+    /// Returns whether a new session may pass now.
     pub(crate) fn admits_new_session(&self) -> bool {
         self.rate_per_s.is_none() || self.tokens >= TOKENS_PER_ADMISSION
     }
 
-    /// Takes the token of an admitted request. Requests of active sessions take theirs too, so tokens may go
-    /// below zero.
+    /// Takes the token of an admitted request. Requests of active sessions take one even from an empty
+    /// bucket, so the number of tokens may fall below zero.
     pub(crate) fn take_token(&mut self) {
         self.tokens -= TOKENS_PER_ADMISSION;
     }
 
-    /// Gives back the token of an admitted request that never ran.
+    /// Puts back the token of an admitted request that never ran.
     pub(crate) fn return_token(&mut self) {
         self.tokens += TOKENS_PER_ADMISSION;
     }
 
-    /// Adds the tokens of the time since the last refill.
+    /// Adds the tokens that accrued since the last refill.
     pub(crate) fn refill(&mut self, now: Timestamp) {
         let rate = self.rate_per_s.unwrap_or(0.0);
         let gain = rate * (now - self.refilled_at).secs();
@@ -66,7 +66,7 @@
         self.refilled_at = now;
     }
 
-    /// Moves R by the result of a cycle; returns the change of the mode, if any.
+    /// Adjusts R by the result of a control cycle. Returns an event if limiting starts or stops.
     pub(crate) fn adjust(&mut self, now: Timestamp, cycle: &CycleResult) -> Option<ControllerEvent> {
         match self.rate_per_s {
             None if cycle.is_congested && cycle.had_queue => Some(self.start_limiting(now, cycle)),
--- a/src/admission/power_test.rs
+++ b/src/admission/power_test.rs
@@ -1,58 +1,63 @@
-//! The power test (the paper's section III, Algorithm 1): whether the server was congested in a control
-//! cycle.
+//! The power test (Wu, Tantawi and Yu, section III, Algorithm 1): detects whether the server was congested in
+//! a control cycle.
 //!
-//! Power is throughput over response time, both per second of cost. A cycle ends after [`CYCLE_SUCCESSES`]
-//! successes or [`MAX_CYCLE`], whichever comes first, but lasts [`MIN_CYCLE`] at least. Input: successes,
-//! started runs, timer ticks. Output: one [`CycleResult`] a cycle.
+//! Power is throughput over response time, where throughput is the cost of successful requests per second,
+//! and response time is per second of cost. A cycle ends after [`CYCLE_SUCCESSES`] successes or
+//! [`MAX_CYCLE`], whichever comes first, or as soon as the admission rate keeps the cores idle; it lasts at
+//! least [`MIN_CYCLE`]. Input: successes, started runs, timer ticks. Output: one [`CycleResult`] per cycle.
 
 use crate::event::CycleFigures;
 use crate::statistics::SampleWindow;
 use crate::{Duration, Timestamp};
 
-/// A cycle whose power is a smaller part of the best power, and whose response time is longer, was congested.
+/// Share of the best power below which a cycle counts as congested, if its response time is longer as well.
 const MIN_POWER_RATIO: f64 = 0.9;
-/// Successes that end a cycle.
+/// Number of successes that ends a cycle.
 const CYCLE_SUCCESSES: usize = 60;
-/// The shortest cycle.
+/// Minimum length of a cycle.
 const MIN_CYCLE: Duration = Duration::from_ms(500);
-/// The longest cycle.
+/// Maximum length of a cycle.
 pub(crate) const MAX_CYCLE: Duration = Duration::from_ms(4000);
-/// Cycles among which the best power is found; an older best may come from another mix of requests.
+/// Number of recent cycles among which the best power is found; an older best may come from another mix of
+/// requests.
 const CYCLE_CAPACITY: usize = 16;
-/// Below this share of ticks with saturated cores, a limit without queued requests idles the cores.
+/// Share of ticks with all cores taken below which an admission rate without queued requests keeps the cores
+/// idle.
 const IDLE_CORE_SATURATION: f64 = 0.5;
-/// Keeps figures finite in a cycle without successes.
+/// Lower bound of divisors; keeps the figures of a cycle without successes finite.
 const MIN_DIVISOR: f64 = 1e-9;
 
-/// A request answered within its latency objective.
+/// A response within the latency objective.
 #[derive(Clone, Copy, Debug)]
 struct Success {
     cost_s: f64,
     response_s: f64,
 }
 
+/// Figures of a finished control cycle.
 #[derive(Clone, Copy, Debug)]
 struct Cycle {
     power: f64,
+    /// Response time in seconds per second of cost.
     response_time_per_cost: f64,
 }
 
-/// What a control cycle showed.
+/// Result of the power test for one control cycle.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CycleResult {
-    /// Whether power fell and response time rose (the paper's oFactor).
+    /// Whether power fell and response time rose (`oFactor` in the paper).
     pub(crate) is_congested: bool,
     /// Whether admitted requests were queued in at least half of the ticks.
     pub(crate) had_queue: bool,
     /// Whether the admission rate kept the cores idle.
     pub(crate) idles_cores: bool,
-    /// Requests a second that started to run.
+    /// Rate of started runs, in requests per second.
     pub(crate) admitted_per_s: f64,
-    /// The figures for the log.
+    /// Figures of the cycle for the log.
     pub(crate) figures: CycleFigures,
 }
 
-/// The control cycle under way and the last ones.
+/// The current control cycle and the last finished ones.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PowerTest {
     cycle_began_at: Timestamp,
@@ -64,7 +69,7 @@
 }
 
 impl PowerTest {
-    /// A test whose first cycle counts as begun at `cycle_began_at`.
+    /// Returns a test whose first cycle counts as begun at `cycle_began_at`.
     pub(crate) fn new(cycle_began_at: Timestamp) -> Self {
         Self { cycle_began_at, ..Self::default() }
     }
@@ -74,19 +79,19 @@
         self.successes.push(Success { cost_s, response_s });
     }
 
-    /// Records a run that starts.
+    /// Records the start of a run.
     pub(crate) fn record_started_run(&mut self) {
         self.started_runs += 1;
     }
 
-    /// Records a timer tick and whether admitted requests were queued then.
+    /// Records a timer tick. `has_queue` says whether admitted requests are queued.
     pub(crate) fn record_tick(&mut self, has_queue: bool) {
         self.ticks += 1;
         self.ticks_with_queue += u32::from(has_queue);
     }
 
-    /// Ends the cycle if it is over. `is_limited` says whether the admission rate limits now,
-    /// `core_saturation` is the share of recent ticks with all cores taken.
+    /// Ends the cycle if it is over and returns its result. `is_limited` says whether the admission rate
+    /// limits now; `core_saturation` is the share of recent ticks with all cores taken.
     pub(crate) fn end_cycle(
         &mut self,
         now: Timestamp,
--- a/src/admission/session_admission.rs
+++ b/src/admission/session_admission.rs
@@ -1,8 +1,8 @@
-//! Which queued request passes admission next, and which one has waited for a token for too long.
+//! Selects the queued request that is admitted next, and the one that has waited for a token for too long.
 //!
-//! Active sessions pass first and always; new sessions pass in queue order while the admission rate allows
-//! it. A new session that finds no token early is rejected early, so that its client can go elsewhere in
-//! time.
+//! Requests of active sessions pass first and always; those of new sessions pass in queue order while the
+//! admission rate allows it. A request without a token is rejected early, so that its client still has time
+//! to try another server.
 
 use crate::admission::admission_rate::AdmissionRate;
 use crate::rejection::{Rejection, RejectionReason};
@@ -11,7 +11,7 @@
 use crate::scheduling::{TIMER_TICK, late_rejection, queue_order};
 use crate::{RequestId, Timestamp};
 
-/// The request that is admitted next.
+/// Returns the request that is admitted next.
 pub(crate) fn next_to_admit(requests: &RequestTable, rate: &AdmissionRate) -> Option<RequestId> {
     let admits_new_session = rate.admits_new_session();
     let passes =
@@ -22,7 +22,7 @@
     first.map(|request| request.id)
 }
 
-/// The first received request that found no token within the early part of its time.
+/// Returns the first received request that has found no token within its early period.
 pub(crate) fn first_without_token(requests: &RequestTable, now: Timestamp) -> Option<Rejection> {
     let wait_by_next_tick = |request: &Request| now + TIMER_TICK - request.sent_at;
     let request = requests.first_received(|request| {
--- a/src/admission/sessions.rs
+++ b/src/admission/sessions.rs
@@ -1,12 +1,13 @@
-//! Active sessions (the paper's section II): those with a run here within the last [`SESSION_IDLE_TIMEOUT`].
+//! Active sessions (Wu, Tantawi and Yu, section II): those for which a run has started on this server within
+//! the last [`SESSION_IDLE_TIMEOUT`].
 
 use crate::last_seen::LastSeen;
 use crate::{Duration, SessionKey, Timestamp};
 
-/// A session without a run for this long is not active any more.
+/// Time without the start of a run after which a session is no longer active.
 const SESSION_IDLE_TIMEOUT: Duration = Duration::from_ms(20_000);
 
-/// When each session last had a run start here.
+/// Time of the last start of a run on this server, by session.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ActiveSessions {
     last_runs: LastSeen<SessionKey>,
@@ -18,7 +19,7 @@
         self.last_runs.record(session, now, SESSION_IDLE_TIMEOUT);
     }
 
-    /// Whether the session is active.
+    /// Returns whether the session is active.
     pub(crate) fn is_active(&self, now: Timestamp, session: SessionKey) -> bool {
         self.last_runs.get(&session).is_some_and(|last| now - last < SESSION_IDLE_TIMEOUT)
     }
--- a/src/controller/inputs.rs
+++ b/src/controller/inputs.rs
@@ -1,4 +1,5 @@
-//! The inputs of the controller: each records what happened and decides nothing.
+//! The inputs of the controller: each records an event that the host reports. Inputs run no policy; they
+//! queue only decisions that need none.
 
 use super::AdmissionController;
 use crate::config::change::{Change, ChangeSummary};
@@ -15,15 +16,16 @@
 };
 use std::rc::Rc;
 
-/// The smallest cost that counts, in seconds.
+/// Lower bound of the cost of a request, in seconds.
 const MIN_COST_S: f64 = 1e-4;
-/// The shortest run that is expected, in seconds.
+/// Lower bound of the expected run time, in seconds.
 const MIN_EXPECTED_RUN_S: f64 = 1e-4;
-/// A run expected to take this many times the mean waits in the queue of long runs.
+/// A request whose expected run time is more than this many times the mean of recent requests waits in the
+/// queue of long runs.
 const LONG_RUN_FACTOR: f64 = 2.0;
 
 impl AdmissionController {
-    /// A request was received.
+    /// Records and queues a received request. A request of an unknown class is rejected instead.
     pub fn request_received(&mut self, now: Timestamp, new: NewRequest) {
         let class = self.catalog.borrow().request_class(new.class).cloned();
         let Some(class) = class else { return self.reject_unknown_class(new.id) };
@@ -88,7 +90,7 @@
         }
     }
 
-    /// When the latency objective ends, which counts from the client's first attempt.
+    /// Returns the end of the latency objective, which counts from the first attempt of the client.
     fn objective_at(
         &mut self,
         new: &NewRequest,
@@ -105,7 +107,8 @@
         sent_at + (objective.min(timeout) - since_first_attempt)
     }
 
-    /// The factor on the value of a tenant's request, by this server's part of the tenant's quota.
+    /// Returns the factor on the value of a tenant's request by this server's part of the tenant's quota; 1
+    /// without a quota.
     fn quota_factor(&mut self, now: Timestamp, tenant: TenantId) -> f64 {
         let fleet_quota_per_s = self.catalog.borrow().tenant(tenant).and_then(|tenant| tenant.quota_per_s);
         let Some(fleet_quota_per_s) = fleet_quota_per_s else { return 1.0 };
@@ -119,7 +122,7 @@
         if is_long { RunLength::Long } else { RunLength::Short }
     }
 
-    /// The client of a request does not wait any more.
+    /// Records that the client of a request no longer waits for the response.
     pub fn request_abandoned(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.awaits_response = false;
@@ -128,7 +131,7 @@
         }
     }
 
-    /// A run ended, or was preempted.
+    /// Records that a run ended or was preempted.
     pub fn run_finished(&mut self, now: Timestamp, id: RequestId, outcome: Outcome) {
         self.refill_budgets(now);
         let request = self.requests.get_mut(id).filter(|request| !request.state.is_queued());
@@ -151,7 +154,7 @@
         let Some(request) = self.requests.get(id) else { return };
         let run_s = request.run_time_s(now);
         self.slowdown.record_run(run_s, request.expected_run_s);
-        // A class removed by a change has no profile, and the class that takes its id must not inherit one.
+        // A class that a change has removed gets no new profile, which a class with its id would inherit.
         if self.catalog.borrow().request_class(request.class_id).is_some() {
             let call_time_s = request.time_in_calls.secs();
             self.profiles.record_run(request.class_id, request.cost_s, run_s, call_time_s);
@@ -161,7 +164,7 @@
         }
     }
 
-    /// A run needs a dependency call to go on.
+    /// Records that a run needs a dependency call to continue.
     pub fn call_requested(&mut self, now: Timestamp, id: RequestId) {
         let request = self.requests.get_mut(id).filter(|request| request.state == RequestState::Running);
         if let Some(request) = request {
@@ -169,7 +172,7 @@
         }
     }
 
-    /// An attempt of a dependency call ended.
+    /// Records that an attempt of a dependency call ended.
     pub fn call_finished(&mut self, now: Timestamp, id: RequestId, outcome: Outcome) {
         self.refill_budgets(now);
         let request = self.requests.get_mut(id).filter(|request| request.state == RequestState::Calling);
@@ -189,7 +192,7 @@
         call_attempts::plan_retry(request, now, outcome);
     }
 
-    /// The timer that was set is due, or came early.
+    /// Records a timer tick and the runtime's gauges. A tick that comes early leaves the timer set.
     pub fn timer_tick(&mut self, now: Timestamp, gauges: RuntimeGauges) {
         if self.next_tick.is_some_and(|at| at <= now) {
             self.next_tick = None;
@@ -204,25 +207,26 @@
         }
     }
 
-    /// The server is to stop at `stops_at`.
+    /// Records a shutdown notice: the server stops at `stops_at`.
     pub fn shutdown_notice(&mut self, now: Timestamp, stops_at: Timestamp) {
         self.shutdown = Some(Shutdown { notified_at: now, stops_at });
         self.log(ControllerEvent::Draining { requests: self.requests.len() });
         self.pending_decisions.push_back(Decision::SetHealth { active: false, cached: true });
     }
 
-    /// Takes a figure that the servers of the fleet agreed on; `None` once it is not known any more.
+    /// Sets a figure on which the servers of the fleet agreed; `None` clears a figure that is no longer
+    /// known.
     pub fn set_guidance(&mut self, now: Timestamp, key: GuidanceKey, value: Option<f64>) {
         self.refill_budgets(now);
         self.guidance.set(key, value);
     }
 
-    /// Puts changed settings into force, all of them or none. Requests in hand keep the settings under which
-    /// they were received; the admission rate, sessions, clients and the profiles of classes that stay
-    /// remain.
+    /// Applies a change of the configuration, all of it or nothing. In-flight requests keep the settings
+    /// under which they were received; the admission rate, sessions, clients and the profiles of the
+    /// remaining classes are kept.
     ///
     /// # Errors
-    /// Names the key at fault; nothing has changed then.
+    /// Returns an error that names the setting or entry at fault; in that case nothing has changed.
     pub fn apply_change(&mut self, now: Timestamp, change: &Change) -> Result<ChangeSummary, ConfigError> {
         self.refill_budgets(now);
         let mut catalog = self.catalog.borrow_mut();
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,10 +1,11 @@
-//! The admission controller: all decisions of one server.
+//! The admission controller: makes all admission, scheduling and dependency-call decisions of one server.
 //!
-//! How to call it: build an [`AdmissionController`] from the settings, report what happens through the inputs
+//! A host builds an [`AdmissionController`] from a catalog of settings, reports events through its inputs
 //! (`request_received`, `request_abandoned`, `run_finished`, `call_requested`, `call_finished`, `timer_tick`,
-//! `shutdown_notice`, `set_guidance`, `apply_change`), which only update what is known, then pull
-//! `next_decision(now)` until it is `None`. It does no I/O, reads no clock and is deterministic: the same
-//! inputs and seed give the same decisions. docs/design.md gives the reasons and lists the rules.
+//! `shutdown_notice`, `set_guidance`, `apply_change`) and then calls `next_decision(now)` until it returns
+//! `None`. Inputs update the state; the rules are evaluated in `next_decision`. The controller does no I/O,
+//! reads no clock and is deterministic: the same inputs and seed give the same decisions. docs/design.md
+//! lists the rules and gives the reasons.
 
 mod inputs;
 mod reports;
@@ -35,13 +36,13 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Decides about admission, scheduling and dependency calls of one server.
+/// The controller of one server: its settings, the state of its policies and its in-flight requests.
 pub struct AdmissionController {
     settings: ControllerSettings,
     guidance: FleetGuidance,
-    /// Request classes and tenants, shared with the host.
+    /// Request classes, tenants and settings, shared with the host.
     catalog: Rc<RefCell<Catalog>>,
-    /// Cores of the runtime, as they were at the start.
+    /// Cores of the worker process at the start; a later change of the setting does not apply.
     cores: f64,
     random: Pcg,
     requests: RequestTable,
@@ -60,20 +61,21 @@
     shutdown: Option<Shutdown>,
     advertised_capacity: AdvertisedCapacity,
     idle_timeout: IdleTimeout,
-    /// When the next timer tick is due, if it is set.
+    /// Time of the next timer tick; `None` while no timer is set.
     next_tick: Option<Timestamp>,
-    /// Decisions that follow from inputs, in order.
+    /// Decisions that inputs and rules have queued, oldest first; they precede those of the rules.
     pending_decisions: VecDeque<Decision>,
 }
 
 impl AdmissionController {
-    /// Builds a controller whose settings say whether it starts cold.
+    /// Builds a controller with a catalog of its own; its settings say whether the server starts cold.
     pub fn new(catalog: Catalog, seed: u64, now: Timestamp) -> Self {
         let is_cold = catalog.settings().starts_cold;
         Self::with_shared_catalog(Rc::new(RefCell::new(catalog)), is_cold, seed, now)
     }
 
-    /// Builds a controller on a catalog that the host shares.
+    /// Builds a controller on a catalog that the host shares. `is_cold` says whether the server warms up,
+    /// whatever the settings say; `seed` seeds the jitter and the phase of the first control cycle.
     pub fn with_shared_catalog(
         catalog: Rc<RefCell<Catalog>>,
         is_cold: bool,
@@ -81,7 +83,8 @@
         now: Timestamp,
     ) -> Self {
         let settings = catalog.borrow().settings().clone();
-        // Servers that start together would otherwise end their cycles, and so move R, in step for ever.
+        // Part of the first control cycle counts as past, at random: servers that start together would
+        // otherwise adjust their admission rates at the same instants for ever.
         let first_cycle_began = now.back(MAX_CYCLE.scaled(Pcg::new(!seed).unit()));
         let mut pending_decisions = VecDeque::from([Decision::SetHealth { active: true, cached: true }]);
         if is_cold {
@@ -114,8 +117,8 @@
         }
     }
 
-    /// The next decision, or `None` until something else is reported. The rules are asked in this order; the
-    /// first one that has a decision makes it.
+    /// Returns the next decision, or `None` if there is none until more is reported. The rules are evaluated
+    /// in the order below; the first one that yields a decision makes it.
     pub fn next_decision(&mut self, now: Timestamp) -> Option<Decision> {
         self.refill_budgets(now);
         self.end_control_cycle(now);
@@ -135,7 +138,7 @@
             .or_else(|| self.set_timer(now))
     }
 
-    /// Adds the call time and the tokens of the time since the last input or decision.
+    /// Adds the call time and the admission tokens that accrued since the last refill.
     fn refill_budgets(&mut self, now: Timestamp) {
         let calls = self.requests.count(RequestState::Calling);
         let limits = self.call_limits();
--- a/src/controller/reports.rs
+++ b/src/controller/reports.rs
@@ -1,4 +1,4 @@
-//! What the host reads from the controller between decisions; reading changes nothing.
+//! Figures that the host reads from the controller between decisions. Reading changes no state.
 
 use super::AdmissionController;
 use crate::load_signal::{self, LoadReport};
@@ -8,7 +8,8 @@
 use std::collections::BTreeMap;
 
 impl AdmissionController {
-    /// How many requests in hand could still succeed within their objectives.
+    /// Returns how many requests this server could hold, queued and running, and still answer within their
+    /// latency objectives.
     pub fn spare_capacity(&self, now: Timestamp) -> f64 {
         let objectives = self.requests.iter().map(|request| request.class.latency_objective.secs());
         let mean_objective_s = mean(objectives).unwrap_or(0.0);
@@ -16,7 +17,7 @@
         load_signal::spare_capacity(target, mean_objective_s, self.arrivals.mean_expected_run_s())
     }
 
-    /// What this server reports to the fleet.
+    /// Returns the load report of this server to the fleet.
     pub fn load_report(&self, now: Timestamp) -> LoadReport {
         let observed_s = self.arrivals.observed(now).secs();
         let arrivals_per_s = load_signal::arrivals_per_s(&self.arrivals, observed_s);
@@ -32,17 +33,19 @@
         }
     }
 
-    /// Requests a second of a tenant with a quota, over its last requests.
+    /// Returns the recent request rate of a tenant with a quota, in requests per second; zero for an unknown
+    /// tenant.
     pub fn tenant_rate(&self, now: Timestamp, tenant: TenantId) -> f64 {
         self.tenant_traffic.rate_per_s(now, tenant)
     }
 
-    /// How many requests each rule has rejected or failed since the start; rules with none are left out.
+    /// Returns the number of requests that each rule has rejected or failed since the start. Rules without
+    /// any are left out.
     pub fn rejection_counts(&self) -> &BTreeMap<RejectionReason, u64> {
         self.rejections.counts()
     }
 
-    /// How many requests a rule has rejected or failed since the start.
+    /// Returns the number of requests that one rule has rejected or failed since the start.
     pub fn rejection_count(&self, reason: RejectionReason) -> u64 {
         self.rejections.count_of(reason)
     }
--- a/src/controller/rules.rs
+++ b/src/controller/rules.rs
@@ -1,5 +1,5 @@
-//! The rules in the order in which the controller asks them: each gathers the inputs of one policy, asks it,
-//! and carries out what it says.
+//! The rules of `next_decision`, in the order of their evaluation. Each rule gathers the inputs of one
+//! policy, calls it and applies the result.
 
 use super::AdmissionController;
 use crate::admission::session_admission;
@@ -19,7 +19,7 @@
 use crate::{ClientId, Decision, Duration, Timestamp, load_signal};
 
 impl AdmissionController {
-    /// Ends the control cycle if it is over, and moves the admission rate by its result.
+    /// Ends the control cycle if it is over, and adjusts the admission rate by its result.
     pub(super) fn end_control_cycle(&mut self, now: Timestamp) {
         let is_limited = self.admission_rate.is_limited();
         let core_saturation = self.core_usage.saturated_share();
@@ -29,7 +29,8 @@
         }
     }
 
-    /// Every request is answered before its deadline, whatever has happened to it.
+    /// Rejects or fails a request that must be answered now: its deadline or the stop of the server is near,
+    /// or its run has no value any more.
     pub(super) fn answer_expiring(&mut self, now: Timestamp) -> Option<Decision> {
         let expiry = ExpiryRule {
             now,
@@ -40,20 +41,20 @@
         self.reject(now, rejection)
     }
 
-    /// Runs whose client does not wait any more leave the cores.
+    /// Preempts a run whose response nobody awaits: the client is gone, or the request has been failed.
     pub(super) fn preempt_unawaited_run(&mut self, now: Timestamp) -> Option<Decision> {
         let id = preemption::first_unawaited_run(&self.requests, now, self.settings.preemption)?;
         self.requests.get_mut(id)?.preempted_at = Some(now);
         Some(Decision::Preempt(id))
     }
 
-    /// Requests and stored keys fit in memory; what ranks last is rejected first.
+    /// Rejects the last request in queue order while requests and stored keys exceed the memory limit.
     pub(super) fn enforce_memory_limit(&mut self, now: Timestamp) -> Option<Decision> {
         let rejection = self.memory_use().first_to_reject(&self.requests)?;
         self.reject(now, rejection)
     }
 
-    /// The key of a request is stored before it runs, and a retry is answered from its original.
+    /// Stores the idempotency key of a request before it runs, and answers a retry from its original.
     pub(super) fn apply_idempotency(&mut self, now: Timestamp) -> Option<Decision> {
         loop {
             let rule = IdempotencyRule { now, settings: &self.settings, memory: self.memory_use() };
@@ -78,7 +79,7 @@
         }
     }
 
-    /// A run whose call is not attempted any more goes on without it or fails.
+    /// Ends a call that is not attempted any more: its run continues without the call, or fails.
     pub(super) fn end_failed_call(&mut self, now: Timestamp) -> Option<Decision> {
         let id = call_attempts::first_without_attempts(&self.requests, now, self.guidance.breaker_open)?;
         let request = self.requests.get_mut(id)?;
@@ -89,7 +90,8 @@
         self.reject(now, Rejection { request: id, reason: RejectionReason::CallAttemptsExhausted })
     }
 
-    /// The time in calls stays within this server's share of what the dependency tolerates.
+    /// Starts a dependency call if this server's call-time budget allows it and the circuit breaker is
+    /// closed.
     pub(super) fn start_call(&mut self, now: Timestamp) -> Option<Decision> {
         if self.guidance.breaker_open {
             return None;
@@ -104,8 +106,8 @@
         Some(Decision::StartCall { request: id, timeout })
     }
 
-    /// Requests of active sessions pass; new sessions need a token while the rate limits, and are rejected
-    /// early without.
+    /// Admits all requests that may pass, then rejects a request that has found no token in time. Requests of
+    /// active sessions always pass; those of new sessions need a token while the admission rate limits.
     pub(super) fn apply_admission_rate(&mut self, now: Timestamp) -> Option<Decision> {
         while let Some(id) = session_admission::next_to_admit(&self.requests, &self.admission_rate) {
             self.admission_rate.take_token();
@@ -115,7 +117,7 @@
         self.reject(now, rejection)
     }
 
-    /// A request that can't succeed any more is rejected at once.
+    /// Rejects a queued request that cannot succeed any more.
     pub(super) fn reject_late(&mut self, now: Timestamp) -> Option<Decision> {
         let rule = LateRejectionRule {
             now,
@@ -134,7 +136,8 @@
         self.reject(now, rejection)
     }
 
-    /// The best queued request runs while concurrency and memory allow it.
+    /// Runs the first runnable request in queue order while the concurrency, the memory and the waiting calls
+    /// allow it.
     pub(super) fn run_next(&mut self, now: Timestamp) -> Option<Decision> {
         if !self.concurrency(now).allows_another_run(&self.requests) || self.are_calls_backed_up() {
             return None;
@@ -160,14 +163,15 @@
         Some(Decision::Run(id))
     }
 
-    /// Whether runs wait for calls that can't start soon: new runs would only wait too.
+    /// Returns whether so many runs wait for calls that a new run would only wait too.
     fn are_calls_backed_up(&self) -> bool {
         let awaiting_call = self.requests.count(RequestState::AwaitingCall);
         let is_call_queue_long = awaiting_call > self.cores && !self.guidance.breaker_open;
         is_call_queue_long || awaiting_call > 0.0 && self.call_budget.is_insufficient(self.call_limits())
     }
 
-    /// Clients learn how much capacity is left, so that they send no request in vain.
+    /// Advertises the capacity of this server when the figure changes, so that clients do not send requests
+    /// in vain.
     pub(super) fn advertise_capacity(&mut self, now: Timestamp) -> Option<Decision> {
         let rejected_share = self.rejections.rejected_share();
         let value = match self.settings.capacity_signal {
@@ -183,7 +187,7 @@
         Some(Decision::AdvertiseCapacity(value))
     }
 
-    /// Idle connections close when that costs least; looked at once a timer tick.
+    /// Sets the idle timeout of connections when the cheapest one changes. Evaluated once per timer tick.
     pub(super) fn set_idle_timeout(&mut self) -> Option<Decision> {
         if self.next_tick.is_some() {
             return None;
@@ -196,7 +200,7 @@
         Some(Decision::SetIdleTimeout(timeout))
     }
 
-    /// The next timer tick is set when none is.
+    /// Sets the timer for the next tick if it is not set.
     pub(super) fn set_timer(&mut self, now: Timestamp) -> Option<Decision> {
         if self.next_tick.is_some() {
             return None;
@@ -206,8 +210,8 @@
         Some(Decision::SetTimer(at))
     }
 
-    /// The final response of a request that won't succeed: rejected if it is queued and never ran, else
-    /// failed.
+    /// Ends a request that will not succeed: rejects it if it is queued, has never run and is no retry, and
+    /// fails it otherwise.
     fn reject(&mut self, now: Timestamp, rejection: Rejection) -> Option<Decision> {
         let id = rejection.request;
         let request = self.requests.get(id)?;
@@ -235,7 +239,8 @@
         Some(Decision::Reject { request: id, retry_after, do_not_retry_elsewhere })
     }
 
-    /// Whether demand is too high for the whole fleet; a server that warms up or drains can't tell.
+    /// Returns whether demand exceeds the capacity of the whole fleet. False while this server warms up or
+    /// drains, when its rejected share says nothing about demand.
     fn is_fleet_overloaded(&self) -> bool {
         let is_share_representative = !self.warm_up.is_warming_up() && self.shutdown.is_none();
         let own_share = self.rejections.rejected_share();
@@ -258,12 +263,12 @@
         inputs.delay(self.random.unit())
     }
 
-    /// The bounds on dependency calls now.
+    /// Returns the current limits on dependency calls.
     pub(super) fn call_limits(&self) -> CallLimits {
         CallLimits::new(&self.settings, &self.guidance)
     }
 
-    /// The bounds on running requests now.
+    /// Returns the current bounds on concurrent runs.
     pub(super) fn concurrency(&self, now: Timestamp) -> Concurrency {
         Concurrency::now(now, self.cores, &self.settings, &self.warm_up, &self.core_usage)
     }
@@ -273,7 +278,8 @@
     }
 }
 
-/// Whether a request can't meet its objective at any server.
+/// Returns whether a request would miss its latency objective at any other server too, and a late response
+/// has no value.
 fn is_too_late_elsewhere(now: Timestamp, request: &Request) -> bool {
     let needed = Duration::from_secs(retry_after::min_run_for_retry_s(request.expected_run_s));
     now + needed > request.objective_at && !request.allows_late_response()
