--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -63,7 +63,7 @@
     idle_timeout: IdleTimeout,
     /// Time of the next timer tick; `None` while no timer is set.
     next_tick: Option<Timestamp>,
-    /// Decisions that inputs and rules have queued, oldest first; they precede those of the rules.
+    /// Decisions that are already made, oldest first; they are returned before any rule is evaluated.
     pending_decisions: VecDeque<Decision>,
 }
 
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Returns the next decision, or `None` if there is none until more is reported. The rules are evaluated
-    /// in the order below; the first one that yields a decision makes it.
+    /// Returns the next decision, or `None` once nothing is left to decide at this time. The rules are
+    /// evaluated in the order below; the first one that yields a decision makes it.
     pub fn next_decision(&mut self, now: Timestamp) -> Option<Decision> {
         self.refill_budgets(now);
         self.end_control_cycle(now);
--- a/src/controller/rules.rs
+++ b/src/controller/rules.rs
@@ -163,7 +163,8 @@
         Some(Decision::Run(id))
     }
 
-    /// Returns whether so many runs wait for calls that a new run would only wait too.
+    /// Returns whether runs already wait for calls that cannot start soon, so that a new run would only wait
+    /// as well.
     fn are_calls_backed_up(&self) -> bool {
         let awaiting_call = self.requests.count(RequestState::AwaitingCall);
         let is_call_queue_long = awaiting_call > self.cores && !self.guidance.breaker_open;
--- a/src/dependency/call_attempts.rs
+++ b/src/dependency/call_attempts.rs
@@ -1,21 +1,22 @@
-//! How often a call is attempted, when it is retried, and what follows once it may not be retried.
+//! Attempts of a dependency call: their maximum number, their retries, and the calls that are not attempted
+//! any more.
 
 use crate::request::{Request, RequestState};
 use crate::request_table::RequestTable;
 use crate::{Duration, Outcome, RequestId, Timestamp};
 
-/// Attempts of one call.
+/// Maximum number of attempts of one call.
 const MAX_ATTEMPTS: u32 = 3;
-/// Wait before a retry, for each attempt made, after a rejection.
+/// Delay of a retry after a rejection, for each attempt made so far.
 const RETRY_DELAY_PER_ATTEMPT: Duration = Duration::from_ms(50);
 
-/// Whether the request waits for a call that may start or end now.
+/// Returns whether the request waits for a call that may be started or given up now.
 pub(crate) fn is_ready(request: &Request, now: Timestamp) -> bool {
     request.state == RequestState::AwaitingCall && request.awaits_response && request.call.not_before <= now
 }
 
-/// The first received request whose call is not attempted any more: its attempts are used up, or the breaker
-/// is open and a degraded response has value.
+/// Returns the first received request whose call is not attempted any more: its attempts are used up, or the
+/// circuit breaker is open and a degraded response has value.
 pub(crate) fn first_without_attempts(
     requests: &RequestTable,
     now: Timestamp,
@@ -27,13 +28,14 @@
     })
 }
 
-/// Whether the attempt under way is the last one.
+/// Returns whether no further attempt may follow the one in progress.
 pub(crate) fn is_last_attempt(request: &Request) -> bool {
     request.call.attempts >= MAX_ATTEMPTS || !request.is_idempotent()
 }
 
-/// Plans the next attempt after a failed one. Only a call that never ran waits, since only a rejection says
-/// something about load; a call that may have run is repeated only if the request is idempotent.
+/// Schedules the next attempt after a failed one. Only a call that never ran is delayed, since only a
+/// rejection says something about load. A call that may have run is repeated only if the request is
+/// idempotent.
 pub(crate) fn plan_retry(request: &mut Request, now: Timestamp, outcome: Outcome) {
     let never_ran = outcome.proves_never_ran();
     let delay_factor = if never_ran { request.call.attempts } else { 0 };
--- a/src/dependency/call_start.rs
+++ b/src/dependency/call_start.rs
@@ -1,7 +1,7 @@
-//! Which call starts next, and its timeout.
+//! Selects the dependency call that starts next, and sets its timeout.
 //!
-//! Guards against slow spells of the dependency; gives up calls for which other servers may have left
-//! capacity.
+//! Guards against slow phases of the dependency, at the cost of giving up calls for which other servers may
+//! have capacity left.
 
 use crate::dependency::call_attempts;
 use crate::dependency::call_budget::{CallBudget, CallLimits};
@@ -10,15 +10,15 @@
 use crate::scheduling::{TIMER_TICK, queue_order};
 use crate::{Duration, RequestId, Timestamp};
 
-/// Calls at once, over the mean concurrency: all servers meet a slow spell together and must not spend all
-/// savings at once.
+/// Maximum number of concurrent calls over the mean concurrency. All servers meet a slow phase at the same
+/// time and must not spend all their saved call time at once.
 const MAX_CONCURRENCY_FACTOR: f64 = 2.0;
-/// Calls at once that any server may have.
+/// Number of concurrent calls that is allowed to any server.
 const MIN_CONCURRENCY: f64 = 1.0;
 /// Timeout of an attempt that may be retried, in usual call latencies: a lost reply must not block its run.
 const RETRYABLE_TIMEOUT_LATENCIES: f64 = 8.0;
 
-/// The request whose call starts next.
+/// Returns the request whose call starts next; `None` if no call may start now.
 pub(crate) fn next_call(
     requests: &RequestTable,
     now: Timestamp,
@@ -34,8 +34,9 @@
     ready.min_by(|a, b| queue_order::compare(a, b)).map(|request| request.id)
 }
 
-/// The timeout of an attempt that starts now: until the deadline, but not longer than the budget lasts, and
-/// for an attempt that may be retried not longer than a few usual calls.
+/// Returns the timeout of an attempt that starts now. It ends at the deadline at the latest, is no longer
+/// than the budget lasts and, for an attempt that may be retried, no longer than a few usual latencies; it is
+/// one timer tick at least.
 pub(crate) fn timeout(
     request: &Request,
     now: Timestamp,
--- a/src/dependency/mod.rs
+++ b/src/dependency/mod.rs
@@ -1,5 +1,6 @@
-//! Calls to the dependency that all servers share: when one starts, how long it may take, and when it is
-//! tried again. These rules are ours.
+//! Calls to the dependency that all servers share: when a call starts, its timeout, and its retries. The
+//! rules are this project's own; the paper that the `admission` module follows does not treat dependency
+//! calls.
 
 pub(crate) mod call_attempts;
 pub(crate) mod call_budget;
--- a/src/scheduling/attempt_age.rs
+++ b/src/scheduling/attempt_age.rs
@@ -1,28 +1,30 @@
-//! How long ago the client made its first attempt, worked out from how long it still waits for this one.
+//! Estimates the time since a client's first attempt from the time that the client still waits for the
+//! current one.
 //!
-//! Waits that are common in a class are those of first attempts. A request that waits less than a common value counts
-//! as a retry, its age being the difference; one that waits longer than all common values counts as the last attempt of
-//! a client that began a request timeout ago. Guards against late successes after retries. There is no estimate where
-//! waits are random.
+//! Remaining waits that are common in a class are those of first attempts. A request whose client waits less
+//! than a common value counts as a retry, and the difference is its age. A request whose client waits longer
+//! than every common value counts as the last attempt of a client that gives up one request timeout after its
+//! first. The estimate guards against late successes after retries. There is no estimate where the waits are
+//! random.
 
 use crate::Duration;
 use crate::statistics::SampleWindow;
 
-/// Resolution of the waits.
+/// Resolution of remaining waits.
 const WAIT_STEP: Duration = Duration::from_ms(20);
-/// Waits of a class that are remembered.
+/// Number of recent waits kept for each class.
 const WAIT_CAPACITY: usize = 32;
-/// A wait is common if at least one in this many lies within a step of it.
+/// A wait is common if at least one in this many recent waits lies within one step of it.
 const COMMON_WAIT_DIVISOR: usize = 8;
 
-/// How long the clients of the last requests of a class still waited, in steps.
+/// Remaining waits of the clients of the last requests of a class, in steps of [`WAIT_STEP`].
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClientWaits {
     steps: SampleWindow<u64, WAIT_CAPACITY>,
 }
 
 impl ClientWaits {
-    /// Records how long a client still waits and estimates the time since its first attempt.
+    /// Records how long a client still waits, and returns the estimated time since its first attempt.
     pub(crate) fn record(&mut self, remaining: Duration, request_timeout: Duration) -> Duration {
         let step = remaining.us() / WAIT_STEP.us();
         self.steps.push(step);
--- a/src/scheduling/class_profile.rs
+++ b/src/scheduling/class_profile.rs
@@ -1,27 +1,29 @@
-//! What the last requests of each class show: run times by cost, time in calls, and the waits of clients.
+//! Profiles of the request classes, from their last requests: run time by cost, time in calls, and remaining
+//! waits of the clients.
 
 use crate::recently_seen::{RECENTLY_SEEN_CAPACITY, RecentlySeen};
 use crate::scheduling::attempt_age::ClientWaits;
 use crate::statistics::{SAMPLE_CAPACITY, SampleWindow, mean, mean_without_top};
 use crate::{Duration, RequestClassId};
 
-/// The largest samples, as a share of all, that a mean leaves out: a few very costly requests are no slow
-/// server.
+/// Share of the largest samples that a mean leaves out: a few very costly requests do not make a slow server.
 const IGNORED_TOP_SHARE: f64 = 0.125;
-/// Expected run time over the latency objective, of a request without cost in a class without samples.
+/// Expected run time as a share of the latency objective, for a request without stated cost in a class
+/// without samples.
 const DEFAULT_RUN_SHARE_OF_OBJECTIVE: f64 = 0.2;
-/// The cost of a request that names none, in seconds.
+/// Cost of a request that states none, in seconds.
 pub(crate) const DEFAULT_COST_S: f64 = 1.0;
-/// Costs with a smaller variance, in square seconds, count as equal.
+/// Variance of the costs below which they count as equal, in square seconds.
 const MIN_COST_VARIANCE: f64 = 1e-12;
 
+/// Cost and run time of a successful run.
 #[derive(Clone, Copy, Debug)]
 struct RunSample {
     cost_s: f64,
     run_s: f64,
 }
 
-/// The last successful requests of a class.
+/// Samples from the last requests of a class.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClassProfile {
     runs: SampleWindow<RunSample, SAMPLE_CAPACITY>,
@@ -30,8 +32,9 @@
 }
 
 impl ClassProfile {
-    /// The run time expected at a cost, in seconds: linear in the cost, level or rising. Waits for disk don't
-    /// grow with cost, and rough hints say less than they claim.
+    /// Returns the run time expected for a cost, in seconds, by linear regression; `None` without samples.
+    /// The slope is at least zero and at most proportional to cost: waits for disk do not grow with cost, and
+    /// rough cost hints differ more than the run times do.
     fn expected_run_s(&self, cost_s: f64) -> Option<f64> {
         let count = self.runs.len().max(1) as f64;
         let average =
@@ -48,21 +51,21 @@
     }
 }
 
-/// The profiles of the classes that were requested lately.
+/// Profiles of the classes that were requested recently.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClassProfiles {
     profiles: RecentlySeen<RequestClassId, ClassProfile, RECENTLY_SEEN_CAPACITY>,
 }
 
 impl ClassProfiles {
-    /// Records a successful run and the time that it spent in calls.
+    /// Records the run time of a successful run and the time that it spent in calls, in seconds.
     pub(crate) fn record_run(&mut self, class: RequestClassId, cost_s: f64, run_s: f64, call_time_s: f64) {
         let profile = self.profiles.touch(class);
         profile.runs.push(RunSample { cost_s, run_s });
         profile.call_times_s.push(call_time_s);
     }
 
-    /// Records how long a client still waits; returns the time since its first attempt.
+    /// Records how long a client still waits, and returns the estimated time since its first attempt.
     pub(crate) fn record_client_wait(
         &mut self,
         class: RequestClassId,
@@ -72,7 +75,8 @@
         self.profiles.touch(class).client_waits.record(remaining, request_timeout)
     }
 
-    /// The run time expected of a request, in seconds.
+    /// Returns the expected run time of a request, in seconds. Without samples it is the stated cost, or a
+    /// share of the latency objective if no cost is stated.
     pub(crate) fn expected_run_s(
         &self,
         class: RequestClassId,
@@ -86,18 +90,19 @@
         profile.and_then(|profile| profile.expected_run_s(cost_s)).unwrap_or(fallback_s)
     }
 
-    /// Seconds that requests of a class spend in calls.
+    /// Returns the time that a request of the class is expected to spend in calls, in seconds; `None` without
+    /// samples.
     pub(crate) fn expected_call_time_s(&self, class: RequestClassId) -> Option<f64> {
         let profile = self.profiles.get(&class)?;
         mean_without_top(profile.call_times_s.iter(), IGNORED_TOP_SHARE)
     }
 
-    /// The mean run time of the last runs of all classes, in seconds.
+    /// Returns the mean run time of the last runs of all classes, in seconds; `None` without samples.
     pub(crate) fn mean_run_s(&self) -> Option<f64> {
         mean(self.profiles.values().flat_map(|profile| profile.runs.iter().map(|sample| sample.run_s)))
     }
 
-    /// Forgets a class.
+    /// Removes the profile of a class.
     pub(crate) fn remove(&mut self, class: RequestClassId) {
         self.profiles.remove(&class);
     }
--- a/src/scheduling/concurrency.rs
+++ b/src/scheduling/concurrency.rs
@@ -1,4 +1,5 @@
-//! How many requests run at once: the limit above which the cores lose throughput, and the target that keeps them busy.
+//! Bounds on concurrent runs: the limit above which the cores lose throughput, and the target that keeps the
+//! cores busy.
 
 use crate::Timestamp;
 use crate::config::settings::ControllerSettings;
@@ -9,22 +10,22 @@
 
 /// Running requests per core that keep the cores busy.
 const TARGET_PER_CORE: f64 = 1.16;
-/// The part of the tolerated concurrency that is used.
+/// Share of the tolerated concurrency that is used.
 const LIMIT_SAFETY_FACTOR: f64 = 0.75;
-/// The smallest limit, so that a server always serves.
+/// Lower bound of the limit, so that the server always serves requests.
 const MIN_LIMIT: f64 = 1.0;
 
 /// Bounds on the requests that run at once.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Concurrency {
-    /// Requests that may run, calls in progress included.
+    /// Maximum number of started requests, including those that wait for a dependency call or its end.
     pub(crate) limit: f64,
-    /// Requests that may run, calls in progress excluded.
+    /// Maximum number of running requests, without those that wait for a dependency call or its end.
     pub(crate) target: f64,
 }
 
 impl Concurrency {
-    /// The bounds now: less while the server warms up, and more by the requests that wait for disk.
+    /// Returns the current bounds. A warm-up lowers the limit; requests that wait for disk raise the target.
     pub(crate) fn now(
         now: Timestamp,
         cores: f64,
@@ -39,7 +40,7 @@
         Self { limit, target }
     }
 
-    /// Whether one more request may run.
+    /// Returns whether one more request may run.
     pub(crate) fn allows_another_run(self, requests: &RequestTable) -> bool {
         let running = requests.count(RequestState::Running);
         running + 1.0 <= self.target && requests.started_count() + 1.0 <= self.limit
--- a/src/scheduling/expiry.rs
+++ b/src/scheduling/expiry.rs
@@ -1,5 +1,5 @@
-//! Which request must get its final response now: at its deadline, before the server stops, or when its run
-//! is worthless.
+//! Selects the request that must get its final response now: at its deadline, before the server stops, or
+//! when its run has no value any more.
 //!
 //! Invariant: every request is answered at least one timer tick before its deadline.
 
@@ -9,25 +9,26 @@
 use crate::request_table::RequestTable;
 use crate::scheduling::TIMER_TICK;
 
-/// What decides about expiry besides the requests.
+/// Inputs of the rule besides the requests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ExpiryRule {
-    /// The time now.
+    /// Present time.
     pub(crate) now: Timestamp,
-    /// Whether the server is about to stop.
+    /// Whether the stop of the server is so near that all requests must be answered.
     pub(crate) is_stopping: bool,
     /// Whether the runtime can take a request off the cores.
     pub(crate) can_preempt: bool,
 }
 
 impl ExpiryRule {
-    /// The first received request that must be answered now.
+    /// Returns the first received request that must be answered now.
     pub(crate) fn first(self, requests: &RequestTable) -> Option<Rejection> {
         let request = requests.first_received(|request| self.reason(request).is_some())?;
         let reason = self.reason(requests.get(request)?)?;
         Some(Rejection { request, reason })
     }
 
+    /// Returns the reason for which the request must be answered now, if any.
     fn reason(self, request: &Request) -> Option<RejectionReason> {
         let before_next_tick = self.now + TIMER_TICK;
         let is_worthless = self.can_preempt
--- a/src/scheduling/late_rejection.rs
+++ b/src/scheduling/late_rejection.rs
@@ -1,8 +1,9 @@
-//! Late rejection: which queued request can't succeed any more, by the work ahead of it in queue order.
+//! Late rejection: rejects a queued request that cannot succeed any more, judged by the work ahead of it in
+//! queue order.
 //!
-//! A rejected request costs little and can go elsewhere; one that runs in vain takes the cores from others. A
-//! new request needs slack beyond its wait, so that most rejections come early instead of when better
-//! requests overtake it.
+//! A rejected request costs little and can go to another server; one that runs in vain takes the cores from
+//! others. In its early period a request needs slack beyond its estimated wait. Most rejections therefore
+//! come early, not later when requests of higher rank overtake it.
 
 use crate::rejection::{Rejection, RejectionReason};
 use crate::request::{Request, RequestState};
@@ -12,64 +13,65 @@
 use crate::shutdown::Shutdown;
 use crate::{Duration, Timestamp};
 
-/// The first part of the request timeout, in which a request counts as new.
+/// Length of the early period of a request as a share of the request timeout.
 const EARLY_SHARE_OF_TIMEOUT: f64 = 0.09;
-/// The part of its slack that the estimated wait of a new request may take.
+/// Share of its slack that the estimated wait of a request may take in its early period.
 const MAX_WAIT_SHARE_IN_EARLY_PERIOD: f64 = 0.45;
-/// The smallest number of runs at once that the estimate assumes.
+/// Lower bound of the number of concurrent runs that the estimate assumes.
 const MIN_SLOTS: f64 = 1.0;
 
-/// The time after its arrival in which a request counts as new.
+/// Returns the length of the early period of a request, which starts when the client sends it.
 pub(crate) fn early_period(request: &Request) -> Duration {
     request.class.request_timeout.scaled(EARLY_SHARE_OF_TIMEOUT)
 }
 
-/// What calls cost a queued request.
+/// Availability of dependency calls for queued requests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CallEstimate {
-    /// Usual time of a call, in seconds.
+    /// Usual latency of a call, in seconds.
     pub(crate) latency_s: f64,
     /// Call time that is available now, in seconds.
     pub(crate) available_s: f64,
-    /// Calls at once that this server may have on average.
+    /// Mean number of concurrent calls that this server may have.
     pub(crate) concurrency: f64,
 }
 
 impl CallEstimate {
-    /// Seconds until this many calls have found their time.
+    /// Returns the time until the call-time budget covers this many calls, in seconds.
     fn wait_s(&self, calls_ahead: f64) -> f64 {
         (calls_ahead * self.latency_s - self.available_s) / self.concurrency
     }
 }
 
-/// The inputs of the rule besides the requests.
+/// Inputs of the rule besides the requests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LateRejectionRule<'a> {
-    /// The time now.
+    /// Present time.
     pub(crate) now: Timestamp,
-    /// The slowdown factor.
+    /// Slowdown factor.
     pub(crate) slowdown: f64,
-    /// Requests that may run at once.
+    /// Number of requests that may run at once.
     pub(crate) concurrency_target: f64,
-    /// What calls cost.
+    /// Availability of dependency calls.
     pub(crate) calls: CallEstimate,
-    /// The shutdown under way.
+    /// Shutdown in progress; `None` before a shutdown notice.
     pub(crate) shutdown: Option<Shutdown>,
-    /// How long after the shutdown notice arriving requests are served.
+    /// Time after the shutdown notice in which received requests are still served.
     pub(crate) drain_grace_period: Duration,
-    /// The profiles of the classes.
+    /// Profiles of the request classes.
     pub(crate) profiles: &'a ClassProfiles,
 }
 
-/// The work ahead of a queued request.
+/// Work ahead of a queued request: the running requests and those before it in queue order.
 #[derive(Clone, Copy, Debug)]
 struct WorkAhead {
+    /// Remaining run time, in seconds.
     run_s: f64,
     requests: f64,
 }
 
 impl LateRejectionRule<'_> {
-    /// The first queued request, in queue order, that can't succeed.
+    /// Returns the first queued request, in queue order, that cannot succeed or must not be served.
     pub(crate) fn first(&self, requests: &RequestTable) -> Option<Rejection> {
         let awaiting_call = requests.count(RequestState::AwaitingCall);
         let mut ahead = WorkAhead {
@@ -89,13 +91,15 @@
         None
     }
 
-    /// Seconds until a request behind this work may start, by cores and by calls.
+    /// Returns the wait of a request behind this work, in seconds: the longer one of the waits for cores and
+    /// for calls.
     fn wait_s(&self, ahead: WorkAhead, awaiting_call: f64) -> f64 {
         let slots = self.concurrency_target.max(MIN_SLOTS);
         let core_wait_s = if ahead.requests < slots { 0.0 } else { ahead.run_s / slots };
         core_wait_s.max(self.calls.wait_s(ahead.requests + awaiting_call))
     }
 
+    /// Returns the reason for which a request with this estimated wait is rejected, if any.
     fn reason(&self, request: &Request, wait_s: f64) -> Option<RejectionReason> {
         let grace = self.drain_grace_period;
         if self.shutdown.is_some_and(|shutdown| shutdown.rejects_arrival(request.received_at, grace)) {
@@ -109,6 +113,7 @@
         (request.has_run && !request.is_paused()).then_some(RejectionReason::WorkLost)
     }
 
+    /// Returns the time at which the run of a request with this estimated wait is expected to end.
     fn estimated_finish(&self, request: &Request, wait_s: f64) -> Timestamp {
         let is_in_early_period = self.now - request.sent_at < early_period(request);
         let wait_factor = if is_in_early_period { 1.0 / MAX_WAIT_SHARE_IN_EARLY_PERIOD } else { 1.0 };
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -1,5 +1,6 @@
-//! Scheduling: in which order requests run, how many run at once, and which ones can't succeed any more.
-//! These rules are ours; the paper leaves them open.
+//! Scheduling: the order of runs, the number of concurrent runs, and the rejection of requests that cannot
+//! succeed any more. The rules are this project's own; the paper that the `admission` module follows leaves
+//! them open.
 
 use crate::Duration;
 
@@ -15,5 +16,5 @@
 pub(crate) mod slowdown;
 pub(crate) mod warm_up;
 
-/// Time between two timer ticks: what falls due before the next one is decided now.
+/// Interval of the timer. What falls due before the next tick is decided at the current one.
 pub(crate) const TIMER_TICK: Duration = Duration::from_ms(40);
--- a/src/scheduling/next_runnable.rs
+++ b/src/scheduling/next_runnable.rs
@@ -1,4 +1,4 @@
-//! Which queued request runs next, once another one may run.
+//! Selects the queued request that runs next, once another run may start.
 
 use crate::request::{Request, RunLength};
 use crate::request_table::RequestTable;
@@ -6,28 +6,28 @@
 use crate::scheduling::queue_order;
 use crate::{RequestId, Timestamp};
 
-/// Long runs take at most this share of the cores while short ones wait.
+/// Maximum share of the cores that long runs take while short ones wait.
 const MAX_LONG_RUN_SHARE_OF_CORES: f64 = 0.5;
 
-/// The inputs of the rule besides the requests.
+/// Inputs of the rule besides the requests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct NextRunRule<'a> {
-    /// The time now.
+    /// Present time.
     pub(crate) now: Timestamp,
-    /// Cores of the runtime.
+    /// Cores of the worker process.
     pub(crate) cores: f64,
-    /// Whether the dependency is known to be out of reach.
+    /// Whether the circuit breaker of the dependency is open.
     pub(crate) is_breaker_open: bool,
-    /// Memory that is free, in kB.
+    /// Free memory, in kB.
     pub(crate) free_memory_kb: f64,
-    /// Memory of a running request over that of a queued one.
+    /// Memory of a running request divided by that of a queued one.
     pub(crate) run_memory_factor: f64,
-    /// The profiles of the classes.
+    /// Profiles of the request classes.
     pub(crate) profiles: &'a ClassProfiles,
 }
 
 impl NextRunRule<'_> {
-    /// The request that runs next.
+    /// Returns the request that runs next.
     pub(crate) fn choose(&self, requests: &RequestTable) -> Option<RequestId> {
         let short = self.first_runnable(requests, RunLength::Short);
         let long = self.first_runnable(requests, RunLength::Long);
@@ -55,7 +55,7 @@
         request.is_admitted && !is_blocked && fits_in_memory && self.now < request.deadline
     }
 
-    /// Whether the request is expected to fail without the dependency.
+    /// Returns whether the request is expected to make a dependency call and fails without it.
     fn needs_call(&self, request: &Request) -> bool {
         !request.allows_degraded_response()
             && self.profiles.expected_call_time_s(request.class_id) > Some(0.0)
--- a/src/scheduling/preemption.rs
+++ b/src/scheduling/preemption.rs
@@ -1,19 +1,19 @@
-//! Which run leaves the cores: one whose client does not wait any more, where the runtime can preempt.
+//! Selects the run to preempt: one whose response nobody awaits, where the runtime supports preemption.
 
 use crate::config::settings::Preemption;
 use crate::request::{Request, RequestState};
 use crate::request_table::RequestTable;
 use crate::{Duration, RequestId, Timestamp};
 
-/// A preemption is ordered again if the run goes on for this long after the last order.
+/// Time after which a preemption is ordered again if the run still goes on.
 const PREEMPTION_RETRY_INTERVAL: Duration = Duration::from_ms(200);
 
-/// Whether the runtime can take a request off the cores.
+/// Returns whether the runtime can take a request off the cores.
 pub(crate) fn is_supported(preemption: Preemption) -> bool {
     preemption != Preemption::Unsupported
 }
 
-/// The first received request whose run is to be preempted now.
+/// Returns the first received request whose run must be preempted now.
 pub(crate) fn first_unawaited_run(
     requests: &RequestTable,
     now: Timestamp,
--- a/src/scheduling/queue_order.rs
+++ b/src/scheduling/queue_order.rs
@@ -1,33 +1,33 @@
-//! The order of the run queues: value per expected work, in steps, so that near equals run by their
-//! objectives.
+//! The order of the run queues: by value per expected work, in coarse steps, so that requests of nearly equal
+//! value run in the order of their latency objectives.
 
 use crate::config::settings::ValueUnit;
 use crate::request::Request;
 use std::cmp::Ordering;
 
-/// How much more a request of an active session counts.
+/// Factor on the value of a request whose session is active.
 const ACTIVE_SESSION_FACTOR: f64 = 1.5;
-/// Steps of the rank for each doubling of the value.
+/// Rank steps per doubling of the value.
 const RANK_STEPS_PER_OCTAVE: f64 = 2.0;
 
-/// What makes the value of a request.
+/// Inputs of the rank of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RequestValue {
-    /// The class's weight.
+    /// Priority weight of the request class.
     pub(crate) priority_weight: f64,
-    /// Whether the request's session is active.
+    /// Whether the session of the request is active.
     pub(crate) has_active_session: bool,
-    /// What the tenant's quota leaves of the value, from 0 to 1.
+    /// Share of the value that remains by the quota of the tenant, from 0 to 1.
     pub(crate) quota_factor: f64,
-    /// Run time expected, in seconds.
+    /// Expected run time, in seconds.
     pub(crate) expected_run_s: f64,
-    /// In what the operator counts value.
+    /// Unit in which the operator counts the value of served requests.
     pub(crate) unit: ValueUnit,
 }
 
 impl RequestValue {
-    /// The rank: the logarithm of value per expected work, in whole steps. Where the operator counts value by
-    /// work, requests of any length are worth the same per unit of work.
+    /// Returns the rank: the logarithm of value per expected work, in whole steps. Where the operator counts
+    /// value by work, a unit of work has the same value in requests of any length.
     pub(crate) fn rank(&self) -> f64 {
         let session_factor = if self.has_active_session { ACTIVE_SESSION_FACTOR } else { 1.0 };
         let weight = self.priority_weight * session_factor;
@@ -39,8 +39,8 @@
     }
 }
 
-/// Which of two requests runs first: paused ones, then the higher rank, the earlier objective, the earlier
-/// arrival.
+/// Compares two requests; the lesser one runs first. Paused requests come first, then the higher rank, the
+/// earlier end of the latency objective and the earlier receipt.
 pub(crate) fn compare(a: &Request, b: &Request) -> Ordering {
     let by_pause = b.is_paused().cmp(&a.is_paused());
     let by_rank = b.rank.total_cmp(&a.rank);
--- a/src/scheduling/warm_up.rs
+++ b/src/scheduling/warm_up.rs
@@ -1,13 +1,13 @@
-//! Slow start: a server that starts cold allows less concurrency until its warm-up is over.
+//! Warm-up: a server that starts cold runs fewer requests at once until its warm-up is over (slow start).
 
 use crate::config::settings::ControllerSettings;
 use crate::event::ControllerEvent;
 use crate::{Duration, Timestamp};
 
-/// Keeps the progress finite where the warm-up takes no time.
+/// Lower bound of the length of the warm-up, in seconds; keeps the progress finite where the length is zero.
 const MIN_WARM_UP_S: f64 = 1e-6;
 
-/// The warm-up of a server.
+/// State of the warm-up of a server.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WarmUp {
     started_at: Timestamp,
@@ -15,25 +15,25 @@
 }
 
 impl WarmUp {
-    /// The warm-up of a server that starts now, cold or not.
+    /// Returns the state of a server that starts now, cold or warm.
     pub(crate) fn new(now: Timestamp, is_cold: bool) -> Self {
         Self { started_at: now, is_warming_up: is_cold }
     }
 
-    /// Whether the server still warms up.
+    /// Returns whether the server still warms up.
     pub(crate) fn is_warming_up(&self) -> bool {
         self.is_warming_up
     }
 
-    /// The part of a warm server's concurrency limit that is allowed now: grows evenly from the initial share
-    /// to 1.
+    /// Returns the share of the concurrency limit of a warm server that is allowed now. It grows linearly
+    /// from the initial share to 1.
     pub(crate) fn allowed_share(&self, now: Timestamp, settings: &ControllerSettings) -> f64 {
         let initial = settings.warm_up_initial_share;
         let progress = (now - self.started_at).secs() / settings.warm_up.secs().max(MIN_WARM_UP_S);
         if self.is_warming_up { (initial + (1.0 - initial) * progress).min(1.0) } else { 1.0 }
     }
 
-    /// Ends the warm-up once its time has passed.
+    /// Ends the warm-up once its length has passed, and returns the event for the log.
     pub(crate) fn finish_if_over(&mut self, now: Timestamp, length: Duration) -> Option<ControllerEvent> {
         let after = now - self.started_at;
         if !self.is_warming_up || after < length {
