--- a/src/arrivals.rs
+++ b/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! The last requests received: how fast they come, from which clients, and how long they are expected to run.
+//! The last received requests: their rate, their clients, and their expected run times.
 
 use crate::last_seen::LastSeen;
 use crate::rejection::RECENT_REQUEST_CAPACITY;
@@ -6,20 +6,20 @@
 use crate::{ClientId, Duration, Timestamp};
 use std::collections::BTreeMap;
 
-/// One received request.
+/// A received request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Arrival {
-    /// When it was received.
+    /// Time of receipt.
     pub(crate) at: Timestamp,
-    /// The client that sent it.
+    /// Client that sent the request.
     pub(crate) client: ClientId,
-    /// Seconds since the client's request before it; infinite for a new client.
+    /// Time since the client's previous request, in seconds; infinite for a new client.
     pub(crate) gap_s: f64,
-    /// Run time expected, in seconds.
+    /// Expected run time, in seconds.
     pub(crate) expected_run_s: f64,
 }
 
-/// The last requests received, and when each client sent its last one.
+/// The last received requests, and the time of the last request of each client.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RecentArrivals {
     window: SampleWindow<Arrival, RECENT_REQUEST_CAPACITY>,
@@ -27,8 +27,8 @@
 }
 
 impl RecentArrivals {
-    /// Records a request. Clients idle for `client_idle_timeout` are forgotten first when memory for them is
-    /// short.
+    /// Records a received request. When the table of clients is full, those idle for `client_idle_timeout`
+    /// are removed first.
     pub(crate) fn record(
         &mut self,
         now: Timestamp,
@@ -41,7 +41,7 @@
         self.window.push(Arrival { at: now, client, gap_s, expected_run_s });
     }
 
-    /// The number of requests remembered.
+    /// Returns the number of requests kept.
     pub(crate) fn len(&self) -> usize {
         self.window.len()
     }
@@ -51,23 +51,24 @@
         self.window.iter()
     }
 
-    /// Time since the oldest request remembered.
+    /// Returns the time since the oldest request kept; zero before the first request.
     pub(crate) fn observed(&self, now: Timestamp) -> Duration {
         self.window.oldest().map_or(Duration::ZERO, |arrival| now - arrival.at)
     }
 
-    /// The mean expected run time, in seconds; infinite before the first request.
+    /// Returns the mean expected run time, in seconds; infinite before the first request.
     pub(crate) fn mean_expected_run_s(&self) -> f64 {
         mean(self.window.iter().map(|arrival| arrival.expected_run_s)).unwrap_or(f64::INFINITY)
     }
 
-    /// The mean time between two requests of a client, in seconds.
+    /// Returns the mean time between two requests of a client, in seconds.
     pub(crate) fn mean_gap_s(&self, now: Timestamp, client: ClientId) -> f64 {
         let count = self.window.iter().filter(|arrival| arrival.client == client).count();
         self.observed(now).secs() / count.max(1) as f64
     }
 
-    /// Clients by weight: two equal ones count 2, a heavy and a light one little over 1.
+    /// Returns the number of clients, weighted by their requests: two equal clients count as 2, a heavy and a
+    /// light one as little more than 1.
     pub(crate) fn effective_clients(&self) -> f64 {
         let mut requests: BTreeMap<ClientId, f64> = BTreeMap::new();
         for arrival in self.window.iter() {
--- a/src/decision.rs
+++ b/src/decision.rs
@@ -1,58 +1,58 @@
-//! Decisions: what the host does next.
+//! Decisions: the instructions of the controller to its host.
 
 use crate::{ControllerEvent, Duration, RequestId, Timestamp};
 
-/// One instruction of the controller to its host.
+/// An instruction of the controller to its host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Start a queued request, or resume a paused one.
+    /// Start of a queued request, or resumption of a paused one.
     Run(RequestId),
-    /// Take a running request off the cores.
+    /// Preemption: removal of a running request from the cores.
     Preempt(RequestId),
-    /// Final response: rejected, never ran.
+    /// Final response of a request that never ran: it is rejected.
     Reject {
-        /// The rejected request.
+        /// Request that is rejected.
         request: RequestId,
-        /// When the client may retry here; zero says nothing about it.
+        /// Delay after which the client may retry here; zero where the response states none.
         retry_after: Duration,
         /// Whether the client should not retry at another server either.
         do_not_retry_elsewhere: bool,
     },
-    /// Final response: an error that says nothing about whether the request took effect.
+    /// Final response with an error that leaves open whether the request took effect.
     Fail(RequestId),
-    /// Answer a queued retry with the result of the request that it retries.
+    /// Final response of a queued retry, with the result of the request that it retries.
     AnswerFromOriginal(RequestId),
-    /// Make the dependency call that a running request waits for.
+    /// Start of the dependency call that a run waits for.
     StartCall {
-        /// The waiting request.
+        /// Request whose run waits for the call.
         request: RequestId,
-        /// The longest time that the call may take.
+        /// Longest time that the call may take.
         timeout: Duration,
     },
-    /// Continue the request without its dependency call.
+    /// Continuation of a run without its dependency call.
     SkipCall(RequestId),
-    /// Store the idempotency key of a request.
+    /// Storage of the idempotency key of a request.
     StoreKey {
-        /// The request whose key is stored.
+        /// Request whose key is stored.
         request: RequestId,
-        /// How long the key is stored.
+        /// Time for which the key is stored (the deduplication window).
         window: Duration,
     },
-    /// Remove the stored idempotency key of a request that never ran.
+    /// Removal of the stored idempotency key of a request that never ran.
     RemoveKey(RequestId),
-    /// Send this capacity figure with every response.
+    /// Capacity figure to send with every response from now on.
     AdvertiseCapacity(f64),
-    /// Report this server's health.
+    /// Health of this server, for health checks.
     SetHealth {
-        /// Whether the server takes requests.
+        /// Whether the server accepts requests.
         active: bool,
         /// Whether health checks may be answered from the last report.
         cached: bool,
     },
-    /// Close connections that were idle for this long; zero stands for the longest time.
+    /// Idle time after which a connection is closed; zero stands for the longest time.
     SetIdleTimeout(Duration),
-    /// Call `timer_tick` at this time.
+    /// Time of the next call of `timer_tick`.
     SetTimer(Timestamp),
-    /// Write this event to the log.
+    /// Event to write to the log.
     Log(ControllerEvent),
 }
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,9 +1,9 @@
-//! Events of the controller that go to the log. `Display` gives the line.
+//! Events of the controller that are logged. `Display` gives the text of the log line.
 
 use crate::Duration;
 use std::fmt;
 
-/// The figures of the control cycle that changed the admission rate.
+/// Figures of the control cycle after which the admission rate started or stopped limiting.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CycleFigures {
     /// Power of the cycle over the best power of the last cycles.
@@ -21,35 +21,35 @@
     }
 }
 
-/// A change of the controller's mode.
+/// A change of the mode of the controller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ControllerEvent {
-    /// The server starts cold and admits less until it is warm.
+    /// Cold start: fewer requests run at once until the warm-up is over.
     WarmingUp,
-    /// The warm-up is over.
+    /// End of the warm-up.
     Warm {
-        /// Time since the start.
+        /// Time since the start of the controller.
         after: Duration,
     },
-    /// A shutdown notice came.
+    /// Receipt of a shutdown notice.
     Draining {
-        /// Requests that are queued or running.
+        /// Number of in-flight requests.
         requests: usize,
     },
-    /// The admission rate limits new sessions from now on.
+    /// Start of limiting: the admission rate limits new sessions from now on.
     RateLimited {
-        /// Requests a second that the cycle admitted.
+        /// Requests per second that started to run in the cycle.
         admitted_per_s: f64,
-        /// The cycle's figures.
+        /// Figures of the cycle.
         cycle: CycleFigures,
     },
-    /// The admission rate limits nothing any more.
+    /// End of limiting: the admission rate no longer limits new sessions.
     Unlimited {
-        /// The admission rate that is dropped, in requests a second.
+        /// Admission rate that no longer applies, in requests per second.
         rate_per_s: f64,
-        /// Requests a second that the cycle admitted.
+        /// Requests per second that started to run in the cycle.
         admitted_per_s: f64,
-        /// The cycle's figures.
+        /// Figures of the cycle.
         cycle: CycleFigures,
     },
 }
--- a/src/idempotency.rs
+++ b/src/idempotency.rs
@@ -1,8 +1,8 @@
-//! Retries run at most once: the key of a request is stored when it arrives, and a retry gets the result of
-//! its original.
+//! Idempotency: the key of a request is stored before the request runs, and a retry gets the result of its
+//! original instead of running.
 //!
-//! This holds for classes with a key, and for idempotent reads where their results are shared. Invariant: a
-//! request with a key never runs before its key is stored.
+//! This holds for classes with an idempotency key and, where read results are shared, for idempotent reads.
+//! Invariant: a request of a class with a key never runs before its key is stored.
 
 use crate::config::settings::ControllerSettings;
 use crate::memory::MemoryUse;
@@ -11,6 +11,7 @@
 use crate::{Duration, RequestId, Timestamp};
 use std::collections::VecDeque;
 
+/// A stored idempotency key.
 #[derive(Clone, Copy, Debug)]
 struct StoredKey {
     expires_at: Timestamp,
@@ -24,19 +25,19 @@
 }
 
 impl StoredKeys {
-    /// The number of keys.
+    /// Returns the number of keys.
     pub(crate) fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Drops expired keys from the oldest on.
+    /// Removes expired keys from the front, up to the first one that has not expired.
     pub(crate) fn expire(&mut self, now: Timestamp) {
         while self.keys.front().is_some_and(|key| key.expires_at <= now) {
             self.keys.pop_front();
         }
     }
 
-    /// Stores the key of a request.
+    /// Records that the key of a request is stored.
     pub(crate) fn store(&mut self, request: RequestId, expires_at: Timestamp) {
         self.keys.push_back(StoredKey { expires_at, request });
     }
@@ -47,39 +48,40 @@
     }
 }
 
-/// What is done next about the retries and keys of queued requests.
+/// Next step for a queued request that is a retry or lacks a stored key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum IdempotencyStep {
-    /// Run this request, though it retries one in hand: the two name each other, and it was received first.
+    /// Request that runs although it is a retry: it and its original name each other, and it was received
+    /// first.
     TreatAsOriginal(RequestId),
-    /// Answer this retry with the result of its original.
+    /// Retry that is answered with the result of its original.
     AnswerFromOriginal(RequestId),
-    /// Reject this request: no memory is left for its key.
+    /// Request that is rejected because no memory is left for its key.
     RejectForMemory(RequestId),
-    /// Run this read without sharing its result: no memory is left for its key.
+    /// Read that runs without sharing its result, because no memory is left for its key.
     SkipKey(RequestId),
-    /// Store the key of this request.
+    /// Request whose key is stored.
     StoreKey {
-        /// The request.
+        /// Request whose key is stored.
         request: RequestId,
-        /// How long the key is stored.
+        /// Time for which the key is stored.
         window: Duration,
     },
 }
 
-/// The inputs of the rule besides the requests.
+/// Inputs of the rule besides the requests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct IdempotencyRule<'a> {
-    /// The time now.
+    /// Present time.
     pub(crate) now: Timestamp,
-    /// The settings in force.
+    /// Settings in force.
     pub(crate) settings: &'a ControllerSettings,
     /// Memory in use.
     pub(crate) memory: MemoryUse,
 }
 
 impl IdempotencyRule<'_> {
-    /// The next step, for the first received request that needs one.
+    /// Returns the next step, for the first received request that needs one.
     pub(crate) fn next_step(&self, requests: &RequestTable) -> Option<IdempotencyStep> {
         let id = requests.first_received(|request| self.needs_step(request))?;
         let request = requests.get(id)?;
@@ -91,22 +93,26 @@
         })
     }
 
+    /// Returns whether the request is queued, has never run, and is a retry or lacks a stored key.
     fn needs_step(&self, request: &Request) -> bool {
         let is_retry = request.retry_of.is_some() && (request.is_keyed() || self.shares_result(request));
         let lacks_key = self.stores_key(request) && !request.is_key_handled;
         request.state == RequestState::Queued && !request.has_run && (is_retry || lacks_key)
     }
 
-    /// Whether the request is a read whose result other requests may get.
+    /// Returns whether the request is a read whose result other requests may get.
     fn shares_result(&self, request: &Request) -> bool {
         let is_sharing_on = self.settings.read_sharing_window > Duration::ZERO;
         is_sharing_on && !request.is_write && request.is_idempotent()
     }
 
+    /// Returns whether the key of the request must be stored before it runs.
     fn stores_key(&self, request: &Request) -> bool {
         request.is_keyed() || (self.shares_result(request) && request.session.is_some())
     }
 
+    /// Returns the step that stores the key of the request; without memory for the key, the step that rejects
+    /// the request or skips the key.
     fn store_key(&self, id: RequestId, request: &Request) -> IdempotencyStep {
         let window = if request.is_keyed() {
             request.class.deduplication_window
@@ -123,7 +129,8 @@
     }
 }
 
-/// Whether two requests received together name each other as original, and this one was received first.
+/// Returns whether two requests name each other as original, as attempts received together may do, and this
+/// one was received first.
 fn is_original_of_pair(
     requests: &RequestTable,
     id: RequestId,
--- a/src/idle_connections.rs
+++ b/src/idle_connections.rs
@@ -1,34 +1,35 @@
-//! How long idle connections stay open.
+//! The idle timeout of client connections.
 //!
 //! An open connection costs some of the cores and a place in a table; a new one costs work once. The timeout
-//! is the one that would have cost least for the last requests. Guards against tables full of clients that
-//! don't come back. While all cores are taken all connections are kept, since a full table turns attempts
-//! away unread, which stops retry storms; this does harm where most clients are new.
+//! chosen is the one that would have cost least for the last requests. It guards against tables full of
+//! clients that do not come back. While all cores are taken, all connections are kept: a full table turns
+//! connection attempts away unread, which stops retry storms. This does harm where most clients are new.
 
 use crate::Duration;
 use crate::arrivals::{Arrival, RecentArrivals};
 use crate::statistics::SAMPLE_CAPACITY;
 
-/// A new connection costs as much as an open one in this time, in seconds, while all cores are free.
+/// Time in which an open connection costs as much as a new one while all cores are free, in seconds.
 const CONNECTION_COST_S: f64 = 20.0;
-/// From this share of ticks with saturated cores, all connections are kept.
+/// Share of ticks with all cores taken from which all connections are kept.
 const KEEP_ALL_CORE_SATURATION: f64 = 0.5;
-/// The shortest timeout, in seconds; each longer one is twice as long.
+/// Shortest timeout, in seconds; each longer one is twice as long as the one before.
 const MIN_TIMEOUT_S: f64 = 4.0;
-/// The number of timeouts to choose from.
+/// Number of timeouts from which one is chosen.
 const TIMEOUT_STEPS: u32 = 4;
-/// Requests from which a timeout can be chosen.
+/// Number of received requests from which a timeout is chosen.
 const MIN_ARRIVALS: usize = SAMPLE_CAPACITY;
 
-/// The idle timeout that was set last.
+/// The idle timeout that was chosen last; zero before the first choice.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct IdleTimeout {
     timeout_s: f64,
 }
 
 impl IdleTimeout {
-    /// The timeout to set, if it changes. `client_idle_timeout` is when clients close idle connections
-    /// themselves, zero where that is not known.
+    /// Returns the timeout to set, if the chosen one has changed. `client_idle_timeout` is the time after
+    /// which clients close idle connections themselves, zero where it is unknown; the timeout to set is no
+    /// longer than it.
     pub(crate) fn update(
         &mut self,
         arrivals: &RecentArrivals,
@@ -50,7 +51,7 @@
     }
 }
 
-/// The timeout with the least cost for these requests; of equal ones the longest.
+/// Returns the timeout with the least cost for these requests, in seconds; of equal ones the longest.
 fn cheapest_timeout_s(arrivals: &RecentArrivals, cost_per_s: f64) -> Option<f64> {
     let cost = |timeout_s: f64| {
         let gap_cost = |arrival: Arrival| {
--- a/src/memory.rs
+++ b/src/memory.rs
@@ -1,4 +1,4 @@
-//! The memory of requests and stored keys, and which request gives way when it is short.
+//! Memory of requests and stored keys, and the request that is rejected when memory is short.
 
 use crate::config::settings::ControllerSettings;
 use crate::rejection::{Rejection, RejectionReason};
@@ -6,10 +6,10 @@
 use crate::request_table::RequestTable;
 use crate::scheduling::queue_order;
 
-/// The part of the runtime's memory that is used.
+/// Share of the worker process's memory that is used.
 const USABLE_SHARE: f64 = 0.92;
 
-/// Memory in use and its bound.
+/// Memory in use and its limit, in kB.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MemoryUse {
     used_kb: f64,
@@ -17,8 +17,8 @@
 }
 
 impl MemoryUse {
-    /// The memory of these requests and stored keys. A started or paused request takes more than a queued
-    /// one.
+    /// Returns the memory that these requests and stored keys use. A started or paused request takes more
+    /// than a queued one.
     pub(crate) fn new(requests: &RequestTable, stored_keys: usize, settings: &ControllerSettings) -> Self {
         let size_kb = |request: &Request| match request.state {
             RequestState::Queued | RequestState::AwaitingOriginal => request.size_kb,
@@ -29,17 +29,17 @@
         Self { used_kb: keys_kb + requests_kb, limit_kb: settings.memory_kb * USABLE_SHARE }
     }
 
-    /// Whether this much more memory can be used, in kB.
+    /// Returns whether this much more memory can be used, in kB.
     pub(crate) fn fits(self, additional_kb: f64) -> bool {
         self.used_kb + additional_kb <= self.limit_kb
     }
 
-    /// Free memory, in kB; below zero when too much is used.
+    /// Returns the free memory, in kB; negative when the limit is exceeded.
     pub(crate) fn free_kb(self) -> f64 {
         self.limit_kb - self.used_kb
     }
 
-    /// The queued request that is rejected while too much memory is used: the last one in queue order. Paused
+    /// Returns the queued request to reject while the limit is exceeded: the last one in queue order. Paused
     /// requests stay, since their work would be lost.
     pub(crate) fn first_to_reject(self, requests: &RequestTable) -> Option<Rejection> {
         if self.used_kb <= self.limit_kb {
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -1,28 +1,28 @@
-//! How a run or a dependency call ended, as the host reports it.
+//! Outcomes of runs and of attempts of dependency calls, as the host reports them.
 
-/// The end of a run or of a dependency call.
+/// The outcome of a run or of an attempt of a dependency call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It succeeded.
+    /// Success.
     Ok,
-    /// It ended with an error.
+    /// End with an error.
     Error,
-    /// The other side rejected it; it never ran.
+    /// Rejection by the other side; nothing ran.
     Rejected,
-    /// Its timeout passed before a reply came.
+    /// No reply within the timeout.
     TimedOut,
-    /// No connection could be made; it never ran.
+    /// No connection; nothing ran.
     Unreachable,
-    /// The connection broke before a reply came.
+    /// Loss of the connection before a reply came.
     ConnectionLost,
-    /// It was taken off the cores.
+    /// Removal of the run from the cores.
     Preempted,
-    /// It was given up before it started; it never ran.
+    /// Cancellation before the start; nothing ran.
     NeverStarted,
 }
 
 impl Outcome {
-    /// Whether the outcome proves that nothing ran.
+    /// Returns whether the outcome proves that nothing ran.
     pub(crate) fn proves_never_ran(self) -> bool {
         matches!(self, Self::Rejected | Self::Unreachable | Self::NeverStarted)
     }
--- a/src/rejection.rs
+++ b/src/rejection.rs
@@ -1,40 +1,42 @@
-//! Why the controller rejects or fails a request, by rule, and the share of recent requests that it rejected.
+//! The reasons for which the controller rejects or fails a request, one for each rule, and the share of
+//! recent requests that it rejected.
 //!
 //! Requests that never reach the controller have reasons of their own in the server: `ProtocolError` and
-//! `EarlyRejection` of a gateway's line, `DeliveryOutcome` of a delivery.
+//! `EarlyRejection` for a line of a gateway, `DeliveryOutcome` for a delivery of a broker.
 
 use crate::RequestId;
 use crate::statistics::SampleWindow;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Requests whose outcome is remembered for the rejected share.
+/// Number of recent requests kept for the rejected share and the statistics of arrivals.
 pub(crate) const RECENT_REQUEST_CAPACITY: usize = 64;
 
 /// The rule that ends a request without a successful response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectionReason {
-    /// No settings exist for its class (`controller/inputs.rs`).
+    /// Request class without settings (`controller/inputs.rs`).
     UnknownClass,
-    /// Its deadline is one timer tick away (`scheduling/expiry.rs`).
+    /// Deadline at most one timer tick away (`scheduling/expiry.rs`).
     DeadlineReached,
-    /// The server is about to stop (`scheduling/expiry.rs`).
+    /// Stop of the server so near that all requests must be answered (`scheduling/expiry.rs`).
     ServerStops,
-    /// Its run has no value any more: its objective is one timer tick away (`scheduling/expiry.rs`).
+    /// End of the latency objective at most one timer tick away, after which a run has no value
+    /// (`scheduling/expiry.rs`).
     ObjectiveReached,
-    /// Memory is short and it ranks last (`memory.rs`).
+    /// Excess of the memory limit by the last request in queue order (`memory.rs`).
     MemoryLimit,
-    /// No memory is left for its idempotency key (`idempotency.rs`).
+    /// No memory left for the idempotency key (`idempotency.rs`).
     KeyMemoryLimit,
-    /// Its dependency call failed as often as it may be attempted (`dependency/call_attempts.rs`).
+    /// Dependency call that is not attempted any more (`dependency/call_attempts.rs`).
     CallAttemptsExhausted,
-    /// It opens a session and found no admission token in time (`admission/session_admission.rs`).
+    /// No admission token in time for a request that opens a session (`admission/session_admission.rs`).
     AdmissionRate,
-    /// It arrived after the grace period of the shutdown (`scheduling/late_rejection.rs`).
+    /// Receipt after the grace period of a shutdown (`scheduling/late_rejection.rs`).
     ArrivedWhileDraining,
-    /// The work ahead of it would make it late (`scheduling/late_rejection.rs`).
+    /// Too much work ahead for a response in time (`scheduling/late_rejection.rs`).
     WouldBeLate,
-    /// Its run was preempted and the work is lost (`scheduling/late_rejection.rs`).
+    /// Preempted run whose work is lost (`scheduling/late_rejection.rs`).
     WorkLost,
 }
 
@@ -56,19 +58,19 @@
     }
 }
 
-/// A request to reject or fail, and the rule that says so.
+/// A request to reject or fail, with the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Rejection {
-    /// The request.
+    /// Request to reject or fail.
     pub(crate) request: RequestId,
-    /// The rule.
+    /// Rule that ends the request.
     pub(crate) reason: RejectionReason,
 }
 
-/// The outcome of the last requests, and how often each rule rejected one.
+/// Outcomes of the last requests, and the number of rejections by reason.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RejectionHistory {
-    /// 1 for a rejected or failed request, 0 for one that ran.
+    /// 1 for a rejected or failed request, 0 for one that started to run.
     recent: SampleWindow<f64, RECENT_REQUEST_CAPACITY>,
     counts: BTreeMap<RejectionReason, u64>,
 }
@@ -80,7 +82,7 @@
         self.count(reason);
     }
 
-    /// Counts a rejection that says nothing about load.
+    /// Counts a rejection that says nothing about load; the rejected share stays as it is.
     pub(crate) fn count(&mut self, reason: RejectionReason) {
         *self.counts.entry(reason).or_default() += 1;
     }
@@ -90,17 +92,18 @@
         self.recent.push(0.0);
     }
 
-    /// The rejected requests over [`RECENT_REQUEST_CAPACITY`], from 0 to 1.
+    /// Returns the number of recent rejections over [`RECENT_REQUEST_CAPACITY`], from 0 to 1.
     pub(crate) fn rejected_share(&self) -> f64 {
         self.recent.iter().sum::<f64>() / RECENT_REQUEST_CAPACITY as f64
     }
 
-    /// How many requests each rule has rejected since the start; rules that rejected none are left out.
+    /// Returns the number of requests rejected or failed since the start, by rule. Rules without any are left
+    /// out.
     pub(crate) fn counts(&self) -> &BTreeMap<RejectionReason, u64> {
         &self.counts
     }
 
-    /// How many requests a rule has rejected since the start.
+    /// Returns the number of requests that a rule has rejected or failed since the start.
     pub(crate) fn count_of(&self, reason: RejectionReason) -> u64 {
         self.counts.get(&reason).copied().unwrap_or(0)
     }
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,10 +1,12 @@
-//! A request in hand: what was known when it arrived, its state, and the transitions between states.
+//! An in-flight request, from its receipt to its end: what was known at its receipt, its state, and the
+//! transitions between states.
 //!
 //! ```text
 //! Queued -> Running <-> AwaitingCall <-> Calling
 //! Queued -> AwaitingOriginal
 //! Running, AwaitingCall, Calling -> Queued or Paused (preempted) -> Running
 //! ```
+//!
 //! Invariant: a paused request has run; a request that awaits its original never has.
 
 use crate::config::request_class::{Idempotency, RequestClass};
@@ -12,178 +14,179 @@
 use crate::{ClientId, Duration, RequestClassId, RequestId, SessionKey, TenantId, Timestamp};
 use std::rc::Rc;
 
-/// A request as it was received, before anything is decided about it.
+/// A request as it was received, before any decision about it.
 #[derive(Clone, Copy, Debug)]
 pub struct NewRequest {
-    /// Its id, unique among the requests in hand.
+    /// Id, unique among the in-flight requests.
     pub id: RequestId,
-    /// Its class.
+    /// Request class.
     pub class: RequestClassId,
-    /// The tenant that it counts for.
+    /// Tenant on whose quota the request counts.
     pub tenant: TenantId,
-    /// The session that it belongs to, if it names one.
+    /// Session to which the request belongs; `None` if it names none.
     pub session: Option<SessionKey>,
-    /// The client that sent it.
+    /// Client that sent the request.
     pub client: ClientId,
-    /// When the client needs the response; by the class's timeout where it did not say.
+    /// Time by which the client needs the response; `None` if not stated, in which case the request timeout
+    /// of the class applies.
     pub deadline: Option<Timestamp>,
-    /// The work that the client expects of it.
+    /// Work that the client expects of the request; `None` if not stated.
     pub cost: Option<Duration>,
-    /// Memory that it takes while queued, in kB.
+    /// Memory that the request takes while it is queued, in kB.
     pub size_kb: f64,
-    /// How long ago it arrived.
+    /// Time since the client sent the request.
     pub age: Duration,
-    /// How long after the present time, at which an event loop's turn began, the last of it was read; whether it
-    /// came within the grace period of a shutdown goes by that.
+    /// Time from the `now` of `request_received`, at which a turn of the event loop began, until the request
+    /// had been read completely. It decides whether the request came within the grace period of a shutdown.
     pub read_offset: Duration,
-    /// Whether it changes data.
+    /// Whether the request changes data.
     pub is_write: bool,
-    /// The request in hand that this one retries.
+    /// Original that this request retries; `None` if it is no retry.
     pub retry_of: Option<RequestId>,
 }
 
-/// Where a request stands.
+/// State of an in-flight request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestState {
-    /// In a run queue, with nothing of its run kept.
+    /// In a run queue, without work of an earlier run.
     Queued,
     /// In a run queue, with the work of its preempted run kept in memory.
     Paused,
-    /// Waits for the result of the request that it retries.
+    /// Waiting for the result of the request that it retries.
     AwaitingOriginal,
     /// On the cores, or waiting for disk.
     Running,
-    /// Its run waits for a dependency call to start.
+    /// Started; waiting until an attempt of its dependency call may start.
     AwaitingCall,
-    /// Its run waits for a dependency call to end.
+    /// Started; waiting for an attempt of its dependency call to end.
     Calling,
 }
 
 impl RequestState {
-    /// Whether the request is in a run queue.
+    /// Returns whether the request is in a run queue.
     pub(crate) fn is_queued(self) -> bool {
         matches!(self, Self::Queued | Self::Paused)
     }
 
-    /// Whether the runtime has started the request and not yet ended or preempted it.
+    /// Returns whether the runtime has started the request and has neither ended nor preempted it.
     pub(crate) fn is_started(self) -> bool {
         matches!(self, Self::Running | Self::AwaitingCall | Self::Calling)
     }
 }
 
-/// Which run queue a request waits in.
+/// Run queue of a request, by its expected run time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunLength {
-    /// An ordinary run.
+    /// Queue of ordinary runs.
     Short,
-    /// A run far longer than those of the last requests.
+    /// Queue of runs that take far longer than those of the last requests.
     Long,
 }
 
-/// The dependency call that a run waits for.
+/// Progress of the dependency call that a run waits for.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct CallProgress {
-    /// When the run asked for the call.
+    /// Time at which the run requested the call.
     pub(crate) requested_at: Timestamp,
-    /// No attempt starts before this.
+    /// Earliest start of the next attempt.
     pub(crate) not_before: Timestamp,
-    /// When the attempt under way started.
+    /// Start of the last attempt.
     pub(crate) started_at: Timestamp,
-    /// Attempts made so far.
+    /// Number of attempts started so far.
     pub(crate) attempts: u32,
 }
 
-/// A request in hand.
+/// An in-flight request.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
-    /// Its id.
+    /// Id, unique among the in-flight requests.
     pub(crate) id: RequestId,
-    /// Its place in the order of arrival.
+    /// Position in the order of receipt.
     pub(crate) sequence: u64,
-    /// Its class.
+    /// Id of the request class.
     pub(crate) class_id: RequestClassId,
-    /// The class as it was when the request arrived.
+    /// Settings of the request class at the time of receipt.
     pub(crate) class: Rc<RequestClass>,
-    /// The session that it names.
+    /// Session to which the request belongs; `None` if it names none.
     pub(crate) session: Option<SessionKey>,
-    /// The client that sent it.
+    /// Client that sent the request.
     pub(crate) client: ClientId,
-    /// When it arrived at the machine, as its client stamped it.
+    /// Time at which the client sent the request.
     pub(crate) sent_at: Timestamp,
-    /// When this server had received all of it.
+    /// Time at which this server had read the request completely.
     pub(crate) received_at: Timestamp,
-    /// When the client needs the response.
+    /// Time by which the client needs the response.
     pub(crate) deadline: Timestamp,
-    /// When its latency objective ends.
+    /// End of the latency objective.
     pub(crate) objective_at: Timestamp,
-    /// Memory that it takes while queued, in kB.
+    /// Memory that the request takes while it is queued, in kB.
     pub(crate) size_kb: f64,
-    /// Cost that the client expects, in seconds; 1 where it did not say.
+    /// Cost that the client expects, in seconds; 1 if not stated.
     pub(crate) cost_s: f64,
-    /// Run time expected at its arrival, in seconds.
+    /// Run time expected at the time of receipt, in seconds.
     pub(crate) expected_run_s: f64,
-    /// The run queue that it belongs to.
+    /// Run queue to which the request belongs.
     pub(crate) run_length: RunLength,
-    /// Its rank in the queue, in half octaves of value; higher runs first.
+    /// Rank in the queue, in half octaves of value per expected work; a higher rank runs first.
     pub(crate) rank: f64,
-    /// The request in hand that this one retries.
+    /// Original that this request retries; `None` if it is no retry or counts as an original.
     pub(crate) retry_of: Option<RequestId>,
-    /// Whether it changes data.
+    /// Whether the request changes data.
     pub(crate) is_write: bool,
-    /// Where it stands.
+    /// State of the request.
     pub(crate) state: RequestState,
-    /// Whether its session was active when it arrived.
+    /// Whether the session was active at the time of receipt.
     pub(crate) has_active_session: bool,
-    /// Whether admission control let it pass.
+    /// Whether the request has passed admission control.
     pub(crate) is_admitted: bool,
-    /// Whether its idempotency key is stored, or goes without since memory is short.
+    /// Whether the idempotency key is stored, or is not stored for want of memory.
     pub(crate) is_key_handled: bool,
-    /// Whether it has run at all.
+    /// Whether the request has ever started to run.
     pub(crate) has_run: bool,
-    /// Whether the client still waits for its response.
+    /// Whether a response is still due: the client waits for it, and the request has not been failed.
     pub(crate) awaits_response: bool,
-    /// When its run started.
+    /// Start of the run.
     pub(crate) started_at: Timestamp,
-    /// Time that its run spent in finished calls.
+    /// Time from the request of each finished call of the run to its end, in total.
     pub(crate) time_in_calls: Duration,
-    /// Its dependency call.
+    /// Progress of the current dependency call, or of the last one.
     pub(crate) call: CallProgress,
-    /// When its preemption was last ordered.
+    /// Time at which the preemption of the run was last ordered; `None` if it is not ordered.
     pub(crate) preempted_at: Option<Timestamp>,
 }
 
 impl Request {
-    /// Seconds since the run started, less those in finished calls.
+    /// Returns the time since the run started, without its finished calls, in seconds.
     pub(crate) fn run_time_s(&self, now: Timestamp) -> f64 {
         (now - self.started_at - self.time_in_calls).secs()
     }
 
-    /// Whether it is queued with the work of its preempted run kept.
+    /// Returns whether the request is queued with the work of its preempted run kept.
     pub(crate) fn is_paused(&self) -> bool {
         self.state == RequestState::Paused
     }
 
-    /// Whether a retry may run again without harm.
+    /// Returns whether the request may run again without harm.
     pub(crate) fn is_idempotent(&self) -> bool {
         self.class.idempotency == Idempotency::Idempotent
     }
 
-    /// Whether its class identifies retries by a stored key.
+    /// Returns whether retries of the class are recognized by a stored key.
     pub(crate) fn is_keyed(&self) -> bool {
         self.class.stores_keys()
     }
 
-    /// Whether a response without the dependency call has value.
+    /// Returns whether a response without the dependency call has value.
     pub(crate) fn allows_degraded_response(&self) -> bool {
         self.class.degraded_value > 0.0
     }
 
-    /// Whether a response past the latency objective has value.
+    /// Returns whether a response past the latency objective has value.
     pub(crate) fn allows_late_response(&self) -> bool {
         self.class.late_value > 0.0
     }
 
-    /// Queued or paused to running; returns whether the run starts anew.
+    /// Moves a queued or paused request to `Running`; returns whether the run starts anew.
     pub(crate) fn start_run(&mut self, now: Timestamp) -> bool {
         let is_new_run = self.state != RequestState::Paused;
         if is_new_run {
@@ -194,7 +197,7 @@
         is_new_run
     }
 
-    /// Back to the run queue after a preemption.
+    /// Moves a preempted request back to the run queue: to `Paused` if its work is kept, to `Queued` if not.
     pub(crate) fn return_to_queue(&mut self, preemption: Preemption) {
         self.state = match preemption {
             Preemption::Pause => RequestState::Paused,
@@ -203,20 +206,20 @@
         self.preempted_at = None;
     }
 
-    /// Running to awaiting a call.
+    /// Moves a running request to `AwaitingCall`.
     pub(crate) fn await_call(&mut self, now: Timestamp) {
         self.state = RequestState::AwaitingCall;
         self.call = CallProgress { requested_at: now, not_before: now, started_at: now, attempts: 0 };
     }
 
-    /// Awaiting a call to calling.
+    /// Moves a request that awaits a call to `Calling`, and counts the attempt.
     pub(crate) fn start_call(&mut self, now: Timestamp) {
         self.state = RequestState::Calling;
         self.call.started_at = now;
         self.call.attempts += 1;
     }
 
-    /// Goes on running: the call succeeded or is skipped.
+    /// Moves a request back to `Running` after its call has succeeded or is skipped.
     pub(crate) fn resume_after_call(&mut self, now: Timestamp) {
         self.time_in_calls = self.time_in_calls + (now - self.call.requested_at);
         self.state = RequestState::Running;
