--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,4 +1,5 @@
-//! Traces of admission control: the power test, the admission rate, sessions.
+//! Traces of admission control: the power test, the admission rate and active sessions.
+//!
 //! `UPDATE_EXPECT=1 cargo test` rewrites the expected traces.
 
 mod helpers;
@@ -7,9 +8,10 @@
 use hazelspur::Duration;
 use helpers::{Harness, RequestSpec, check};
 
+/// Longer runs make the admission rate limit and fall. Once the runs are short again it rises and stops
+/// limiting.
 #[test]
 fn the_power_test_starts_and_stops_the_admission_rate() {
-    // Longer runs start the limit; it is cut while they last, then raised and stopped once they are short again.
     let mut harness = Harness::new("");
     harness.offer_load(8000, 9);
     harness.run_time = Duration::from_ms(300);
@@ -26,9 +28,10 @@
     );
 }
 
+/// Guards against an admission rate that counts the sessions that it holds back as load, and so falls for
+/// ever.
 #[test]
 fn new_sessions_that_wait_for_tokens_do_not_count_as_queued() {
-    // Guards against a rate that counts its own waiting sessions as load and falls for ever.
     let mut harness = Harness::new("");
     harness.offer_load(8000, 9);
     harness.run_time = Duration::from_ms(300);
@@ -78,9 +81,10 @@
     );
 }
 
+/// Guards against the loss of the active-session flag, after which only their rank favoured requests of
+/// active sessions.
 #[test]
 fn active_sessions_need_no_token() {
-    // Guards against losing the active-session flag, which left only the rank to favour such requests.
     let mut harness = Harness::new("");
     harness.receive("first", RequestSpec { session: "regular", ..RequestSpec::default() });
     harness.offer_load(4000, 9);
@@ -88,7 +92,8 @@
     while harness.take_trace(&["mode rate_limited"]).is_empty() {
         harness.offer_load(40, 25);
     }
-    // The rate limits from now on, with no token yet; the gauge leaves concurrency for all.
+    // The admission rate limits from now on, and its bucket is empty. Gauges far below the number of running
+    // requests raise the concurrency target, so that concurrency delays no request.
     for _ in 0..24 {
         harness.tick(-20.0);
     }
--- a/tests/dependency.rs
+++ b/tests/dependency.rs
@@ -1,4 +1,5 @@
 //! Traces of dependency calls: limits, attempts and the circuit breaker.
+//!
 //! `UPDATE_EXPECT=1 cargo test` rewrites the expected traces.
 
 mod helpers;
@@ -7,6 +8,8 @@
 use hazelspur::{GuidanceKey, Outcome};
 use helpers::{Harness, RequestSpec, check};
 
+/// A rejected call is retried. A call of a non-idempotent request that may have run is not: the request
+/// fails.
 #[test]
 fn call_limits_hold_and_lost_non_idempotent_calls_fail() {
     let settings = "server.calls_bound=1.2 op_types.1.target_latency_us=1000000 op_types.1.op_timeout_us=4000000 \
@@ -38,9 +41,9 @@
     );
 }
 
+/// Guards against runs that wait for a lost reply until their deadline and use up the call-time budget.
 #[test]
 fn a_call_without_reply_times_out_after_a_few_usual_latencies() {
-    // Guards against runs that wait for lost replies until their deadline and use up all call time.
     let mut harness = Harness::new("server.calls_bound=20 server.lingers_us=200000");
     harness.receive("a", RequestSpec::default()).decide();
     for i in 0..4 {
@@ -125,6 +128,7 @@
     );
 }
 
+/// Invalid guidance (not a number, or negative) counts as absent: the limit of the settings applies again.
 #[test]
 fn a_call_limit_applies_at_once_and_an_invalid_one_clears_it() {
     let mut harness = Harness::new("server.calls_bound=4 server.cores=8");
@@ -151,16 +155,16 @@
     for i in 10..14 {
         harness.call_finished(&format!("o{i}"), Outcome::Ok).finish_run(&format!("o{i}"), Outcome::Ok);
     }
-    // Guidance that is not a number, or negative, counts as absent: the limit of the settings applies again.
     harness.at(2000).set_guidance(GuidanceKey::CallConcurrencyLimit, Some(f64::NAN));
     harness.set_guidance(GuidanceKey::CallConcurrencyLimit, Some(-1.0));
     let after_invalid_guidance = started_calls(&mut harness, 20);
     expect!["3 1 3"].assert_eq(&format!("{before} {after_lower_limit} {after_invalid_guidance}"));
 }
 
+/// Guards against a minimum of one concurrent call per server, by which 209 servers overloaded a dependency
+/// that tolerates 134 concurrent calls.
 #[test]
 fn a_call_limit_under_one_bounds_the_time_in_calls() {
-    // Guards against a minimum of one call a server: 209 servers overloaded a dependency that survives 134 calls.
     let mut harness =
         Harness::new("server.calls_bound=0.4 server.calls_over_us=5000000 server.lingers_us=200000");
     for i in 0..4 {
--- a/tests/idempotency.rs
+++ b/tests/idempotency.rs
@@ -1,4 +1,5 @@
 //! Traces of idempotency keys and of retries.
+//!
 //! `UPDATE_EXPECT=1 cargo test` rewrites the expected traces.
 
 mod helpers;
@@ -14,7 +15,7 @@
     harness.receive("first", RequestSpec::default()).decide();
     harness.at(50).receive("second", retry_of("first")).decide();
     harness.at(60).receive("long-gone", retry_of("unknown")).decide();
-    // Two attempts received together name each other.
+    // Two attempts that are received together name each other as original.
     harness.at(70).receive("left", retry_of("right")).receive("right", retry_of("left")).decide();
     harness.at(200).finish_run("first", Outcome::Ok).finish_run("second", Outcome::Ok);
     check(
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,4 +1,5 @@
-//! Traces of memory, draining, stray events and minimal settings.
+//! Traces of the memory limit, draining, stray events, extreme settings and invalid settings.
+//!
 //! `UPDATE_EXPECT=1 cargo test` rewrites the expected traces.
 
 mod helpers;
--- a/tests/load_signals.rs
+++ b/tests/load_signals.rs
@@ -1,4 +1,6 @@
-//! Traces of what clients learn: retries elsewhere, Retry-After, advertised capacity, idle connections.
+//! Traces of the signals to clients: retries elsewhere, Retry-After, advertised capacity and the idle timeout
+//! of connections.
+//!
 //! `UPDATE_EXPECT=1 cargo test` rewrites the expected traces.
 
 mod helpers;
@@ -7,9 +9,10 @@
 use hazelspur::{Duration, GuidanceKey};
 use helpers::{Harness, RequestSpec, check};
 
+/// Guards against retry storms, in which each rejection by an overloaded server led to nine attempts at
+/// others.
 #[test]
 fn a_high_rejected_share_forbids_retries_elsewhere() {
-    // Guards against retry storms: each rejection by an overloaded server led to nine attempts elsewhere.
     let rejections_forbidding_retries = |settings: &str, per_s: u64| {
         let mut harness = Harness::new(settings);
         harness.offer_load(6000, per_s);
@@ -70,10 +73,10 @@
     .assert_eq(&format!("short {}\nlong {}\n", last_credit(100), last_credit(400)));
 }
 
+/// Guards against a table full of clients that never return, which left 97 of 100 attempts without a
+/// connection. While all cores are taken, a full table is kept: it turns attempts away unread.
 #[test]
 fn idle_timeout_is_short_for_free_cores_and_one_time_clients() {
-    // Guards against a table full of clients that never return, which left 97 in 100 attempts without a
-    // connection; where all cores are taken a full table turns attempts away unread.
     let last_timeout = |clients: u64, on_cores: f64| {
         let mut harness = Harness::new("server.caller_idle_us=30000000");
         for i in 0..100 {
@@ -100,9 +103,9 @@
     .assert_eq(&trace);
 }
 
+/// Guards against a Retry-After of 1 s to each of three gateways, which together kept all requests away.
 #[test]
 fn retry_after_is_at_most_the_usual_gap_of_the_client() {
-    // Guards against a Retry-After of 1 s to each of three gateways, which kept all requests away.
     let last_rejection = |clients: u64| {
         let mut harness = Harness::new("");
         for i in 0..60 {
@@ -121,6 +124,7 @@
     .assert_eq(&format!("three {}\nsixty {}\n", last_rejection(3), last_rejection(60)));
 }
 
+/// A zero `client_idle_timeout` means unknown. Taken for a maximum, it would close connections at once.
 #[test]
 fn idle_timeout_is_not_zero_if_the_client_timeout_is_unknown() {
     let mut harness = Harness::new("");
--- a/tests/rejections.rs
+++ b/tests/rejections.rs
@@ -1,11 +1,11 @@
-//! Each rule counts what it rejects under its own reason.
+//! The number of rejections by reason: each rule counts the requests that it ends under its own reason.
 
 mod helpers;
 
 use hazelspur::{Duration, Outcome, RejectionReason, Timestamp};
 use helpers::{Harness, RequestSpec};
 
-/// All reasons with a count above zero.
+/// Returns all reasons with a count above zero.
 fn counts_by_reason(harness: &Harness) -> Vec<(RejectionReason, u64)> {
     use RejectionReason::*;
     let all = [
@@ -77,7 +77,7 @@
     assert_eq!(counts_by_reason(&stopping), [(RejectionReason::ServerStops, 1)]);
 }
 
-/// Guards against a run past the grace period, of a request that was on its way for long.
+/// Guards against the run of a request that was on its way for so long that it came after the grace period.
 #[test]
 fn request_sent_in_grace_period_but_received_later_is_rejected() {
     let mut harness = Harness::new("");
@@ -118,7 +118,8 @@
         harness.offer_load(40, 25);
     }
     let before = harness.controller.rejection_count(RejectionReason::AdmissionRate);
-    // The rate limits from now on, with no token yet; the gauge leaves concurrency for all.
+    // The admission rate limits from now on, and its bucket is empty. Gauges far below the number of running
+    // requests raise the concurrency target, so that concurrency delays no request.
     for _ in 0..24 {
         harness.tick(-20.0);
     }
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -1,4 +1,5 @@
 //! Traces of scheduling: queue order, concurrency, late rejection, expiry and preemption.
+//!
 //! `UPDATE_EXPECT=1 cargo test` rewrites the expected traces.
 
 mod helpers;
@@ -108,9 +109,9 @@
     .assert_eq(&trace);
 }
 
+/// Reads of requests occupy cores in addition to runs; runs that wait for disk occupy none.
 #[test]
 fn the_concurrency_target_follows_the_core_gauge() {
-    // Reads load the cores too; requests that wait for disk don't.
     let started_runs = |on_cores: f64| {
         let mut harness = Harness::new("server.cores=6");
         for i in 0..6 {
@@ -133,9 +134,10 @@
     .assert_eq(&trace);
 }
 
+/// All runs take 300 ms, mostly for disk, whatever cost the client states: several times the cost does not
+/// mean several times the run time.
 #[test]
 fn a_large_rough_cost_hint_does_not_reject_a_request_as_late() {
-    // Runs of 300 ms, mostly disk, whatever the hint says: three times the hint is not three times the run.
     let mut harness = Harness::new("counted_by=work");
     for i in 0..24 {
         let name = format!("op{i}");
@@ -159,7 +161,7 @@
 #[test]
 fn a_late_attempt_is_recognized_by_its_clients_remaining_wait() {
     let mut harness = Harness::new("");
-    // Each client is seen once: common waits show over all clients.
+    // Each client sends one request: which waits are common is judged over all clients of the class.
     let with_wait = |ms| RequestSpec { remaining_wait_ms: ms, client: ms, ..RequestSpec::default() };
     for i in 0..8 {
         let name = format!("first{i}");
@@ -185,9 +187,10 @@
     );
 }
 
+/// Guards against a slowdown factor that follows one costly run on a server of two cores, and so rejects all
+/// arrivals.
 #[test]
 fn one_costly_run_is_not_taken_for_a_slow_server() {
-    // Guards against a median of two cores that is the one costly run, which rejected all arrivals.
     let mut harness = Harness::new("");
     for i in 0..8 {
         let name = format!("a{i}");
