--- a/src/controller/rules.rs
+++ b/src/controller/rules.rs
@@ -1,5 +1,5 @@
-//! The rules in the order in which the controller asks them: each gathers the inputs of one policy, asks it,
-//! and carries out what it says.
+//! The rules of `next_decision`, in the order of their evaluation. Each rule gathers the inputs of one
+//! policy, calls it and applies the result.
 
 use super::AdmissionController;
 use crate::admission::session_admission;
@@ -10,16 +10,16 @@
 use crate::memory::MemoryUse;
 use crate::rejection::{Rejection, RejectionReason};
 use crate::request::{Request, RequestState};
-use crate::retry_after::{self, RetryAfter};
+use crate::retry_after::{self, RetryAfterInputs};
 use crate::scheduling::concurrency::Concurrency;
-use crate::scheduling::expiry::Expiry;
-use crate::scheduling::late_rejection::{CallEstimate, LateRejection};
-use crate::scheduling::next_runnable::NextRunnable;
+use crate::scheduling::expiry::ExpiryRule;
+use crate::scheduling::late_rejection::{CallEstimate, LateRejectionRule};
+use crate::scheduling::next_runnable::NextRunRule;
 use crate::scheduling::{TIMER_TICK, preemption, slowdown};
 use crate::{ClientId, Decision, Duration, Timestamp, load_signal};
 
 impl AdmissionController {
-    /// Ends the control cycle if it is over, and moves the admission rate by its result.
+    /// Ends the control cycle if it is over, and adjusts the admission rate by its result.
     pub(super) fn end_control_cycle(&mut self, now: Timestamp) {
         let is_limited = self.admission_rate.is_limited();
         let core_saturation = self.core_usage.saturated_share();
@@ -29,9 +29,10 @@
         }
     }
 
-    /// Every request is answered before its deadline, whatever has happened to it.
+    /// Rejects or fails a request that must be answered now: its deadline or the stop of the server is near,
+    /// or its run has no value any more.
     pub(super) fn answer_expiring(&mut self, now: Timestamp) -> Option<Decision> {
-        let expiry = Expiry {
+        let expiry = ExpiryRule {
             now,
             is_stopping: self.shutdown.is_some_and(|shutdown| shutdown.is_stopping(now)),
             can_preempt: preemption::is_supported(self.settings.preemption),
@@ -40,20 +41,20 @@
         self.reject(now, rejection)
     }
 
-    /// Runs whose client does not wait any more leave the cores.
-    pub(super) fn preempt_unwanted(&mut self, now: Timestamp) -> Option<Decision> {
-        let id = preemption::first_unwanted(&self.requests, now, self.settings.preemption)?;
+    /// Preempts a run whose response nobody awaits: the client is gone, or the request has been failed.
+    pub(super) fn preempt_unawaited_run(&mut self, now: Timestamp) -> Option<Decision> {
+        let id = preemption::first_unawaited_run(&self.requests, now, self.settings.preemption)?;
         self.requests.get_mut(id)?.preempted_at = Some(now);
         Some(Decision::Preempt(id))
     }
 
-    /// Requests and stored keys fit in memory; what ranks last is rejected first.
+    /// Rejects the last request in queue order while requests and stored keys exceed the memory limit.
     pub(super) fn enforce_memory_limit(&mut self, now: Timestamp) -> Option<Decision> {
         let rejection = self.memory_use().first_to_reject(&self.requests)?;
         self.reject(now, rejection)
     }
 
-    /// The key of a request is stored before it runs, and a retry is answered from its original.
+    /// Stores the idempotency key of a request before it runs, and answers a retry from its original.
     pub(super) fn apply_idempotency(&mut self, now: Timestamp) -> Option<Decision> {
         loop {
             let rule = IdempotencyRule { now, settings: &self.settings, memory: self.memory_use() };
@@ -78,18 +79,19 @@
         }
     }
 
-    /// A run whose call is not attempted any more goes on without it or fails.
+    /// Ends a call that is not attempted any more: its run continues without the call, or fails.
     pub(super) fn end_failed_call(&mut self, now: Timestamp) -> Option<Decision> {
         let id = call_attempts::first_without_attempts(&self.requests, now, self.guidance.breaker_open)?;
         let request = self.requests.get_mut(id)?;
         if request.allows_degraded_response() {
-            request.leave_call(now);
+            request.resume_after_call(now);
             return Some(Decision::SkipCall(id));
         }
         self.reject(now, Rejection { request: id, reason: RejectionReason::CallAttemptsExhausted })
     }
 
-    /// The time in calls stays within this server's share of what the dependency tolerates.
+    /// Starts a dependency call if this server's call-time budget allows it and the circuit breaker is
+    /// closed.
     pub(super) fn start_call(&mut self, now: Timestamp) -> Option<Decision> {
         if self.guidance.breaker_open {
             return None;
@@ -97,17 +99,17 @@
         let limits = self.call_limits();
         let calls = self.requests.count(RequestState::Calling) + 1.0;
         let id = call_start::next_call(&self.requests, now, &self.call_budget, limits)?;
-        let lasts = self.call_budget.lasts(limits, calls);
+        let time_to_exhaustion = self.call_budget.time_to_exhaustion(limits, calls);
         let request = self.requests.get_mut(id)?;
         request.start_call(now);
-        let timeout = call_start::timeout(request, now, &self.call_budget, lasts);
+        let timeout = call_start::timeout(request, now, &self.call_budget, time_to_exhaustion);
         Some(Decision::StartCall { request: id, timeout })
     }
 
-    /// Requests of active sessions pass; new sessions need a token while the rate limits, and are rejected
-    /// early without.
+    /// Admits all requests that may pass, then rejects a request that has found no token in time. Requests of
+    /// active sessions always pass; those of new sessions need a token while the admission rate limits.
     pub(super) fn apply_admission_rate(&mut self, now: Timestamp) -> Option<Decision> {
-        while let Some(id) = session_admission::next_admitted(&self.requests, &self.admission_rate) {
+        while let Some(id) = session_admission::next_to_admit(&self.requests, &self.admission_rate) {
             self.admission_rate.take_token();
             self.requests.get_mut(id)?.is_admitted = true;
         }
@@ -115,9 +117,9 @@
         self.reject(now, rejection)
     }
 
-    /// A request that can't succeed any more is rejected at once.
+    /// Rejects a queued request that cannot succeed any more.
     pub(super) fn reject_late(&mut self, now: Timestamp) -> Option<Decision> {
-        let rule = LateRejection {
+        let rule = LateRejectionRule {
             now,
             slowdown: self.slowdown.factor(now, self.cores, &self.requests),
             concurrency_target: self.concurrency(now).target,
@@ -134,12 +136,13 @@
         self.reject(now, rejection)
     }
 
-    /// The best queued request runs while concurrency and memory allow it.
+    /// Runs the first runnable request in queue order while the concurrency, the memory and the waiting calls
+    /// allow it.
     pub(super) fn run_next(&mut self, now: Timestamp) -> Option<Decision> {
         if !self.concurrency(now).allows_another_run(&self.requests) || self.are_calls_backed_up() {
             return None;
         }
-        let rule = NextRunnable {
+        let rule = NextRunRule {
             now,
             cores: self.cores,
             is_breaker_open: self.guidance.breaker_open,
@@ -160,14 +163,16 @@
         Some(Decision::Run(id))
     }
 
-    /// Whether runs wait for calls that can't start soon: new runs would only wait too.
+    /// Returns whether runs already wait for calls that cannot start soon, so that a new run would only wait
+    /// as well.
     fn are_calls_backed_up(&self) -> bool {
         let awaiting_call = self.requests.count(RequestState::AwaitingCall);
         let is_call_queue_long = awaiting_call > self.cores && !self.guidance.breaker_open;
-        is_call_queue_long || awaiting_call > 0.0 && self.call_budget.is_short(self.call_limits())
+        is_call_queue_long || awaiting_call > 0.0 && self.call_budget.is_insufficient(self.call_limits())
     }
 
-    /// Clients learn how much capacity is left, so that they send no request in vain.
+    /// Advertises the capacity of this server when the figure changes, so that clients do not send requests
+    /// in vain.
     pub(super) fn advertise_capacity(&mut self, now: Timestamp) -> Option<Decision> {
         let rejected_share = self.rejections.rejected_share();
         let value = match self.settings.capacity_signal {
@@ -183,7 +188,7 @@
         Some(Decision::AdvertiseCapacity(value))
     }
 
-    /// Idle connections close when that costs least; looked at once a timer tick.
+    /// Sets the idle timeout of connections when the cheapest one changes. Evaluated once per timer tick.
     pub(super) fn set_idle_timeout(&mut self) -> Option<Decision> {
         if self.next_tick.is_some() {
             return None;
@@ -191,12 +196,12 @@
         let core_saturation = self.core_usage.saturated_share();
         let rejected_share = self.rejections.rejected_share();
         let client_timeout = self.settings.client_idle_timeout;
-        let connections = &mut self.idle_connections;
-        let timeout = connections.update(&self.arrivals, core_saturation, rejected_share, client_timeout)?;
+        let idle_timeout = &mut self.idle_timeout;
+        let timeout = idle_timeout.update(&self.arrivals, core_saturation, rejected_share, client_timeout)?;
         Some(Decision::SetIdleTimeout(timeout))
     }
 
-    /// The next timer tick is set when none is.
+    /// Sets the timer for the next tick if it is not set.
     pub(super) fn set_timer(&mut self, now: Timestamp) -> Option<Decision> {
         if self.next_tick.is_some() {
             return None;
@@ -206,8 +211,8 @@
         Some(Decision::SetTimer(at))
     }
 
-    /// The final response of a request that won't succeed: rejected if it is queued and never ran, else
-    /// failed.
+    /// Ends a request that will not succeed: rejects it if it is queued, has never run and is no retry, and
+    /// fails it otherwise.
     fn reject(&mut self, now: Timestamp, rejection: Rejection) -> Option<Decision> {
         let id = rejection.request;
         let request = self.requests.get(id)?;
@@ -229,17 +234,19 @@
         }
         if is_key_handled {
             self.stored_keys.remove(id);
-            self.pending.push_back(Decision::RemoveKey(id));
+            self.pending_decisions.push_back(Decision::RemoveKey(id));
         }
         let do_not_retry_elsewhere = is_too_late || self.is_fleet_overloaded();
         Some(Decision::Reject { request: id, retry_after, do_not_retry_elsewhere })
     }
 
-    /// Whether demand is too high for the whole fleet; a server that warms up or drains can't tell.
+    /// Returns whether demand exceeds the capacity of the whole fleet. False while this server warms up or
+    /// drains, when its rejected share says nothing about demand.
     fn is_fleet_overloaded(&self) -> bool {
-        let can_tell = !self.warm_up.is_warming_up() && self.shutdown.is_none();
+        let is_share_representative = !self.warm_up.is_warming_up() && self.shutdown.is_none();
         let own_share = self.rejections.rejected_share();
-        can_tell && retry_after::is_demand_too_high(self.guidance.rejected_share.unwrap_or(own_share))
+        is_share_representative
+            && retry_after::is_demand_too_high(self.guidance.rejected_share.unwrap_or(own_share))
     }
 
     fn retry_after(&mut self, now: Timestamp, client: ClientId) -> Duration {
@@ -247,8 +254,8 @@
             return Duration::ZERO;
         }
         let queued_s: f64 = self.requests.queued().map(|request| request.expected_run_s).sum();
-        let running_s = slowdown::remaining_run_s(now, &self.requests, slowdown::EXPECTED_SPEED);
-        let inputs = RetryAfter {
+        let running_s = slowdown::remaining_run_s(now, &self.requests, slowdown::NO_SLOWDOWN);
+        let inputs = RetryAfterInputs {
             work_s: running_s + queued_s,
             cores: self.cores,
             client_gap_s: self.arrivals.mean_gap_s(now, client),
@@ -257,12 +264,12 @@
         inputs.delay(self.random.unit())
     }
 
-    /// The bounds on dependency calls now.
+    /// Returns the current limits on dependency calls.
     pub(super) fn call_limits(&self) -> CallLimits {
         CallLimits::new(&self.settings, &self.guidance)
     }
 
-    /// The bounds on running requests now.
+    /// Returns the current bounds on concurrent runs.
     pub(super) fn concurrency(&self, now: Timestamp) -> Concurrency {
         Concurrency::now(now, self.cores, &self.settings, &self.warm_up, &self.core_usage)
     }
@@ -272,7 +279,8 @@
     }
 }
 
-/// Whether a request can't meet its objective at any server.
+/// Returns whether a request would miss its latency objective at any other server too, and a late response
+/// has no value.
 fn is_too_late_elsewhere(now: Timestamp, request: &Request) -> bool {
     let needed = Duration::from_secs(retry_after::min_run_for_retry_s(request.expected_run_s));
     now + needed > request.objective_at && !request.allows_late_response()
--- a/tests/dependency.rs
+++ b/tests/dependency.rs
@@ -1,4 +1,5 @@
 //! Traces of dependency calls: limits, attempts and the circuit breaker.
+//!
 //! `UPDATE_EXPECT=1 cargo test` rewrites the expected traces.
 
 mod helpers;
@@ -7,8 +8,10 @@
 use hazelspur::{GuidanceKey, Outcome};
 use helpers::{Harness, RequestSpec, check};
 
+/// A rejected call is retried. A call of a non-idempotent request that may have run is not: the request
+/// fails.
 #[test]
-fn calls_stay_within_limits_and_non_idempotent_ones_are_not_retried() {
+fn call_limits_hold_and_lost_non_idempotent_calls_fail() {
     let settings = "server.calls_bound=1.2 op_types.1.target_latency_us=1000000 op_types.1.op_timeout_us=4000000 \
         op_types.1.repeats=non-retryable";
     let mut harness = Harness::new(settings);
@@ -38,9 +41,9 @@
     );
 }
 
+/// Guards against runs that wait for a lost reply until their deadline and use up the call-time budget.
 #[test]
-fn a_lost_call_reply_blocks_its_run_for_a_few_usual_latencies() {
-    // Guards against runs that wait for lost replies until their deadline and use up all call time.
+fn a_call_without_reply_times_out_after_a_few_usual_latencies() {
     let mut harness = Harness::new("server.calls_bound=20 server.lingers_us=200000");
     harness.receive("a", RequestSpec::default()).decide();
     for i in 0..4 {
@@ -105,7 +108,7 @@
 }
 
 #[test]
-fn an_open_breaker_skips_the_call_of_a_request_with_a_degraded_response() {
+fn an_open_breaker_skips_calls_if_degraded_responses_have_value() {
     let mut harness = Harness::new("server.calls_bound=4 server.skip_worth.0=0.5");
     harness.receive("a", RequestSpec::default()).decide();
     harness.at(50).call_requested("a").decide();
@@ -125,8 +128,9 @@
     );
 }
 
+/// Invalid guidance (not a number, or negative) counts as absent: the limit of the settings applies again.
 #[test]
-fn a_lower_call_limit_applies_at_once_and_invalid_guidance_is_ignored() {
+fn a_call_limit_applies_at_once_and_an_invalid_one_clears_it() {
     let mut harness = Harness::new("server.calls_bound=4 server.cores=8");
     let started_calls = |harness: &mut Harness, from: usize| {
         for i in from..from + 4 {
@@ -151,16 +155,16 @@
     for i in 10..14 {
         harness.call_finished(&format!("o{i}"), Outcome::Ok).finish_run(&format!("o{i}"), Outcome::Ok);
     }
-    // Guidance that is not a number, or negative, counts as absent: the limit of the settings applies again.
     harness.at(2000).set_guidance(GuidanceKey::CallConcurrencyLimit, Some(f64::NAN));
     harness.set_guidance(GuidanceKey::CallConcurrencyLimit, Some(-1.0));
     let after_invalid_guidance = started_calls(&mut harness, 20);
     expect!["3 1 3"].assert_eq(&format!("{before} {after_lower_limit} {after_invalid_guidance}"));
 }
 
+/// Guards against a minimum of one concurrent call per server, by which 209 servers overloaded a dependency
+/// that tolerates 134 concurrent calls.
 #[test]
 fn a_call_limit_under_one_bounds_the_time_in_calls() {
-    // Guards against a minimum of one call a server: 209 servers overloaded a dependency that survives 134 calls.
     let mut harness =
         Harness::new("server.calls_bound=0.4 server.calls_over_us=5000000 server.lingers_us=200000");
     for i in 0..4 {
@@ -169,10 +173,10 @@
         harness.at(i * 1000 + 100).call_requested(&name).decide();
         harness.at(i * 1000 + 600).call_finished(&name, Outcome::TimedOut).decide();
     }
-    let mut none = Harness::new("server.calls_bound=0");
-    none.receive("b", RequestSpec::default()).decide();
-    none.call_requested("b").decide();
-    let trace = format!("{}none:\n{}", harness.take_trace(&[]), none.take_trace(&[]));
+    let mut zero_limit = Harness::new("server.calls_bound=0");
+    zero_limit.receive("b", RequestSpec::default()).decide();
+    zero_limit.call_requested("b").decide();
+    let trace = format!("{}none:\n{}", harness.take_trace(&[]), zero_limit.take_trace(&[]));
     expect![[r#"
         0     Run(a0)
         100   StartCall { request: a0, timeout: Duration(241463) }
