--- a/crates/hazelspur-amqp/src/connection/mod.rs
+++ b/crates/hazelspur-amqp/src/connection/mod.rs
@@ -148,7 +148,7 @@
                 }
             }
         }
-        input.take(used);
+        input.consume(used);
         self.input = input;
     }
 
--- a/crates/hazelspur-deliveries/src/broker_selector.rs
+++ b/crates/hazelspur-deliveries/src/broker_selector.rs
@@ -98,7 +98,7 @@
     }
 
     /// Brings the next attempt forward for a shutdown.
-    pub fn hasten(&mut self, now: Timestamp) {
+    pub fn shorten_delay(&mut self, now: Timestamp) {
         let delay = MAX_SHUTDOWN_DELAY.scaled(self.random.unit());
         self.next_attempt = self.next_attempt.min(now + delay);
     }
--- a/crates/hazelspur-parsers/src/buffer.rs
+++ b/crates/hazelspur-parsers/src/buffer.rs
@@ -19,7 +19,7 @@
     }
 
     /// Drops so many of the unread bytes.
-    pub fn take(&mut self, count: usize) {
+    pub fn consume(&mut self, count: usize) {
         self.start = (self.start + count).min(self.bytes.len());
         self.searched = 0;
         if self.start == self.bytes.len() {
@@ -41,7 +41,7 @@
     }
 
     /// Length of the first whole line, without its end; `None` while it is incomplete.
-    pub fn line(&mut self) -> Option<usize> {
+    pub fn line_length(&mut self) -> Option<usize> {
         let (unread, from) = (&self.bytes[self.start..], self.searched);
         let end = unread[from..].iter().position(|b| *b == b'\n').map(|at| from + at);
         self.searched = end.unwrap_or(unread.len());
--- a/crates/hazelspur-parsers/src/http.rs
+++ b/crates/hazelspur-parsers/src/http.rs
@@ -36,7 +36,7 @@
     UnreadableChunk,
     /// The head is not UTF-8.
     #[error("the head is not text")]
-    HeadNotText,
+    HeadNotUtf8,
     /// The response is not one of HTTP/1.
     #[error("not HTTP/1")]
     NotHttp1,
@@ -88,7 +88,7 @@
     /// The status code.
     pub status: u16,
     /// Whether the mark's header has the value 1.
-    pub is_marked: bool,
+    pub is_flagged: bool,
     /// Whether the connection may carry another request.
     pub is_reusable: bool,
     /// The body, without the framing of chunks.
@@ -109,7 +109,7 @@
 #[derive(Clone, Copy)]
 struct Head {
     status: u16,
-    is_marked: bool,
+    is_flagged: bool,
     keeps_connection: bool,
     framing: Framing,
 }
@@ -137,7 +137,7 @@
 
 impl ResponseReader {
     /// Takes what the buffer has of the response and returns it once it is whole; `mark` names the header of
-    /// `Response::is_marked`. Bytes behind the response belong to no request, so that the connection is not reusable.
+    /// `Response::is_flagged`. Bytes behind the response belong to no request, so that the connection is not reusable.
     ///
     /// # Errors
     /// A response that can't be read, or one over a bound.
@@ -152,7 +152,7 @@
         }
         Ok(Some(Response {
             status: head.status,
-            is_marked: head.is_marked,
+            is_flagged: head.is_flagged,
             is_reusable: head.keeps_connection && buffer.unread().is_empty(),
             body: std::mem::take(&mut self.body),
         }))
@@ -184,7 +184,7 @@
         self.searched = unread.len();
         let Some(end) = end else { return Ok(None) };
         let head = parse_head(&unread[..end], mark)?;
-        buffer.take(end + 4);
+        buffer.consume(end + 4);
         self.searched = 0;
         Ok(Some(head))
     }
@@ -201,7 +201,7 @@
     fn read_length(&mut self, buffer: &mut Buffer, length: usize) -> Progress {
         let Some(body) = buffer.unread().get(..length) else { return Progress::Incomplete };
         self.body.extend_from_slice(body);
-        buffer.take(length);
+        buffer.consume(length);
         Progress::Complete
     }
 
@@ -212,7 +212,7 @@
         let size = parse_digits(size, 16, MAX_BODY_BYTES - self.body.len())?;
         let from = line.len() + 2;
         if size == 0 {
-            buffer.take(from);
+            buffer.consume(from);
             self.head = self.head.map(|head| Head { framing: Framing::Trailers, ..head });
             return Ok(Progress::More);
         }
@@ -221,7 +221,7 @@
             return Err(HttpError::UnreadableChunk);
         }
         self.body.extend_from_slice(&chunk[..size]);
-        buffer.take(from + size + 2);
+        buffer.consume(from + size + 2);
         Ok(Progress::More)
     }
 
@@ -229,7 +229,7 @@
         let Some(line) = chunk_line(buffer.unread())? else { return Ok(Progress::Incomplete) };
         let is_last = line.is_empty();
         let length = line.len() + 2;
-        buffer.take(length);
+        buffer.consume(length);
         self.interim_and_trailers += 1;
         if is_last {
             return Ok(Progress::Complete);
@@ -246,7 +246,7 @@
 }
 
 fn parse_head(bytes: &[u8], mark: &str) -> Result<Head, HttpError> {
-    let text = std::str::from_utf8(bytes).map_err(|_| HttpError::HeadNotText)?;
+    let text = std::str::from_utf8(bytes).map_err(|_| HttpError::HeadNotUtf8)?;
     let mut lines = text.split("\r\n");
     let first = lines.next().and_then(|line| line.strip_prefix("HTTP/1."));
     let (minor, rest) = first.ok_or(HttpError::NotHttp1)?.split_once(' ').ok_or(HttpError::NoStatus)?;
@@ -269,13 +269,13 @@
             Framing::Length(0)
         }
     };
-    Ok(Head { status, is_marked: headers.is_marked, keeps_connection, framing })
+    Ok(Head { status, is_flagged: headers.is_flagged, keeps_connection, framing })
 }
 
 /// What the header lines say.
 #[derive(Default)]
 struct Headers {
-    is_marked: bool,
+    is_flagged: bool,
     keeps_connection: bool,
     length: Option<usize>,
     is_chunked: bool,
@@ -289,7 +289,7 @@
             return Err(HttpError::UnreadableHeader);
         }
         if name.eq_ignore_ascii_case(mark) {
-            self.is_marked = value == "1";
+            self.is_flagged = value == "1";
         } else if name.eq_ignore_ascii_case("content-length") {
             let length = parse_digits(value.as_bytes(), 10, MAX_BODY_BYTES)?;
             if self.length.replace(length).is_some_and(|other| other != length) {
--- a/crates/hazelspur-parsers/src/rpc.rs
+++ b/crates/hazelspur-parsers/src/rpc.rs
@@ -17,21 +17,21 @@
 /// Error code: the request failed and may have run.
 pub const FAILED: i32 = -32000;
 /// Error code: the line is not JSON.
-pub const NOT_JSON: i32 = -32700;
+pub const PARSE_ERROR: i32 = -32700;
 /// Error code: the message is not a valid call.
-pub const NOT_VALID: i32 = -32600;
+pub const INVALID_REQUEST: i32 = -32600;
 /// Error code: no request class has this name.
-pub const NO_METHOD: i32 = -32601;
+pub const METHOD_NOT_FOUND: i32 = -32601;
 /// Error code: a parameter is absent or out of range.
-pub const BAD_PARAMS: i32 = -32602;
+pub const INVALID_PARAMS: i32 = -32602;
 
 /// Decodes the body of a request, which is base64.
-pub fn body(text: &str) -> Option<Vec<u8>> {
+pub fn decode_body(text: &str) -> Option<Vec<u8>> {
     STANDARD.decode(text).ok()
 }
 
 /// Writes the result of a request; `signal` is the advertised capacity.
-pub fn result(out: &mut Vec<u8>, id: RpcId, data: &[u8], signal: Option<f64>) {
+pub fn write_result(out: &mut Vec<u8>, id: RpcId, data: &[u8], signal: Option<f64>) {
     head(out, Some(id));
     out.extend_from_slice(b",\"result\":{\"data\":\"");
     out.extend_from_slice(STANDARD.encode(data).as_bytes());
@@ -41,7 +41,7 @@
 }
 
 /// Writes the answer to a health check; `signal` is the advertised capacity.
-pub fn check(out: &mut Vec<u8>, id: RpcId, ready: bool, signal: Option<f64>) {
+pub fn write_health(out: &mut Vec<u8>, id: RpcId, ready: bool, signal: Option<f64>) {
     head(out, Some(id));
     put(out, format_args!(",\"result\":{{\"ready\":{ready}"));
     field(out, "signal", signal);
@@ -56,7 +56,7 @@
     /// Whether the client should not retry at another server either.
     pub do_not_retry_elsewhere: bool,
     /// The advertised capacity.
-    pub signal: Option<f64>,
+    pub advertised_capacity: Option<f64>,
 }
 
 impl ErrorData {
@@ -66,7 +66,7 @@
 }
 
 /// Writes an error; an `id` of `None` stands for a message whose id could not be read.
-pub fn error(out: &mut Vec<u8>, id: Option<RpcId>, code: i32, message: &str, data: ErrorData) {
+pub fn write_error(out: &mut Vec<u8>, id: Option<RpcId>, code: i32, message: &str, data: ErrorData) {
     head(out, id);
     put(out, format_args!(",\"error\":{{\"code\":{code},\"message\":"));
     write_text(out, message);
@@ -75,7 +75,7 @@
         let from = out.len();
         field(out, "holdoff", data.retry_after_ms);
         field(out, "nomore", data.do_not_retry_elsewhere.then_some(1.0));
-        field(out, "signal", data.signal);
+        field(out, "signal", data.advertised_capacity);
         out[from] = b'{'; // in place of the first comma
         out.push(b'}');
     }
@@ -83,7 +83,7 @@
 }
 
 /// Writes the goodbye message: no more requests are taken on this connection.
-pub fn goodbye(out: &mut Vec<u8>) {
+pub fn write_goodbye(out: &mut Vec<u8>) {
     out.extend_from_slice(b"{\"jsonrpc\":\"2.0\",\"method\":\"farewell\"}\n");
 }
 
--- a/crates/hazelspur-parsers/src/runtime.rs
+++ b/crates/hazelspur-parsers/src/runtime.rs
@@ -35,7 +35,7 @@
 }
 
 /// Takes the decoded messages.
-pub trait Listener {
+pub trait MessageHandler {
     /// The runtime is up: whether it is warm, and for how long it has run, in ms.
     fn ready(&mut self, hot: bool, since_ms: u64);
     /// A run ended: its message number, request, outcome word and result.
@@ -43,7 +43,7 @@
     /// A run requests a dependency call with this body.
     fn call_requested(&mut self, number: u64, id: &str, body: &[u8]);
     /// Gauges, as requested under this tag.
-    fn load(&mut self, tag: &str, values: &[f64]);
+    fn gauges_received(&mut self, tag: &str, values: &[f64]);
     /// The runtime rejected a command for a request.
     fn command_rejected(&mut self, command: &str, id: &str);
     /// A remark for the log.
@@ -57,11 +57,11 @@
     length: usize,
 }
 
-/// Passes the first message of `bytes` to the listener and returns its length; `None` while it is incomplete.
+/// Passes the first message of `bytes` to the handler and returns its length; `None` while it is incomplete.
 ///
 /// # Errors
 /// A message that can't be read.
-pub fn read(bytes: &[u8], listener: &mut impl Listener) -> Result<Option<usize>, RuntimeProtocolError> {
+pub fn read(bytes: &[u8], handler: &mut impl MessageHandler) -> Result<Option<usize>, RuntimeProtocolError> {
     let Some(line_end) = bytes.iter().position(|b| *b == b'\n') else {
         if bytes.len() > MAX_LINE_BYTES {
             return Err(RuntimeProtocolError::LineTooLong { max_bytes: MAX_LINE_BYTES });
@@ -73,7 +73,7 @@
     let line = line.trim_end_matches('\r');
     let words: Vec<&str> = line.split(' ').collect();
     let Some(message) = message(bytes, line_end + 1, line, &words)? else { return Ok(None) };
-    dispatch(line, &words, message.body, listener)?;
+    dispatch(line, &words, message.body, handler)?;
     Ok(Some(message.length))
 }
 
@@ -101,20 +101,20 @@
     line: &str,
     words: &[&str],
     body: &[u8],
-    listener: &mut impl Listener,
+    handler: &mut impl MessageHandler,
 ) -> Result<(), RuntimeProtocolError> {
     let number = |word: &str| word.parse::<u64>().map_err(|_| unreadable(line));
     match *words {
-        ["ready", state, ms] => listener.ready(state == "hot", number(ms)?),
-        ["end", sequence, id, end, _ms, _length] => listener.run_ended(number(sequence)?, id, end, body),
-        ["wants", sequence, id, _length] => listener.call_requested(number(sequence)?, id, body),
+        ["ready", state, ms] => handler.ready(state == "hot", number(ms)?),
+        ["end", sequence, id, end, _ms, _length] => handler.run_ended(number(sequence)?, id, end, body),
+        ["wants", sequence, id, _length] => handler.call_requested(number(sequence)?, id, body),
         ["load", tag, ref values @ ..] => {
             let values: Option<Vec<f64>> = values.iter().map(|value| value.parse().ok()).collect();
-            listener.load(tag, &values.ok_or_else(|| unreadable(line))?);
+            handler.gauges_received(tag, &values.ok_or_else(|| unreadable(line))?);
         }
-        ["nack", command, id] => listener.command_rejected(command, id),
+        ["nack", command, id] => handler.command_rejected(command, id),
         ["info", sequence, ..] => {
-            listener.info(number(sequence)?, line.splitn(3, ' ').nth(2).unwrap_or_default());
+            handler.info(number(sequence)?, line.splitn(3, ' ').nth(2).unwrap_or_default());
         }
         _ => return Err(unreadable(line)),
     }
@@ -126,29 +126,29 @@
 }
 
 /// Asks for all messages after the one of this number.
-pub fn sync(out: &mut Vec<u8>, last: u64) {
+pub fn write_sync(out: &mut Vec<u8>, last: u64) {
     put(out, format_args!("sync {last}\r\n"));
 }
 
 /// Starts a run, or resumes a paused one.
-pub fn start(out: &mut Vec<u8>, id: &str, class: &str, body: &[u8]) {
+pub fn write_start(out: &mut Vec<u8>, id: &str, class: &str, body: &[u8]) {
     put(out, format_args!("start {id} {class} {}\r\n", body.len()));
     put_body(out, body);
 }
 
 /// Stops a run.
-pub fn stop(out: &mut Vec<u8>, id: &str) {
+pub fn write_stop(out: &mut Vec<u8>, id: &str) {
     put(out, format_args!("stop {id}\r\n"));
 }
 
 /// Passes the response of a dependency call to the run that requested it.
-pub fn call_reply(out: &mut Vec<u8>, id: &str, reply: &[u8]) {
+pub fn write_call_reply(out: &mut Vec<u8>, id: &str, reply: &[u8]) {
     put(out, format_args!("give {id} {}\r\n", reply.len()));
     put_body(out, reply);
 }
 
 /// Asks for the gauges; the answer carries the tag.
-pub fn gauges(out: &mut Vec<u8>, tag: &str) {
+pub fn write_gauges_request(out: &mut Vec<u8>, tag: &str) {
     put(out, format_args!("gauges {tag}\r\n"));
 }
 
--- a/crates/hazelspur-parsers/tests/texts.rs
+++ b/crates/hazelspur-parsers/tests/texts.rs
@@ -55,7 +55,7 @@
 #[derive(Default)]
 struct Recorder(String);
 
-impl runtime::Listener for Recorder {
+impl runtime::MessageHandler for Recorder {
     fn ready(&mut self, hot: bool, since_ms: u64) {
         self.0 += &format!("ready {hot} {since_ms}\n");
     }
@@ -65,7 +65,7 @@
     fn call_requested(&mut self, number: u64, id: &str, body: &[u8]) {
         self.0 += &format!("wants {number} {id} {body:?}\n");
     }
-    fn load(&mut self, tag: &str, values: &[f64]) {
+    fn gauges_received(&mut self, tag: &str, values: &[f64]) {
         self.0 += &format!("load {tag} {values:?}\n");
     }
     fn command_rejected(&mut self, command: &str, id: &str) {
@@ -86,7 +86,7 @@
     for byte in text {
         buffer.spare_capacity().push(*byte);
         while let Some(used) = runtime::read(buffer.unread(), &mut recorder).expect("good lines") {
-            buffer.take(used);
+            buffer.consume(used);
         }
     }
     recorder.0 += &format!("left {}\n", buffer.unread().len());
@@ -148,7 +148,7 @@
         let mut read = |piece: &[u8]| {
             buffer.spare_capacity().extend_from_slice(piece);
             let read = reply.read(&mut buffer, "X-Untouched");
-            read.map(|read| read.map(|r| (r.status, r.is_marked, r.is_reusable, String::from_utf8(r.body))))
+            read.map(|read| read.map(|r| (r.status, r.is_flagged, r.is_reusable, String::from_utf8(r.body))))
                 .map_err(|error| error.to_string())
         };
         let read = text.as_bytes().chunks(3).map(&mut read).find(|read| !matches!(read, Ok(None)));
@@ -186,14 +186,18 @@
 #[test]
 fn json_rpc_messages_are_written_one_a_line() {
     let mut out = Vec::new();
-    rpc::result(&mut out, RpcId(7), b"done", Some(0.25));
-    rpc::check(&mut out, RpcId(8), true, None);
-    let full = ErrorData { retry_after_ms: Some(250.0), do_not_retry_elsewhere: true, signal: Some(1.0) };
-    rpc::error(&mut out, Some(RpcId(9)), rpc::REJECTED, "refused", full);
+    rpc::write_result(&mut out, RpcId(7), b"done", Some(0.25));
+    rpc::write_health(&mut out, RpcId(8), true, None);
+    let full = ErrorData {
+        retry_after_ms: Some(250.0),
+        do_not_retry_elsewhere: true,
+        advertised_capacity: Some(1.0),
+    };
+    rpc::write_error(&mut out, Some(RpcId(9)), rpc::REJECTED, "refused", full);
     let last = ErrorData { do_not_retry_elsewhere: true, ..ErrorData::default() };
-    rpc::error(&mut out, Some(RpcId(9)), rpc::REJECTED, "refused", last);
-    rpc::error(&mut out, None, rpc::NOT_JSON, "a \"quote\"\n", ErrorData::default());
-    rpc::goodbye(&mut out);
+    rpc::write_error(&mut out, Some(RpcId(9)), rpc::REJECTED, "refused", last);
+    rpc::write_error(&mut out, None, rpc::PARSE_ERROR, "a \"quote\"\n", ErrorData::default());
+    rpc::write_goodbye(&mut out);
     let lines = String::from_utf8(out).expect("text");
     assert!(lines.lines().all(|line| Json::parse(line.as_bytes()).is_some()));
     expect_test::expect![[r#"
--- a/crates/hazelspur-server/src/ingress/amqp/consumer.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/consumer.rs
@@ -205,7 +205,7 @@
             }
             let needs_connection = !shutting_down || self.tracker.borrow().has_pending_replies();
             if shutting_down {
-                self.brokers.borrow_mut().hasten(self.now());
+                self.brokers.borrow_mut().shorten_delay(self.now());
             }
             let (now, next_attempt) = (self.now(), self.brokers.borrow().next_attempt());
             if needs_connection && next_attempt <= now {
--- a/crates/hazelspur-server/src/ingress/gateway/connection.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/connection.rs
@@ -108,7 +108,8 @@
     pub(super) fn reject_input(&self, id: Option<RpcId>, error: ProtocolError) {
         self.reputation.record(error);
         let message = error.to_string();
-        self.output.append(|out| rpc::error(out, id, error.code(), &message, rpc::ErrorData::default()));
+        self.output
+            .append(|out| rpc::write_error(out, id, error.code(), &message, rpc::ErrorData::default()));
     }
 
     /// Answers with an error and closes; open requests are answered first.
@@ -130,6 +131,6 @@
     /// Asks the gateway to close the connection.
     pub(super) fn send_goodbye(&self) {
         self.stage.set(Stage::GoodbyeSent(self.dispatcher.clock.now()));
-        self.output.append(rpc::goodbye);
+        self.output.append(rpc::write_goodbye);
     }
 }
--- a/crates/hazelspur-server/src/ingress/gateway/connection_task.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/connection_task.rs
@@ -176,7 +176,7 @@
     while let Ok(count @ 1..) = reader.read_buf(input.spare_capacity()).await
         && bytes_left > 0
     {
-        input.take(input.unread().len());
+        input.consume(input.unread().len());
         bytes_left = bytes_left.saturating_sub(count);
     }
 }
--- a/crates/hazelspur-server/src/ingress/gateway/error.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/error.rs
@@ -62,17 +62,17 @@
     /// Code of the error response.
     pub(super) fn code(self) -> i32 {
         match self {
-            Self::NotJson => rpc::NOT_JSON,
+            Self::NotJson => rpc::PARSE_ERROR,
             Self::NotJsonRpc
             | Self::MissingMethod
             | Self::MissingId
             | Self::LineTooLong
             | Self::InputTimeout
             | Self::TooManyConnections
-            | Self::TooManyOpenOrDuplicateId => rpc::NOT_VALID,
-            Self::UnknownMethod => rpc::NO_METHOD,
+            | Self::TooManyOpenOrDuplicateId => rpc::INVALID_REQUEST,
+            Self::UnknownMethod => rpc::METHOD_NOT_FOUND,
             Self::UnknownToWorker => rpc::FAILED,
-            _ => rpc::BAD_PARAMS,
+            _ => rpc::INVALID_PARAMS,
         }
     }
 }
--- a/crates/hazelspur-server/src/ingress/gateway/lines.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/lines.rs
@@ -53,13 +53,13 @@
     /// Processes all complete lines of the input.
     pub(super) fn process_lines(&self, connection: &Rc<GatewayConnection>, input: &mut Buffer) {
         while !connection.reputation.is_blocked() {
-            let length = input.line();
+            let length = input.line_length();
             if length.unwrap_or(input.unread().len()) > MAX_LINE_BYTES {
                 return refuse_long_line(connection, input);
             }
             let Some(length) = length else { break };
             self.process_line(connection, input.unread()[..length].trim_ascii_end());
-            input.take(length + 1);
+            input.consume(length + 1);
             connection.partial_line_since.set(None);
         }
         if !input.unread().is_empty() && connection.partial_line_since.get().is_none() {
@@ -91,7 +91,7 @@
         connection.reputation.record_valid_input();
         connection.mark_idle();
         let (healthy, capacity) = (dispatcher.healthy.get(), dispatcher.advertised_capacity.get());
-        connection.output.append(|out| rpc::check(out, id, healthy, capacity));
+        connection.output.append(|out| rpc::write_health(out, id, healthy, capacity));
     }
 
     fn process_request(&self, connection: &Rc<GatewayConnection>, request: &IncomingRequest<'_>) {
@@ -103,9 +103,9 @@
             Err(RequestError::Invalid(error)) => connection.reject_input(id, error),
             Err(RequestError::Rejected(rejection)) => {
                 let message = rejection.to_string();
-                connection
-                    .output
-                    .append(|out| rpc::error(out, id, rpc::REJECTED, &message, rpc::ErrorData::default()));
+                connection.output.append(|out| {
+                    rpc::write_error(out, id, rpc::REJECTED, &message, rpc::ErrorData::default())
+                });
             }
         }
     }
@@ -132,5 +132,5 @@
     connection.dismiss(ProtocolError::LineTooLong);
     connection.reputation.record_framing_lost();
     connection.partial_line_since.set(None);
-    input.take(input.unread().len());
+    input.consume(input.unread().len());
 }
--- a/crates/hazelspur-server/src/ingress/gateway/request_params.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/request_params.rs
@@ -85,7 +85,7 @@
 
 fn body(params: &json::Table<'_>) -> Result<Rc<[u8]>, ProtocolError> {
     let Some(data) = params.get("data") else { return Ok([].into()) };
-    let body = data.text().and_then(|text| rpc::body(&text));
+    let body = data.text().and_then(|text| rpc::decode_body(&text));
     let body = body.filter(|body| body.len() <= MAX_BODY_LENGTH);
     body.map(Rc::from).ok_or(ProtocolError::InvalidBody)
 }
--- a/crates/hazelspur-server/src/ingress/gateway/responder.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/responder.rs
@@ -32,7 +32,7 @@
 
 impl ResponseSink for GatewayResponder {
     fn success(&mut self, result: &[u8]) {
-        self.respond(|id, out, capacity| rpc::result(out, id, result, capacity));
+        self.respond(|id, out, capacity| rpc::write_result(out, id, result, capacity));
     }
 
     fn rejected(&mut self, retry_after: Duration, do_not_retry_elsewhere: bool) {
@@ -40,15 +40,15 @@
         let retry_after_ms = (retry_after > Duration::ZERO).then_some(retry_after_ms);
         self.respond(|id, out, capacity| {
             let message = "refused";
-            let data = ErrorData { retry_after_ms, do_not_retry_elsewhere, signal: capacity };
-            rpc::error(out, Some(id), rpc::REJECTED, message, data);
+            let data = ErrorData { retry_after_ms, do_not_retry_elsewhere, advertised_capacity: capacity };
+            rpc::write_error(out, Some(id), rpc::REJECTED, message, data);
         });
     }
 
     fn failed(&mut self) {
         self.respond(|id, out, capacity| {
-            let data = ErrorData { signal: capacity, ..ErrorData::default() };
-            rpc::error(out, Some(id), rpc::FAILED, "failed", data);
+            let data = ErrorData { advertised_capacity: capacity, ..ErrorData::default() };
+            rpc::write_error(out, Some(id), rpc::FAILED, "failed", data);
         });
     }
 
--- a/crates/hazelspur-server/src/upstream/dependency.rs
+++ b/crates/hazelspur-server/src/upstream/dependency.rs
@@ -255,7 +255,7 @@
 }
 
 fn outcome(reply: &Response) -> Outcome {
-    let no_effect = reply.is_marked;
+    let no_effect = reply.is_flagged;
     match reply.status {
         200 => Outcome::Ok,
         409 if no_effect => Outcome::NeverStarted,
--- a/crates/hazelspur-server/src/upstream/http_exchange.rs
+++ b/crates/hazelspur-server/src/upstream/http_exchange.rs
@@ -20,7 +20,7 @@
     Closed,
 }
 
-/// Writes a whole call and reads its reply; `mark` names the header that `Response::is_marked` is about.
+/// Writes a whole call and reads its reply; `mark` names the header that `Response::is_flagged` is about.
 pub async fn exchange(stream: &mut TcpStream, call: &[u8], mark: &str) -> Result<Response, ExchangeError> {
     stream.write_all(call).await?;
     let mut buffer = Buffer::default();
--- a/crates/hazelspur-server/src/upstream/worker/link.rs
+++ b/crates/hazelspur-server/src/upstream/worker/link.rs
@@ -106,19 +106,19 @@
 
     /// Starts a run.
     pub fn start(&self, request: RequestId, class: Arc<str>, body: Rc<[u8]>) {
-        self.send(|out| runtime::start(out, &request.to_string(), &class, &body));
+        self.send(|out| runtime::write_start(out, &request.to_string(), &class, &body));
         self.state.runs.borrow_mut().start(request, class, body, self.is_synchronized.get());
     }
 
     /// Stops a run.
     pub fn stop(&self, request: RequestId) {
-        self.send(|out| runtime::stop(out, &request.to_string()));
+        self.send(|out| runtime::write_stop(out, &request.to_string()));
         self.state.runs.borrow_mut().stop(request);
     }
 
     /// Gives a run the reply of its call.
     pub fn give(&self, request: RequestId, reply: Vec<u8>) {
-        self.send(|out| runtime::call_reply(out, &request.to_string(), &reply));
+        self.send(|out| runtime::write_call_reply(out, &request.to_string(), &reply));
         self.state.runs.borrow_mut().give(request, reply, self.state.gauge_query.latest());
     }
 
@@ -177,7 +177,7 @@
         // Drops commands for the former connection; those without an answer are in the run table.
         let mut out = std::mem::take(&mut *self.out.borrow_mut());
         out.clear();
-        runtime::sync(&mut out, self.state.last_notice());
+        runtime::write_sync(&mut out, self.state.last_notice());
         if let Err(why) = write.write_all(&out).await {
             return why.into();
         }
@@ -211,7 +211,7 @@
         loop {
             let read = runtime::read(buffer.unread(), &mut Notices(&self.state));
             match read? {
-                Some(length) => buffer.take(length),
+                Some(length) => buffer.consume(length),
                 None => return Ok(()),
             }
         }
@@ -224,7 +224,7 @@
     ) -> Result<Infallible, LinkError> {
         self.ready().await;
         let mut out = Vec::new();
-        runtime::gauges(&mut out, &Replay::tag(connection));
+        runtime::write_gauges_request(&mut out, &Replay::tag(connection));
         write.write_all(&out).await?;
         out.clear();
         let replay = self.clock().timeout(REPLAY_TIMEOUT, self.state.replay.ended(connection));
@@ -267,7 +267,7 @@
 
     async fn query_gauges(&self) -> Vec<f64> {
         let query = self.state.gauge_query.begin();
-        self.send(|out| runtime::gauges(out, &query.to_string()));
+        self.send(|out| runtime::write_gauges_request(out, &query.to_string()));
         self.state.gauge_query.values().await
     }
 }
--- a/crates/hazelspur-server/src/upstream/worker/notices.rs
+++ b/crates/hazelspur-server/src/upstream/worker/notices.rs
@@ -3,7 +3,7 @@
 use super::state::{LinkState, WorkerStatus};
 use crate::request::event::{Completion, RequestEvent};
 use hazelspur::{Duration, Outcome, RequestId};
-use hazelspur_parsers::runtime::Listener;
+use hazelspur_parsers::runtime::MessageHandler;
 
 /// The notices of one connection.
 pub(super) struct Notices<'a>(pub(super) &'a LinkState);
@@ -16,7 +16,7 @@
     }
 }
 
-impl Listener for Notices<'_> {
+impl MessageHandler for Notices<'_> {
     fn ready(&mut self, hot: bool, since_ms: u64) {
         self.0.worker_ready(WorkerStatus { is_warm: hot, uptime: Duration::from_ms(since_ms) });
     }
@@ -34,7 +34,7 @@
         self.0.dispatcher.deliver(request, RequestEvent::CallRequested(body.to_vec()));
     }
 
-    fn load(&mut self, tag: &str, values: &[f64]) {
+    fn gauges_received(&mut self, tag: &str, values: &[f64]) {
         if !self.0.replay.answered(tag) {
             self.0.gauge_query.answer(tag, values);
         }
--- a/crates/hazelspur-server/src/upstream/worker/runs.rs
+++ b/crates/hazelspur-server/src/upstream/worker/runs.rs
@@ -32,16 +32,16 @@
         let id = request.to_string();
         self.start_sent = true;
         if self.start_unanswered {
-            runtime::start(out, &id, &self.class, &self.body);
+            runtime::write_start(out, &id, &self.class, &self.body);
         }
         // A reply that was read must not be given again: the run may have made another call since.
         if let Some(given) = &self.given
             && given.gauge_query >= answered_gauge_query
         {
-            runtime::call_reply(out, &id, &given.reply);
+            runtime::write_call_reply(out, &id, &given.reply);
         }
         if self.stopped {
-            runtime::stop(out, &id);
+            runtime::write_stop(out, &id);
         }
     }
 }
