--- a/crates/hazelspur-deliveries/src/message_cache.rs
+++ b/crates/hazelspur-deliveries/src/message_cache.rs
@@ -38,7 +38,7 @@
 
 #[derive(Clone, Debug)]
 struct AgedMessage {
-    since: Timestamp,
+    added_at: Timestamp,
     message_id: Rc<str>,
 }
 
@@ -91,7 +91,7 @@
     /// Records the number of failed attempts of a message that is requeued, which carries no attempt count.
     pub fn record_failed_attempts(&mut self, now: Timestamp, message_id: &Rc<str>, attempts: u32) {
         self.messages.insert(message_id.clone(), MessageState::FailedAttempts(attempts));
-        self.by_age.push_back(AgedMessage { since: now, message_id: message_id.clone() });
+        self.by_age.push_back(AgedMessage { added_at: now, message_id: message_id.clone() });
         self.enforce_limits();
     }
 
@@ -108,7 +108,7 @@
         }
         self.finished_bytes += message_id.len() + result.len();
         self.messages.insert(message_id.clone(), MessageState::Finished { outcome, result });
-        self.by_age.push_back(AgedMessage { since: now, message_id: message_id.clone() });
+        self.by_age.push_back(AgedMessage { added_at: now, message_id: message_id.clone() });
         self.enforce_limits();
     }
 
@@ -120,7 +120,7 @@
     }
 
     fn remove_expired(&mut self, now: Timestamp) {
-        while self.by_age.front().is_some_and(|oldest| now - oldest.since >= self.limits.retention) {
+        while self.by_age.front().is_some_and(|oldest| now - oldest.added_at >= self.limits.retention) {
             self.remove_oldest();
         }
     }
--- a/crates/hazelspur-deliveries/src/prefetch_window.rs
+++ b/crates/hazelspur-deliveries/src/prefetch_window.rs
@@ -92,7 +92,7 @@
         self.window = match self.rule {
             PrefetchRule::Fixed => self.window,
             PrefetchRule::SpareCapacity => spare_capacity.floor(),
-            PrefetchRule::Adaptive => self.adapted(rejected_fraction),
+            PrefetchRule::Adaptive => self.adapted_window(rejected_fraction),
         }
         .clamp(self.min_window(), f64::from(self.max));
         (self.cycle_began, self.succeeded, self.rejected, self.was_full) = (now, 0, 0, false);
@@ -103,7 +103,7 @@
         if self.rule == PrefetchRule::Adaptive { MIN_DUTY_CYCLE } else { 1.0 }
     }
 
-    fn adapted(&mut self, rejected_fraction: f64) -> f64 {
+    fn adapted_window(&mut self, rejected_fraction: f64) -> f64 {
         if rejected_fraction > TOLERATED_REJECTED_FRACTION {
             self.calm_cycles = 0;
             return self.window / (1.0 + REJECTED_FRACTION_WEIGHT * rejected_fraction);
--- a/crates/hazelspur-deliveries/src/settlement.rs
+++ b/crates/hazelspur-deliveries/src/settlement.rs
@@ -141,22 +141,22 @@
         idempotency: Idempotency,
         previous_attempts: u32,
     ) -> Settlement {
-        let run_once = idempotency != Idempotency::Idempotent;
-        let configured = self.configured(outcome);
+        let must_run_once = idempotency != Idempotency::Idempotent;
+        let configured = self.configured_settlement(outcome);
         let failed = outcome == DeliveryOutcome::Failed;
         if !configured.redelivers() {
             return configured;
         }
-        if failed && run_once {
+        if failed && must_run_once {
             return Settlement::Reject;
         }
         if failed && previous_attempts + 1 >= self.max_attempts {
             return self.exhausted;
         }
-        if run_once { Settlement::RequeueLater } else { configured }
+        if must_run_once { Settlement::RequeueLater } else { configured }
     }
 
-    fn configured(&self, outcome: DeliveryOutcome) -> Settlement {
+    fn configured_settlement(&self, outcome: DeliveryOutcome) -> Settlement {
         match outcome {
             DeliveryOutcome::Succeeded => Settlement::Ack,
             DeliveryOutcome::Rejected(_) => self.rejected,
--- a/crates/hazelspur-deliveries/src/tracker/connection_loss.rs
+++ b/crates/hazelspur-deliveries/src/tracker/connection_loss.rs
@@ -7,15 +7,15 @@
 impl DeliveryTracker {
     /// The connection and all its channels are lost.
     pub fn connection_lost(&mut self, connection: ConnectionNumber) {
-        self.tags_lost(|tag| tag.connection == connection);
+        self.handle_lost_tags(|tag| tag.connection == connection);
     }
 
     /// One channel of a connection is lost.
     pub fn channel_lost(&mut self, connection: ConnectionNumber, channel: u16) {
-        self.tags_lost(|tag| tag.connection == connection && tag.channel == channel);
+        self.handle_lost_tags(|tag| tag.connection == connection && tag.channel == channel);
     }
 
-    fn tags_lost(&mut self, is_lost: impl Fn(&DeliveryTag) -> bool) {
+    fn handle_lost_tags(&mut self, is_lost: impl Fn(&DeliveryTag) -> bool) {
         self.actions.retain(|action| !action.tag().is_some_and(|tag| is_lost(&tag)));
         let affected = self.select(|delivery| {
             let uses_tag = delivery.unsettled || delivery.state == DeliveryState::AwaitingFence;
@@ -24,7 +24,7 @@
         // Duplicates first: an original that ends here requeues the others, whose tags are not lost.
         let (duplicates, others): (Vec<_>, Vec<_>) =
             affected.into_iter().partition(|id| self.is_duplicate(*id));
-        duplicates.into_iter().chain(others).for_each(|id| self.tag_lost(id));
+        duplicates.into_iter().chain(others).for_each(|id| self.handle_lost_tag(id));
         self.drop_excess_replies();
     }
 
@@ -33,7 +33,7 @@
         matches!(state, Some(DeliveryState::DuplicateOf(_)))
     }
 
-    fn tag_lost(&mut self, id: DeliveryId) {
+    fn handle_lost_tag(&mut self, id: DeliveryId) {
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
         delivery.unsettled = false;
         match delivery.state {
--- a/crates/hazelspur-deliveries/src/tracker/delivery.rs
+++ b/crates/hazelspur-deliveries/src/tracker/delivery.rs
@@ -119,7 +119,7 @@
     }
 
     /// Whether a duplicate must not run after this outcome. A failed idempotent request may run again.
-    pub(super) fn bars_duplicates(&self, outcome: DeliveryOutcome) -> bool {
+    pub(super) fn prevents_rerun(&self, outcome: DeliveryOutcome) -> bool {
         match outcome {
             DeliveryOutcome::Succeeded => true,
             DeliveryOutcome::Failed => self.must_run_once(),
--- a/crates/hazelspur-deliveries/src/tracker/publishing.rs
+++ b/crates/hazelspur-deliveries/src/tracker/publishing.rs
@@ -47,7 +47,7 @@
         let DeliveryState::Publishing { publication, .. } = delivery.state else { return };
         let routed = accepted && !delivery.returned;
         match publication {
-            Publication::RetryCopy { delay } if !routed => self.requeue_instead(now, id, delay),
+            Publication::RetryCopy { delay } if !routed => self.requeue_unpublished_retry(now, id, delay),
             Publication::RetryCopy { .. } => {
                 self.counters.retried += 1;
                 self.settle_as(id, Settlement::Ack);
@@ -65,7 +65,7 @@
     }
 
     /// The retry queue has no copy, which would have carried the attempt count: the cache keeps it instead.
-    fn requeue_instead(&mut self, now: Timestamp, id: DeliveryId, delay: Duration) {
+    fn requeue_unpublished_retry(&mut self, now: Timestamp, id: DeliveryId, delay: Duration) {
         let Some(delivery) = self.deliveries.get(&id) else { return };
         if delivery.outcome == DeliveryOutcome::Failed {
             let Some(message_id) = &delivery.message_id else {
--- a/crates/hazelspur-deliveries/src/tracker/receipt.rs
+++ b/crates/hazelspur-deliveries/src/tracker/receipt.rs
@@ -52,9 +52,9 @@
             }
             Some(MessageState::FailedAttempts(attempts)) => {
                 self.raise_previous_attempts(id, attempts);
-                self.admit(now, id, received.redelivered);
+                self.start_processing(now, id, received.redelivered);
             }
-            Some(MessageState::InProgress(_)) | None => self.admit(now, id, received.redelivered),
+            Some(MessageState::InProgress(_)) | None => self.start_processing(now, id, received.redelivered),
         }
         id
     }
@@ -67,7 +67,7 @@
     }
 
     /// Submits a delivery that is no known duplicate, unless it must not or need not run.
-    fn admit(&mut self, now: Timestamp, id: DeliveryId, redelivered: bool) {
+    fn start_processing(&mut self, now: Timestamp, id: DeliveryId, redelivered: bool) {
         if self.shutting_down {
             return self.requeue(id);
         }
--- a/crates/hazelspur-deliveries/src/tracker/settling.rs
+++ b/crates/hazelspur-deliveries/src/tracker/settling.rs
@@ -27,7 +27,7 @@
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
         let table = &self.queues[delivery.queue.0].settlements;
         let delay = table.redelivery_delay(outcome);
-        let bars_duplicates = delivery.bars_duplicates(outcome);
+        let prevents_rerun = delivery.prevents_rerun(outcome);
         let duplicates = std::mem::take(&mut delivery.duplicates);
         (delivery.outcome, delivery.result) = (outcome, result.clone());
         delivery.settlement = settlement_of(table, delivery, outcome);
@@ -38,7 +38,7 @@
         self.counters.expired += u64::from(outcome == DeliveryOutcome::Expired);
         self.begin_settlement(now, id, delay);
         for duplicate in duplicates {
-            if bars_duplicates {
+            if prevents_rerun {
                 self.counters.duplicates += 1;
                 self.finish(now, duplicate, outcome, result);
             } else {
@@ -51,7 +51,7 @@
         let Some(delivery) = self.deliveries.get(&id) else { return };
         let Some(message_id) = &delivery.message_id else { return };
         let failed = delivery.outcome == DeliveryOutcome::Failed;
-        if delivery.bars_duplicates(delivery.outcome) {
+        if delivery.prevents_rerun(delivery.outcome) {
             let result = delivery.result.clone();
             self.message_cache.record_finished(now, message_id, delivery.outcome, result);
         } else if failed && delivery.settlement == Settlement::RequeueLater {
--- a/crates/hazelspur-deliveries/tests/policies/broker_selector.rs
+++ b/crates/hazelspur-deliveries/tests/policies/broker_selector.rs
@@ -5,7 +5,7 @@
 use hazelspur_deliveries::BrokerSelector;
 
 #[test]
-fn failing_brokers_are_avoided_in_turn_and_the_first_is_preferred_again() {
+fn failing_broker_is_avoided_until_its_penalty_ends() {
     let addresses = ["127.0.0.1:1", "127.0.0.1:2"].map(|a| a.parse().expect("an address"));
     let mut brokers = BrokerSelector::new(&addresses, Duration::from_ms(1000), 7, at(0));
     let mut seen = String::new();
@@ -31,7 +31,7 @@
 /// 500 instances lose a broker during an outage. Counts the attempts in each second of the outage, and the
 /// connections in each second after it.
 #[test]
-fn no_second_sees_reconnects_of_more_than_a_fifth_of_a_fleet() {
+fn at_most_a_fifth_of_a_fleet_reconnects_in_one_second() {
     let address = ["127.0.0.1:1".parse().expect("an address")];
     let mut seen = String::new();
     for outage_ms in [0, 3_000, 60_000] {
--- a/crates/hazelspur-deliveries/tests/policies/message_cache.rs
+++ b/crates/hazelspur-deliveries/tests/policies/message_cache.rs
@@ -5,7 +5,7 @@
 use hazelspur_deliveries::{DeliveryOutcome, MessageCache, MessageCacheLimits};
 
 #[test]
-fn a_full_cache_evicts_the_oldest_finished_message() {
+fn full_cache_evicts_the_oldest_finished_message() {
     let limits = MessageCacheLimits { retention: Duration::from_ms(1000), max_entries: 3, max_bytes: 64 };
     let mut cache = MessageCache::new(limits);
     let named = |n: u64| -> std::rc::Rc<str> { format!("m{n}").into() };
--- a/crates/hazelspur-deliveries/tests/policies/prefetch_window.rs
+++ b/crates/hazelspur-deliveries/tests/policies/prefetch_window.rs
@@ -4,7 +4,7 @@
 use hazelspur_deliveries::{PrefetchRule, PrefetchWindow};
 
 #[test]
-fn the_adaptive_window_grows_by_a_factor_and_is_divided_by_the_rejected_fraction() {
+fn adaptive_window_grows_when_full_and_shrinks_on_rejections() {
     let mut window = PrefetchWindow::new(PrefetchRule::Adaptive, 32, at(0));
     let mut seen = String::new();
     for (cycle, (succeeded, rejected, unsettled)) in
--- a/crates/hazelspur-deliveries/tests/policies/settlement_table.rs
+++ b/crates/hazelspur-deliveries/tests/policies/settlement_table.rs
@@ -7,7 +7,7 @@
 const REJECTED: DeliveryOutcome = DeliveryOutcome::Rejected(Duration::from_ms(300));
 
 #[test]
-fn each_outcome_is_settled_by_the_table() {
+fn each_outcome_is_settled_as_configured() {
     let retry = SettlementTable {
         rejected: Settlement::PublishRetry,
         failed: Settlement::PublishRetry,
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_table_that_redelivers_without_end_is_refused() {
+fn table_with_endless_redelivery_or_no_retry_queue_is_rejected() {
     let endless = SettlementTable { malformed: Settlement::RequeueLater, ..SettlementTable::default() };
     let without_retry_queue =
         SettlementTable { rejected: Settlement::PublishRetry, ..SettlementTable::default() };
--- a/crates/hazelspur-deliveries/tests/tracker/event_orders.rs
+++ b/crates/hazelspur-deliveries/tests/tracker/event_orders.rs
@@ -161,8 +161,8 @@
         self.unread.clear();
         self.pending_fences.clear();
         self.pending_confirms.clear();
-        let returned = std::mem::take(&mut self.unsettled_tags).len();
-        self.queued_copies.extend(std::iter::repeat_n(true, returned));
+        let requeued = std::mem::take(&mut self.unsettled_tags).len();
+        self.queued_copies.extend(std::iter::repeat_n(true, requeued));
         if !case.stale_tag_fault {
             self.tracker.connection_lost(ConnectionNumber(self.connection));
         }
@@ -219,11 +219,11 @@
 }
 
 fn explore(case: Case, depth: u32) -> u64 {
-    fn count_paths(case: Case, model: &BrokerModel, depth: u32) -> u64 {
+    fn count_orders(case: Case, model: &BrokerModel, depth: u32) -> u64 {
         if depth == 0 {
             return 1;
         }
-        let mut paths = 0;
+        let mut orders = 0;
         for event in EVENTS {
             let mut next = model.clone();
             if !next.apply(case, event) {
@@ -232,26 +232,26 @@
             let copies = next.queued_copies.len() + next.unsettled_tags.len() + next.removed_count as usize;
             assert_eq!(copies, 2, "a copy was lost or duplicated: {:?}", next.events);
             // Both copies are one message.
-            let once = case.idempotency != Idempotency::Idempotent;
-            assert!(!once || next.run_count <= 1, "ran {} times: {:?}", next.run_count, next.events);
-            paths += count_paths(case, &next, depth - 1);
+            let must_run_once = case.idempotency != Idempotency::Idempotent;
+            assert!(!must_run_once || next.run_count <= 1, "ran {} times: {:?}", next.run_count, next.events);
+            orders += count_orders(case, &next, depth - 1);
         }
-        paths
+        orders
     }
-    count_paths(case, &BrokerModel::new(case), depth)
+    count_orders(case, &BrokerModel::new(case), depth)
 }
 
 #[test]
-fn no_event_order_settles_a_tag_twice_or_runs_a_non_idempotent_request_twice() {
+fn no_event_order_settles_twice_or_reruns_non_idempotent() {
     let mut seen = String::new();
     for idempotency in [Idempotency::Idempotent, Idempotency::IdempotentWithKey, Idempotency::NonIdempotent] {
         for settle_before_run in [true, false] {
             for wants_reply in [true, false] {
-                let paths =
+                let orders =
                     explore(Case { idempotency, settle_before_run, wants_reply, stale_tag_fault: false }, 9);
-                assert!(paths > 1000);
+                assert!(orders > 1000);
                 seen += &format!(
-                    "{idempotency:?} settle_before_run {settle_before_run} wants_reply {wants_reply}: {paths} orders\n"
+                    "{idempotency:?} settle_before_run {settle_before_run} wants_reply {wants_reply}: {orders} orders\n"
                 );
             }
         }
--- a/crates/hazelspur-deliveries/tests/tracker/traces.rs
+++ b/crates/hazelspur-deliveries/tests/tracker/traces.rs
@@ -11,7 +11,7 @@
 const REJECTED: DeliveryOutcome = DeliveryOutcome::Rejected(Duration::from_ms(300));
 
 #[test]
-fn a_rejected_delivery_is_requeued_later_and_a_failed_one_is_dead_lettered() {
+fn rejected_is_requeued_later_and_failed_is_dead_lettered() {
     let mut tracker = new_tracker(SettlementTable::default(), false);
     let rejected = tracker.delivery_received(at(0), received(tag(1, 1), "a", Idempotent));
     let failed = tracker.delivery_received(at(0), received(tag(1, 2), "b", Idempotent));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_non_idempotent_request_is_acked_and_fenced_before_its_run() {
+fn non_idempotent_request_is_acked_and_fenced_before_its_run() {
     let mut tracker = new_tracker(SettlementTable::default(), true);
     let id = tracker.delivery_received(at(0), received(tag(1, 1), "a", NonIdempotent));
     let mut seen = actions(&mut tracker, 0);
@@ -43,16 +43,16 @@
     tracker.fence_answered(at(2), id);
     seen += &actions(&mut tracker, 2);
     seen += &finish(&mut tracker, 3, id, DeliveryOutcome::Succeeded);
-    let again = ReceivedDelivery { redelivered: true, ..received(tag(2, 1), "a", NonIdempotent) };
-    tracker.delivery_received(at(4), again);
-    seen += &format!("again\n{}", actions(&mut tracker, 4));
+    let redelivered = ReceivedDelivery { redelivered: true, ..received(tag(2, 1), "a", NonIdempotent) };
+    tracker.delivery_received(at(4), redelivered);
+    seen += &format!("redelivered\n{}", actions(&mut tracker, 4));
     expect_test::expect![[r#"
         0 Submit((1))
         1 Ack(Tag {(1), channel: 1, tag: 1 })
         1 Fence { tag: Tag {(1), channel: 1, tag: 1 }, id: (1) }
         2 ResolveRun { id: (1), permitted: true }
         3 Release { id: (1), outcome: Succeeded }
-        again
+        redelivered
         4 Ack(Tag {(2), channel: 1, tag: 1 })
         4 Release { id: (2), outcome: Succeeded }
     "#]]
@@ -60,13 +60,18 @@
 }
 
 #[test]
-fn with_settlement_after_the_run_an_unknown_redelivery_is_a_possible_duplicate() {
+fn unknown_redelivery_is_rejected_if_settled_after_the_run() {
     let mut tracker = new_tracker(SettlementTable::default(), false);
-    let again = ReceivedDelivery { redelivered: true, ..received(tag(1, 1), "a", NonIdempotent) };
-    tracker.delivery_received(at(0), again);
+    let redelivered = ReceivedDelivery { redelivered: true, ..received(tag(1, 1), "a", NonIdempotent) };
+    tracker.delivery_received(at(0), redelivered);
     tracker.delivery_received(
         at(0),
-        ReceivedDelivery { idempotency: Ok(Idempotent), message_id: Some("b"), tag: tag(1, 2), ..again },
+        ReceivedDelivery {
+            idempotency: Ok(Idempotent),
+            message_id: Some("b"),
+            tag: tag(1, 2),
+            ..redelivered
+        },
     );
     expect_test::expect![[r#"
         0 Reject(Tag {(1), channel: 1, tag: 1 })
@@ -78,10 +83,10 @@
 
 /// Guards against a run that starts late since the process stood still between the permission and the start.
 #[test]
-fn a_message_that_expires_between_its_permission_and_its_start_never_runs() {
+fn message_expired_between_permission_and_start_never_runs() {
     let mut seen = String::new();
     for (name, idempotency, settles_before_run) in
-        [("settled after", Idempotent, false), ("settled before", NonIdempotent, true)]
+        [("settled after the run", Idempotent, false), ("settled before the run", NonIdempotent, true)]
     {
         for start_at in [419, 420] {
             let mut tracker = new_tracker(SettlementTable::default(), settles_before_run);
@@ -98,12 +103,12 @@
         }
     }
     expect_test::expect![[r#"
-        settled after, start at 419: true
-        settled after, start at 420: false
+        settled after the run, start at 419: true
+        settled after the run, start at 420: false
         420 Reject(Tag {(1), channel: 1, tag: 1 })
         420 Release { id: (1), outcome: Expired }
-        settled before, start at 419: true
-        settled before, start at 420: false
+        settled before the run, start at 419: true
+        settled before the run, start at 420: false
         420 PublishExpired { id: (1) }
     "#]]
     .assert_eq(&seen);
@@ -111,7 +116,7 @@
 
 /// Guards against a message that is lost between its ack and its run, and against a second copy of it.
 #[test]
-fn an_expired_copy_that_is_not_confirmed_is_counted_and_not_published_again() {
+fn unconfirmed_expired_copy_is_counted_and_not_republished() {
     let fence_answered_late = |tracker: &mut DeliveryTracker| {
         let expiring =
             ReceivedDelivery { deadline: Some(at(500)), ..received(tag(1, 1), "a", NonIdempotent) };
@@ -122,14 +127,14 @@
         id
     };
     let mut seen = String::new();
-    for (name, ends) in
-        [("refused", 0), ("returned", 1), ("in no time", 2), ("connection lost", 3), ("unsent", 4)]
+    for (name, ending) in
+        [("refused", 0), ("returned", 1), ("timed out", 2), ("connection lost", 3), ("unsent", 4)]
     {
         let mut tracker = new_tracker(SettlementTable::default(), true);
-        tracker.set_publishing_ready(ends != 4);
+        tracker.set_publishing_ready(ending != 4);
         let id = fence_answered_late(&mut tracker);
         seen += &format!("{name}\n{}", actions(&mut tracker, 450));
-        match ends {
+        match ending {
             0 => tracker.publish_confirmed(at(460), id, false),
             1 => {
                 tracker.publish_returned(id);
@@ -156,7 +161,7 @@
         450 PublishExpired { id: (1) }
         5460 Release { id: (1), outcome: Expired }
         acked without run: 1
-        in no time
+        timed out
         450 ResolveRun { id: (1), permitted: false }
         450 PublishExpired { id: (1) }
         5450 Release { id: (1), outcome: Expired }
@@ -175,7 +180,7 @@
 }
 
 #[test]
-fn an_expired_message_that_is_acked_anyway_is_not_copied() {
+fn expired_message_is_not_copied_if_expired_means_ack() {
     let settlements = SettlementTable { expired: Settlement::Ack, ..SettlementTable::default() };
     let mut tracker = new_tracker(settlements, true);
     tracker.set_publishing_ready(true);
@@ -192,7 +197,7 @@
 }
 
 #[test]
-fn an_expired_delivery_never_runs_in_whatever_state_it_expires() {
+fn expired_delivery_never_runs_from_any_state() {
     let mut tracker = new_tracker(SettlementTable::default(), true);
     let expiring =
         |ms, n, name| ReceivedDelivery { deadline: Some(at(ms)), ..received(tag(1, n), name, NonIdempotent) };
@@ -236,7 +241,7 @@
 }
 
 #[test]
-fn a_lost_connection_abandons_requests_that_have_not_run_and_its_tags_are_not_used() {
+fn lost_connection_abandons_waiting_requests_and_its_tags() {
     let mut tracker = new_tracker(SettlementTable::default(), false);
     let submitted = tracker.delivery_received(at(0), received(tag(1, 1), "submitted", Idempotent));
     let running = tracker.delivery_received(
@@ -254,13 +259,13 @@
     seen += &format!("lost\n{}", actions(&mut tracker, 2));
     seen += &finish(&mut tracker, 3, running, DeliveryOutcome::Succeeded);
     tracker.set_publishing_ready(true);
-    seen += &format!("up\n{}", actions(&mut tracker, 4));
-    let again = ReceivedDelivery {
+    seen += &format!("reconnected\n{}", actions(&mut tracker, 4));
+    let redelivered = ReceivedDelivery {
         redelivered: true,
         wants_reply: true,
         ..received(tag(2, 1), "running", Idempotent)
     };
-    tracker.delivery_received(at(5), again);
+    tracker.delivery_received(at(5), redelivered);
     seen += &actions(&mut tracker, 5);
     tracker.publish_confirmed(at(6), running, true);
     seen += &format!("confirmed\n{}active {}\n", actions(&mut tracker, 6), tracker.active());
@@ -272,7 +277,7 @@
         lost
         2 Release { id: (1), outcome: Failed }
         2 Release { id: (3), outcome: Rejected(Duration(300000)) }
-        up
+        reconnected
         4 PublishReply { id: (2), outcome: Succeeded, result: [100, 111, 110, 101] }
         5 Release { id: (4), outcome: PossibleDuplicate }
         confirmed
@@ -284,7 +289,7 @@
 }
 
 #[test]
-fn duplicates_of_a_message_run_once_and_are_settled_alike() {
+fn duplicates_run_once_and_are_settled_alike() {
     let mut tracker = new_tracker(SettlementTable::default(), false);
     let first = tracker.delivery_received(at(0), received(tag(1, 1), "a", IdempotentWithKey));
     tracker.delivery_received(at(0), received(tag(1, 2), "a", IdempotentWithKey));
@@ -304,7 +309,7 @@
 
 /// Guards against a duplicate that is requeued by a lost tag because its original is handled before it.
 #[test]
-fn a_lost_channel_takes_the_tags_of_duplicates_with_it() {
+fn lost_channel_invalidates_the_tags_of_duplicates() {
     let mut tracker = new_tracker(SettlementTable::default(), false);
     for number in 1..=2 {
         tracker.delivery_received(at(0), received(tag(1, number), "a", IdempotentWithKey));
@@ -328,12 +333,12 @@
 }
 
 #[test]
-fn a_retry_copy_that_is_not_confirmed_is_requeued_later_instead() {
+fn unconfirmed_retry_copy_is_requeued_later_instead() {
     let table = SettlementTable { rejected: Settlement::PublishRetry, ..SettlementTable::default() };
     let mut tracker = new_tracker(table, false);
     tracker.set_publishing_ready(true);
     let mut seen = String::new();
-    for (n, confirm) in ["refused", "returned", "never confirmed", "taken"].into_iter().enumerate() {
+    for (n, confirm) in ["refused", "returned", "never confirmed", "accepted"].into_iter().enumerate() {
         let id = tracker.delivery_received(at(0), received(tag(1, n as u64 + 1), confirm, Idempotent));
         actions(&mut tracker, 0);
         seen += &format!("{confirm}\n{}", finish(&mut tracker, 1, id, REJECTED));
@@ -343,7 +348,7 @@
                 tracker.publish_returned(id);
                 tracker.publish_confirmed(at(2), id, true);
             }
-            "taken" => tracker.publish_confirmed(at(2), id, true),
+            "accepted" => tracker.publish_confirmed(at(2), id, true),
             _ => {}
         }
         seen += &actions(&mut tracker, 2);
@@ -356,7 +361,7 @@
         1 PublishRetry { id: (2), delay: Duration(300000), attempts: 1 }
         never confirmed
         1 PublishRetry { id: (3), delay: Duration(300000), attempts: 1 }
-        taken
+        accepted
         1 PublishRetry { id: (4), delay: Duration(300000), attempts: 1 }
         2 Ack(Tag {(1), channel: 1, tag: 4 })
         2 Release { id: (4), outcome: Rejected(Duration(300000)) }
@@ -372,7 +377,7 @@
 }
 
 #[test]
-fn below_a_window_of_one_deliveries_are_spaced_by_the_duty_cycle() {
+fn window_below_one_spaces_deliveries_by_the_duty_cycle() {
     let mut tracker = new_tracker(SettlementTable::default(), false);
     tracker.set_duty_cycle(QueueId(0), 0.25);
     let ids: Vec<DeliveryId> = (1..=3)
