--- a/crates/hazelspur-parsers/src/buffer.rs
+++ b/crates/hazelspur-parsers/src/buffer.rs
@@ -9,7 +9,7 @@
     bytes: Vec<u8>,
     start: usize,
     /// Unread bytes that are known to have no line end.
-    searched: usize,
+    searched_bytes: usize,
 }
 
 impl Buffer {
@@ -21,7 +21,7 @@
     /// Drops so many of the unread bytes.
     pub fn consume(&mut self, count: usize) {
         self.start = (self.start + count).min(self.bytes.len());
-        self.searched = 0;
+        self.searched_bytes = 0;
         if self.start == self.bytes.len() {
             self.bytes.clear();
             self.start = 0;
@@ -42,9 +42,9 @@
 
     /// Length of the first whole line, without its end; `None` while it is incomplete.
     pub fn line_length(&mut self) -> Option<usize> {
-        let (unread, from) = (&self.bytes[self.start..], self.searched);
+        let (unread, from) = (&self.bytes[self.start..], self.searched_bytes);
         let end = unread[from..].iter().position(|b| *b == b'\n').map(|at| from + at);
-        self.searched = end.unwrap_or(unread.len());
+        self.searched_bytes = end.unwrap_or(unread.len());
         end
     }
 }
--- a/crates/hazelspur-parsers/src/http.rs
+++ b/crates/hazelspur-parsers/src/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 as a client speaks it: one request at a time on a connection. Reads a response from a buffer as it arrives;
 //! no byte is looked at twice for longer than a line.
 
-use crate::{Buffer, put};
+use crate::{Buffer, append};
 use thiserror::Error;
 
 /// The longest head of a response, in bytes.
@@ -11,9 +11,9 @@
 /// The longest line before a chunk or among the trailers, in bytes.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
 /// The most interim responses before the final one.
-const MAX_INTERIM: u32 = 8;
+const MAX_INTERIM_RESPONSES: u32 = 8;
 /// The most interim responses and trailers of one response together.
-const MAX_INTERIM_AND_TRAILERS: u32 = 2 * MAX_INTERIM;
+const MAX_INTERIM_AND_TRAILERS: u32 = 2 * MAX_INTERIM_RESPONSES;
 /// The most digits of a number.
 const MAX_DIGITS: usize = 16;
 /// The greatest status of a response.
@@ -74,11 +74,11 @@
 
 /// Writes a request with a body.
 pub fn write_request(out: &mut Vec<u8>, verb: &str, path: &str, host: &str, headers: &[Header], body: &[u8]) {
-    put(out, format_args!("{verb} {path} HTTP/1.1\r\nHost: {host}\r\n"));
+    append(out, format_args!("{verb} {path} HTTP/1.1\r\nHost: {host}\r\n"));
     for (name, value) in headers {
-        put(out, format_args!("{name}: {value}\r\n"));
+        append(out, format_args!("{name}: {value}\r\n"));
     }
-    put(out, format_args!("Content-Length: {}\r\n\r\n", body.len()));
+    append(out, format_args!("Content-Length: {}\r\n\r\n", body.len()));
     out.extend_from_slice(body);
 }
 
@@ -99,7 +99,7 @@
 #[derive(Default)]
 pub struct ResponseReader {
     /// Unread bytes in which no end of the head was found.
-    searched: usize,
+    searched_bytes: usize,
     interim_and_trailers: u32,
     head: Option<Head>,
     body: Vec<u8>,
@@ -136,13 +136,13 @@
 }
 
 impl ResponseReader {
-    /// Takes what the buffer has of the response and returns it once it is whole; `mark` names the header of
+    /// Takes what the buffer has of the response and returns it once it is whole; `flag_header` names the header of
     /// `Response::is_flagged`. Bytes behind the response belong to no request, so that the connection is not reusable.
     ///
     /// # Errors
     /// A response that can't be read, or one over a bound.
-    pub fn read(&mut self, buffer: &mut Buffer, mark: &str) -> Result<Option<Response>, HttpError> {
-        let Some(head) = self.read_final_head(buffer, mark)? else { return Ok(None) };
+    pub fn read(&mut self, buffer: &mut Buffer, flag_header: &str) -> Result<Option<Response>, HttpError> {
+        let Some(head) = self.read_final_head(buffer, flag_header)? else { return Ok(None) };
         loop {
             match self.read_body(buffer)? {
                 Progress::More => {}
@@ -159,12 +159,12 @@
     }
 
     /// The head of the final response; passes over interim ones.
-    fn read_final_head(&mut self, buffer: &mut Buffer, mark: &str) -> Result<Option<Head>, HttpError> {
+    fn read_final_head(&mut self, buffer: &mut Buffer, flag_header: &str) -> Result<Option<Head>, HttpError> {
         while self.head.is_none() {
-            let Some(head) = self.read_head(buffer, mark)? else { return Ok(None) };
+            let Some(head) = self.read_head(buffer, flag_header)? else { return Ok(None) };
             if is_interim(head.status) {
                 self.interim_and_trailers += 1;
-                if self.interim_and_trailers > MAX_INTERIM {
+                if self.interim_and_trailers > MAX_INTERIM_RESPONSES {
                     return Err(HttpError::TooManyInterim);
                 }
             } else {
@@ -174,18 +174,18 @@
         Ok(self.head)
     }
 
-    fn read_head(&mut self, buffer: &mut Buffer, mark: &str) -> Result<Option<Head>, HttpError> {
+    fn read_head(&mut self, buffer: &mut Buffer, flag_header: &str) -> Result<Option<Head>, HttpError> {
         let unread = buffer.unread();
-        let from = self.searched.saturating_sub(3);
+        let from = self.searched_bytes.saturating_sub(3);
         let end = unread[from..].windows(4).position(|four| four == b"\r\n\r\n").map(|at| from + at);
         if end.unwrap_or(unread.len()) > MAX_HEAD_BYTES {
             return Err(HttpError::HeadTooLong);
         }
-        self.searched = unread.len();
+        self.searched_bytes = unread.len();
         let Some(end) = end else { return Ok(None) };
-        let head = parse_head(&unread[..end], mark)?;
+        let head = parse_head(&unread[..end], flag_header)?;
         buffer.consume(end + 4);
-        self.searched = 0;
+        self.searched_bytes = 0;
         Ok(Some(head))
     }
 
@@ -245,18 +245,18 @@
     (100..200).contains(&status)
 }
 
-fn parse_head(bytes: &[u8], mark: &str) -> Result<Head, HttpError> {
+fn parse_head(bytes: &[u8], flag_header: &str) -> Result<Head, HttpError> {
     let text = std::str::from_utf8(bytes).map_err(|_| HttpError::HeadNotUtf8)?;
     let mut lines = text.split("\r\n");
     let first = lines.next().and_then(|line| line.strip_prefix("HTTP/1."));
     let (minor, rest) = first.ok_or(HttpError::NotHttp1)?.split_once(' ').ok_or(HttpError::NoStatus)?;
     let status = parse_digits(rest.split(' ').next().unwrap_or_default().as_bytes(), 10, MAX_STATUS)? as u16;
-    let is_known = matches!(minor, "0" | "1") && status >= 100;
-    if !is_known || text.chars().any(|c| c.is_control() && !"\r\n\t".contains(c)) {
+    let is_valid = matches!(minor, "0" | "1") && status >= 100;
+    if !is_valid || text.chars().any(|c| c.is_control() && !"\r\n\t".contains(c)) {
         return Err(HttpError::UnreadableHead);
     }
     let mut headers = Headers { keeps_connection: minor == "1", ..Headers::default() };
-    lines.try_for_each(|line| headers.add(line, mark))?;
+    lines.try_for_each(|line| headers.add(line, flag_header))?;
     let mut keeps_connection = headers.keeps_connection;
     let framing = match headers.length {
         _ if is_interim(status) || status == 204 || status == 304 => Framing::Length(0),
@@ -282,13 +282,13 @@
 }
 
 impl Headers {
-    fn add(&mut self, line: &str, mark: &str) -> Result<(), HttpError> {
+    fn add(&mut self, line: &str, flag_header: &str) -> Result<(), HttpError> {
         let (name, value) = line.split_once(':').ok_or(HttpError::HeaderWithoutColon)?;
         let value = value.trim_matches([' ', '\t']);
         if !is_token(name) || value.contains(['\r', '\n']) {
             return Err(HttpError::UnreadableHeader);
         }
-        if name.eq_ignore_ascii_case(mark) {
+        if name.eq_ignore_ascii_case(flag_header) {
             self.is_flagged = value == "1";
         } else if name.eq_ignore_ascii_case("content-length") {
             let length = parse_digits(value.as_bytes(), 10, MAX_BODY_BYTES)?;
--- a/crates/hazelspur-parsers/src/json.rs
+++ b/crates/hazelspur-parsers/src/json.rs
@@ -91,16 +91,16 @@
         if inner.contains('\\') { unescape(inner).map(Cow::Owned) } else { Some(Cow::Borrowed(inner)) }
     }
 
-    fn parts(self, opens: u8) -> impl Iterator<Item = (Option<Json<'a>>, Json<'a>)> {
+    fn parts(self, opening: u8) -> impl Iterator<Item = (Option<Json<'a>>, Json<'a>)> {
         let (text, bytes) = (self.0, self.0.as_bytes());
-        let mut at = if bytes[0] == opens { 1 } else { bytes.len() };
+        let mut at = if bytes[0] == opening { 1 } else { bytes.len() };
         std::iter::from_fn(move || {
             at = skip_space(bytes, at);
             if matches!(bytes.get(at)?, b'}' | b']') {
                 return None;
             }
             let mut key = None;
-            if opens == b'{' {
+            if opening == b'{' {
                 let end = value_end(bytes, at, 1)?;
                 key = Some(Json(&text[at..end]));
                 at = skip_space(bytes, skip_space(bytes, end) + 1);
@@ -135,13 +135,13 @@
 
 /// The end of the object or array that begins at `at`.
 fn container_end(bytes: &[u8], at: usize, max_depth: u32) -> Option<usize> {
-    let closes = if bytes[at] == b'{' { b'}' } else { b']' };
+    let closing = if bytes[at] == b'{' { b'}' } else { b']' };
     let mut at = skip_space(bytes, at + 1);
-    if *bytes.get(at)? == closes {
+    if *bytes.get(at)? == closing {
         return Some(at + 1);
     }
     loop {
-        if closes == b'}' {
+        if closing == b'}' {
             at = skip_space(bytes, string_end(bytes, at)?);
             if *bytes.get(at)? != b':' {
                 return None;
@@ -151,7 +151,7 @@
         at = skip_space(bytes, value_end(bytes, at, max_depth.checked_sub(1)?)?);
         match *bytes.get(at)? {
             b',' => at = skip_space(bytes, at + 1),
-            b if b == closes => return Some(at + 1),
+            b if b == closing => return Some(at + 1),
             _ => return None,
         }
     }
--- a/crates/hazelspur-parsers/src/lib.rs
+++ b/crates/hazelspur-parsers/src/lib.rs
@@ -11,6 +11,6 @@
 pub use buffer::Buffer;
 pub use json::Json;
 
-fn put(out: &mut Vec<u8>, text: std::fmt::Arguments) {
+fn append(out: &mut Vec<u8>, text: std::fmt::Arguments) {
     std::io::Write::write_fmt(out, text).expect("a vector takes any text");
 }
--- a/crates/hazelspur-parsers/src/rpc.rs
+++ b/crates/hazelspur-parsers/src/rpc.rs
@@ -1,7 +1,7 @@
 //! Writes messages to gateways: JSON-RPC 2.0, one message a line. `Json` reads theirs.
 
+use crate::append;
 use crate::json::write_text;
-use crate::put;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 
@@ -31,20 +31,20 @@
 }
 
 /// Writes the result of a request; `signal` is the advertised capacity.
-pub fn write_result(out: &mut Vec<u8>, id: RpcId, data: &[u8], signal: Option<f64>) {
-    head(out, Some(id));
+pub fn write_result(out: &mut Vec<u8>, id: RpcId, data: &[u8], advertised_capacity: Option<f64>) {
+    write_head(out, Some(id));
     out.extend_from_slice(b",\"result\":{\"data\":\"");
     out.extend_from_slice(STANDARD.encode(data).as_bytes());
     out.push(b'"');
-    field(out, "signal", signal);
+    write_field(out, "signal", advertised_capacity);
     out.extend_from_slice(b"}}\n");
 }
 
 /// Writes the answer to a health check; `signal` is the advertised capacity.
-pub fn write_health(out: &mut Vec<u8>, id: RpcId, ready: bool, signal: Option<f64>) {
-    head(out, Some(id));
-    put(out, format_args!(",\"result\":{{\"ready\":{ready}"));
-    field(out, "signal", signal);
+pub fn write_health(out: &mut Vec<u8>, id: RpcId, ready: bool, advertised_capacity: Option<f64>) {
+    write_head(out, Some(id));
+    append(out, format_args!(",\"result\":{{\"ready\":{ready}"));
+    write_field(out, "signal", advertised_capacity);
     out.extend_from_slice(b"}}\n");
 }
 
@@ -67,15 +67,15 @@
 
 /// Writes an error; an `id` of `None` stands for a message whose id could not be read.
 pub fn write_error(out: &mut Vec<u8>, id: Option<RpcId>, code: i32, message: &str, data: ErrorData) {
-    head(out, id);
-    put(out, format_args!(",\"error\":{{\"code\":{code},\"message\":"));
+    write_head(out, id);
+    append(out, format_args!(",\"error\":{{\"code\":{code},\"message\":"));
     write_text(out, message);
     if !data.is_empty() {
         out.extend_from_slice(b",\"data\":");
         let from = out.len();
-        field(out, "holdoff", data.retry_after_ms);
-        field(out, "nomore", data.do_not_retry_elsewhere.then_some(1.0));
-        field(out, "signal", data.advertised_capacity);
+        write_field(out, "holdoff", data.retry_after_ms);
+        write_field(out, "nomore", data.do_not_retry_elsewhere.then_some(1.0));
+        write_field(out, "signal", data.advertised_capacity);
         out[from] = b'{'; // in place of the first comma
         out.push(b'}');
     }
@@ -87,15 +87,15 @@
     out.extend_from_slice(b"{\"jsonrpc\":\"2.0\",\"method\":\"farewell\"}\n");
 }
 
-fn head(out: &mut Vec<u8>, id: Option<RpcId>) {
+fn write_head(out: &mut Vec<u8>, id: Option<RpcId>) {
     match id {
-        Some(RpcId(id)) => put(out, format_args!("{{\"jsonrpc\":\"2.0\",\"id\":{id}")),
+        Some(RpcId(id)) => append(out, format_args!("{{\"jsonrpc\":\"2.0\",\"id\":{id}")),
         None => out.extend_from_slice(b"{\"jsonrpc\":\"2.0\",\"id\":null"),
     }
 }
 
-fn field(out: &mut Vec<u8>, name: &str, value: Option<f64>) {
+fn write_field(out: &mut Vec<u8>, name: &str, value: Option<f64>) {
     if let Some(value) = value {
-        put(out, format_args!(",\"{name}\":{value}"));
+        append(out, format_args!(",\"{name}\":{value}"));
     }
 }
--- a/crates/hazelspur-parsers/src/runtime.rs
+++ b/crates/hazelspur-parsers/src/runtime.rs
@@ -1,7 +1,7 @@
 //! The protocol of the link to the worker process (the configuration's `runtime`): lines of words. Where the last word of a line is a length, so many bytes and a line
 //! end follow.
 
-use crate::put;
+use crate::append;
 use thiserror::Error;
 
 /// The longest line, in bytes.
@@ -37,9 +37,9 @@
 /// Takes the decoded messages.
 pub trait MessageHandler {
     /// The runtime is up: whether it is warm, and for how long it has run, in ms.
-    fn ready(&mut self, hot: bool, since_ms: u64);
+    fn ready(&mut self, is_warm: bool, uptime_ms: u64);
     /// A run ended: its message number, request, outcome word and result.
-    fn run_ended(&mut self, number: u64, id: &str, end: &str, result: &[u8]);
+    fn run_ended(&mut self, number: u64, id: &str, outcome: &str, result: &[u8]);
     /// A run requests a dependency call with this body.
     fn call_requested(&mut self, number: u64, id: &str, body: &[u8]);
     /// Gauges, as requested under this tag.
@@ -72,13 +72,13 @@
     let line = String::from_utf8_lossy(&bytes[..line_end]);
     let line = line.trim_end_matches('\r');
     let words: Vec<&str> = line.split(' ').collect();
-    let Some(message) = message(bytes, line_end + 1, line, &words)? else { return Ok(None) };
+    let Some(message) = split_message(bytes, line_end + 1, line, &words)? else { return Ok(None) };
     dispatch(line, &words, message.body, handler)?;
     Ok(Some(message.length))
 }
 
 /// The body after a line and where it ends; `None` while it is incomplete.
-fn message<'a>(
+fn split_message<'a>(
     bytes: &'a [u8],
     line_length: usize,
     line: &str,
@@ -88,7 +88,7 @@
         return Ok(Some(Message { body: &[], length: line_length }));
     };
     let length = length.parse().ok().filter(|length| *length <= MAX_BODY_BYTES);
-    let length: usize = length.ok_or_else(|| unreadable(line))?;
+    let length: usize = length.ok_or_else(|| unreadable_line(line))?;
     let Some(rest) = bytes.get(line_length..line_length + length + 2) else { return Ok(None) };
     let (body, tail) = rest.split_at(length);
     if tail != b"\r\n" {
@@ -103,56 +103,58 @@
     body: &[u8],
     handler: &mut impl MessageHandler,
 ) -> Result<(), RuntimeProtocolError> {
-    let number = |word: &str| word.parse::<u64>().map_err(|_| unreadable(line));
+    let parse_number = |word: &str| word.parse::<u64>().map_err(|_| unreadable_line(line));
     match *words {
-        ["ready", state, ms] => handler.ready(state == "hot", number(ms)?),
-        ["end", sequence, id, end, _ms, _length] => handler.run_ended(number(sequence)?, id, end, body),
-        ["wants", sequence, id, _length] => handler.call_requested(number(sequence)?, id, body),
+        ["ready", state, ms] => handler.ready(state == "hot", parse_number(ms)?),
+        ["end", number, id, outcome, _ms, _length] => {
+            handler.run_ended(parse_number(number)?, id, outcome, body)
+        }
+        ["wants", number, id, _length] => handler.call_requested(parse_number(number)?, id, body),
         ["load", tag, ref values @ ..] => {
             let values: Option<Vec<f64>> = values.iter().map(|value| value.parse().ok()).collect();
-            handler.gauges_received(tag, &values.ok_or_else(|| unreadable(line))?);
+            handler.gauges_received(tag, &values.ok_or_else(|| unreadable_line(line))?);
         }
         ["nack", command, id] => handler.command_rejected(command, id),
-        ["info", sequence, ..] => {
-            handler.info(number(sequence)?, line.splitn(3, ' ').nth(2).unwrap_or_default());
+        ["info", number, ..] => {
+            handler.info(parse_number(number)?, line.splitn(3, ' ').nth(2).unwrap_or_default());
         }
-        _ => return Err(unreadable(line)),
+        _ => return Err(unreadable_line(line)),
     }
     Ok(())
 }
 
-fn unreadable(line: &str) -> RuntimeProtocolError {
+fn unreadable_line(line: &str) -> RuntimeProtocolError {
     RuntimeProtocolError::UnreadableLine { line: line.chars().take(MAX_SHOWN_CHARS).collect() }
 }
 
 /// Asks for all messages after the one of this number.
 pub fn write_sync(out: &mut Vec<u8>, last: u64) {
-    put(out, format_args!("sync {last}\r\n"));
+    append(out, format_args!("sync {last}\r\n"));
 }
 
 /// Starts a run, or resumes a paused one.
 pub fn write_start(out: &mut Vec<u8>, id: &str, class: &str, body: &[u8]) {
-    put(out, format_args!("start {id} {class} {}\r\n", body.len()));
-    put_body(out, body);
+    append(out, format_args!("start {id} {class} {}\r\n", body.len()));
+    append_body(out, body);
 }
 
 /// Stops a run.
 pub fn write_stop(out: &mut Vec<u8>, id: &str) {
-    put(out, format_args!("stop {id}\r\n"));
+    append(out, format_args!("stop {id}\r\n"));
 }
 
 /// Passes the response of a dependency call to the run that requested it.
 pub fn write_call_reply(out: &mut Vec<u8>, id: &str, reply: &[u8]) {
-    put(out, format_args!("give {id} {}\r\n", reply.len()));
-    put_body(out, reply);
+    append(out, format_args!("give {id} {}\r\n", reply.len()));
+    append_body(out, reply);
 }
 
 /// Asks for the gauges; the answer carries the tag.
 pub fn write_gauges_request(out: &mut Vec<u8>, tag: &str) {
-    put(out, format_args!("gauges {tag}\r\n"));
+    append(out, format_args!("gauges {tag}\r\n"));
 }
 
-fn put_body(out: &mut Vec<u8>, body: &[u8]) {
+fn append_body(out: &mut Vec<u8>, body: &[u8]) {
     out.extend_from_slice(body);
     out.extend_from_slice(b"\r\n");
 }
--- a/crates/hazelspur-parsers/src/settings.rs
+++ b/crates/hazelspur-parsers/src/settings.rs
@@ -24,11 +24,11 @@
 /// # Errors
 /// A table that stands twice or is too long, an entry that breaks a rule, or too many keys.
 pub fn read(object: Json, visitor: &mut impl EntryVisitor) -> Result<FlatSettings, ConfigError> {
-    let mut others = Flattener::new(MAX_SETTINGS);
+    let mut other_settings = Flattener::new(MAX_SETTINGS);
     let mut tables_read = Vec::new();
     for (key, value) in object.fields() {
         let Some(table) = EntryKind::ALL.into_iter().find(|table| table.wire_key() == key) else {
-            others.add(value, dotted_key_part(&key));
+            other_settings.add(value, dotted_key_part(&key));
             continue;
         };
         if tables_read.contains(&table) {
@@ -37,7 +37,7 @@
         tables_read.push(table);
         read_table(value, table, visitor)?;
     }
-    others.finish("settings")
+    other_settings.finish("settings")
 }
 
 fn read_table(array: Json, table: EntryKind, visitor: &mut impl EntryVisitor) -> Result<(), ConfigError> {
@@ -66,12 +66,12 @@
     /// Adds a value, and all below it, under a dotted key. Nulls count as absent.
     fn add(&mut self, value: Json, key: String) {
         if value.is_object() {
-            for (part, below) in value.fields() {
-                self.add(below, join(&key, &dotted_key_part(&part)));
+            for (part, child) in value.fields() {
+                self.add(child, join_key(&key, &dotted_key_part(&part)));
             }
         } else if value.is_array() {
-            for (index, below) in value.items().enumerate() {
-                self.add(below, join(&key, &index.to_string()));
+            for (index, child) in value.items().enumerate() {
+                self.add(child, join_key(&key, &index.to_string()));
             }
         } else if let Some(value) = setting_value(value) {
             self.insert(key, value);
@@ -96,14 +96,14 @@
     }
 }
 
-fn join(key: &str, part: &str) -> String {
+fn join_key(key: &str, part: &str) -> String {
     if key.is_empty() { part.to_string() } else { format!("{key}.{part}") }
 }
 
 /// The value of a text, flag or number; none of a null. A number that does not fit counts as no number.
 fn setting_value(value: Json) -> Option<SettingValue> {
     if let Some(text) = value.text() {
-        return Some(SettingValue::Text(setting_word(&text).to_string()));
+        return Some(SettingValue::Text(settings_word(&text).to_string()));
     }
     if let Some(flag) = value.flag() {
         return Some(SettingValue::Number(f64::from(u8::from(flag))));
@@ -141,7 +141,7 @@
 }
 
 /// The word of the settings that a word of the wire stands for.
-fn setting_word(wire_word: &str) -> &str {
+fn settings_word(wire_word: &str) -> &str {
     match wire_word {
         "safe" => "retryable",
         "unsafe" => "non-retryable",
--- a/crates/hazelspur-parsers/tests/settings.rs
+++ b/crates/hazelspur-parsers/tests/settings.rs
@@ -35,7 +35,7 @@
     settings::catalog(parse(text)).expect("valid settings")
 }
 
-fn error(text: &str) -> String {
+fn error_text(text: &str) -> String {
     settings::catalog(parse(text)).expect_err("invalid settings").to_string()
 }
 
@@ -44,8 +44,8 @@
     let text = r#"{"lanes":[{"aim-us":1800000,"semantics":"safe"}],"family-info":{"n-cores":6,"cold":true,
         "below":"silent","new":null,"odd":1e999},"orgs":[{"quota-rps":49.0}]}"#;
     let mut recorder = Recorder::default();
-    let others = settings::read(parse(text), &mut recorder).expect("valid entries");
-    for (key, value) in others.iter() {
+    let other_settings = settings::read(parse(text), &mut recorder).expect("valid entries");
+    for (key, value) in other_settings.iter() {
         writeln!(recorder.0, "{key} {value:?}").expect("a string takes any text");
     }
     expect_test::expect![[r#"
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn every_wire_key_beside_the_tables_sets_its_field() {
+fn every_wire_key_outside_the_tables_sets_its_field() {
     let catalog = catalog(
         r#"{"family-info":{"n-cores":6,"mem-limit-kb":9000,"run-factor":2,"key-kb":3,"cold":true,
         "meters":["on_cores","crowd"],"stop-mode":"pause","say":"credit","caller-idle-us":1000001,
@@ -208,24 +208,27 @@
 }
 
 #[test]
-fn words_of_settings_have_a_variant_each() {
+fn each_wire_word_selects_its_variant() {
     let mut seen = String::new();
     for word in ["drop", "pause", "silent", "none", "later"] {
         let catalog = catalog(&format!(r#"{{"family-info":{{"stop-mode":"{word}"}}}}"#));
-        writeln!(seen, "stop-mode {word}: {:?}", catalog.settings().preemption).expect("a string");
+        writeln!(seen, "stop-mode {word}: {:?}", catalog.settings().preemption)
+            .expect("a string takes any text");
     }
     for word in ["credit", "weight", "silent", "loudly"] {
         let catalog = catalog(&format!(r#"{{"family-info":{{"say":"{word}"}}}}"#));
-        writeln!(seen, "say {word}: {:?}", catalog.settings().capacity_signal).expect("a string");
+        writeln!(seen, "say {word}: {:?}", catalog.settings().capacity_signal)
+            .expect("a string takes any text");
     }
     for word in ["request", "work", "weight"] {
         let catalog = catalog(&format!(r#"{{"counted-by":"{word}"}}"#));
-        writeln!(seen, "counted-by {word}: {:?}", catalog.settings().value_unit).expect("a string");
+        writeln!(seen, "counted-by {word}: {:?}", catalog.settings().value_unit)
+            .expect("a string takes any text");
     }
     for word in ["safe", "keyed", "unsafe"] {
         let catalog = catalog(&format!(r#"{{"lanes":[{{"aim-us":1,"semantics":"{word}"}}]}}"#));
         writeln!(seen, "semantics {word}: {:?}", catalog.request_classes()[0].1.idempotency)
-            .expect("a string");
+            .expect("a string takes any text");
     }
     expect_test::expect![[r#"
         stop-mode drop: Drop
@@ -283,7 +286,7 @@
         r#"{"rules":{"cold-us":-5}}"#.to_string(),
         r#"{"novelty":{"odd":1e999}}"#.to_string(),
     ];
-    let seen: String = texts.iter().map(|text| error(text) + "\n").collect();
+    let seen: String = texts.iter().map(|text| error_text(text) + "\n").collect();
     expect_test::expect![[r#"
         setting op_types.0.target_latency_us is missing
         setting op_types.0.target_latency_us is no number
--- a/crates/hazelspur-parsers/tests/texts.rs
+++ b/crates/hazelspur-parsers/tests/texts.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write;
 
 #[test]
-fn json_is_read_in_place_and_malformed_json_is_refused() {
+fn json_values_are_read_and_malformed_json_is_rejected() {
     let texts = [
         r#" {"a":1.5e1,"b":[true,null,"x\u00e9\ud83d\ude00\n"],"a":2} "#,
         r#"{"a":01}"#,
@@ -56,11 +56,11 @@
 struct Recorder(String);
 
 impl runtime::MessageHandler for Recorder {
-    fn ready(&mut self, hot: bool, since_ms: u64) {
-        self.0 += &format!("ready {hot} {since_ms}\n");
+    fn ready(&mut self, is_warm: bool, uptime_ms: u64) {
+        self.0 += &format!("ready {is_warm} {uptime_ms}\n");
     }
-    fn run_ended(&mut self, number: u64, id: &str, end: &str, result: &[u8]) {
-        self.0 += &format!("end {number} {id} {end} {result:?}\n");
+    fn run_ended(&mut self, number: u64, id: &str, outcome: &str, result: &[u8]) {
+        self.0 += &format!("end {number} {id} {outcome} {result:?}\n");
     }
     fn call_requested(&mut self, number: u64, id: &str, body: &[u8]) {
         self.0 += &format!("wants {number} {id} {body:?}\n");
@@ -118,8 +118,8 @@
 }
 
 #[test]
-fn http_responses_of_all_kinds() {
-    let replies = [
+fn http_responses_are_read_whole_or_rejected() {
+    let responses = [
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabcHTTP",
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab",
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 Full\r\nx-untouched: 1\r\ncontent-length: 0\r\n\r\n",
@@ -143,11 +143,11 @@
         &"x".repeat(9000),
     ];
     let mut seen = String::new();
-    for text in replies {
-        let (mut buffer, mut reply) = (Buffer::default(), http::ResponseReader::default());
+    for text in responses {
+        let (mut buffer, mut reader) = (Buffer::default(), http::ResponseReader::default());
         let mut read = |piece: &[u8]| {
             buffer.spare_capacity().extend_from_slice(piece);
-            let read = reply.read(&mut buffer, "X-Untouched");
+            let read = reader.read(&mut buffer, "X-Untouched");
             read.map(|read| read.map(|r| (r.status, r.is_flagged, r.is_reusable, String::from_utf8(r.body))))
                 .map_err(|error| error.to_string())
         };
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn json_rpc_messages_are_written_one_a_line() {
+fn json_rpc_messages_are_written_one_per_line() {
     let mut out = Vec::new();
     rpc::write_result(&mut out, RpcId(7), b"done", Some(0.25));
     rpc::write_health(&mut out, RpcId(8), true, None);
