--- a/crates/hazelspur-adapter/src/decision_line.rs
+++ b/crates/hazelspur-adapter/src/decision_line.rs
@@ -10,8 +10,8 @@
         Decision::Run(request) => writeln!(reply, "ADMIT request-id={request}"),
         Decision::Preempt(request) => writeln!(reply, "HALT request-id={request}"),
         Decision::Reject { request, retry_after, do_not_retry_elsewhere } => {
-            let (wait, last) = (retry_after.us(), flag(*do_not_retry_elsewhere));
-            writeln!(reply, "DENY request-id={request} hold-off-us={wait} terminal={last}")
+            let (wait_us, is_terminal) = (retry_after.us(), flag(*do_not_retry_elsewhere));
+            writeln!(reply, "DENY request-id={request} hold-off-us={wait_us} terminal={is_terminal}")
         }
         Decision::Fail(request) => writeln!(reply, "ABORT request-id={request}"),
         Decision::AnswerFromOriginal(request) => writeln!(reply, "ANSWER_FROM request-id={request}"),
@@ -23,11 +23,11 @@
             writeln!(reply, "RECORD_KEY request-id={request} hold-for-us={}", window.us())
         }
         Decision::RemoveKey(request) => writeln!(reply, "RELEASE_KEY request-id={request}"),
-        Decision::AdvertiseCapacity(x) => writeln!(reply, "SAY x={x}"),
+        Decision::AdvertiseCapacity(capacity) => writeln!(reply, "SAY x={capacity}"),
         Decision::SetHealth { active, cached } => {
             writeln!(reply, "SET_HEALTH active={} cached={}", flag(*active), flag(*cached))
         }
-        Decision::SetIdleTimeout(span) => writeln!(reply, "KEEPALIVE hold-for-us={}", span.us()),
+        Decision::SetIdleTimeout(timeout) => writeln!(reply, "KEEPALIVE hold-for-us={}", timeout.us()),
         Decision::SetTimer(at) => writeln!(reply, "REMIND fire-at-us={} nonce=beat", at.us()),
         Decision::Log(event) => writeln!(reply, "RECORD message={event}"),
     };
--- a/crates/hazelspur-adapter/src/event.rs
+++ b/crates/hazelspur-adapter/src/event.rs
@@ -8,9 +8,9 @@
 };
 
 /// Set in the `bits` of a request whose cost is stated.
-const COST_IS_STATED: u32 = 1;
+const COST_STATED_BIT: u32 = 1;
 /// Set in the `bits` of a request that writes.
-const IS_WRITE: u32 = 4;
+const WRITE_BIT: u32 = 4;
 
 /// What a line is about.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -97,7 +97,7 @@
 }
 
 /// An event of a running server with its typed fields.
-pub(crate) enum BenchEvent {
+pub(crate) enum ServerEvent {
     /// A request arrived.
     RequestReceived(NewRequest),
     /// A run asks for its dependency call.
@@ -124,17 +124,17 @@
     ShutdownNotice(Timestamp),
 }
 
-impl BenchEvent {
+impl ServerEvent {
     /// Reads the fields of an event.
     pub(crate) fn parse(kind: EventKind, fields: Fields) -> Result<Self, AdapterError> {
         let request = || fields.request("request-id");
         Ok(match kind {
-            EventKind::RequestReceived => Self::RequestReceived(new_request(fields)?),
+            EventKind::RequestReceived => Self::RequestReceived(parse_new_request(fields)?),
             EventKind::CallRequested => Self::CallRequested(request()?),
             EventKind::CallFinished => Self::CallFinished { request: request()?, outcome: fields.outcome()? },
             EventKind::RunFinished => Self::RunFinished { request: request()?, outcome: fields.outcome()? },
             EventKind::RequestAbandoned => Self::RequestAbandoned(request()?),
-            EventKind::Timer => Self::Timer(gauges(fields)?),
+            EventKind::Timer => Self::Timer(parse_gauges(fields)?),
             EventKind::ShutdownNotice => {
                 Self::ShutdownNotice(Timestamp::from_us(fields.required("give-up-at-us")?))
             }
@@ -157,10 +157,10 @@
     }
 }
 
-fn new_request(fields: Fields) -> Result<NewRequest, AdapterError> {
+fn parse_new_request(fields: Fields) -> Result<NewRequest, AdapterError> {
     let bits: u32 = fields.optional("bits")?.unwrap_or(0);
     let deadline_us = fields.optional("give-up-at-us")?.filter(|at_us| *at_us > 0);
-    let cost_us = fields.optional("cost-us")?.filter(|_| bits & COST_IS_STATED != 0);
+    let cost_us = fields.optional("cost-us")?.filter(|_| bits & COST_STATED_BIT != 0);
     let retry_of = match fields.get("prior") {
         None | Some("0" | "") => None,
         Some(_) => Some(fields.request("prior")?),
@@ -176,21 +176,21 @@
         size_kb: fields.number("kb")?,
         age: Duration::from_us(fields.optional("age-us")?.unwrap_or(0)),
         read_after: Duration::ZERO,
-        is_write: bits & IS_WRITE != 0,
+        is_write: bits & WRITE_BIT != 0,
         retry_of,
     })
 }
 
 /// The gauges of `telemetry`: `name:value` separated by commas.
-fn gauges(fields: Fields<'_>) -> Result<RuntimeGauges, AdapterError> {
+fn parse_gauges(fields: Fields<'_>) -> Result<RuntimeGauges, AdapterError> {
     let pairs = fields.get("telemetry").unwrap_or("").split(',').filter(|pair| !pair.is_empty());
-    let gauges: Option<Vec<Gauge>> = pairs.map(gauge).collect();
+    let gauges: Option<Vec<Gauge>> = pairs.map(parse_gauge).collect();
     let gauges = gauges.ok_or(AdapterError::MalformedField { name: "telemetry" })?;
     let on_cores = gauges.iter().find(|gauge| gauge.name == REQUESTS_ON_CORES_GAUGE);
     Ok(RuntimeGauges { requests_on_cores: on_cores.map(|gauge| gauge.value) })
 }
 
-fn gauge(pair: &str) -> Option<Gauge<'_>> {
+fn parse_gauge(pair: &str) -> Option<Gauge<'_>> {
     let (name, value) = pair.split_once(':')?;
     let value = value.parse().ok().filter(|value: &f64| value.is_finite())?;
     Some(Gauge { name, value })
--- a/crates/hazelspur-adapter/src/fields.rs
+++ b/crates/hazelspur-adapter/src/fields.rs
@@ -24,7 +24,7 @@
     /// The value of a field that must be present.
     pub(crate) fn required<T: FromStr>(self, name: &'static str) -> Result<T, AdapterError> {
         let value = self.get(name).ok_or(AdapterError::MissingField { name })?;
-        value.parse().map_err(|_| unreadable(name, value))
+        value.parse().map_err(|_| unreadable_field(name, value))
     }
 
     /// The value of a field that may be absent.
@@ -35,13 +35,13 @@
     /// A finite number from zero on; absent gives zero.
     pub(crate) fn number(self, name: &'static str) -> Result<f64, AdapterError> {
         let number: f64 = self.optional(name)?.unwrap_or(0.0);
-        if number.is_finite() && number >= 0.0 { Ok(number) } else { Err(unreadable(name, number)) }
+        if number.is_finite() && number >= 0.0 { Ok(number) } else { Err(unreadable_field(name, number)) }
     }
 
     /// The id of a request.
     pub(crate) fn request(self, name: &'static str) -> Result<RequestId, AdapterError> {
         let value = self.get(name).ok_or(AdapterError::MissingField { name })?;
-        RequestId::parse(value).ok_or_else(|| unreadable(name, value))
+        RequestId::parse(value).ok_or_else(|| unreadable_field(name, value))
     }
 
     /// The outcome of a run or a dependency call (`disposition`).
@@ -56,11 +56,11 @@
             251 => Ok(Outcome::ConnectionLost),
             250 => Ok(Outcome::Preempted),
             249 => Ok(Outcome::NeverStarted),
-            _ => Err(unreadable("disposition", code)),
+            _ => Err(unreadable_field("disposition", code)),
         }
     }
 }
 
-fn unreadable(name: &'static str, value: impl ToString) -> AdapterError {
+fn unreadable_field(name: &'static str, value: impl ToString) -> AdapterError {
     AdapterError::UnreadableField { name, value: value.to_string() }
 }
--- a/crates/hazelspur-adapter/src/host.rs
+++ b/crates/hazelspur-adapter/src/host.rs
@@ -3,7 +3,7 @@
 
 use crate::decision_line::write_decision;
 use crate::error::AdapterError;
-use crate::event::{BenchEvent, EventKind, Line, LineKind};
+use crate::event::{EventKind, Line, LineKind, ServerEvent};
 use crate::fields::Fields;
 use hazelspur::{AdmissionController, Timestamp};
 use hazelspur_parsers::{Json, settings};
@@ -20,25 +20,25 @@
     /// The server of the events that follow.
     selected: Option<String>,
     /// Servers with an event in this batch, in order of appearance.
-    touched: Vec<TouchedServer>,
+    batch_servers: Vec<BatchServer>,
 }
 
 /// A server with an event in the current batch.
-struct TouchedServer {
+struct BatchServer {
     server: String,
     /// Its first fault in this batch.
     error: Option<AdapterError>,
 }
 
 /// A refused line.
-pub(crate) struct Fault {
+pub(crate) struct RejectedLine {
     /// Why it is refused.
     pub(crate) error: AdapterError,
     /// The server that gives in; `None` ends the adapter.
     pub(crate) server: Option<String>,
 }
 
-impl From<AdapterError> for Fault {
+impl From<AdapterError> for RejectedLine {
     fn from(error: AdapterError) -> Self {
         Self { error, server: None }
     }
@@ -51,8 +51,8 @@
     }
 
     /// Takes one line.
-    pub(crate) fn take_line(&mut self, line: Line) -> Result<(), Fault> {
-        let Some(now) = self.now else { return self.take_line_outside_batch(line) };
+    pub(crate) fn process_line(&mut self, line: Line) -> Result<(), RejectedLine> {
+        let Some(now) = self.now else { return self.process_line_outside_batch(line) };
         match line.kind {
             LineKind::Batch => Err(AdapterError::NestedBatch.into()),
             LineKind::Select => {
@@ -61,12 +61,12 @@
             }
             LineKind::Enlist => self.start_server(now, line.fields),
             LineKind::Exit => self.end_server(),
-            LineKind::Event(kind) => self.take_event(now, kind, line.fields),
+            LineKind::Event(kind) => self.report_event(now, kind, line.fields),
             LineKind::Commit | LineKind::Empty | LineKind::Unknown => Ok(()),
         }
     }
 
-    fn take_line_outside_batch(&mut self, line: Line) -> Result<(), Fault> {
+    fn process_line_outside_batch(&mut self, line: Line) -> Result<(), RejectedLine> {
         match line.kind {
             LineKind::Batch => {
                 self.now = Some(Timestamp::from_us(line.fields.required("at-time-us")?));
@@ -78,10 +78,10 @@
     }
 
     /// Counts a server among those that the commit answers for; keeps its first fault.
-    pub(crate) fn touch(&mut self, server: &str, error: Option<AdapterError>) {
-        match self.touched.iter_mut().find(|touched| touched.server == server) {
-            Some(touched) => touched.error = touched.error.take().or(error),
-            None => self.touched.push(TouchedServer { server: server.into(), error }),
+    pub(crate) fn include_in_reply(&mut self, server: &str, error: Option<AdapterError>) {
+        match self.batch_servers.iter_mut().find(|entry| entry.server == server) {
+            Some(entry) => entry.error = entry.error.take().or(error),
+            None => self.batch_servers.push(BatchServer { server: server.into(), error }),
         }
     }
 
@@ -89,51 +89,51 @@
         self.selected.clone().ok_or(AdapterError::NoServerSelected)
     }
 
-    fn start_server(&mut self, now: Timestamp, fields: Fields) -> Result<(), Fault> {
+    fn start_server(&mut self, now: Timestamp, fields: Fields) -> Result<(), RejectedLine> {
         let server = self.selected()?;
         let controller = match start_controller(now, fields) {
             Ok(controller) => controller,
-            Err(error) => return Err(Fault { error, server: Some(server) }),
+            Err(error) => return Err(RejectedLine { error, server: Some(server) }),
         };
         self.controllers.insert(server.clone(), controller);
-        self.touched.retain(|touched| touched.server != server);
-        self.touch(&server, None);
+        self.batch_servers.retain(|entry| entry.server != server);
+        self.include_in_reply(&server, None);
         Ok(())
     }
 
-    fn end_server(&mut self) -> Result<(), Fault> {
+    fn end_server(&mut self) -> Result<(), RejectedLine> {
         let server = self.selected()?;
         if self.controllers.remove(&server).is_none() {
             return Err(AdapterError::UnknownServer { server }.into());
         }
-        self.touched.retain(|touched| touched.server != server);
+        self.batch_servers.retain(|entry| entry.server != server);
         Ok(())
     }
 
-    fn take_event(&mut self, now: Timestamp, kind: EventKind, fields: Fields) -> Result<(), Fault> {
+    fn report_event(&mut self, now: Timestamp, kind: EventKind, fields: Fields) -> Result<(), RejectedLine> {
         let server = self.selected()?;
         let Some(controller) = self.controllers.get_mut(&server) else {
             return Err(AdapterError::UnknownServer { server }.into());
         };
-        let report = || BenchEvent::parse(kind, fields).map(|event| event.report(controller, now));
+        let report = || ServerEvent::parse(kind, fields).map(|event| event.report(controller, now));
         let reported = catch_unwind(AssertUnwindSafe(report));
-        self.touch(&server, None);
+        self.include_in_reply(&server, None);
         let result = reported.unwrap_or_else(|panic| Err(panic_error(&*panic)));
-        result.map_err(|error| Fault { error, server: Some(server) })
+        result.map_err(|error| RejectedLine { error, server: Some(server) })
     }
 
     /// Ends the batch and writes the decisions of the servers with events in it.
     pub(crate) fn write_reply(&mut self, reply: &mut String) {
         let now = self.now.take().unwrap_or_default();
         self.selected = None;
-        for touched in std::mem::take(&mut self.touched) {
+        for entry in std::mem::take(&mut self.batch_servers) {
             let mut lines = String::new();
-            match touched.error {
-                Some(error) => write_give_in(&mut lines, &error),
-                None => self.write_decisions(&mut lines, &touched.server, now),
+            match entry.error {
+                Some(error) => write_failure(&mut lines, &error),
+                None => self.write_decisions(&mut lines, &entry.server, now),
             }
             if !lines.is_empty() {
-                reply.push_str(&format!("CONTEXT server-id={}\n", touched.server));
+                reply.push_str(&format!("CONTEXT server-id={}\n", entry.server));
                 reply.push_str(&lines);
             }
         }
@@ -146,7 +146,7 @@
             match catch_unwind(AssertUnwindSafe(|| controller.next_decision(now))) {
                 Ok(Some(decision)) => write_decision(lines, &decision),
                 Ok(None) => return,
-                Err(panic) => return write_give_in(lines, &panic_error(&*panic)),
+                Err(panic) => return write_failure(lines, &panic_error(&*panic)),
             }
         }
     }
@@ -162,7 +162,7 @@
     catch_unwind(AssertUnwindSafe(start)).map_err(|panic| panic_error(&*panic))
 }
 
-fn write_give_in(lines: &mut String, error: &AdapterError) {
+fn write_failure(lines: &mut String, error: &AdapterError) {
     let message = error.to_string().replace('\n', " ");
     lines.push_str(&format!("GIVE_IN message={message}\n"));
 }
--- a/crates/hazelspur-adapter/src/main.rs
+++ b/crates/hazelspur-adapter/src/main.rs
@@ -14,8 +14,8 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-/// The exit status after a fault of no server.
-const FAULT_STATUS: u8 = 2;
+/// The exit status after an error that belongs to no server.
+const ERROR_STATUS: u8 = 2;
 /// The longest part of a refused line that is shown, in characters.
 const MAX_SHOWN_CHARS: usize = 200;
 
@@ -29,13 +29,15 @@
         line.clear();
         match input.read_until(b'\n', &mut line) {
             Ok(0) if !host.is_in_batch() => return ExitCode::SUCCESS,
-            Ok(0) => return stop(number, &AdapterError::InputEnded, ""),
-            Err(error) => return stop(number, &AdapterError::InputFailed(error), ""),
+            Ok(0) => return exit_with_error(number, &AdapterError::InputEnded, ""),
+            Err(error) => return exit_with_error(number, &AdapterError::InputFailed(error), ""),
             Ok(_) => {}
         }
-        let Ok(text) = std::str::from_utf8(&line) else { return stop(number, &AdapterError::NotUtf8, "") };
+        let Ok(text) = std::str::from_utf8(&line) else {
+            return exit_with_error(number, &AdapterError::NotUtf8, "");
+        };
         let text = text.trim_end_matches(['\n', '\r']);
-        match take_line(&mut host, number, text) {
+        match process_line(&mut host, number, text) {
             Ok(None) => {}
             Ok(Some(reply)) => {
                 // The bench has gone where it takes no more replies.
@@ -43,19 +45,19 @@
                     return ExitCode::SUCCESS;
                 }
             }
-            Err(error) => return stop(number, &error, text),
+            Err(error) => return exit_with_error(number, &error, text),
         }
     }
     ExitCode::SUCCESS
 }
 
 /// Takes a line and returns the reply that a commit asks for.
-fn take_line(host: &mut Host, number: u64, text: &str) -> Result<Option<String>, AdapterError> {
+fn process_line(host: &mut Host, number: u64, text: &str) -> Result<Option<String>, AdapterError> {
     let line = Line::parse(text);
-    if let Err(fault) = host.take_line(line) {
-        let Some(server) = fault.server else { return Err(fault.error) };
-        log_fault(number, &fault.error, text);
-        host.touch(&server, Some(fault.error));
+    if let Err(rejected) = host.process_line(line) {
+        let Some(server) = rejected.server else { return Err(rejected.error) };
+        log_error(number, &rejected.error, text);
+        host.include_in_reply(&server, Some(rejected.error));
     }
     if line.kind != LineKind::Commit {
         return Ok(None);
@@ -65,11 +67,11 @@
     Ok(Some(reply))
 }
 
-fn log_fault(number: u64, error: &AdapterError, line: &str) {
+fn log_error(number: u64, error: &AdapterError, line: &str) {
     eprintln!("line {number}: {error}: {}", line.chars().take(MAX_SHOWN_CHARS).collect::<String>());
 }
 
-fn stop(number: u64, error: &AdapterError, line: &str) -> ExitCode {
-    log_fault(number, error, line);
-    ExitCode::from(FAULT_STATUS)
+fn exit_with_error(number: u64, error: &AdapterError, line: &str) -> ExitCode {
+    log_error(number, error, line);
+    ExitCode::from(ERROR_STATUS)
 }
--- a/crates/hazelspur-adapter/tests/wire.rs
+++ b/crates/hazelspur-adapter/tests/wire.rs
@@ -3,14 +3,14 @@
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-const START: &str = concat!(
+const START_SERVER: &str = concat!(
     "BATCH at-time-us=1000\nSELECT server-id=server_1\n",
     "ENLIST salt=7 boot-info={\"family-info\":{\"n-cores\":2,\"mem-limit-kb\":9000},\"new\":[null],",
     "\"lanes\":[{\"aim-us\":1000000,\"deadline-us\":4000000,\"semantics\":\"safe\"}]}\n",
 );
-const OP: &str = "5d3a91c4-c55e-4ea8-a723-2965583e6a4c";
+const REQUEST: &str = "5d3a91c4-c55e-4ea8-a723-2965583e6a4c";
 
-fn play(input: &str) -> String {
+fn run_adapter(input: &str) -> String {
     let mut adapter = Command::new(env!("CARGO_BIN_EXE_hazelspur-adapter"));
     let pipes = adapter.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
     let mut child = pipes.spawn().expect("the adapter starts");
@@ -21,10 +21,10 @@
 }
 
 #[test]
-fn unknown_lines_and_fields_are_ignored_and_the_end_of_input_is_a_success() {
-    let rest = format!("NOVELTY x=1\nCALL odd=3 kb=5 class=0 request-id={OP} neighbour=3\nCOMMIT\n");
-    let done = format!(
-        "BATCH at-time-us=9000\nSELECT server-id=server_1\nCOMPLETED request-id={OP} disposition=0\nCOMPLETED request-id={OP} disposition=0\nCOMMIT\nBATCH at-time-us=9900\nCOMMIT\n"
+fn unknown_lines_and_fields_are_ignored() {
+    let events = format!("NOVELTY x=1\nCALL odd=3 kb=5 class=0 request-id={REQUEST} neighbour=3\nCOMMIT\n");
+    let completions = format!(
+        "BATCH at-time-us=9000\nSELECT server-id=server_1\nCOMPLETED request-id={REQUEST} disposition=0\nCOMPLETED request-id={REQUEST} disposition=0\nCOMMIT\nBATCH at-time-us=9900\nCOMMIT\n"
     );
     expect_test::expect![[r#"
         CONTEXT server-id=server_1
@@ -36,22 +36,23 @@
         READY
         exit Some(0)
     "#]]
-    .assert_eq(&play(&format!("{START}{rest}{done}")));
+    .assert_eq(&run_adapter(&format!("{START_SERVER}{events}{completions}")));
 }
 
 #[test]
-fn unreadable_fields_make_their_server_give_in() {
-    let calls = [
+fn unreadable_fields_are_reported_for_their_server() {
+    let lines = [
         "CALL class=0 kb=5",
         "CALL request-id=short class=0",
-        &format!("CALL request-id={OP} class=-1"),
-        &format!("CALL request-id={OP} class=0 kb=inf"),
-        &format!("DEP_REPLY request-id={OP} disposition=7"),
+        &format!("CALL request-id={REQUEST} class=-1"),
+        &format!("CALL request-id={REQUEST} class=0 kb=inf"),
+        &format!("DEP_REPLY request-id={REQUEST} disposition=7"),
         "TIMER nonce=beat telemetry=on_cores:many",
         "ENLIST salt=1 boot-info={\"family-info\":{\"n-cores\":0}}",
         "ENLIST salt=1 boot-info={",
     ];
-    let seen: String = calls.iter().map(|call| play(&format!("{START}{call}\nCOMMIT\n"))).collect();
+    let seen: String =
+        lines.iter().map(|line| run_adapter(&format!("{START_SERVER}{line}\nCOMMIT\n"))).collect();
     expect_test::expect![[r#"
         CONTEXT server-id=server_1
         GIVE_IN message=field request-id is missing
@@ -97,16 +98,16 @@
 }
 
 #[test]
-fn faults_of_no_server_end_the_adapter() {
+fn errors_outside_a_server_end_the_adapter() {
     let inputs = [
         "COMMIT\n".to_string(),
-        START.to_string(),
+        START_SERVER.to_string(),
         "BATCH at-time-us=later\n".to_string(),
-        format!("{START}BATCH at-time-us=2000\n"),
-        format!("{START}SELECT server-id=server_9\nDROPPED request-id={OP}\nCOMMIT\n"),
-        format!("BATCH at-time-us=18446744073709551616\nDROPPED request-id={OP}\nCOMMIT\n"),
+        format!("{START_SERVER}BATCH at-time-us=2000\n"),
+        format!("{START_SERVER}SELECT server-id=server_9\nDROPPED request-id={REQUEST}\nCOMMIT\n"),
+        format!("BATCH at-time-us=18446744073709551616\nDROPPED request-id={REQUEST}\nCOMMIT\n"),
     ];
-    let seen: String = inputs.iter().map(|input| play(input)).collect();
+    let seen: String = inputs.iter().map(|input| run_adapter(input)).collect();
     expect_test::expect![[r#"
         line 1: line outside a batch: COMMIT
         exit Some(2)
@@ -125,28 +126,29 @@
 }
 
 #[test]
-fn every_line_of_a_request_is_read_and_every_event_is_answered() {
-    let other = OP.replace("5d3a", "6d3a");
-    let third = OP.replace("5d3a", "7d3a");
+fn every_event_is_read_and_answered() {
+    let other = REQUEST.replace("5d3a", "6d3a");
+    let third = REQUEST.replace("5d3a", "7d3a");
     let batches = [
         format!(
             "CALL class=0 kb=5 bits=5 cost-us=1000 give-up-at-us=4000000 realm=0 name-key=u age-us=10 prior=0 \
-             request-id={OP} neighbour=3\nCALL class=0 request-id={other} prior={OP}\nCALL class=0 request-id={third}"
+             request-id={REQUEST} neighbour=3\nCALL class=0 request-id={other} prior={REQUEST}\nCALL class=0 request-id={third}"
         ),
-        format!("WANTS_CALL request-id={OP}\nDROPPED request-id={third}"),
-        format!("DEP_REPLY request-id={OP} disposition=0"),
-        format!("COMPLETED request-id={OP} disposition=0\nCOMPLETED request-id={other} disposition=255"),
+        format!("WANTS_CALL request-id={REQUEST}\nDROPPED request-id={third}"),
+        format!("DEP_REPLY request-id={REQUEST} disposition=0"),
+        format!("COMPLETED request-id={REQUEST} disposition=0\nCOMPLETED request-id={other} disposition=255"),
         "TIMER nonce=beat telemetry=on_cores:1.5,odd:2".to_string(),
         "QUIESCE give-up-at-us=9000000".to_string(),
         "EXIT".to_string(),
     ];
-    let mut input = START.to_string() + "COMMIT\n";
+    let mut input = START_SERVER.to_string() + "COMMIT\n";
     for (number, events) in batches.iter().enumerate() {
         let at_us = 2000 + number * 50_000;
         input += &format!("BATCH at-time-us={at_us}\nSELECT server-id=server_1\n{events}\nCOMMIT\n");
     }
-    input +=
-        &format!("BATCH at-time-us=900000\nSELECT server-id=server_1\nDROPPED request-id={OP}\nCOMMIT\n");
+    input += &format!(
+        "BATCH at-time-us=900000\nSELECT server-id=server_1\nDROPPED request-id={REQUEST}\nCOMMIT\n"
+    );
     expect_test::expect![[r#"
         CONTEXT server-id=server_1
         SET_HEALTH active=1 cached=1
@@ -172,5 +174,5 @@
         line 39: event for unknown instance server_1: DROPPED request-id=5d3a91c4-c55e-4ea8-a723-2965583e6a4c
         exit Some(2)
     "#]]
-    .assert_eq(&play(&input));
+    .assert_eq(&run_adapter(&input));
 }
