--- a/crates/hazelspur-deliveries/src/broker_selector.rs
+++ b/crates/hazelspur-deliveries/src/broker_selector.rs
@@ -1,23 +1,25 @@
-//! Selects the broker to connect to and when.
+//! Selects the broker to connect to and the time of the connection attempt.
 //!
-//! Input: the results of connection attempts. Output: an address and the time of the next attempt. All instances
-//! of a fleet lose a broker at the same moment, so every attempt is delayed at random within the spread.
+//! Input: the results of connection attempts. Output: an address and the time of the next attempt. All
+//! instances of a fleet lose a broker at the same moment, so every attempt is delayed at random; the spread
+//! scales the delay.
 
 use hazelspur::pcg::Pcg;
 use hazelspur::{Duration, Timestamp};
 use std::net::SocketAddr;
 
-/// Failures in a row after which a broker is avoided for a while.
+/// Number of failures in a row after which a broker is avoided.
 const MAX_FAILURES: u32 = 3;
-/// Time for which a broker is avoided at first; doubled each time.
+/// Time for which a broker is avoided at first; it doubles with each further time.
 const MIN_AVOIDED: Duration = Duration::from_ms(15_000);
-/// Longest time for which a broker is avoided.
+/// Maximum time for which a broker is avoided.
 const MAX_AVOIDED: Duration = Duration::from_ms(240_000);
-/// Longest delay of an attempt during shutdown, when replies are still to be published.
+/// Maximum delay of an attempt during shutdown, when replies are still to be published.
 const MAX_SHUTDOWN_DELAY: Duration = Duration::from_ms(200);
-/// Connection time after which earlier failures of the broker no longer count.
+/// Duration of a connection after which earlier failures of the broker no longer count.
 const STABLE_CONNECTION: Duration = Duration::from_ms(5000);
-/// Fraction of the spread that is added to the random delay of attempts after the first.
+/// Fraction of the spread that is added to the random delay of every attempt but the first one after a lost
+/// connection.
 const REPEATED_ATTEMPT_OFFSET: f64 = 0.5;
 
 #[derive(Clone, Debug)]
@@ -47,7 +49,7 @@
     }
 }
 
-/// The brokers in order of preference, with their failures.
+/// Brokers in order of preference, with their recent failures and the time of the next attempt.
 #[derive(Clone, Debug)]
 pub struct BrokerSelector {
     brokers: Vec<Broker>,
@@ -59,8 +61,8 @@
 }
 
 impl BrokerSelector {
-    /// Creates a selector over at least one address, in order of preference. `spread` is the longest delay after
-    /// a loss and the mean delay between attempts.
+    /// Creates a selector over at least one address, in order of preference. `spread` is the maximum delay
+    /// after a lost connection and the mean delay between later attempts.
     pub fn new(addresses: &[SocketAddr], spread: Duration, seed: u64, now: Timestamp) -> Self {
         Self {
             brokers: addresses.iter().copied().map(Broker::new).collect(),
@@ -72,7 +74,8 @@
         }
     }
 
-    /// Replaces the addresses; returns whether the selected one is gone. Failures of known brokers are kept.
+    /// Replaces the addresses and returns whether the selected one was removed. The failures of brokers that
+    /// stay are kept.
     pub fn replace_addresses(&mut self, now: Timestamp, addresses: &[SocketAddr]) -> bool {
         let current = self.address();
         let known = std::mem::take(&mut self.brokers);
@@ -87,29 +90,31 @@
         removed
     }
 
-    /// Address of the selected broker.
+    /// Returns the address of the selected broker.
     pub fn address(&self) -> SocketAddr {
         self.brokers[self.selected].address
     }
 
-    /// When to connect to `address`.
+    /// Returns the time of the next attempt to connect to `address`.
     pub fn next_attempt(&self) -> Timestamp {
         self.next_attempt
     }
 
-    /// Brings the next attempt forward for a shutdown.
+    /// Limits the delay of the next attempt to `MAX_SHUTDOWN_DELAY`, for a shutdown with replies still to be
+    /// published.
     pub fn shorten_delay(&mut self, now: Timestamp) {
         let delay = MAX_SHUTDOWN_DELAY.scaled(self.random.unit());
         self.next_attempt = self.next_attempt.min(now + delay);
     }
 
-    /// Records that the connection is open.
+    /// Records that the connection to the selected broker is open.
     pub fn connected(&mut self, now: Timestamp) {
         self.connected_since = Some(now);
     }
 
-    /// Records that an attempt failed or a connection ended; returns whether another broker is selected now.
-    /// `refused` means that the broker rejected the login or the settings, so that retries cannot help for now.
+    /// Records that an attempt failed or a connection ended, schedules the next attempt, and returns whether
+    /// another broker is selected now. `refused` tells that the broker rejected the login or the settings, so
+    /// that an early retry cannot succeed.
     pub fn connection_failed(&mut self, now: Timestamp, refused: bool) -> bool {
         let connected_since = self.connected_since.take();
         let stable = connected_since.is_some_and(|since| now - since >= STABLE_CONNECTION);
@@ -125,19 +130,22 @@
         self.selected != previous
     }
 
-    /// The first broker that is not avoided, else the one that is avoided for the shortest time from now.
+    /// Returns the index of the first broker that is not avoided, else of the one that is avoided for the
+    /// shortest time from now.
     fn most_preferred(&self, now: Timestamp) -> usize {
         let usable = self.brokers.iter().position(|broker| broker.avoided_until <= now);
         let soonest = || (0..self.brokers.len()).min_by_key(|index| self.brokers[*index].avoided_until);
         usable.or_else(soonest).unwrap_or(0)
     }
 
-    /// The first attempt after a loss is spread from now on. Later ones are one spread apart on average: delays
-    /// that began at zero would make two waves of one.
+    /// Schedules the next attempt. The first one after a lost connection is delayed by zero to one spread.
+    /// Later ones are delayed by half a spread to one and a half: if their delays also began at zero, the
+    /// first and second attempts of a fleet would reach the broker in the same period.
     fn schedule_attempt(&mut self, now: Timestamp, was_connected: bool, refused: bool) {
         let offset = if was_connected { 0.0 } else { REPEATED_ATTEMPT_OFFSET };
         let delay = self.spread.scaled(self.random.unit() + offset);
-        // A broker that refused is not retried before its time, even when all are avoided.
+        // After a refusal the selected broker is not tried while it is avoided, even if all brokers are
+        // avoided.
         let from = if refused { now.max(self.brokers[self.selected].avoided_until) } else { now };
         self.next_attempt = from + delay;
     }
--- a/crates/hazelspur-deliveries/src/duty_cycle_gate.rs
+++ b/crates/hazelspur-deliveries/src/duty_cycle_gate.rs
@@ -1,16 +1,20 @@
-//! Duty cycle of a queue whose prefetch window is below one: after each delivery the gate stays closed so that
-//! a delivery is being processed for the given fraction of the time.
+//! Duty cycle of a queue whose prefetch window is below one: the fraction of the time in which a delivery is
+//! being processed.
+//!
+//! Input: the duty cycle, the deliveries of the queue, and the time that each one took. Output: the next
+//! delivery that may be submitted. Deliveries are submitted one at a time, and the gate stays closed after
+//! each one for as long as the duty cycle requires.
 
 use crate::identifiers::DeliveryId;
 use hazelspur::{Duration, Timestamp};
 use std::collections::VecDeque;
 
-/// Longest time that the gate stays closed after a delivery.
+/// Maximum time for which the gate stays closed after a delivery.
 const MAX_CLOSED: Duration = Duration::from_ms(5000);
 /// Duty cycle at which deliveries pass without waiting.
 const UNLIMITED_DUTY_CYCLE: f64 = 1.0;
 
-/// Queues deliveries while the duty cycle is below one and passes them one at a time.
+/// Gate that queues deliveries while the duty cycle is below one and releases them one at a time.
 #[derive(Clone, Debug)]
 pub(crate) struct DutyCycleGate {
     duty_cycle: f64,
@@ -29,7 +33,7 @@
         self.duty_cycle = duty_cycle;
     }
 
-    /// Whether deliveries have to wait for their turn.
+    /// Returns whether deliveries have to wait in the gate.
     pub(crate) fn is_limiting(&self) -> bool {
         self.duty_cycle < UNLIMITED_DUTY_CYCLE
     }
@@ -42,12 +46,13 @@
         self.queued.push_back(id);
     }
 
-    /// When the next queued delivery may pass.
+    /// Returns the time from which the next queued delivery may be submitted.
     pub(crate) fn opens_at(&self) -> Timestamp {
         self.opens_at
     }
 
-    /// Takes the next delivery that may pass now; `busy` says that another one is being processed.
+    /// Removes and returns the next delivery that may be submitted now. `busy` tells whether another delivery
+    /// of the queue is being processed.
     pub(crate) fn pop_ready(&mut self, now: Timestamp, busy: bool) -> Option<DeliveryId> {
         if self.is_limiting() && (busy || self.opens_at > now) {
             return None;
@@ -55,7 +60,8 @@
         self.queued.pop_front()
     }
 
-    /// Closes the gate for as long as the delivery submitted at `submitted_at` needs by the duty cycle.
+    /// Closes the gate after a delivery that was submitted at `submitted_at`, in proportion to its processing
+    /// time: with a duty cycle of 0.25 for three times as long, up to `MAX_CLOSED`.
     pub(crate) fn delivery_finished(&mut self, now: Timestamp, submitted_at: Timestamp) {
         if self.is_limiting() {
             let closed_for = (now - submitted_at).scaled(1.0 / self.duty_cycle - 1.0);
--- a/crates/hazelspur-deliveries/src/identifiers.rs
+++ b/crates/hazelspur-deliveries/src/identifiers.rs
@@ -1,4 +1,4 @@
-//! Identifiers of queues, connections and deliveries.
+//! Identifiers of queues, broker connections and deliveries.
 
 /// Index of a queue in the operator's file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -8,17 +8,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionNumber(pub u64);
 
-/// Process-wide identifier of a delivery; never reused.
+/// Identifier of a delivery, unique within the process and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DeliveryId(pub u64);
 
 /// The broker's identifier of a delivery, valid only on the channel and connection that delivered it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DeliveryTag {
-    /// Connection that the delivery came on.
+    /// Connection on which the delivery arrived.
     pub connection: ConnectionNumber,
-    /// Channel of that connection.
+    /// Channel of the connection.
     pub channel: u16,
-    /// Delivery tag on that channel.
+    /// Delivery tag, counted by the broker per channel.
     pub tag: u64,
 }
--- a/crates/hazelspur-deliveries/src/lib.rs
+++ b/crates/hazelspur-deliveries/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of a consumer of a broker's queues: how each delivery is settled, how many deliveries are taken
-//! (prefetch), how a duplicate message is answered, and when to reconnect to which broker.
+//! Decisions of a consumer of a broker's queues: the settlement of each delivery, the number of unsettled
+//! deliveries (prefetch), the answer to a duplicate message, and the broker and time of a reconnect.
 //!
-//! No I/O and no clock. Whether and when the request of a delivery runs is decided by
-//! `hazelspur::AdmissionController`.
+//! Performs no I/O and reads no clock: callers pass the time and carry out the returned actions.
+//! `hazelspur::AdmissionController` decides whether and when the request of a delivery runs.
 
 mod broker_selector;
 mod duty_cycle_gate;
--- a/crates/hazelspur-deliveries/src/message_cache.rs
+++ b/crates/hazelspur-deliveries/src/message_cache.rs
@@ -1,7 +1,8 @@
-//! Cache of recent message-ids: which delivery processes each message, and how finished ones ended.
+//! Cache of recent message-ids, by which duplicate messages are detected: the delivery that processes each
+//! message, and the outcomes of finished messages.
 //!
-//! Input: message-ids with their progress. Output: what is known of a message that is delivered again.
-//! Invariant: entries that are not in progress are bounded in number, bytes and age; the oldest is evicted first.
+//! Input: message-ids with their progress. Output: the state of a message that is delivered again. Invariant:
+//! entries that are not in progress are bounded in number, bytes and age; the oldest is evicted first.
 
 use crate::identifiers::DeliveryId;
 use crate::outcome::DeliveryOutcome;
@@ -9,40 +10,41 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// What is known of a message-id.
+/// State of a message, as recorded under its message-id.
 #[derive(Clone, Debug)]
 pub enum MessageState {
-    /// A delivery of this message is being processed.
+    /// The given delivery of this message is being processed.
     InProgress(DeliveryId),
     /// The request of this message ran, or may have run.
     Finished {
-        /// How it ended.
+        /// Outcome with which duplicates are settled.
         outcome: DeliveryOutcome,
-        /// Its result, empty unless it succeeded.
+        /// Result of the request, empty unless it succeeded.
         result: Rc<[u8]>,
     },
-    /// The request failed this many times and may run again.
+    /// The request failed in the given number of attempts and may run again.
     FailedAttempts(u32),
 }
 
 /// Bounds of the cache.
 #[derive(Clone, Copy, Debug)]
 pub struct MessageCacheLimits {
-    /// How long an entry is kept after it finished.
+    /// Time for which an entry is kept after its message finished or failed.
     pub retention: Duration,
     /// Maximum number of entries that are not in progress.
     pub max_entries: usize,
-    /// Maximum size of the finished message-ids and results, in bytes.
+    /// Maximum total size of the message-ids and results of finished messages, in bytes.
     pub max_bytes: usize,
 }
 
+/// Entry of a message that is not in progress, with the time at which it was added.
 #[derive(Clone, Debug)]
 struct AgedMessage {
     added_at: Timestamp,
     message_id: Rc<str>,
 }
 
-/// Message-ids seen lately, by message-id.
+/// States of recent messages, by message-id.
 #[derive(Clone, Debug)]
 pub struct MessageCache {
     limits: MessageCacheLimits,
@@ -65,37 +67,41 @@
         }
     }
 
-    /// Number of entries that were evicted before the end of their retention.
+    /// Returns the number of entries that were evicted before the end of their retention.
     pub fn evicted_count(&self) -> u64 {
         self.evicted_count
     }
 
-    /// Returns what is known of a message, after removing the entries past their retention.
+    /// Removes the entries past their retention, then returns the state of a message, or `None` if it is
+    /// unknown.
     pub fn lookup(&mut self, now: Timestamp, message_id: &str) -> Option<MessageState> {
         self.remove_expired(now);
         self.messages.get(message_id).cloned()
     }
 
-    /// Records that this delivery processes the message.
+    /// Records that the given delivery processes the message.
     pub fn begin(&mut self, message_id: &Rc<str>, id: DeliveryId) {
         self.messages.insert(message_id.clone(), MessageState::InProgress(id));
     }
 
-    /// Removes a message that this delivery processes and that never ran, so that another delivery may run it.
+    /// Removes a message that is in progress with the given delivery, so that another delivery of it may run.
+    /// Finished and failed messages stay.
     pub fn release(&mut self, message_id: &str, id: DeliveryId) {
         if matches!(self.messages.get(message_id), Some(MessageState::InProgress(owner)) if *owner == id) {
             self.messages.remove(message_id);
         }
     }
 
-    /// Records the number of failed attempts of a message that is requeued, which carries no attempt count.
+    /// Records the number of failed attempts of a message that is requeued: the broker redelivers it
+    /// unchanged, without an attempt count.
     pub fn record_failed_attempts(&mut self, now: Timestamp, message_id: &Rc<str>, attempts: u32) {
         self.messages.insert(message_id.clone(), MessageState::FailedAttempts(attempts));
         self.by_age.push_back(AgedMessage { added_at: now, message_id: message_id.clone() });
         self.enforce_limits();
     }
 
-    /// Records the outcome of a message whose request ran or may have run: duplicates are settled alike.
+    /// Records the outcome of a message whose request ran or may have run, so that duplicates are settled
+    /// alike. The first recorded outcome stays.
     pub fn record_finished(
         &mut self,
         now: Timestamp,
--- a/crates/hazelspur-deliveries/src/outcome.rs
+++ b/crates/hazelspur-deliveries/src/outcome.rs
@@ -1,13 +1,13 @@
-//! How the processing of a delivery ended.
+//! Final outcomes of deliveries and their names on the wire.
 
 use hazelspur::Duration;
 
-/// Final outcome of a delivery, before it is mapped to a settlement.
+/// Final outcome of a delivery, which the queue's settlement table maps to a settlement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliveryOutcome {
     /// The request ran and returned a result.
     Succeeded,
-    /// The request was rejected without having run; it may be retried after this time.
+    /// The request was rejected without having run; it may be retried after the given delay.
     Rejected(Duration),
     /// The request ran, or may have run, and returned no result.
     Failed,
@@ -22,7 +22,7 @@
 }
 
 impl DeliveryOutcome {
-    /// Name used in the reply's `x-outcome` header and in logs.
+    /// Returns the name used in the reply's `x-outcome` header and in logs.
     pub fn wire_name(self) -> &'static str {
         match self {
             Self::Succeeded => "acked",
--- a/crates/hazelspur-deliveries/src/prefetch_window.rs
+++ b/crates/hazelspur-deliveries/src/prefetch_window.rs
@@ -1,40 +1,42 @@
-//! Prefetch window of a queue: how many of its deliveries may be unsettled here.
+//! Prefetch window of a queue: the number of its deliveries that may be unsettled in this process.
 //!
-//! Input: outcomes of requests and the number of unsettled deliveries. Output: the window for `basic.qos` and the
-//! duty cycle below a window of one. A message that is not taken waits in the queue at no cost, so the window
-//! shrinks when requests are rejected, whichever ingress they came by.
+//! Input: outcomes of requests and the number of unsettled deliveries. Output: the window for `basic.qos`
+//! and, for a window below one, the duty cycle. A message that is not delivered yet waits in the queue at no
+//! cost, so the window shrinks when requests are rejected, whether they came from a queue or from a gateway.
 
 use hazelspur::{Duration, Timestamp};
 
-/// Shortest time between two changes of the window.
+/// Minimum time between two changes of the window.
 const MIN_CYCLE: Duration = Duration::from_ms(500);
-/// Window at the start.
+/// Initial window, in deliveries.
 const INITIAL_WINDOW: f64 = 2.0;
-/// Growth per cycle until the first rejection and after `CALM_CYCLES` cycles without one.
+/// Growth factor per cycle until the first rejection, and again after `CALM_CYCLES` cycles without one.
 const FAST_GROWTH_FACTOR: f64 = 1.25;
-/// Growth per cycle otherwise: each step may cost gateways' requests a rejection.
+/// Growth factor per cycle otherwise. It is small since each step may cause rejections of gateways' requests.
 const SLOW_GROWTH_FACTOR: f64 = 1.05;
-/// Cycles without a rejection after which the window grows fast again.
+/// Number of cycles without a rejection after which the window grows fast again.
 const CALM_CYCLES: u32 = 20;
 /// Rejected fraction up to which the window does not shrink.
 const TOLERATED_REJECTED_FRACTION: f64 = 0.005;
-/// Weight of the rejected fraction in the divisor: all rejected divides the window by seven.
+/// Weight of the rejected fraction in the divisor of the window: if all requests are rejected, the window is
+/// divided by seven.
 const REJECTED_FRACTION_WEIGHT: f64 = 6.0;
-/// Smallest window, which is a duty cycle.
+/// Minimum adaptive window; a window below one acts as a duty cycle.
 const MIN_DUTY_CYCLE: f64 = 1.0 / 64.0;
 
-/// How the window changes.
+/// Rule by which the window changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PrefetchRule {
-    /// Always the maximum.
+    /// The window is always the maximum.
     Fixed,
-    /// The spare capacity of the admission controller.
+    /// The window is the spare capacity of the admission controller, in whole requests.
     SpareCapacity,
-    /// Grows by a factor per cycle and is divided by the rejected fraction; below one it is a duty cycle.
+    /// The window grows by a factor in each cycle in which it was full, and shrinks with the rejected
+    /// fraction of requests. Below one it acts as a duty cycle.
     Adaptive,
 }
 
-/// The prefetch window of one queue.
+/// Prefetch window of one queue.
 #[derive(Clone, Debug)]
 pub struct PrefetchWindow {
     rule: PrefetchRule,
@@ -44,7 +46,7 @@
     succeeded: u32,
     rejected: u32,
     was_full: bool,
-    /// Cycles without a rejection since the last one with some.
+    /// Number of cycles since the last one in which too many requests were rejected.
     calm_cycles: u32,
 }
 
@@ -68,19 +70,20 @@
         }
     }
 
-    /// Counts requests of any ingress that were answered since the last call.
+    /// Adds the numbers of requests, of gateways and queues alike, that were answered since the last call.
     pub fn record_outcomes(&mut self, succeeded: u32, rejected: u32) {
         self.succeeded += succeeded;
         self.rejected += rejected;
     }
 
-    /// Samples the number of unsettled deliveries of this queue.
+    /// Records the number of unsettled deliveries of this queue, to learn whether the window is full.
     pub fn record_unsettled(&mut self, unsettled: usize) {
         self.was_full |= self.window < 1.0 || unsettled as f64 >= self.window.floor();
     }
 
-    /// Ends a cycle that is long enough; returns the window if it changed. `spare_capacity` is the number of
-    /// further requests that the admission controller could take.
+    /// Ends the cycle if it has lasted `MIN_CYCLE`, and returns the new window if it changed.
+    /// `spare_capacity` is the number of further requests that the admission controller could take. An
+    /// adaptive window waits until at least one request was answered in the cycle.
     pub fn update(&mut self, now: Timestamp, spare_capacity: f64) -> Option<u16> {
         let answered = self.succeeded + self.rejected;
         let needs_outcomes = self.rule == PrefetchRule::Adaptive;
@@ -116,12 +119,13 @@
         self.window * growth
     }
 
-    /// Number of deliveries that may be unsettled, at least one.
+    /// Returns the number of deliveries that may be unsettled, at least one.
     pub fn window(&self) -> u16 {
         self.window.max(1.0) as u16
     }
 
-    /// Fraction of the time in which a delivery may be processed; one from a window of one on.
+    /// Returns the fraction of the time in which a delivery may be processed: the window itself below one,
+    /// else one.
     pub fn duty_cycle(&self) -> f64 {
         self.window.min(1.0)
     }
--- a/crates/hazelspur-deliveries/src/settlement.rs
+++ b/crates/hazelspur-deliveries/src/settlement.rs
@@ -1,20 +1,23 @@
-//! Maps the outcome of a delivery to its settlement with the broker, by a table per queue.
+//! Maps the outcome of a delivery to its settlement with the broker, by a settlement table per queue.
+//!
+//! Input: the outcome, the idempotency of the request and the number of previous attempts. Output: the
+//! settlement and the delay before a redelivery. Invariant: no table redelivers a message without end.
 
 use crate::outcome::DeliveryOutcome;
 use hazelspur::{Duration, Idempotency};
 use thiserror::Error;
 
-/// Attempts of a failing request where the queue does not configure them.
+/// Maximum number of attempts of a failing request if the queue does not configure it.
 const DEFAULT_MAX_ATTEMPTS: u32 = 8;
-/// Delay after a failed attempt where the queue does not configure it.
+/// Delay after a failed attempt if the queue does not configure it.
 const DEFAULT_FAILED_DELAY: Duration = Duration::from_ms(1000);
 
-/// How a delivery is settled with the broker.
+/// Settlement of a delivery with the broker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Settlement {
     /// Acknowledge: the broker removes the message.
     Ack,
-    /// Reject: the broker dead-letters the message where the queue has a dead-letter exchange, else drops it.
+    /// Reject: the broker dead-letters the message if the queue has a dead-letter exchange, else drops it.
     Reject,
     /// Keep the delivery unsettled for a delay, then requeue it.
     RequeueLater,
@@ -23,13 +26,13 @@
 }
 
 impl Settlement {
-    /// Whether the message is delivered again.
+    /// Returns whether the message is delivered again.
     pub fn redelivers(self) -> bool {
         matches!(self, Self::RequeueLater | Self::PublishRetry)
     }
 }
 
-/// The settlements of a queue, one for each outcome.
+/// Settlements of a queue, one for each outcome that the operator may configure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SettlementTable {
     /// Settlement of a rejected request.
@@ -44,7 +47,7 @@
     pub malformed: Settlement,
     /// Settlement of a request that may have run before and must not run twice.
     pub possible_duplicate: Settlement,
-    /// Settlement of a failed request without attempts left.
+    /// Settlement of a failed request that has no attempts left.
     pub exhausted: Settlement,
     /// Maximum number of attempts of a failing request.
     pub max_attempts: u32,
@@ -52,17 +55,17 @@
     pub failed_delay: Duration,
 }
 
-/// A settlement table that cannot be used. The text is the operator's error message.
+/// Error in a settlement table. The text is shown to the operator after the path of the key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SettlementTableError {
-    /// The outcome would be redelivered without end.
+    /// Messages with this outcome would be redelivered without end.
     #[error("would come back for ever: only ack or reject")]
     EndlessRedelivery {
         /// Key of the outcome in the operator's file.
         key: &'static str,
     },
-    /// The outcome needs a retry queue and none is configured.
-    #[error("retry needs retry_queue")]
+    /// The outcome is settled by way of a retry queue and none is configured.
+    #[error("retry needs retry_queue to be set")]
     MissingRetryQueue {
         /// Key of the outcome in the operator's file.
         key: &'static str,
@@ -70,7 +73,7 @@
 }
 
 impl SettlementTableError {
-    /// Key of the outcome in the operator's file.
+    /// Returns the key of the outcome in the operator's file.
     pub fn key(self) -> &'static str {
         match self {
             Self::EndlessRedelivery { key } | Self::MissingRetryQueue { key } => key,
@@ -78,10 +81,12 @@
     }
 }
 
-/// A row of the table under its key in the operator's file.
+/// Settlement of one outcome, for validation.
 struct Row {
+    /// Key of the outcome in the operator's file.
     key: &'static str,
     settlement: Settlement,
+    /// Whether the outcome may be settled by a redelivery.
     may_redeliver: bool,
 }
 
@@ -105,7 +110,7 @@
     /// Checks that no outcome is redelivered without end and that a retry queue exists where one is needed.
     ///
     /// # Errors
-    /// Returns the first row that cannot be used.
+    /// Returns the key of the first outcome whose settlement is not allowed.
     pub fn check(&self, has_retry_queue: bool) -> Result<(), SettlementTableError> {
         for Row { key, settlement, may_redeliver } in self.rows() {
             if settlement.redelivers() && !may_redeliver {
@@ -131,10 +136,11 @@
         ]
     }
 
-    /// Decides the settlement of a delivery with `previous_attempts` attempts before this one.
+    /// Returns the settlement of a delivery with `previous_attempts` attempts before this one.
     ///
-    /// A retry copy and its original can both exist when the connection breaks between publish and ack. So a
-    /// request that must not run twice is never copied, and is not redelivered once it may have run.
+    /// A retry copy and its original can both exist when the connection breaks between publish and ack.
+    /// Therefore a request that must not run twice is never copied, and is not redelivered once it may have
+    /// run.
     pub fn settle(
         &self,
         outcome: DeliveryOutcome,
@@ -168,7 +174,7 @@
         }
     }
 
-    /// Delay before the redelivery of this outcome.
+    /// Returns the delay before the redelivery of a message with this outcome.
     pub fn redelivery_delay(&self, outcome: DeliveryOutcome) -> Duration {
         match outcome {
             DeliveryOutcome::Rejected(retry_after) => retry_after,
--- a/crates/hazelspur-deliveries/src/tracker/action.rs
+++ b/crates/hazelspur-deliveries/src/tracker/action.rs
@@ -1,71 +1,73 @@
-//! What the owner of the connection carries out for the tracker.
+//! Actions that the owner of the broker's connection carries out for the tracker.
 
 use crate::identifiers::{DeliveryId, DeliveryTag};
 use crate::outcome::DeliveryOutcome;
 use hazelspur::Duration;
 use std::rc::Rc;
 
-/// One action, to be carried out in the order of `DeliveryTracker::next_action`.
+/// Action of the tracker, to be carried out in the order of `DeliveryTracker::next_action`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DeliveryAction {
     /// Submit the request to the admission controller.
     Submit(DeliveryId),
-    /// Abandon the request: its delivery is no longer here to be settled, or it has expired.
+    /// Abandon the request in the admission controller: its delivery can no longer be settled, or has
+    /// expired.
     Abandon(DeliveryId),
-    /// Let a request that was chosen to run begin, or tell it that it never will.
+    /// Answer `run_requested`: permit the run of the request, or state that it never runs.
     ResolveRun {
-        /// The delivery of the request.
+        /// Delivery of the request.
         id: DeliveryId,
-        /// Whether it may run.
+        /// Whether the request may run.
         permitted: bool,
     },
-    /// Acknowledge.
+    /// Acknowledge the delivery.
     Ack(DeliveryTag),
-    /// Reject without requeue.
+    /// Reject the delivery without requeue.
     Reject(DeliveryTag),
-    /// Reject with requeue.
+    /// Reject the delivery with requeue.
     Requeue(DeliveryTag),
     /// Send a method on the tag's channel whose answer shows that the broker has read all methods before it.
     Fence {
-        /// Names the channel.
+        /// Tag that identifies the channel.
         tag: DeliveryTag,
         /// Delivery to pass to `fence_answered`.
         id: DeliveryId,
     },
-    /// Publish the reply.
+    /// Publish the reply to a delivery.
     PublishReply {
-        /// The delivery to reply to.
+        /// Delivery to reply to.
         id: DeliveryId,
-        /// How its request ended.
+        /// Outcome of the request.
         outcome: DeliveryOutcome,
-        /// The reply's body.
+        /// Body of the reply.
         result: Rc<[u8]>,
     },
-    /// Publish a copy to the retry queue.
+    /// Publish a copy of the message to the retry queue.
     PublishRetry {
-        /// The delivery to copy.
+        /// Delivery whose message is copied.
         id: DeliveryId,
         /// Time until the copy is redelivered.
         delay: Duration,
         /// Attempts so far, this one included.
         attempts: u32,
     },
-    /// Publish a copy to the delivery's own queue, with the time of sending and the longest wait of the original.
+    /// Publish a copy of the message to the delivery's own queue, with the original's send time and maximum
+    /// wait.
     PublishExpired {
-        /// The delivery to copy.
+        /// Delivery whose message is copied.
         id: DeliveryId,
     },
-    /// Drop what is stored for the delivery.
+    /// Drop everything that is stored for a delivery that has ended.
     Release {
-        /// The delivery that is over.
+        /// Delivery that has ended.
         id: DeliveryId,
-        /// How it ended.
+        /// Outcome of the delivery.
         outcome: DeliveryOutcome,
     },
 }
 
 impl DeliveryAction {
-    /// The tag that the action uses.
+    /// Returns the tag that the action uses, `None` if it needs no tag.
     pub(super) fn tag(&self) -> Option<DeliveryTag> {
         match self {
             Self::Ack(tag) | Self::Reject(tag) | Self::Requeue(tag) | Self::Fence { tag, .. } => Some(*tag),
--- a/crates/hazelspur-deliveries/src/tracker/connection_loss.rs
+++ b/crates/hazelspur-deliveries/src/tracker/connection_loss.rs
@@ -1,16 +1,17 @@
-//! Loss of a channel or a connection: its tags can no longer be settled.
+//! Loss of a channel or a connection: its tags can no longer be settled. Deliveries that have not run are
+//! left to the broker, which redelivers them; runs and replies go on without a tag.
 
 use super::delivery::{Delivery, DeliveryState, Publication};
 use super::{DeliveryAction, DeliveryTracker, MAX_PENDING_REPLIES};
 use crate::identifiers::{ConnectionNumber, DeliveryId, DeliveryTag};
 
 impl DeliveryTracker {
-    /// The connection and all its channels are lost.
+    /// Records that the connection and all its channels are lost.
     pub fn connection_lost(&mut self, connection: ConnectionNumber) {
         self.handle_lost_tags(|tag| tag.connection == connection);
     }
 
-    /// One channel of a connection is lost.
+    /// Records that one channel of a connection is lost.
     pub fn channel_lost(&mut self, connection: ConnectionNumber, channel: u16) {
         self.handle_lost_tags(|tag| tag.connection == connection && tag.channel == channel);
     }
@@ -21,7 +22,8 @@
             let uses_tag = delivery.unsettled || delivery.state == DeliveryState::AwaitingFence;
             uses_tag && is_lost(&delivery.tag)
         });
-        // Duplicates first: an original that ends here requeues the others, whose tags are not lost.
+        // Duplicates come first: an original that ends here requeues its remaining duplicates, and those must
+        // be the ones whose tags are still valid.
         let (duplicates, others): (Vec<_>, Vec<_>) =
             affected.into_iter().partition(|id| self.is_duplicate(*id));
         duplicates.into_iter().chain(others).for_each(|id| self.handle_lost_tag(id));
@@ -55,6 +57,7 @@
         }
     }
 
+    /// Drops the oldest publications without a tag in excess of `MAX_PENDING_REPLIES`.
     fn drop_excess_replies(&mut self) {
         let without_tag = |delivery: &Delivery| !delivery.unsettled && delivery.state.is_publishing();
         let waiting = self.select(without_tag);
--- a/crates/hazelspur-deliveries/src/tracker/counters.rs
+++ b/crates/hazelspur-deliveries/src/tracker/counters.rs
@@ -1,6 +1,6 @@
-//! Counters of deliveries.
+//! Counters of deliveries, for the server's log.
 
-/// Numbers of deliveries since the start.
+/// Numbers of deliveries since the start of the process, by event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DeliveryCounters {
     /// Received from the broker.
@@ -15,15 +15,16 @@
     pub retried: u64,
     /// Expired before their run.
     pub expired: u64,
-    /// Duplicates settled with the outcome of their message.
+    /// Duplicates settled with the outcome that their message had before.
     pub duplicates: u64,
     /// Settled as possible duplicates without having run here.
     pub possible_duplicates: u64,
-    /// Left to the broker when their channel was lost before they ran.
+    /// Ended when their channel was lost, before their settlement or, if acknowledged first, before their
+    /// run.
     pub left_to_broker: u64,
-    /// Acknowledged and never run, since the connection broke before the fence, or the deadline passed before it and
-    /// the broker did not confirm the copy.
+    /// Acknowledged and never run: the connection broke before the fence was answered, or the deadline passed
+    /// after the ack and the message was not published again to its queue.
     pub acked_without_run: u64,
-    /// Replies that the broker did not take.
+    /// Replies that the broker did not accept or could not route, or that were dropped since too many waited.
     pub replies_lost: u64,
 }
--- a/crates/hazelspur-deliveries/src/tracker/delivery.rs
+++ b/crates/hazelspur-deliveries/src/tracker/delivery.rs
@@ -1,4 +1,4 @@
-//! One delivery: what is known of it and its state.
+//! Data and state of one delivery.
 
 use crate::identifiers::{DeliveryId, DeliveryTag, QueueId};
 use crate::outcome::DeliveryOutcome;
@@ -7,41 +7,40 @@
 use hazelspur::{Duration, Idempotency, Timestamp};
 use std::rc::Rc;
 
-/// What is published for a delivery before it is settled.
+/// Message that is published for a delivery before the delivery ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Publication {
-    /// The reply that the message asked for.
+    /// Reply that the message asked for.
     Reply,
-    /// A copy to the retry queue.
+    /// Copy to the retry queue, which delivers it again after the delay.
     RetryCopy { delay: Duration },
-    /// A copy to its own queue, of a message whose time ended between its ack and its run. The broker has read the
-    /// ack and nothing ran, so the copy is the only one; whoever gets it settles it as expired.
+    /// Copy to the delivery's own queue, of a message that expired between its ack and its run. The broker
+    /// has read the ack and the request has not run, so the copy is the only one; the consumer that receives
+    /// it settles it as expired.
     ExpiredCopy,
 }
 
-/// State of a delivery between its receipt and its settlement.
+/// State of a delivery between its receipt and its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DeliveryState {
     /// Waits for the queue's duty cycle gate.
     Gated,
-    /// Submitted to the admission controller, which has not run it yet.
+    /// Submitted to the admission controller, which has not started its request yet.
     Submitted,
-    /// A duplicate that ends as the given delivery does.
+    /// Duplicate that is settled like the given delivery.
     DuplicateOf(DeliveryId),
-    /// Acknowledged before its run, which waits for the fence.
+    /// Acknowledged; the run starts when the broker answers the fence.
     AwaitingFence,
+    /// The run of the request was permitted and has not ended.
     Running,
-    /// A reply or a retry copy waits for its publishing or its confirm.
-    Publishing {
-        publication: Publication,
-        sent_at: Option<Timestamp>,
-    },
-    /// Waits for its requeue at this time.
+    /// A message waits to be published (`sent_at` is `None`) or to be confirmed.
+    Publishing { publication: Publication, sent_at: Option<Timestamp> },
+    /// Waits, unsettled, for its requeue at the given time.
     RequeueAt(Timestamp),
 }
 
 impl DeliveryState {
-    /// Whether the admission controller knows its request.
+    /// Returns whether the admission controller knows the request.
     pub(super) fn is_submitted(self) -> bool {
         matches!(self, Self::Submitted | Self::AwaitingFence | Self::Running)
     }
@@ -56,13 +55,15 @@
 }
 
 impl DeliveryState {
-    /// Whether it waits for nothing but a connection on which it can be published.
+    /// Returns whether a message is being published that does not depend on the delivery's tag, so that it
+    /// can also be published on another connection.
     pub(super) fn is_publishing_without_tag(self) -> bool {
         let published = |publication| matches!(publication, Publication::Reply | Publication::ExpiredCopy);
         matches!(self, Self::Publishing { publication, .. } if published(publication))
     }
 }
 
+/// Delivery between its receipt and its end.
 #[derive(Clone, Debug)]
 pub(super) struct Delivery {
     pub(super) queue: QueueId,
@@ -73,16 +74,18 @@
     pub(super) idempotency: Idempotency,
     pub(super) deadline: Option<Timestamp>,
     pub(super) wants_reply: bool,
-    /// Attempts before this delivery.
+    /// Number of attempts before this delivery.
     pub(super) previous_attempts: u32,
     pub(super) state: DeliveryState,
+    /// Deliveries of the same message that are settled like this one.
     pub(super) duplicates: Vec<DeliveryId>,
+    /// Outcome; `Expired` until the delivery has one.
     pub(super) outcome: DeliveryOutcome,
     pub(super) settlement: Settlement,
     pub(super) result: Rc<[u8]>,
-    /// Whether the broker returned what was published for it.
+    /// Whether the broker returned the published message as unroutable.
     pub(super) returned: bool,
-    /// Its entry in the tracker's timers.
+    /// Time of its entry in the tracker's timers, if there is one.
     pub(super) timer: Option<Timestamp>,
     pub(super) submitted_at: Timestamp,
 }
@@ -109,7 +112,7 @@
         }
     }
 
-    /// Takes the tag for its one settlement.
+    /// Marks the delivery as settled and returns its tag, `None` if it can no longer be settled.
     pub(super) fn take_tag(&mut self) -> Option<DeliveryTag> {
         std::mem::replace(&mut self.unsettled, false).then_some(self.tag)
     }
@@ -118,7 +121,8 @@
         self.idempotency != Idempotency::Idempotent
     }
 
-    /// Whether a duplicate must not run after this outcome. A failed idempotent request may run again.
+    /// Returns whether a duplicate must not run after this outcome. A failed idempotent request may run
+    /// again.
     pub(super) fn prevents_rerun(&self, outcome: DeliveryOutcome) -> bool {
         match outcome {
             DeliveryOutcome::Succeeded => true,
--- a/crates/hazelspur-deliveries/src/tracker/invariants.rs
+++ b/crates/hazelspur-deliveries/src/tracker/invariants.rs
@@ -1,4 +1,4 @@
-//! Invariants of the tracker, checked by tests after each event.
+//! Invariants of the tracker, which tests check after each event.
 
 use super::DeliveryTracker;
 use super::delivery::{Delivery, DeliveryState};
@@ -6,28 +6,28 @@
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// An invariant that does not hold, with the delivery that breaks it.
+/// Violated invariant, with the delivery that violates it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum InvariantViolation {
     /// Two unsettled deliveries have the same tag.
-    #[error("{0:?}: two deliveries have one tag")]
+    #[error("{0:?} has the same tag as another unsettled delivery")]
     SharedTag(DeliveryId),
     /// A delivery that was acknowledged before its run is unsettled.
-    #[error("{0:?}: awaits its fence with a tag")]
+    #[error("{0:?} awaits its fence but is unsettled")]
     UnsettledFence(DeliveryId),
-    /// A delivery that has not run can no longer be settled.
-    #[error("{0:?}: kept without a tag")]
+    /// A delivery that waits to run or to be requeued can no longer be settled.
+    #[error("{0:?} has not run but can no longer be settled")]
     KeptWithoutTag(DeliveryId),
-    /// A duplicate refers to a delivery that is over.
-    #[error("{0:?}: duplicate of a delivery that is over")]
+    /// A duplicate refers to a delivery that has ended.
+    #[error("{0:?} is a duplicate of a delivery that has ended")]
     OrphanedDuplicate(DeliveryId),
 }
 
 impl DeliveryTracker {
-    /// Checks what has to hold after each event.
+    /// Checks the invariants that hold after each event.
     ///
     /// # Errors
-    /// Returns the first violation, by delivery.
+    /// Returns the violation of the delivery with the lowest id.
     pub fn check_invariants(&self) -> Result<(), InvariantViolation> {
         let mut tags = BTreeSet::new();
         for (id, delivery) in &self.deliveries {
--- a/crates/hazelspur-deliveries/src/tracker/mod.rs
+++ b/crates/hazelspur-deliveries/src/tracker/mod.rs
@@ -1,18 +1,19 @@
 //! Tracks each delivery from its receipt to its one settlement.
 //!
-//! Input: events of the broker's connection and of the requests, with the time. Output: a list of actions that
-//! the caller takes from `next_action` until it is empty and carries out in order.
+//! Input: events of the broker's connection and of the requests, with the time. Output: actions, which the
+//! caller takes from `next_action` until there are none and carries out in order.
 //!
-//! A delivery tag is valid on one channel of one connection. When that is lost, requests that have not run are
-//! abandoned, since the broker redelivers their messages. A running request goes on; its outcome waits for the
-//! redelivery of its message or, where a reply is wanted, is published on the next connection.
+//! A delivery tag is valid on one channel of one connection. When the channel is lost, requests that have not
+//! run are abandoned, since the broker redelivers their messages. A running request goes on; its outcome is
+//! kept for the redelivery of its message or, if a reply is wanted, is published on the next connection.
 //!
-//! A request that must not run twice is settled before its run: ack, a fence that shows that the broker has read
-//! the ack, then the run. So a redelivered message has not run anywhere. The price is that a process that dies
-//! between fence and run loses the message. A queue may be configured to settle after the run; then a
-//! redelivered message that is not in the cache may have run, and is dead-lettered.
+//! A request that must not run twice is settled before its run, in three steps: the ack; a fence, which is a
+//! method whose answer shows that the broker has read the ack; the run. Therefore a redelivered message has
+//! not run anywhere. The cost is that a process that dies between fence and run loses the message. A queue
+//! may be configured to settle after the run instead; then a redelivered message that is not in the cache may
+//! have run, and is settled as a possible duplicate.
 //!
-//! Invariant: `check_invariants`.
+//! Invariants: those that `check_invariants` checks.
 
 mod action;
 mod connection_loss;
@@ -39,30 +40,33 @@
 use std::collections::{BTreeMap, VecDeque};
 use timers::Timers;
 
-/// A delivery expires this long before its deadline; the admission controller's own timer tick is shorter.
+/// Time before its deadline at which a delivery expires. It is longer than the admission controller's timer
+/// tick.
 pub const EXPIRY_MARGIN: Duration = Duration::from_ms(80);
-/// Time within which the broker has to confirm a published message.
+/// Maximum time that the broker may take to confirm a published message.
 pub const CONFIRM_TIMEOUT: Duration = Duration::from_ms(5000);
-/// Maximum number of replies of lost connections that wait for the next one; the oldest is dropped.
+/// Maximum number of replies that wait for the next connection after theirs was lost; the oldest are dropped
+/// first.
 pub const MAX_PENDING_REPLIES: usize = 1024;
 
-/// How the deliveries of a queue are treated.
+/// Settings for the deliveries of one queue.
 #[derive(Clone, Debug)]
 pub struct QueueSettings {
-    /// Settlement for each outcome.
+    /// Settlement of each outcome.
     pub settlements: SettlementTable,
-    /// Whether a request that must not run twice is settled before its run (with a fence) instead of after.
+    /// Whether a request that must not run twice is settled before its run (with a fence) instead of after
+    /// it.
     pub settle_before_run: bool,
 }
 
-/// Whether messages can be published now.
+/// Conditions for publishing messages; they can be published while the channel is ready and not blocked.
 #[derive(Clone, Copy, Debug, Default)]
 struct PublisherState {
     channel_ready: bool,
     blocked_by_broker: bool,
 }
 
-/// The deliveries of all queues.
+/// Tracker of the deliveries of all queues.
 #[derive(Clone, Debug)]
 pub struct DeliveryTracker {
     queues: Vec<QueueSettings>,
@@ -79,7 +83,7 @@
 }
 
 impl DeliveryTracker {
-    /// Creates a tracker for these queues, whose `QueueId` is their index.
+    /// Creates a tracker for the given queues; the `QueueId` of a queue is its index.
     pub fn new(queues: Vec<QueueSettings>, message_cache: MessageCache) -> Self {
         Self {
             gates: queues.iter().map(|_| DutyCycleGate::default()).collect(),
@@ -101,7 +105,8 @@
         self.gates[queue.0].set_duty_cycle(duty_cycle);
     }
 
-    /// Requeues from now on what is received, and now what waits for its turn or its requeue.
+    /// Begins the shutdown: requeues the deliveries that wait in a gate or for a later requeue, and from now
+    /// on every delivery that would be submitted.
     pub fn shutdown_notice(&mut self) {
         self.shutting_down = true;
         let waits = |d: &Delivery| matches!(d.state, DeliveryState::RequeueAt(_) | DeliveryState::Gated);
@@ -121,7 +126,8 @@
         }
     }
 
-    /// When `next_action` may return an action without a further event.
+    /// Returns the time at which `next_action` may return an action without a further event, `None` if it
+    /// never does.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         let gates = self.gates.iter().enumerate();
         let waiting = gates.filter(|(queue, gate)| gate.has_queued() && !self.is_busy(*queue));
@@ -129,23 +135,24 @@
         [gate_opens_at, self.timers.next()].into_iter().flatten().min()
     }
 
-    /// Counters since the start.
+    /// Returns the counters since the start of the process.
     pub fn counters(&self) -> DeliveryCounters {
         self.counters
     }
 
-    /// Number of unsettled deliveries of a queue.
+    /// Returns the number of unsettled deliveries of a queue.
     pub fn unsettled_in(&self, queue: QueueId) -> usize {
         let unsettled = |delivery: &&Delivery| delivery.unsettled && delivery.queue == queue;
         self.deliveries.values().filter(unsettled).count()
     }
 
-    /// Number of deliveries that are not over, settled or not.
+    /// Returns the number of deliveries that have not ended, settled or not.
     pub fn active(&self) -> usize {
         self.deliveries.len()
     }
 
-    /// Whether a reply or an expired copy waits for a connection, or a running request may want one.
+    /// Returns whether a reply or a copy of an expired message is still to be published or confirmed, or a
+    /// running request may still produce one.
     pub fn has_pending_replies(&self) -> bool {
         let pending =
             |state: DeliveryState| state.is_publishing_without_tag() || state == DeliveryState::Running;
--- a/crates/hazelspur-deliveries/src/tracker/publishing.rs
+++ b/crates/hazelspur-deliveries/src/tracker/publishing.rs
@@ -1,4 +1,4 @@
-//! Publishing of replies and retry copies, which the broker confirms before the delivery is settled.
+//! Publishing of replies and of copies of messages, which the broker has to confirm before the delivery ends.
 
 use super::delivery::{DeliveryState, Publication};
 use super::{CONFIRM_TIMEOUT, DeliveryAction, DeliveryTracker};
@@ -8,6 +8,7 @@
 use hazelspur::{Duration, Timestamp};
 
 impl DeliveryTracker {
+    /// Queues a publication of the delivery.
     pub(super) fn begin_publishing(&mut self, now: Timestamp, id: DeliveryId, publication: Publication) {
         if let Some(delivery) = self.deliveries.get_mut(&id) {
             delivery.state = DeliveryState::Publishing { publication, sent_at: None };
@@ -16,7 +17,7 @@
         }
     }
 
-    /// Publishes the next message, if any can be published; returns whether the queue advanced.
+    /// Publishes the next queued message if messages can be published; returns whether the queue advanced.
     pub(super) fn publish_next(&mut self, now: Timestamp) -> bool {
         if !self.publisher.channel_ready || self.publisher.blocked_by_broker {
             return false;
@@ -41,7 +42,7 @@
         true
     }
 
-    /// The broker has confirmed (`accepted`) or refused what was published for this delivery.
+    /// Records that the broker confirmed (`accepted`) or refused the message published for this delivery.
     pub fn publish_confirmed(&mut self, now: Timestamp, id: DeliveryId, accepted: bool) {
         let Some(delivery) = self.deliveries.get(&id) else { return };
         let DeliveryState::Publishing { publication, .. } = delivery.state else { return };
@@ -64,7 +65,8 @@
         }
     }
 
-    /// The retry queue has no copy, which would have carried the attempt count: the cache keeps it instead.
+    /// Requeues a delivery whose retry copy was not published. The copy would have carried the attempt count,
+    /// so the cache keeps it; without a message-id the delivery is settled as exhausted.
     fn requeue_unpublished_retry(&mut self, now: Timestamp, id: DeliveryId, delay: Duration) {
         let Some(delivery) = self.deliveries.get(&id) else { return };
         if delivery.outcome == DeliveryOutcome::Failed {
@@ -77,15 +79,16 @@
         self.schedule_requeue(now, id, delay);
     }
 
-    /// The broker returned what was published for this delivery as unroutable; its confirm follows.
+    /// Records that the broker returned the message published for this delivery as unroutable; its confirm
+    /// follows.
     pub fn publish_returned(&mut self, id: DeliveryId) {
         if let Some(delivery) = self.deliveries.get_mut(&id) {
             delivery.returned = true;
         }
     }
 
-    /// The publishing channel is ready, or lost. What is unconfirmed when it is lost is published again, but for the
-    /// copies of messages that must not run twice.
+    /// Records that the publishing channel is ready, or lost. Messages that are unconfirmed when it is lost
+    /// are published again, except for copies of expired messages, which must not be in the queue twice.
     pub fn set_publishing_ready(&mut self, ready: bool) {
         self.publisher.channel_ready = ready;
         self.publisher.blocked_by_broker = false;
@@ -103,7 +106,8 @@
         }
     }
 
-    /// Of a copy that may have been published there is no second one.
+    /// Ends the deliveries whose copy of an expired message was sent and not confirmed: it may have been
+    /// published, so it is not published again.
     fn give_up_unconfirmed_copies(&mut self) {
         let unconfirmed = self.select(|delivery| {
             let DeliveryState::Publishing { publication, sent_at } = delivery.state else { return false };
@@ -115,15 +119,16 @@
         }
     }
 
-    /// The broker closed the publishing channel: any unconfirmed message may be the cause, so all count as
-    /// refused.
+    /// Records that the broker closed the publishing channel. Any unconfirmed message may be the cause, so
+    /// all count as refused.
     pub fn publishing_channel_closed(&mut self, now: Timestamp) {
         let publishing = self.select(|delivery| delivery.state.is_publishing());
         publishing.into_iter().for_each(|id| self.publish_confirmed(now, id, false));
         self.set_publishing_ready(false);
     }
 
-    /// The broker blocks publishers (`connection.blocked`), or no longer does. Unconfirmed messages stay sent.
+    /// Records whether the broker blocks publishers (`connection.blocked`). Messages already sent still await
+    /// their confirms.
     pub fn set_publishing_blocked(&mut self, blocked: bool) {
         self.publisher.blocked_by_broker = blocked;
     }
--- a/crates/hazelspur-deliveries/src/tracker/receipt.rs
+++ b/crates/hazelspur-deliveries/src/tracker/receipt.rs
@@ -1,4 +1,5 @@
-//! Receipt of a delivery: decides whether its request is submitted or the delivery ends at once.
+//! Receipt of a delivery: decides whether its request is submitted, is a duplicate of a known message, or is
+//! settled without a run.
 
 use super::delivery::{Delivery, DeliveryState};
 use super::{DeliveryAction, DeliveryTracker, EXPIRY_MARGIN};
@@ -8,29 +9,30 @@
 use hazelspur::{Idempotency, Timestamp};
 use std::rc::Rc;
 
-/// What the tracker needs to know of a delivery.
+/// Delivery as received from the broker, as far as the tracker needs it.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedDelivery<'a> {
-    /// Its tag.
+    /// Tag of the delivery.
     pub tag: DeliveryTag,
-    /// Its queue.
+    /// Queue of the delivery.
     pub queue: QueueId,
-    /// Its message-id, if any.
+    /// Message-id, `None` or empty if the message has none.
     pub message_id: Option<&'a str>,
     /// Whether the broker has delivered the message before.
     pub redelivered: bool,
-    /// Idempotency of its request class, or why the message is not a request.
+    /// Idempotency of the request class, or the outcome of a message that is not a valid request.
     pub idempotency: Result<Idempotency, DeliveryOutcome>,
-    /// By when its request has to begin.
+    /// Deadline by which the request has to begin, if there is one.
     pub deadline: Option<Timestamp>,
     /// Whether the message asks for a reply.
     pub wants_reply: bool,
-    /// Attempts before this one, according to the message's headers.
+    /// Number of attempts before this one, according to the message's headers.
     pub previous_attempts: u32,
 }
 
 impl DeliveryTracker {
-    /// Adds a delivery; returns its id, for which the caller keeps the message until `Release`.
+    /// Adds a delivery and returns its id. The caller keeps the message until the action `Release` names that
+    /// id.
     pub fn delivery_received(&mut self, now: Timestamp, received: ReceivedDelivery<'_>) -> DeliveryId {
         self.last_id += 1;
         self.counters.received += 1;
@@ -59,14 +61,15 @@
         id
     }
 
-    /// A requeued message carries no attempt count, so the cache's count applies where it is higher.
+    /// Applies the cache's attempt count if it is higher, since a requeued message carries no attempt count.
     fn raise_previous_attempts(&mut self, id: DeliveryId, attempts: u32) {
         if let Some(delivery) = self.deliveries.get_mut(&id) {
             delivery.previous_attempts = delivery.previous_attempts.max(attempts);
         }
     }
 
-    /// Submits a delivery that is no known duplicate, unless it must not or need not run.
+    /// Submits a delivery that is not a known duplicate. Requeues it during a shutdown, and settles it
+    /// without a run if it has expired or may have run before.
     fn start_processing(&mut self, now: Timestamp, id: DeliveryId, redelivered: bool) {
         if self.shutting_down {
             return self.requeue(id);
@@ -88,8 +91,9 @@
         self.submit_or_queue(now, id);
     }
 
-    /// The same message is being processed. A running delivery without a tag takes over the new one; otherwise
-    /// the message is here twice and the duplicate ends as the first does.
+    /// Handles a duplicate of a message that is being processed. A running delivery that lost its tag takes
+    /// over the tag of the duplicate; otherwise two copies of the message are unsettled here, and the
+    /// duplicate is settled like the first one.
     fn attach_duplicate(&mut self, first: DeliveryId, id: DeliveryId) {
         let settles_before_run = self.settles_before_run(first);
         let Some(original) = self.deliveries.get_mut(&first) else { return };
@@ -102,7 +106,8 @@
         }
     }
 
-    /// Settles a duplicate of a finished message: with the reply that is still to be confirmed, or at once.
+    /// Settles a duplicate of a finished message at once, or, if the reply to an earlier delivery is not
+    /// confirmed yet, passes its tag to that delivery.
     fn repeat_outcome(
         &mut self,
         now: Timestamp,
@@ -117,7 +122,7 @@
         }
     }
 
-    /// A delivery of the same message that lost its tag and whose reply is not confirmed yet.
+    /// Returns a delivery of the same message that lost its tag and whose reply is not confirmed yet.
     fn reply_without_tag(&self, id: DeliveryId) -> Option<DeliveryId> {
         let duplicate = self.deliveries.get(&id)?;
         let same_message = |original: &Delivery| {
@@ -129,7 +134,7 @@
         first.map(|(first, _)| *first).filter(|first| !self.settles_before_run(*first))
     }
 
-    /// The first delivery of a message takes over the tag of a later one, which is over.
+    /// Passes the tag of a later delivery of a message to the first one, and ends the later one.
     fn take_over_tag(&mut self, first: DeliveryId, id: DeliveryId) {
         let tag = self.deliveries.remove(&id).map(|duplicate| duplicate.tag);
         if let (Some(original), Some(tag)) = (self.deliveries.get_mut(&first), tag) {
--- a/crates/hazelspur-deliveries/src/tracker/run.rs
+++ b/crates/hazelspur-deliveries/src/tracker/run.rs
@@ -1,4 +1,5 @@
-//! Submission of a delivery's request and its run.
+//! Submission of a delivery's request to the admission controller, and its run from the permission to the
+//! outcome.
 
 use super::delivery::{DeliveryState, Publication};
 use super::{DeliveryAction, DeliveryTracker};
@@ -9,6 +10,7 @@
 use std::rc::Rc;
 
 impl DeliveryTracker {
+    /// Submits a delivery, or queues it in the gate if its queue has a duty cycle below one.
     pub(super) fn submit_or_queue(&mut self, now: Timestamp, id: DeliveryId) {
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
         let gate = &mut self.gates[delivery.queue.0];
@@ -26,12 +28,12 @@
         }
     }
 
-    /// Whether the admission controller has a request of this queue.
+    /// Returns whether the admission controller has a request of this queue.
     pub(super) fn is_busy(&self, queue: usize) -> bool {
         self.deliveries.values().any(|delivery| delivery.queue.0 == queue && delivery.state.is_submitted())
     }
 
-    /// Submits the first delivery whose gate lets it pass; returns whether one left its gate.
+    /// Submits the first queued delivery that may leave its gate; returns whether one left its gate.
     pub(super) fn open_gates(&mut self, now: Timestamp) -> bool {
         for queue in 0..self.gates.len() {
             if !self.gates[queue].has_queued() {
@@ -47,7 +49,8 @@
         false
     }
 
-    /// The admission controller has chosen the request to run; `ResolveRun` answers whether it may.
+    /// Records that the admission controller has chosen the request to run. The action `ResolveRun` answers
+    /// whether it may, at once or after the fence.
     pub fn run_requested(&mut self, now: Timestamp, id: DeliveryId) {
         let settles_before_run = self.settles_before_run(id);
         let expired = self.is_expired(now, id);
@@ -60,6 +63,7 @@
         }
     }
 
+    /// Acknowledges a delivery and sends the fence, after whose answer the request runs.
     fn ack_before_run(&mut self, now: Timestamp, id: DeliveryId) {
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
         let Some(tag) = delivery.take_tag() else { return self.expire_before_run(now, id) };
@@ -88,7 +92,8 @@
         self.deliveries.get(&id).is_some_and(|delivery| delivery.state == DeliveryState::AwaitingFence)
     }
 
-    /// The broker has read the ack that was sent before the run.
+    /// Records that the broker answered the fence, so that it has read the ack, and permits the run unless
+    /// the message has expired.
     pub fn fence_answered(&mut self, now: Timestamp, id: DeliveryId) {
         if !self.awaits_fence(id) {
             return;
@@ -100,8 +105,9 @@
         self.begin_run(id);
     }
 
-    /// The permitted run of a request is about to start for the first time. The host may have stood still since
-    /// the permission: returns false where the message has expired, which then never runs.
+    /// Returns whether the permitted run of a request may start, immediately before its first start. The host
+    /// may have been suspended since the permission: a message that has expired meanwhile never runs, and is
+    /// settled here.
     pub fn confirm_start(&mut self, now: Timestamp, id: DeliveryId) -> bool {
         let is_running =
             self.deliveries.get(&id).is_some_and(|delivery| delivery.state == DeliveryState::Running);
@@ -116,8 +122,9 @@
         false
     }
 
-    /// The message cannot be rejected any more: its ack was read. A copy of it is settled in its place, unless
-    /// expired messages are acknowledged anyway.
+    /// Handles the expiry of a message that can no longer be rejected since the broker has read its ack.
+    /// Publishes a copy, which is settled in its place, unless the queue acknowledges expired messages
+    /// anyway.
     fn expire_after_ack(&mut self, now: Timestamp, id: DeliveryId) {
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
         if self.queues[delivery.queue.0].settlements.expired == Settlement::Ack {
@@ -129,7 +136,7 @@
         self.begin_publishing(now, id, Publication::ExpiredCopy);
     }
 
-    /// The fence could not be sent, or its channel is lost: the request never runs.
+    /// Records that the fence could not be sent or that its channel was lost: the request never runs.
     pub fn fence_lost(&mut self, id: DeliveryId) {
         if self.awaits_fence(id) {
             self.counters.acked_without_run += 1;
@@ -138,7 +145,7 @@
         }
     }
 
-    /// The request has its final outcome.
+    /// Records the final outcome of a request and begins the settlement of its delivery.
     pub fn request_finished(
         &mut self,
         now: Timestamp,
--- a/crates/hazelspur-deliveries/src/tracker/settling.rs
+++ b/crates/hazelspur-deliveries/src/tracker/settling.rs
@@ -1,4 +1,4 @@
-//! From the outcome of a delivery to its settlement and its end.
+//! Settlement of a delivery: from the outcome of its request to the end of the delivery.
 
 use super::delivery::{Delivery, DeliveryState, Publication};
 use super::{DeliveryAction, DeliveryTracker};
@@ -8,7 +8,8 @@
 use hazelspur::{Duration, Timestamp};
 use std::rc::Rc;
 
-/// Without a message-id nobody counts the attempts of a requeued message: it would be redelivered for ever.
+/// Returns the settlement by the queue's table. A failed message without a message-id is settled as exhausted
+/// instead of requeued: its attempts cannot be counted, so it would be redelivered without end.
 fn settlement_of(table: &SettlementTable, delivery: &Delivery, outcome: DeliveryOutcome) -> Settlement {
     let settlement = table.settle(outcome, delivery.idempotency, delivery.previous_attempts);
     let requeues_failed = outcome == DeliveryOutcome::Failed && settlement == Settlement::RequeueLater;
@@ -47,6 +48,8 @@
         }
     }
 
+    /// Records the outcome in the message cache if duplicates must not run, and the attempt count if the
+    /// message is requeued after a failure.
     fn update_message_cache(&mut self, now: Timestamp, id: DeliveryId) {
         let Some(delivery) = self.deliveries.get(&id) else { return };
         let Some(message_id) = &delivery.message_id else { return };
@@ -75,6 +78,8 @@
         }
     }
 
+    /// Requeues a delivery after the delay, or at once during a shutdown. Ends it if it can no longer be
+    /// settled.
     pub(super) fn schedule_requeue(&mut self, now: Timestamp, id: DeliveryId, delay: Duration) {
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
         if !delivery.unsettled || self.shutting_down {
@@ -85,6 +90,7 @@
         self.set_timer(id, Some(at));
     }
 
+    /// Requeues the message if it can still be settled, and ends the delivery.
     pub(super) fn requeue(&mut self, id: DeliveryId) {
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
         if let Some(tag) = delivery.take_tag() {
@@ -94,14 +100,14 @@
         self.release(id);
     }
 
-    /// Settles as the table says for the outcome.
+    /// Settles the delivery by the settlement chosen for its outcome, and ends it.
     pub(super) fn settle(&mut self, id: DeliveryId) {
         let Some(delivery) = self.deliveries.get(&id) else { return };
         let settlement = delivery.settlement;
         self.settle_as(id, settlement);
     }
 
-    /// Settles the tag unless that has been done before the run, and ends the delivery.
+    /// Settles the delivery unless it was acknowledged before the run or its tag is lost, and ends it.
     pub(super) fn settle_as(&mut self, id: DeliveryId, settlement: Settlement) {
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
         match (delivery.take_tag(), settlement) {
@@ -118,13 +124,15 @@
         self.release(id);
     }
 
-    /// Ends a delivery that never ran here and can no longer be settled.
+    /// Ends a delivery without a settlement, since its tag is lost. The broker redelivers its message if that
+    /// was not acknowledged.
     pub(super) fn leave_to_broker(&mut self, id: DeliveryId) {
         self.counters.left_to_broker += u64::from(self.deliveries.contains_key(&id));
         self.release(id);
     }
 
-    /// Removes a delivery. Duplicates that waited for its outcome never ran and are requeued.
+    /// Removes a delivery that has ended. Duplicates that still wait for its outcome have not run and are
+    /// requeued.
     fn release(&mut self, id: DeliveryId) {
         let Some(mut delivery) = self.deliveries.remove(&id) else { return };
         self.timers.cancel(id, &mut delivery);
--- a/crates/hazelspur-deliveries/src/tracker/timers.rs
+++ b/crates/hazelspur-deliveries/src/tracker/timers.rs
@@ -1,4 +1,5 @@
-//! Timers of deliveries: at most one per delivery.
+//! Timers of deliveries, at most one per delivery: for its expiry, its requeue or the confirm of a
+//! publication.
 
 use super::delivery::{Delivery, DeliveryState};
 use super::{CONFIRM_TIMEOUT, DeliveryAction, DeliveryTracker};
@@ -13,7 +14,7 @@
     id: DeliveryId,
 }
 
-/// Deliveries by the time at which they have to be looked at.
+/// Pending timers, ordered by time.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Timers(BTreeSet<Timer>);
 
@@ -22,7 +23,7 @@
         self.0.first().map(|timer| timer.at)
     }
 
-    /// Replaces the timer of a delivery.
+    /// Replaces the timer of a delivery; `None` only cancels it.
     fn set(&mut self, id: DeliveryId, delivery: &mut Delivery, at: Option<Timestamp>) {
         self.cancel(id, delivery);
         delivery.timer = at;
@@ -57,7 +58,8 @@
         due.is_some()
     }
 
-    /// The state may have changed since the timer was set, so each state checks its own condition.
+    /// Handles the timer of a delivery. The state may have changed since the timer was set, so each state
+    /// checks its own condition.
     fn timer_elapsed(&mut self, now: Timestamp, id: DeliveryId) {
         let expired = self.is_expired(now, id);
         let Some(delivery) = self.deliveries.get(&id) else { return };
@@ -71,7 +73,7 @@
             DeliveryState::Publishing { .. } if self.publisher.blocked_by_broker => {
                 self.set_timer(id, Some(now + CONFIRM_TIMEOUT));
             }
-            // A reply without a connection waits for the next one.
+            // A reply or copy that was not sent and no longer has a tag waits for the next connection.
             DeliveryState::Publishing { sent_at, .. } if sent_at.is_some() || delivery.unsettled => {
                 self.publish_confirmed(now, id, false);
             }
--- a/crates/hazelspur-deliveries/tests/policies/broker_selector.rs
+++ b/crates/hazelspur-deliveries/tests/policies/broker_selector.rs
@@ -1,9 +1,11 @@
-//! The selection of brokers.
+//! Tests of the selection of brokers and of the delays between connection attempts.
 
 use crate::at;
 use hazelspur::Duration;
 use hazelspur_deliveries::BrokerSelector;
 
+/// Three failures or a refusal make the selector avoid a broker for 15 s; after that the first one is
+/// preferred again.
 #[test]
 fn failing_broker_is_avoided_until_its_penalty_ends() {
     let addresses = ["127.0.0.1:1", "127.0.0.1:2"].map(|a| a.parse().expect("an address"));
@@ -28,8 +30,8 @@
     .assert_eq(&seen);
 }
 
-/// 500 instances lose a broker during an outage. Counts the attempts in each second of the outage, and the
-/// connections in each second after it.
+/// Guards against a fleet of 500 instances that overloads a broker when all reconnect after an outage: counts
+/// the attempts in each second of the outage and after it.
 #[test]
 fn at_most_a_fifth_of_a_fleet_reconnects_in_one_second() {
     let address = ["127.0.0.1:1".parse().expect("an address")];
@@ -53,7 +55,7 @@
         }
         let max = attempts.values().max().copied().unwrap_or(0);
         let last = attempts.keys().last().copied().unwrap_or(0);
-        assert!(max <= 100, "{max} of 500 in a second");
+        assert!(max <= 100, "{max} of 500 instances attempt to connect in one second, at most 100 allowed");
         seen += &format!("outage {outage_ms} ms: at most {max} in a second, all back in second {last}\n");
     }
     expect_test::expect![[r#"
--- a/crates/hazelspur-deliveries/tests/policies/main.rs
+++ b/crates/hazelspur-deliveries/tests/policies/main.rs
@@ -1,4 +1,4 @@
-//! The policies beside the tracker: settlement, prefetch, message cache, broker selection.
+//! Tests of the settlement table, the prefetch window, the message cache and the broker selector.
 
 mod broker_selector;
 mod message_cache;
@@ -7,7 +7,7 @@
 
 use hazelspur::Timestamp;
 
-/// A time of the test's clock, in milliseconds.
+/// Returns the time `ms` milliseconds after the start of the test's clock.
 fn at(ms: u64) -> Timestamp {
     Timestamp::from_us(1_000_000_000 + ms * 1000)
 }
--- a/crates/hazelspur-deliveries/tests/policies/message_cache.rs
+++ b/crates/hazelspur-deliveries/tests/policies/message_cache.rs
@@ -1,4 +1,4 @@
-//! The message-id cache.
+//! Tests of the cache of message-ids.
 
 use crate::at;
 use hazelspur::Duration;
--- a/crates/hazelspur-deliveries/tests/policies/prefetch_window.rs
+++ b/crates/hazelspur-deliveries/tests/policies/prefetch_window.rs
@@ -1,4 +1,4 @@
-//! The prefetch window.
+//! Tests of the prefetch window.
 
 use crate::at;
 use hazelspur_deliveries::{PrefetchRule, PrefetchWindow};
--- a/crates/hazelspur-deliveries/tests/policies/settlement_table.rs
+++ b/crates/hazelspur-deliveries/tests/policies/settlement_table.rs
@@ -1,4 +1,4 @@
-//! The settlement table of a queue.
+//! Tests of the settlement table of a queue.
 
 use hazelspur::Duration;
 use hazelspur::Idempotency::{Idempotent, IdempotentWithKey, NonIdempotent};
@@ -82,7 +82,7 @@
     );
     expect_test::expect![[r#"
         Err(("poison", "would come back for ever: only ack or reject"))
-        Err(("nacked", "retry needs retry_queue"))
+        Err(("nacked", "retry needs retry_queue to be set"))
         Ok(())
     "#]]
     .assert_eq(&seen);
--- a/crates/hazelspur-deliveries/tests/tracker/event_orders.rs
+++ b/crates/hazelspur-deliveries/tests/tracker/event_orders.rs
@@ -1,5 +1,6 @@
-//! Explores all orders of events, up to a depth, for two copies of one message on a broker that loses connections
-//! and redelivers. After each event the invariants hold, and a request that must not run twice has not.
+//! Explores all orders of events, up to a depth, for two copies of one message on a broker that loses
+//! connections and redelivers. Checks after each event that the invariants hold, that no copy is lost or
+//! duplicated, and that a request that must not run twice has not run twice.
 
 use crate::helpers::{at, new_tracker, received, tag};
 use hazelspur::{Duration, Idempotency, Timestamp};
@@ -9,17 +10,17 @@
 };
 use std::collections::BTreeSet;
 
-/// The tracker with the broker and the runtime around it, as far as they matter for one message.
+/// Tracker with a model of the broker and of the runtime that executes requests, reduced to one message.
 #[derive(Clone)]
 struct BrokerModel {
     tracker: DeliveryTracker,
     connection: u64,
     connected: bool,
     last_tag: u64,
-    /// Copies of the message in the queue: whether each is a redelivery.
+    /// Copies of the message in the queue; true for a copy that was delivered before.
     queued_copies: Vec<bool>,
     unsettled_tags: BTreeSet<u64>,
-    /// What the client has sent and the broker has not read.
+    /// Methods that the client has sent and the broker has not read.
     unread: Vec<DeliveryAction>,
     submitted: BTreeSet<DeliveryId>,
     awaiting_run: BTreeSet<DeliveryId>,
@@ -35,7 +36,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Deliver,
-    /// The broker reads the oldest method that was sent.
+    /// The broker reads the oldest unread method.
     BrokerReads,
     ChooseRun,
     RejectRequest,
@@ -60,12 +61,13 @@
     Event::TimePasses,
 ];
 
+/// Configuration of one exploration.
 #[derive(Clone, Copy)]
 struct Case {
     idempotency: Idempotency,
     settle_before_run: bool,
     wants_reply: bool,
-    /// Fault injection: the tracker is not notified of the lost connection, so it uses a stale tag.
+    /// Whether the tracker is not notified of lost connections, a fault that makes it use a stale tag.
     stale_tag_fault: bool,
 }
 
@@ -91,7 +93,8 @@
         }
     }
 
-    /// Returns false where the event is not possible now.
+    /// Applies an event and carries out the actions that follow; returns false if the event is not possible
+    /// now.
     fn apply(&mut self, case: Case, event: Event) -> bool {
         let now = at(self.ms);
         match event {
@@ -177,7 +180,7 @@
                 DeliveryAction::ResolveRun { id, permitted } => {
                     assert!(
                         self.awaiting_run.remove(&id),
-                        "resolved a run that was not requested: {:?}",
+                        "resolved a run that was not requested after the events {:?}",
                         self.events
                     );
                     if permitted {
@@ -189,24 +192,34 @@
                 DeliveryAction::Ack(tag) | DeliveryAction::Reject(tag) | DeliveryAction::Requeue(tag)
                     if tag.connection.0 != self.connection || !self.connected =>
                 {
-                    panic!("a stale tag is used: {:?}", self.events)
+                    panic!("a stale tag is used after the events {:?}", self.events)
                 }
                 action if self.connected => self.unread.push(action),
                 _ => {}
             }
         }
-        self.tracker.check_invariants().unwrap_or_else(|violation| panic!("{violation}: {:?}", self.events));
+        self.tracker
+            .check_invariants()
+            .unwrap_or_else(|violation| panic!("{violation} after the events {:?}", self.events));
     }
 
-    /// The broker's reaction to a method.
+    /// Applies the effect of a method on the broker.
     fn broker_reads(&mut self, action: DeliveryAction) {
         match action {
             DeliveryAction::Ack(tag) | DeliveryAction::Reject(tag) => {
-                assert!(self.unsettled_tags.remove(&tag.tag), "settled twice: {:?}", self.events);
+                assert!(
+                    self.unsettled_tags.remove(&tag.tag),
+                    "a tag is settled twice after the events {:?}",
+                    self.events
+                );
                 self.removed_count += 1;
             }
             DeliveryAction::Requeue(tag) => {
-                assert!(self.unsettled_tags.remove(&tag.tag), "settled twice: {:?}", self.events);
+                assert!(
+                    self.unsettled_tags.remove(&tag.tag),
+                    "a tag is settled twice after the events {:?}",
+                    self.events
+                );
                 self.queued_copies.push(true);
             }
             DeliveryAction::Fence { id, .. } => self.pending_fences.push(id),
@@ -218,6 +231,7 @@
     }
 }
 
+/// Returns the number of event orders of the given depth, all of which satisfy the checks.
 fn explore(case: Case, depth: u32) -> u64 {
     fn count_orders(case: Case, model: &BrokerModel, depth: u32) -> u64 {
         if depth == 0 {
@@ -230,10 +244,15 @@
                 continue;
             }
             let copies = next.queued_copies.len() + next.unsettled_tags.len() + next.removed_count as usize;
-            assert_eq!(copies, 2, "a copy was lost or duplicated: {:?}", next.events);
-            // Both copies are one message.
+            assert_eq!(copies, 2, "a copy was lost or duplicated after the events {:?}", next.events);
+            // Both copies are the same message, so only one of them may run.
             let must_run_once = case.idempotency != Idempotency::Idempotent;
-            assert!(!must_run_once || next.run_count <= 1, "ran {} times: {:?}", next.run_count, next.events);
+            assert!(
+                !must_run_once || next.run_count <= 1,
+                "ran {} times after the events {:?}",
+                next.run_count,
+                next.events
+            );
             orders += count_orders(case, &next, depth - 1);
         }
         orders
@@ -241,6 +260,8 @@
     count_orders(case, &BrokerModel::new(case), depth)
 }
 
+/// Guards against a tag that is settled twice and a request that must not run twice but does, in any order of
+/// events with a lost connection.
 #[test]
 fn no_event_order_settles_twice_or_reruns_non_idempotent() {
     let mut seen = String::new();
@@ -259,6 +280,7 @@
     println!("{seen}");
 }
 
+/// Shows that the checks detect a tracker that uses the tags of a lost connection.
 #[test]
 #[should_panic(expected = "a stale tag is used")]
 fn exploration_detects_the_use_of_a_stale_tag() {
--- a/crates/hazelspur-deliveries/tests/tracker/helpers.rs
+++ b/crates/hazelspur-deliveries/tests/tracker/helpers.rs
@@ -6,6 +6,7 @@
     MessageCacheLimits, QueueId, QueueSettings, ReceivedDelivery, SettlementTable,
 };
 
+/// Returns the time `ms` milliseconds after the start of the test's clock.
 pub(crate) fn at(ms: u64) -> Timestamp {
     Timestamp::from_us(1_000_000_000 + ms * 1000)
 }
@@ -14,6 +15,7 @@
     DeliveryTag { connection: ConnectionNumber(connection), channel: 1, tag }
 }
 
+/// Returns a tracker of one queue, with a cache that is large enough for every test.
 pub(crate) fn new_tracker(settlements: SettlementTable, settle_before_run: bool) -> DeliveryTracker {
     let limits =
         MessageCacheLimits { retention: Duration::from_ms(60_000), max_entries: 1000, max_bytes: 1 << 20 };
@@ -21,6 +23,7 @@
     DeliveryTracker::new(queues, MessageCache::new(limits))
 }
 
+/// Returns a delivery of the only queue, without deadline or reply.
 pub(crate) fn received(tag: DeliveryTag, message_id: &str, idempotency: Idempotency) -> ReceivedDelivery<'_> {
     ReceivedDelivery {
         tag,
@@ -34,7 +37,7 @@
     }
 }
 
-/// All actions that are due, one per line.
+/// Takes all actions that are due, checks the invariants, and returns the actions, one per line.
 pub(crate) fn actions(tracker: &mut DeliveryTracker, ms: u64) -> String {
     let mut seen = String::new();
     while let Some(action) = tracker.next_action(at(ms)) {
@@ -45,6 +48,7 @@
     seen
 }
 
+/// Reports the outcome of a request and returns the actions that follow.
 pub(crate) fn finish(
     tracker: &mut DeliveryTracker,
     ms: u64,
--- a/crates/hazelspur-deliveries/tests/tracker/traces.rs
+++ b/crates/hazelspur-deliveries/tests/tracker/traces.rs
@@ -1,4 +1,4 @@
-//! Traces of the actions that the tracker decides.
+//! Traces of the tracker's actions, each line with its time in milliseconds.
 
 use crate::helpers::{actions, at, finish, new_tracker, received, tag};
 use hazelspur::Duration;
@@ -81,7 +81,8 @@
     .assert_eq(&actions(&mut tracker, 0));
 }
 
-/// Guards against a run that starts late since the process stood still between the permission and the start.
+/// Guards against the run of an expired message after the process was suspended between permission and start.
+/// A delivery expires 80 ms before its deadline, so at 420 ms.
 #[test]
 fn message_expired_between_permission_and_start_never_runs() {
     let mut seen = String::new();
@@ -114,7 +115,8 @@
     .assert_eq(&seen);
 }
 
-/// Guards against a message that is lost between its ack and its run, and against a second copy of it.
+/// Guards against a message that is lost without being counted when it expires between its ack and its run,
+/// and against a second copy of it in the queue.
 #[test]
 fn unconfirmed_expired_copy_is_counted_and_not_republished() {
     let fence_answered_late = |tracker: &mut DeliveryTracker| {
@@ -201,7 +203,7 @@
     let mut tracker = new_tracker(SettlementTable::default(), true);
     let expiring =
         |ms, n, name| ReceivedDelivery { deadline: Some(at(ms)), ..received(tag(1, n), name, NonIdempotent) };
-    tracker.delivery_received(at(0), expiring(70, 1, "before reading"));
+    tracker.delivery_received(at(0), expiring(70, 1, "at receipt"));
     tracker.delivery_received(at(0), expiring(500, 2, "while submitted"));
     let chosen = tracker.delivery_received(at(0), expiring(600, 3, "before its run"));
     let fenced = tracker.delivery_received(at(0), expiring(700, 4, "at the fence"));
@@ -252,7 +254,7 @@
     let mut seen = actions(&mut tracker, 0);
     tracker.run_requested(at(1), running);
     seen += &finish(&mut tracker, 1, requeued, REJECTED);
-    // Decided on the old connection and not carried out before it broke.
+    // These actions were decided before the connection was lost and were not carried out.
     tracker.request_finished(at(2), submitted, DeliveryOutcome::Failed, &[].into());
     tracker.connection_lost(ConnectionNumber(1));
     tracker.set_publishing_ready(false);
@@ -307,7 +309,8 @@
     .assert_eq(&seen);
 }
 
-/// Guards against a duplicate that is requeued by a lost tag because its original is handled before it.
+/// Guards against a requeue by a lost tag: it came about when a lost channel ended the original before its
+/// duplicate, which the end of the original requeues.
 #[test]
 fn lost_channel_invalidates_the_tags_of_duplicates() {
     let mut tracker = new_tracker(SettlementTable::default(), false);
