--- a/crates/hazelspur-parsers/src/buffer.rs
+++ b/crates/hazelspur-parsers/src/buffer.rs
@@ -1,24 +1,24 @@
-//! The unread bytes of a connection: one buffer that grows as needed and is compacted in place.
+//! Input buffer of a connection, which grows as needed and is compacted in place.
 
-/// The least spare capacity for a read, in bytes; an empty buffer shrinks to it.
+/// Minimum spare capacity for a read, in bytes. An empty buffer shrinks to this capacity.
 const READ_BYTES: usize = 4096;
 
-/// Bytes that were read from a connection and not yet taken.
+/// Bytes that were read from a connection and are not consumed yet.
 #[derive(Default)]
 pub struct Buffer {
     bytes: Vec<u8>,
     start: usize,
-    /// Unread bytes that are known to have no line end.
+    /// Number of unconsumed bytes, from the first on, that are known to contain no line end.
     searched_bytes: usize,
 }
 
 impl Buffer {
-    /// The bytes that were not taken yet.
+    /// Returns the bytes that are not consumed yet.
     pub fn unread(&self) -> &[u8] {
         &self.bytes[self.start..]
     }
 
-    /// Drops so many of the unread bytes.
+    /// Drops the first `count` unconsumed bytes, or all of them if there are fewer.
     pub fn consume(&mut self, count: usize) {
         self.start = (self.start + count).min(self.bytes.len());
         self.searched_bytes = 0;
@@ -29,7 +29,8 @@
         }
     }
 
-    /// Where the next read appends, with some spare capacity.
+    /// Returns the vector to which the next read appends, with at least `READ_BYTES` of spare capacity. The
+    /// caller may only append to it.
     pub fn spare_capacity(&mut self) -> &mut Vec<u8> {
         if self.start > 0 {
             self.bytes.copy_within(self.start.., 0);
@@ -40,7 +41,8 @@
         &mut self.bytes
     }
 
-    /// Length of the first whole line, without its end; `None` while it is incomplete.
+    /// Returns the length of the first line without its line end, in bytes; `None` while the line is
+    /// incomplete.
     pub fn line_length(&mut self) -> Option<usize> {
         let (unread, from) = (&self.bytes[self.start..], self.searched_bytes);
         let end = unread[from..].iter().position(|b| *b == b'\n').map(|at| from + at);
--- a/crates/hazelspur-parsers/src/http.rs
+++ b/crates/hazelspur-parsers/src/http.rs
@@ -1,78 +1,79 @@
-//! HTTP/1.1 as a client speaks it: one request at a time on a connection. Reads a response from a buffer as it arrives;
-//! no byte is looked at twice for longer than a line.
+//! HTTP/1.1 client protocol with one request at a time on a connection: writes requests, and reads a response
+//! from a buffer as it arrives. Bytes that were searched for the end of the head are not searched again.
 
 use crate::{Buffer, append};
 use thiserror::Error;
 
-/// The longest head of a response, in bytes.
+/// Maximum length of the head of a response, in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The longest body of a response, in bytes.
+/// Maximum length of the body of a response, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The longest line before a chunk or among the trailers, in bytes.
+/// Maximum length of the size line of a chunk, and of a trailer line, with its line end, in bytes.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
-/// The most interim responses before the final one.
+/// Maximum number of interim responses (status 1xx) before the final one.
 const MAX_INTERIM_RESPONSES: u32 = 8;
-/// The most interim responses and trailers of one response together.
+/// Maximum number of interim responses and trailer lines of one response together.
 const MAX_INTERIM_AND_TRAILERS: u32 = 2 * MAX_INTERIM_RESPONSES;
-/// The most digits of a number.
+/// Maximum number of digits of a number.
 const MAX_DIGITS: usize = 16;
-/// The greatest status of a response.
+/// Maximum status code of a response.
 const MAX_STATUS: usize = 599;
 
-/// Why a response can't be read; its connection is of no further use.
+/// Error in a response. The connection cannot be used any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HttpError {
-    /// The head exceeds its bound.
-    #[error("the head is too long")]
+    /// The head exceeds its maximum length.
+    #[error("response head exceeds {} bytes", MAX_HEAD_BYTES)]
     HeadTooLong,
     /// Too many interim responses before the final one.
-    #[error("too many interim replies")]
+    #[error("more than {} interim responses", MAX_INTERIM_RESPONSES)]
     TooManyInterim,
-    /// Too many trailers.
-    #[error("too many trailers")]
+    /// Too many trailer lines after a chunked body.
+    #[error("more than {} interim responses and trailer lines", MAX_INTERIM_AND_TRAILERS)]
     TooManyTrailers,
-    /// A chunk without its line end, or whose size line exceeds its bound.
-    #[error("an unreadable chunk")]
+    /// A chunk has no line end after its data, or the line of a chunk or trailer exceeds its maximum length.
+    #[error("chunk without line end, or chunk line longer than {} bytes", MAX_CHUNK_LINE_BYTES)]
     UnreadableChunk,
     /// The head is not UTF-8.
-    #[error("the head is not text")]
+    #[error("response head is not UTF-8")]
     HeadNotUtf8,
-    /// The response is not one of HTTP/1.
-    #[error("not HTTP/1")]
+    /// The response does not begin with a version of HTTP/1.
+    #[error("response is not HTTP/1")]
     NotHttp1,
-    /// The first line has no status.
-    #[error("no status")]
+    /// The status line has no status code.
+    #[error("status line has no status code")]
     NoStatus,
-    /// The version or status is unknown, or the head has control characters.
-    #[error("an unreadable head")]
+    /// The version is unknown, the status code is under 100, or the head has control characters.
+    #[error("response head has an unknown version, a status code under 100 or control characters")]
     UnreadableHead,
     /// A header line has no colon.
-    #[error("a header without a colon")]
+    #[error("header line has no colon")]
     HeaderWithoutColon,
-    /// The name or value of a header has characters that it must not have.
-    #[error("an unreadable header")]
+    /// The name or value of a header has characters that are not allowed there.
+    #[error("header has characters that are not allowed in its name or value")]
     UnreadableHeader,
-    /// Two lengths that differ, or a length and chunks.
-    #[error("two lengths")]
+    /// Two content lengths differ, or a chunked response has a content length.
+    #[error("response has two content lengths, or is chunked and has a content length")]
     ConflictingLengths,
-    /// A transfer encoding other than chunks.
-    #[error("an encoding that is not known")]
+    /// The transfer encoding is not chunked.
+    #[error("transfer encoding is not chunked")]
     UnknownEncoding,
-    /// A success whose length is not stated: a body that ends with its connection may be cut short.
-    #[error("no length")]
+    /// A response of status 200 has neither a content length nor chunks. A body that ends with its connection
+    /// is not accepted, since it may be truncated.
+    #[error("response of status 200 has no content length and is not chunked")]
     NoLength,
-    /// A number has other characters than digits, or too many of them.
-    #[error("an unreadable number")]
+    /// A status code, content length or chunk size has other characters than digits, or too many digits.
+    #[error("status code, content length or chunk size is not a number of 1 to {} digits", MAX_DIGITS)]
     UnreadableNumber,
-    /// A number exceeds its bound.
-    #[error("a number out of range")]
+    /// A status code or the length of a body exceeds its maximum.
+    #[error("status code exceeds {}, or body exceeds {} bytes", MAX_STATUS, MAX_BODY_BYTES)]
     NumberOutOfRange,
 }
 
 /// Name and value of a header.
 pub type Header<'a> = (&'a str, &'a str);
 
-/// Writes a request with a body.
+/// Writes a request with a body; `verb` is the HTTP method.
 pub fn write_request(out: &mut Vec<u8>, verb: &str, path: &str, host: &str, headers: &[Header], body: &[u8]) {
     append(out, format_args!("{verb} {path} HTTP/1.1\r\nHost: {host}\r\n"));
     for (name, value) in headers {
@@ -82,30 +83,32 @@
     out.extend_from_slice(body);
 }
 
-/// A whole response.
+/// Complete final response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// The status code.
+    /// Status code.
     pub status: u16,
-    /// Whether the mark's header has the value 1.
+    /// Whether the flag header, which the caller of `ResponseReader::read` names, has the value 1.
     pub is_flagged: bool,
-    /// Whether the connection may carry another request.
+    /// Whether the connection may be used for another request.
     pub is_reusable: bool,
-    /// The body, without the framing of chunks.
+    /// Body, without the framing of chunks.
     pub body: Vec<u8>,
 }
 
-/// Reads one response as it arrives.
+/// Reader of one response, which may arrive in parts.
 #[derive(Default)]
 pub struct ResponseReader {
-    /// Unread bytes in which no end of the head was found.
+    /// Number of unconsumed bytes in which no end of the head was found.
     searched_bytes: usize,
+    /// Number of interim responses and trailer lines read so far.
     interim_and_trailers: u32,
+    /// Head of the final response, once it was read.
     head: Option<Head>,
     body: Vec<u8>,
 }
 
-/// What the head of a response says.
+/// Head of a response, as far as it matters here.
 #[derive(Clone, Copy)]
 struct Head {
     status: u16,
@@ -114,33 +117,34 @@
     framing: Framing,
 }
 
-/// How the body of a response ends.
+/// Framing of a response's body, by which its end is found.
 #[derive(Clone, Copy)]
 enum Framing {
-    /// After so many bytes.
+    /// The body ends after the given number of bytes.
     Length(usize),
-    /// With a chunk of size zero.
+    /// The body ends with a chunk of size zero.
     Chunked,
     /// The chunks have ended; trailers follow, up to an empty line.
     Trailers,
 }
 
-/// Whether a part of the body was complete.
+/// Result of reading one part of the body: the whole, a chunk or a trailer line.
 enum Progress {
-    /// More of the body follows.
+    /// The part was read and another one follows.
     More,
-    /// More bytes are needed.
+    /// The part has not arrived completely.
     Incomplete,
     /// The body has ended.
     Complete,
 }
 
 impl ResponseReader {
-    /// Takes what the buffer has of the response and returns it once it is whole; `flag_header` names the header of
-    /// `Response::is_flagged`. Bytes behind the response belong to no request, so that the connection is not reusable.
+    /// Consumes the bytes of the response from the buffer and returns the response once it is complete.
+    /// `flag_header` is the name of the header that sets `Response::is_flagged`. If bytes follow the
+    /// response, they belong to no request and the connection is not reusable.
     ///
     /// # Errors
-    /// A response that can't be read, or one over a bound.
+    /// Returns an error if the response is malformed or exceeds a bound.
     pub fn read(&mut self, buffer: &mut Buffer, flag_header: &str) -> Result<Option<Response>, HttpError> {
         let Some(head) = self.read_final_head(buffer, flag_header)? else { return Ok(None) };
         loop {
@@ -158,7 +162,7 @@
         }))
     }
 
-    /// The head of the final response; passes over interim ones.
+    /// Returns the head of the final response and skips interim responses; `None` while it is incomplete.
     fn read_final_head(&mut self, buffer: &mut Buffer, flag_header: &str) -> Result<Option<Head>, HttpError> {
         while self.head.is_none() {
             let Some(head) = self.read_head(buffer, flag_header)? else { return Ok(None) };
@@ -245,6 +249,7 @@
     (100..200).contains(&status)
 }
 
+/// Parses a head without the empty line at its end.
 fn parse_head(bytes: &[u8], flag_header: &str) -> Result<Head, HttpError> {
     let text = std::str::from_utf8(bytes).map_err(|_| HttpError::HeadNotUtf8)?;
     let mut lines = text.split("\r\n");
@@ -272,7 +277,7 @@
     Ok(Head { status, is_flagged: headers.is_flagged, keeps_connection, framing })
 }
 
-/// What the header lines say.
+/// Values of the header lines that matter here.
 #[derive(Default)]
 struct Headers {
     is_flagged: bool,
@@ -308,12 +313,13 @@
     }
 }
 
+/// Returns whether a header name consists of the characters that HTTP allows in it.
 fn is_token(name: &str) -> bool {
     let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.!#$%&'*+^`|~".contains(&b);
     !name.is_empty() && name.bytes().all(is_allowed)
 }
 
-/// The first line of `bytes`, without its end; `None` while it is incomplete.
+/// Returns the first line of `bytes` without its line end; `None` while it is incomplete.
 fn chunk_line(bytes: &[u8]) -> Result<Option<&[u8]>, HttpError> {
     let within = &bytes[..bytes.len().min(MAX_CHUNK_LINE_BYTES)];
     match within.windows(2).position(|two| two == b"\r\n") {
@@ -323,7 +329,7 @@
     }
 }
 
-/// A number of digits alone, without a sign.
+/// Parses a number from 0 to `max` that consists of digits only, without a sign.
 fn parse_digits(text: &[u8], radix: u32, max: usize) -> Result<usize, HttpError> {
     let has_digits_only = text.iter().all(|b| char::from(*b).is_digit(radix));
     if !(1..=MAX_DIGITS).contains(&text.len()) || !has_digits_only {
--- a/crates/hazelspur-parsers/src/json.rs
+++ b/crates/hazelspur-parsers/src/json.rs
@@ -1,15 +1,16 @@
-//! Reads JSON in place: a `Json` is the text of one well-formed value. Values are decoded when they are asked for.
+//! Reads JSON in place. `Json::parse` checks that a text is one well-formed value; the accessors of `Json`
+//! decode parts of it on demand.
 
 use std::borrow::Cow;
 
-/// The deepest nesting of arrays and objects.
+/// Maximum nesting depth of arrays and objects.
 const MAX_DEPTH: u32 = 32;
 
-/// The text of a well-formed JSON value.
+/// Text of a well-formed JSON value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Json<'a>(&'a str);
 
-/// The fields of an object.
+/// Fields of an object, collected once for repeated lookups.
 #[derive(Default)]
 pub struct Table<'a>(Vec<Field<'a>>);
 
@@ -19,14 +20,14 @@
 }
 
 impl<'a> Table<'a> {
-    /// The first field of this name.
+    /// Returns the value of the first field with this name.
     pub fn get(&self, name: &str) -> Option<Json<'a>> {
         self.0.iter().find(|field| field.name == name).map(|field| field.value)
     }
 }
 
 impl<'a> Json<'a> {
-    /// Checks that all of `bytes` is one value.
+    /// Returns the value if `bytes` is exactly one well-formed value, with optional white space around it.
     pub fn parse(bytes: &'a [u8]) -> Option<Self> {
         let text = std::str::from_utf8(bytes).ok()?;
         let from = skip_space(text.as_bytes(), 0);
@@ -34,63 +35,66 @@
         (skip_space(text.as_bytes(), end) == text.len()).then(|| Self(&text[from..end]))
     }
 
-    /// The fields of an object; of anything else, none.
+    /// Returns the names and values of an object's fields; none if the value is not an object.
     pub fn fields(self) -> impl Iterator<Item = (Cow<'a, str>, Json<'a>)> {
         self.parts(b'{').map(|(key, value)| (key.and_then(Json::text).unwrap_or_default(), value))
     }
 
-    /// The items of an array; of anything else, none.
+    /// Returns the items of an array; none if the value is not an array.
     pub fn items(self) -> impl Iterator<Item = Json<'a>> {
         self.parts(b'[').map(|(_, value)| value)
     }
 
-    /// The first field of this name; none of anything but an object.
+    /// Returns the value of the first field with this name, `None` if the value is not an object or has no
+    /// such field.
     pub fn get(self, name: &str) -> Option<Json<'a>> {
         self.fields().find(|(key, _)| key == name).map(|(_, value)| value)
     }
 
-    /// All fields of an object, for callers that look many up: the text is scanned once.
+    /// Collects all fields of an object, so that the text is scanned once for many lookups.
     pub fn table(self) -> Table<'a> {
         Table(self.fields().map(|(name, value)| Field { name, value }).collect())
     }
 
-    /// Whether the value is an object.
+    /// Returns whether the value is an object.
     pub fn is_object(self) -> bool {
         self.0.starts_with('{')
     }
 
-    /// Whether the value is an array.
+    /// Returns whether the value is an array.
     pub fn is_array(self) -> bool {
         self.0.starts_with('[')
     }
 
-    /// Whether the value is null.
+    /// Returns whether the value is null.
     pub fn is_null(self) -> bool {
         self.0 == "null"
     }
 
-    /// The value of a boolean.
+    /// Returns the value of a boolean.
     pub fn flag(self) -> Option<bool> {
         self.0.parse().ok()
     }
 
-    /// The value of a number that is finite as an `f64`.
+    /// Returns the value of a number, `None` if it is not finite as an `f64`.
     pub fn number(self) -> Option<f64> {
         let digits = self.0.starts_with(|c: char| c == '-' || c.is_ascii_digit());
         self.0.parse().ok().filter(|n: &f64| digits && n.is_finite())
     }
 
-    /// The value of a whole number from 0 on, without fraction or exponent.
+    /// Returns the value of an integer from 0 on, `None` if it is written with a fraction or an exponent.
     pub fn unsigned(self) -> Option<u64> {
         self.0.parse().ok()
     }
 
-    /// The value of a string; none where its escapes are no valid UTF-16.
+    /// Returns the value of a string, `None` if its escapes are not valid UTF-16.
     pub fn text(self) -> Option<Cow<'a, str>> {
         let inner = self.0.strip_prefix('"')?.strip_suffix('"')?;
         if inner.contains('\\') { unescape(inner).map(Cow::Owned) } else { Some(Cow::Borrowed(inner)) }
     }
 
+    /// Returns the parts of a container that begins with `opening`: keys and values of an object, values of
+    /// an array.
     fn parts(self, opening: u8) -> impl Iterator<Item = (Option<Json<'a>>, Json<'a>)> {
         let (text, bytes) = (self.0, self.0.as_bytes());
         let mut at = if bytes[0] == opening { 1 } else { bytes.len() };
@@ -121,7 +125,8 @@
     at
 }
 
-/// The end of the value that begins at `at`; none where it is malformed or nested too deep.
+/// Returns the end of the value that begins at `at`, `None` if it is malformed or nested deeper than
+/// `max_depth`.
 fn value_end(bytes: &[u8], at: usize, max_depth: u32) -> Option<usize> {
     match *bytes.get(at)? {
         b'"' => string_end(bytes, at),
@@ -133,7 +138,7 @@
     }
 }
 
-/// The end of the object or array that begins at `at`.
+/// Returns the end of the object or array that begins at `at`.
 fn container_end(bytes: &[u8], at: usize, max_depth: u32) -> Option<usize> {
     let closing = if bytes[at] == b'{' { b'}' } else { b']' };
     let mut at = skip_space(bytes, at + 1);
@@ -198,6 +203,7 @@
     Some(end)
 }
 
+/// Decodes the escapes of a string without its quotes, `None` if they are not valid UTF-16.
 fn unescape(inner: &str) -> Option<String> {
     let mut units = Vec::with_capacity(inner.len());
     let mut rest = inner.chars();
@@ -222,7 +228,7 @@
     String::from_utf16(&units).ok()
 }
 
-/// Appends `text` as a JSON string.
+/// Appends `text` as a JSON string, with quotes and escapes.
 pub fn write_text(out: &mut Vec<u8>, text: &str) {
     out.push(b'"');
     for c in text.chars() {
--- a/crates/hazelspur-parsers/src/rpc.rs
+++ b/crates/hazelspur-parsers/src/rpc.rs
@@ -1,14 +1,15 @@
-//! Writes messages to gateways: JSON-RPC 2.0, one message a line. `Json` reads theirs.
+//! Writes messages to gateways in JSON-RPC 2.0, one message per line. Messages of gateways are read with
+//! `Json`.
 
 use crate::append;
 use crate::json::write_text;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 
-/// Id of a call on its connection.
+/// Id of a JSON-RPC call, unique among the open calls of a connection.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RpcId(
-    /// From 1 up.
+    /// Number from 1 up.
     pub u64,
 );
 
@@ -25,12 +26,12 @@
 /// Error code: a parameter is absent or out of range.
 pub const INVALID_PARAMS: i32 = -32602;
 
-/// Decodes the body of a request, which is base64.
+/// Decodes the body of a request from base64, `None` if it is malformed.
 pub fn decode_body(text: &str) -> Option<Vec<u8>> {
     STANDARD.decode(text).ok()
 }
 
-/// Writes the result of a request; `signal` is the advertised capacity.
+/// Writes the result of a request, encoded in base64.
 pub fn write_result(out: &mut Vec<u8>, id: RpcId, data: &[u8], advertised_capacity: Option<f64>) {
     write_head(out, Some(id));
     out.extend_from_slice(b",\"result\":{\"data\":\"");
@@ -40,7 +41,7 @@
     out.extend_from_slice(b"}}\n");
 }
 
-/// Writes the answer to a health check; `signal` is the advertised capacity.
+/// Writes the answer to a health check; `ready` tells whether the server is healthy.
 pub fn write_health(out: &mut Vec<u8>, id: RpcId, ready: bool, advertised_capacity: Option<f64>) {
     write_head(out, Some(id));
     append(out, format_args!(",\"result\":{{\"ready\":{ready}"));
@@ -48,14 +49,14 @@
     out.extend_from_slice(b"}}\n");
 }
 
-/// The data of an error.
+/// Data of an error; if no field is set, the error is written without data.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ErrorData {
-    /// When the client may retry here, in ms.
+    /// Time after which the client may retry at this server, in ms.
     pub retry_after_ms: Option<f64>,
     /// Whether the client should not retry at another server either.
     pub do_not_retry_elsewhere: bool,
-    /// The advertised capacity.
+    /// Advertised capacity of the server.
     pub advertised_capacity: Option<f64>,
 }
 
@@ -76,17 +77,18 @@
         write_field(out, "holdoff", data.retry_after_ms);
         write_field(out, "nomore", data.do_not_retry_elsewhere.then_some(1.0));
         write_field(out, "signal", data.advertised_capacity);
-        out[from] = b'{'; // in place of the first comma
+        out[from] = b'{'; // Replaces the comma before the first field.
         out.push(b'}');
     }
     out.extend_from_slice(b"}}\n");
 }
 
-/// Writes the goodbye message: no more requests are taken on this connection.
+/// Writes the goodbye message: the server takes no more requests on this connection.
 pub fn write_goodbye(out: &mut Vec<u8>) {
     out.extend_from_slice(b"{\"jsonrpc\":\"2.0\",\"method\":\"farewell\"}\n");
 }
 
+/// Writes the begin of a message, up to its id.
 fn write_head(out: &mut Vec<u8>, id: Option<RpcId>) {
     match id {
         Some(RpcId(id)) => append(out, format_args!("{{\"jsonrpc\":\"2.0\",\"id\":{id}")),
@@ -94,6 +96,7 @@
     }
 }
 
+/// Writes a comma and a field, or nothing if there is no value.
 fn write_field(out: &mut Vec<u8>, name: &str, value: Option<f64>) {
     if let Some(value) = value {
         append(out, format_args!(",\"{name}\":{value}"));
--- a/crates/hazelspur-parsers/src/runtime.rs
+++ b/crates/hazelspur-parsers/src/runtime.rs
@@ -1,66 +1,72 @@
-//! The protocol of the link to the worker process (the configuration's `runtime`): lines of words. Where the last word of a line is a length, so many bytes and a line
-//! end follow.
+//! Protocol of the link to the worker process, which the configuration calls `runtime`.
+//!
+//! A message is a line of words separated by spaces. If the last word is a length, a body of that many bytes
+//! and a line end follow the line. `read` decodes the worker's messages, and the `write_*` functions encode
+//! the server's.
 
 use crate::append;
 use thiserror::Error;
 
-/// The longest line, in bytes.
+/// Maximum length of an incomplete line, in bytes.
 const MAX_LINE_BYTES: usize = 8 * 1024;
-/// The longest body that follows a line, in bytes.
+/// Maximum length of a body, in bytes.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
-/// The longest part of an unreadable line that its error shows, in characters.
+/// Maximum length of the part of an unreadable line that the error shows, in characters.
 const MAX_SHOWN_CHARS: usize = 80;
 
-/// Why a message of the runtime can't be read; the link can't go on.
+/// Error in a message of the worker. The link cannot be used any further.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RuntimeProtocolError {
-    /// No line end within the longest line.
-    #[error("a line of over {max_bytes} bytes")]
+    /// A line has no line end within the maximum length.
+    #[error("line exceeds {max_bytes} bytes")]
     LineTooLong {
-        /// The longest line, in bytes.
+        /// Maximum length of a line, in bytes.
         max_bytes: usize,
     },
-    /// The line is none of the messages.
-    #[error("an unreadable line: {line}")]
+    /// A line is not a known message, or a number in it is malformed or out of range.
+    #[error("unreadable line: {line}")]
     UnreadableLine {
-        /// The begin of the line.
+        /// First characters of the line.
         line: String,
     },
-    /// The body does not end with a line end.
-    #[error("no line end after a body: {line}")]
+    /// A body is not followed by a line end.
+    #[error("no line end after the body of: {line}")]
     UnterminatedBody {
-        /// The line before the body.
+        /// Line before the body.
         line: String,
     },
 }
 
-/// Takes the decoded messages.
+/// Handler of the decoded messages of the worker.
 pub trait MessageHandler {
-    /// The runtime is up: whether it is warm, and for how long it has run, in ms.
+    /// Handles `ready`: the worker is up, has warmed up or not, and was started `uptime_ms` ago.
     fn ready(&mut self, is_warm: bool, uptime_ms: u64);
-    /// A run ended: its message number, request, outcome word and result.
+    /// Handles `end`: the run of the request `id` ended with an outcome, which is a word of the protocol, and
+    /// a result. `number` is the number of the message.
     fn run_ended(&mut self, number: u64, id: &str, outcome: &str, result: &[u8]);
-    /// A run requests a dependency call with this body.
+    /// Handles `wants`: the run of the request `id` requests a dependency call with the given body.
     fn call_requested(&mut self, number: u64, id: &str, body: &[u8]);
-    /// Gauges, as requested under this tag.
+    /// Handles `load`: the values of the gauges that were requested with the given tag.
     fn gauges_received(&mut self, tag: &str, values: &[f64]);
-    /// The runtime rejected a command for a request.
+    /// Handles `nack`: the worker rejected a command for the request `id`.
     fn command_rejected(&mut self, command: &str, id: &str);
-    /// A remark for the log.
+    /// Handles `info`: a text for the log.
     fn info(&mut self, number: u64, text: &str);
 }
 
-/// A line and the body that follows it.
+/// Message of the worker, without its line.
 struct Message<'a> {
+    /// Body, empty if the message has none.
     body: &'a [u8],
-    /// Length of the whole message, in bytes.
+    /// Length of the whole message with its line, in bytes.
     length: usize,
 }
 
-/// Passes the first message of `bytes` to the handler and returns its length; `None` while it is incomplete.
+/// Passes the first message of `bytes` to the handler and returns its length in bytes; `None` while the
+/// message is incomplete.
 ///
 /// # Errors
-/// A message that can't be read.
+/// Returns an error if the message is malformed or exceeds a bound.
 pub fn read(bytes: &[u8], handler: &mut impl MessageHandler) -> Result<Option<usize>, RuntimeProtocolError> {
     let Some(line_end) = bytes.iter().position(|b| *b == b'\n') else {
         if bytes.len() > MAX_LINE_BYTES {
@@ -68,7 +74,7 @@
         }
         return Ok(None);
     };
-    // A remark may be any bytes; the words of the others are checked one by one.
+    // The text of `info` may contain any bytes; the words of other messages are checked one by one.
     let line = String::from_utf8_lossy(&bytes[..line_end]);
     let line = line.trim_end_matches('\r');
     let words: Vec<&str> = line.split(' ').collect();
@@ -77,7 +83,7 @@
     Ok(Some(message.length))
 }
 
-/// The body after a line and where it ends; `None` while it is incomplete.
+/// Returns the body after a line and the length of the message; `None` while the body is incomplete.
 fn split_message<'a>(
     bytes: &'a [u8],
     line_length: usize,
@@ -97,6 +103,7 @@
     Ok(Some(Message { body, length: line_length + length + 2 }))
 }
 
+/// Calls the handler's method for the message.
 fn dispatch(
     line: &str,
     words: &[&str],
@@ -127,29 +134,29 @@
     RuntimeProtocolError::UnreadableLine { line: line.chars().take(MAX_SHOWN_CHARS).collect() }
 }
 
-/// Asks for all messages after the one of this number.
+/// Writes a request for all messages after the one with the number `last`.
 pub fn write_sync(out: &mut Vec<u8>, last: u64) {
     append(out, format_args!("sync {last}\r\n"));
 }
 
-/// Starts a run, or resumes a paused one.
+/// Writes the command to start the run of a request, or to resume a paused one.
 pub fn write_start(out: &mut Vec<u8>, id: &str, class: &str, body: &[u8]) {
     append(out, format_args!("start {id} {class} {}\r\n", body.len()));
     append_body(out, body);
 }
 
-/// Stops a run.
+/// Writes the command to stop the run of a request.
 pub fn write_stop(out: &mut Vec<u8>, id: &str) {
     append(out, format_args!("stop {id}\r\n"));
 }
 
-/// Passes the response of a dependency call to the run that requested it.
+/// Writes the reply of a dependency call, for the run that requested it.
 pub fn write_call_reply(out: &mut Vec<u8>, id: &str, reply: &[u8]) {
     append(out, format_args!("give {id} {}\r\n", reply.len()));
     append_body(out, reply);
 }
 
-/// Asks for the gauges; the answer carries the tag.
+/// Writes a request for the values of the gauges; the answer carries the tag.
 pub fn write_gauges_request(out: &mut Vec<u8>, tag: &str) {
     append(out, format_args!("gauges {tag}\r\n"));
 }
--- a/crates/hazelspur-parsers/src/settings.rs
+++ b/crates/hazelspur-parsers/src/settings.rs
@@ -1,6 +1,9 @@
-//! Reads the settings object of the wire. Each of `lanes` is a request class and each of `orgs` a tenant, passed on as it
-//! is read, so that the whole is never in memory twice. All other keys become dotted ones: `family-info.n-cores` is
-//! `server.cores`. `hazelspur::config` maps those to typed figures.
+//! Reads the settings object as received in JSON.
+//!
+//! Each entry of the table `lanes` is a request class and each entry of the table `orgs` a tenant. An entry
+//! is passed to a visitor as soon as it is read, so that the tables are never in memory twice. All other keys
+//! become dotted keys of `hazelspur::config`, which maps them to typed settings: `family-info.n-cores`
+//! becomes `server.cores`.
 
 use crate::Json;
 use hazelspur::config::catalog::Catalog;
@@ -12,17 +15,19 @@
 /// Reads the whole object into a catalog.
 ///
 /// # Errors
-/// The first key that breaks a rule.
+/// Returns the first key with a missing or invalid value.
 pub fn catalog(object: Json) -> Result<Catalog, ConfigError> {
     let mut catalog = Catalog::default();
     let settings = read(object, &mut catalog)?;
     catalog.complete(settings)
 }
 
-/// Passes request classes and tenants to the visitor and returns all other settings, whose values are not checked yet.
+/// Passes request classes and tenants to the visitor and returns all other settings, whose values are not
+/// checked.
 ///
 /// # Errors
-/// A table that stands twice or is too long, an entry that breaks a rule, or too many keys.
+/// Returns an error if a table occurs twice or is too long, if an entry is invalid, or if there are too many
+/// keys.
 pub fn read(object: Json, visitor: &mut impl EntryVisitor) -> Result<FlatSettings, ConfigError> {
     let mut other_settings = Flattener::new(MAX_SETTINGS);
     let mut tables_read = Vec::new();
@@ -51,7 +56,7 @@
     Ok(())
 }
 
-/// Collects values by dotted key; keys past the bound are counted, not stored.
+/// Collects values by dotted key. Keys past the maximum number are counted and not stored.
 struct Flattener {
     settings: FlatSettings,
     max_keys: usize,
@@ -63,7 +68,7 @@
         Self { settings: FlatSettings::default(), max_keys, excess_keys: 0 }
     }
 
-    /// Adds a value, and all below it, under a dotted key. Nulls count as absent.
+    /// Adds a value and all values nested in it under a dotted key. Nulls count as absent.
     fn add(&mut self, value: Json, key: String) {
         if value.is_object() {
             for (part, child) in value.fields() {
@@ -86,7 +91,10 @@
         }
     }
 
-    /// All that was added; `path` is the object's place for the error of too many keys.
+    /// Returns all settings that were added.
+    ///
+    /// # Errors
+    /// Returns an error with `path`, the place of the object, if there were too many keys.
     fn finish(self, path: &str) -> Result<FlatSettings, ConfigError> {
         if self.excess_keys > 0 {
             let count = self.max_keys + self.excess_keys;
@@ -100,7 +108,8 @@
     if key.is_empty() { part.to_string() } else { format!("{key}.{part}") }
 }
 
-/// The value of a text, flag or number; none of a null. A number that does not fit counts as no number.
+/// Returns the value of a string, boolean or number, `None` for a null. A number that is not finite as an
+/// `f64` becomes NaN, which `hazelspur::config` rejects.
 fn setting_value(value: Json) -> Option<SettingValue> {
     if let Some(text) = value.text() {
         return Some(SettingValue::Text(settings_word(&text).to_string()));
@@ -114,7 +123,7 @@
     Some(SettingValue::Number(value.number().unwrap_or(f64::NAN)))
 }
 
-/// The part of a dotted key that a key of the wire stands for.
+/// Returns the part of a dotted key that corresponds to a key of the JSON settings.
 fn dotted_key_part(wire_key: &str) -> String {
     let part = match wire_key {
         "lanes" => "op_types",
@@ -140,7 +149,7 @@
     part.to_string()
 }
 
-/// The word of the settings that a word of the wire stands for.
+/// Returns the word of `hazelspur::config` that corresponds to a word of the JSON settings.
 fn settings_word(wire_word: &str) -> &str {
     match wire_word {
         "safe" => "retryable",
--- a/crates/hazelspur-parsers/tests/settings.rs
+++ b/crates/hazelspur-parsers/tests/settings.rs
@@ -1,4 +1,5 @@
-//! The mapping from the wire's settings to typed ones: every key, unknown and absent keys, and the text of errors.
+//! Tests of the mapping from JSON settings to typed settings: every key, unknown and absent keys, and error
+//! texts.
 
 use hazelspur::config::entries::{EntryVisitor, MAX_ENTRY_KEYS};
 use hazelspur::config::flat_settings::MAX_SETTINGS;
@@ -6,7 +7,7 @@
 use hazelspur_parsers::{Json, settings};
 use std::fmt::Write;
 
-/// Writes down all that is read.
+/// Records all visited entries and unknown keys, one per line.
 #[derive(Default)]
 struct Recorder(String);
 
--- a/crates/hazelspur-parsers/tests/texts.rs
+++ b/crates/hazelspur-parsers/tests/texts.rs
@@ -1,4 +1,4 @@
-//! The parsers on whole, split and malformed texts.
+//! Tests of the parsers with complete, split and malformed texts, and of the JSON-RPC and HTTP writers.
 
 use hazelspur_parsers::rpc::{ErrorData, RpcId};
 use hazelspur_parsers::{Buffer, Json, http, rpc, runtime};
@@ -29,29 +29,30 @@
         let _ = writeln!(
             seen,
             "{} a={:?}/{:?} items={items} last={last:?} number={:?}",
-            if json.is_some() { "good" } else { "bad" },
+            if json.is_some() { "well-formed" } else { "malformed" },
             a.and_then(Json::number),
             a.and_then(Json::text),
             json.and_then(Json::number),
         );
     }
     expect_test::expect![[r#"
-        good a=Some(15.0)/None items=3 last=Some("xé😀\n") number=None
-        bad a=None/None items=0 last=None number=None
-        bad a=None/None items=0 last=None number=None
-        bad a=None/None items=0 last=None number=None
-        good a=None/None items=0 last=None number=None
-        bad a=None/None items=0 last=None number=None
-        good a=None/None items=0 last=None number=None
-        bad a=None/None items=0 last=None number=None
-        bad a=None/None items=0 last=None number=None
-        bad a=None/None items=0 last=None number=None
-        good a=None/None items=0 last=None number=None
-        bad a=None/None items=0 last=None number=None
+        well-formed a=Some(15.0)/None items=3 last=Some("xé😀\n") number=None
+        malformed a=None/None items=0 last=None number=None
+        malformed a=None/None items=0 last=None number=None
+        malformed a=None/None items=0 last=None number=None
+        well-formed a=None/None items=0 last=None number=None
+        malformed a=None/None items=0 last=None number=None
+        well-formed a=None/None items=0 last=None number=None
+        malformed a=None/None items=0 last=None number=None
+        malformed a=None/None items=0 last=None number=None
+        malformed a=None/None items=0 last=None number=None
+        well-formed a=None/None items=0 last=None number=None
+        malformed a=None/None items=0 last=None number=None
     "#]]
     .assert_eq(&seen);
 }
 
+/// Records the handled messages, one per line.
 #[derive(Default)]
 struct Recorder(String);
 
@@ -85,7 +86,7 @@
     let mut buffer = Buffer::default();
     for byte in text {
         buffer.spare_capacity().push(*byte);
-        while let Some(used) = runtime::read(buffer.unread(), &mut recorder).expect("good lines") {
+        while let Some(used) = runtime::read(buffer.unread(), &mut recorder).expect("well-formed messages") {
             buffer.consume(used);
         }
     }
@@ -107,12 +108,12 @@
         info 3 all is well
         nack give cc
         left 0
-        Err("an unreadable line: end 1 aa complete 80 x")
-        Err("an unreadable line: hello")
-        Err("no line end after a body: end 1 aa error 0 0")
-        Err("an unreadable line: ready hot -1")
-        Err("an unreadable line: ")
-        Err("a line of over 8192 bytes")
+        Err("unreadable line: end 1 aa complete 80 x")
+        Err("unreadable line: hello")
+        Err("no line end after the body of: end 1 aa error 0 0")
+        Err("unreadable line: ready hot -1")
+        Err("unreadable line: ")
+        Err("line exceeds 8192 bytes")
     "#]]
     .assert_eq(&recorder.0);
 }
@@ -164,21 +165,21 @@
         Ok(Some((204, false, false, Ok(""))))
         Ok(Some((503, false, false, Ok(""))))
         Ok(Some((200, false, true, Ok("abcd"))))
-        Err("an unreadable number")
-        Err("an unreadable chunk")
-        Err("no length")
-        Err("an unreadable number")
-        Err("an unreadable number")
-        Err("a number out of range")
-        Err("two lengths")
-        Err("two lengths")
-        Err("a number out of range")
-        Err("an unreadable header")
-        Err("an unreadable head")
-        Err("not HTTP/1")
+        Err("status code, content length or chunk size is not a number of 1 to 16 digits")
+        Err("chunk without line end, or chunk line longer than 256 bytes")
+        Err("response of status 200 has no content length and is not chunked")
+        Err("status code, content length or chunk size is not a number of 1 to 16 digits")
+        Err("status code, content length or chunk size is not a number of 1 to 16 digits")
+        Err("status code exceeds 599, or body exceeds 65536 bytes")
+        Err("response has two content lengths, or is chunked and has a content length")
+        Err("response has two content lengths, or is chunked and has a content length")
+        Err("status code exceeds 599, or body exceeds 65536 bytes")
+        Err("header has characters that are not allowed in its name or value")
+        Err("response head has an unknown version, a status code under 100 or control characters")
+        Err("response is not HTTP/1")
         Ok(None)
-        Err("too many interim replies")
-        Err("the head is too long")
+        Err("more than 8 interim responses")
+        Err("response head exceeds 8192 bytes")
         PUT /x HTTP/1.1|Host: h:1|X-A: b|Content-Length: 4||body"#]]
     .assert_eq(&seen);
 }
@@ -198,7 +199,7 @@
     rpc::write_error(&mut out, Some(RpcId(9)), rpc::REJECTED, "refused", last);
     rpc::write_error(&mut out, None, rpc::PARSE_ERROR, "a \"quote\"\n", ErrorData::default());
     rpc::write_goodbye(&mut out);
-    let lines = String::from_utf8(out).expect("text");
+    let lines = String::from_utf8(out).expect("the messages are UTF-8");
     assert!(lines.lines().all(|line| Json::parse(line.as_bytes()).is_some()));
     expect_test::expect![[r#"
         {"jsonrpc":"2.0","id":7,"result":{"data":"ZG9uZQ==","signal":0.25}}
