--- a/crates/hazelspur-adapter/src/decision_line.rs
+++ b/crates/hazelspur-adapter/src/decision_line.rs
@@ -1,9 +1,9 @@
-//! Writes decisions as lines of the bench.
+//! Writes a controller's decisions as lines of the bench's protocol.
 
 use hazelspur::Decision;
 use std::fmt::Write;
 
-/// Appends the line of a decision.
+/// Appends the line of a decision to the reply.
 pub(crate) fn write_decision(reply: &mut String, decision: &Decision) {
     let flag = |b: bool| u8::from(b);
     let line = match decision {
--- a/crates/hazelspur-adapter/src/error.rs
+++ b/crates/hazelspur-adapter/src/error.rs
@@ -1,59 +1,59 @@
-//! Why a line of the bench, or an event of one server, is refused. The bench and operators read the texts.
+//! Errors of the adapter. The bench reads the texts of a server's errors, and operators read all of them.
 
 use hazelspur::ConfigError;
 use thiserror::Error;
 
-/// A fault of the input, or of one server's controller.
+/// Error in the input, or in the controller of one server.
 #[derive(Debug, Error)]
 pub(crate) enum AdapterError {
-    /// A field that has no default is absent.
+    /// A required field is missing.
     #[error("field {name} is missing")]
     MissingField {
-        /// The field's name.
+        /// Name of the field.
         name: &'static str,
     },
     /// The value of a field is malformed or out of range.
     #[error("field {name} is unreadable: {value}")]
     UnreadableField {
-        /// The field's name.
+        /// Name of the field.
         name: &'static str,
-        /// The refused value.
+        /// Rejected value.
         value: String,
     },
-    /// A field with a list or an object is malformed.
+    /// A field that contains a list or an object is malformed; the text does not show its value.
     #[error("field {name} is unreadable")]
     MalformedField {
-        /// The field's name.
+        /// Name of the field.
         name: &'static str,
     },
-    /// A batch begins before the last one was committed.
+    /// A batch begins before the previous one is committed.
     #[error("BATCH within a batch")]
     NestedBatch,
-    /// A line stands before the begin of a batch.
+    /// A line precedes the begin of a batch.
     #[error("line outside a batch")]
     OutsideBatch,
-    /// An event stands before the line that selects its server.
+    /// A line of a server precedes the line that selects the server.
     #[error("event before any SELECT")]
     NoServerSelected,
-    /// The selected server was not started.
+    /// The selected server is not running.
     #[error("event for unknown instance {server}")]
     UnknownServer {
         /// Id of the server.
         server: String,
     },
-    /// The settings of a server are refused.
+    /// The settings of a server are invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// A controller panicked.
     #[error("{message}")]
     Panic {
-        /// The panic's message.
+        /// Message of the panic.
         message: String,
     },
     /// The input ends before the batch is committed.
     #[error("input ended within a batch")]
     InputEnded,
-    /// The input can't be read.
+    /// The input cannot be read.
     #[error("input failed: {0}")]
     InputFailed(std::io::Error),
     /// A line is not UTF-8.
--- a/crates/hazelspur-adapter/src/event.rs
+++ b/crates/hazelspur-adapter/src/event.rs
@@ -1,4 +1,4 @@
-//! The lines of the bench: which kind a line is, and the events of a server as typed values.
+//! Lines of the bench: their kinds, and the events of a server as typed values.
 
 use crate::error::AdapterError;
 use crate::fields::Fields;
@@ -7,33 +7,33 @@
     SessionKey, TenantId, Timestamp,
 };
 
-/// Set in the `bits` of a request whose cost is stated.
+/// Bit in the field `bits` of a request that states its cost.
 const COST_STATED_BIT: u32 = 1;
-/// Set in the `bits` of a request that writes.
+/// Bit in the field `bits` of a request that writes.
 const WRITE_BIT: u32 = 4;
 
-/// What a line is about.
+/// Kind of a line, by its first word.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LineKind {
-    /// Begins a batch.
+    /// Begin of a batch.
     Batch,
-    /// Ends a batch and asks for the decisions.
+    /// End of a batch, answered with the decisions.
     Commit,
-    /// Selects the server of the events that follow.
+    /// Selection of the server to which the following lines belong.
     Select,
-    /// Starts a server.
+    /// Start of the selected server.
     Enlist,
-    /// Ends a server.
+    /// End of the selected server.
     Exit,
-    /// An event of a running server.
+    /// Event of the selected server.
     Event(EventKind),
-    /// An empty line.
+    /// Empty line, which is ignored.
     Empty,
-    /// A kind that is not known; it is ignored within a batch.
+    /// Unknown kind, which is ignored within a batch.
     Unknown,
 }
 
-/// What happened to a server.
+/// Kind of an event of a server.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum EventKind {
     /// A request arrived.
@@ -52,17 +52,17 @@
     ShutdownNotice,
 }
 
-/// A line of the bench.
+/// Line of the bench.
 #[derive(Clone, Copy)]
 pub(crate) struct Line<'a> {
-    /// What it is about.
+    /// Kind of the line.
     pub(crate) kind: LineKind,
-    /// Its fields, not read yet.
+    /// Fields of the line, not parsed yet.
     pub(crate) fields: Fields<'a>,
 }
 
 impl<'a> Line<'a> {
-    /// Splits a line, without its end, into kind and fields.
+    /// Splits a line without its line end into kind and fields.
     pub(crate) fn parse(text: &'a str) -> Self {
         let (word, fields) = text.split_once(' ').unwrap_or((text, ""));
         let kind = match word {
@@ -85,18 +85,18 @@
     }
 }
 
-/// The name under which the bench gives the requests on the cores.
+/// Name of the bench's gauge for the number of requests on the cores.
 const REQUESTS_ON_CORES_GAUGE: &str = "on_cores";
 
-/// A gauge of the runtime.
+/// Gauge of the runtime, which executes the server's requests.
 struct Gauge<'a> {
-    /// Its name in the settings.
+    /// Name of the gauge in the settings.
     name: &'a str,
-    /// Its value, which is finite.
+    /// Value of the gauge, always finite.
     value: f64,
 }
 
-/// An event of a running server with its typed fields.
+/// Event of a running server, with typed fields.
 pub(crate) enum ServerEvent {
     /// A request arrived.
     RequestReceived(NewRequest),
@@ -104,28 +104,31 @@
     CallRequested(RequestId),
     /// A dependency call ended.
     CallFinished {
-        /// The request that asked for the call.
+        /// Request whose run asked for the call.
         request: RequestId,
-        /// How the call ended.
+        /// Outcome of the call.
         outcome: Outcome,
     },
     /// A run ended.
     RunFinished {
-        /// The request that ran.
+        /// Request that ran.
         request: RequestId,
-        /// How the run ended.
+        /// Outcome of the run.
         outcome: Outcome,
     },
     /// The client of a request is gone.
     RequestAbandoned(RequestId),
-    /// The timer fired, with the runtime's gauges.
+    /// The timer fired; the bench sends the runtime's gauges with it.
     Timer(RuntimeGauges),
-    /// The server is to shut down at this time.
+    /// The server is to shut down by the given time.
     ShutdownNotice(Timestamp),
 }
 
 impl ServerEvent {
-    /// Reads the fields of an event.
+    /// Parses the fields of an event.
+    ///
+    /// # Errors
+    /// Returns an error for the first field that is missing or malformed.
     pub(crate) fn parse(kind: EventKind, fields: Fields) -> Result<Self, AdapterError> {
         let request = || fields.request("request-id");
         Ok(match kind {
@@ -181,7 +184,7 @@
     })
 }
 
-/// The gauges of `telemetry`: `name:value` separated by commas.
+/// Parses the gauges in the field `telemetry`: pairs `name:value`, separated by commas.
 fn parse_gauges(fields: Fields<'_>) -> Result<RuntimeGauges, AdapterError> {
     let pairs = fields.get("telemetry").unwrap_or("").split(',').filter(|pair| !pair.is_empty());
     let gauges: Option<Vec<Gauge>> = pairs.map(parse_gauge).collect();
@@ -190,6 +193,7 @@
     Ok(RuntimeGauges { requests_on_cores: on_cores.map(|gauge| gauge.value) })
 }
 
+/// Parses a pair `name:value`, `None` if it is malformed or the value is not finite.
 fn parse_gauge(pair: &str) -> Option<Gauge<'_>> {
     let (name, value) = pair.split_once(':')?;
     let value = value.parse().ok().filter(|value: &f64| value.is_finite())?;
--- a/crates/hazelspur-adapter/src/host.rs
+++ b/crates/hazelspur-adapter/src/host.rs
@@ -1,5 +1,8 @@
-//! The servers of the bench, a controller each, and the batch that is being read. A server whose input is refused, or
-//! whose controller panics, gives in on the wire; a fault of no server ends the adapter.
+//! Controllers of the bench's servers, and the batch that is being read.
+//!
+//! Input: the bench's lines. Output: the decisions of the servers that have an event in the batch. A server
+//! whose input is rejected, or whose controller panics, is answered with `GIVE_IN` in place of decisions; an
+//! error that belongs to no server is returned and ends the adapter.
 
 use crate::decision_line::write_decision;
 use crate::error::AdapterError;
@@ -11,13 +14,13 @@
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// The servers, and what was read of the current batch.
+/// Running servers, and the state of the current batch.
 #[derive(Default)]
 pub(crate) struct Host {
     controllers: BTreeMap<String, AdmissionController>,
-    /// The time of the current batch.
+    /// Time of the current batch; `None` outside a batch.
     now: Option<Timestamp>,
-    /// The server of the events that follow.
+    /// Id of the server to which the following lines belong.
     selected: Option<String>,
     /// Servers with an event in this batch, in order of appearance.
     batch_servers: Vec<BatchServer>,
@@ -25,16 +28,18 @@
 
 /// A server with an event in the current batch.
 struct BatchServer {
+    /// Id of the server.
     server: String,
-    /// Its first fault in this batch.
+    /// First error of the server in this batch.
     error: Option<AdapterError>,
 }
 
-/// A refused line.
+/// Error of a line, with the server that it belongs to.
 pub(crate) struct RejectedLine {
-    /// Why it is refused.
+    /// Reason for the rejection.
     pub(crate) error: AdapterError,
-    /// The server that gives in; `None` ends the adapter.
+    /// Id of the server that is answered with `GIVE_IN`; `None` if the error belongs to no server and ends
+    /// the adapter.
     pub(crate) server: Option<String>,
 }
 
@@ -45,12 +50,15 @@
 }
 
 impl Host {
-    /// Whether a batch was begun and not committed.
+    /// Returns whether a batch has begun and is not committed.
     pub(crate) fn is_in_batch(&self) -> bool {
         self.now.is_some()
     }
 
-    /// Takes one line.
+    /// Processes one line. The commit itself is left to the caller, which calls `write_reply`.
+    ///
+    /// # Errors
+    /// Returns an error if the line is malformed, out of place or makes the controller panic.
     pub(crate) fn process_line(&mut self, line: Line) -> Result<(), RejectedLine> {
         let Some(now) = self.now else { return self.process_line_outside_batch(line) };
         match line.kind {
@@ -77,7 +85,7 @@
         }
     }
 
-    /// Counts a server among those that the commit answers for; keeps its first fault.
+    /// Includes a server in the reply to the commit, with its first error in this batch.
     pub(crate) fn include_in_reply(&mut self, server: &str, error: Option<AdapterError>) {
         match self.batch_servers.iter_mut().find(|entry| entry.server == server) {
             Some(entry) => entry.error = entry.error.take().or(error),
@@ -122,7 +130,7 @@
         result.map_err(|error| RejectedLine { error, server: Some(server) })
     }
 
-    /// Ends the batch and writes the decisions of the servers with events in it.
+    /// Ends the batch and writes the reply: the decisions, or the error, of each server with an event in it.
     pub(crate) fn write_reply(&mut self, reply: &mut String) {
         let now = self.now.take().unwrap_or_default();
         self.selected = None;
@@ -140,6 +148,7 @@
         reply.push_str("READY\n");
     }
 
+    /// Writes all decisions of a server, followed by `GIVE_IN` if its controller panics.
     fn write_decisions(&mut self, lines: &mut String, server: &str, now: Timestamp) {
         let Some(controller) = self.controllers.get_mut(server) else { return };
         loop {
@@ -152,6 +161,7 @@
     }
 }
 
+/// Starts a controller with the seed and the settings of an `ENLIST` line.
 fn start_controller(now: Timestamp, fields: Fields) -> Result<AdmissionController, AdapterError> {
     let name = "boot-info";
     let seed = fields.required("salt")?;
@@ -162,11 +172,13 @@
     catch_unwind(AssertUnwindSafe(start)).map_err(|panic| panic_error(&*panic))
 }
 
+/// Appends the line that reports the error of a server.
 fn write_failure(lines: &mut String, error: &AdapterError) {
     let message = error.to_string().replace('\n', " ");
     lines.push_str(&format!("GIVE_IN message={message}\n"));
 }
 
+/// Returns the error with the message of a panic.
 fn panic_error(panic: &(dyn Any + Send)) -> AdapterError {
     let text = panic.downcast_ref::<&str>().map(ToString::to_string);
     let message = text.or_else(|| panic.downcast_ref::<String>().cloned()).unwrap_or_else(|| "panic".into());
--- a/crates/hazelspur-adapter/src/main.rs
+++ b/crates/hazelspur-adapter/src/main.rs
@@ -1,6 +1,9 @@
-//! Runs one `hazelspur::AdmissionController` for each server of the bench: reads the bench's lines on standard input
-//! and answers each committed batch with decisions on standard output. Faults go to standard error; one that
-//! belongs to no server ends the adapter with exit status 2.
+//! Adapter between a test bench and `hazelspur::AdmissionController`. The bench is the external program at
+//! the other end of standard input and output; the adapter runs one controller for each server of the bench.
+//!
+//! Reads the bench's lines on standard input, and answers each committed batch with the controllers'
+//! decisions on standard output. Errors go to standard error. An error of one server is also reported to the
+//! bench; any other error ends the adapter with exit status 2.
 
 mod decision_line;
 mod error;
@@ -14,13 +17,14 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-/// The exit status after an error that belongs to no server.
+/// Exit status after an error that belongs to no server.
 const ERROR_STATUS: u8 = 2;
-/// The longest part of a refused line that is shown, in characters.
+/// Maximum length of the part of a rejected line that is shown, in characters.
 const MAX_SHOWN_CHARS: usize = 200;
 
 fn main() -> ExitCode {
-    // Panics of a controller are reported on the wire.
+    // Panics of a controller are reported to the bench, so the default message on standard error is
+    // suppressed.
     std::panic::set_hook(Box::new(|_| {}));
     let (mut input, mut output) = (io::stdin().lock(), io::stdout().lock());
     let mut host = Host::default();
@@ -40,7 +44,7 @@
         match process_line(&mut host, number, text) {
             Ok(None) => {}
             Ok(Some(reply)) => {
-                // The bench has gone where it takes no more replies.
+                // A bench that reads no more replies has ended, which is not an error of the adapter.
                 if output.write_all(reply.as_bytes()).and_then(|()| output.flush()).is_err() {
                     return ExitCode::SUCCESS;
                 }
@@ -51,7 +55,10 @@
     ExitCode::SUCCESS
 }
 
-/// Takes a line and returns the reply that a commit asks for.
+/// Processes a line and returns the reply if the line commits a batch.
+///
+/// # Errors
+/// Returns an error that belongs to no server. An error of one server becomes part of the reply.
 fn process_line(host: &mut Host, number: u64, text: &str) -> Result<Option<String>, AdapterError> {
     let line = Line::parse(text);
     if let Err(rejected) = host.process_line(line) {
@@ -67,6 +74,7 @@
     Ok(Some(reply))
 }
 
+/// Writes an error to standard error, with the begin of the line that caused it.
 fn log_error(number: u64, error: &AdapterError, line: &str) {
     eprintln!("line {number}: {error}: {}", line.chars().take(MAX_SHOWN_CHARS).collect::<String>());
 }
--- a/crates/hazelspur-adapter/tests/wire.rs
+++ b/crates/hazelspur-adapter/tests/wire.rs
@@ -1,25 +1,35 @@
-//! Unusual batches through the built adapter.
+//! Tests of the built adapter: batches with unknown, malformed and misplaced lines, and every kind of event.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
 
+/// Begin of a batch that starts `server_1`.
 const START_SERVER: &str = concat!(
     "BATCH at-time-us=1000\nSELECT server-id=server_1\n",
     "ENLIST salt=7 boot-info={\"family-info\":{\"n-cores\":2,\"mem-limit-kb\":9000},\"new\":[null],",
     "\"lanes\":[{\"aim-us\":1000000,\"deadline-us\":4000000,\"semantics\":\"safe\"}]}\n",
 );
+/// Id of the first request.
 const REQUEST: &str = "5d3a91c4-c55e-4ea8-a723-2965583e6a4c";
 
+/// Runs the adapter with the given input and returns its standard output, standard error and exit status.
 fn run_adapter(input: &str) -> String {
     let mut adapter = Command::new(env!("CARGO_BIN_EXE_hazelspur-adapter"));
     let pipes = adapter.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
     let mut child = pipes.spawn().expect("the adapter starts");
-    child.stdin.take().expect("a pipe").write_all(input.as_bytes()).expect("the adapter reads");
+    child
+        .stdin
+        .take()
+        .expect("standard input is a pipe")
+        .write_all(input.as_bytes())
+        .expect("the adapter reads");
     let out = child.wait_with_output().expect("the adapter ends");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     format!("{}{}exit {:?}\n", text(&out.stdout), text(&out.stderr), out.status.code())
 }
 
+/// Also covers an outcome that is reported twice, a batch without events, and the end of input after a
+/// commit, which is a success.
 #[test]
 fn unknown_lines_and_fields_are_ignored() {
     let events = format!("NOVELTY x=1\nCALL odd=3 kb=5 class=0 request-id={REQUEST} neighbour=3\nCOMMIT\n");
@@ -125,6 +135,7 @@
     .assert_eq(&seen);
 }
 
+/// Sends every field of a request and every kind of event, and at last an event of a server that has ended.
 #[test]
 fn every_event_is_read_and_answered() {
     let other = REQUEST.replace("5d3a", "6d3a");
