--- a/crates/hazelspur-deliveries/src/settlement.rs
+++ b/crates/hazelspur-deliveries/src/settlement.rs
@@ -1,8 +1,8 @@
 //! Maps the outcome of a delivery to its settlement with the broker, by a settlement table per queue.
 //!
 //! Input: the outcome, the idempotency of the request and the number of previous attempts. Output: the
-//! settlement and the delay before a redelivery. `check` refuses a table by which a message
-//! that cannot succeed would be redelivered without end.
+//! settlement and the delay before a redelivery. `check` refuses a table by which a message that cannot
+//! succeed would be redelivered without end.
 
 use crate::outcome::DeliveryOutcome;
 use hazelspur::{Duration, Idempotency};
--- a/crates/hazelspur-deliveries/src/tracker/delivery.rs
+++ b/crates/hazelspur-deliveries/src/tracker/delivery.rs
@@ -23,7 +23,7 @@
 /// State of a delivery between its receipt and its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DeliveryState {
-    /// Waits for the queue's duty cycle gate.
+    /// Waits in the queue's duty cycle gate.
     Gated,
     /// Submitted to the admission controller, which has not started its request yet.
     Submitted,
--- a/crates/hazelspur-parsers/src/http.rs
+++ b/crates/hazelspur-parsers/src/http.rs
@@ -53,7 +53,7 @@
     #[error("header has characters that are not allowed in its name or value")]
     UnreadableHeader,
     /// Two content lengths differ, or a chunked response has a content length.
-    #[error("response has two content lengths, or is chunked and has a content length")]
+    #[error("response has two different content lengths, or is chunked and has a content length")]
     ConflictingLengths,
     /// The transfer encoding is not chunked.
     #[error("transfer encoding is not chunked")]
