--- a/crates/hazelspur-adapter/src/event.rs
+++ b/crates/hazelspur-adapter/src/event.rs
@@ -1,4 +1,4 @@
-//! The lines of the bench: which kind a line is, and the events of a server as typed values.
+//! Lines of the bench: their kinds, and the events of a server as typed values.
 
 use crate::error::AdapterError;
 use crate::fields::Fields;
@@ -7,33 +7,33 @@
     SessionKey, TenantId, Timestamp,
 };
 
-/// Set in the `bits` of a request whose cost is stated.
-const COST_IS_STATED: u32 = 1;
-/// Set in the `bits` of a request that writes.
-const IS_WRITE: u32 = 4;
+/// Bit in the field `bits` of a request that states its cost.
+const COST_STATED_BIT: u32 = 1;
+/// Bit in the field `bits` of a request that writes.
+const WRITE_BIT: u32 = 4;
 
-/// What a line is about.
+/// Kind of a line, by its first word.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LineKind {
-    /// Begins a batch.
+    /// Begin of a batch.
     Batch,
-    /// Ends a batch and asks for the decisions.
+    /// End of a batch, answered with the decisions.
     Commit,
-    /// Selects the server of the events that follow.
+    /// Selection of the server to which the following lines belong.
     Select,
-    /// Starts a server.
+    /// Start of the selected server.
     Enlist,
-    /// Ends a server.
+    /// End of the selected server.
     Exit,
-    /// An event of a running server.
+    /// Event of the selected server.
     Event(EventKind),
-    /// An empty line.
+    /// Empty line, which is ignored.
     Empty,
-    /// A kind that is not known; it is ignored within a batch.
+    /// Unknown kind, which is ignored within a batch.
     Unknown,
 }
 
-/// What happened to a server.
+/// Kind of an event of a server.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum EventKind {
     /// A request arrived.
@@ -52,17 +52,17 @@
     ShutdownNotice,
 }
 
-/// A line of the bench.
+/// Line of the bench.
 #[derive(Clone, Copy)]
 pub(crate) struct Line<'a> {
-    /// What it is about.
+    /// Kind of the line.
     pub(crate) kind: LineKind,
-    /// Its fields, not read yet.
+    /// Fields of the line, not parsed yet.
     pub(crate) fields: Fields<'a>,
 }
 
 impl<'a> Line<'a> {
-    /// Splits a line, without its end, into kind and fields.
+    /// Splits a line without its line end into kind and fields.
     pub(crate) fn parse(text: &'a str) -> Self {
         let (word, fields) = text.split_once(' ').unwrap_or((text, ""));
         let kind = match word {
@@ -85,56 +85,59 @@
     }
 }
 
-/// The name under which the bench gives the requests on the cores.
+/// Name of the bench's gauge for the number of requests on the cores.
 const REQUESTS_ON_CORES_GAUGE: &str = "on_cores";
 
-/// A gauge of the runtime.
+/// Gauge of the runtime, which executes the server's requests.
 struct Gauge<'a> {
-    /// Its name in the settings.
+    /// Name of the gauge in the settings.
     name: &'a str,
-    /// Its value, which is finite.
+    /// Value of the gauge, always finite.
     value: f64,
 }
 
-/// An event of a running server with its typed fields.
-pub(crate) enum BenchEvent {
+/// Event of a running server, with typed fields.
+pub(crate) enum ServerEvent {
     /// A request arrived.
     RequestReceived(NewRequest),
     /// A run asks for its dependency call.
     CallRequested(RequestId),
     /// A dependency call ended.
     CallFinished {
-        /// The request that asked for the call.
+        /// Request whose run asked for the call.
         request: RequestId,
-        /// How the call ended.
+        /// Outcome of the call.
         outcome: Outcome,
     },
     /// A run ended.
     RunFinished {
-        /// The request that ran.
+        /// Request that ran.
         request: RequestId,
-        /// How the run ended.
+        /// Outcome of the run.
         outcome: Outcome,
     },
     /// The client of a request is gone.
     RequestAbandoned(RequestId),
-    /// The timer fired, with the runtime's gauges.
+    /// The timer fired; the bench sends the runtime's gauges with it.
     Timer(RuntimeGauges),
-    /// The server is to shut down at this time.
+    /// The server is to shut down by the given time.
     ShutdownNotice(Timestamp),
 }
 
-impl BenchEvent {
-    /// Reads the fields of an event.
+impl ServerEvent {
+    /// Parses the fields of an event.
+    ///
+    /// # Errors
+    /// Returns an error for the first field that is missing or malformed.
     pub(crate) fn parse(kind: EventKind, fields: Fields) -> Result<Self, AdapterError> {
         let request = || fields.request("request-id");
         Ok(match kind {
-            EventKind::RequestReceived => Self::RequestReceived(new_request(fields)?),
+            EventKind::RequestReceived => Self::RequestReceived(parse_new_request(fields)?),
             EventKind::CallRequested => Self::CallRequested(request()?),
             EventKind::CallFinished => Self::CallFinished { request: request()?, outcome: fields.outcome()? },
             EventKind::RunFinished => Self::RunFinished { request: request()?, outcome: fields.outcome()? },
             EventKind::RequestAbandoned => Self::RequestAbandoned(request()?),
-            EventKind::Timer => Self::Timer(gauges(fields)?),
+            EventKind::Timer => Self::Timer(parse_gauges(fields)?),
             EventKind::ShutdownNotice => {
                 Self::ShutdownNotice(Timestamp::from_us(fields.required("give-up-at-us")?))
             }
@@ -157,10 +160,10 @@
     }
 }
 
-fn new_request(fields: Fields) -> Result<NewRequest, AdapterError> {
+fn parse_new_request(fields: Fields) -> Result<NewRequest, AdapterError> {
     let bits: u32 = fields.optional("bits")?.unwrap_or(0);
     let deadline_us = fields.optional("give-up-at-us")?.filter(|at_us| *at_us > 0);
-    let cost_us = fields.optional("cost-us")?.filter(|_| bits & COST_IS_STATED != 0);
+    let cost_us = fields.optional("cost-us")?.filter(|_| bits & COST_STATED_BIT != 0);
     let retry_of = match fields.get("prior") {
         None | Some("0" | "") => None,
         Some(_) => Some(fields.request("prior")?),
@@ -176,21 +179,22 @@
         size_kb: fields.number("kb")?,
         age: Duration::from_us(fields.optional("age-us")?.unwrap_or(0)),
         read_offset: Duration::ZERO,
-        is_write: bits & IS_WRITE != 0,
+        is_write: bits & WRITE_BIT != 0,
         retry_of,
     })
 }
 
-/// The gauges of `telemetry`: `name:value` separated by commas.
-fn gauges(fields: Fields<'_>) -> Result<RuntimeGauges, AdapterError> {
+/// Parses the gauges in the field `telemetry`: pairs `name:value`, separated by commas.
+fn parse_gauges(fields: Fields<'_>) -> Result<RuntimeGauges, AdapterError> {
     let pairs = fields.get("telemetry").unwrap_or("").split(',').filter(|pair| !pair.is_empty());
-    let gauges: Option<Vec<Gauge>> = pairs.map(gauge).collect();
+    let gauges: Option<Vec<Gauge>> = pairs.map(parse_gauge).collect();
     let gauges = gauges.ok_or(AdapterError::MalformedField { name: "telemetry" })?;
     let on_cores = gauges.iter().find(|gauge| gauge.name == REQUESTS_ON_CORES_GAUGE);
     Ok(RuntimeGauges { requests_on_cores: on_cores.map(|gauge| gauge.value) })
 }
 
-fn gauge(pair: &str) -> Option<Gauge<'_>> {
+/// Parses a pair `name:value`, `None` if it is malformed or the value is not finite.
+fn parse_gauge(pair: &str) -> Option<Gauge<'_>> {
     let (name, value) = pair.split_once(':')?;
     let value = value.parse().ok().filter(|value: &f64| value.is_finite())?;
     Some(Gauge { name, value })
--- a/crates/hazelspur-adapter/src/host.rs
+++ b/crates/hazelspur-adapter/src/host.rs
@@ -1,9 +1,12 @@
-//! The servers of the bench, a controller each, and the batch that is being read. A server whose input is refused, or
-//! whose controller panics, gives in on the wire; a fault of no server ends the adapter.
+//! Controllers of the bench's servers, and the batch that is being read.
+//!
+//! Input: the bench's lines. Output: the decisions of the servers that have an event in the batch. A server
+//! whose input is rejected, or whose controller panics, is answered with `GIVE_IN` in place of decisions; an
+//! error that belongs to no server is returned and ends the adapter.
 
 use crate::decision_line::write_decision;
 use crate::error::AdapterError;
-use crate::event::{BenchEvent, EventKind, Line, LineKind};
+use crate::event::{EventKind, Line, LineKind, ServerEvent};
 use crate::fields::Fields;
 use hazelspur::{AdmissionController, Timestamp};
 use hazelspur_parsers::{Json, settings};
@@ -11,48 +14,53 @@
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// The servers, and what was read of the current batch.
+/// Running servers, and the state of the current batch.
 #[derive(Default)]
 pub(crate) struct Host {
     controllers: BTreeMap<String, AdmissionController>,
-    /// The time of the current batch.
+    /// Time of the current batch; `None` outside a batch.
     now: Option<Timestamp>,
-    /// The server of the events that follow.
+    /// Id of the server to which the following lines belong.
     selected: Option<String>,
     /// Servers with an event in this batch, in order of appearance.
-    touched: Vec<TouchedServer>,
+    batch_servers: Vec<BatchServer>,
 }
 
 /// A server with an event in the current batch.
-struct TouchedServer {
+struct BatchServer {
+    /// Id of the server.
     server: String,
-    /// Its first fault in this batch.
+    /// First error of the server in this batch.
     error: Option<AdapterError>,
 }
 
-/// A refused line.
-pub(crate) struct Fault {
-    /// Why it is refused.
+/// Error of a line, with the server that it belongs to.
+pub(crate) struct RejectedLine {
+    /// Reason for the rejection.
     pub(crate) error: AdapterError,
-    /// The server that gives in; `None` ends the adapter.
+    /// Id of the server that is answered with `GIVE_IN`; `None` if the error belongs to no server and ends
+    /// the adapter.
     pub(crate) server: Option<String>,
 }
 
-impl From<AdapterError> for Fault {
+impl From<AdapterError> for RejectedLine {
     fn from(error: AdapterError) -> Self {
         Self { error, server: None }
     }
 }
 
 impl Host {
-    /// Whether a batch was begun and not committed.
+    /// Returns whether a batch has begun and is not committed.
     pub(crate) fn is_in_batch(&self) -> bool {
         self.now.is_some()
     }
 
-    /// Takes one line.
-    pub(crate) fn take_line(&mut self, line: Line) -> Result<(), Fault> {
-        let Some(now) = self.now else { return self.take_line_outside_batch(line) };
+    /// Processes one line. The commit itself is left to the caller, which calls `write_reply`.
+    ///
+    /// # Errors
+    /// Returns an error if the line is malformed, out of place or makes the controller panic.
+    pub(crate) fn process_line(&mut self, line: Line) -> Result<(), RejectedLine> {
+        let Some(now) = self.now else { return self.process_line_outside_batch(line) };
         match line.kind {
             LineKind::Batch => Err(AdapterError::NestedBatch.into()),
             LineKind::Select => {
@@ -61,12 +69,12 @@
             }
             LineKind::Enlist => self.start_server(now, line.fields),
             LineKind::Exit => self.end_server(),
-            LineKind::Event(kind) => self.take_event(now, kind, line.fields),
+            LineKind::Event(kind) => self.report_event(now, kind, line.fields),
             LineKind::Commit | LineKind::Empty | LineKind::Unknown => Ok(()),
         }
     }
 
-    fn take_line_outside_batch(&mut self, line: Line) -> Result<(), Fault> {
+    fn process_line_outside_batch(&mut self, line: Line) -> Result<(), RejectedLine> {
         match line.kind {
             LineKind::Batch => {
                 self.now = Some(Timestamp::from_us(line.fields.required("at-time-us")?));
@@ -77,11 +85,11 @@
         }
     }
 
-    /// Counts a server among those that the commit answers for; keeps its first fault.
-    pub(crate) fn touch(&mut self, server: &str, error: Option<AdapterError>) {
-        match self.touched.iter_mut().find(|touched| touched.server == server) {
-            Some(touched) => touched.error = touched.error.take().or(error),
-            None => self.touched.push(TouchedServer { server: server.into(), error }),
+    /// Includes a server in the reply to the commit, with its first error in this batch.
+    pub(crate) fn include_in_reply(&mut self, server: &str, error: Option<AdapterError>) {
+        match self.batch_servers.iter_mut().find(|entry| entry.server == server) {
+            Some(entry) => entry.error = entry.error.take().or(error),
+            None => self.batch_servers.push(BatchServer { server: server.into(), error }),
         }
     }
 
@@ -89,69 +97,71 @@
         self.selected.clone().ok_or(AdapterError::NoServerSelected)
     }
 
-    fn start_server(&mut self, now: Timestamp, fields: Fields) -> Result<(), Fault> {
+    fn start_server(&mut self, now: Timestamp, fields: Fields) -> Result<(), RejectedLine> {
         let server = self.selected()?;
         let controller = match start_controller(now, fields) {
             Ok(controller) => controller,
-            Err(error) => return Err(Fault { error, server: Some(server) }),
+            Err(error) => return Err(RejectedLine { error, server: Some(server) }),
         };
         self.controllers.insert(server.clone(), controller);
-        self.touched.retain(|touched| touched.server != server);
-        self.touch(&server, None);
+        self.batch_servers.retain(|entry| entry.server != server);
+        self.include_in_reply(&server, None);
         Ok(())
     }
 
-    fn end_server(&mut self) -> Result<(), Fault> {
+    fn end_server(&mut self) -> Result<(), RejectedLine> {
         let server = self.selected()?;
         if self.controllers.remove(&server).is_none() {
             return Err(AdapterError::UnknownServer { server }.into());
         }
-        self.touched.retain(|touched| touched.server != server);
+        self.batch_servers.retain(|entry| entry.server != server);
         Ok(())
     }
 
-    fn take_event(&mut self, now: Timestamp, kind: EventKind, fields: Fields) -> Result<(), Fault> {
+    fn report_event(&mut self, now: Timestamp, kind: EventKind, fields: Fields) -> Result<(), RejectedLine> {
         let server = self.selected()?;
         let Some(controller) = self.controllers.get_mut(&server) else {
             return Err(AdapterError::UnknownServer { server }.into());
         };
-        let report = || BenchEvent::parse(kind, fields).map(|event| event.report(controller, now));
+        let report = || ServerEvent::parse(kind, fields).map(|event| event.report(controller, now));
         let reported = catch_unwind(AssertUnwindSafe(report));
-        self.touch(&server, None);
+        self.include_in_reply(&server, None);
         let result = reported.unwrap_or_else(|panic| Err(panic_error(&*panic)));
-        result.map_err(|error| Fault { error, server: Some(server) })
+        result.map_err(|error| RejectedLine { error, server: Some(server) })
     }
 
-    /// Ends the batch and writes the decisions of the servers with events in it.
+    /// Ends the batch and writes the reply: the decisions, or the error, of each server with an event in it.
     pub(crate) fn write_reply(&mut self, reply: &mut String) {
         let now = self.now.take().unwrap_or_default();
         self.selected = None;
-        for touched in std::mem::take(&mut self.touched) {
+        for entry in std::mem::take(&mut self.batch_servers) {
             let mut lines = String::new();
-            match touched.error {
-                Some(error) => write_give_in(&mut lines, &error),
-                None => self.write_decisions(&mut lines, &touched.server, now),
+            match entry.error {
+                Some(error) => write_failure(&mut lines, &error),
+                None => self.write_decisions(&mut lines, &entry.server, now),
             }
             if !lines.is_empty() {
-                reply.push_str(&format!("CONTEXT server-id={}\n", touched.server));
+                reply.push_str(&format!("CONTEXT server-id={}\n", entry.server));
                 reply.push_str(&lines);
             }
         }
         reply.push_str("READY\n");
     }
 
+    /// Writes all decisions of a server, followed by `GIVE_IN` if its controller panics.
     fn write_decisions(&mut self, lines: &mut String, server: &str, now: Timestamp) {
         let Some(controller) = self.controllers.get_mut(server) else { return };
         loop {
             match catch_unwind(AssertUnwindSafe(|| controller.next_decision(now))) {
                 Ok(Some(decision)) => write_decision(lines, &decision),
                 Ok(None) => return,
-                Err(panic) => return write_give_in(lines, &panic_error(&*panic)),
+                Err(panic) => return write_failure(lines, &panic_error(&*panic)),
             }
         }
     }
 }
 
+/// Starts a controller with the seed and the settings of an `ENLIST` line.
 fn start_controller(now: Timestamp, fields: Fields) -> Result<AdmissionController, AdapterError> {
     let name = "boot-info";
     let seed = fields.required("salt")?;
@@ -162,11 +172,13 @@
     catch_unwind(AssertUnwindSafe(start)).map_err(|panic| panic_error(&*panic))
 }
 
-fn write_give_in(lines: &mut String, error: &AdapterError) {
+/// Appends the line that reports the error of a server.
+fn write_failure(lines: &mut String, error: &AdapterError) {
     let message = error.to_string().replace('\n', " ");
     lines.push_str(&format!("GIVE_IN message={message}\n"));
 }
 
+/// Returns the error with the message of a panic.
 fn panic_error(panic: &(dyn Any + Send)) -> AdapterError {
     let text = panic.downcast_ref::<&str>().map(ToString::to_string);
     let message = text.or_else(|| panic.downcast_ref::<String>().cloned()).unwrap_or_else(|| "panic".into());
--- a/crates/hazelspur-deliveries/src/tracker/settling.rs
+++ b/crates/hazelspur-deliveries/src/tracker/settling.rs
@@ -1,4 +1,4 @@
-//! From the outcome of a delivery to its settlement and its end.
+//! Settlement of a delivery: from the outcome of its request to the end of the delivery.
 
 use super::delivery::{Delivery, DeliveryState, Publication};
 use super::{DeliveryAction, DeliveryTracker};
@@ -8,7 +8,8 @@
 use hazelspur::{Duration, Timestamp};
 use std::rc::Rc;
 
-/// Without a message-id nobody counts the attempts of a requeued message: it would be redelivered for ever.
+/// Returns the settlement by the queue's table. A failed message without a message-id is settled as exhausted
+/// instead of requeued: its attempts cannot be counted, so it would be redelivered without end.
 fn settlement_of(table: &SettlementTable, delivery: &Delivery, outcome: DeliveryOutcome) -> Settlement {
     let settlement = table.settle(outcome, delivery.idempotency, delivery.previous_attempts);
     let requeues_failed = outcome == DeliveryOutcome::Failed && settlement == Settlement::RequeueLater;
@@ -27,7 +28,7 @@
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
         let table = &self.queues[delivery.queue.0].settlements;
         let delay = table.redelivery_delay(outcome);
-        let bars_duplicates = delivery.bars_duplicates(outcome);
+        let prevents_rerun = delivery.prevents_rerun(outcome);
         let duplicates = std::mem::take(&mut delivery.duplicates);
         (delivery.outcome, delivery.result) = (outcome, result.clone());
         delivery.settlement = settlement_of(table, delivery, outcome);
@@ -38,7 +39,7 @@
         self.counters.expired += u64::from(outcome == DeliveryOutcome::Expired);
         self.begin_settlement(now, id, delay);
         for duplicate in duplicates {
-            if bars_duplicates {
+            if prevents_rerun {
                 self.counters.duplicates += 1;
                 self.finish(now, duplicate, outcome, result);
             } else {
@@ -47,11 +48,13 @@
         }
     }
 
+    /// Records the outcome in the message cache if duplicates must not run, and the attempt count if the
+    /// message is requeued after a failure.
     fn update_message_cache(&mut self, now: Timestamp, id: DeliveryId) {
         let Some(delivery) = self.deliveries.get(&id) else { return };
         let Some(message_id) = &delivery.message_id else { return };
         let failed = delivery.outcome == DeliveryOutcome::Failed;
-        if delivery.bars_duplicates(delivery.outcome) {
+        if delivery.prevents_rerun(delivery.outcome) {
             let result = delivery.result.clone();
             self.message_cache.record_finished(now, message_id, delivery.outcome, result);
         } else if failed && delivery.settlement == Settlement::RequeueLater {
@@ -75,6 +78,8 @@
         }
     }
 
+    /// Requeues a delivery after the delay, or at once during a shutdown. Ends it if it can no longer be
+    /// settled.
     pub(super) fn schedule_requeue(&mut self, now: Timestamp, id: DeliveryId, delay: Duration) {
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
         if !delivery.unsettled || self.shutting_down {
@@ -85,6 +90,7 @@
         self.set_timer(id, Some(at));
     }
 
+    /// Requeues the message if it can still be settled, and ends the delivery.
     pub(super) fn requeue(&mut self, id: DeliveryId) {
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
         if let Some(tag) = delivery.take_tag() {
@@ -94,14 +100,14 @@
         self.release(id);
     }
 
-    /// Settles as the table says for the outcome.
+    /// Settles the delivery by the settlement chosen for its outcome, and ends it.
     pub(super) fn settle(&mut self, id: DeliveryId) {
         let Some(delivery) = self.deliveries.get(&id) else { return };
         let settlement = delivery.settlement;
         self.settle_as(id, settlement);
     }
 
-    /// Settles the tag unless that has been done before the run, and ends the delivery.
+    /// Settles the delivery unless it was acknowledged before the run or its tag is lost, and ends it.
     pub(super) fn settle_as(&mut self, id: DeliveryId, settlement: Settlement) {
         let Some(delivery) = self.deliveries.get_mut(&id) else { return };
         match (delivery.take_tag(), settlement) {
@@ -118,13 +124,15 @@
         self.release(id);
     }
 
-    /// Ends a delivery that never ran here and can no longer be settled.
+    /// Ends a delivery without a settlement, since its tag is lost. The broker redelivers its message if that
+    /// was not acknowledged.
     pub(super) fn leave_to_broker(&mut self, id: DeliveryId) {
         self.counters.left_to_broker += u64::from(self.deliveries.contains_key(&id));
         self.release(id);
     }
 
-    /// Removes a delivery. Duplicates that waited for its outcome never ran and are requeued.
+    /// Removes a delivery that has ended. Duplicates that still wait for its outcome have not run and are
+    /// requeued.
     fn release(&mut self, id: DeliveryId) {
         let Some(mut delivery) = self.deliveries.remove(&id) else { return };
         self.timers.cancel(id, &mut delivery);
--- a/crates/hazelspur-parsers/src/http.rs
+++ b/crates/hazelspur-parsers/src/http.rs
@@ -1,148 +1,152 @@
-//! HTTP/1.1 as a client speaks it: one request at a time on a connection. Reads a response from a buffer as it arrives;
-//! no byte is looked at twice for longer than a line.
+//! HTTP/1.1 client protocol with one request at a time on a connection: writes requests, and reads a response
+//! from a buffer as it arrives. Bytes that were searched for the end of the head are not searched again.
 
-use crate::{Buffer, put};
+use crate::{Buffer, append};
 use thiserror::Error;
 
-/// The longest head of a response, in bytes.
+/// Maximum length of the head of a response, in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The longest body of a response, in bytes.
+/// Maximum length of the body of a response, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The longest line before a chunk or among the trailers, in bytes.
+/// Maximum length of the size line of a chunk, and of a trailer line, with its line end, in bytes.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
-/// The most interim responses before the final one.
-const MAX_INTERIM: u32 = 8;
-/// The most interim responses and trailers of one response together.
-const MAX_INTERIM_AND_TRAILERS: u32 = 2 * MAX_INTERIM;
-/// The most digits of a number.
+/// Maximum number of interim responses (status 1xx) before the final one.
+const MAX_INTERIM_RESPONSES: u32 = 8;
+/// Maximum number of interim responses and trailer lines of one response together.
+const MAX_INTERIM_AND_TRAILERS: u32 = 2 * MAX_INTERIM_RESPONSES;
+/// Maximum number of digits of a number.
 const MAX_DIGITS: usize = 16;
-/// The greatest status of a response.
+/// Maximum status code of a response.
 const MAX_STATUS: usize = 599;
 
-/// Why a response can't be read; its connection is of no further use.
+/// Error in a response. The connection cannot be used any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HttpError {
-    /// The head exceeds its bound.
-    #[error("the head is too long")]
+    /// The head exceeds its maximum length.
+    #[error("response head exceeds {} bytes", MAX_HEAD_BYTES)]
     HeadTooLong,
     /// Too many interim responses before the final one.
-    #[error("too many interim replies")]
+    #[error("more than {} interim responses", MAX_INTERIM_RESPONSES)]
     TooManyInterim,
-    /// Too many trailers.
-    #[error("too many trailers")]
+    /// Too many trailer lines after a chunked body.
+    #[error("more than {} interim responses and trailer lines", MAX_INTERIM_AND_TRAILERS)]
     TooManyTrailers,
-    /// A chunk without its line end, or whose size line exceeds its bound.
-    #[error("an unreadable chunk")]
+    /// A chunk has no line end after its data, or the line of a chunk or trailer exceeds its maximum length.
+    #[error("chunk without line end, or chunk line longer than {} bytes", MAX_CHUNK_LINE_BYTES)]
     UnreadableChunk,
     /// The head is not UTF-8.
-    #[error("the head is not text")]
-    HeadNotText,
-    /// The response is not one of HTTP/1.
-    #[error("not HTTP/1")]
+    #[error("response head is not UTF-8")]
+    HeadNotUtf8,
+    /// The response does not begin with a version of HTTP/1.
+    #[error("response is not HTTP/1")]
     NotHttp1,
-    /// The first line has no status.
-    #[error("no status")]
+    /// The status line has no status code.
+    #[error("status line has no status code")]
     NoStatus,
-    /// The version or status is unknown, or the head has control characters.
-    #[error("an unreadable head")]
+    /// The version is unknown, the status code is under 100, or the head has control characters.
+    #[error("response head has an unknown version, a status code under 100 or control characters")]
     UnreadableHead,
     /// A header line has no colon.
-    #[error("a header without a colon")]
+    #[error("header line has no colon")]
     HeaderWithoutColon,
-    /// The name or value of a header has characters that it must not have.
-    #[error("an unreadable header")]
+    /// The name or value of a header has characters that are not allowed there.
+    #[error("header has characters that are not allowed in its name or value")]
     UnreadableHeader,
-    /// Two lengths that differ, or a length and chunks.
-    #[error("two lengths")]
+    /// Two content lengths differ, or a chunked response has a content length.
+    #[error("response has two different content lengths, or is chunked and has a content length")]
     ConflictingLengths,
-    /// A transfer encoding other than chunks.
-    #[error("an encoding that is not known")]
+    /// The transfer encoding is not chunked.
+    #[error("transfer encoding is not chunked")]
     UnknownEncoding,
-    /// A success whose length is not stated: a body that ends with its connection may be cut short.
-    #[error("no length")]
+    /// A response of status 200 has neither a content length nor chunks. A body that ends with its connection
+    /// is not accepted, since it may be truncated.
+    #[error("response of status 200 has no content length and is not chunked")]
     NoLength,
-    /// A number has other characters than digits, or too many of them.
-    #[error("an unreadable number")]
+    /// A status code, content length or chunk size has other characters than digits, or too many digits.
+    #[error("status code, content length or chunk size is not a number of 1 to {} digits", MAX_DIGITS)]
     UnreadableNumber,
-    /// A number exceeds its bound.
-    #[error("a number out of range")]
+    /// A status code or the length of a body exceeds its maximum.
+    #[error("status code exceeds {}, or body exceeds {} bytes", MAX_STATUS, MAX_BODY_BYTES)]
     NumberOutOfRange,
 }
 
 /// Name and value of a header.
 pub type Header<'a> = (&'a str, &'a str);
 
-/// Writes a request with a body.
+/// Writes a request with a body; `verb` is the HTTP method.
 pub fn write_request(out: &mut Vec<u8>, verb: &str, path: &str, host: &str, headers: &[Header], body: &[u8]) {
-    put(out, format_args!("{verb} {path} HTTP/1.1\r\nHost: {host}\r\n"));
+    append(out, format_args!("{verb} {path} HTTP/1.1\r\nHost: {host}\r\n"));
     for (name, value) in headers {
-        put(out, format_args!("{name}: {value}\r\n"));
+        append(out, format_args!("{name}: {value}\r\n"));
     }
-    put(out, format_args!("Content-Length: {}\r\n\r\n", body.len()));
+    append(out, format_args!("Content-Length: {}\r\n\r\n", body.len()));
     out.extend_from_slice(body);
 }
 
-/// A whole response.
+/// Complete final response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// The status code.
+    /// Status code.
     pub status: u16,
-    /// Whether the mark's header has the value 1.
-    pub is_marked: bool,
-    /// Whether the connection may carry another request.
+    /// Whether the flag header, which the caller of `ResponseReader::read` names, has the value 1.
+    pub is_flagged: bool,
+    /// Whether the connection may be used for another request.
     pub is_reusable: bool,
-    /// The body, without the framing of chunks.
+    /// Body, without the framing of chunks.
     pub body: Vec<u8>,
 }
 
-/// Reads one response as it arrives.
+/// Reader of one response, which may arrive in parts.
 #[derive(Default)]
 pub struct ResponseReader {
-    /// Unread bytes in which no end of the head was found.
-    searched: usize,
+    /// Number of unconsumed bytes in which no end of the head was found.
+    searched_bytes: usize,
+    /// Number of interim responses and trailer lines read so far.
     interim_and_trailers: u32,
+    /// Head of the final response, once it was read.
     head: Option<Head>,
     body: Vec<u8>,
 }
 
-/// What the head of a response says.
+/// Head of a response, as far as it matters here.
 #[derive(Clone, Copy)]
 struct Head {
     status: u16,
-    is_marked: bool,
+    is_flagged: bool,
     keeps_connection: bool,
     framing: Framing,
 }
 
-/// How the body of a response ends.
+/// Framing of a response's body, by which its end is found.
 #[derive(Clone, Copy)]
 enum Framing {
-    /// After so many bytes.
+    /// The body ends after the given number of bytes.
     Length(usize),
-    /// With a chunk of size zero.
+    /// The body ends with a chunk of size zero.
     Chunked,
     /// The chunks have ended; trailers follow, up to an empty line.
     Trailers,
 }
 
-/// Whether a part of the body was complete.
+/// Result of reading one part of the body: the whole, a chunk or a trailer line.
 enum Progress {
-    /// More of the body follows.
+    /// The part was read and another one follows.
     More,
-    /// More bytes are needed.
+    /// The part has not arrived completely.
     Incomplete,
     /// The body has ended.
     Complete,
 }
 
 impl ResponseReader {
-    /// Takes what the buffer has of the response and returns it once it is whole; `mark` names the header of
-    /// `Response::is_marked`. Bytes behind the response belong to no request, so that the connection is not reusable.
+    /// Consumes the bytes of the response from the buffer and returns the response once it is complete.
+    /// `flag_header` is the name of the header that sets `Response::is_flagged`. If bytes follow the
+    /// response, they belong to no request and the connection is not reusable.
     ///
     /// # Errors
-    /// A response that can't be read, or one over a bound.
-    pub fn read(&mut self, buffer: &mut Buffer, mark: &str) -> Result<Option<Response>, HttpError> {
-        let Some(head) = self.read_final_head(buffer, mark)? else { return Ok(None) };
+    /// Returns an error if the response is malformed or exceeds a bound.
+    pub fn read(&mut self, buffer: &mut Buffer, flag_header: &str) -> Result<Option<Response>, HttpError> {
+        let Some(head) = self.read_final_head(buffer, flag_header)? else { return Ok(None) };
         loop {
             match self.read_body(buffer)? {
                 Progress::More => {}
@@ -152,19 +156,19 @@
         }
         Ok(Some(Response {
             status: head.status,
-            is_marked: head.is_marked,
+            is_flagged: head.is_flagged,
             is_reusable: head.keeps_connection && buffer.unread().is_empty(),
             body: std::mem::take(&mut self.body),
         }))
     }
 
-    /// The head of the final response; passes over interim ones.
-    fn read_final_head(&mut self, buffer: &mut Buffer, mark: &str) -> Result<Option<Head>, HttpError> {
+    /// Returns the head of the final response and skips interim responses; `None` while it is incomplete.
+    fn read_final_head(&mut self, buffer: &mut Buffer, flag_header: &str) -> Result<Option<Head>, HttpError> {
         while self.head.is_none() {
-            let Some(head) = self.read_head(buffer, mark)? else { return Ok(None) };
+            let Some(head) = self.read_head(buffer, flag_header)? else { return Ok(None) };
             if is_interim(head.status) {
                 self.interim_and_trailers += 1;
-                if self.interim_and_trailers > MAX_INTERIM {
+                if self.interim_and_trailers > MAX_INTERIM_RESPONSES {
                     return Err(HttpError::TooManyInterim);
                 }
             } else {
@@ -174,18 +178,18 @@
         Ok(self.head)
     }
 
-    fn read_head(&mut self, buffer: &mut Buffer, mark: &str) -> Result<Option<Head>, HttpError> {
+    fn read_head(&mut self, buffer: &mut Buffer, flag_header: &str) -> Result<Option<Head>, HttpError> {
         let unread = buffer.unread();
-        let from = self.searched.saturating_sub(3);
+        let from = self.searched_bytes.saturating_sub(3);
         let end = unread[from..].windows(4).position(|four| four == b"\r\n\r\n").map(|at| from + at);
         if end.unwrap_or(unread.len()) > MAX_HEAD_BYTES {
             return Err(HttpError::HeadTooLong);
         }
-        self.searched = unread.len();
+        self.searched_bytes = unread.len();
         let Some(end) = end else { return Ok(None) };
-        let head = parse_head(&unread[..end], mark)?;
-        buffer.take(end + 4);
-        self.searched = 0;
+        let head = parse_head(&unread[..end], flag_header)?;
+        buffer.consume(end + 4);
+        self.searched_bytes = 0;
         Ok(Some(head))
     }
 
@@ -201,7 +205,7 @@
     fn read_length(&mut self, buffer: &mut Buffer, length: usize) -> Progress {
         let Some(body) = buffer.unread().get(..length) else { return Progress::Incomplete };
         self.body.extend_from_slice(body);
-        buffer.take(length);
+        buffer.consume(length);
         Progress::Complete
     }
 
@@ -212,7 +216,7 @@
         let size = parse_digits(size, 16, MAX_BODY_BYTES - self.body.len())?;
         let from = line.len() + 2;
         if size == 0 {
-            buffer.take(from);
+            buffer.consume(from);
             self.head = self.head.map(|head| Head { framing: Framing::Trailers, ..head });
             return Ok(Progress::More);
         }
@@ -221,7 +225,7 @@
             return Err(HttpError::UnreadableChunk);
         }
         self.body.extend_from_slice(&chunk[..size]);
-        buffer.take(from + size + 2);
+        buffer.consume(from + size + 2);
         Ok(Progress::More)
     }
 
@@ -229,7 +233,7 @@
         let Some(line) = chunk_line(buffer.unread())? else { return Ok(Progress::Incomplete) };
         let is_last = line.is_empty();
         let length = line.len() + 2;
-        buffer.take(length);
+        buffer.consume(length);
         self.interim_and_trailers += 1;
         if is_last {
             return Ok(Progress::Complete);
@@ -245,18 +249,19 @@
     (100..200).contains(&status)
 }
 
-fn parse_head(bytes: &[u8], mark: &str) -> Result<Head, HttpError> {
-    let text = std::str::from_utf8(bytes).map_err(|_| HttpError::HeadNotText)?;
+/// Parses a head without the empty line at its end.
+fn parse_head(bytes: &[u8], flag_header: &str) -> Result<Head, HttpError> {
+    let text = std::str::from_utf8(bytes).map_err(|_| HttpError::HeadNotUtf8)?;
     let mut lines = text.split("\r\n");
     let first = lines.next().and_then(|line| line.strip_prefix("HTTP/1."));
     let (minor, rest) = first.ok_or(HttpError::NotHttp1)?.split_once(' ').ok_or(HttpError::NoStatus)?;
     let status = parse_digits(rest.split(' ').next().unwrap_or_default().as_bytes(), 10, MAX_STATUS)? as u16;
-    let is_known = matches!(minor, "0" | "1") && status >= 100;
-    if !is_known || text.chars().any(|c| c.is_control() && !"\r\n\t".contains(c)) {
+    let is_valid = matches!(minor, "0" | "1") && status >= 100;
+    if !is_valid || text.chars().any(|c| c.is_control() && !"\r\n\t".contains(c)) {
         return Err(HttpError::UnreadableHead);
     }
     let mut headers = Headers { keeps_connection: minor == "1", ..Headers::default() };
-    lines.try_for_each(|line| headers.add(line, mark))?;
+    lines.try_for_each(|line| headers.add(line, flag_header))?;
     let mut keeps_connection = headers.keeps_connection;
     let framing = match headers.length {
         _ if is_interim(status) || status == 204 || status == 304 => Framing::Length(0),
@@ -269,27 +274,27 @@
             Framing::Length(0)
         }
     };
-    Ok(Head { status, is_marked: headers.is_marked, keeps_connection, framing })
+    Ok(Head { status, is_flagged: headers.is_flagged, keeps_connection, framing })
 }
 
-/// What the header lines say.
+/// Values of the header lines that matter here.
 #[derive(Default)]
 struct Headers {
-    is_marked: bool,
+    is_flagged: bool,
     keeps_connection: bool,
     length: Option<usize>,
     is_chunked: bool,
 }
 
 impl Headers {
-    fn add(&mut self, line: &str, mark: &str) -> Result<(), HttpError> {
+    fn add(&mut self, line: &str, flag_header: &str) -> Result<(), HttpError> {
         let (name, value) = line.split_once(':').ok_or(HttpError::HeaderWithoutColon)?;
         let value = value.trim_matches([' ', '\t']);
         if !is_token(name) || value.contains(['\r', '\n']) {
             return Err(HttpError::UnreadableHeader);
         }
-        if name.eq_ignore_ascii_case(mark) {
-            self.is_marked = value == "1";
+        if name.eq_ignore_ascii_case(flag_header) {
+            self.is_flagged = value == "1";
         } else if name.eq_ignore_ascii_case("content-length") {
             let length = parse_digits(value.as_bytes(), 10, MAX_BODY_BYTES)?;
             if self.length.replace(length).is_some_and(|other| other != length) {
@@ -308,12 +313,13 @@
     }
 }
 
+/// Returns whether a header name consists of the characters that HTTP allows in it.
 fn is_token(name: &str) -> bool {
     let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.!#$%&'*+^`|~".contains(&b);
     !name.is_empty() && name.bytes().all(is_allowed)
 }
 
-/// The first line of `bytes`, without its end; `None` while it is incomplete.
+/// Returns the first line of `bytes` without its line end; `None` while it is incomplete.
 fn chunk_line(bytes: &[u8]) -> Result<Option<&[u8]>, HttpError> {
     let within = &bytes[..bytes.len().min(MAX_CHUNK_LINE_BYTES)];
     match within.windows(2).position(|two| two == b"\r\n") {
@@ -323,7 +329,7 @@
     }
 }
 
-/// A number of digits alone, without a sign.
+/// Parses a number from 0 to `max` that consists of digits only, without a sign.
 fn parse_digits(text: &[u8], radix: u32, max: usize) -> Result<usize, HttpError> {
     let has_digits_only = text.iter().all(|b| char::from(*b).is_digit(radix));
     if !(1..=MAX_DIGITS).contains(&text.len()) || !has_digits_only {
--- a/crates/hazelspur-parsers/tests/texts.rs
+++ b/crates/hazelspur-parsers/tests/texts.rs
@@ -1,11 +1,11 @@
-//! The parsers on whole, split and malformed texts.
+//! Tests of the parsers with complete, split and malformed texts, and of the JSON-RPC and HTTP writers.
 
 use hazelspur_parsers::rpc::{ErrorData, RpcId};
 use hazelspur_parsers::{Buffer, Json, http, rpc, runtime};
 use std::fmt::Write;
 
 #[test]
-fn json_is_read_in_place_and_malformed_json_is_refused() {
+fn json_values_are_read_and_malformed_json_is_rejected() {
     let texts = [
         r#" {"a":1.5e1,"b":[true,null,"x\u00e9\ud83d\ude00\n"],"a":2} "#,
         r#"{"a":01}"#,
@@ -29,43 +29,44 @@
         let _ = writeln!(
             seen,
             "{} a={:?}/{:?} items={items} last={last:?} number={:?}",
-            if json.is_some() { "good" } else { "bad" },
+            if json.is_some() { "well-formed" } else { "malformed" },
             a.and_then(Json::number),
             a.and_then(Json::text),
             json.and_then(Json::number),
         );
     }
     expect_test::expect![[r#"
-        good a=Some(15.0)/None items=3 last=Some("xé😀\n") number=None
-        bad a=None/None items=0 last=None number=None
-        bad a=None/None items=0 last=None number=None
-        bad a=None/None items=0 last=None number=None
-        good a=None/None items=0 last=None number=None
-        bad a=None/None items=0 last=None number=None
-        good a=None/None items=0 last=None number=None
-        bad a=None/None items=0 last=None number=None
-        bad a=None/None items=0 last=None number=None
-        bad a=None/None items=0 last=None number=None
-        good a=None/None items=0 last=None number=None
-        bad a=None/None items=0 last=None number=None
+        well-formed a=Some(15.0)/None items=3 last=Some("xé😀\n") number=None
+        malformed a=None/None items=0 last=None number=None
+        malformed a=None/None items=0 last=None number=None
+        malformed a=None/None items=0 last=None number=None
+        well-formed a=None/None items=0 last=None number=None
+        malformed a=None/None items=0 last=None number=None
+        well-formed a=None/None items=0 last=None number=None
+        malformed a=None/None items=0 last=None number=None
+        malformed a=None/None items=0 last=None number=None
+        malformed a=None/None items=0 last=None number=None
+        well-formed a=None/None items=0 last=None number=None
+        malformed a=None/None items=0 last=None number=None
     "#]]
     .assert_eq(&seen);
 }
 
+/// Records the handled messages, one per line.
 #[derive(Default)]
 struct Recorder(String);
 
-impl runtime::Listener for Recorder {
-    fn ready(&mut self, hot: bool, since_ms: u64) {
-        self.0 += &format!("ready {hot} {since_ms}\n");
+impl runtime::MessageHandler for Recorder {
+    fn ready(&mut self, is_warm: bool, uptime_ms: u64) {
+        self.0 += &format!("ready {is_warm} {uptime_ms}\n");
     }
-    fn run_ended(&mut self, number: u64, id: &str, end: &str, result: &[u8]) {
-        self.0 += &format!("end {number} {id} {end} {result:?}\n");
+    fn run_ended(&mut self, number: u64, id: &str, outcome: &str, result: &[u8]) {
+        self.0 += &format!("end {number} {id} {outcome} {result:?}\n");
     }
     fn call_requested(&mut self, number: u64, id: &str, body: &[u8]) {
         self.0 += &format!("wants {number} {id} {body:?}\n");
     }
-    fn load(&mut self, tag: &str, values: &[f64]) {
+    fn gauges_received(&mut self, tag: &str, values: &[f64]) {
         self.0 += &format!("load {tag} {values:?}\n");
     }
     fn command_rejected(&mut self, command: &str, id: &str) {
@@ -85,8 +86,8 @@
     let mut buffer = Buffer::default();
     for byte in text {
         buffer.spare_capacity().push(*byte);
-        while let Some(used) = runtime::read(buffer.unread(), &mut recorder).expect("good lines") {
-            buffer.take(used);
+        while let Some(used) = runtime::read(buffer.unread(), &mut recorder).expect("well-formed messages") {
+            buffer.consume(used);
         }
     }
     recorder.0 += &format!("left {}\n", buffer.unread().len());
@@ -107,19 +108,19 @@
         info 3 all is well
         nack give cc
         left 0
-        Err("an unreadable line: end 1 aa complete 80 x")
-        Err("an unreadable line: hello")
-        Err("no line end after a body: end 1 aa error 0 0")
-        Err("an unreadable line: ready hot -1")
-        Err("an unreadable line: ")
-        Err("a line of over 8192 bytes")
+        Err("unreadable line: end 1 aa complete 80 x")
+        Err("unreadable line: hello")
+        Err("no line end after the body of: end 1 aa error 0 0")
+        Err("unreadable line: ready hot -1")
+        Err("unreadable line: ")
+        Err("line exceeds 8192 bytes")
     "#]]
     .assert_eq(&recorder.0);
 }
 
 #[test]
-fn http_responses_of_all_kinds() {
-    let replies = [
+fn http_responses_are_read_whole_or_rejected() {
+    let responses = [
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabcHTTP",
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab",
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 Full\r\nx-untouched: 1\r\ncontent-length: 0\r\n\r\n",
@@ -143,12 +144,12 @@
         &"x".repeat(9000),
     ];
     let mut seen = String::new();
-    for text in replies {
-        let (mut buffer, mut reply) = (Buffer::default(), http::ResponseReader::default());
+    for text in responses {
+        let (mut buffer, mut reader) = (Buffer::default(), http::ResponseReader::default());
         let mut read = |piece: &[u8]| {
             buffer.spare_capacity().extend_from_slice(piece);
-            let read = reply.read(&mut buffer, "X-Untouched");
-            read.map(|read| read.map(|r| (r.status, r.is_marked, r.is_reusable, String::from_utf8(r.body))))
+            let read = reader.read(&mut buffer, "X-Untouched");
+            read.map(|read| read.map(|r| (r.status, r.is_flagged, r.is_reusable, String::from_utf8(r.body))))
                 .map_err(|error| error.to_string())
         };
         let read = text.as_bytes().chunks(3).map(&mut read).find(|read| !matches!(read, Ok(None)));
@@ -164,37 +165,41 @@
         Ok(Some((204, false, false, Ok(""))))
         Ok(Some((503, false, false, Ok(""))))
         Ok(Some((200, false, true, Ok("abcd"))))
-        Err("an unreadable number")
-        Err("an unreadable chunk")
-        Err("no length")
-        Err("an unreadable number")
-        Err("an unreadable number")
-        Err("a number out of range")
-        Err("two lengths")
-        Err("two lengths")
-        Err("a number out of range")
-        Err("an unreadable header")
-        Err("an unreadable head")
-        Err("not HTTP/1")
+        Err("status code, content length or chunk size is not a number of 1 to 16 digits")
+        Err("chunk without line end, or chunk line longer than 256 bytes")
+        Err("response of status 200 has no content length and is not chunked")
+        Err("status code, content length or chunk size is not a number of 1 to 16 digits")
+        Err("status code, content length or chunk size is not a number of 1 to 16 digits")
+        Err("status code exceeds 599, or body exceeds 65536 bytes")
+        Err("response has two different content lengths, or is chunked and has a content length")
+        Err("response has two different content lengths, or is chunked and has a content length")
+        Err("status code exceeds 599, or body exceeds 65536 bytes")
+        Err("header has characters that are not allowed in its name or value")
+        Err("response head has an unknown version, a status code under 100 or control characters")
+        Err("response is not HTTP/1")
         Ok(None)
-        Err("too many interim replies")
-        Err("the head is too long")
+        Err("more than 8 interim responses")
+        Err("response head exceeds 8192 bytes")
         PUT /x HTTP/1.1|Host: h:1|X-A: b|Content-Length: 4||body"#]]
     .assert_eq(&seen);
 }
 
 #[test]
-fn json_rpc_messages_are_written_one_a_line() {
+fn json_rpc_messages_are_written_one_per_line() {
     let mut out = Vec::new();
-    rpc::result(&mut out, RpcId(7), b"done", Some(0.25));
-    rpc::check(&mut out, RpcId(8), true, None);
-    let full = ErrorData { retry_after_ms: Some(250.0), do_not_retry_elsewhere: true, signal: Some(1.0) };
-    rpc::error(&mut out, Some(RpcId(9)), rpc::REJECTED, "refused", full);
+    rpc::write_result(&mut out, RpcId(7), b"done", Some(0.25));
+    rpc::write_health(&mut out, RpcId(8), true, None);
+    let full = ErrorData {
+        retry_after_ms: Some(250.0),
+        do_not_retry_elsewhere: true,
+        advertised_capacity: Some(1.0),
+    };
+    rpc::write_error(&mut out, Some(RpcId(9)), rpc::REJECTED, "refused", full);
     let last = ErrorData { do_not_retry_elsewhere: true, ..ErrorData::default() };
-    rpc::error(&mut out, Some(RpcId(9)), rpc::REJECTED, "refused", last);
-    rpc::error(&mut out, None, rpc::NOT_JSON, "a \"quote\"\n", ErrorData::default());
-    rpc::goodbye(&mut out);
-    let lines = String::from_utf8(out).expect("text");
+    rpc::write_error(&mut out, Some(RpcId(9)), rpc::REJECTED, "refused", last);
+    rpc::write_error(&mut out, None, rpc::PARSE_ERROR, "a \"quote\"\n", ErrorData::default());
+    rpc::write_goodbye(&mut out);
+    let lines = String::from_utf8(out).expect("the messages are UTF-8");
     assert!(lines.lines().all(|line| Json::parse(line.as_bytes()).is_some()));
     expect_test::expect![[r#"
         {"jsonrpc":"2.0","id":7,"result":{"data":"ZG9uZQ==","signal":0.25}}
