--- a/crates/hazelspur-fleet/src/guidance.rs
+++ b/crates/hazelspur-fleet/src/guidance.rs
@@ -23,7 +23,7 @@
 
 /// The value of a figure after a lease has expired.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ExpiredValue {
+pub struct ValueAfterExpiry {
     /// Which figure.
     pub key: GuidanceKey,
     /// The guaranteed minimum.
@@ -36,7 +36,7 @@
     /// When that is, by the monotonic clock.
     pub at: Timestamp,
     /// What applies from then on.
-    pub values: Vec<ExpiredValue>,
+    pub values: Vec<ValueAfterExpiry>,
 }
 
 /// What the admission controller is to be given.
@@ -121,7 +121,7 @@
             let Some(at) = share.expires else { continue };
             let expiry = expiry.get_or_insert(LeaseExpiry { at, values: Vec::new() });
             expiry.at = at.min(expiry.at);
-            expiry.values.push(ExpiredValue { key: guided.key, value: share.guaranteed });
+            expiry.values.push(ValueAfterExpiry { key: guided.key, value: share.guaranteed });
         }
         expiry
     }
--- a/crates/hazelspur-fleet/src/quota/config.rs
+++ b/crates/hazelspur-fleet/src/quota/config.rs
@@ -87,7 +87,7 @@
     ResidualTooLong(LimitName),
     /// The vote duration or the number of servers is outside its range.
     #[error("span is not from 0.2 s to 600 s, or most is 0")]
-    InvalidVoteDuration,
+    InvalidVoteDurationOrMaxServers,
 }
 
 impl QuotaConfig {
@@ -107,7 +107,7 @@
             limit.check(self.vote_duration)?;
         }
         if self.max_servers == 0 || !(MIN_VOTE_DURATION..=MAX_VOTE_DURATION).contains(&self.vote_duration) {
-            return Err(QuotaConfigError::InvalidVoteDuration);
+            return Err(QuotaConfigError::InvalidVoteDurationOrMaxServers);
         }
         Ok(())
     }
--- a/crates/hazelspur-server/src/request/dispatcher.rs
+++ b/crates/hazelspur-server/src/request/dispatcher.rs
@@ -11,7 +11,7 @@
 use hazelspur::{
     AdmissionController, Catalog, ConfigError, Decision, Duration, LoadReport, RequestId, TenantId, Timestamp,
 };
-use hazelspur_fleet::guidance::{ExpiredValue, GuidanceChange, GuidanceUpdate, LeaseExpiry};
+use hazelspur_fleet::guidance::{GuidanceChange, GuidanceUpdate, LeaseExpiry, ValueAfterExpiry};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -131,7 +131,7 @@
         let Some(expiry) = self.lease_expiry.borrow_mut().take_if(|expiry| now >= expiry.at) else { return };
         let now = self.clock.turn_began();
         if let Some(controller) = self.controller.borrow_mut().as_mut() {
-            for ExpiredValue { key, value } in expiry.values {
+            for ValueAfterExpiry { key, value } in expiry.values {
                 controller.set_guidance(now, key, Some(value));
             }
         }
