--- a/crates/hazelspur-fleet/src/circuit_breaker.rs
+++ b/crates/hazelspur-fleet/src/circuit_breaker.rs
@@ -15,7 +15,7 @@
 //! probe forward, once a second at most, because the fault may be in this server's own link and a report may
 //! be false.
 
-use crate::hash::unit_interval;
+use crate::hash::hash_to_unit_interval;
 use crate::names::MemberName;
 use crate::time_slots::SlotSchedule;
 use hazelspur::{Duration, Timestamp};
@@ -38,7 +38,7 @@
 /// Mean time between probes while only this server fails: no other server tests its link.
 const LOCAL_FAULT_PROBE_INTERVAL: Duration = Duration::from_ms(1000);
 /// Smallest factor by which an interval between probes varies.
-const MIN_JITTER: f64 = 0.75;
+const MIN_JITTER_FACTOR: f64 = 0.75;
 /// Width of the range of factors by which an interval between probes varies.
 const JITTER_RANGE: f64 = 0.5;
 /// Probes of the whole fleet in a second while servers do not hear of each other.
@@ -94,7 +94,7 @@
 }
 
 impl FailureRun {
-    fn with_one_more(self, now: Timestamp) -> Self {
+    fn incremented(self, now: Timestamp) -> Self {
         let first_at = if self.count == 0 { now } else { self.first_at };
         Self { count: self.count.saturating_add(1), first_at }
     }
@@ -121,12 +121,12 @@
 pub struct CircuitBreaker {
     server: MemberName,
     dependency: &'static str,
-    schedule: SlotSchedule,
+    slot_schedule: SlotSchedule,
     state: State,
     last_hint_at: Timestamp,
     /// None while too few others report.
     peer_view: Option<PeerView>,
-    changes: VecDeque<BreakerChange>,
+    pending_changes: VecDeque<BreakerChange>,
     /// Probes since the start of the process.
     pub probe_attempts: u64,
 }
@@ -137,11 +137,11 @@
         Self {
             server,
             dependency,
-            schedule: SlotSchedule::new(max_servers, FLEET_PROBES_PER_SECOND, MAX_SLOT_PERIOD),
+            slot_schedule: SlotSchedule::new(max_servers, FLEET_PROBES_PER_SECOND, MAX_SLOT_PERIOD),
             state: State::closed(),
             last_hint_at: Timestamp::default(),
             peer_view: None,
-            changes: VecDeque::new(),
+            pending_changes: VecDeque::new(),
             probe_attempts: 0,
         }
     }
@@ -160,7 +160,7 @@
             }
             (State::Closed { .. }, true) => self.state = State::closed(),
             (State::Closed { unreachable, unanswered }, false) => {
-                let unreachable = unreachable.with_one_more(now);
+                let unreachable = unreachable.incremented(now);
                 self.state = State::Closed { unreachable, unanswered };
                 if unreachable.reaches(now, FAILURE_THRESHOLD, MIN_FAILURE_SPAN)
                     || self.is_confirmed(unreachable)
@@ -175,7 +175,7 @@
     /// Notes a call that the dependency accepted and did not answer in time.
     pub fn call_unanswered(&mut self, now: Timestamp) {
         let State::Closed { unreachable, unanswered } = self.state else { return };
-        let unanswered = unanswered.with_one_more(now);
+        let unanswered = unanswered.incremented(now);
         self.state = State::Closed { unreachable, unanswered };
         if unanswered.reaches(now, UNANSWERED_THRESHOLD, MIN_UNANSWERED_SPAN) || self.is_confirmed(unanswered)
         {
@@ -189,7 +189,7 @@
             return;
         }
         self.last_hint_at = now;
-        self.probe_no_later_than(now + HINT_SPREAD.scaled(self.random_fraction(now)));
+        self.probe_no_later_than(now + HINT_SPREAD.scaled(self.pseudo_random_fraction(now)));
     }
 
     /// Takes over what others report; `None` where too few report.
@@ -227,7 +227,7 @@
 
     /// The oldest state change that was not read yet.
     pub fn next_change(&mut self) -> Option<BreakerChange> {
-        self.changes.pop_front()
+        self.pending_changes.pop_front()
     }
 
     /// Whether most others report the dependency unreachable too.
@@ -249,24 +249,24 @@
 
     fn scheduled_probe(&self, now: Timestamp) -> Timestamp {
         let Some(PeerView { designated, mostly_unreachable }) = self.peer_view else {
-            return self.schedule.next_slot(self.server, self.dependency, now);
+            return self.slot_schedule.next_slot(self.server, self.dependency, now);
         };
         let interval = match (designated, mostly_unreachable) {
             (true, _) => DESIGNATED_PROBE_INTERVAL,
             (false, true) => OTHER_PROBE_INTERVAL,
             (false, false) => LOCAL_FAULT_PROBE_INTERVAL,
         };
-        now + interval.scaled(MIN_JITTER + JITTER_RANGE * self.random_fraction(now))
+        now + interval.scaled(MIN_JITTER_FACTOR + JITTER_RANGE * self.pseudo_random_fraction(now))
     }
 
-    fn random_fraction(&self, now: Timestamp) -> f64 {
-        unit_interval(self.dependency, self.server.as_str(), now.us())
+    fn pseudo_random_fraction(&self, now: Timestamp) -> f64 {
+        hash_to_unit_interval(self.dependency, self.server.as_str(), now.us())
     }
 
     fn push_change(&mut self, change: BreakerChange) {
-        if self.changes.len() >= MAX_PENDING_CHANGES {
-            self.changes.pop_front();
+        if self.pending_changes.len() >= MAX_PENDING_CHANGES {
+            self.pending_changes.pop_front();
         }
-        self.changes.push_back(change);
+        self.pending_changes.push_back(change);
     }
 }
--- a/crates/hazelspur-fleet/src/guidance.rs
+++ b/crates/hazelspur-fleet/src/guidance.rs
@@ -63,34 +63,35 @@
     /// Whether the breaker and the load reports of others count.
     coordinated: bool,
     limits: Vec<GuidedLimit>,
-    given: BTreeMap<GuidanceKey, f64>,
+    last_given: BTreeMap<GuidanceKey, f64>,
 }
 
 impl Guidance {
     /// Guidance by these limits, and if `coordinated` by the circuit breaker and the load reports.
     pub fn new(coordinated: bool, limits: Vec<GuidedLimit>) -> Self {
-        Self { coordinated, limits, given: BTreeMap::new() }
+        Self { coordinated, limits, last_given: BTreeMap::new() }
     }
 
     /// Forgets what was given: after a lease has expired, the controller goes by other figures.
     pub fn forget(&mut self) {
-        self.given.clear();
+        self.last_given.clear();
     }
 
     /// What the controller is to be given now.
     pub fn next_update(&mut self, now: Clocks, node: &FleetNode) -> GuidanceUpdate {
         let current = self.current(now, node);
-        let changed =
-            |key: &GuidanceKey, value: f64| self.given.get(key).is_none_or(|given| differs(*given, value));
-        let changed_figures = current.iter().filter(|(key, value)| changed(key, **value));
+        let changed = |key: &GuidanceKey, value: f64| {
+            self.last_given.get(key).is_none_or(|last_given| is_changed(*last_given, value))
+        };
+        let changed_values = current.iter().filter(|(key, value)| changed(key, **value));
         let mut changes: Vec<GuidanceChange> =
-            changed_figures.map(|(key, value)| GuidanceChange { key: *key, value: Some(*value) }).collect();
-        let withdrawn = self.given.keys().filter(|key| !current.contains_key(*key));
+            changed_values.map(|(key, value)| GuidanceChange { key: *key, value: Some(*value) }).collect();
+        let withdrawn = self.last_given.keys().filter(|key| !current.contains_key(*key));
         changes.extend(withdrawn.map(|key| GuidanceChange { key: *key, value: None }));
         for change in &changes {
             match change.value {
-                Some(value) => self.given.insert(change.key, value),
-                None => self.given.remove(&change.key),
+                Some(value) => self.last_given.insert(change.key, value),
+                None => self.last_given.remove(&change.key),
             };
         }
         GuidanceUpdate { changes, expiry: self.expiry(now, node) }
@@ -127,6 +128,6 @@
     }
 }
 
-fn differs(given: f64, value: f64) -> bool {
-    value < given || value - given > UNCHANGED_GROWTH * given.abs().max(MIN_MAGNITUDE)
+fn is_changed(last_given: f64, value: f64) -> bool {
+    value < last_given || value - last_given > UNCHANGED_GROWTH * last_given.abs().max(MIN_MAGNITUDE)
 }
--- a/crates/hazelspur-fleet/src/hash.rs
+++ b/crates/hazelspur-fleet/src/hash.rs
@@ -20,6 +20,6 @@
 }
 
 /// The same hash as a number above 0 and below 1.
-pub(crate) fn unit_interval(topic: &str, name: &str, round: u64) -> f64 {
+pub(crate) fn hash_to_unit_interval(topic: &str, name: &str, round: u64) -> f64 {
     ((hash(topic, name, round) >> SURPLUS_BITS) as f64 + 0.5) / (1u64 << MANTISSA_BITS) as f64
 }
--- a/crates/hazelspur-fleet/src/load_reports/fault_scope.rs
+++ b/crates/hazelspur-fleet/src/load_reports/fault_scope.rs
@@ -9,7 +9,7 @@
 /// Latency ratio below which calls count as normal.
 const NORMAL_RATIO: f64 = 1.5;
 /// Share of unreachable calls below which the others reach the dependency.
-const REACHABLE_FRACTION: f64 = 0.2;
+const LOW_UNREACHABLE_FRACTION: f64 = 0.2;
 
 /// Who is affected by a fault that this server sees.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -35,9 +35,9 @@
         if all.is_unreachable() || all.latency_ratio.is_some_and(|ratio| ratio >= SLOW_RATIO) {
             return Self::Shared;
         }
-        let others_normal = all.latency_ratio.is_none_or(|ratio| ratio < NORMAL_RATIO)
-            && all.unreachable_fraction < REACHABLE_FRACTION;
-        if others_normal { Self::Local } else { Self::Unknown }
+        let most_are_normal = all.latency_ratio.is_none_or(|ratio| ratio < NORMAL_RATIO)
+            && all.unreachable_fraction < LOW_UNREACHABLE_FRACTION;
+        if most_are_normal { Self::Local } else { Self::Unknown }
     }
 
     /// The word that log lines and operators' commands show.
--- a/crates/hazelspur-fleet/src/load_reports/latency_ratio.rs
+++ b/crates/hazelspur-fleet/src/load_reports/latency_ratio.rs
@@ -18,7 +18,7 @@
     past_best_secs: VecDeque<f64>,
     /// Best latency of the current window, in seconds; zero before the first.
     current_best_secs: f64,
-    current_began: Timestamp,
+    current_window_began: Timestamp,
 }
 
 impl LatencyRatioTracker {
@@ -28,7 +28,7 @@
         if !(latency_secs.is_finite() && latency_secs > 0.0) {
             return 0.0;
         }
-        if self.current_best_secs == 0.0 || now - self.current_began >= WINDOW {
+        if self.current_best_secs == 0.0 || now - self.current_window_began >= WINDOW {
             self.begin_window(now, latency_secs);
         }
         self.current_best_secs = self.current_best_secs.min(latency_secs);
@@ -44,6 +44,6 @@
             self.past_best_secs.pop_front();
         }
         self.current_best_secs = latency_secs;
-        self.current_began = now;
+        self.current_window_began = now;
     }
 }
--- a/crates/hazelspur-fleet/src/load_reports/table.rs
+++ b/crates/hazelspur-fleet/src/load_reports/table.rs
@@ -93,9 +93,9 @@
             return None;
         }
         let ratio = |report: &PeerLoadReport| Some(report.latency_ratio).filter(|ratio| *ratio > 0.0);
-        let with_ratio = sites.values().flatten().filter_map(ratio).count();
+        let reporters_with_ratio = sites.values().flatten().filter_map(ratio).count();
         Some(AggregatedLoad {
-            latency_ratio: median_of_sites(&sites, ratio).filter(|_| with_ratio >= MIN_REPORTERS),
+            latency_ratio: median_of_sites(&sites, ratio).filter(|_| reporters_with_ratio >= MIN_REPORTERS),
             unreachable_fraction: median_of_sites(&sites, |report| report.unreachable_fraction)
                 .unwrap_or(0.0),
             rejected_fraction: median_of_sites(&sites, |report| Some(report.rejected_fraction))
@@ -114,11 +114,11 @@
 
 fn median_of_sites(
     sites: &BTreeMap<SiteName, Vec<PeerLoadReport>>,
-    figure: impl Fn(&PeerLoadReport) -> Option<f32>,
+    value_of: impl Fn(&PeerLoadReport) -> Option<f32>,
 ) -> Option<f64> {
-    let of_site =
-        |reports: &Vec<PeerLoadReport>| median(reports.iter().filter_map(&figure).map(f64::from).collect());
-    median(sites.values().filter_map(of_site).collect())
+    let site_median =
+        |reports: &Vec<PeerLoadReport>| median(reports.iter().filter_map(&value_of).map(f64::from).collect());
+    median(sites.values().filter_map(site_median).collect())
 }
 
 /// The median; of an even number of values the mean of the two in the middle.
--- a/crates/hazelspur-fleet/src/quota/allocator.rs
+++ b/crates/hazelspur-fleet/src/quota/allocator.rs
@@ -13,15 +13,15 @@
 use std::collections::BTreeMap;
 
 /// Lessees up to which levels and sums are computed with each request.
-const MAX_LESSEES_EXACT: usize = 48;
+const MAX_LESSEES_FOR_EXACT_SUMS: usize = 48;
 /// Time between two computations of levels and sums with more lessees; in between sums only grow.
 const REFRESH_INTERVAL: Duration = Duration::from_ms(100);
 /// Factor by which rounding may raise what a lessee retains above the pool.
 const ROUNDING_TOLERANCE: f64 = 1.001;
 /// Part of the vote duration after which a silent lessee no longer waits for a turn.
-const SILENT_FRACTION: f64 = 0.75;
+const SILENCE_FRACTION: f64 = 0.75;
 /// Largest number of lessees in the table over the largest number of servers: restarts add incarnations.
-pub(super) const CAPACITY_OVER_SERVERS: usize = 2;
+pub(super) const MAX_LESSEES_PER_SERVER: usize = 2;
 
 /// One limit of one lessee's request.
 #[derive(Clone, Copy)]
@@ -62,7 +62,7 @@
 
 #[derive(Clone, Debug)]
 struct Lessee {
-    last_request: u32,
+    last_request_number: u32,
     last_request_at: Timestamp,
     /// By limit.
     demands: Vec<Demand>,
@@ -73,9 +73,9 @@
 pub(super) struct Allocator {
     lessees: BTreeMap<ProcessIncarnation, Lessee>,
     /// Level of max-min fairness, by limit.
-    levels: Vec<f64>,
+    fair_levels: Vec<f64>,
     /// Sum of outstanding leases, by limit.
-    sums: Vec<f64>,
+    outstanding_sums: Vec<f64>,
     refreshed_at: Timestamp,
     /// Leases of the previous allocator may be in use until then.
     takeover_ends: Timestamp,
@@ -85,8 +85,8 @@
     pub(super) fn new(limits: usize, takeover_ends: Timestamp) -> Self {
         Self {
             lessees: BTreeMap::new(),
-            levels: vec![0.0; limits],
-            sums: vec![0.0; limits],
+            fair_levels: vec![0.0; limits],
+            outstanding_sums: vec![0.0; limits],
             refreshed_at: Timestamp::default(),
             takeover_ends,
         }
@@ -112,12 +112,12 @@
         request: &LeaseRequest,
     ) -> Option<Vec<f32>> {
         let limits = config.limits.len();
-        let has_valid_length = request.demands.len() == limits && request.retained.len() == limits;
-        if !has_valid_length || !self.has_capacity_for(now, config, from) {
+        let has_valid_lengths = request.demands.len() == limits && request.retained.len() == limits;
+        if !has_valid_lengths || !self.has_capacity_for(now, config, from) {
             return None;
         }
         let lessee = self.lessees.entry(from).or_insert_with(|| Lessee::new(now, limits));
-        if request.number <= lessee.last_request {
+        if request.number <= lessee.last_request_number {
             return None;
         }
         lessee.update(now, config, request);
@@ -134,23 +134,25 @@
             return true;
         }
         self.remove_silent(now, config);
-        self.lessees.len() < config.max_servers * CAPACITY_OVER_SERVERS
+        self.lessees.len() < config.max_servers * MAX_LESSEES_PER_SERVER
     }
 
     fn grant_limit(&mut self, request: &LimitRequest) -> f32 {
         let LimitRequest { now, config, from, limit, retained } = *request;
         let pool = config.shared_pool(limit);
         let demand = &self.lessees[&from].demands[limit.0];
-        let (demanded, own) = (demand.amount, demand.outstanding.amount(now));
-        let free = (pool - self.sums[limit.0]).max(0.0);
-        let fair = demanded.min(self.levels[limit.0]).min(own + free);
+        let (demanded, outstanding_amount) = (demand.amount, demand.outstanding.amount(now));
+        let unallocated = (pool - self.outstanding_sums[limit.0]).max(0.0);
+        let fair_amount = demanded.min(self.fair_levels[limit.0]).min(outstanding_amount + unallocated);
         let in_takeover = now < self.takeover_ends;
-        let held = valid_amount(retained, pool * ROUNDING_TOLERANCE);
+        let valid_retained = valid_amount(retained, pool * ROUNDING_TOLERANCE);
         let amount = match request.shared_limit().max_turn {
-            Some(_) if in_takeover => f64::from(u8::from(held >= 1.0 && own + free >= 1.0)),
-            Some(max_turn) => self.grant_turn(request, max_turn, free),
-            None if in_takeover => fair.min(held),
-            None => fair,
+            Some(_) if in_takeover => {
+                f64::from(u8::from(valid_retained >= 1.0 && outstanding_amount + unallocated >= 1.0))
+            }
+            Some(max_turn) => self.grant_turn(request, max_turn, unallocated),
+            None if in_takeover => fair_amount.min(valid_retained),
+            None => fair_amount,
         };
         // Rounded down: the message must not grant more than the table counts.
         let granted = rounded_down(amount);
@@ -164,32 +166,39 @@
         let outstanding = &mut lessee.demands[limit.0].outstanding;
         let before = outstanding.amount(now);
         outstanding.add(now, amount, request.lease_expires());
-        self.sums[limit.0] += outstanding.amount(now) - before;
+        self.outstanding_sums[limit.0] += outstanding.amount(now) - before;
     }
 
     /// Grants a whole turn (1) or none (0). A turn lasts `max_turn` at most; a free one goes to who has
     /// waited longest.
-    fn grant_turn(&mut self, request: &LimitRequest, max_turn: Duration, free: f64) -> f64 {
+    fn grant_turn(&mut self, request: &LimitRequest, max_turn: Duration, unallocated: f64) -> f64 {
         let LimitRequest { now, from, limit, .. } = *request;
         let demand = &self.lessees[&from].demands[limit.0];
         let Some(waiting_since) = demand.turn.waiting_since else { return 0.0 };
         if let Some(granted_at) = demand.turn.granted_at {
-            let is_over = now - granted_at >= max_turn;
-            if is_over {
+            let turn_ended = now - granted_at >= max_turn;
+            if turn_ended {
                 self.set_turn(from, limit, Turn { waiting_since: Some(now), granted_at: None });
             }
-            return if is_over { 0.0 } else { 1.0 };
+            return if turn_ended { 0.0 } else { 1.0 };
         }
         // A lessee whose last turn has not expired gets no other one meanwhile.
-        let uses_last_turn = demand.outstanding.amount(now) >= 1.0;
-        if uses_last_turn || free < (self.waiting_ahead(from, limit, waiting_since) + 1) as f64 {
+        let still_uses_last_turn = demand.outstanding.amount(now) >= 1.0;
+        if still_uses_last_turn
+            || unallocated < (self.lessees_waiting_ahead(from, limit, waiting_since) + 1) as f64
+        {
             return 0.0;
         }
         self.set_turn(from, limit, Turn { waiting_since: Some(waiting_since), granted_at: Some(now) });
         1.0
     }
 
-    fn waiting_ahead(&self, from: ProcessIncarnation, limit: LimitId, waiting_since: Timestamp) -> usize {
+    fn lessees_waiting_ahead(
+        &self,
+        from: ProcessIncarnation,
+        limit: LimitId,
+        waiting_since: Timestamp,
+    ) -> usize {
         let is_ahead = |(other, lessee): &(&ProcessIncarnation, &Lessee)| {
             let turn = lessee.demands[limit.0].turn;
             **other != from
@@ -207,22 +216,23 @@
 
     /// Computes levels and sums anew.
     fn refresh(&mut self, now: Timestamp, config: &QuotaConfig) {
-        if self.lessees.len() > MAX_LESSEES_EXACT && now - self.refreshed_at < REFRESH_INTERVAL {
+        if self.lessees.len() > MAX_LESSEES_FOR_EXACT_SUMS && now - self.refreshed_at < REFRESH_INTERVAL {
             return;
         }
         self.refreshed_at = now;
         self.remove_silent(now, config);
         for index in 0..config.limits.len() {
-            self.sums[index] = self.granted(now, index);
-            let recent = self.lessees.values().filter(|l| now - l.last_request_at < config.vote_duration);
+            self.outstanding_sums[index] = self.granted(now, index);
+            let recent =
+                self.lessees.values().filter(|lessee| now - lessee.last_request_at < config.vote_duration);
             let demands = recent.map(|lessee| lessee.demands[index].amount).collect();
-            self.levels[index] = fair_level(config.shared_pool(LimitId(index)), demands);
+            self.fair_levels[index] = fair_level(config.shared_pool(LimitId(index)), demands);
         }
     }
 
     /// Removes silent lessees without leases; silent lessees with leases no longer wait for turns.
     fn remove_silent(&mut self, now: Timestamp, config: &QuotaConfig) {
-        let silent_after = config.vote_duration.scaled(SILENT_FRACTION);
+        let silent_after = config.vote_duration.scaled(SILENCE_FRACTION);
         self.lessees.retain(|_, lessee| {
             let silent = now - lessee.last_request_at >= silent_after;
             if silent {
@@ -235,11 +245,11 @@
 
 impl Lessee {
     fn new(now: Timestamp, limits: usize) -> Self {
-        Self { last_request: 0, last_request_at: now, demands: vec![Demand::default(); limits] }
+        Self { last_request_number: 0, last_request_at: now, demands: vec![Demand::default(); limits] }
     }
 
     fn update(&mut self, now: Timestamp, config: &QuotaConfig, request: &LeaseRequest) {
-        (self.last_request, self.last_request_at) = (request.number, now);
+        (self.last_request_number, self.last_request_at) = (request.number, now);
         for (index, limit) in config.limits.iter().enumerate() {
             let demanded = f64::from(request.demands[index]);
             let demanded = if demanded.is_finite() { demanded.clamp(0.0, limit.total) } else { 0.0 };
--- a/crates/hazelspur-fleet/src/quota/config.rs
+++ b/crates/hazelspur-fleet/src/quota/config.rs
@@ -16,9 +16,9 @@
 /// Part of the vote duration after which lessees and the allocator renew.
 const RENEWAL_FRACTION: f64 = 0.25;
 /// Lease duration over the vote duration: a lease outlasts its allocator until all know the next one.
-const LEASE_OVER_VOTE_DURATION: f64 = 2.0;
+const LEASE_TO_VOTE_RATIO: f64 = 2.0;
 /// Least vote duration over the residual duration of a limit.
-const VOTE_OVER_RESIDUAL_DURATION: f64 = 2.0;
+const MIN_VOTE_TO_RESIDUAL_RATIO: f64 = 2.0;
 
 /// A limit, by its position in the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -129,7 +129,7 @@
 
     /// How long a lease lasts.
     pub fn lease_duration(&self) -> Duration {
-        self.vote_duration.scaled(LEASE_OVER_VOTE_DURATION)
+        self.vote_duration.scaled(LEASE_TO_VOTE_RATIO)
     }
 
     /// Votes that elect an allocator.
@@ -197,7 +197,7 @@
         if self.max_turn.is_some() && self.guaranteed_fraction != 0.0 {
             return Err(QuotaConfigError::GuaranteedTurns(self.name));
         }
-        if self.residual_duration.scaled(VOTE_OVER_RESIDUAL_DURATION) > vote_duration {
+        if self.residual_duration.scaled(MIN_VOTE_TO_RESIDUAL_RATIO) > vote_duration {
             return Err(QuotaConfigError::ResidualTooLong(self.name));
         }
         Ok(())
--- a/crates/hazelspur-fleet/src/quota/election.rs
+++ b/crates/hazelspur-fleet/src/quota/election.rs
@@ -40,7 +40,7 @@
         if now < self.silent_until {
             return denied(None);
         }
-        match self.current(now) {
+        match self.current_vote(now) {
             Some(vote) if vote.candidate != candidate => return denied(Some(vote.candidate.name)),
             Some(vote) if ballot < vote.ballot => return None,
             _ => {}
@@ -56,7 +56,7 @@
 
     /// Who has the vote now.
     pub(super) fn voted_for(&self, now: Timestamp) -> Option<MemberName> {
-        self.current(now).map(|vote| vote.candidate.name)
+        self.current_vote(now).map(|vote| vote.candidate.name)
     }
 
     /// Until when `candidate` cannot have the vote.
@@ -65,11 +65,11 @@
         now: Timestamp,
         candidate: ProcessIncarnation,
     ) -> Option<Timestamp> {
-        let other = self.current(now).filter(|vote| vote.candidate != candidate);
-        other.map(|vote| vote.expires).max(Some(self.silent_until).filter(|until| now < *until))
+        let other_vote = self.current_vote(now).filter(|vote| vote.candidate != candidate);
+        other_vote.map(|vote| vote.expires).max(Some(self.silent_until).filter(|until| now < *until))
     }
 
-    fn current(&self, now: Timestamp) -> Option<Vote> {
+    fn current_vote(&self, now: Timestamp) -> Option<Vote> {
         self.vote.filter(|vote| now < vote.expires)
     }
 }
@@ -86,7 +86,7 @@
     /// Number of votes.
     pub(super) majority: usize,
     /// How long a vote lasts for certain, from when it was requested.
-    pub(super) vote_lasts: Duration,
+    pub(super) min_vote_duration: Duration,
 }
 
 /// A candidate: collects votes, ballot by ballot.
@@ -125,10 +125,10 @@
         response: &VoteResponse,
         quorum: Quorum,
     ) -> bool {
-        let counts = response.granted && response.ballot == self.last_ballot;
-        let Some(ballot) = self.open_ballot.as_mut().filter(|_| counts) else { return false };
+        let is_counted = response.granted && response.ballot == self.last_ballot;
+        let Some(ballot) = self.open_ballot.as_mut().filter(|_| is_counted) else { return false };
         ballot.votes.insert(voter);
-        let expires = ballot.requested_at + quorum.vote_lasts;
+        let expires = ballot.requested_at + quorum.min_vote_duration;
         if ballot.votes.len() < quorum.majority || now >= expires {
             return false;
         }
--- a/crates/hazelspur-fleet/src/quota/lessee.rs
+++ b/crates/hazelspur-fleet/src/quota/lessee.rs
@@ -13,9 +13,9 @@
 /// The leases of this server and the request that is under way.
 #[derive(Clone, Debug)]
 pub(super) struct Lessee {
-    last_request: u32,
+    last_request_number: u32,
     pub(super) requested_at: Timestamp,
-    requested_of: Option<MemberName>,
+    requested_from: Option<MemberName>,
     /// The last request was answered.
     pub(super) answered: bool,
     /// The last request followed a redirection.
@@ -34,9 +34,9 @@
 impl Lessee {
     pub(super) fn new(limits: usize, next_request: Timestamp) -> Self {
         Self {
-            last_request: 0,
+            last_request_number: 0,
             requested_at: Timestamp::default(),
-            requested_of: None,
+            requested_from: None,
             answered: false,
             redirected: false,
             demands: vec![0.0; limits],
@@ -91,13 +91,13 @@
     ) -> LeaseRequest {
         self.release_surplus(now, config);
         self.redirected = redirected;
-        self.last_request += 1;
+        self.last_request_number += 1;
         self.requested_at = now;
-        self.requested_of = Some(to);
+        self.requested_from = Some(to);
         self.answered = false;
         self.next_request = now + retry_after;
         LeaseRequest {
-            number: self.last_request,
+            number: self.last_request_number,
             demands: self.demands.iter().map(|demand| *demand as f32).collect(),
             retained: self.leased.iter().map(|amount| rounded_up(*amount)).collect(),
         }
@@ -124,8 +124,9 @@
         from: MemberName,
         grant: &LeaseGrant,
     ) -> bool {
-        let has_length = grant.amounts.len() == self.leased.len();
-        let is_valid = has_length && grant.amounts.iter().all(|amount| amount.is_finite() && *amount >= 0.0);
+        let has_expected_length = grant.amounts.len() == self.leased.len();
+        let is_valid =
+            has_expected_length && grant.amounts.iter().all(|amount| amount.is_finite() && *amount >= 0.0);
         if !is_valid || !self.awaits(from, grant.number) {
             return false;
         }
@@ -154,7 +155,7 @@
     }
 
     fn awaits(&self, from: MemberName, number: u32) -> bool {
-        number == self.last_request && !self.answered && self.requested_of == Some(from)
+        number == self.last_request_number && !self.answered && self.requested_from == Some(from)
     }
 }
 
--- a/crates/hazelspur-fleet/src/quota/manager.rs
+++ b/crates/hazelspur-fleet/src/quota/manager.rs
@@ -2,7 +2,7 @@
 //! candidate and at times the allocator.
 
 use super::CLOCK_DRIFT;
-use super::allocator::{Allocator, CAPACITY_OVER_SERVERS};
+use super::allocator::{Allocator, MAX_LESSEES_PER_SERVER};
 use super::config::{LimitId, QuotaConfig};
 use super::election::{Candidate, Quorum, Voter};
 use super::lessee::Lessee;
@@ -231,7 +231,7 @@
                 return Err(InvariantViolation::InvalidShare { share, total: limit.total });
             }
         }
-        let capacity = self.config.max_servers * CAPACITY_OVER_SERVERS;
+        let capacity = self.config.max_servers * MAX_LESSEES_PER_SERVER;
         match self.allocator.as_ref().map(Allocator::lessees) {
             Some(lessees) if lessees > capacity => {
                 Err(InvariantViolation::TooManyLessees { lessees, capacity })
@@ -254,8 +254,8 @@
         if !self.config.voters.contains(&from) {
             return;
         }
-        let vote_lasts = self.config.vote_duration.scaled(1.0 - CLOCK_DRIFT);
-        let quorum = Quorum { majority: self.config.majority(), vote_lasts };
+        let min_vote_duration = self.config.vote_duration.scaled(1.0 - CLOCK_DRIFT);
+        let quorum = Quorum { majority: self.config.majority(), min_vote_duration };
         let Some(candidate) = &mut self.candidate else { return };
         let was_elected = candidate.is_elected(now);
         if candidate.count_vote(now, from, response, quorum) && !was_elected {
@@ -331,12 +331,12 @@
         if self.allocates_until(now).is_some() {
             return Some(self.me.name);
         }
-        let drawn = self.random.draw() as usize;
-        let known = self.voted_for(now).or(self.lessee.allocator.filter(|_| self.lessee.answered));
+        let random_index = self.random.draw() as usize;
+        let known_allocator = self.voted_for(now).or(self.lessee.allocator.filter(|_| self.lessee.answered));
         let others: Vec<MemberName> =
             self.config.voters.iter().copied().filter(|other| *other != self.me.name).collect();
-        let any = others.get(drawn % others.len().max(1)).copied();
-        known.filter(|name| *name != self.me.name).or(any)
+        let random_voter = others.get(random_index % others.len().max(1)).copied();
+        known_allocator.filter(|name| *name != self.me.name).or(random_voter)
     }
 
     fn voted_for(&self, now: Timestamp) -> Option<MemberName> {
@@ -344,9 +344,9 @@
     }
 
     fn request_leases(&mut self, now: Timestamp, to: MemberName, redirected: bool) {
-        let part = if self.lessee.has_lease(now) { 1.0 } else { RETRY_FRACTION };
+        let renewal_fraction = if self.lessee.has_lease(now) { 1.0 } else { RETRY_FRACTION };
         let jitter = MIN_REQUEST_JITTER + REQUEST_JITTER_RANGE * self.random.unit();
-        let retry_after = self.config.renewal_interval().scaled(part * jitter);
+        let retry_after = self.config.renewal_interval().scaled(renewal_fraction * jitter);
         let request = self.lessee.request(now, &self.config, to, retry_after, redirected);
         if to == self.me.name {
             return self.receive_lease_request(now, self.me, &request);
--- a/crates/hazelspur-fleet/src/subset.rs
+++ b/crates/hazelspur-fleet/src/subset.rs
@@ -3,7 +3,7 @@
 //! leaves changes one place of a subset, so servers whose membership views differ a little select nearly
 //! alike.
 
-use crate::hash::unit_interval;
+use crate::hash::hash_to_unit_interval;
 use crate::names::{MemberName, SiteName};
 use std::collections::BTreeMap;
 
@@ -59,15 +59,15 @@
     let mut sites: Vec<Ranked<Vec<WeightedMember>>> = members_by_site
         .into_iter()
         .map(|(site, members)| Ranked {
-            rank: unit_interval(topic, site.as_str(), round),
+            rank: hash_to_unit_interval(topic, site.as_str(), round),
             item: select(topic, round, count, members.into_iter()),
         })
         .collect();
     sites.sort_by(|a, b| a.rank.total_cmp(&b.rank));
-    let by_turns = (0..count).flat_map(|turn| sites.iter().filter_map(move |site| site.item.get(turn)));
-    by_turns.take(count).copied().collect()
+    let interleaved = (0..count).flat_map(|turn| sites.iter().filter_map(move |site| site.item.get(turn)));
+    interleaved.take(count).copied().collect()
 }
 
 fn rank(topic: &str, round: u64, member: &WeightedMember) -> f64 {
-    -unit_interval(topic, member.name.as_str(), round).ln() / member.weight
+    -hash_to_unit_interval(topic, member.name.as_str(), round).ln() / member.weight
 }
--- a/crates/hazelspur-fleet/tests/circuit_breaker.rs
+++ b/crates/hazelspur-fleet/tests/circuit_breaker.rs
@@ -7,72 +7,72 @@
 use hazelspur_fleet::circuit_breaker::{BreakerChange, CircuitBreaker, PeerView, ProbeKind};
 use helpers::{START, name};
 
-fn ms(ms: u64) -> Timestamp {
+fn at_ms(ms: u64) -> Timestamp {
     START + Duration::from_ms(ms)
 }
 
 /// Times in ms of the probes of an open breaker while the dependency is unreachable, from 1 s to `until_s`.
-fn probes(breaker: &mut CircuitBreaker, until_s: u64) -> Vec<u64> {
-    (0..6).for_each(|i| breaker.call_finished(ms(1000 + i * 50), false));
-    let mut at = Vec::new();
-    while let Some(next) = breaker.next_probe().filter(|next| *next < ms(until_s * 1000)) {
-        at.push((next - START).us() / 1000);
+fn fail_and_probe(breaker: &mut CircuitBreaker, until_s: u64) -> Vec<u64> {
+    (0..6).for_each(|i| breaker.call_finished(at_ms(1000 + i * 50), false));
+    let mut probe_times = Vec::new();
+    while let Some(next) = breaker.next_probe().filter(|next| *next < at_ms(until_s * 1000)) {
+        probe_times.push((next - START).us() / 1000);
         breaker.probe_sent(next);
         breaker.call_finished(next, false);
     }
-    at
+    probe_times
 }
 
 #[test]
-fn an_open_breaker_probes_in_its_slots_and_closes_with_the_first_success() {
-    let mut alone = CircuitBreaker::new(name(3), "ledger", 300);
-    assert!(alone.next_probe().is_none());
-    let by_slots = probes(&mut alone, 21);
-    assert!(!alone.is_closed() && (9..=21).contains(&by_slots.len()), "{by_slots:?}");
-    alone.call_finished(ms(21_000), true);
-    assert!(alone.is_closed() && alone.next_probe().is_none());
+fn open_breaker_probes_on_schedule_and_closes_on_success() {
+    let mut isolated = CircuitBreaker::new(name(3), "ledger", 300);
+    assert!(isolated.next_probe().is_none());
+    let probe_times = fail_and_probe(&mut isolated, 21);
+    assert!(!isolated.is_closed() && (9..=21).contains(&probe_times.len()), "{probe_times:?}");
+    isolated.call_finished(at_ms(21_000), true);
+    assert!(isolated.is_closed() && isolated.next_probe().is_none());
     expect!["[Opened, Closed { after: Duration(19750000) }]"].assert_eq(&format!(
         "{:?}",
-        std::iter::from_fn(|| alone.next_change()).collect::<Vec<BreakerChange>>()
+        std::iter::from_fn(|| isolated.next_change()).collect::<Vec<BreakerChange>>()
     ));
 
     let mut designated = CircuitBreaker::new(name(3), "ledger", 300);
-    designated.set_peer_view(ms(900), Some(PeerView { designated: true, mostly_unreachable: true }));
-    assert!((70..=110).contains(&probes(&mut designated, 21).len()));
+    designated.set_peer_view(at_ms(900), Some(PeerView { designated: true, mostly_unreachable: true }));
+    assert!((70..=110).contains(&fail_and_probe(&mut designated, 21).len()));
     let mut other = CircuitBreaker::new(name(3), "ledger", 300);
-    other.set_peer_view(ms(900), Some(PeerView { designated: false, mostly_unreachable: true }));
-    let few = probes(&mut other, 21).len();
-    assert!((3..=8).contains(&few), "{few}");
+    other.set_peer_view(at_ms(900), Some(PeerView { designated: false, mostly_unreachable: true }));
+    let probe_count = fail_and_probe(&mut other, 21).len();
+    assert!((3..=8).contains(&probe_count), "{probe_count}");
     // A hint brings the next probe forward, once for all hints of a second.
-    (0..50).for_each(|i| other.recovery_hint(ms(21_000 + i)));
+    (0..50).for_each(|i| other.recovery_hint(at_ms(21_000 + i)));
     let next = other.next_probe().expect("it is open");
-    assert!(next < ms(21_400), "{next:?}");
+    assert!(next < at_ms(21_400), "{next:?}");
     other.probe_sent(next);
     other.call_finished(next, false);
-    other.recovery_hint(ms(21_500));
-    assert!(other.next_probe().expect("it is open") > ms(22_000));
+    other.recovery_hint(at_ms(21_500));
+    assert!(other.next_probe().expect("it is open") > at_ms(22_000));
     assert!(!other.is_closed(), "a hint of another server does not close it");
 }
 
 #[test]
 fn few_failures_open_the_breaker_only_if_most_others_fail_too() {
     let mut breaker = CircuitBreaker::new(name(1), "ledger", 10);
-    (0..5).for_each(|i| breaker.call_finished(ms(i * 100), false));
-    breaker.call_finished(ms(600), true);
-    (0..20).for_each(|i| breaker.call_finished(ms(700 + i), false));
+    (0..5).for_each(|i| breaker.call_finished(at_ms(i * 100), false));
+    breaker.call_finished(at_ms(600), true);
+    (0..20).for_each(|i| breaker.call_finished(at_ms(700 + i), false));
     assert!(breaker.is_closed(), "the failures spread over too short a time");
-    breaker.set_peer_view(ms(721), Some(PeerView { designated: false, mostly_unreachable: true }));
-    breaker.call_finished(ms(722), false);
+    breaker.set_peer_view(at_ms(721), Some(PeerView { designated: false, mostly_unreachable: true }));
+    breaker.call_finished(at_ms(722), false);
     assert!(!breaker.is_closed());
 }
 
 /// Guards against calls that go on to a dependency which accepts them and never answers.
 #[test]
-fn calls_that_are_never_answered_open_the_breaker_and_only_an_answer_closes_it() {
+fn unanswered_calls_open_the_breaker_until_an_answer() {
     let mut breaker = CircuitBreaker::new(name(1), "ledger", 10);
-    (0..6).for_each(|i| breaker.call_unanswered(ms(i * 199)));
+    (0..6).for_each(|i| breaker.call_unanswered(at_ms(i * 199)));
     assert!(breaker.is_closed(), "within a second it may be a pause");
-    breaker.call_unanswered(ms(1000));
+    breaker.call_unanswered(at_ms(1000));
     assert!(!breaker.is_closed());
     assert_eq!(breaker.next_change(), Some(BreakerChange::OpenedUnanswered));
     let next = breaker.next_probe().expect("it is open");
@@ -85,22 +85,22 @@
 }
 
 #[test]
-fn one_answer_begins_the_count_of_unanswered_calls_anew() {
+fn answer_resets_the_count_of_unanswered_calls() {
     let mut breaker = CircuitBreaker::new(name(1), "ledger", 10);
-    (0..5).for_each(|i| breaker.call_unanswered(ms(i * 300)));
-    breaker.call_finished(ms(1500), true);
-    (0..5).for_each(|i| breaker.call_unanswered(ms(1600 + i * 300)));
+    (0..5).for_each(|i| breaker.call_unanswered(at_ms(i * 300)));
+    breaker.call_finished(at_ms(1500), true);
+    (0..5).for_each(|i| breaker.call_unanswered(at_ms(1600 + i * 300)));
     assert!(breaker.is_closed());
-    breaker.call_unanswered(ms(3100));
+    breaker.call_unanswered(at_ms(3100));
     assert!(!breaker.is_closed());
 }
 
 #[test]
-fn two_unanswered_calls_open_the_breaker_while_most_others_report_the_same() {
+fn two_unanswered_calls_open_the_breaker_if_peers_confirm() {
     let mut breaker = CircuitBreaker::new(name(1), "ledger", 10);
-    breaker.set_peer_view(ms(0), Some(PeerView { designated: false, mostly_unreachable: true }));
-    breaker.call_unanswered(ms(10));
+    breaker.set_peer_view(at_ms(0), Some(PeerView { designated: false, mostly_unreachable: true }));
+    breaker.call_unanswered(at_ms(10));
     assert!(breaker.is_closed());
-    breaker.call_unanswered(ms(20));
+    breaker.call_unanswered(at_ms(20));
     assert!(!breaker.is_closed());
 }
--- a/crates/hazelspur-fleet/tests/guidance.rs
+++ b/crates/hazelspur-fleet/tests/guidance.rs
@@ -9,8 +9,8 @@
 use helpers::{START, config};
 
 #[test]
-fn after_a_lease_expired_all_guidance_is_given_again() {
-    let at = Clocks { wall: START, monotonic: START };
+fn all_guidance_is_given_again_after_a_lease_expired() {
+    let now = Clocks { wall: START, monotonic: START };
     let limit = SharedLimit {
         name: LimitName::new("calls").expect("a name"),
         total: 50.0,
@@ -18,19 +18,19 @@
         residual_duration: Duration::ZERO,
         max_turn: None,
     };
-    let shares = QuotaConfig {
+    let quota = QuotaConfig {
         voters: vec![],
         max_servers: 10,
         vote_duration: Duration::from_ms(4000),
         limits: vec![limit],
     };
-    let node = FleetNode::new(config(0, 10), Some(shares), Generation(1), 1, at);
+    let node = FleetNode::new(config(0, 10), Some(quota), Generation(1), 1, now);
     let mut guidance =
         Guidance::new(true, vec![GuidedLimit { limit: LimitId(0), key: GuidanceKey::CallConcurrencyLimit }]);
-    let mut changes = || guidance.next_update(at, &node).changes;
-    let (first, second) = (changes(), changes());
+    let mut next_changes = || guidance.next_update(now, &node).changes;
+    let (first, second) = (next_changes(), next_changes());
     guidance.forget();
-    let third = guidance.next_update(at, &node).changes;
+    let third = guidance.next_update(now, &node).changes;
     assert_eq!(first, [GuidanceChange { key: GuidanceKey::CallConcurrencyLimit, value: Some(5.0) }]);
     assert!(second.is_empty() && third == first, "{second:?} {third:?}");
 }
--- a/crates/hazelspur-fleet/tests/load_reports.rs
+++ b/crates/hazelspur-fleet/tests/load_reports.rs
@@ -9,27 +9,27 @@
 };
 use helpers::{START, name, site};
 
-fn report(latency_ratio: f32, unreachable: f32) -> PeerLoadReport {
-    PeerLoadReport { latency_ratio, unreachable_fraction: Some(unreachable), rejected_fraction: 0.0 }
+fn report(latency_ratio: f32, unreachable_fraction: f32) -> PeerLoadReport {
+    PeerLoadReport { latency_ratio, unreachable_fraction: Some(unreachable_fraction), rejected_fraction: 0.0 }
 }
 
 fn table(reports: &[(usize, PeerLoadReport)]) -> LoadReportTable {
     let mut table = LoadReportTable::new(64, Duration::from_ms(5000));
-    reports.iter().for_each(|(of, report)| table.receive(START, name(*of), site(*of), *report));
+    reports.iter().for_each(|(index, report)| table.receive(START, name(*index), site(*index), *report));
     table
 }
 
 #[test]
-fn one_false_report_or_one_site_moves_the_median_by_one_place_at_most() {
-    let normal: Vec<(usize, PeerLoadReport)> =
-        (0..30).map(|of| (of, report(1.0 + of as f32 / 100.0, 0.0))).collect();
+fn one_false_report_or_one_site_barely_moves_the_median() {
+    let normal_reports: Vec<(usize, PeerLoadReport)> =
+        (0..30).map(|index| (index, report(1.0 + index as f32 / 100.0, 0.0))).collect();
     let ratio = |table: &LoadReportTable| {
-        table.aggregate(START).and_then(|all| all.latency_ratio).unwrap_or(f64::NAN)
+        table.aggregate(START).and_then(|aggregated| aggregated.latency_ratio).unwrap_or(f64::NAN)
     };
-    let before = ratio(&table(&normal));
-    let false_reports = [f32::NAN, -3.0, 1000.0, 1e30, f32::INFINITY].map(|ratio_reported| {
-        let mut reports = normal.clone();
-        reports[7].1 = report(ratio_reported, 0.0);
+    let before = ratio(&table(&normal_reports));
+    let false_reports = [f32::NAN, -3.0, 1000.0, 1e30, f32::INFINITY].map(|reported_ratio| {
+        let mut reports = normal_reports.clone();
+        reports[7].1 = report(reported_ratio, 0.0);
         let table = table(&reports);
         (ratio(&table), table.invalid_reports)
     });
@@ -38,18 +38,21 @@
     }
     assert_eq!(false_reports.map(|(_, invalid)| invalid), [1, 1, 0, 1, 1]);
     // A whole site that reports ten times the latency, then another one that is silent.
-    let mut reports = normal.clone();
-    reports.iter_mut().filter(|(of, _)| of % 3 == 1).for_each(|(_, report)| report.latency_ratio *= 10.0);
+    let mut reports = normal_reports.clone();
+    reports
+        .iter_mut()
+        .filter(|(index, _)| index % 3 == 1)
+        .for_each(|(_, report)| report.latency_ratio *= 10.0);
     assert!((ratio(&table(&reports)) - before).abs() < 0.3);
-    reports.retain(|(of, _)| of % 3 != 0);
+    reports.retain(|(index, _)| index % 3 != 0);
     assert!(ratio(&table(&reports)) > 3.0, "half of the reporters say so");
     // Expired reports do not count, and two reporters are too few.
-    assert_eq!(table(&normal).aggregate(START + Duration::from_ms(5001)), None);
-    assert_eq!(table(&normal[..2]).aggregate(START), None);
+    assert_eq!(table(&normal_reports).aggregate(START + Duration::from_ms(5001)), None);
+    assert_eq!(table(&normal_reports[..2]).aggregate(START), None);
 }
 
 #[test]
-fn a_local_fault_is_told_from_a_shared_one() {
+fn fault_scope_distinguishes_local_and_shared_faults() {
     let scope = |others: PeerLoadReport, own: PeerLoadReport| {
         let table = table(&[(1, others), (2, others), (3, others)]);
         FaultScope::of(&own, table.aggregate(START).as_ref())
@@ -71,7 +74,7 @@
 }
 
 #[test]
-fn the_latency_ratio_is_over_the_best_of_the_remembered_windows() {
+fn latency_ratio_compares_with_the_best_remembered_window() {
     let mut latency = LatencyRatioTracker::default();
     let mut seen = Vec::new();
     for second in 0..200u64 {
--- a/crates/hazelspur-fleet/tests/quota.rs
+++ b/crates/hazelspur-fleet/tests/quota.rs
@@ -73,75 +73,77 @@
             events: Vec::new(),
             max_in_flight: 10_000,
         };
-        (0..size).for_each(|of| fleet.start(of, START));
+        (0..size).for_each(|server| fleet.start(server, START));
         fleet
     }
 
     /// Starts a new incarnation, whose clock shows `believed`.
-    fn start(&mut self, of: usize, believed: Timestamp) {
+    fn start(&mut self, server: usize, clock: Timestamp) {
         self.starts += 1;
-        let incarnation = ProcessIncarnation { name: name(of), generation: Generation(self.starts) };
+        let incarnation = ProcessIncarnation { name: name(server), generation: Generation(self.starts) };
         let mut manager =
-            QuotaManager::new(self.config.clone(), incarnation, self.starts * 77 + of as u64, believed);
+            QuotaManager::new(self.config.clone(), incarnation, self.starts * 77 + server as u64, clock);
         manager.set_demand(SLOTS, 40.0);
-        self.managers.insert(of, manager);
+        self.managers.insert(server, manager);
         self.usages.push(Usage { incarnation, past: VecDeque::new(), lease_expires: None });
     }
 
-    fn kill(&mut self, of: usize) {
-        self.managers.remove(&of);
+    fn kill(&mut self, server: usize) {
+        self.managers.remove(&server);
     }
 
-    fn incarnation(&self, of: usize) -> ProcessIncarnation {
-        let last = self.usages.iter().rev().find(|usage| usage.incarnation.name == name(of));
+    fn incarnation(&self, server: usize) -> ProcessIncarnation {
+        let last = self.usages.iter().rev().find(|usage| usage.incarnation.name == name(server));
         last.expect("it has lived").incarnation
     }
 
-    fn gather(&mut self, of: usize) {
-        let incarnation = self.incarnation(of);
-        let Some(manager) = self.managers.get_mut(&of) else { return };
+    fn collect_output(&mut self, server: usize) {
+        let incarnation = self.incarnation(server);
+        let Some(manager) = self.managers.get_mut(&server) else { return };
         while let Some(OutgoingMessage { to, message }) = manager.next_message() {
             let to: usize = to.as_str()[1..].parse().expect("a number");
             self.in_flight.push((to, incarnation, message));
         }
         while let Some(event) = manager.next_event() {
-            let at = (self.now - START).us() / 1000;
+            let elapsed_ms = (self.now - START).us() / 1000;
             if !matches!(event, QuotaEvent::LeaseAcquired(_)) {
-                self.events.push(format!("{at} n{of} {event:?}"));
+                self.events.push(format!("{elapsed_ms} n{server} {event:?}"));
             }
         }
-        let over = self.in_flight.len().saturating_sub(self.max_in_flight);
-        self.in_flight.drain(..over);
+        let excess = self.in_flight.len().saturating_sub(self.max_in_flight);
+        self.in_flight.drain(..excess);
     }
 
-    fn deliver(&mut self, at: usize) {
-        let (to, from, message) = self.in_flight.remove(at);
+    fn deliver(&mut self, position: usize) {
+        let (to, from, message) = self.in_flight.remove(position);
         if self.suspended.contains(&to) {
             return;
         }
         if let Some(manager) = self.managers.get_mut(&to) {
             manager.receive(self.now, from, &message);
-            self.gather(to);
+            self.collect_output(to);
         }
     }
 
-    fn tick(&mut self, of: usize) {
-        if let Some(manager) = self.managers.get_mut(&of).filter(|_| !self.suspended.contains(&of)) {
+    fn tick(&mut self, server: usize) {
+        if let Some(manager) = self.managers.get_mut(&server).filter(|_| !self.suspended.contains(&server)) {
             manager.tick(self.now);
-            self.gather(of);
+            self.collect_output(server);
         }
     }
 
     /// Records what all may use, and compares the sum with the limit.
     fn check(&mut self) -> Result<(), String> {
-        for (of, manager) in &self.managers {
-            manager.check_invariants(self.now).map_err(|why| format!("n{of}: {why}"))?;
+        for (server, manager) in &self.managers {
+            manager.check_invariants(self.now).map_err(|error| format!("n{server}: {error}"))?;
         }
         let (now, limits) = (self.now, self.config.limits.len());
         for usage in &mut self.usages {
-            let of = self.managers.iter().find(|(of, _)| name(**of) == usage.incarnation.name);
-            let amounts: Vec<f64> = match of {
-                Some((_, manager)) => (0..limits).map(|at| manager.share(now, LimitId(at)).amount).collect(),
+            let running = self.managers.iter().find(|(server, _)| name(**server) == usage.incarnation.name);
+            let amounts: Vec<f64> = match running {
+                Some((_, manager)) => {
+                    (0..limits).map(|index| manager.share(now, LimitId(index)).amount).collect()
+                }
                 None => vec![0.0; limits],
             };
             if usage.past.back().is_none_or(|last| last.amounts != amounts) {
@@ -149,7 +151,7 @@
                 let since = usage.lease_expires.map_or(now, |expires| expires.min(now));
                 usage.past.push_back(PastShares { since, amounts });
             }
-            usage.lease_expires = of.and_then(|(_, manager)| manager.share(now, SLOTS).expires);
+            usage.lease_expires = running.and_then(|(_, manager)| manager.share(now, SLOTS).expires);
             // The residual load of older shares has ended.
             while usage.past.len() > 1 && usage.past[1].since + RESIDUAL <= now {
                 usage.past.pop_front();
@@ -157,16 +159,16 @@
         }
         // A name has one process: the residual load of its earlier incarnations ended with them.
         let newest: BTreeMap<MemberName, ProcessIncarnation> =
-            self.usages.iter().map(|u| (u.incarnation.name, u.incarnation)).collect();
-        for at in 0..limits {
+            self.usages.iter().map(|usage| (usage.incarnation.name, usage.incarnation)).collect();
+        for index in 0..limits {
             let running =
                 self.usages.iter().filter(|usage| newest[&usage.incarnation.name] == usage.incarnation);
             let max_amount =
-                |usage: &Usage| usage.past.iter().map(|past| past.amounts[at]).fold(0.0, f64::max);
+                |usage: &Usage| usage.past.iter().map(|past| past.amounts[index]).fold(0.0, f64::max);
             let sum: f64 = running.map(max_amount).sum();
-            let total = self.config.limits[at].total;
+            let total = self.config.limits[index].total;
             if sum > total * (1.0 + 1e-5) {
-                return Err(format!("{sum:.3} in force of {total} ({})", self.config.limits[at].name));
+                return Err(format!("{sum:.3} in force of {total} ({})", self.config.limits[index].name));
             }
         }
         Ok(())
@@ -179,24 +181,24 @@
             while !self.in_flight.is_empty() {
                 self.deliver(0);
             }
-            let running = self.managers.iter().filter(|(of, _)| !self.suspended.contains(of));
+            let running = self.managers.iter().filter(|(server, _)| !self.suspended.contains(server));
             let next = running.map(|(_, manager)| manager.next_tick()).min().unwrap_or(end);
             self.now = next.max(self.now + Duration::from_ms(1)).min(end);
-            for of in self.managers.keys().copied().collect::<Vec<_>>() {
-                self.tick(of);
+            for server in self.managers.keys().copied().collect::<Vec<_>>() {
+                self.tick(server);
             }
             self.check()?;
         }
         Ok(())
     }
 
-    fn shares_in_words(&self) -> String {
-        let of = |(of, manager): (&usize, &QuotaManager)| {
+    fn describe_shares(&self) -> String {
+        let describe = |(server, manager): (&usize, &QuotaManager)| {
             let share = manager.share(self.now, SLOTS);
             let marker = if manager.allocates_until(self.now).is_some() { "*" } else { "" };
-            format!("n{of}{marker} {:.1}", share.amount)
+            format!("n{server}{marker} {:.1}", share.amount)
         };
-        self.managers.iter().map(of).collect::<Vec<_>>().join(", ")
+        self.managers.iter().map(describe).collect::<Vec<_>>().join(", ")
     }
 
     fn total_in_use(&self) -> f64 {
@@ -205,7 +207,7 @@
 }
 
 #[test]
-fn max_min_fairness_meets_demands_up_to_a_level_that_fills_the_pool() {
+fn fair_level_caps_demands_so_that_they_fill_the_pool() {
     let cases = [
         fair_level(90.0, vec![10.0, 20.0, 30.0]),
         fair_level(90.0, vec![10.0, 50.0, 500.0]),
@@ -220,26 +222,26 @@
 fn servers_elect_an_allocator_and_share_by_demand() {
     let mut fleet = TestFleet::new(5, config(3, 10));
     fleet.run(20_000).expect("the sum holds");
-    let mut seen = vec![fleet.events.join("; "), fleet.shares_in_words()];
-    for (of, demand) in [(0, 5.0), (1, 10.0), (2, 20.0), (3, 30.0), (4, 1e9)] {
-        fleet.managers.get_mut(&of).expect("it runs").set_demand(SLOTS, demand);
+    let mut lines = vec![fleet.events.join("; "), fleet.describe_shares()];
+    for (server, demand) in [(0, 5.0), (1, 10.0), (2, 20.0), (3, 30.0), (4, 1e9)] {
+        fleet.managers.get_mut(&server).expect("it runs").set_demand(SLOTS, demand);
     }
     fleet.run(10_000).expect("the sum holds");
-    seen.push(fleet.shares_in_words());
+    lines.push(fleet.describe_shares());
     fleet.managers.get_mut(&4).expect("it runs").set_demand(SLOTS, f64::NAN);
     fleet.run(10_000).expect("the sum holds");
-    seen.push(fleet.shares_in_words());
+    lines.push(fleet.describe_shares());
     expect![[r#"
         4206 n0 StartedAllocating
         n0* 19.0, n1 19.0, n2 19.0, n3 19.0, n4 19.0
         n0* 5.0, n1 10.0, n2 20.0, n3 30.0, n4 30.0
         n0* 5.0, n1 10.0, n2 20.0, n3 30.0, n4 1.0
     "#]]
-    .assert_eq(&format!("{}\n", seen.join("\n")));
+    .assert_eq(&format!("{}\n", lines.join("\n")));
 }
 
 #[test]
-fn an_allocator_that_is_killed_or_suspended_is_replaced_and_grants_nothing_when_it_resumes() {
+fn killed_or_suspended_allocator_is_replaced() {
     let mut fleet = TestFleet::new(5, config(3, 10));
     fleet.run(20_000).expect("the sum holds");
     let allocator = |fleet: &TestFleet| {
@@ -247,52 +249,53 @@
             .managers
             .iter()
             .find(|(_, manager)| manager.allocates_until(fleet.now).is_some())
-            .map(|(of, _)| *of)
+            .map(|(server, _)| *server)
     };
     let first = allocator(&fleet).expect("one allocates");
     fleet.events.clear();
     fleet.suspended.push(first);
-    let mut without_lease_ms = 0;
+    let mut leaseless_ms = 0;
     for _ in 0..200 {
         fleet.run(100).expect("the sum holds");
-        without_lease_ms +=
-            u64::from(fleet.managers.values().all(|s| s.share(fleet.now, SLOTS).expires.is_none())) * 100;
+        leaseless_ms += u64::from(
+            fleet.managers.values().all(|manager| manager.share(fleet.now, SLOTS).expires.is_none()),
+        ) * 100;
     }
-    let second = allocator(&fleet).filter(|of| *of != first).expect("another allocates");
+    let second = allocator(&fleet).filter(|server| *server != first).expect("another allocates");
     fleet.suspended.clear();
     fleet.run(1000).expect("the sum holds");
     assert_eq!(allocator(&fleet), Some(second));
     fleet.kill(second);
     fleet.run(20_000).expect("the sum holds");
-    assert!(allocator(&fleet).is_some_and(|of| of != second));
-    assert!(without_lease_ms < 12_000, "{without_lease_ms} ms without leases");
-    assert!(fleet.total_in_use() > 80.0, "{}", fleet.shares_in_words());
+    assert!(allocator(&fleet).is_some_and(|server| server != second));
+    assert!(leaseless_ms < 12_000, "{leaseless_ms} ms without leases");
+    assert!(fleet.total_in_use() > 80.0, "{}", fleet.describe_shares());
 }
 
 #[test]
-fn without_a_majority_of_voters_there_are_guaranteed_minimums_and_with_it_leases_again() {
+fn leases_need_a_majority_of_voters() {
     let mut fleet = TestFleet::new(5, config(3, 10));
     fleet.run(20_000).expect("the sum holds");
     fleet.kill(0);
     fleet.kill(1);
     fleet.run(20_000).expect("the sum holds");
-    let mut seen = vec![fleet.shares_in_words()];
+    let mut lines = vec![fleet.describe_shares()];
     // A voter that starts is silent for a vote duration.
     fleet.start(0, fleet.now);
     fleet.run(7_000).expect("the sum holds");
-    seen.push(fleet.shares_in_words());
+    lines.push(fleet.describe_shares());
     fleet.run(12_000).expect("the sum holds");
-    seen.push(fleet.shares_in_words());
+    lines.push(fleet.describe_shares());
     expect![[r#"
         n2 1.0, n3 1.0, n4 1.0
         n0* 1.0, n2 1.0, n3 1.0, n4 1.0
         n0* 23.5, n2 23.5, n3 23.5, n4 23.5
     "#]]
-    .assert_eq(&format!("{}\n", seen.join("\n")));
+    .assert_eq(&format!("{}\n", lines.join("\n")));
 }
 
 #[test]
-fn a_server_that_resumes_with_an_expired_lease_has_its_guaranteed_minimum() {
+fn server_resuming_with_expired_lease_has_its_minimum() {
     let mut fleet = TestFleet::new(5, config(3, 10));
     fleet.run(20_000).expect("the sum holds");
     fleet.suspended.push(4);
@@ -306,49 +309,49 @@
 }
 
 #[test]
-fn an_exclusive_turn_goes_round_and_a_suspended_server_loses_it() {
+fn exclusive_turn_rotates_and_suspended_server_loses_it() {
     let mut fleet = TestFleet::new(5, config(3, 10));
     fleet.managers.values_mut().for_each(|manager| manager.set_demand(LimitId(1), 1.0));
     fleet.run(14_000).expect("the sum holds");
     let mut turns_held: Vec<(usize, u64)> = Vec::new();
     for step in 0..1200 {
         fleet.run(100).expect("the sum holds");
-        for (of, manager) in &fleet.managers {
+        for (server, manager) in &fleet.managers {
             if manager.share(fleet.now, LimitId(1)).amount >= 1.0 {
                 match turns_held.last_mut() {
-                    Some((last, ms)) if last == of => *ms += 100,
-                    _ => turns_held.push((*of, 100)),
+                    Some((last, ms)) if last == server => *ms += 100,
+                    _ => turns_held.push((*server, 100)),
                 }
-                if step > 300 && fleet.suspended.is_empty() && *of == 3 {
+                if step > 300 && fleet.suspended.is_empty() && *server == 3 {
                     fleet.suspended.push(3);
                 }
             }
         }
     }
-    let turns: BTreeMap<usize, usize> = turns_held.iter().fold(BTreeMap::new(), |mut turns, (of, _)| {
-        *turns.entry(*of).or_default() += 1;
+    let turns: BTreeMap<usize, usize> = turns_held.iter().fold(BTreeMap::new(), |mut turns, (server, _)| {
+        *turns.entry(*server).or_default() += 1;
         turns
     });
     assert!(turns_held.iter().all(|(_, ms)| *ms <= 8000), "{turns_held:?}");
-    assert!(turns.len() == 5 && [0, 1, 2, 4].iter().all(|of| turns[of] >= 2), "{turns:?}");
+    assert!(turns.len() == 5 && [0, 1, 2, 4].iter().all(|server| turns[server] >= 2), "{turns:?}");
 }
 
 #[test]
 fn invalid_configurations_are_refused() {
-    let mut seen = Vec::new();
-    let mut refused = |change: &dyn Fn(&mut QuotaConfig)| {
+    let mut lines = Vec::new();
+    let mut record_error = |change: &dyn Fn(&mut QuotaConfig)| {
         let mut config = config(3, 10);
         change(&mut config);
-        seen.push(config.check().expect_err("an invalid configuration").to_string());
+        lines.push(config.check().expect_err("an invalid configuration").to_string());
     };
-    refused(&|t| t.voters.push(name(0)));
-    refused(&|t| t.voters = (0..10).map(name).collect());
-    refused(&|t| t.limits[0].total = f64::NAN);
-    refused(&|t| t.limits[0].guaranteed_fraction = 1.5);
-    refused(&|t| t.limits[1].guaranteed_fraction = 0.1);
-    refused(&|t| t.limits[0].residual_duration = Duration::from_ms(2001));
-    refused(&|t| t.limits[1].name = t.limits[0].name);
-    refused(&|t| t.vote_duration = Duration::ZERO);
+    record_error(&|config| config.voters.push(name(0)));
+    record_error(&|config| config.voters = (0..10).map(name).collect());
+    record_error(&|config| config.limits[0].total = f64::NAN);
+    record_error(&|config| config.limits[0].guaranteed_fraction = 1.5);
+    record_error(&|config| config.limits[1].guaranteed_fraction = 0.1);
+    record_error(&|config| config.limits[0].residual_duration = Duration::from_ms(2001));
+    record_error(&|config| config.limits[1].name = config.limits[0].name);
+    record_error(&|config| config.vote_duration = Duration::ZERO);
     expect![[r#"
         a keeper is named twice: its vote would count twice
         more than 9 keepers
@@ -359,7 +362,7 @@
         slots: named twice
         slots: what lingers for over half of the span leaves no time for leases
     "#]]
-    .assert_eq(&format!("{}\n", seen.join("\n")));
+    .assert_eq(&format!("{}\n", lines.join("\n")));
 }
 
 // ---- all orders ----
@@ -383,57 +386,58 @@
         let mut steps: Vec<Step> = in_flight.clone().map(Step::Deliver).collect();
         steps.extend(in_flight.clone().map(Step::Drop));
         steps.extend(in_flight.map(Step::Duplicate));
-        steps.extend(self.managers.keys().map(|of| Step::Tick(*of)));
+        steps.extend(self.managers.keys().map(|server| Step::Tick(*server)));
         steps.extend([Step::Advance(600), Step::Advance(4100), Step::Restart(1)]);
         steps.push(if self.suspended.is_empty() { Step::Suspend(0) } else { Step::Resume });
         steps
     }
 
-    fn take(&mut self, step: Step) -> Result<(), String> {
+    fn take_step(&mut self, step: Step) -> Result<(), String> {
         match step {
-            Step::Deliver(at) => self.deliver(at),
-            Step::Duplicate(at) => {
-                let (to, from, message) = self.in_flight[at].clone();
+            Step::Deliver(position) => self.deliver(position),
+            Step::Duplicate(position) => {
+                let (to, from, message) = self.in_flight[position].clone();
                 if let Some(manager) = self.managers.get_mut(&to).filter(|_| !self.suspended.contains(&to)) {
                     manager.receive(self.now, from, &message);
-                    self.gather(to);
+                    self.collect_output(to);
                 }
             }
-            Step::Drop(at) => drop(self.in_flight.remove(at)),
-            Step::Tick(of) => {
-                let Some(manager) = self.managers.get(&of).filter(|_| !self.suspended.contains(&of)) else {
+            Step::Drop(position) => drop(self.in_flight.remove(position)),
+            Step::Tick(server) => {
+                let Some(manager) = self.managers.get(&server).filter(|_| !self.suspended.contains(&server))
+                else {
                     return Ok(());
                 };
                 self.now = self.now.max(manager.next_tick());
                 self.check()?;
-                self.tick(of);
+                self.tick(server);
             }
             Step::Advance(ms) => self.now = self.now + Duration::from_ms(ms),
-            Step::Restart(of) => {
-                self.kill(of);
-                self.start(of, self.now);
+            Step::Restart(server) => {
+                self.kill(server);
+                self.start(server, self.now);
             }
-            Step::Suspend(of) => self.suspended.push(of),
+            Step::Suspend(server) => self.suspended.push(server),
             Step::Resume => self.suspended.clear(),
         }
         self.check()
     }
 }
 
-fn depth() -> usize {
+fn search_depth() -> usize {
     std::env::var("HAZELSPUR_DEPTH").ok().and_then(|depth| depth.parse().ok()).unwrap_or(4)
 }
 
-fn explore(fleet: &TestFleet, depth: usize, seen: &mut usize, path: &mut Vec<Step>) {
-    *seen += 1;
+fn explore(fleet: &TestFleet, depth: usize, states: &mut usize, path: &mut Vec<Step>) {
+    *states += 1;
     if depth == 0 {
         return;
     }
     for step in fleet.steps() {
         let mut next = fleet.clone();
         path.push(step);
-        next.take(step).unwrap_or_else(|why| panic!("{why} after {path:?}"));
-        explore(&next, depth - 1, seen, path);
+        next.take_step(step).unwrap_or_else(|error| panic!("{error} after {path:?}"));
+        explore(&next, depth - 1, states, path);
         path.pop();
     }
 }
@@ -441,21 +445,21 @@
 /// Three voters and one that is only a lessee; from a start, from a quiet fleet, and from the end of an
 /// allocator.
 #[test]
-fn in_all_orders_of_few_events_the_sum_stays_within_the_limit() {
-    let mut start = TestFleet::new(4, config(3, 4));
-    start.max_in_flight = 4;
-    start.now = START + VOTE_DURATION;
-    let mut quiet = TestFleet::new(4, config(3, 4));
-    quiet.run(20_000).expect("the sum holds");
-    quiet.max_in_flight = 4;
-    let mut over = quiet.clone();
-    over.suspended.push(0);
-    over.now = over.now + Duration::from_ms(5000);
-    let mut seen = 0;
-    for fleet in [start, quiet, over] {
-        explore(&fleet, depth(), &mut seen, &mut Vec::new());
+fn sum_stays_within_limit_in_every_short_order_of_events() {
+    let mut starting = TestFleet::new(4, config(3, 4));
+    starting.max_in_flight = 4;
+    starting.now = START + VOTE_DURATION;
+    let mut settled = TestFleet::new(4, config(3, 4));
+    settled.run(20_000).expect("the sum holds");
+    settled.max_in_flight = 4;
+    let mut expiring = settled.clone();
+    expiring.suspended.push(0);
+    expiring.now = expiring.now + Duration::from_ms(5000);
+    let mut states = 0;
+    for fleet in [starting, settled, expiring] {
+        explore(&fleet, search_depth(), &mut states, &mut Vec::new());
     }
-    assert!(seen > 10_000, "{seen}");
+    assert!(states > 10_000, "{states} states");
 }
 
 /// Takes random steps; the first violation, if there is one.
@@ -466,10 +470,10 @@
     fault: Option<InjectedFault>,
 ) -> Result<TestFleet, String> {
     let mut random = Pcg::new(seed);
-    let mut largest: f64 = 0.0;
+    let mut largest_share: f64 = 0.0;
     for _ in 0..steps {
-        let all = fleet.steps();
-        let step = all[random.draw() as usize % all.len()];
+        let possible = fleet.steps();
+        let step = possible[random.draw() as usize % possible.len()];
         // Most steps deliver or tick: otherwise no lease is ever granted.
         let step = match (random.draw() % 10, fleet.in_flight.len()) {
             (0..=5, 1..) => Step::Deliver(0),
@@ -483,17 +487,18 @@
                 }
             }
         }
-        fleet.take(step)?;
+        fleet.take_step(step)?;
         if let Some(InjectedFault::LeaseNeverExpires) = fault
             && let Some(manager) = fleet.managers.get_mut(&3)
         {
             // The clock of n3 stands still: it goes on using the largest lease that it ever had.
-            largest = manager.share(fleet.now, SLOTS).amount.max(largest);
-            if largest > 5.0 {
+            largest_share = manager.share(fleet.now, SLOTS).amount.max(largest_share);
+            if largest_share > 5.0 {
                 manager.set_demand(SLOTS, 1.0);
             }
             if let Some(usage) = fleet.usages.iter_mut().rfind(|usage| usage.incarnation.name == name(3)) {
-                usage.past = VecDeque::from([PastShares { since: fleet.now, amounts: vec![largest, 0.0] }]);
+                usage.past =
+                    VecDeque::from([PastShares { since: fleet.now, amounts: vec![largest_share, 0.0] }]);
             }
         }
     }
@@ -507,7 +512,7 @@
     LeaseNeverExpires,
 }
 
-fn contended(max_in_flight: usize) -> TestFleet {
+fn contended_fleet(max_in_flight: usize) -> TestFleet {
     let mut fleet = TestFleet::new(6, config(3, 6));
     fleet.max_in_flight = max_in_flight;
     fleet.managers.values_mut().for_each(|manager| manager.set_demand(SLOTS, 90.0));
@@ -515,22 +520,22 @@
 }
 
 #[test]
-fn random_walks_keep_the_sum_and_end_with_the_pool_in_use() {
+fn random_walks_stay_within_limit_and_end_with_pool_in_use() {
     for seed in 0..200 {
-        let fleet = random_walk(contended(12), seed, 400, None);
-        let mut fleet = fleet.unwrap_or_else(|why| panic!("seed {seed}: {why}"));
+        let fleet = random_walk(contended_fleet(12), seed, 400, None);
+        let mut fleet = fleet.unwrap_or_else(|error| panic!("seed {seed}: {error}"));
         fleet.suspended.clear();
         fleet.managers.values_mut().for_each(|manager| manager.set_demand(SLOTS, 90.0));
         fleet.max_in_flight = 10_000;
-        fleet.run(40_000).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
-        assert!(fleet.total_in_use() > 95.0, "seed {seed}: {}", fleet.shares_in_words());
+        fleet.run(40_000).unwrap_or_else(|error| panic!("seed {seed}: {error}"));
+        assert!(fleet.total_in_use() > 95.0, "seed {seed}: {}", fleet.describe_shares());
     }
 }
 
 #[test]
-fn planted_faults_are_found() {
+fn sum_check_finds_injected_faults() {
     for fault in [InjectedFault::RetainsTooMuch, InjectedFault::LeaseNeverExpires] {
-        let found = (0..400).any(|seed| random_walk(contended(12), seed, 600, Some(fault)).is_err());
+        let found = (0..400).any(|seed| random_walk(contended_fleet(12), seed, 600, Some(fault)).is_err());
         assert!(found, "{fault:?} was not found");
     }
     // Two lists of voters whose majorities do not intersect.
@@ -538,18 +543,18 @@
     let mut others = config(3, 6);
     others.voters = (3..6).map(name).collect();
     fleet.config = others;
-    (3..6).for_each(|of| fleet.start(of, START));
+    (3..6).for_each(|server| fleet.start(server, START));
     fleet.managers.values_mut().for_each(|manager| manager.set_demand(SLOTS, 90.0));
-    assert!(fleet.run(30_000).is_err(), "{}", fleet.shares_in_words());
+    assert!(fleet.run(30_000).is_err(), "{}", fleet.describe_shares());
 }
 
 /// Any numbers, any lengths, any order.
 #[test]
-fn arbitrary_messages_of_key_holders_keep_the_invariants() {
+fn arbitrary_authenticated_messages_keep_the_invariants() {
     let mut random = Pcg::new(11);
     let mut fleet = TestFleet::new(3, config(3, 10));
     fleet.run(20_000).expect("the sum holds");
-    let odd = |random: &mut Pcg| match random.draw() % 6 {
+    let arbitrary_number = |random: &mut Pcg| match random.draw() % 6 {
         0 => f32::NAN,
         1 => f32::INFINITY,
         2 => -1.0,
@@ -558,9 +563,9 @@
         _ => random.unit() as f32 * 100.0,
     };
     for i in 0..20_000u64 {
-        let few = |random: &mut Pcg| -> Vec<f32> {
+        let arbitrary_list = |random: &mut Pcg| -> Vec<f32> {
             let length = if random.draw().is_multiple_of(4) { random.draw() as usize % 20 } else { 2 };
-            (0..length).map(|_| odd(random)).collect()
+            (0..length).map(|_| arbitrary_number(random)).collect()
         };
         let number = if random.draw().is_multiple_of(2) { random.draw() % 64 } else { random.draw() };
         let allocator = Some(name(random.draw() as usize % 5));
@@ -574,13 +579,13 @@
             2 => QuotaMessage::VoteRelease { ballot: number },
             3 => QuotaMessage::LeaseRequest(LeaseRequest {
                 number,
-                demands: few(&mut random),
-                retained: few(&mut random),
+                demands: arbitrary_list(&mut random),
+                retained: arbitrary_list(&mut random),
             }),
             4 => QuotaMessage::LeaseGrant(LeaseGrant {
                 number,
                 duration_ms: random.draw(),
-                amounts: few(&mut random),
+                amounts: arbitrary_list(&mut random),
             }),
             _ => QuotaMessage::NotLeader { number, allocator },
         };
@@ -592,7 +597,7 @@
         for manager in fleet.managers.values_mut() {
             manager.receive(now, from, &message);
             manager.tick(now);
-            manager.check_invariants(now).unwrap_or_else(|why| panic!("{why} after {message:?}"));
+            manager.check_invariants(now).unwrap_or_else(|error| panic!("{error} after {message:?}"));
             while manager.next_message().is_some() {}
         }
     }
--- a/crates/hazelspur-fleet/tests/time_slots.rs
+++ b/crates/hazelspur-fleet/tests/time_slots.rs
@@ -8,26 +8,30 @@
 use std::collections::BTreeMap;
 
 #[test]
-fn slots_give_the_requested_rate_and_no_server_always_waits_longest() {
+fn slots_meet_the_rate_and_no_server_always_waits_longest() {
     let schedule = SlotSchedule::new(300, 100.0, Duration::from_ms(10_000));
     let mut slots_by_second: BTreeMap<u64, usize> = BTreeMap::new();
-    let mut waits: Vec<Vec<u64>> = Vec::new();
-    for of in 0..300 {
+    let mut waits_by_server: Vec<Vec<u64>> = Vec::new();
+    for server in 0..300 {
         let (mut now, mut waits_ms) = (START, Vec::new());
         for _ in 0..20 {
-            let at = schedule.next_slot(name(of), "ledger", now);
-            assert!(at >= now && at - now < schedule.period + schedule.period);
-            waits_ms.push((at - now).us() / 1000);
-            *slots_by_second.entry((at - START).us() / 1_000_000).or_default() += 1;
-            now = at + Duration::from_us(1);
+            let slot = schedule.next_slot(name(server), "ledger", now);
+            assert!(slot >= now && slot - now < schedule.period + schedule.period);
+            waits_ms.push((slot - now).us() / 1000);
+            *slots_by_second.entry((slot - START).us() / 1_000_000).or_default() += 1;
+            now = slot + Duration::from_us(1);
         }
-        waits.push(waits_ms);
+        waits_by_server.push(waits_ms);
     }
     let max = slots_by_second.values().max().copied().unwrap_or(0);
     assert!(max <= 140, "{max} in a second, 100 requested");
-    let first: Vec<u64> = waits.iter().map(|waits_ms| waits_ms[0]).collect();
-    let last = (0..300).max_by_key(|of| first[*of]).expect("some");
-    assert!(waits[last].iter().skip(1).any(|ms| *ms < 3000), "{:?}", waits[last]);
+    let first_waits: Vec<u64> = waits_by_server.iter().map(|waits_ms| waits_ms[0]).collect();
+    let longest_waiting = (0..300).max_by_key(|server| first_waits[*server]).expect("some");
+    assert!(
+        waits_by_server[longest_waiting].iter().skip(1).any(|ms| *ms < 3000),
+        "{:?}",
+        waits_by_server[longest_waiting]
+    );
     // The longest period bounds the wait, whatever the rate.
     assert_eq!(SlotSchedule::new(100_000, 1.0, Duration::from_ms(2000)).period, Duration::from_ms(2000));
 }
