--- a/crates/hazelspur-fleet/src/circuit_breaker.rs
+++ b/crates/hazelspur-fleet/src/circuit_breaker.rs
@@ -1,19 +1,21 @@
-//! The circuit breaker of the shared dependency, one in each server. While it is open, no call leaves this
-//! server but probes, and the fleet shares the probes out: a few designated probers of all sites probe often
-//! while servers hear of each other, and each server probes in its time slot while they do not.
+//! The circuit breaker of the shared dependency, one in each server. While it is open, this server sends no
+//! calls but only probes, and the fleet distributes the probes: while servers receive each other's load
+//! reports, a few designated probers from all sites probe often; otherwise each server probes in its own
+//! time slot.
 //!
-//! Calls that could not connect or broke count as unreachable, calls that were connected and got no answer in time as
-//! unanswered. Either opens the breaker where no answer comes in between. A breaker that unanswered calls opened is
-//! closed by an answer only, since a dependency that hangs goes on accepting connections. Servers use it only where
-//! the operator's file has `together = True`.
+//! A call that could not connect, or whose connection broke, counts as unreachable. A call that was
+//! connected and got no answer in time counts as unanswered. Several calls of either kind open the breaker
+//! if no call is answered in between. If unanswered calls opened it, only an answer closes it, because a
+//! dependency that hangs still accepts connections. Servers use the breaker only if the operator's file has
+//! `together = True`.
 //!
-//! Inputs: ended calls and probes (`call_finished`, `call_unanswered`, `probe_sent`), recoveries of others
-//! (`recovery_hint`), and what the load reports of others say (`set_peer_view`). Outputs: whether calls may leave,
-//! when and how to probe next, state changes.
+//! Inputs: ended calls and probes (`call_finished`, `call_unanswered`, `probe_sent`), recoveries that other
+//! servers report (`recovery_hint`), and the load reports of other servers (`set_peer_view`). Outputs:
+//! whether calls may be sent, when and how to probe next, and state changes.
 //!
-//! Invariant: only a call or probe of this server closes the breaker. What others report brings the next
-//! probe forward, once a second at most, because the fault may be in this server's own link and a report may
-//! be false.
+//! Invariant: only a call or probe of this server closes the breaker. Reports of other servers only bring the
+//! next probe forward, because the fault may be in this server's own link and a report may be false;
+//! recovery hints do so once a second at most.
 
 use crate::hash::hash_to_unit_interval;
 use crate::names::MemberName;
@@ -21,72 +23,75 @@
 use hazelspur::{Duration, Timestamp};
 use std::collections::VecDeque;
 
-/// Consecutive unreachable calls that open the breaker, if they spread over `MIN_FAILURE_SPAN`.
+/// Number of consecutive unreachable calls that open the breaker if they span `MIN_FAILURE_SPAN` or more.
 const FAILURE_THRESHOLD: u32 = 6;
-/// Time between the first and the last of the failures that open the breaker.
+/// Shortest time between the first and the last of the unreachable calls that open the breaker.
 const MIN_FAILURE_SPAN: Duration = Duration::from_ms(200);
-/// Consecutive unanswered calls that open the breaker, if they spread over `MIN_UNANSWERED_SPAN`.
+/// Number of consecutive unanswered calls that open the breaker if they span `MIN_UNANSWERED_SPAN` or more.
 const UNANSWERED_THRESHOLD: u32 = 6;
-/// Time between the first and the last of the unanswered calls that open the breaker: a dependency may pause.
+/// Shortest time between the first and the last of the unanswered calls that open the breaker. It is longer
+/// than `MIN_FAILURE_SPAN`, because a working dependency may pause.
 const MIN_UNANSWERED_SPAN: Duration = Duration::from_ms(1000);
-/// Consecutive unreachable or unanswered calls that open the breaker while most others report the dependency unreachable.
+/// Number of consecutive unreachable or unanswered calls that open the breaker while most other servers
+/// report the dependency as unreachable.
 const CONFIRMED_FAILURE_THRESHOLD: u32 = 2;
 /// Mean time between probes of a designated prober.
 const DESIGNATED_PROBE_INTERVAL: Duration = Duration::from_ms(250);
-/// Mean time between probes of any other server while most report the dependency unreachable.
+/// Mean time between probes of any other server while most servers report the dependency as unreachable.
 const OTHER_PROBE_INTERVAL: Duration = Duration::from_ms(4000);
-/// Mean time between probes while only this server fails: no other server tests its link.
+/// Mean time between probes of a server that fails while most others do not. No other server can test its
+/// link.
 const LOCAL_FAULT_PROBE_INTERVAL: Duration = Duration::from_ms(1000);
-/// Smallest factor by which an interval between probes varies.
+/// Smallest pseudo-random factor on an interval between probes.
 const MIN_JITTER_FACTOR: f64 = 0.75;
-/// Width of the range of factors by which an interval between probes varies.
+/// Width of the range of pseudo-random factors on an interval between probes.
 const JITTER_RANGE: f64 = 0.5;
-/// Probes of the whole fleet in a second while servers do not hear of each other.
+/// Probe rate of the whole fleet, per second, while servers do not receive each other's load reports.
 const FLEET_PROBES_PER_SECOND: f64 = 100.0;
-/// Longest period of the slot schedule.
+/// Longest period of the schedule of time slots.
 const MAX_SLOT_PERIOD: Duration = Duration::from_ms(2000);
-/// Time over which servers spread their probes after a recovery hint.
+/// Longest delay of a probe after a recovery hint; each server's delay differs, so that probes are spread.
 const HINT_SPREAD: Duration = Duration::from_ms(400);
-/// Shortest time between two recovery hints that count.
+/// Shortest time between two recovery hints that are not ignored.
 const MIN_HINT_INTERVAL: Duration = Duration::from_ms(1000);
-/// State changes that wait to be read.
+/// Capacity of the queue of state changes; the oldest is dropped when it is full.
 const MAX_PENDING_CHANGES: usize = 8;
-/// Servers of a fleet that are designated to probe.
+/// Number of servers of a fleet that are designated to probe often.
 pub const DESIGNATED_PROBERS: usize = 6;
 
 /// A change of the breaker's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BreakerChange {
-    /// No call leaves this server from now on, since calls did not reach the dependency.
+    /// This server stops sending calls, because calls did not reach the dependency.
     Opened,
-    /// No call leaves this server from now on, since the dependency accepts calls and does not answer them.
+    /// This server stops sending calls, because the dependency accepts calls and does not answer them.
     OpenedUnanswered,
-    /// Calls leave this server again.
+    /// This server sends calls again.
     Closed {
-        /// How long the breaker was open.
+        /// Time for which the breaker was open.
         after: Duration,
     },
 }
 
-/// What the load reports of other servers say about the dependency.
+/// Summary of the other servers' load reports, as far as the breaker depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerView {
-    /// This server is one of the designated probers.
+    /// Whether this server is one of the designated probers.
     pub designated: bool,
-    /// Most others report that they do not reach the dependency.
+    /// Whether most other servers report that they do not reach the dependency.
     pub mostly_unreachable: bool,
 }
 
-/// What a probe has to show.
+/// Kind of probe that is needed to close the breaker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeKind {
-    /// That a connection can be made.
+    /// Probe that succeeds if a connection can be made.
     Connection,
-    /// That a call is answered, whatever the answer.
+    /// Probe that succeeds if a call is answered, whatever the answer.
     Answer,
 }
 
-/// Failed calls of one kind with no answer in between.
+/// Consecutive failed calls of one kind, without an answered call in between.
 #[derive(Clone, Copy, Debug, Default)]
 struct FailureRun {
     count: u32,
@@ -116,7 +121,7 @@
     }
 }
 
-/// The breaker. Every time is of the wall clock, so that all servers share the time slots.
+/// The circuit breaker. All times are of the wall clock, because servers must agree on the time slots.
 #[derive(Clone, Debug)]
 pub struct CircuitBreaker {
     server: MemberName,
@@ -124,15 +129,15 @@
     slot_schedule: SlotSchedule,
     state: State,
     last_hint_at: Timestamp,
-    /// None while too few others report.
+    /// None while too few other servers report.
     peer_view: Option<PeerView>,
     pending_changes: VecDeque<BreakerChange>,
-    /// Probes since the start of the process.
+    /// Number of probes sent since the start of the process.
     pub probe_attempts: u64,
 }
 
 impl CircuitBreaker {
-    /// A closed breaker of `server` in a fleet of up to `max_servers`.
+    /// Creates a closed breaker of `server` for `dependency`, in a fleet of up to `max_servers`.
     pub fn new(server: MemberName, dependency: &'static str, max_servers: usize) -> Self {
         Self {
             server,
@@ -146,12 +151,13 @@
         }
     }
 
-    /// Whether calls may leave this server.
+    /// Returns whether this server may send calls.
     pub fn is_closed(&self) -> bool {
         matches!(self.state, State::Closed { .. })
     }
 
-    /// Notes the end of a call or probe: whether it reached the dependency, whatever the reply was.
+    /// Records the end of a call or probe. `reached` tells whether it reached the dependency, whatever the
+    /// reply.
     pub fn call_finished(&mut self, now: Timestamp, reached: bool) {
         match (self.state, reached) {
             (State::Open { since, .. }, true) => {
@@ -172,7 +178,7 @@
         }
     }
 
-    /// Notes a call that the dependency accepted and did not answer in time.
+    /// Records a call that the dependency accepted and did not answer in time.
     pub fn call_unanswered(&mut self, now: Timestamp) {
         let State::Closed { unreachable, unanswered } = self.state else { return };
         let unanswered = unanswered.incremented(now);
@@ -183,7 +189,8 @@
         }
     }
 
-    /// Another server has just reached the dependency: brings the next probe forward.
+    /// Brings the next probe forward, because another server has just reached the dependency. Ignored while
+    /// the breaker is closed, and within `MIN_HINT_INTERVAL` after the last hint that was not ignored.
     pub fn recovery_hint(&mut self, now: Timestamp) {
         if self.is_closed() || now - self.last_hint_at < MIN_HINT_INTERVAL {
             return;
@@ -192,7 +199,8 @@
         self.probe_no_later_than(now + HINT_SPREAD.scaled(self.pseudo_random_fraction(now)));
     }
 
-    /// Takes over what others report; `None` where too few report.
+    /// Sets the summary of the other servers' load reports; `None` if too few report. A change may bring
+    /// the next probe forward.
     pub fn set_peer_view(&mut self, now: Timestamp, view: Option<PeerView>) {
         let changed = std::mem::replace(&mut self.peer_view, view) != view;
         if changed && !self.is_closed() {
@@ -200,7 +208,7 @@
         }
     }
 
-    /// When this server is to probe next; none while the breaker is closed.
+    /// Returns when this server is to probe next; `None` while the breaker is closed.
     pub fn next_probe(&self) -> Option<Timestamp> {
         match self.state {
             State::Closed { .. } => None,
@@ -208,7 +216,7 @@
         }
     }
 
-    /// What the next probe has to show.
+    /// Returns the kind of the next probe.
     pub fn probe_kind(&self) -> ProbeKind {
         match self.state {
             State::Closed { .. } => ProbeKind::Connection,
@@ -216,7 +224,7 @@
         }
     }
 
-    /// Notes that a probe goes out now; `call_finished` reports its end.
+    /// Records that a probe is being sent and schedules the next one. Its end is reported to `call_finished`.
     pub fn probe_sent(&mut self, now: Timestamp) {
         self.probe_attempts += 1;
         let scheduled = self.scheduled_probe(now + Duration::from_us(1));
@@ -225,12 +233,13 @@
         }
     }
 
-    /// The oldest state change that was not read yet.
+    /// Removes and returns the oldest state change that has not been read.
     pub fn next_change(&mut self) -> Option<BreakerChange> {
         self.pending_changes.pop_front()
     }
 
-    /// Whether most others report the dependency unreachable too.
+    /// Returns whether the failures suffice to open the breaker because most other servers also report the
+    /// dependency as unreachable.
     fn is_confirmed(&self, failures: FailureRun) -> bool {
         let confirmed = self.peer_view.is_some_and(|view| view.mostly_unreachable);
         confirmed && failures.count >= CONFIRMED_FAILURE_THRESHOLD
@@ -259,6 +268,7 @@
         now + interval.scaled(MIN_JITTER_FACTOR + JITTER_RANGE * self.pseudo_random_fraction(now))
     }
 
+    /// Returns a number above 0 and below 1 that differs between servers and from one time to the next.
     fn pseudo_random_fraction(&self, now: Timestamp) -> f64 {
         hash_to_unit_interval(self.dependency, self.server.as_str(), now.us())
     }
--- a/crates/hazelspur-fleet/src/guidance.rs
+++ b/crates/hazelspur-fleet/src/guidance.rs
@@ -1,83 +1,87 @@
-//! What servers decided together, as guidance for the admission controller: which figures have changed, and
-//! which apply when a lease expires. The server and the simulator give their controllers the same by this.
+//! Derives the guidance for the admission controller from the state of the fleet: shares of limits, the
+//! share of rejected requests and the state of the circuit breaker. Returns the values that have changed
+//! and those that apply once a lease expires. Server and simulator share this code, so that their
+//! controllers get the same guidance.
 
 use crate::node::{Clocks, FleetNode};
 use crate::quota::LimitId;
 use hazelspur::{GuidanceKey, Timestamp};
 use std::collections::BTreeMap;
 
-/// Relative growth below which a figure counts as unchanged. A smaller figure always counts as changed,
+/// Largest relative growth at which a value counts as unchanged. A lower value always counts as changed,
 /// because the controller must not use more than the lease allows.
 const UNCHANGED_GROWTH: f64 = 0.01;
-/// Magnitude below which growth is not relative any more.
+/// Smallest magnitude used as the base of relative growth; below it, the allowed growth is constant.
 const MIN_MAGNITUDE: f64 = 1e-3;
 
-/// A changed figure.
+/// A guidance value that has changed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GuidanceChange {
-    /// Which figure.
+    /// The value's key.
     pub key: GuidanceKey,
-    /// Its value; `None` takes it back.
+    /// The new value; `None` withdraws it.
     pub value: Option<f64>,
 }
 
-/// The value of a figure after a lease has expired.
+/// A guidance value that applies after a lease has expired.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ValueAfterExpiry {
-    /// Which figure.
+    /// The value's key.
     pub key: GuidanceKey,
-    /// The guaranteed minimum.
+    /// The guaranteed minimum of the limit that governs it.
     pub value: f64,
 }
 
-/// What applies when the first lease in force expires.
+/// The guidance values that apply once the first lease in force expires.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseExpiry {
-    /// When that is, by the monotonic clock.
+    /// Time of the expiry, by the monotonic clock.
     pub at: Timestamp,
-    /// What applies from then on.
+    /// Values that apply from then on.
     pub values: Vec<ValueAfterExpiry>,
 }
 
-/// What the admission controller is to be given.
+/// Guidance to be given to the admission controller.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GuidanceUpdate {
-    /// Figures that have changed since the last update.
+    /// Values that have changed since the last update.
     pub changes: Vec<GuidanceChange>,
-    /// None where there is no lease.
+    /// Values that apply once a lease expires; none while there is no lease.
     pub expiry: Option<LeaseExpiry>,
 }
 
-/// A shared limit and the figure that it governs.
+/// A shared limit and the guidance value that it governs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GuidedLimit {
     /// The limit.
     pub limit: LimitId,
-    /// The figure.
+    /// The key of the guidance value.
     pub key: GuidanceKey,
 }
 
-/// Remembers what the admission controller was given.
+/// Computes guidance updates, and remembers which values the admission controller was last given.
 #[derive(Clone, Debug)]
 pub struct Guidance {
-    /// Whether the breaker and the load reports of others count.
+    /// Whether guidance includes the circuit breaker and the load reports of other servers.
     coordinated: bool,
     limits: Vec<GuidedLimit>,
     last_given: BTreeMap<GuidanceKey, f64>,
 }
 
 impl Guidance {
-    /// Guidance by these limits, and if `coordinated` by the circuit breaker and the load reports.
+    /// Creates guidance that covers `limits` and, if `coordinated`, also the circuit breaker and the load
+    /// reports of other servers.
     pub fn new(coordinated: bool, limits: Vec<GuidedLimit>) -> Self {
         Self { coordinated, limits, last_given: BTreeMap::new() }
     }
 
-    /// Forgets what was given: after a lease has expired, the controller goes by other figures.
+    /// Forgets which values were last given, so that the next update contains all of them. To be called
+    /// after a lease has expired, because the controller then uses other values.
     pub fn forget(&mut self) {
         self.last_given.clear();
     }
 
-    /// What the controller is to be given now.
+    /// Returns the guidance that the controller is to be given at `now`, and remembers it as given.
     pub fn next_update(&mut self, now: Clocks, node: &FleetNode) -> GuidanceUpdate {
         let current = self.current(now, node);
         let changed = |key: &GuidanceKey, value: f64| {
--- a/crates/hazelspur-fleet/src/load_reports/fault_scope.rs
+++ b/crates/hazelspur-fleet/src/load_reports/fault_scope.rs
@@ -1,5 +1,5 @@
-//! Tells a fault of this server, its link or its cores from a fault of the shared dependency: compares this
-//! server's report with the aggregated reports of all.
+//! Distinguishes a fault of this server, its link or its cores from a fault of the shared dependency, by
+//! comparing this server's load report with the aggregated reports of all servers.
 
 use super::{AggregatedLoad, PeerLoadReport};
 use serde::{Deserialize, Serialize};
@@ -8,25 +8,26 @@
 const SLOW_RATIO: f64 = 2.0;
 /// Latency ratio below which calls count as normal.
 const NORMAL_RATIO: f64 = 1.5;
-/// Share of unreachable calls below which the others reach the dependency.
+/// Aggregated share of unreachable calls below which the other servers count as reaching the dependency.
 const LOW_UNREACHABLE_FRACTION: f64 = 0.2;
 
-/// Who is affected by a fault that this server sees.
+/// The part of the fleet that is affected by a fault that this server observes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FaultScope {
-    /// This server sees no fault.
+    /// This server observes no fault.
     #[default]
     None,
     /// Only this server.
     Local,
     /// Most servers.
     Shared,
-    /// Too few reports, or reports that say neither.
+    /// There are too few reports, or they show neither a local nor a shared fault clearly.
     Unknown,
 }
 
 impl FaultScope {
-    /// The scope of what `own` shows, given the aggregate of all recent reports.
+    /// Returns the scope of the fault that `own` shows, given the aggregate of all recent reports; `None`
+    /// for `all` means too few reports.
     pub fn of(own: &PeerLoadReport, all: Option<&AggregatedLoad>) -> Self {
         if f64::from(own.latency_ratio) < SLOW_RATIO && !own.is_unreachable() {
             return Self::None;
@@ -40,7 +41,7 @@
         if most_are_normal { Self::Local } else { Self::Unknown }
     }
 
-    /// The word that log lines and operators' commands show.
+    /// Returns the word that log lines and operators' commands show.
     pub fn name(self) -> &'static str {
         match self {
             Self::None => "none",
--- a/crates/hazelspur-fleet/src/load_reports/latency_ratio.rs
+++ b/crates/hazelspur-fleet/src/load_reports/latency_ratio.rs
@@ -1,6 +1,6 @@
-//! Measures the latency of calls over the best that is remembered. The best is that of a bounded number of
-//! windows, as the paper remembers the best power of its last cycles, so a latency that stays high becomes
-//! the normal one.
+//! Computes the latency ratio: the mean latency of calls divided by the best latency remembered. The best
+//! latency of a bounded number of past windows is remembered, just as the admission controller remembers
+//! the best power of its last control cycles, so a latency that stays high becomes the normal one.
 
 use super::MAX_LATENCY_RATIO;
 use hazelspur::{Duration, Timestamp};
@@ -8,22 +8,22 @@
 
 /// Length of one window.
 const WINDOW: Duration = Duration::from_ms(8000);
-/// Past windows whose best latency is remembered.
+/// Number of past windows whose best latency is remembered.
 const REMEMBERED_WINDOWS: usize = 16;
 
-/// The best latency of the last windows.
+/// The best latency of the current window and of the past windows remembered.
 #[derive(Clone, Debug, Default)]
 pub struct LatencyRatioTracker {
     /// Best latency of each past window, in seconds, oldest first.
     past_best_secs: VecDeque<f64>,
-    /// Best latency of the current window, in seconds; zero before the first.
+    /// Best latency of the current window, in seconds; zero before the first observation.
     current_best_secs: f64,
     current_window_began: Timestamp,
 }
 
 impl LatencyRatioTracker {
-    /// Notes the mean latency of calls, in seconds, and returns it over the best; zero for what is no
-    /// latency.
+    /// Records the mean latency of calls, in seconds, and returns its ratio to the best latency remembered,
+    /// at most `MAX_LATENCY_RATIO`. Returns zero for a latency that is not a positive finite number.
     pub fn observe(&mut self, now: Timestamp, latency_secs: f64) -> f32 {
         if !(latency_secs.is_finite() && latency_secs > 0.0) {
             return 0.0;
--- a/crates/hazelspur-fleet/src/load_reports/table.rs
+++ b/crates/hazelspur-fleet/src/load_reports/table.rs
@@ -1,6 +1,6 @@
-//! Keeps the last report of each server and aggregates the recent ones: the median of each site, then the
-//! median of the sites, so that one server, one faulty core or one site moves the result by one place at
-//! most. A report older than the table's maximum age does not count.
+//! Keeps the last load report of each server and aggregates the recent ones: the median of each site, then
+//! the median of the sites, so that one server, one faulty core or one site shifts the result by one
+//! position in the sorted values at most. A report older than the table's maximum age does not count.
 
 use super::{PeerLoadReport, UNREACHABLE_FRACTION};
 use crate::names::{MemberName, SiteName};
@@ -8,25 +8,25 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Reporters below which the table concludes nothing.
+/// Smallest number of reporters for which the table returns an aggregate.
 const MIN_REPORTERS: usize = 3;
 
-/// What the recent reports say together.
+/// The aggregate of the recent load reports of all servers.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AggregatedLoad {
-    /// Latency of calls over the best that is remembered; none where too few report it.
+    /// Median of the latency ratios; none if too few servers report one.
     #[serde(rename = "pace")]
     pub latency_ratio: Option<f64>,
-    /// Share of calls that did not reach the dependency, 0 to 1.
+    /// Median of the shares of calls that did not reach the dependency, 0 to 1.
     #[serde(rename = "unreached")]
     pub unreachable_fraction: f64,
-    /// Share of requests that servers rejected, 0 to 1.
+    /// Median of the shares of requests that servers rejected, 0 to 1.
     #[serde(rename = "refused")]
     pub rejected_fraction: f64,
-    /// Servers whose reports count.
+    /// Number of servers whose reports count.
     #[serde(rename = "voices")]
     pub reporters: usize,
-    /// Sites of these servers.
+    /// Number of sites of these servers.
     pub sites: usize,
     /// Age of the oldest report that counts, in milliseconds.
     #[serde(rename = "oldest_ms")]
@@ -34,7 +34,7 @@
 }
 
 impl AggregatedLoad {
-    /// Whether most servers do not reach the dependency.
+    /// Returns whether the aggregate shows the dependency as unreachable.
     pub fn is_unreachable(&self) -> bool {
         self.unreachable_fraction >= UNREACHABLE_FRACTION
     }
@@ -47,24 +47,24 @@
     report: PeerLoadReport,
 }
 
-/// The last report of each server, with its age.
+/// The last load report of each server and when it was received.
 #[derive(Clone, Debug)]
 pub struct LoadReportTable {
     max_age: Duration,
     capacity: usize,
     reports: BTreeMap<MemberName, StoredReport>,
-    /// Reports with figures outside their ranges, since the start.
+    /// Number of reports received since the start that had a value outside its range.
     pub invalid_reports: u64,
 }
 
 impl LoadReportTable {
-    /// An empty table for up to `capacity` servers; reports older than `max_age` do not count.
+    /// Creates an empty table for up to `capacity` servers. Reports older than `max_age` do not count.
     pub fn new(capacity: usize, max_age: Duration) -> Self {
         Self { max_age, capacity, reports: BTreeMap::new(), invalid_reports: 0 }
     }
 
-    /// Stores a report that came from `reporter` itself just now. An invalid one removes the reporter's last
-    /// one too.
+    /// Stores a report that `reporter` itself has sent. An invalid report is counted and also removes the
+    /// reporter's previous one. While the table is full, a report of a new reporter is dropped.
     pub fn receive(&mut self, now: Timestamp, reporter: MemberName, site: SiteName, report: PeerLoadReport) {
         if !report.is_valid() {
             self.invalid_reports += 1;
@@ -80,7 +80,7 @@
         self.reports.insert(reporter, StoredReport { site, received_at: now, report });
     }
 
-    /// The aggregate of the recent reports; `None` where there are fewer than three.
+    /// Returns the aggregate of the recent reports; `None` if there are fewer than `MIN_REPORTERS`.
     pub fn aggregate(&self, now: Timestamp) -> Option<AggregatedLoad> {
         let mut sites: BTreeMap<SiteName, Vec<PeerLoadReport>> = BTreeMap::new();
         let (mut reporters, mut oldest_age) = (0, Duration::ZERO);
@@ -112,6 +112,7 @@
     }
 }
 
+/// Returns the median of the sites' medians of one value of the reports; `None` if no report has the value.
 fn median_of_sites(
     sites: &BTreeMap<SiteName, Vec<PeerLoadReport>>,
     value_of: impl Fn(&PeerLoadReport) -> Option<f32>,
@@ -121,7 +122,8 @@
     median(sites.values().filter_map(site_median).collect())
 }
 
-/// The median; of an even number of values the mean of the two in the middle.
+/// Returns the median, which for an even number of values is the mean of the two in the middle; `None`
+/// without values.
 pub fn median(mut values: Vec<f64>) -> Option<f64> {
     values.sort_by(f64::total_cmp);
     let middle = values.len() / 2;
--- a/crates/hazelspur-fleet/src/quota/allocator.rs
+++ b/crates/hazelspur-fleet/src/quota/allocator.rs
@@ -1,8 +1,8 @@
-//! The allocator's table: what each lessee demands, what it was granted, and until when it may still use
-//! that.
+//! The allocator's table: each lessee's demands and the leases it may still use. Lease requests come in,
+//! granted amounts go out.
 //!
-//! Invariant: the outstanding leases of a limit never exceed its shared pool. An allocator that takes over
-//! grants each lessee no more than the lessee already has until the leases of its predecessor have expired.
+//! Invariant: the outstanding leases of a limit never exceed its shared pool. Until the leases of its
+//! predecessor have expired, a new allocator grants each lessee no more than the lessee still holds.
 
 use super::config::{LimitId, QuotaConfig, SharedLimit};
 use super::fair_share::fair_level;
@@ -12,25 +12,27 @@
 use hazelspur::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
-/// Lessees up to which levels and sums are computed with each request.
+/// Largest number of lessees for which fair levels and sums are recomputed with each request.
 const MAX_LESSEES_FOR_EXACT_SUMS: usize = 48;
-/// Time between two computations of levels and sums with more lessees; in between sums only grow.
+/// Shortest time between two recomputations with more lessees. In between, the sums only grow, so they stay
+/// upper bounds.
 const REFRESH_INTERVAL: Duration = Duration::from_ms(100);
-/// Factor by which rounding may raise what a lessee retains above the pool.
+/// Factor by which rounding up may raise a retained amount above the shared pool.
 const ROUNDING_TOLERANCE: f64 = 1.001;
-/// Part of the vote duration after which a silent lessee no longer waits for a turn.
+/// Time without a request after which a lessee counts as silent, as a fraction of the vote duration.
 const SILENCE_FRACTION: f64 = 0.75;
-/// Largest number of lessees in the table over the largest number of servers: restarts add incarnations.
+/// Largest number of lessees in the table for each server that may exist: a restarted server is in the table
+/// once more, as a new process incarnation, until the leases of the old one expire.
 pub(super) const MAX_LESSEES_PER_SERVER: usize = 2;
 
-/// One limit of one lessee's request.
+/// The part of a lease request that concerns one limit.
 #[derive(Clone, Copy)]
 struct LimitRequest<'a> {
     now: Timestamp,
     config: &'a QuotaConfig,
     from: ProcessIncarnation,
     limit: LimitId,
-    /// What the lessee says it retains of earlier leases.
+    /// Amount that the lessee says it keeps using under earlier leases; not validated.
     retained: f32,
 }
 
@@ -39,45 +41,49 @@
         &self.config.limits[self.limit.0]
     }
 
-    /// When a lease that is granted now must be over, with the work that began under it.
+    /// Returns when a lease granted now has expired and all work begun under it has ended.
     fn lease_expires(&self) -> Timestamp {
         self.now + self.config.lease_duration() + self.shared_limit().residual_duration
     }
 }
 
-/// A lessee's place in the order of exclusive turns.
+/// A lessee's state in the queue for exclusive turns.
 #[derive(Clone, Copy, Debug, Default)]
 struct Turn {
+    /// Start of the wait; none while the lessee demands no turn.
     waiting_since: Option<Timestamp>,
+    /// Start of the current turn; none while the lessee has no turn.
     granted_at: Option<Timestamp>,
 }
 
+/// A lessee's demand for one limit and its leases of that limit.
 #[derive(Clone, Debug, Default)]
 struct Demand {
-    /// What the lessee would use beyond its guaranteed minimum.
+    /// Demand beyond the guaranteed minimum.
     amount: f64,
     outstanding: OutstandingLeases,
     turn: Turn,
 }
 
+/// A lessee's entry in the allocator's table.
 #[derive(Clone, Debug)]
 struct Lessee {
     last_request_number: u32,
     last_request_at: Timestamp,
-    /// By limit.
+    /// One entry for each limit, in the order of the configuration.
     demands: Vec<Demand>,
 }
 
-/// The elected server's table: who demands how much, and which leases are outstanding.
+/// The allocator's table of demands and outstanding leases.
 #[derive(Clone, Debug)]
 pub(super) struct Allocator {
     lessees: BTreeMap<ProcessIncarnation, Lessee>,
-    /// Level of max-min fairness, by limit.
+    /// Level of max-min fairness of each limit, as of the last recomputation.
     fair_levels: Vec<f64>,
-    /// Sum of outstanding leases, by limit.
+    /// Upper bound of the sum of outstanding leases of each limit.
     outstanding_sums: Vec<f64>,
     refreshed_at: Timestamp,
-    /// Leases of the previous allocator may be in use until then.
+    /// Time until which leases of the previous allocator may be in use.
     takeover_ends: Timestamp,
 }
 
@@ -96,14 +102,15 @@
         self.lessees.len()
     }
 
-    /// Sum of the outstanding leases of a limit.
+    /// Returns the exact sum of the outstanding leases of a limit.
     pub(super) fn granted(&self, now: Timestamp, limit: usize) -> f64 {
         let demands = self.lessees.values().filter_map(|lessee| lessee.demands.get(limit));
         demands.map(|demand| demand.outstanding.amount(now)).sum()
     }
 
-    /// Grants leases: the amount of each shared pool for the configured lease duration. `None` for a request
-    /// that is malformed or no newer than the last one, and where the table is full.
+    /// Grants leases for the configured lease duration and returns the amount of each shared pool, in the
+    /// order of the limits. Returns `None` for a request that is malformed or not newer than the lessee's
+    /// last one, and for a new lessee while the table is full.
     pub(super) fn grant(
         &mut self,
         now: Timestamp,
@@ -154,7 +161,7 @@
             None if in_takeover => fair_amount.min(valid_retained),
             None => fair_amount,
         };
-        // Rounded down: the message must not grant more than the table counts.
+        // The message must not grant more than the table records, so the `f32` is rounded down.
         let granted = rounded_down(amount);
         self.record_lease(request, f64::from(granted));
         granted
@@ -169,8 +176,8 @@
         self.outstanding_sums[limit.0] += outstanding.amount(now) - before;
     }
 
-    /// Grants a whole turn (1) or none (0). A turn lasts `max_turn` at most; a free one goes to who has
-    /// waited longest.
+    /// Returns 1 if the lessee has or gets an exclusive turn, otherwise 0. A turn lasts `max_turn` at most;
+    /// an unallocated turn goes to the lessee that has waited longest.
     fn grant_turn(&mut self, request: &LimitRequest, max_turn: Duration, unallocated: f64) -> f64 {
         let LimitRequest { now, from, limit, .. } = *request;
         let demand = &self.lessees[&from].demands[limit.0];
@@ -182,7 +189,7 @@
             }
             return if turn_ended { 0.0 } else { 1.0 };
         }
-        // A lessee whose last turn has not expired gets no other one meanwhile.
+        // A lessee gets no new turn before the lease of its last turn has expired.
         let still_uses_last_turn = demand.outstanding.amount(now) >= 1.0;
         if still_uses_last_turn
             || unallocated < (self.lessees_waiting_ahead(from, limit, waiting_since) + 1) as f64
@@ -214,7 +221,7 @@
         }
     }
 
-    /// Computes levels and sums anew.
+    /// Recomputes fair levels and sums, unless there are many lessees and the last recomputation is recent.
     fn refresh(&mut self, now: Timestamp, config: &QuotaConfig) {
         if self.lessees.len() > MAX_LESSEES_FOR_EXACT_SUMS && now - self.refreshed_at < REFRESH_INTERVAL {
             return;
@@ -230,7 +237,8 @@
         }
     }
 
-    /// Removes silent lessees without leases; silent lessees with leases no longer wait for turns.
+    /// Removes silent lessees that have no outstanding leases. Those that have some stay in the table but
+    /// lose their place in the queue for turns.
     fn remove_silent(&mut self, now: Timestamp, config: &QuotaConfig) {
         let silent_after = config.vote_duration.scaled(SILENCE_FRACTION);
         self.lessees.retain(|_, lessee| {
@@ -262,7 +270,7 @@
 impl Demand {
     fn update(&mut self, now: Timestamp, limit: &SharedLimit, amount: f64, retained: f64) {
         self.amount = amount;
-        // A figure that is no amount promises nothing.
+        // An invalid retained amount releases nothing.
         if retained.is_finite() && retained >= 0.0 {
             self.outstanding.reduce(now, retained, now + limit.residual_duration);
         }
@@ -276,13 +284,13 @@
     }
 }
 
-/// What a lessee says it retains, if that is possible; otherwise nothing.
+/// Returns the retained amount if it is from 0 to `max`, otherwise 0.
 fn valid_amount(retained: f32, max: f64) -> f64 {
     let retained = f64::from(retained);
     if (0.0..=max).contains(&retained) { retained } else { 0.0 }
 }
 
-/// The largest `f32` that is not above the amount.
+/// Returns the largest `f32` that is not above the amount; 0 for a negative amount.
 fn rounded_down(amount: f64) -> f32 {
     let amount = amount.max(0.0);
     let nearest = amount as f32;
--- a/crates/hazelspur-fleet/src/quota/config.rs
+++ b/crates/hazelspur-fleet/src/quota/config.rs
@@ -1,5 +1,5 @@
-//! The quota configuration, which all servers of an installation must have alike, its checks and its
-//! fingerprint.
+//! The quota configuration, its validation and its fingerprint. All servers of an installation must have
+//! the same configuration.
 
 use super::{MAX_LIMITS, MAX_VOTERS};
 use crate::names::{LimitName, MemberName};
@@ -13,18 +13,21 @@
 const MIN_VOTE_DURATION: Duration = Duration::from_ms(200);
 /// Longest vote duration.
 const MAX_VOTE_DURATION: Duration = Duration::from_ms(600_000);
-/// Part of the vote duration after which lessees and the allocator renew.
+/// Interval at which lessees renew leases and the allocator renews votes, as a fraction of the vote duration.
 const RENEWAL_FRACTION: f64 = 0.25;
-/// Lease duration over the vote duration: a lease outlasts its allocator until all know the next one.
+/// Lease duration as a multiple of the vote duration. Leases outlast the election of their allocator, so
+/// that they stay in force until all servers know the next one.
 const LEASE_TO_VOTE_RATIO: f64 = 2.0;
-/// Least vote duration over the residual duration of a limit.
+/// Smallest vote duration as a multiple of the residual duration of any limit, so that time is left for
+/// leases.
 const MIN_VOTE_TO_RESIDUAL_RATIO: f64 = 2.0;
 
-/// A limit, by its position in the configuration.
+/// A limit, identified by its position in the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LimitId(pub usize);
 
-/// Fingerprint of a configuration; servers with different fingerprints ignore each other's quota messages.
+/// Fingerprint of a quota configuration. Servers with different fingerprints ignore each other's quota
+/// messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigFingerprint(pub u64);
 
@@ -33,68 +36,71 @@
 pub struct SharedLimit {
     /// The limit's name.
     pub name: LimitName,
-    /// What all servers together may use.
+    /// Amount that all servers together may use.
     pub total: f64,
-    /// The part of the total, 0 to 1, that is divided by the largest number of servers as guaranteed
+    /// Fraction of the total, 0 to 1, that is divided by the largest number of servers into guaranteed
     /// minimums.
     pub guaranteed_fraction: f64,
-    /// How long work that began under a lease may go on after the lease, such as the longest call.
+    /// Longest time for which work begun under a lease may go on after the lease has expired, such as the
+    /// longest call.
     pub residual_duration: Duration,
-    /// Longest exclusive turn, for limits whose units are granted whole to who has waited longest.
+    /// Longest exclusive turn. Set for limits whose units are granted only whole, each to the server that has
+    /// waited longest; none for limits that are divided.
     pub max_turn: Option<Duration>,
 }
 
 /// The quota configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaConfig {
-    /// Servers that vote on the allocator: an odd number, best in three sites.
+    /// Servers that elect the allocator: an odd number, preferably spread over three sites.
     pub voters: Vec<MemberName>,
     /// Largest number of servers that exist at once.
     pub max_servers: usize,
-    /// How long a vote lasts.
+    /// Duration of a vote, from which the durations of leases and of renewals follow.
     pub vote_duration: Duration,
     /// The shared limits.
     pub limits: Vec<SharedLimit>,
 }
 
-/// Why a quota configuration is refused. The texts name fields as the operator's file does; its `lease_s`, the vote
-/// duration, is their `span`.
+/// Reason to reject a quota configuration. The texts use the keys of the operator's file: `keepers` for
+/// voters, `most` for the largest number of servers, `lease_s` for the vote duration, `floor` for the
+/// guaranteed fraction, `linger_s` for the residual duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum QuotaConfigError {
     /// There are more than `MAX_VOTERS` voters.
     #[error("more than {MAX_VOTERS} keepers")]
     TooManyVoters,
     /// A voter is listed twice.
-    #[error("a keeper is named twice: its vote would count twice")]
+    #[error("keepers: a server is listed twice, so its vote would count twice")]
     DuplicateVoter,
     /// There are more than `MAX_LIMITS` limits.
     #[error("more than {MAX_LIMITS} limits")]
     TooManyLimits,
     /// Two limits have the same name.
-    #[error("{0}: named twice")]
+    #[error("{0}: limit is listed twice")]
     DuplicateLimit(LimitName),
-    /// A total is outside its range.
-    #[error("{0}: total is no number from 0 to a billion")]
+    /// The total of a limit is not a number from 0 to `MAX_TOTAL`.
+    #[error("{0}: total is not a number from 0 to {MAX_TOTAL}")]
     InvalidTotal(LimitName),
-    /// A guaranteed fraction is outside its range.
-    #[error("{0}: floor is no part from 0 to 1")]
+    /// The guaranteed fraction of a limit is not a number from 0 to 1.
+    #[error("{0}: floor is not a number from 0 to 1")]
     InvalidGuaranteedFraction(LimitName),
-    /// A limit of exclusive turns has a guaranteed fraction.
-    #[error("{0}: turns have no floor")]
+    /// A limit of exclusive turns has a guaranteed fraction other than 0.
+    #[error("{0}: floor of a limit of exclusive turns is not 0")]
     GuaranteedTurns(LimitName),
-    /// The residual duration is more than half of the vote duration.
-    #[error("{0}: what lingers for over half of the span leaves no time for leases")]
+    /// The residual duration of a limit is more than half of the vote duration.
+    #[error("{0}: linger_s is more than half of lease_s, which leaves no time for leases")]
     ResidualTooLong(LimitName),
-    /// The vote duration or the number of servers is outside its range.
-    #[error("span is not from 0.2 s to 600 s, or most is 0")]
+    /// The vote duration is outside its bounds, or the largest number of servers is 0.
+    #[error("lease_s is not from 0.2 to 600, or most is 0")]
     InvalidVoteDurationOrMaxServers,
 }
 
 impl QuotaConfig {
-    /// Checks the configuration as a whole and each limit.
+    /// Validates the configuration as a whole and each limit.
     ///
     /// # Errors
-    /// Returns the first fault.
+    /// Returns the first error found.
     pub fn check(&self) -> Result<(), QuotaConfigError> {
         self.check_voters()?;
         if self.limits.len() > MAX_LIMITS {
@@ -122,49 +128,50 @@
         if distinct.len() == self.voters.len() { Ok(()) } else { Err(QuotaConfigError::DuplicateVoter) }
     }
 
-    /// How often a lessee renews its leases and an allocator its votes.
+    /// Returns the interval at which lessees renew leases and the allocator renews its votes.
     pub fn renewal_interval(&self) -> Duration {
         self.vote_duration.scaled(RENEWAL_FRACTION)
     }
 
-    /// How long a lease lasts.
+    /// Returns the duration of a lease.
     pub fn lease_duration(&self) -> Duration {
         self.vote_duration.scaled(LEASE_TO_VOTE_RATIO)
     }
 
-    /// Votes that elect an allocator.
+    /// Returns the number of votes that elects an allocator.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// The longest residual duration of any limit.
+    /// Returns the longest residual duration of any limit; zero without limits.
     pub fn max_residual_duration(&self) -> Duration {
         self.limits.iter().map(|limit| limit.residual_duration).max().unwrap_or(Duration::ZERO)
     }
 
-    /// What each server may always use of a limit.
+    /// Returns the amount of a limit that each server may always use; zero for an unknown limit.
     pub fn guaranteed_minimum(&self, limit: LimitId) -> f64 {
         self.limits.get(limit.0).map_or(0.0, |limit| limit.guaranteed_minimum(self.max_servers))
     }
 
-    /// What the allocator grants of a limit; zero without voters.
+    /// Returns the amount of a limit that the allocator grants by leases; zero without voters and for an
+    /// unknown limit.
     pub fn shared_pool(&self, limit: LimitId) -> f64 {
         let has_voters = !self.voters.is_empty();
         self.limits.get(limit.0).filter(|_| has_voters).map_or(0.0, SharedLimit::shared_pool)
     }
 
-    /// The limit of this name.
+    /// Returns the limit with this name.
     pub fn find(&self, name: &str) -> Option<LimitId> {
         self.limits.iter().position(|limit| limit.name.as_str() == name).map(LimitId)
     }
 
-    /// The fingerprint that quota messages carry.
+    /// Returns the fingerprint that quota messages carry.
     pub fn fingerprint(&self) -> ConfigFingerprint {
         ConfigFingerprint(xxhash_rust::xxh3::xxh3_64(self.canonical_text().as_bytes()))
     }
 
-    /// The text that the fingerprint covers. Servers of other versions hash the same text: it must never
-    /// change.
+    /// Returns the text that the fingerprint covers. Servers of other versions hash the same text, so it
+    /// must never change; it therefore keeps type and field names that the code no longer uses.
     fn canonical_text(&self) -> String {
         let (voters, max_servers) = (&self.voters, self.max_servers);
         let vote_us = self.vote_duration.us();
@@ -177,12 +184,12 @@
 }
 
 impl SharedLimit {
-    /// What each of `max_servers` servers may always use.
+    /// Returns the amount that each of `max_servers` servers may always use.
     pub fn guaranteed_minimum(&self, max_servers: usize) -> f64 {
         self.total * self.guaranteed_fraction / max_servers.max(1) as f64
     }
 
-    /// What is granted by leases.
+    /// Returns the amount that is granted by leases.
     pub fn shared_pool(&self) -> f64 {
         self.total * (1.0 - self.guaranteed_fraction)
     }
--- a/crates/hazelspur-fleet/src/quota/election.rs
+++ b/crates/hazelspur-fleet/src/quota/election.rs
@@ -1,13 +1,15 @@
-//! Elects the allocator: a voter's single vote, and the candidate that collects votes.
+//! Election of the allocator: the voter, which answers vote requests, and the candidate, which collects
+//! votes.
 //!
-//! Invariant: a voter's vote belongs to one process incarnation at a time, and a candidate counts itself
-//! elected only while a majority of votes cannot have expired. So no two processes are elected at once.
+//! Invariant: a voter's vote belongs to one process incarnation at a time, and a candidate considers itself
+//! elected only while a majority of its votes cannot have expired. So no two processes are elected at once.
 
 use super::message::VoteResponse;
 use crate::names::{MemberName, ProcessIncarnation};
 use hazelspur::{Duration, Timestamp};
 use std::collections::BTreeSet;
 
+/// A vote that a voter has granted.
 #[derive(Clone, Copy, Debug)]
 struct Vote {
     candidate: ProcessIncarnation,
@@ -15,10 +17,11 @@
     expires: Timestamp,
 }
 
-/// A voter: one vote, kept in memory only.
+/// A voter, with the single vote that it may grant. The vote is kept in memory only.
 #[derive(Clone, Debug)]
 pub(super) struct Voter {
-    /// An earlier incarnation of this voter may have promised its vote until then.
+    /// End of the time after the start in which the voter grants no vote, because a vote of its previous
+    /// process incarnation may still be in force.
     silent_until: Timestamp,
     vote: Option<Vote>,
 }
@@ -28,7 +31,9 @@
         Self { silent_until: now + vote_duration, vote: None }
     }
 
-    /// Answers a vote request; `None` to a request that is older than the last one of the same candidate.
+    /// Answers a vote request. Grants the vote unless another candidate has it or the voter still grants
+    /// none after its start. Returns `None` for a request that is older than the last one of the same
+    /// candidate.
     pub(super) fn request_vote(
         &mut self,
         now: Timestamp,
@@ -49,17 +54,18 @@
         Some(VoteResponse { ballot, granted: true, allocator: Some(candidate.name) })
     }
 
-    /// Takes the vote back. A release of an older ballot arrives late and does not count.
+    /// Frees the vote if the candidate has it by this ballot. A release of an older ballot is a late
+    /// message and is ignored.
     pub(super) fn release(&mut self, candidate: ProcessIncarnation, ballot: u32) {
         self.vote.take_if(|vote| vote.candidate == candidate && vote.ballot == ballot);
     }
 
-    /// Who has the vote now.
+    /// Returns the candidate that has the vote at `now`.
     pub(super) fn voted_for(&self, now: Timestamp) -> Option<MemberName> {
         self.current_vote(now).map(|vote| vote.candidate.name)
     }
 
-    /// Until when `candidate` cannot have the vote.
+    /// Returns the time until which `candidate` cannot get the vote; `None` if it can get it now.
     pub(super) fn unavailable_until(
         &self,
         now: Timestamp,
@@ -74,29 +80,31 @@
     }
 }
 
+/// A round of vote requests by one candidate.
 #[derive(Clone, Debug)]
 struct Ballot {
     requested_at: Timestamp,
+    /// Voters that have granted their vote.
     votes: BTreeSet<MemberName>,
 }
 
-/// What elects a candidate.
+/// The condition under which a candidate is elected.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Quorum {
-    /// Number of votes.
+    /// Number of votes that the candidate needs.
     pub(super) majority: usize,
-    /// How long a vote lasts for certain, from when it was requested.
+    /// Time, counted from sending the request, for which a vote is certain to last despite clock drift.
     pub(super) min_vote_duration: Duration,
 }
 
-/// A candidate: collects votes, ballot by ballot.
+/// A candidate, which collects votes ballot by ballot.
 #[derive(Clone, Debug)]
 pub(super) struct Candidate {
     last_ballot: u32,
     open_ballot: Option<Ballot>,
-    /// It is elected until then.
+    /// Time until which the candidate is elected; none while it is not.
     pub(super) elected_until: Option<Timestamp>,
-    /// When it requests votes, requests them again, or gives the ballot up.
+    /// Time of the next ballot, of its renewal, or of giving up the open ballot.
     pub(super) next_action: Timestamp,
 }
 
@@ -117,7 +125,7 @@
         self.last_ballot
     }
 
-    /// Counts a vote; whether it completes a majority that lasts beyond `now`.
+    /// Counts a vote and returns whether the open ballot now has a majority that lasts beyond `now`.
     pub(super) fn count_vote(
         &mut self,
         now: Timestamp,
@@ -136,18 +144,18 @@
         true
     }
 
-    /// Whether its election has expired; true once.
+    /// Ends an expired election. Returns `true` once for each election that has expired.
     pub(super) fn expire(&mut self, now: Timestamp) -> bool {
         let expired = self.elected_until.is_some_and(|until| now >= until);
         if expired {
             self.elected_until = None;
-            // A late vote must not elect an allocator whose table is gone.
+            // The allocator's table is dropped with the election, so a late vote must not elect it again.
             self.open_ballot = None;
         }
         expired
     }
 
-    /// Gives up the open ballot and returns its number; its votes do not count from here on.
+    /// Gives up the open ballot, so that its votes no longer count, and returns its number.
     pub(super) fn abandon_ballot(&mut self) -> Option<u32> {
         self.open_ballot.take().map(|_| self.last_ballot)
     }
--- a/crates/hazelspur-fleet/src/quota/lessee.rs
+++ b/crates/hazelspur-fleet/src/quota/lessee.rs
@@ -1,7 +1,8 @@
-//! The lessee of one server: what it demands, what its leases allow, and until when.
+//! The lessee role of one server: its demands, the leases granted to it and the lease request that awaits an
+//! answer. Demands and the allocator's answers come in, lease requests and shares go out.
 //!
-//! Invariant: a lease counts from when its request was sent and ends earlier than the allocator's count of
-//! it, by the largest drift of clocks.
+//! Invariant: a lease is counted from sending its request and is shortened by the largest clock drift, so the
+//! lessee stops using it before the allocator considers it expired.
 
 use super::CLOCK_DRIFT;
 use super::config::{LimitId, QuotaConfig};
@@ -10,23 +11,24 @@
 use crate::names::MemberName;
 use hazelspur::{Duration, Timestamp};
 
-/// The leases of this server and the request that is under way.
+/// This server's demands, its leases and its last lease request.
 #[derive(Clone, Debug)]
 pub(super) struct Lessee {
     last_request_number: u32,
     pub(super) requested_at: Timestamp,
     requested_from: Option<MemberName>,
-    /// The last request was answered.
+    /// Whether the last request was answered by a lease grant.
     pub(super) answered: bool,
-    /// The last request followed a redirection.
+    /// Whether the last request was sent to the allocator that another server had named.
     redirected: bool,
     /// Demand for each limit, guaranteed minimum included.
     demands: Vec<f64>,
-    /// Amount of each shared pool under lease.
+    /// Leased amount of each shared pool.
     leased: Vec<f64>,
     leased_until: Timestamp,
+    /// Whether there was a lease when `lease_change` was last called.
     had_lease: bool,
-    /// The allocator, as far as is known here.
+    /// The allocator, as far as this server knows.
     pub(super) allocator: Option<MemberName>,
     pub(super) next_request: Timestamp,
 }
@@ -67,20 +69,20 @@
         now < self.leased_until
     }
 
-    /// When the lease expires that was last seen in force.
+    /// Returns the expiry of the lease; `None` if there was no lease when `lease_change` was last called.
     pub(super) fn expires(&self) -> Option<Timestamp> {
         self.had_lease.then_some(self.leased_until)
     }
 
-    /// Whether there is a lease now, if that has changed since the last call.
+    /// Returns whether there is a lease at `now`, or `None` if that has not changed since the last call.
     pub(super) fn lease_change(&mut self, now: Timestamp) -> Option<bool> {
         let has_lease = self.has_lease(now);
         let changed = std::mem::replace(&mut self.had_lease, has_lease) != has_lease;
         changed.then_some(has_lease)
     }
 
-    /// Makes the next request. From here on the server uses no more of its leases than it demands, so the
-    /// allocator may grant the rest to others.
+    /// Creates the next lease request. From then on the server uses no more of its leases than it demands,
+    /// so the allocator may grant the rest to others.
     pub(super) fn request(
         &mut self,
         now: Timestamp,
@@ -116,7 +118,8 @@
         }
     }
 
-    /// Takes a grant, if it answers the last request for the first time; whether there is a lease now.
+    /// Applies a lease grant if it is the first answer to the last request, and returns whether there is a
+    /// lease at `now`. Ignores any other grant, and one with invalid amounts, and returns `false`.
     pub(super) fn receive_grant(
         &mut self,
         now: Timestamp,
@@ -140,7 +143,9 @@
         self.has_lease(now)
     }
 
-    /// Notes a redirection; whom to ask at once instead, unless the last request was redirected already.
+    /// Records the allocator that another server names. Returns that allocator if it is to be asked at
+    /// once. A request that already followed a redirection is not redirected again, so that servers that
+    /// name each other cause no loop.
     pub(super) fn receive_redirection(
         &mut self,
         from: MemberName,
@@ -159,7 +164,7 @@
     }
 }
 
-/// The next `f32` above the nearest: the server must not retain more than it says.
+/// Returns an `f32` that is above the amount, because the server must not use more than it reports to retain.
 fn rounded_up(amount: f64) -> f32 {
     f32::from_bits((amount as f32).to_bits() + 1)
 }
--- a/crates/hazelspur-fleet/src/quota/manager.rs
+++ b/crates/hazelspur-fleet/src/quota/manager.rs
@@ -1,5 +1,8 @@
-//! One server's part in the quota protocol: it is a lessee, and if the configuration names it, a voter, a
-//! candidate and at times the allocator.
+//! One server's part in the quota protocol. Every server is a lessee. A server that the configuration lists
+//! as a voter is also a candidate, and the allocator while it is elected.
+//!
+//! Inputs are demands, messages of other servers and timers; outputs are messages, events and the share that
+//! this server may use of each limit.
 
 use super::CLOCK_DRIFT;
 use super::allocator::{Allocator, MAX_LESSEES_PER_SERVER};
@@ -13,46 +16,48 @@
 use hazelspur::pcg::Pcg;
 use std::collections::VecDeque;
 
-/// Part of the renewal interval after which a server without a lease requests one again.
+/// Time after which a server without a lease repeats its request, as a fraction of the renewal interval.
 const RETRY_FRACTION: f64 = 0.25;
-/// Smallest factor by which the time to the next request varies.
+/// Smallest random factor on the time to the next lease request.
 const MIN_REQUEST_JITTER: f64 = 0.9;
-/// Width of the range of factors by which the time to the next request varies.
+/// Width of the range of random factors on the time to the next lease request.
 const REQUEST_JITTER_RANGE: f64 = 0.2;
-/// Smallest part of the renewal interval between a failed ballot and the next.
+/// Shortest time between a failed ballot and the next, as a fraction of the renewal interval.
 const MIN_BALLOT_BACKOFF: f64 = 0.3;
-/// Width of the range of parts of the renewal interval between a failed ballot and the next.
+/// Width of the range of random times between a failed ballot and the next, as a fraction of the renewal
+/// interval.
 const BALLOT_BACKOFF_RANGE: f64 = 0.7;
-/// Relative rounding error of a sum of leases.
+/// Relative rounding error that `check_invariants` allows in a sum of leases.
 const RELATIVE_TOLERANCE: f64 = 1e-6;
-/// Absolute rounding error of a sum of leases.
+/// Absolute rounding error that `check_invariants` allows in a sum of leases.
 const ABSOLUTE_TOLERANCE: f64 = 1e-9;
-/// Mixed into the seed, so that membership and quota draw different numbers.
+/// Value mixed into the seed, because membership uses the same seed and must draw different numbers.
 const SEED_SALT: u64 = 0x5ba5;
-/// Messages that wait to be sent; more are dropped, as a network would.
+/// Capacity of the queue of outgoing messages. Further messages are dropped, which the protocol tolerates
+/// like a loss in the network.
 const MAX_OUTGOING: usize = 64;
-/// Events that wait to be read; more are dropped.
+/// Capacity of the queue of events; further events are dropped.
 const MAX_EVENTS: usize = 64;
 
-/// What a server may use now.
+/// The amount of one limit that this server may use now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaShare {
-    /// The guaranteed minimum and the lease together.
+    /// Sum of the guaranteed minimum and the leased amount.
     pub amount: f64,
-    /// What remains after the lease expires.
+    /// The guaranteed minimum, which remains after the lease expires.
     pub guaranteed: f64,
-    /// When the lease expires; none without a lease.
+    /// Expiry of the lease; none without a lease.
     pub expires: Option<Timestamp>,
 }
 
-/// What the allocator has granted of one limit.
+/// The allocator's summary of one limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Allocation {
-    /// Sum of the outstanding leases.
+    /// Sum of the outstanding leases of the limit.
     pub granted: f64,
-    /// Lessees in the allocator's table.
+    /// Number of lessees in the allocator's table.
     pub lessees: usize,
-    /// The shared pool.
+    /// The limit's shared pool, which the leases may not exceed.
     pub pool: f64,
 }
 
@@ -63,9 +68,9 @@
     StartedAllocating,
     /// This server no longer allocates.
     StoppedAllocating,
-    /// This server has a lease again, granted by this allocator.
+    /// This server, which had no lease, has one again, granted by the named allocator.
     LeaseAcquired(MemberName),
-    /// The last lease expired without renewal: guaranteed minimums only.
+    /// This server's lease expired without renewal, so only guaranteed minimums remain.
     LeaseExpired,
 }
 
@@ -93,7 +98,8 @@
 }
 
 impl QuotaManager {
-    /// A new process incarnation, with a configuration that has passed `QuotaConfig::check`.
+    /// Creates the state of a process incarnation that has just started. The configuration must have passed
+    /// `QuotaConfig::check`.
     pub fn new(config: QuotaConfig, me: ProcessIncarnation, seed: u64, now: Timestamp) -> Self {
         let mut random = Pcg::new(seed ^ SEED_SALT);
         let is_voter = config.voters.contains(&me.name);
@@ -113,19 +119,20 @@
         }
     }
 
-    /// The configuration.
+    /// Returns the quota configuration.
     pub fn config(&self) -> &QuotaConfig {
         &self.config
     }
 
     // ---- inputs ----
 
-    /// Sets what this server would use of a limit if it could; what is no number counts as zero.
+    /// Sets the amount that this server would use of a limit, guaranteed minimum included. The amount is
+    /// clamped to the limit's total; a value that is not finite counts as zero.
     pub fn set_demand(&mut self, limit: LimitId, amount: f64) {
         self.lessee.set_demand(&self.config, limit, amount);
     }
 
-    /// Takes a message; the caller vouches for the sender.
+    /// Processes a message. The caller must have authenticated the sender.
     pub fn receive(&mut self, now: Timestamp, from: ProcessIncarnation, message: &QuotaMessage) {
         match message {
             QuotaMessage::VoteRequest { ballot } => self.receive_vote_request(now, from, *ballot),
@@ -145,7 +152,7 @@
         }
     }
 
-    /// Acts on timers: to be called when the time of `next_tick` has come.
+    /// Processes timers that are due. The caller calls it at the time that `next_tick` returns.
     pub fn tick(&mut self, now: Timestamp) {
         self.campaign(now);
         if self.lessee.lease_change(now) == Some(false) {
@@ -159,7 +166,7 @@
         }
     }
 
-    /// Gives all leases back, because the process is about to end.
+    /// Returns all leases to the allocator, because the process is about to end.
     pub fn leave(&mut self, now: Timestamp) {
         for index in 0..self.config.limits.len() {
             self.set_demand(LimitId(index), 0.0);
@@ -171,7 +178,7 @@
 
     // ---- outputs ----
 
-    /// When `tick` is to be called next.
+    /// Returns when `tick` is to be called next.
     pub fn next_tick(&self) -> Timestamp {
         let campaign = self.candidate.as_ref().map(|candidate| candidate.next_action);
         let election_expires = self.candidate.as_ref().and_then(|candidate| candidate.elected_until);
@@ -179,33 +186,35 @@
         timers.into_iter().flatten().fold(self.lessee.next_request, Timestamp::min)
     }
 
-    /// The next message to send.
+    /// Removes and returns the next message to send.
     pub fn next_message(&mut self) -> Option<OutgoingMessage> {
         self.outgoing.pop_front()
     }
 
-    /// The next event for the log.
+    /// Removes and returns the next event for the log.
     pub fn next_event(&mut self) -> Option<QuotaEvent> {
         self.events.pop_front()
     }
 
-    /// What this server may use now. Leases expire by themselves, so ask for it at each use.
+    /// Returns the share of a limit that this server may use at `now`. The caller must ask at each use,
+    /// because leases expire without a call to `tick`.
     pub fn share(&self, now: Timestamp, limit: LimitId) -> QuotaShare {
         self.lessee.share(now, &self.config, limit)
     }
 
-    /// Until when this server allocates unless it is elected again; none while it does not.
+    /// Returns the end of this server's election as allocator, unless renewed; `None` while it is not the
+    /// allocator.
     pub fn allocates_until(&self, now: Timestamp) -> Option<Timestamp> {
         let elected_until = self.candidate.as_ref().and_then(|candidate| candidate.elected_until);
         elected_until.filter(|until| now < *until)
     }
 
-    /// The allocator, as far as is known here.
+    /// Returns the allocator, as far as this server knows.
     pub fn allocator(&self, now: Timestamp) -> Option<MemberName> {
         if self.allocates_until(now).is_some() { Some(self.me.name) } else { self.lessee.allocator }
     }
 
-    /// What this server has granted of a limit; none while it does not allocate.
+    /// Returns a summary of what this server has granted of a limit; `None` while it is not the allocator.
     pub fn allocation(&self, now: Timestamp, limit: LimitId) -> Option<Allocation> {
         let allocator = self.allocator.as_ref().filter(|_| self.allocates_until(now).is_some())?;
         Some(Allocation {
@@ -215,7 +224,7 @@
         })
     }
 
-    /// Checks what must be true after each input.
+    /// Checks the invariants that must hold after each input.
     ///
     /// # Errors
     /// Returns the first invariant that does not hold.
@@ -272,7 +281,8 @@
         self.push_event(QuotaEvent::StartedAllocating);
     }
 
-    /// The candidate's timer: expires its election, opens a ballot, renews it, or gives it up.
+    /// Processes the candidate's timers: ends an expired election, opens a ballot to be elected or
+    /// re-elected, or gives up a ballot that has failed.
     fn campaign(&mut self, now: Timestamp) {
         if self.candidate.as_mut().is_some_and(|candidate| candidate.expire(now)) {
             self.allocator = None;
@@ -326,7 +336,7 @@
         }
     }
 
-    /// Whom to ask for leases: the known allocator, otherwise a voter by chance.
+    /// Returns the server to ask for leases: the known allocator, otherwise a random voter.
     fn request_target(&mut self, now: Timestamp) -> Option<MemberName> {
         if self.allocates_until(now).is_some() {
             return Some(self.me.name);
@@ -356,7 +366,8 @@
 
     // ---- output queues ----
 
-    /// Queues a message. Of messages to this server itself only a grant matters, which takes effect at once.
+    /// Queues a message. Of the messages that this server addresses to itself, a lease grant takes effect
+    /// at once and the others are ignored.
     fn send(&mut self, to: MemberName, message: QuotaMessage) {
         if to == self.me.name {
             if let QuotaMessage::LeaseGrant(grant) = &message {
--- a/crates/hazelspur-fleet/src/quota/message.rs
+++ b/crates/hazelspur-fleet/src/quota/message.rs
@@ -1,34 +1,34 @@
-//! The messages of the quota protocol. `postcard` encodes them by position: the order of variants and fields
-//! is the wire format. Amounts are in the order of the limits in the configuration.
+//! The messages of the quota protocol. `postcard` encodes them by position, so the order of variants and
+//! fields is the wire format. Lists have one entry for each limit, in the order of the configuration.
 
 use super::MAX_LIMITS;
 use crate::names::MemberName;
 use serde::{Deserialize, Serialize};
 
-/// A message between servers about quotas.
+/// A message of the quota protocol, sent from one server to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum QuotaMessage {
-    /// To a voter: asks for its vote, or for its renewal.
+    /// Request to a voter to grant its vote or to renew it.
     VoteRequest {
         /// Number of the candidate's ballot.
         ballot: u32,
     },
-    /// A voter's answer.
+    /// Answer of a voter to a vote request.
     VoteResponse(VoteResponse),
-    /// To a voter: the ballot failed, its vote is free again.
+    /// Notice to a voter that the ballot has failed and that its vote may go to another candidate.
     VoteRelease {
         /// Number of the candidate's ballot.
         ballot: u32,
     },
-    /// To the allocator: asks for leases.
+    /// Request to the allocator for leases.
     LeaseRequest(LeaseRequest),
-    /// The allocator's answer.
+    /// Answer of the allocator to a lease request.
     LeaseGrant(LeaseGrant),
-    /// The answer of a server that does not allocate.
+    /// Answer to a lease request from a server that is not the allocator.
     NotLeader {
-        /// Number of the request.
+        /// Number of the lease request.
         number: u32,
-        /// The allocator, as far as the sender knows.
+        /// The allocator, as far as the sender knows; none if it knows of none.
         allocator: Option<MemberName>,
     },
 }
@@ -38,36 +38,36 @@
 pub struct VoteResponse {
     /// Number of the candidate's ballot.
     pub ballot: u32,
-    /// Whether the vote is the candidate's, for a vote duration from when it asked.
+    /// Whether the candidate has the vote, for one vote duration counted from sending the request.
     pub granted: bool,
-    /// Who has the vote.
+    /// Candidate that has the vote; none while the voter, after its start, grants no votes.
     pub allocator: Option<MemberName>,
 }
 
-/// What a lessee would use, and what it keeps using.
+/// A lessee's demands and the amounts that it keeps using.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Number of the request; greater is newer.
+    /// Number of the request, unique within a process incarnation; greater is newer.
     pub number: u32,
     /// Demand for each limit, guaranteed minimum included.
     pub demands: Vec<f32>,
-    /// Upper bound of what the lessee uses of earlier leases from now on, for each limit.
+    /// Upper bound of the amount of each shared pool that the lessee goes on using under earlier leases.
     pub retained: Vec<f32>,
 }
 
-/// What a lessee may use of each shared pool.
+/// A lease of an amount of each shared pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// Number of the request.
+    /// Number of the lease request that this answers.
     pub number: u32,
-    /// How long the lease lasts from when the request was sent, in milliseconds.
+    /// Duration of the lease in milliseconds, counted from sending the request.
     pub duration_ms: u32,
-    /// Amount of each shared pool.
+    /// Amount granted of each shared pool.
     pub amounts: Vec<f32>,
 }
 
 impl QuotaMessage {
-    /// Whether its lists are no longer than `MAX_LIMITS`.
+    /// Returns whether no list of the message is longer than `MAX_LIMITS`.
     pub fn has_valid_length(&self) -> bool {
         match self {
             Self::LeaseRequest(request) => {
--- a/crates/hazelspur-fleet/src/quota/outstanding.rs
+++ b/crates/hazelspur-fleet/src/quota/outstanding.rs
@@ -1,9 +1,9 @@
-//! The leases of one lessee and limit that have not expired. The lessee uses one of them at a time, so the
-//! largest counts.
+//! The leases of one limit that the allocator has granted to one lessee and that have not expired. The lessee
+//! uses one of them at a time, and the allocator doesn't know which, so the largest counts.
 
 use hazelspur::Timestamp;
 
-/// Leases that are remembered one by one; more are merged into one.
+/// Largest number of leases that are recorded separately; more are merged into one that covers them all.
 const MAX_OUTSTANDING: usize = 6;
 
 #[derive(Clone, Copy, Debug)]
@@ -13,22 +13,23 @@
 }
 
 impl Lease {
+    /// Returns whether this lease allows at least as much for at least as long as `other`.
     fn covers(&self, other: &Self) -> bool {
         self.amount >= other.amount && self.expires >= other.expires
     }
 }
 
-/// Leases that have not expired.
+/// Leases of one lessee and limit that may still be in use.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OutstandingLeases(Vec<Lease>);
 
 impl OutstandingLeases {
-    /// What the lessee may use now.
+    /// Returns the largest amount that the lessee may be using at `now`.
     pub(super) fn amount(&self, now: Timestamp) -> f64 {
         self.0.iter().filter(|lease| now < lease.expires).map(|lease| lease.amount).fold(0.0, f64::max)
     }
 
-    /// Adds a lease. A lease that another one covers is not kept.
+    /// Adds a lease and drops leases that have expired or that another one covers.
     pub(super) fn add(&mut self, now: Timestamp, amount: f64, expires: Timestamp) {
         let new = Lease { amount, expires };
         self.0.retain(|lease| now < lease.expires && !new.covers(lease));
@@ -45,8 +46,8 @@
         }
     }
 
-    /// Reduces all leases to what the lessee retains; work that it began under more goes on until
-    /// `residual_end`.
+    /// Reduces all leases to the amount that the lessee retains. The surplus counts until `residual_end`,
+    /// because work that began under it may go on until then.
     pub(super) fn reduce(&mut self, now: Timestamp, retained: f64, residual_end: Timestamp) {
         let leases = std::mem::take(&mut self.0);
         for lease in leases.into_iter().filter(|lease| now < lease.expires) {
--- a/crates/hazelspur-fleet/src/subset.rs
+++ b/crates/hazelspur-fleet/src/subset.rs
@@ -1,13 +1,13 @@
-//! Selects a few of many members, independently and alike on every server, by weighted rendezvous hashing
-//! (Thaler and Ravishankar 1998; the weights after Schindelhauer and Schomaker 2005). A member that joins or
-//! leaves changes one place of a subset, so servers whose membership views differ a little select nearly
-//! alike.
+//! Selects a few of many members by weighted rendezvous hashing (Thaler and Ravishankar 1998; weights after
+//! Schindelhauer and Schomaker 2005). Each server computes the same selection without communication. A
+//! member that joins or leaves replaces at most one selected member, so servers whose membership views
+//! differ a little select nearly the same members.
 
 use crate::hash::hash_to_unit_interval;
 use crate::names::{MemberName, SiteName};
 use std::collections::BTreeMap;
 
-/// A member that can be selected, unless its weight is not a positive finite number.
+/// A candidate for selection. It is never selected if its weight is not a positive finite number.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WeightedMember {
     /// The member's name.
@@ -18,12 +18,14 @@
     pub weight: f64,
 }
 
+/// An item with its rank; the lowest rank is the best.
 struct Ranked<T> {
     rank: f64,
     item: T,
 }
 
-/// Selects up to `count` members for a topic, best first. Another `round` gives another order.
+/// Selects up to `count` members for a topic, which is the purpose of the selection, best first. Another
+/// `round` gives another order.
 pub fn select(
     topic: &str,
     round: u64,
@@ -45,7 +47,8 @@
     ranked.into_iter().map(|ranked| ranked.item).collect()
 }
 
-/// Selects up to `count` members, taking one of each site in turn, so that no site decides for another.
+/// Selects up to `count` members like `select`, but takes one member of each site in turn, so that the
+/// selection represents all sites.
 pub fn select_across_sites(
     topic: &str,
     round: u64,
--- a/crates/hazelspur-fleet/tests/circuit_breaker.rs
+++ b/crates/hazelspur-fleet/tests/circuit_breaker.rs
@@ -1,4 +1,5 @@
-//! The circuit breaker: when it opens, when it probes, and that only this server's own calls close it.
+//! The circuit breaker: when it opens, when it probes, and that only calls and probes of its own server
+//! close it.
 
 mod helpers;
 
@@ -11,7 +12,8 @@
     START + Duration::from_ms(ms)
 }
 
-/// Times in ms of the probes of an open breaker while the dependency is unreachable, from 1 s to `until_s`.
+/// Opens the breaker by failed calls at 1 s, lets all its probes fail until `until_s`, and returns the
+/// times of the probes in milliseconds.
 fn fail_and_probe(breaker: &mut CircuitBreaker, until_s: u64) -> Vec<u64> {
     (0..6).for_each(|i| breaker.call_finished(at_ms(1000 + i * 50), false));
     let mut probe_times = Vec::new();
@@ -23,6 +25,7 @@
     probe_times
 }
 
+/// The number of probes depends on whether the server hears others and is a designated prober.
 #[test]
 fn open_breaker_probes_on_schedule_and_closes_on_success() {
     let mut isolated = CircuitBreaker::new(name(3), "ledger", 300);
@@ -43,15 +46,15 @@
     other.set_peer_view(at_ms(900), Some(PeerView { designated: false, mostly_unreachable: true }));
     let probe_count = fail_and_probe(&mut other, 21).len();
     assert!((3..=8).contains(&probe_count), "{probe_count}");
-    // A hint brings the next probe forward, once for all hints of a second.
+    // Recovery hints bring the next probe forward, but only the first of all hints within a second.
     (0..50).for_each(|i| other.recovery_hint(at_ms(21_000 + i)));
-    let next = other.next_probe().expect("it is open");
+    let next = other.next_probe().expect("the breaker is open");
     assert!(next < at_ms(21_400), "{next:?}");
     other.probe_sent(next);
     other.call_finished(next, false);
     other.recovery_hint(at_ms(21_500));
-    assert!(other.next_probe().expect("it is open") > at_ms(22_000));
-    assert!(!other.is_closed(), "a hint of another server does not close it");
+    assert!(other.next_probe().expect("the breaker is open") > at_ms(22_000));
+    assert!(!other.is_closed(), "a recovery hint must not close the breaker");
 }
 
 #[test]
@@ -60,22 +63,25 @@
     (0..5).for_each(|i| breaker.call_finished(at_ms(i * 100), false));
     breaker.call_finished(at_ms(600), true);
     (0..20).for_each(|i| breaker.call_finished(at_ms(700 + i), false));
-    assert!(breaker.is_closed(), "the failures spread over too short a time");
+    assert!(breaker.is_closed(), "the failures span less than the time that opens the breaker");
     breaker.set_peer_view(at_ms(721), Some(PeerView { designated: false, mostly_unreachable: true }));
     breaker.call_finished(at_ms(722), false);
     assert!(!breaker.is_closed());
 }
 
-/// Guards against calls that go on to a dependency which accepts them and never answers.
+/// Guards against a server that goes on sending calls to a dependency that accepts but never answers them.
 #[test]
 fn unanswered_calls_open_the_breaker_until_an_answer() {
     let mut breaker = CircuitBreaker::new(name(1), "ledger", 10);
     (0..6).for_each(|i| breaker.call_unanswered(at_ms(i * 199)));
-    assert!(breaker.is_closed(), "within a second it may be a pause");
+    assert!(
+        breaker.is_closed(),
+        "unanswered calls within less than a second may be a pause of the dependency"
+    );
     breaker.call_unanswered(at_ms(1000));
     assert!(!breaker.is_closed());
     assert_eq!(breaker.next_change(), Some(BreakerChange::OpenedUnanswered));
-    let next = breaker.next_probe().expect("it is open");
+    let next = breaker.next_probe().expect("the breaker is open");
     assert_eq!(breaker.probe_kind(), ProbeKind::Answer);
     breaker.probe_sent(next);
     breaker.call_finished(next, false);
--- a/crates/hazelspur-fleet/tests/guidance.rs
+++ b/crates/hazelspur-fleet/tests/guidance.rs
@@ -1,4 +1,4 @@
-//! What the admission controller is given of what servers decided together.
+//! The guidance that the admission controller is given.
 
 mod helpers;
 
@@ -8,11 +8,13 @@
 use hazelspur_fleet::{Clocks, FleetNode, Generation, LimitName};
 use helpers::{START, config};
 
+/// After a lease has expired the controller uses other values, so an update of changed values alone would
+/// leave it with outdated ones.
 #[test]
 fn all_guidance_is_given_again_after_a_lease_expired() {
     let now = Clocks { wall: START, monotonic: START };
     let limit = SharedLimit {
-        name: LimitName::new("calls").expect("a name"),
+        name: LimitName::new("calls").expect("a valid name"),
         total: 50.0,
         guaranteed_fraction: 1.0,
         residual_duration: Duration::ZERO,
--- a/crates/hazelspur-fleet/tests/load_reports.rs
+++ b/crates/hazelspur-fleet/tests/load_reports.rs
@@ -1,4 +1,4 @@
-//! Aggregated load reports, the scope of a fault, and the latency ratio.
+//! Aggregation of load reports, classification of faults as local or shared, and the latency ratio.
 
 mod helpers;
 
@@ -13,12 +13,14 @@
     PeerLoadReport { latency_ratio, unreachable_fraction: Some(unreachable_fraction), rejected_fraction: 0.0 }
 }
 
+/// Returns a table that received these reports at `START`, each from the server with this number.
 fn table(reports: &[(usize, PeerLoadReport)]) -> LoadReportTable {
     let mut table = LoadReportTable::new(64, Duration::from_ms(5000));
     reports.iter().for_each(|(index, report)| table.receive(START, name(*index), site(*index), *report));
     table
 }
 
+/// A false report, or a whole site with ten times the latency, shifts the median by one position at most.
 #[test]
 fn one_false_report_or_one_site_barely_moves_the_median() {
     let normal_reports: Vec<(usize, PeerLoadReport)> =
@@ -37,7 +39,7 @@
         assert!((after - before).abs() < 0.05, "{before} {false_reports:?}");
     }
     assert_eq!(false_reports.map(|(_, invalid)| invalid), [1, 1, 0, 1, 1]);
-    // A whole site that reports ten times the latency, then another one that is silent.
+    // One whole site reports ten times the latency; then another site reports nothing.
     let mut reports = normal_reports.clone();
     reports
         .iter_mut()
@@ -45,7 +47,7 @@
         .for_each(|(_, report)| report.latency_ratio *= 10.0);
     assert!((ratio(&table(&reports)) - before).abs() < 0.3);
     reports.retain(|(index, _)| index % 3 != 0);
-    assert!(ratio(&table(&reports)) > 3.0, "half of the reporters say so");
+    assert!(ratio(&table(&reports)) > 3.0, "half of the reporters have a high latency ratio");
     // Expired reports do not count, and two reporters are too few.
     assert_eq!(table(&normal_reports).aggregate(START + Duration::from_ms(5001)), None);
     assert_eq!(table(&normal_reports[..2]).aggregate(START), None);
--- a/crates/hazelspur-fleet/tests/quota.rs
+++ b/crates/hazelspur-fleet/tests/quota.rs
@@ -1,5 +1,6 @@
-//! Quotas among a few servers: short traces, all orders of few events, random walks, and injected faults that
-//! the check of the sum must find. The sum is taken over what every process may use, residual load included.
+//! The quota protocol among a few servers: short traces, all orders of a few events, random walks, and
+//! injected faults that the check of the sum must find. The sum covers the shares that every process may
+//! use, and the residual load of work that began under greater shares.
 
 mod helpers;
 
@@ -14,12 +15,15 @@
 use helpers::{START, name};
 use std::collections::{BTreeMap, VecDeque};
 
+/// The limit that is divided by demand; the other one, `LimitId(1)`, consists of exclusive turns.
 const SLOTS: LimitId = LimitId(0);
+/// Vote duration of the test configuration; a lease lasts twice as long.
 const VOTE_DURATION: Duration = Duration::from_ms(4000);
+/// Residual duration of each limit.
 const RESIDUAL: Duration = Duration::from_ms(500);
 
 fn limit(text: &str, total: f64, guaranteed_fraction: f64, max_turn: Option<Duration>) -> SharedLimit {
-    let name = LimitName::new(text).expect("a name");
+    let name = LimitName::new(text).expect("a valid name");
     SharedLimit { name, total, guaranteed_fraction, residual_duration: RESIDUAL, max_turn }
 }
 
@@ -29,33 +33,41 @@
     QuotaConfig { voters: (0..voters).map(name).collect(), max_servers, vote_duration: VOTE_DURATION, limits }
 }
 
-/// What a process may use now, and what it may have begun under a greater share not long ago.
-/// Shares in force from a time on, by limit.
+/// Shares that were in force from a time on.
 #[derive(Clone)]
 struct PastShares {
     since: Timestamp,
+    /// Amount of each limit.
     amounts: Vec<f64>,
 }
 
+/// The shares that a process may use now, and those under which work may still go on.
 #[derive(Clone)]
 struct Usage {
     incarnation: ProcessIncarnation,
+    /// Oldest first; the last entry is in force.
     past: VecDeque<PastShares>,
-    /// When the current lease expires.
+    /// Expiry of the lease that was in force at the last check.
     lease_expires: Option<Timestamp>,
 }
 
+/// Servers, identified by their numbers, and the network between them.
 #[derive(Clone)]
 struct TestFleet {
     config: QuotaConfig,
     now: Timestamp,
+    /// Running and suspended servers, by number.
     managers: BTreeMap<usize, QuotaManager>,
     suspended: Vec<usize>,
+    /// Receiver, sender and message.
     in_flight: Vec<(usize, ProcessIncarnation, QuotaMessage)>,
+    /// Number of processes started so far.
     starts: u64,
+    /// One entry for each process started so far.
     usages: Vec<Usage>,
+    /// Events other than acquired leases, with the time since the start in milliseconds.
     events: Vec<String>,
-    /// Messages in flight at once; older ones beyond that are lost.
+    /// Largest number of messages in flight; the oldest messages beyond it are lost.
     max_in_flight: usize,
 }
 
@@ -77,7 +89,7 @@
         fleet
     }
 
-    /// Starts a new incarnation, whose clock shows `believed`.
+    /// Starts a new process incarnation, whose clock shows `clock`.
     fn start(&mut self, server: usize, clock: Timestamp) {
         self.starts += 1;
         let incarnation = ProcessIncarnation { name: name(server), generation: Generation(self.starts) };
@@ -94,14 +106,15 @@
 
     fn incarnation(&self, server: usize) -> ProcessIncarnation {
         let last = self.usages.iter().rev().find(|usage| usage.incarnation.name == name(server));
-        last.expect("it has lived").incarnation
+        last.expect("the server has been started").incarnation
     }
 
+    /// Takes the messages and events that a server has put out.
     fn collect_output(&mut self, server: usize) {
         let incarnation = self.incarnation(server);
         let Some(manager) = self.managers.get_mut(&server) else { return };
         while let Some(OutgoingMessage { to, message }) = manager.next_message() {
-            let to: usize = to.as_str()[1..].parse().expect("a number");
+            let to: usize = to.as_str()[1..].parse().expect("a server number");
             self.in_flight.push((to, incarnation, message));
         }
         while let Some(event) = manager.next_event() {
@@ -114,6 +127,7 @@
         self.in_flight.drain(..excess);
     }
 
+    /// Delivers the message at a position of `in_flight`; a suspended server loses it.
     fn deliver(&mut self, position: usize) {
         let (to, from, message) = self.in_flight.remove(position);
         if self.suspended.contains(&to) {
@@ -132,7 +146,7 @@
         }
     }
 
-    /// Records what all may use, and compares the sum with the limit.
+    /// Records the shares of all processes, and returns an error if their sum exceeds a limit.
     fn check(&mut self) -> Result<(), String> {
         for (server, manager) in &self.managers {
             manager.check_invariants(self.now).map_err(|error| format!("n{server}: {error}"))?;
@@ -147,17 +161,17 @@
                 None => vec![0.0; limits],
             };
             if usage.past.back().is_none_or(|last| last.amounts != amounts) {
-                // A lease expires on time, whenever this check sees it.
+                // If the lease expired before this check, the change took effect at its expiry.
                 let since = usage.lease_expires.map_or(now, |expires| expires.min(now));
                 usage.past.push_back(PastShares { since, amounts });
             }
             usage.lease_expires = running.and_then(|(_, manager)| manager.share(now, SLOTS).expires);
-            // The residual load of older shares has ended.
+            // Drop shares under which no work goes on any more.
             while usage.past.len() > 1 && usage.past[1].since + RESIDUAL <= now {
                 usage.past.pop_front();
             }
         }
-        // A name has one process: the residual load of its earlier incarnations ended with them.
+        // Only the newest process of a name counts: the work of an earlier one ended with that process.
         let newest: BTreeMap<MemberName, ProcessIncarnation> =
             self.usages.iter().map(|usage| (usage.incarnation.name, usage.incarnation)).collect();
         for index in 0..limits {
@@ -168,13 +182,17 @@
             let sum: f64 = running.map(max_amount).sum();
             let total = self.config.limits[index].total;
             if sum > total * (1.0 + 1e-5) {
-                return Err(format!("{sum:.3} in force of {total} ({})", self.config.limits[index].name));
+                return Err(format!(
+                    "{}: shares sum to {sum:.3}, total is {total}",
+                    self.config.limits[index].name
+                ));
             }
         }
         Ok(())
     }
 
-    /// Runs for so many milliseconds from event to event, on a network that loses nothing and takes 1 ms.
+    /// Runs for `ms` milliseconds on a network that loses no message. The clock moves on to the next timer,
+    /// by 1 ms at least, once all messages are delivered.
     fn run(&mut self, ms: u64) -> Result<(), String> {
         let end = self.now + Duration::from_ms(ms);
         while self.now < end {
@@ -192,6 +210,7 @@
         Ok(())
     }
 
+    /// Returns the share of each server in one line; `*` marks the allocator.
     fn describe_shares(&self) -> String {
         let describe = |(server, manager): (&usize, &QuotaManager)| {
             let share = manager.share(self.now, SLOTS);
@@ -201,6 +220,7 @@
         self.managers.iter().map(describe).collect::<Vec<_>>().join(", ")
     }
 
+    /// Returns the sum of all shares of `SLOTS`.
     fn total_in_use(&self) -> f64 {
         self.managers.values().map(|manager| manager.share(self.now, SLOTS).amount).sum()
     }
@@ -221,15 +241,15 @@
 #[test]
 fn servers_elect_an_allocator_and_share_by_demand() {
     let mut fleet = TestFleet::new(5, config(3, 10));
-    fleet.run(20_000).expect("the sum holds");
+    fleet.run(20_000).expect("shares stay within the limits");
     let mut lines = vec![fleet.events.join("; "), fleet.describe_shares()];
     for (server, demand) in [(0, 5.0), (1, 10.0), (2, 20.0), (3, 30.0), (4, 1e9)] {
-        fleet.managers.get_mut(&server).expect("it runs").set_demand(SLOTS, demand);
+        fleet.managers.get_mut(&server).expect("the server runs").set_demand(SLOTS, demand);
     }
-    fleet.run(10_000).expect("the sum holds");
+    fleet.run(10_000).expect("shares stay within the limits");
     lines.push(fleet.describe_shares());
-    fleet.managers.get_mut(&4).expect("it runs").set_demand(SLOTS, f64::NAN);
-    fleet.run(10_000).expect("the sum holds");
+    fleet.managers.get_mut(&4).expect("the server runs").set_demand(SLOTS, f64::NAN);
+    fleet.run(10_000).expect("shares stay within the limits");
     lines.push(fleet.describe_shares());
     expect![[r#"
         4206 n0 StartedAllocating
@@ -240,10 +260,12 @@
     .assert_eq(&format!("{}\n", lines.join("\n")));
 }
 
+/// A suspended allocator is replaced, and does not allocate when it resumes. Its successor is killed and
+/// replaced.
 #[test]
 fn killed_or_suspended_allocator_is_replaced() {
     let mut fleet = TestFleet::new(5, config(3, 10));
-    fleet.run(20_000).expect("the sum holds");
+    fleet.run(20_000).expect("shares stay within the limits");
     let allocator = |fleet: &TestFleet| {
         fleet
             .managers
@@ -251,40 +273,41 @@
             .find(|(_, manager)| manager.allocates_until(fleet.now).is_some())
             .map(|(server, _)| *server)
     };
-    let first = allocator(&fleet).expect("one allocates");
+    let first = allocator(&fleet).expect("one server allocates");
     fleet.events.clear();
     fleet.suspended.push(first);
     let mut leaseless_ms = 0;
     for _ in 0..200 {
-        fleet.run(100).expect("the sum holds");
+        fleet.run(100).expect("shares stay within the limits");
         leaseless_ms += u64::from(
             fleet.managers.values().all(|manager| manager.share(fleet.now, SLOTS).expires.is_none()),
         ) * 100;
     }
-    let second = allocator(&fleet).filter(|server| *server != first).expect("another allocates");
+    let second = allocator(&fleet).filter(|server| *server != first).expect("another server allocates");
     fleet.suspended.clear();
-    fleet.run(1000).expect("the sum holds");
+    fleet.run(1000).expect("shares stay within the limits");
     assert_eq!(allocator(&fleet), Some(second));
     fleet.kill(second);
-    fleet.run(20_000).expect("the sum holds");
+    fleet.run(20_000).expect("shares stay within the limits");
     assert!(allocator(&fleet).is_some_and(|server| server != second));
     assert!(leaseless_ms < 12_000, "{leaseless_ms} ms without leases");
-    assert!(fleet.total_in_use() > 80.0, "{}", fleet.describe_shares());
+    assert!(fleet.total_in_use() > 80.0, "unexpected shares: {}", fleet.describe_shares());
 }
 
+/// Without a majority of voters only guaranteed minimums remain; with it, leases are granted again.
 #[test]
 fn leases_need_a_majority_of_voters() {
     let mut fleet = TestFleet::new(5, config(3, 10));
-    fleet.run(20_000).expect("the sum holds");
+    fleet.run(20_000).expect("shares stay within the limits");
     fleet.kill(0);
     fleet.kill(1);
-    fleet.run(20_000).expect("the sum holds");
+    fleet.run(20_000).expect("shares stay within the limits");
     let mut lines = vec![fleet.describe_shares()];
-    // A voter that starts is silent for a vote duration.
+    // A voter that starts grants no vote for one vote duration.
     fleet.start(0, fleet.now);
-    fleet.run(7_000).expect("the sum holds");
+    fleet.run(7_000).expect("shares stay within the limits");
     lines.push(fleet.describe_shares());
-    fleet.run(12_000).expect("the sum holds");
+    fleet.run(12_000).expect("shares stay within the limits");
     lines.push(fleet.describe_shares());
     expect![[r#"
         n2 1.0, n3 1.0, n4 1.0
@@ -294,28 +317,33 @@
     .assert_eq(&format!("{}\n", lines.join("\n")));
 }
 
+/// A server that resumes after its lease has expired must not use the lease, even before it has handled a
+/// timer.
 #[test]
 fn server_resuming_with_expired_lease_has_its_minimum() {
     let mut fleet = TestFleet::new(5, config(3, 10));
-    fleet.run(20_000).expect("the sum holds");
+    fleet.run(20_000).expect("shares stay within the limits");
     fleet.suspended.push(4);
     let before = fleet.managers[&4].share(fleet.now, SLOTS).amount;
-    fleet.run(10_000).expect("the sum holds");
+    fleet.run(10_000).expect("shares stay within the limits");
     let at_once = fleet.managers[&4].share(fleet.now, SLOTS).amount;
     fleet.suspended.clear();
-    fleet.run(8_000).expect("the sum holds");
+    fleet.run(8_000).expect("shares stay within the limits");
     let after = fleet.managers[&4].share(fleet.now, SLOTS).amount;
-    assert!(before > 15.0 && at_once == 1.0 && after > 15.0, "{before} {at_once} {after}");
+    assert!(
+        before > 15.0 && at_once == 1.0 && after > 15.0,
+        "before {before}, on resumption {at_once}, after {after}"
+    );
 }
 
 #[test]
 fn exclusive_turn_rotates_and_suspended_server_loses_it() {
     let mut fleet = TestFleet::new(5, config(3, 10));
     fleet.managers.values_mut().for_each(|manager| manager.set_demand(LimitId(1), 1.0));
-    fleet.run(14_000).expect("the sum holds");
+    fleet.run(14_000).expect("shares stay within the limits");
     let mut turns_held: Vec<(usize, u64)> = Vec::new();
     for step in 0..1200 {
-        fleet.run(100).expect("the sum holds");
+        fleet.run(100).expect("shares stay within the limits");
         for (server, manager) in &fleet.managers {
             if manager.share(fleet.now, LimitId(1)).amount >= 1.0 {
                 match turns_held.last_mut() {
@@ -353,27 +381,30 @@
     record_error(&|config| config.limits[1].name = config.limits[0].name);
     record_error(&|config| config.vote_duration = Duration::ZERO);
     expect![[r#"
-        a keeper is named twice: its vote would count twice
+        keepers: a server is listed twice, so its vote would count twice
         more than 9 keepers
-        slots: total is no number from 0 to a billion
-        slots: floor is no part from 0 to 1
-        turns: turns have no floor
-        slots: what lingers for over half of the span leaves no time for leases
-        slots: named twice
-        slots: what lingers for over half of the span leaves no time for leases
+        slots: total is not a number from 0 to 1000000000
+        slots: floor is not a number from 0 to 1
+        turns: floor of a limit of exclusive turns is not 0
+        slots: linger_s is more than half of lease_s, which leaves no time for leases
+        slots: limit is listed twice
+        slots: linger_s is more than half of lease_s, which leaves no time for leases
     "#]]
     .assert_eq(&format!("{}\n", lines.join("\n")));
 }
 
-// ---- all orders ----
+// ---- all orders of a few events ----
 
+/// One event. Messages are identified by their positions in `in_flight`, servers by their numbers.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Deliver(usize),
+    /// Delivers a message and keeps it in flight.
     Duplicate(usize),
     Drop(usize),
+    /// Moves the clock on to the server's next timer, which it then handles.
     Tick(usize),
-    /// All timers wait while so many milliseconds pass.
+    /// Moves the clock on by this many milliseconds without handling timers.
     Advance(u64),
     Restart(usize),
     Suspend(usize),
@@ -381,6 +412,7 @@
 }
 
 impl TestFleet {
+    /// Returns all steps that are possible now.
     fn steps(&self) -> Vec<Step> {
         let in_flight = 0..self.in_flight.len();
         let mut steps: Vec<Step> = in_flight.clone().map(Step::Deliver).collect();
@@ -424,10 +456,12 @@
     }
 }
 
+/// Returns the number of steps in each order that is explored; `HAZELSPUR_DEPTH` overrides the default.
 fn search_depth() -> usize {
     std::env::var("HAZELSPUR_DEPTH").ok().and_then(|depth| depth.parse().ok()).unwrap_or(4)
 }
 
+/// Takes each possible sequence of `depth` steps, and panics at the first that violates a limit.
 fn explore(fleet: &TestFleet, depth: usize, states: &mut usize, path: &mut Vec<Step>) {
     *states += 1;
     if depth == 0 {
@@ -442,15 +476,16 @@
     }
 }
 
-/// Three voters and one that is only a lessee; from a start, from a quiet fleet, and from the end of an
-/// allocator.
+/// Three voters and one server that is only a lessee, in three initial states: when votes are granted for
+/// the first time, with a settled allocation, and after the allocator has been suspended until its election
+/// expired.
 #[test]
 fn sum_stays_within_limit_in_every_short_order_of_events() {
     let mut starting = TestFleet::new(4, config(3, 4));
     starting.max_in_flight = 4;
     starting.now = START + VOTE_DURATION;
     let mut settled = TestFleet::new(4, config(3, 4));
-    settled.run(20_000).expect("the sum holds");
+    settled.run(20_000).expect("shares stay within the limits");
     settled.max_in_flight = 4;
     let mut expiring = settled.clone();
     expiring.suspended.push(0);
@@ -462,7 +497,7 @@
     assert!(states > 10_000, "{states} states");
 }
 
-/// Takes random steps; the first violation, if there is one.
+/// Takes random steps and returns the fleet, or the first violation of a limit or an invariant.
 fn random_walk(
     mut fleet: TestFleet,
     seed: u64,
@@ -474,7 +509,7 @@
     for _ in 0..steps {
         let possible = fleet.steps();
         let step = possible[random.draw() as usize % possible.len()];
-        // Most steps deliver or tick: otherwise no lease is ever granted.
+        // Most steps must deliver a message or handle a timer, otherwise no lease is ever granted.
         let step = match (random.draw() % 10, fleet.in_flight.len()) {
             (0..=5, 1..) => Step::Deliver(0),
             (6..=8, _) => Step::Tick(random.draw() as usize % fleet.managers.len()),
@@ -491,7 +526,7 @@
         if let Some(InjectedFault::LeaseNeverExpires) = fault
             && let Some(manager) = fleet.managers.get_mut(&3)
         {
-            // The clock of n3 stands still: it goes on using the largest lease that it ever had.
+            // Simulates a stopped clock of n3, which goes on using the largest share that it ever had.
             largest_share = manager.share(fleet.now, SLOTS).amount.max(largest_share);
             if largest_share > 5.0 {
                 manager.set_demand(SLOTS, 1.0);
@@ -505,13 +540,16 @@
     Ok(fleet)
 }
 
+/// A fault of the protocol that the check of the sum must find.
 #[derive(Clone, Copy, Debug)]
 enum InjectedFault {
-    /// n3 says that it retains a lease that it never had, which a new allocator believes.
+    /// Server n3 reports that it retains a lease that it never had, and a new allocator accepts this.
     RetainsTooMuch,
+    /// Server n3 goes on using its largest share after the lease has expired.
     LeaseNeverExpires,
 }
 
+/// Six servers that together demand more than the total of `SLOTS`.
 fn contended_fleet(max_in_flight: usize) -> TestFleet {
     let mut fleet = TestFleet::new(6, config(3, 6));
     fleet.max_in_flight = max_in_flight;
@@ -536,24 +574,24 @@
 fn sum_check_finds_injected_faults() {
     for fault in [InjectedFault::RetainsTooMuch, InjectedFault::LeaseNeverExpires] {
         let found = (0..400).any(|seed| random_walk(contended_fleet(12), seed, 600, Some(fault)).is_err());
-        assert!(found, "{fault:?} was not found");
+        assert!(found, "{fault:?}: no violation found in 400 random walks");
     }
-    // Two lists of voters whose majorities do not intersect.
+    // Two lists of voters whose majorities do not intersect elect two allocators.
     let mut fleet = TestFleet::new(3, config(3, 6));
     let mut others = config(3, 6);
     others.voters = (3..6).map(name).collect();
     fleet.config = others;
     (3..6).for_each(|server| fleet.start(server, START));
     fleet.managers.values_mut().for_each(|manager| manager.set_demand(SLOTS, 90.0));
-    assert!(fleet.run(30_000).is_err(), "{}", fleet.describe_shares());
+    assert!(fleet.run(30_000).is_err(), "unexpected shares: {}", fleet.describe_shares());
 }
 
-/// Any numbers, any lengths, any order.
+/// Holders of the key may send any values, in lists of any length and in any order.
 #[test]
 fn arbitrary_authenticated_messages_keep_the_invariants() {
     let mut random = Pcg::new(11);
     let mut fleet = TestFleet::new(3, config(3, 10));
-    fleet.run(20_000).expect("the sum holds");
+    fleet.run(20_000).expect("shares stay within the limits");
     let arbitrary_number = |random: &mut Pcg| match random.draw() % 6 {
         0 => f32::NAN,
         1 => f32::INFINITY,
--- a/crates/hazelspur-fleet/tests/subset.rs
+++ b/crates/hazelspur-fleet/tests/subset.rs
@@ -26,7 +26,7 @@
         assert_ne!(
             names(&before),
             names(&select("try", 2, 4, all(count))),
-            "{count}: the same subset in each round"
+            "{count}: the round does not change the selection"
         );
     }
     let unselectable =
@@ -43,7 +43,7 @@
         let selected = select("load", round, 1, (0..40).map(weighted));
         *selected_by_weight.entry(selected[0].weight > 1.0).or_default() += 1;
     }
-    // Ten members of weight 3 beside thirty of weight 1: half of all selections each.
+    // Ten members of weight 3 and thirty of weight 1 get half of all selections each.
     assert!((1850..2150).contains(&selected_by_weight[&true]), "{selected_by_weight:?}");
     for round in 0..50 {
         let selected = select_across_sites("try", round, 6, (0..200).map(member));
@@ -53,7 +53,7 @@
         });
         assert!(sites.len() == 3 && sites.values().all(|count| *count == 2), "{sites:?}");
     }
-    // A site of one server fills one place.
+    // With one server in one site and three in the other, all three places are still filled.
     let uneven = (0..9).filter(|index| index % 3 == 0).map(member).chain([member(1)]);
     assert_eq!(select_across_sites("try", 0, 3, uneven).len(), 3);
 }
--- a/crates/hazelspur-fleet/tests/time_slots.rs
+++ b/crates/hazelspur-fleet/tests/time_slots.rs
@@ -1,4 +1,4 @@
-//! Time slots for servers that cannot talk.
+//! Time slots of servers that cannot communicate.
 
 mod helpers;
 
@@ -7,6 +7,7 @@
 use helpers::{START, name};
 use std::collections::BTreeMap;
 
+/// 300 servers each take twenty slots in a row.
 #[test]
 fn slots_meet_the_rate_and_no_server_always_waits_longest() {
     let schedule = SlotSchedule::new(300, 100.0, Duration::from_ms(10_000));
@@ -24,14 +25,14 @@
         waits_by_server.push(waits_ms);
     }
     let max = slots_by_second.values().max().copied().unwrap_or(0);
-    assert!(max <= 140, "{max} in a second, 100 requested");
+    assert!(max <= 140, "{max} slots in one second, requested rate is 100 per second");
     let first_waits: Vec<u64> = waits_by_server.iter().map(|waits_ms| waits_ms[0]).collect();
-    let longest_waiting = (0..300).max_by_key(|server| first_waits[*server]).expect("some");
+    let longest_waiting = (0..300).max_by_key(|server| first_waits[*server]).expect("300 servers");
     assert!(
         waits_by_server[longest_waiting].iter().skip(1).any(|ms| *ms < 3000),
         "{:?}",
         waits_by_server[longest_waiting]
     );
-    // The longest period bounds the wait, whatever the rate.
+    // The period never exceeds the longest period, even if the requested rate would need more.
     assert_eq!(SlotSchedule::new(100_000, 1.0, Duration::from_ms(2000)).period, Duration::from_ms(2000));
 }
--- a/crates/hazelspur-server/tests/operator_file.rs
+++ b/crates/hazelspur-server/tests/operator_file.rs
@@ -126,14 +126,14 @@
         fleet.key_file: /nowhere: No such file or directory, exit Some(2)
         fleet.key_file: /dev/null: shorter than 16 characters, exit Some(2)
         FILE:7: fleet.shares: slots: neither calls nor tenant.NAME, exit Some(2)
-        FILE:7: fleet.shares: calls: total is no number from 0 to a billion, exit Some(2)
-        FILE:7: fleet.shares: calls: what lingers for over half of the span leaves no time for leases, exit Some(2)
+        FILE:7: fleet.shares: calls: total is not a number from 0 to 1000000000, exit Some(2)
+        FILE:7: fleet.shares: calls: linger_s is more than half of lease_s, which leaves no time for leases, exit Some(2)
         FILE:7: fleet.shares[0].part: unknown field `part`, expected one of `limit`, `total`, `floor`, `linger_s`, exit Some(2)
         FILE:7: fleet.keepers: there are no shares to keep, exit Some(2)
         FILE: good: brokers=0 queues=0 fleet=east, exit Some(0)
         FILE:7: fleet.shares: without keepers nobody gives out what is beyond the floors: floor = 1, exit Some(2)
         FILE:7: fleet.keepers: 2: an odd number can lose as many as one more, exit Some(2)
-        FILE:8: fleet.shares: a keeper is named twice: its vote would count twice, exit Some(2)
+        FILE:8: fleet.shares: keepers: a server is listed twice, so its vote would count twice, exit Some(2)
         FILE:8: fleet: called twice, exit Some(2)
     "#]].assert_eq(&seen);
 }
