--- a/crates/hazelspur-deliveries/src/broker_selector.rs
+++ b/crates/hazelspur-deliveries/src/broker_selector.rs
@@ -99,7 +99,7 @@
 
     /// Brings the next attempt forward for a shutdown.
     pub fn hasten(&mut self, now: Timestamp) {
-        let delay = MAX_SHUTDOWN_DELAY.scaled(self.random.unit());
+        let delay = MAX_SHUTDOWN_DELAY.scaled(self.random.draw_fraction());
         self.next_attempt = self.next_attempt.min(now + delay);
     }
 
@@ -136,7 +136,7 @@
     /// that began at zero would make two waves of one.
     fn schedule_attempt(&mut self, now: Timestamp, was_connected: bool, refused: bool) {
         let offset = if was_connected { 0.0 } else { REPEATED_ATTEMPT_OFFSET };
-        let delay = self.spread.scaled(self.random.unit() + offset);
+        let delay = self.spread.scaled(self.random.draw_fraction() + offset);
         // A broker that refused is not retried before its time, even when all are avoided.
         let from = if refused { now.max(self.brokers[self.selected].avoided_until) } else { now };
         self.next_attempt = from + delay;
--- a/crates/hazelspur-fleet/src/membership/state.rs
+++ b/crates/hazelspur-fleet/src/membership/state.rs
@@ -119,7 +119,7 @@
         };
         let mut random = Pcg::new(seed);
         // Servers that start together must not probe in step.
-        let first_period = config.probe_period.scaled(random.unit());
+        let first_period = config.probe_period.scaled(random.draw_fraction());
         let is_alone = config.seeds.iter().all(|seed| *seed == config.address);
         Self {
             health: LocalHealth::new(config.probe_period, now),
--- a/crates/hazelspur-fleet/src/quota/manager.rs
+++ b/crates/hazelspur-fleet/src/quota/manager.rs
@@ -98,8 +98,9 @@
         let mut random = Pcg::new(seed ^ SEED_SALT);
         let is_voter = config.voters.contains(&me.name);
         let renewal = config.renewal_interval();
-        let first_request = now + renewal.scaled(RETRY_FRACTION * random.unit());
-        let first_ballot = is_voter.then(|| now + config.vote_duration + renewal.scaled(random.unit()));
+        let first_request = now + renewal.scaled(RETRY_FRACTION * random.draw_fraction());
+        let first_ballot =
+            is_voter.then(|| now + config.vote_duration + renewal.scaled(random.draw_fraction()));
         Self {
             voter: is_voter.then(|| Voter::new(now, config.vote_duration)),
             candidate: first_ballot.map(Candidate::new),
@@ -278,7 +279,7 @@
             self.allocator = None;
             self.push_event(QuotaEvent::StoppedAllocating);
         }
-        let (renewal, jitter) = (self.config.renewal_interval(), self.random.unit());
+        let (renewal, jitter) = (self.config.renewal_interval(), self.random.draw_fraction());
         let (Some(candidate), Some(voter)) = (&mut self.candidate, &mut self.voter) else { return };
         if now < candidate.next_action {
             return;
@@ -345,7 +346,7 @@
 
     fn request_leases(&mut self, now: Timestamp, to: MemberName, redirected: bool) {
         let part = if self.lessee.has_lease(now) { 1.0 } else { RETRY_FRACTION };
-        let jitter = MIN_REQUEST_JITTER + REQUEST_JITTER_RANGE * self.random.unit();
+        let jitter = MIN_REQUEST_JITTER + REQUEST_JITTER_RANGE * self.random.draw_fraction();
         let retry_after = self.config.renewal_interval().scaled(part * jitter);
         let request = self.lessee.request(now, &self.config, to, retry_after, redirected);
         if to == self.me.name {
--- a/crates/hazelspur-fleet/tests/helpers/mod.rs
+++ b/crates/hazelspur-fleet/tests/helpers/mod.rs
@@ -143,7 +143,7 @@
     fn deliver(&mut self) {
         while self.in_flight.front().is_some_and(|(at, ..)| *at <= self.now) {
             let Some((_, from, to, datagram)) = self.in_flight.pop_front() else { break };
-            if (self.blocked)(from, to) || self.random.unit() < self.loss {
+            if (self.blocked)(from, to) || self.random.draw_fraction() < self.loss {
                 continue;
             }
             if let Some(waiting) = self.suspended.get_mut(&to) {
--- a/crates/hazelspur-fleet/tests/quota.rs
+++ b/crates/hazelspur-fleet/tests/quota.rs
@@ -555,7 +555,7 @@
         2 => -1.0,
         3 => 1e30,
         4 => f32::from_bits(random.draw()),
-        _ => random.unit() as f32 * 100.0,
+        _ => random.draw_fraction() as f32 * 100.0,
     };
     for i in 0..20_000u64 {
         let few = |random: &mut Pcg| -> Vec<f32> {
--- a/crates/hazelspur-server/src/upstream/registry.rs
+++ b/crates/hazelspur-server/src/upstream/registry.rs
@@ -22,7 +22,7 @@
 
 impl RandomInterval {
     fn draw(&self, random: &mut Pcg) -> Duration {
-        self.min + (self.max - self.min).scaled(random.unit())
+        self.min + (self.max - self.min).scaled(random.draw_fraction())
     }
 }
 
--- a/crates/hazelspur-simulator/src/membership_protocols/lightweight.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/lightweight.rs
@@ -56,7 +56,7 @@
         }
         let every = Duration::from_secs(1.0 / rate.datagrams.max(1e-3));
         let mut chance = Pcg::new(seed);
-        let next = now + every.scaled(chance.unit());
+        let next = now + every.scaled(chance.draw_fraction());
         Self { chance, servers: rate.servers, every, next, waits: false, packet }
     }
 }
--- a/crates/hazelspur-simulator/src/models/gateways.rs
+++ b/crates/hazelspur-simulator/src/models/gateways.rs
@@ -59,14 +59,14 @@
 
     /// Draws the time until the next request.
     pub fn gap(&self, chance: &mut Pcg) -> Duration {
-        Duration::from_secs(-(1.0 - chance.unit()).ln() / self.rate.max(1e-9))
+        Duration::from_secs(-(1.0 - chance.draw_fraction()).ln() / self.rate.max(1e-9))
     }
 
     /// Draws the next request.
     pub fn next(&mut self, now: Timestamp, chance: &mut Pcg) -> Asked {
         let gateway = chance.draw() as usize % self.count;
         let request_class = chance.draw() as usize % self.work.len();
-        let work = self.work[request_class] * (0.5 + chance.unit());
+        let work = self.work[request_class] * (0.5 + chance.draw_fraction());
         let due = now + self.timeout;
         Asked { gateway, request_class, begun: now, due, work, left: Habits::of(gateway).retries }
     }
--- a/crates/hazelspur-simulator/src/network.rs
+++ b/crates/hazelspur-simulator/src/network.rs
@@ -61,11 +61,11 @@
             () => ACROSS_MS,
         };
         let loss = if apart { 1.0 - (1.0 - self.loss) * (1.0 - self.region_loss) } else { self.loss };
-        let copies = 1 + usize::from(self.doubled > 0.0 && chance.unit() < self.doubled);
+        let copies = 1 + usize::from(self.doubled > 0.0 && chance.draw_fraction() < self.doubled);
         let mut arrive = Vec::with_capacity(copies);
         for _ in 0..copies {
-            let lost = loss > 0.0 && chance.unit() < loss;
-            let tail = -TAIL_MS * (1.0 - chance.unit()).ln();
+            let lost = loss > 0.0 && chance.draw_fraction() < loss;
+            let tail = -TAIL_MS * (1.0 - chance.draw_fraction()).ln();
             if !lost {
                 arrive.push(Duration::from_us(((base + tail) * 1000.0) as u64));
             }
--- a/crates/hazelspur-simulator/src/path/plan.rs
+++ b/crates/hazelspur-simulator/src/path/plan.rs
@@ -152,14 +152,14 @@
     };
     let (mut at, mut all) = (0.0, Vec::new());
     loop {
-        at -= (1.0 - chance.unit()).ln() / rate;
+        at -= (1.0 - chance.draw_fraction()).ln() / rate;
         if at >= length.secs() || all.len() >= MAX_ARRIVALS {
             return Ok(all);
         }
         all.push(Arrival {
             at: Duration::from_secs(at),
-            request_class: pick(size.request_classes, met.request_classes, chance.unit()),
-            tenant: pick(size.tenants, met.tenants, chance.unit()),
+            request_class: pick(size.request_classes, met.request_classes, chance.draw_fraction()),
+            tenant: pick(size.tenants, met.tenants, chance.draw_fraction()),
         });
     }
 }
--- a/crates/hazelspur-simulator/src/simulation/client.rs
+++ b/crates/hazelspur-simulator/src/simulation/client.rs
@@ -39,7 +39,7 @@
     /// Among how many servers, from the first on, a gateway picks.
     fn candidates(&mut self, first_attempt: bool) -> usize {
         let (servers, skewed_fraction) = (self.config.servers, self.config.skewed_fraction);
-        let skewed = skewed_fraction > 0.0 && first_attempt && self.random.unit() < skewed_fraction;
+        let skewed = skewed_fraction > 0.0 && first_attempt && self.random.draw_fraction() < skewed_fraction;
         if skewed { servers.div_ceil(SKEWED_SERVERS_DIVISOR) } else { servers }
     }
 
--- a/crates/hazelspur-simulator/src/simulation/coordination.rs
+++ b/crates/hazelspur-simulator/src/simulation/coordination.rs
@@ -138,7 +138,7 @@
         };
         if self.coordinators[server].is_some() {
             let incarnation = self.servers[server].incarnation;
-            let first = OBSERVATION_PERIOD.scaled(self.random.unit());
+            let first = OBSERVATION_PERIOD.scaled(self.random.draw_fraction());
             self.queue.schedule(clocks.wall + first, Event::LoadObservation { server, incarnation });
             self.send_datagrams(server);
         }
--- a/crates/hazelspur-simulator/src/simulation/server.rs
+++ b/crates/hazelspur-simulator/src/simulation/server.rs
@@ -66,7 +66,7 @@
         let controller = AdmissionController::new(catalog(&self.config, starts_cold), seed, now);
         self.servers[server].restart(&self.config, controller);
         self.start_coordinator(server, seed);
-        let first_report = REPORT_PERIOD.scaled(self.random.unit());
+        let first_report = REPORT_PERIOD.scaled(self.random.draw_fraction());
         let incarnation = self.servers[server].incarnation;
         self.queue.schedule(now + first_report, Event::Report { server, incarnation });
         self.carry_out_decisions(server);
--- a/crates/hazelspur-simulator/src/studies/sums.rs
+++ b/crates/hazelspur-simulator/src/studies/sums.rs
@@ -21,7 +21,9 @@
         let (wait, part) = if missed { (250.0, 0.5) } else { (800.0, 0.2) };
         match self {
             Self::InStep => Duration::from_secs(wait / 1000.0),
-            Self::Spread => Duration::from_secs(wait * (1.0 - part + 2.0 * part * chance.unit()) / 1000.0),
+            Self::Spread => {
+                Duration::from_secs(wait * (1.0 - part + 2.0 * part * chance.draw_fraction()) / 1000.0)
+            }
         }
     }
 }
@@ -37,7 +39,7 @@
     let (mut bins, mut longest) = (vec![0u32; 40_000 / BIN as usize], Duration::ZERO);
     for _ in 0..servers {
         // A release starts them within a second.
-        let mut at = Duration::from_secs(chance.unit());
+        let mut at = Duration::from_secs(chance.draw_fraction());
         let mut last = at;
         while at < Duration::from_ms(40_000) {
             let ms = at.us() / 1000;
--- a/src/controller/rules.rs
+++ b/src/controller/rules.rs
@@ -254,7 +254,7 @@
             client_gap_s: self.arrivals.mean_gap_s(now, client),
             max: self.settings.max_retry_after,
         };
-        inputs.delay(self.random.unit())
+        inputs.delay(self.random.draw_fraction())
     }
 
     /// The bounds on dependency calls now.
--- a/src/pcg.rs
+++ b/src/pcg.rs
@@ -27,7 +27,7 @@
     }
 
     /// A number evenly distributed from 0 to under 1.
-    pub fn unit(&mut self) -> f64 {
+    pub fn draw_fraction(&mut self) -> f64 {
         f64::from(self.draw()) / DRAW_RANGE
     }
 }
--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -262,7 +262,7 @@
         if step < 5500 {
             for name in ["view", "book", "pay"] {
                 let id = harness.catalog.borrow().find_request_class(name).map(|(id, _)| id.0);
-                if let Some(request_class) = id.filter(|_| chance.unit() < 0.08) {
+                if let Some(request_class) = id.filter(|_| chance.draw_fraction() < 0.08) {
                     read += 1;
                     let (user, tenant) = (format!("u{}", read % 50), read % 2);
                     harness.receive(
@@ -320,7 +320,7 @@
         let mut at = 0;
         for of in 0..most {
             // The first entry stays, so that no change removes a whole table.
-            if of > 0 && chance.unit() < 0.4 {
+            if of > 0 && chance.draw_fraction() < 0.4 {
                 continue;
             }
             let mut put = |key: &str, fact| words.push((format!("{table}.{at}.{key}"), fact));
--- a/tests/fleet_totals.rs
+++ b/tests/fleet_totals.rs
@@ -57,7 +57,7 @@
             Self::Well => (between_ms(random, 20, 200), Outcome::Ok),
             Self::Slow => (between_ms(random, 400, 1600), Outcome::Ok),
             Self::Silent => (CALL_TEST_LENGTH, Outcome::Ok),
-            Self::Full if random.unit() < 0.5 => (STEP, Outcome::Rejected),
+            Self::Full if random.draw_fraction() < 0.5 => (STEP, Outcome::Rejected),
             Self::Full => (between_ms(random, 20, 200), Outcome::Ok),
         };
         if latency < timeout {
@@ -137,13 +137,13 @@
     /// One step of a server that calls a dependency; returns how many calls started.
     fn step_with_calls(&mut self, now: Timestamp, dependency: Dependency, random: &mut Pcg) -> usize {
         self.residual_loads.retain(|until| *until > now);
-        if random.unit() < 0.15 {
+        if random.draw_fraction() < 0.15 {
             self.receive(now, 7);
         }
         self.finish_due_calls(now);
         for request in self.take_due_runs(now) {
             // The first part of a run ends at a call; what is left after that ends the run.
-            if random.unit() < 0.6 {
+            if random.draw_fraction() < 0.6 {
                 self.controller.call_requested(now, request);
             } else {
                 self.controller.run_finished(now, request, Outcome::Ok);
@@ -200,7 +200,7 @@
 
     /// One step of an overloaded server without calls.
     fn step_overloaded(&mut self, now: Timestamp, random: &mut Pcg, counts: &mut BinCounts) {
-        if random.unit() < 0.2 {
+        if random.draw_fraction() < 0.2 {
             self.receive(now, 17);
         }
         for request in self.take_due_runs(now) {
