--- a/crates/hazelspur-deliveries/src/tracker/receipt.rs
+++ b/crates/hazelspur-deliveries/src/tracker/receipt.rs
@@ -84,7 +84,7 @@
         if let Some(message_id) = &delivery.message_id {
             self.message_cache.begin(message_id, id);
         }
-        self.set_timer(id, deadline.map(|deadline| deadline.back(EXPIRY_MARGIN)));
+        self.set_timer(id, deadline.map(|deadline| deadline.saturating_sub(EXPIRY_MARGIN)));
         self.submit_or_queue(now, id);
     }
 
--- a/crates/hazelspur-fleet/src/membership/table.rs
+++ b/crates/hazelspur-fleet/src/membership/table.rs
@@ -216,8 +216,11 @@
         let others = self.members.len();
         let Some(member) = self.members.get(&name) else { return };
         let end = member.status_since + self.period.scaled(timeout_periods(others, member.accusers.len()));
-        let at =
-            if member.final_probe_sent { end.min(member.suspicion_timer) } else { end.back(self.period) };
+        let at = if member.final_probe_sent {
+            end.min(member.suspicion_timer)
+        } else {
+            end.saturating_sub(self.period)
+        };
         self.set_timer(name, at.max(now));
     }
 
--- a/crates/hazelspur-server/src/clock.rs
+++ b/crates/hazelspur-server/src/clock.rs
@@ -94,7 +94,7 @@
 
     /// The time by `now` of something that another machine stamped with its Unix clock.
     pub fn local_time_of(&self, stamp: Timestamp) -> Timestamp {
-        Timeline::stamped(self.now(), self.unix(), stamp)
+        Timeline::convert_unix(self.now(), self.unix(), stamp)
     }
 
     /// The Unix time; never earlier than at the last call.
@@ -124,7 +124,7 @@
     /// The Unix time at the input watermark.
     pub fn wall_at_watermark(&self) -> Timestamp {
         let wall = self.wall();
-        wall.back(self.now() - self.input_watermark())
+        wall.saturating_sub(self.now() - self.input_watermark())
     }
 
     /// When the present turn of the event loop began. What the turn's tasks read may have arrived later.
--- a/crates/hazelspur-server/src/process/server.rs
+++ b/crates/hazelspur-server/src/process/server.rs
@@ -165,7 +165,7 @@
     pub(super) fn start_controller(&self, worker: WorkerStatus) {
         let WorkerStatus { is_warm, uptime } = worker;
         let dispatcher = &self.services.dispatcher;
-        let started_at = dispatcher.clock.now().back(uptime);
+        let started_at = dispatcher.clock.now().saturating_sub(uptime);
         let catalog = self.catalog.clone();
         dispatcher.start(AdmissionController::with(catalog, !is_warm, self.config.seed, started_at));
         log::info!(cold = !is_warm, up_ms = uptime.us() / 1000; "worker known, requests are admitted");
--- a/crates/hazelspur-server/src/process/shutdown.rs
+++ b/crates/hazelspur-server/src/process/shutdown.rs
@@ -30,7 +30,7 @@
         log::warn!(delayed_ms; "shutdown notice handled late, its times count from its sending");
     }
     let stop_at = noticed_at + server.config.stop;
-    let end_at = stop_at.back(ENDING_MARGIN);
+    let end_at = stop_at.saturating_sub(ENDING_MARGIN);
     if serves {
         dispatcher.report(|controller, _| controller.shutdown_notice(noticed_at, stop_at));
         server.phases.enter(Phase::Draining, gateways.counts());
@@ -38,7 +38,7 @@
         dispatcher.clock.sleep_until(grace_ends_at.min(end_at)).await;
     }
     run_phase(server, gateways, Phase::Closing, end_at).await;
-    let exit_at = stop_at.back(STOP_MARGIN).max(dispatcher.clock.now() + MIN_ENDING_TIME);
+    let exit_at = stop_at.saturating_sub(STOP_MARGIN).max(dispatcher.clock.now() + MIN_ENDING_TIME);
     run_phase(server, gateways, Phase::Ending, exit_at).await;
     if let Some(queues) = &server.queues {
         queues.log_counters();
--- a/crates/hazelspur-server/src/upstream/worker/state.rs
+++ b/crates/hazelspur-server/src/upstream/worker/state.rs
@@ -81,7 +81,7 @@
 
     /// Takes the worker's status; one that started after the last notice is another process.
     pub(super) fn worker_ready(&self, status: WorkerStatus) {
-        let started = self.dispatcher.clock.monotonic().back(status.uptime);
+        let started = self.dispatcher.clock.monotonic().saturating_sub(status.uptime);
         if self.last_received.get().is_some_and(|last_received| started > last_received) {
             self.worker_restarted();
         }
--- a/crates/hazelspur-simulator/src/membership_protocols/heartbeat.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/heartbeat.rs
@@ -93,7 +93,7 @@
         self.note(packet.from, now);
         let (list, silence) = (packet.list.clone(), self.silence);
         for (of, age) in list.iter().filter(|(_, age)| *age < silence) {
-            self.note(*of, now.back(*age));
+            self.note(*of, now.saturating_sub(*age));
         }
     }
 
--- a/crates/hazelspur-simulator/src/models/list.rs
+++ b/crates/hazelspur-simulator/src/models/list.rs
@@ -34,7 +34,7 @@
 
     /// Whether gateways see it now.
     pub fn shows(&self, now: Timestamp, server: usize) -> bool {
-        let at = now.back(self.late);
+        let at = now.saturating_sub(self.late);
         self.reports[server].iter().any(|report| *report <= at && *report + LISTING_DURATION > at)
     }
 }
--- a/src/controller/inputs.rs
+++ b/src/controller/inputs.rs
@@ -41,7 +41,7 @@
     }
 
     fn build_request(&mut self, now: Timestamp, new: &NewRequest, class: Rc<RequestClass>) -> Request {
-        let arrived = now.back(new.age);
+        let arrived = now.saturating_sub(new.age);
         let deadline = new.deadline.unwrap_or(arrived + class.request_timeout);
         let cost_s = new.cost.map_or(DEFAULT_COST_S, |cost| cost.secs().max(MIN_COST_S));
         let objective_at = self.objective_at(new, &class, arrived, cost_s).min(deadline);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -77,7 +77,7 @@
     pub fn with(catalog: Rc<RefCell<Catalog>>, is_cold: bool, seed: u64, now: Timestamp) -> Self {
         let settings = catalog.borrow().settings().clone();
         // Servers that start together would otherwise end their cycles, and so move R, in step for ever.
-        let first_cycle_began = now.back(MAX_CYCLE.scaled(Pcg::new(!seed).draw_fraction()));
+        let first_cycle_began = now.saturating_sub(MAX_CYCLE.scaled(Pcg::new(!seed).draw_fraction()));
         let mut pending = VecDeque::from([Decision::SetHealth { active: true, cached: true }]);
         if is_cold {
             pending.push_back(Decision::Log(ControllerEvent::WarmingUp));
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -17,7 +17,7 @@
 impl Shutdown {
     /// Whether all requests must be answered now.
     pub(crate) fn is_stopping(self, now: Timestamp) -> bool {
-        now >= self.stops_at.back(RESPONSE_MARGIN)
+        now >= self.stops_at.saturating_sub(RESPONSE_MARGIN)
     }
 
     /// Whether a request is too late to be served that was received at this time, whenever its client sent it.
--- a/src/time.rs
+++ b/src/time.rs
@@ -27,7 +27,7 @@
     }
 
     /// The timestamp this much earlier; zero at the earliest.
-    pub const fn back(self, by: Duration) -> Self {
+    pub const fn saturating_sub(self, by: Duration) -> Self {
         Self(self.0.saturating_sub(by.0))
     }
 }
@@ -86,10 +86,14 @@
         self.began + since
     }
 
-    /// Places a timestamp of the Unix clock on the timeline, when that clock shows `unix` and the timeline
+    /// Places a timestamp of the Unix clock on the timeline, when that clock shows `unix_now` and the timeline
     /// `now`.
-    pub fn stamped(now: Timestamp, unix: Timestamp, stamp: Timestamp) -> Timestamp {
-        if stamp > unix { now + (stamp - unix) } else { now.back(unix - stamp) }
+    pub fn convert_unix(now: Timestamp, unix_now: Timestamp, timestamp: Timestamp) -> Timestamp {
+        if timestamp > unix_now {
+            now + (timestamp - unix_now)
+        } else {
+            now.saturating_sub(unix_now - timestamp)
+        }
     }
 }
 
--- a/tests/timeline.rs
+++ b/tests/timeline.rs
@@ -12,9 +12,10 @@
         [unix(1000), unix(61_000), Timestamp::from_us(unix(0).us() - 59_000_000), Timestamp::from_us(0)];
     for unix_now in shown {
         let now = timeline.at(Duration::from_ms(1000));
-        let stamp = |ms_ago: u64| unix_now.back(Duration::from_ms(ms_ago));
-        let ahead = Timeline::stamped(now, unix_now, unix_now + Duration::from_ms(40)) - unix(0);
-        let ages = [0, 30, 700].map(|ago| (now - Timeline::stamped(now, unix_now, stamp(ago))).us() / 1000);
+        let stamp = |ms_ago: u64| unix_now.saturating_sub(Duration::from_ms(ms_ago));
+        let ahead = Timeline::convert_unix(now, unix_now, unix_now + Duration::from_ms(40)) - unix(0);
+        let ages =
+            [0, 30, 700].map(|ago| (now - Timeline::convert_unix(now, unix_now, stamp(ago))).us() / 1000);
         report += &format!("now {} ages {ages:?} ahead {}\n", (now - unix(0)).us() / 1000, ahead.us() / 1000);
     }
     expect_test::expect![[r#"
