--- a/crates/hazelspur-server/src/config/server_config.rs
+++ b/crates/hazelspur-server/src/config/server_config.rs
@@ -152,7 +152,7 @@
     /// Compares the settings with those in force.
     pub fn compare(self, in_force: &Catalog) -> Result<ReloadedChanges, ConfigError> {
         let change =
-            Difference::of_gathered(in_force, self.entries, &self.flat).map_err(ConfigError::setting)?;
+            Difference::compare_gathered(in_force, self.entries, &self.flat).map_err(ConfigError::setting)?;
         Ok(ReloadedChanges { config: self.config, change })
     }
 }
--- a/src/config/catalog.rs
+++ b/src/config/catalog.rs
@@ -27,7 +27,7 @@
 pub struct Catalog {
     pub(crate) request_classes: Table<Rc<RequestClass>>,
     pub(crate) tenants: Table<Tenant>,
-    pub(crate) first_tenant: TenantId,
+    pub(crate) default_tenant: TenantId,
     /// The figures that hold where a key is absent.
     defaults: ControllerSettings,
     settings: ControllerSettings,
@@ -140,7 +140,7 @@
     pub fn find_tenant(&self, owner: Option<&str>) -> Option<(TenantId, Arc<str>)> {
         let id = match owner {
             Some(owner) => TenantId(self.tenants.find(owner)?),
-            None => self.first_tenant,
+            None => self.default_tenant,
         };
         Some((id, self.tenant(id).map_or_else(|| "".into(), |tenant| tenant.name.clone())))
     }
--- a/src/config/change.rs
+++ b/src/config/change.rs
@@ -49,7 +49,7 @@
     /// Edits of settings beside the tables.
     pub settings: Vec<SettingEdit>,
     /// The tenant of requests that name none, where it becomes another one.
-    pub first_tenant: Option<Arc<str>>,
+    pub default_tenant: Option<Arc<str>>,
 }
 
 impl Change {
@@ -58,7 +58,7 @@
         self.request_classes.len()
             + self.tenants.len()
             + self.settings.len()
-            + usize::from(self.first_tenant.is_some())
+            + usize::from(self.default_tenant.is_some())
     }
 
     /// Whether there is no edit.
--- a/src/config/change_apply.rs
+++ b/src/config/change_apply.rs
@@ -55,8 +55,8 @@
                 }
             }
         }
-        if let Some(id) = change.first_tenant.as_ref().and_then(|name| self.tenants.find(&**name)) {
-            self.first_tenant = TenantId(id);
+        if let Some(id) = change.default_tenant.as_ref().and_then(|name| self.tenants.find(&**name)) {
+            self.default_tenant = TenantId(id);
         }
     }
 
--- a/src/config/change_check.rs
+++ b/src/config/change_check.rs
@@ -34,7 +34,7 @@
                 Edit::Remove(name) => self.check_removal(name)?,
             }
         }
-        self.check_first_tenant(change)
+        self.check_default_tenant(change)
     }
 
     /// Refuses to remove a class with stored keys while too many such removals are remembered.
@@ -54,7 +54,7 @@
             Err(ConfigError::UnsafeRequestClass { request_class, key, conflict })
         };
         if class.stores_keys() && class.request_timeout > self.max_request_timeout {
-            return refuse("op_timeout_us", KeyConflict::TimeoutAboveStored);
+            return refuse("op_timeout_us", KeyConflict::TimeoutExceedsRetention);
         }
         let in_force = self.find_request_class(&class.name).map(|(_, class)| class);
         let in_force = in_force.filter(|class| class.stores_keys()).map(|class| class.deduplication_window);
@@ -62,7 +62,7 @@
         let stored = in_force.max(removed.map(|removed| removed.deduplication_window));
         let Some(stored_window) = stored else { return Ok(()) };
         if !class.stores_keys() {
-            return refuse("repeats", KeyConflict::KeysNoLongerRead);
+            return refuse("repeats", KeyConflict::KeysNoLongerChecked);
         }
         if class.deduplication_window < stored_window {
             return refuse("window_us", KeyConflict::WindowTooShort);
@@ -71,10 +71,10 @@
     }
 
     /// Refuses a first tenant that would not be in force after the change.
-    fn check_first_tenant(&self, change: &Change) -> Result<(), ConfigError> {
-        match &change.first_tenant {
+    fn check_default_tenant(&self, change: &Change) -> Result<(), ConfigError> {
+        match &change.default_tenant {
             Some(name) if !self.has_tenant_after(change, name) => {
-                Err(ConfigError::UnknownFirstTenant { name: name.to_string() })
+                Err(ConfigError::UnknownDefaultTenant { name: name.to_string() })
             }
             _ => Ok(()),
         }
--- a/src/config/difference.rs
+++ b/src/config/difference.rs
@@ -83,8 +83,8 @@
     fn visit_tenant(&mut self, tenant: Tenant) -> Result<(), ConfigError> {
         let in_force = &self.in_force.tenants;
         let id = self.tenants.id_in_force(in_force, &tenant);
-        if self.tenants.read_count == 0 && id != Some(self.in_force.first_tenant.0) {
-            self.change.first_tenant = Some(tenant.name.clone());
+        if self.tenants.read_count == 0 && id != Some(self.in_force.default_tenant.0) {
+            self.change.default_tenant = Some(tenant.name.clone());
         }
         self.tenants.record(id, &tenant)?;
         if id.and_then(|id| in_force.get(id)) == Some(&tenant) {
@@ -121,7 +121,7 @@
     ///
     /// # Errors
     /// The first entry or key that can't be compared, or too many differences.
-    pub fn of_gathered(
+    pub fn compare_gathered(
         in_force: &'a Catalog,
         entries: GatheredEntries,
         settings: &FlatSettings,
--- a/src/config/entries.rs
+++ b/src/config/entries.rs
@@ -5,7 +5,7 @@
 use crate::config::entry_kind::EntryKind;
 use crate::config::error::ConfigError;
 use crate::config::flat_settings::{FlatSettings, SettingValue, check_value};
-use crate::config::request_class::{DEFAULT_TIMEOUT_OBJECTIVES, Idempotency, RequestClass};
+use crate::config::request_class::{DEFAULT_TIMEOUT_IN_OBJECTIVES, Idempotency, RequestClass};
 use crate::config::table::MAX_NAME_BYTES;
 use crate::config::tenant::Tenant;
 use std::collections::{BTreeMap, BTreeSet};
@@ -184,7 +184,7 @@
         name: name(entry, path)?,
         latency_objective: Duration::from_us(objective_us as u64),
         latency_objective_per_cost: number("target_stretch", default.latency_objective_per_cost),
-        request_timeout: duration_us("op_timeout_us", objective_us * DEFAULT_TIMEOUT_OBJECTIVES),
+        request_timeout: duration_us("op_timeout_us", objective_us * DEFAULT_TIMEOUT_IN_OBJECTIVES),
         priority_weight: number("importance", default.priority_weight),
         late_value: number("late_worth", default.late_value),
         degraded_value: default.degraded_value,
@@ -198,7 +198,7 @@
         "retryable" => Ok(Idempotency::Idempotent),
         "keyed" => Ok(Idempotency::IdempotentWithKey),
         "non-retryable" | "" => Ok(Idempotency::NonIdempotent),
-        other => Err(ConfigError::UnknownWord { key: format!("{path}.repeats"), value: other.to_string() }),
+        other => Err(ConfigError::UnknownValue { key: format!("{path}.repeats"), value: other.to_string() }),
     }
 }
 
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -28,7 +28,7 @@
     },
     /// A word is none of those that the key may have.
     #[error("setting {key} is not known: {value}")]
-    UnknownWord {
+    UnknownValue {
         /// The dotted key.
         key: String,
         /// The refused word.
@@ -173,7 +173,7 @@
     },
     /// The tenant of requests that name none would not be in force.
     #[error("settings.orgs: {name}: the first tenant is none")]
-    UnknownFirstTenant {
+    UnknownDefaultTenant {
         /// Name of the tenant.
         name: String,
     },
@@ -184,10 +184,10 @@
 pub enum KeyConflict {
     /// Results are stored for no longer than the longest request timeout of the start.
     #[error("keys are kept for no longer than the start's waits")]
-    TimeoutAboveStored,
+    TimeoutExceedsRetention,
     /// The class would no longer look keys up, so that a retry would run a second time.
     #[error("its keys are kept, a repeat would run again")]
-    KeysNoLongerRead,
+    KeysNoLongerChecked,
     /// The deduplication window would be shorter than that of the stored keys.
     #[error("shorter than that of ops whose keys are kept")]
     WindowTooShort,
--- a/src/config/request_class.rs
+++ b/src/config/request_class.rs
@@ -7,7 +7,7 @@
 /// The latency objective of a class that is not configured.
 const DEFAULT_LATENCY_OBJECTIVE: Duration = Duration::from_ms(1000);
 /// The request timeout where the class has none, in latency objectives.
-pub(crate) const DEFAULT_TIMEOUT_OBJECTIVES: f64 = 2.0;
+pub(crate) const DEFAULT_TIMEOUT_IN_OBJECTIVES: f64 = 2.0;
 /// The deduplication window where the class has none.
 const DEFAULT_DEDUPLICATION_WINDOW: Duration = Duration::from_ms(5000);
 
@@ -52,7 +52,7 @@
             name: "".into(),
             latency_objective: DEFAULT_LATENCY_OBJECTIVE,
             latency_objective_per_cost: 0.0,
-            request_timeout: DEFAULT_LATENCY_OBJECTIVE.scaled(DEFAULT_TIMEOUT_OBJECTIVES),
+            request_timeout: DEFAULT_LATENCY_OBJECTIVE.scaled(DEFAULT_TIMEOUT_IN_OBJECTIVES),
             priority_weight: 1.0,
             late_value: 0.0,
             degraded_value: 0.0,
--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -408,7 +408,7 @@
         classes(vec![class("")]),
         classes(vec![class("a"), class("a")]),
         tenants(vec![Edit::Remove("a".into())]),
-        Change { first_tenant: Some("a".into()), ..Change::default() },
+        Change { default_tenant: Some("a".into()), ..Change::default() },
         setting_change("servers", Some(f64::NAN)),
         setting_change("server.cores", Some(2.0)),
     ];
