--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -7,19 +7,29 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-const RUN: Duration = Duration::from_millis(80);
+const WORK_TIME: Duration = Duration::from_millis(80);
 
 fn main() -> io::Result<()> {
-    let (runtime, ledger) = (TcpListener::bind("127.0.0.1:7300")?, TcpListener::bind("127.0.0.1:9042")?);
-    let control = TcpListener::bind("127.0.0.1:7946")?;
-    spawn(move || runtime.incoming().flatten().for_each(|link| drop(spawn(|| serve_link(link)))));
+    let (worker, dependency) = (TcpListener::bind("127.0.0.1:7300")?, TcpListener::bind("127.0.0.1:9042")?);
+    let control_plane = TcpListener::bind("127.0.0.1:7946")?;
     spawn(move || {
-        ledger.incoming().flatten().for_each(|call| drop(spawn(|| answer(call, "200 OK", "noted"))))
+        worker.incoming().flatten().for_each(|connection| drop(spawn(|| serve_worker_connection(connection))))
+    });
+    spawn(move || {
+        dependency
+            .incoming()
+            .flatten()
+            .for_each(|connection| drop(spawn(|| serve_http(connection, "200 OK", "noted"))))
+    });
+    spawn(move || {
+        control_plane
+            .incoming()
+            .flatten()
+            .for_each(|connection| drop(spawn(|| serve_http(connection, "204 Done", ""))))
     });
-    spawn(move || control.incoming().flatten().for_each(|call| drop(spawn(|| answer(call, "204 Done", "")))));
     println!("toy: waiting for a server on 127.0.0.1:10080");
     loop {
-        if let Err(e) = ask() {
+        if let Err(e) = send_request() {
             println!("toy: no answer: {e}");
         }
         sleep(Duration::from_secs(1));
@@ -27,7 +37,7 @@
 }
 
 /// One request on a connection of its own.
-fn ask() -> io::Result<()> {
+fn send_request() -> io::Result<()> {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
     let mut server = TcpStream::connect("127.0.0.1:10080")?;
     server.set_read_timeout(Some(Duration::from_secs(4)))?;
@@ -44,49 +54,49 @@
 }
 
 /// Every run works a little, makes one call, works again and ends with its body turned round.
-fn serve_link(link: TcpStream) {
-    let mut lines = BufReader::new(match link.try_clone() {
-        Ok(link) => link,
+fn serve_worker_connection(connection: TcpStream) {
+    let mut lines = BufReader::new(match connection.try_clone() {
+        Ok(connection) => connection,
         Err(e) => return println!("runtime: {e}"),
     });
-    let (mut bodies, mut number, mut line) = (BTreeMap::new(), 0, String::new());
-    let say = |bytes: &[u8]| (&link).write_all(bytes).is_ok();
-    while lines.read_line(&mut line).is_ok_and(|n| n > 0) {
+    let (mut bodies, mut notice_number, mut line) = (BTreeMap::new(), 0, String::new());
+    let send = |bytes: &[u8]| (&connection).write_all(bytes).is_ok();
+    while lines.read_line(&mut line).is_ok_and(|read| read > 0) {
         let words: Vec<&str> = line.split_whitespace().collect();
         if words.first().is_none_or(|word| *word != "gauges") {
             println!("runtime < {}", line.trim_end());
         }
-        let mut body = || {
+        let mut read_body = || {
             let mut body = vec![0; words.last().and_then(|n| n.parse().ok()).unwrap_or(0) + 2];
             lines.read_exact(&mut body).ok()?;
             body.truncate(body.len() - 2);
             Some(body)
         };
         let sent = match words[..] {
-            ["sync", _] => say(b"ready hot 1000\r\n"),
-            ["gauges", tag] => say(format!("load {tag} 0.1 0 0.0 1\r\n").as_bytes()),
+            ["sync", _] => send(b"ready hot 1000\r\n"),
+            ["gauges", tag] => send(format!("load {tag} 0.1 0 0.0 1\r\n").as_bytes()),
             ["start", id, ..] => {
-                let Some(body) = body() else { return };
+                let Some(body) = read_body() else { return };
                 bodies.insert(id.to_string(), body);
-                sleep(RUN);
-                number += 1;
-                say(format!("wants {number} {id} 7\r\ncall me\r\n").as_bytes())
+                sleep(WORK_TIME);
+                notice_number += 1;
+                send(format!("wants {notice_number} {id} 7\r\ncall me\r\n").as_bytes())
             }
             ["give", id, _] => {
-                let (Some(_), Some(mut result)) = (body(), bodies.remove(id)) else { return };
-                sleep(RUN);
-                number += 1;
+                let (Some(_), Some(mut result)) = (read_body(), bodies.remove(id)) else { return };
+                sleep(WORK_TIME);
+                notice_number += 1;
                 result.reverse();
                 result.extend_from_slice(b"\r\n");
-                say(format!("end {number} {id} complete 160 {}\r\n", result.len() - 2).as_bytes())
-                    && say(&result)
+                send(format!("end {notice_number} {id} complete 160 {}\r\n", result.len() - 2).as_bytes())
+                    && send(&result)
             }
             ["stop", id] => {
-                number += 1;
-                let end = if bodies.remove(id).is_some() { "cancelled" } else { "unknown" };
-                say(format!("end {number} {id} {end} 0 0\r\n\r\n").as_bytes())
+                notice_number += 1;
+                let outcome = if bodies.remove(id).is_some() { "cancelled" } else { "unknown" };
+                send(format!("end {notice_number} {id} {outcome} 0 0\r\n\r\n").as_bytes())
             }
-            _ => say(b"info 0 not understood\r\n"),
+            _ => send(b"info 0 not understood\r\n"),
         };
         if !sent {
             return;
@@ -96,23 +106,23 @@
 }
 
 /// Answers all calls on a connection alike.
-fn answer(call: TcpStream, status: &str, body: &str) {
-    let mut reader = BufReader::new(&call);
+fn serve_http(connection: TcpStream, status: &str, body: &str) {
+    let mut reader = BufReader::new(&connection);
     loop {
         let (mut head, mut length) = (String::new(), 0);
         while !head.ends_with("\r\n\r\n") {
-            let from = head.len();
-            if reader.read_line(&mut head).map_or(true, |n| n == 0) {
+            let line_start = head.len();
+            if reader.read_line(&mut head).map_or(true, |read| read == 0) {
                 return;
             }
-            if let Some(n) = head[from..].to_ascii_lowercase().strip_prefix("content-length:") {
-                length = n.trim().parse().unwrap_or(0);
+            if let Some(value) = head[line_start..].to_ascii_lowercase().strip_prefix("content-length:") {
+                length = value.trim().parse().unwrap_or(0);
             }
         }
         println!("{} < {}", status, head.lines().next().unwrap_or_default());
         let skipped = io::copy(&mut reader.by_ref().take(length), &mut io::sink());
         let reply = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        if skipped.is_err() || (&call).write_all(reply.as_bytes()).is_err() {
+        if skipped.is_err() || (&connection).write_all(reply.as_bytes()).is_err() {
             return;
         }
     }
--- a/src/config/catalog.rs
+++ b/src/config/catalog.rs
@@ -85,8 +85,8 @@
     /// Reads a map of dotted keys: `op_types.0.importance`, `tenants.3.quota_per_s`, `server.cores`.
     pub fn from_flat(settings: FlatSettings) -> Result<Self, ConfigError> {
         let mut catalog = Self::default();
-        let others = read_flat_entries(&mut catalog, settings)?;
-        catalog.complete(others)
+        let other_settings = read_flat_entries(&mut catalog, settings)?;
+        catalog.complete(other_settings)
     }
 
     /// Adds all settings that are not in a table. The value of answers without dependency calls goes to the request
--- a/src/config/change_apply.rs
+++ b/src/config/change_apply.rs
@@ -8,7 +8,7 @@
 
 /// How long after its deduplication window a retry may arrive, in request timeouts: its client may wait one, then
 /// state its wait as one and a half, and the first attempt may have run for one and a half.
-const LATE_RETRY_TIMEOUTS: f64 = 4.0;
+const MAX_RETRY_DELAY_IN_TIMEOUTS: f64 = 4.0;
 
 impl Catalog {
     /// Applies a change that `check` has accepted. Requests that were read before keep the terms of their class.
@@ -23,7 +23,7 @@
     }
 
     fn apply_request_classes(&mut self, now: Timestamp, change: &Change, applied: &mut AppliedChange) {
-        let late_retry = self.max_request_timeout.scaled(LATE_RETRY_TIMEOUTS);
+        let max_retry_delay = self.max_request_timeout.scaled(MAX_RETRY_DELAY_IN_TIMEOUTS);
         let counts = &mut applied.summary.request_classes;
         for edit in &change.request_classes {
             match edit {
@@ -34,7 +34,7 @@
                     applied.removed_request_classes.push(RequestClassId(entry.id));
                     if entry.value.stores_keys() {
                         let deduplication_window = entry.value.deduplication_window;
-                        let retries_until = now + deduplication_window + late_retry;
+                        let retries_until = now + deduplication_window + max_retry_delay;
                         let removed = RemovedClass { deduplication_window, retries_until };
                         self.removed_classes.insert(name.clone(), removed);
                     }
--- a/src/config/change_check.rs
+++ b/src/config/change_check.rs
@@ -56,11 +56,12 @@
         if class.stores_keys() && class.request_timeout > self.max_request_timeout {
             return refuse("op_timeout_us", KeyConflict::TimeoutExceedsRetention);
         }
-        let in_force = self.find_request_class(&class.name).map(|(_, class)| class);
-        let in_force = in_force.filter(|class| class.stores_keys()).map(|class| class.deduplication_window);
+        let class_in_force = self.find_request_class(&class.name).map(|(_, class)| class);
+        let window_in_force =
+            class_in_force.filter(|class| class.stores_keys()).map(|class| class.deduplication_window);
         let removed = self.removed_classes.get(&class.name).filter(|removed| removed.retries_until > now);
-        let stored = in_force.max(removed.map(|removed| removed.deduplication_window));
-        let Some(stored_window) = stored else { return Ok(()) };
+        let stored_window = window_in_force.max(removed.map(|removed| removed.deduplication_window));
+        let Some(stored_window) = stored_window else { return Ok(()) };
         if !class.stores_keys() {
             return refuse("repeats", KeyConflict::KeysNoLongerChecked);
         }
--- a/src/config/difference.rs
+++ b/src/config/difference.rs
@@ -38,11 +38,11 @@
 
     /// The id in force of the entry that is being read: by name, or by its place where neither has one.
     fn id_in_force<T: Named>(&self, in_force: &Table<T>, entry: &impl Named) -> Option<usize> {
-        let id_by_place = || {
+        let id_by_index = || {
             let old = in_force.get(self.read_count)?;
             (entry.name().is_empty() && old.name().is_empty()).then_some(self.read_count)
         };
-        in_force.find(&**entry.name()).or_else(id_by_place)
+        in_force.find(&**entry.name()).or_else(id_by_index)
     }
 
     /// Counts an entry as read; refuses the second one of a name.
--- a/src/config/entries.rs
+++ b/src/config/entries.rs
@@ -26,11 +26,11 @@
     "window_us",
 ];
 /// Ends of a request class's keys whose value must be a number.
-const REQUEST_CLASS_NUMBERS: [&str; 4] = ["_us", ".target_stretch", ".importance", ".late_worth"];
+const REQUEST_CLASS_NUMBER_SUFFIXES: [&str; 4] = ["_us", ".target_stretch", ".importance", ".late_worth"];
 /// The keys of a tenant.
 const TENANT_KEYS: [&str; 2] = ["name", "quota_per_s"];
 /// Ends of a tenant's keys whose value must be a number.
-const TENANT_NUMBERS: [&str; 1] = [".quota_per_s"];
+const TENANT_NUMBER_SUFFIXES: [&str; 1] = [".quota_per_s"];
 
 /// Takes request classes and tenants as they are read, in their order.
 pub trait EntryVisitor {
@@ -105,13 +105,13 @@
         EntryKind::Tenants => &TENANT_KEYS,
     };
     let table_key = table.dotted_key();
-    if let Some((key, _)) = entry.iter().find(|(key, _)| is_unknown(known_keys, key)) {
+    if let Some((key, _)) = entry.iter().find(|(key, _)| is_unknown_key(known_keys, key)) {
         visitor.visit_unknown_key(&format!("{table_key}.{key}"))?;
     }
     let path = format!("{table_key}.{index}");
     match table {
-        EntryKind::RequestClasses => visitor.visit_request_class(request_class(entry, &path)?),
-        EntryKind::Tenants => visitor.visit_tenant(tenant(entry, &path)?),
+        EntryKind::RequestClasses => visitor.visit_request_class(parse_request_class(entry, &path)?),
+        EntryKind::Tenants => visitor.visit_tenant(parse_tenant(entry, &path)?),
     }
 }
 
@@ -121,12 +121,12 @@
     visitor: &mut impl EntryVisitor,
     settings: FlatSettings,
 ) -> Result<FlatSettings, ConfigError> {
-    let mut others = FlatSettings::default();
+    let mut other_settings = FlatSettings::default();
     let mut request_classes: BTreeMap<usize, FlatSettings> = BTreeMap::new();
     let mut tenants: BTreeMap<usize, FlatSettings> = BTreeMap::new();
     for (key, value) in settings {
         let Some(entry_key) = EntryKey::parse(&key) else {
-            others.insert(key, value);
+            other_settings.insert(key, value);
             continue;
         };
         let entries = match entry_key.table {
@@ -137,7 +137,7 @@
     }
     read_table(visitor, EntryKind::RequestClasses, request_classes)?;
     read_table(visitor, EntryKind::Tenants, tenants)?;
-    Ok(others)
+    Ok(other_settings)
 }
 
 /// A dotted key of an entry, such as `tenants.3.quota_per_s`.
@@ -149,9 +149,9 @@
 
 impl<'a> EntryKey<'a> {
     fn parse(dotted: &'a str) -> Option<Self> {
-        let (table, below) = dotted.split_once('.')?;
+        let (table, index_and_key) = dotted.split_once('.')?;
         let table = EntryKind::from_dotted_key(table)?;
-        let (index, key) = below.split_once('.')?;
+        let (index, key) = index_and_key.split_once('.')?;
         Some(Self { table, index: index.parse().ok()?, key })
     }
 }
@@ -172,8 +172,8 @@
     Ok(())
 }
 
-fn request_class(entry: &FlatSettings, path: &str) -> Result<RequestClass, ConfigError> {
-    check_values(entry, path, &REQUEST_CLASS_NUMBERS)?;
+fn parse_request_class(entry: &FlatSettings, path: &str) -> Result<RequestClass, ConfigError> {
+    check_values(entry, path, &REQUEST_CLASS_NUMBER_SUFFIXES)?;
     let Some(objective_us) = entry.number("target_latency_us") else {
         return Err(ConfigError::MissingKey { key: format!("{path}.target_latency_us") });
     };
@@ -181,19 +181,19 @@
     let number = |key: &str, default: f64| entry.number(key).unwrap_or(default);
     let duration_us = |key: &str, default_us: f64| Duration::from_us(number(key, default_us) as u64);
     Ok(RequestClass {
-        name: name(entry, path)?,
+        name: parse_name(entry, path)?,
         latency_objective: Duration::from_us(objective_us as u64),
         latency_objective_per_cost: number("target_stretch", default.latency_objective_per_cost),
         request_timeout: duration_us("op_timeout_us", objective_us * DEFAULT_TIMEOUT_IN_OBJECTIVES),
         priority_weight: number("importance", default.priority_weight),
         late_value: number("late_worth", default.late_value),
         degraded_value: default.degraded_value,
-        idempotency: idempotency(entry, path)?,
+        idempotency: parse_idempotency(entry, path)?,
         deduplication_window: duration_us("window_us", default.deduplication_window.us() as f64),
     })
 }
 
-fn idempotency(entry: &FlatSettings, path: &str) -> Result<Idempotency, ConfigError> {
+fn parse_idempotency(entry: &FlatSettings, path: &str) -> Result<Idempotency, ConfigError> {
     match entry.text_or_empty("repeats") {
         "retryable" => Ok(Idempotency::Idempotent),
         "keyed" => Ok(Idempotency::IdempotentWithKey),
@@ -202,12 +202,12 @@
     }
 }
 
-fn tenant(entry: &FlatSettings, path: &str) -> Result<Tenant, ConfigError> {
-    check_values(entry, path, &TENANT_NUMBERS)?;
-    Ok(Tenant { name: name(entry, path)?, quota_per_s: entry.number("quota_per_s") })
+fn parse_tenant(entry: &FlatSettings, path: &str) -> Result<Tenant, ConfigError> {
+    check_values(entry, path, &TENANT_NUMBER_SUFFIXES)?;
+    Ok(Tenant { name: parse_name(entry, path)?, quota_per_s: entry.number("quota_per_s") })
 }
 
-fn name(entry: &FlatSettings, path: &str) -> Result<Arc<str>, ConfigError> {
+fn parse_name(entry: &FlatSettings, path: &str) -> Result<Arc<str>, ConfigError> {
     let name = entry.text_or_empty("name");
     if name.len() > MAX_NAME_BYTES {
         let key = format!("{path}.name");
@@ -217,11 +217,11 @@
 }
 
 /// Checks each value of an entry, and that keys with one of the ends in `numbers` have no text.
-fn check_values(entry: &FlatSettings, path: &str, numbers: &[&str]) -> Result<(), ConfigError> {
+fn check_values(entry: &FlatSettings, path: &str, number_suffixes: &[&str]) -> Result<(), ConfigError> {
     for (key, value) in entry.iter() {
         let key = format!("{path}.{key}");
         check_value(&key, value)?;
-        let must_be_number = numbers.iter().any(|end| key.ends_with(end));
+        let must_be_number = number_suffixes.iter().any(|suffix| key.ends_with(suffix));
         if must_be_number && matches!(value, SettingValue::Text(_)) {
             return Err(ConfigError::NotANumber { key });
         }
@@ -230,6 +230,6 @@
 }
 
 /// Whether the first part of a key is none of the known ones.
-fn is_unknown(known: &[&str], key: &str) -> bool {
+fn is_unknown_key(known: &[&str], key: &str) -> bool {
     !known.contains(&key.split('.').next().unwrap_or(key))
 }
--- a/src/config/flat_settings.rs
+++ b/src/config/flat_settings.rs
@@ -108,16 +108,16 @@
 }
 
 /// Keys whose number must be above zero.
-const ABOVE_ZERO_KEYS: [&str; 3] = ["server.cores", "server.memory_kb", "server.run_factor"];
+const POSITIVE_KEYS: [&str; 3] = ["server.cores", "server.memory_kb", "server.run_factor"];
 /// Ends of keys whose number must not be negative.
-const NOT_NEGATIVE_KEY_ENDS: [&str; 3] = ["_us", ".importance", ".quota_per_s"];
+const NON_NEGATIVE_KEY_SUFFIXES: [&str; 3] = ["_us", ".importance", ".quota_per_s"];
 
 /// Refuses a number that is not finite, or negative or zero where the key does not allow it.
 pub(crate) fn check_value(key: &str, value: &SettingValue) -> Result<(), ConfigError> {
     let SettingValue::Number(value) = *value else { return Ok(()) };
-    let must_be_above_zero = ABOVE_ZERO_KEYS.contains(&key);
-    let must_not_be_negative = NOT_NEGATIVE_KEY_ENDS.iter().any(|end| key.ends_with(end));
-    let refused =
-        !value.is_finite() || must_be_above_zero && value <= 0.0 || must_not_be_negative && value < 0.0;
-    if refused { Err(ConfigError::OutOfRange { key: key.into(), value }) } else { Ok(()) }
+    let must_be_positive = POSITIVE_KEYS.contains(&key);
+    let must_not_be_negative = NON_NEGATIVE_KEY_SUFFIXES.iter().any(|suffix| key.ends_with(suffix));
+    let is_refused =
+        !value.is_finite() || must_be_positive && value <= 0.0 || must_not_be_negative && value < 0.0;
+    if is_refused { Err(ConfigError::OutOfRange { key: key.into(), value }) } else { Ok(()) }
 }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -148,7 +148,7 @@
         for (key, value) in flat.iter() {
             match value {
                 SettingValue::Number(number) => settings.set_number(key, *number),
-                SettingValue::Text(word) => settings.set_word(key, word),
+                SettingValue::Text(text) => settings.set_text(key, text),
             }
         }
         let gauge_names = gauge_names(flat);
@@ -183,11 +183,11 @@
         }
     }
 
-    fn set_word(&mut self, key: &str, word: &str) {
+    fn set_text(&mut self, key: &str, text: &str) {
         match key {
-            "server.stop" => self.preemption = Preemption::from_word(word),
-            "server.value" => self.capacity_signal = CapacitySignal::from_word(word),
-            "counted_by" => self.value_unit = ValueUnit::from_word(word),
+            "server.stop" => self.preemption = Preemption::parse(text),
+            "server.value" => self.capacity_signal = CapacitySignal::parse(text),
+            "counted_by" => self.value_unit = ValueUnit::parse(text),
             _ => {}
         }
     }
@@ -201,8 +201,8 @@
 
 impl Preemption {
     /// Reads the setting's word; unknown words stand for the default.
-    fn from_word(word: &str) -> Self {
-        match word {
+    fn parse(text: &str) -> Self {
+        match text {
             "pause" => Self::Pause,
             "none" => Self::Unsupported,
             _ => Self::Drop,
@@ -212,8 +212,8 @@
 
 impl CapacitySignal {
     /// Reads the setting's word; unknown words stand for the default.
-    fn from_word(word: &str) -> Self {
-        match word {
+    fn parse(text: &str) -> Self {
+        match text {
             "credit" => Self::Credit,
             "weight" => Self::Weight,
             _ => Self::None,
@@ -223,8 +223,8 @@
 
 impl ValueUnit {
     /// Reads the setting's word; unknown words stand for the default.
-    fn from_word(word: &str) -> Self {
-        match word {
+    fn parse(text: &str) -> Self {
+        match text {
             "work" => Self::Work,
             _ => Self::Request,
         }
--- a/src/config/table.rs
+++ b/src/config/table.rs
@@ -99,9 +99,9 @@
 
     /// All entries in the order of their ids, which is that in which they were added.
     pub fn in_order(&self) -> Vec<Entry<&T>> {
-        let mut all: Vec<Entry<&T>> =
+        let mut entries: Vec<Entry<&T>> =
             self.entries.iter().map(|(id, value)| Entry { id: *id, value }).collect();
-        all.sort_unstable_by_key(|entry| entry.id);
-        all
+        entries.sort_unstable_by_key(|entry| entry.id);
+        entries
     }
 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -24,8 +24,8 @@
     /// An id of 1 to 36 graphic ASCII characters, padded with blanks that are not shown; `None` for any other
     /// text.
     pub fn padded(text: &str) -> Option<Self> {
-        let is_short = (1..=REQUEST_ID_LENGTH).contains(&text.len());
-        if !is_short || !text.bytes().all(|byte| byte.is_ascii_graphic()) {
+        let is_length_allowed = (1..=REQUEST_ID_LENGTH).contains(&text.len());
+        if !is_length_allowed || !text.bytes().all(|byte| byte.is_ascii_graphic()) {
             return None;
         }
         let mut id = [REQUEST_ID_PADDING; REQUEST_ID_LENGTH];
--- a/src/last_seen.rs
+++ b/src/last_seen.rs
@@ -15,12 +15,12 @@
 /// When each key was last seen.
 #[derive(Clone, Debug)]
 pub struct LastSeen<K> {
-    last: BTreeMap<K, Timestamp>,
+    times: BTreeMap<K, Timestamp>,
 }
 
 impl<K> Default for LastSeen<K> {
     fn default() -> Self {
-        Self { last: BTreeMap::new() }
+        Self { times: BTreeMap::new() }
     }
 }
 
@@ -28,18 +28,18 @@
     /// Records that a key is seen now and returns when it was seen before. A full map first drops keys that
     /// were not seen for `idle_timeout`, then for ever shorter times.
     pub fn record(&mut self, key: K, now: Timestamp, idle_timeout: Duration) -> Option<Timestamp> {
-        let is_full = self.last.len() >= LAST_SEEN_CAPACITY;
+        let is_full = self.times.len() >= LAST_SEEN_CAPACITY;
         let max_len = if is_full { LAST_SEEN_CAPACITY / 2 } else { LAST_SEEN_CAPACITY };
         let mut idle_timeout = idle_timeout;
-        while self.last.len() > max_len {
-            self.last.retain(|_, last| now - *last < idle_timeout);
+        while self.times.len() > max_len {
+            self.times.retain(|_, last_seen| now - *last_seen < idle_timeout);
             idle_timeout = idle_timeout.scaled(IDLE_TIMEOUT_SHRINK_FACTOR);
         }
-        self.last.insert(key, now)
+        self.times.insert(key, now)
     }
 
     /// When a key was last seen.
     pub fn get(&self, key: &K) -> Option<Timestamp> {
-        self.last.get(key).copied()
+        self.times.get(key).copied()
     }
 }
--- a/src/recently_seen.rs
+++ b/src/recently_seen.rs
@@ -18,12 +18,12 @@
 pub struct RecentlySeen<K, V, const CAPACITY: usize> {
     entries: BTreeMap<K, Entry<V>>,
     /// Counts uses: their order, not their time.
-    uses: u64,
+    use_count: u64,
 }
 
 impl<K, V, const CAPACITY: usize> Default for RecentlySeen<K, V, CAPACITY> {
     fn default() -> Self {
-        Self { entries: BTreeMap::new(), uses: 0 }
+        Self { entries: BTreeMap::new(), use_count: 0 }
     }
 }
 
@@ -33,16 +33,16 @@
         if self.entries.len() >= CAPACITY && !self.entries.contains_key(&key) {
             self.evict_older_half();
         }
-        self.uses += 1;
+        self.use_count += 1;
         let entry = self.entries.entry(key).or_insert_with(|| Entry { last_use: 0, value: V::default() });
-        entry.last_use = self.uses;
+        entry.last_use = self.use_count;
         &mut entry.value
     }
 
     fn evict_older_half(&mut self) {
-        let mut uses: Vec<u64> = self.entries.values().map(|entry| entry.last_use).collect();
-        uses.sort_unstable();
-        let median = uses[uses.len() / 2];
+        let mut last_uses: Vec<u64> = self.entries.values().map(|entry| entry.last_use).collect();
+        last_uses.sort_unstable();
+        let median = last_uses[last_uses.len() / 2];
         self.entries.retain(|_, entry| entry.last_use >= median);
     }
 
--- a/src/time.rs
+++ b/src/time.rs
@@ -72,18 +72,18 @@
 /// whoever sets the Unix clock; timestamps of others are placed on it by their age.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Timeline {
-    began: Timestamp,
+    start: Timestamp,
 }
 
 impl Timeline {
     /// A timeline that starts now, at this Unix time.
-    pub fn new(unix: Timestamp) -> Self {
-        Self { began: unix }
+    pub fn new(unix_now: Timestamp) -> Self {
+        Self { start: unix_now }
     }
 
     /// The timestamp after this time on a monotonic clock.
-    pub fn at(self, since: Duration) -> Timestamp {
-        self.began + since
+    pub fn at(self, elapsed: Duration) -> Timestamp {
+        self.start + elapsed
     }
 
     /// Places a timestamp of the Unix clock on the timeline, when that clock shows `unix_now` and the timeline
--- a/tests/catalog.rs
+++ b/tests/catalog.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 
 /// A catalog with `count` entries, named by table and number.
-fn filled<T>(
+fn catalog_with<T>(
     table: &str,
     count: usize,
     add: impl Fn(&mut Catalog, Arc<str>) -> Result<T, ConfigError>,
@@ -24,39 +24,39 @@
     catalog
 }
 
-fn request_class(catalog: &mut Catalog, name: Arc<str>) -> Result<(), ConfigError> {
+fn add_request_class(catalog: &mut Catalog, name: Arc<str>) -> Result<(), ConfigError> {
     catalog.visit_request_class(RequestClass { name, ..RequestClass::default() })
 }
 
-fn tenant(catalog: &mut Catalog, name: Arc<str>) -> Result<(), ConfigError> {
+fn add_tenant(catalog: &mut Catalog, name: Arc<str>) -> Result<(), ConfigError> {
     catalog.visit_tenant(Tenant { name, quota_per_s: Some(1.0) })
 }
 
 /// The text of an error; empty where there is none.
-fn text(result: Result<(), ConfigError>) -> String {
+fn error_text(result: Result<(), ConfigError>) -> String {
     result.err().map(|error| error.to_string()).unwrap_or_default()
 }
 
 #[test]
-fn errors_of_exceeded_bounds_name_the_count_and_the_maximum() {
-    let mut routes = filled("route", MAX_REQUEST_CLASSES, request_class);
-    let mut tenants = filled("tenant", MAX_TENANTS, tenant);
-    let last = (
-        routes.find_request_class("route-17399").is_some(),
+fn configuration_errors_name_the_key_and_the_bound() {
+    let mut classes = catalog_with("route", MAX_REQUEST_CLASSES, add_request_class);
+    let mut tenants = catalog_with("tenant", MAX_TENANTS, add_tenant);
+    let last_entries_found = (
+        classes.find_request_class("route-17399").is_some(),
         tenants.find_tenant(Some("tenant-83999")).is_some(),
     );
-    assert_eq!(last, (true, true), "the last entries are found too");
+    assert_eq!(last_entries_found, (true, true), "the last entries are found too");
     let settings = (0..=MAX_SETTINGS).map(|i| (format!("new.{i}"), SettingValue::Number(1.0)));
-    let error_of_flat = |settings: FlatSettings| text(Catalog::from_flat(settings).map(drop));
-    let error_of = |more: &str| error_of_flat(helpers::flat_settings(more));
+    let error_of_flat = |settings: FlatSettings| error_text(Catalog::from_flat(settings).map(drop));
+    let error_of = |overrides: &str| error_of_flat(helpers::flat_settings(overrides));
     let error_of_long_name = |key: &str| {
         let mut settings = helpers::flat_settings("");
         settings.insert(key.into(), SettingValue::Text("x".repeat(MAX_NAME_BYTES + 1)));
         error_of_flat(settings)
     };
     let errors = [
-        text(request_class(&mut routes, "one-more".into())),
-        text(tenant(&mut tenants, "one-more".into())),
+        error_text(add_request_class(&mut classes, "one-more".into())),
+        error_text(add_tenant(&mut tenants, "one-more".into())),
         error_of_flat(settings.collect()),
         error_of_long_name("op_types.0.name"),
         error_of_long_name("tenants.0.name"),
@@ -85,46 +85,46 @@
 
 /// A name that counts how many others it is compared with.
 #[derive(Clone, Debug)]
-struct Counted(u64);
+struct CountingName(u64);
 
-impl PartialEq for Counted {
+impl PartialEq for CountingName {
     fn eq(&self, other: &Self) -> bool {
         COMPARISONS.set(COMPARISONS.get() + 1);
         self.0 == other.0
     }
 }
 
-impl Eq for Counted {}
+impl Eq for CountingName {}
 
-impl Hash for Counted {
+impl Hash for CountingName {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.0.hash(state);
     }
 }
 
-type Find<'a> = &'a dyn Fn(&Table<u64, Counted>, &Counted) -> Option<usize>;
+type Lookup<'a> = &'a dyn Fn(&Table<u64, CountingName>, &CountingName) -> Option<usize>;
 
 /// Mean number of names compared in a hundred look-ups across a table of this size, one of an absent name included.
-fn comparisons_per_look_up(size: u64, find: Find) -> f64 {
+fn comparisons_per_lookup(size: u64, find: Lookup) -> f64 {
     let mut table = Table::default();
-    (0..size).for_each(|i| _ = table.add(Some(Counted(i)), i));
+    (0..size).for_each(|i| _ = table.add(Some(CountingName(i)), i));
     COMPARISONS.set(0);
     for i in 0..100 {
-        let name = Counted(i * size / 99);
+        let name = CountingName(i * size / 99);
         assert_eq!(find(&table, &name).is_some(), name.0 < size);
     }
     COMPARISONS.get() as f64 / 100.0
 }
 
 #[test]
-fn look_up_cost_does_not_grow_with_the_table_and_a_scan_is_detected() {
-    let grows = |find: Find| {
-        comparisons_per_look_up(42_000, find) > 1.2 * comparisons_per_look_up(420, find).max(1.0)
+fn lookup_cost_does_not_grow_with_table_size() {
+    let grows = |find: Lookup| {
+        comparisons_per_lookup(42_000, find) > 1.2 * comparisons_per_lookup(420, find).max(1.0)
     };
     assert!(!grows(&|table, name| table.find(name)));
     // Shows that the check above would detect a scan of the table.
-    let scan = |table: &Table<u64, Counted>, name: &Counted| {
-        table.in_order().into_iter().find(|entry| Counted(*entry.value) == *name).map(|entry| entry.id)
+    let scan = |table: &Table<u64, CountingName>, name: &CountingName| {
+        table.in_order().into_iter().find(|entry| CountingName(*entry.value) == *name).map(|entry| entry.id)
     };
     assert!(grows(&scan));
 }
@@ -141,18 +141,18 @@
 }
 
 #[test]
-fn learned_values_are_kept_for_recently_seen_keys_only() {
-    let mut lately: RecentlySeen<u64, u64, RECENTLY_SEEN_CAPACITY> = RecentlySeen::default();
-    let mut most = 0;
-    for who in 0..200_000 {
-        *lately.touch(who) = who;
-        lately.touch(7);
-        most = most.max(lately.len());
+fn recently_seen_map_keeps_only_the_latest_keys() {
+    let mut recently_seen: RecentlySeen<u64, u64, RECENTLY_SEEN_CAPACITY> = RecentlySeen::default();
+    let mut max_len = 0;
+    for key in 0..200_000 {
+        *recently_seen.touch(key) = key;
+        recently_seen.touch(7);
+        max_len = max_len.max(recently_seen.len());
     }
-    assert_eq!(most, RECENTLY_SEEN_CAPACITY);
-    assert!(lately.len() >= RECENTLY_SEEN_CAPACITY / 2);
+    assert_eq!(max_len, RECENTLY_SEEN_CAPACITY);
+    assert!(recently_seen.len() >= RECENTLY_SEEN_CAPACITY / 2);
     assert_eq!(
-        (lately.get(&199_999), lately.get(&7).is_some(), lately.get(&0)),
+        (recently_seen.get(&199_999), recently_seen.get(&7).is_some(), recently_seen.get(&0)),
         (Some(&199_999), true, None)
     );
 }
--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -14,45 +14,46 @@
 use std::fmt::Write as _;
 
 /// Three request classes and two tenants; each `key=value` in `edits` replaces that of its key.
-fn file(edits: &str) -> String {
-    let plain = "op_types.0.name=view op_types.1.name=book op_types.1.target_latency_us=1000000 \
+fn file_with(edits: &str) -> String {
+    let base = "op_types.0.name=view op_types.1.name=book op_types.1.target_latency_us=1000000 \
         op_types.1.op_timeout_us=4000000 op_types.1.repeats=keyed op_types.1.window_us=5000000 \
         op_types.2.name=pay op_types.2.target_latency_us=1000000 op_types.2.op_timeout_us=4000000 \
         op_types.2.repeats=non-retryable tenants.0.name=a tenants.0.quota_per_s=50 tenants.1.name=b \
         tenants.1.quota_per_s=50 ";
-    plain.to_string() + edits
+    base.to_string() + edits
 }
 
 /// The same without some request classes or tenants; those left are numbered again.
-fn without(gone: &[&str], edits: &str) -> String {
-    let all: Vec<String> = file(edits).split_whitespace().map(String::from).collect();
+fn file_without(removed: &[&str], edits: &str) -> String {
+    let words: Vec<String> = file_with(edits).split_whitespace().map(String::from).collect();
     let mut out = String::new();
     for table in ["op_types", "tenants"] {
-        let mut at = 0;
-        for old in 0..3 {
-            let prefix = format!("{table}.{old}.");
-            let of: Vec<&String> = all.iter().filter(|word| word.starts_with(&prefix)).collect();
-            if of.is_empty() || gone.iter().any(|name| of.contains(&&format!("{prefix}name={name}"))) {
+        let mut index = 0;
+        for old_index in 0..3 {
+            let prefix = format!("{table}.{old_index}.");
+            let entry: Vec<&String> = words.iter().filter(|word| word.starts_with(&prefix)).collect();
+            if entry.is_empty() || removed.iter().any(|name| entry.contains(&&format!("{prefix}name={name}")))
+            {
                 continue;
             }
-            for word in of {
-                let _ = write!(out, "{table}.{at}.{} ", &word[prefix.len()..]);
+            for word in entry {
+                let _ = write!(out, "{table}.{index}.{} ", &word[prefix.len()..]);
             }
-            at += 1;
+            index += 1;
         }
     }
     out + "op_types.0.target_latency_us=1000000 op_types.0.op_timeout_us=4000000"
 }
 
 fn harness() -> Harness {
-    let mut harness = Harness::new(&file(""));
+    let mut harness = Harness::new(&file_with(""));
     harness.decide();
     harness.take_trace(&[]);
     harness
 }
 
 #[test]
-fn requests_in_progress_keep_the_terms_under_which_they_were_read() {
+fn requests_in_progress_keep_the_terms_of_their_arrival() {
     let mut harness = harness();
     // Two run and two are queued by the old terms; the first is idempotent, so its call may be retried.
     for (name, request_class) in [("one", 0), ("two", 0), ("old-low", 0), ("old-pay", 2)] {
@@ -61,7 +62,7 @@
     }
     harness.decide();
     harness.call_requested("one").decide();
-    let changed = harness.apply_settings(&file(
+    let changed = harness.apply_settings(&file_with(
         "op_types.0.importance=9 op_types.0.op_timeout_us=900000 op_types.0.target_latency_us=800000 \
          op_types.0.repeats=non-retryable tenants.0.quota_per_s=5",
     ));
@@ -105,15 +106,15 @@
     harness.receive("runs-too", RequestSpec { request_class: 0, ..RequestSpec::default() });
     harness.receive("waits", RequestSpec { request_class: 2, ..RequestSpec::default() });
     harness.decide();
-    harness.apply_settings(&without(&["pay"], "")).expect("a valid change");
+    harness.apply_settings(&file_without(&["pay"], "")).expect("a valid change");
     harness.receive("late", RequestSpec { request_class: 2, ..RequestSpec::default() });
     harness.decide();
     harness.at(50).finish_run("runs", Outcome::Ok).decide();
     harness.at(90).finish_run("waits", Outcome::Ok).decide();
-    harness.apply_settings(&file("")).expect("a valid change");
-    let again = harness.catalog.borrow().find_request_class("pay").expect("in force again").0;
-    assert_eq!(again.0, 3, "another id than before");
-    harness.receive("back", RequestSpec { request_class: again.0, ..RequestSpec::default() });
+    harness.apply_settings(&file_with("")).expect("a valid change");
+    let new_id = harness.catalog.borrow().find_request_class("pay").expect("in force again").0;
+    assert_eq!(new_id.0, 3, "another id than before");
+    harness.receive("back", RequestSpec { request_class: new_id.0, ..RequestSpec::default() });
     harness.decide();
     expect![[r#"
         0     Run(runs)
@@ -126,14 +127,14 @@
 }
 
 #[test]
-fn unsafe_changes_are_refused_with_their_key_and_no_part_applies() {
+fn unsafe_change_is_refused_whole_and_names_the_key() {
     let mut harness = harness();
     let in_force = |harness: &Harness| {
         let catalog = harness.catalog.borrow();
         format!("{:?} {:?} {:?}", catalog.request_classes(), catalog.tenants(), catalog.flat_settings())
     };
     let before = in_force(&harness);
-    let many: String = (2..MAX_EDITS + 4).map(|i| format!(" tenants.{i}.name=n{i}")).collect();
+    let too_many: String = (2..MAX_EDITS + 4).map(|i| format!(" tenants.{i}.name=n{i}")).collect();
     // Stands beside each fault; alone it is accepted.
     let valid = "op_types.0.importance=9 tenants.1.quota_per_s=70 ";
     let faults = [
@@ -153,20 +154,20 @@
         "rules.drain_grace_us=1",
         "new.figure=1",
         "limits.max_retry_after_us=-1",
-        &many,
+        &too_many,
     ];
     let mut errors = String::new();
     for fault in faults {
-        let why = harness.apply_settings(&file(&format!("{valid}{fault}"))).expect_err(fault);
-        let _ = writeln!(errors, "{why}");
+        let error = harness.apply_settings(&file_with(&format!("{valid}{fault}"))).expect_err(fault);
+        let _ = writeln!(errors, "{error}");
         assert_eq!(in_force(&harness), before, "{fault}");
     }
     for other in ["op_types.0.name=x op_types.0.target_latency_us=9", "tenants.0.name=x"] {
-        let file = file("").replace("view", "x1").replace("book", "x2").replace("pay", "x3");
+        let file = file_with("").replace("view", "x1").replace("book", "x2").replace("pay", "x3");
         let file = if other.starts_with("op") {
             file
         } else {
-            self::file("").replace("name=a", "name=c").replace("name=b", "name=d")
+            file_with("").replace("name=a", "name=c").replace("name=b", "name=d")
         };
         let _ = writeln!(errors, "{}", harness.apply_settings(&file).expect_err(other));
         assert_eq!(in_force(&harness), before, "{other}");
@@ -192,15 +193,15 @@
         settings.lanes: none of those in force is left: another installation's file
         settings.orgs: none of those in force is left: another installation's file
     "#]].assert_eq(&errors);
-    harness.apply_settings(&file(valid)).expect("a valid change");
+    harness.apply_settings(&file_with(valid)).expect("a valid change");
 }
 
 #[test]
-fn a_removed_class_may_not_return_with_less_deduplication_while_its_keys_are_stored() {
+fn removed_class_cannot_return_unkeyed_while_keys_are_stored() {
     let mut harness = harness();
-    harness.apply_settings(&without(&["book"], "")).expect("a valid change");
+    harness.apply_settings(&file_without(&["book"], "")).expect("a valid change");
     let back = |repeats: &str| {
-        file("").replace("op_types.1.repeats=keyed", &format!("op_types.1.repeats={repeats}"))
+        file_with("").replace("op_types.1.repeats=keyed", &format!("op_types.1.repeats={repeats}"))
     };
     let early = harness.apply_settings(&back("retryable")).expect_err("its keys are stored");
     harness.at(20_999);
@@ -217,7 +218,7 @@
 }
 
 #[test]
-fn admission_rate_learned_values_and_active_sessions_survive_a_change() {
+fn change_keeps_admission_rate_profiles_and_sessions() {
     let (mut changed, mut unchanged) = (harness(), harness());
     let mut seen = [String::new(), String::new()];
     for (harness, seen) in [&mut changed, &mut unchanged].into_iter().zip(&mut seen) {
@@ -226,7 +227,9 @@
         harness.offer_load(6000, 20);
         *seen = harness.take_trace(&["mode rate_limited"]);
     }
-    changed.apply_settings(&file("op_types.2.importance=3 tenants.1.quota_per_s=9")).expect("a valid change");
+    changed
+        .apply_settings(&file_with("op_types.2.importance=3 tenants.1.quota_per_s=9"))
+        .expect("a valid change");
     for (harness, seen) in [&mut changed, &mut unchanged].into_iter().zip(&mut seen) {
         harness.offer_load(6000, 20);
         *seen += &harness.take_trace(&["mode"]);
@@ -236,25 +239,25 @@
 }
 
 /// Counts the final responses of each request among the decisions.
-fn count_responses(all: &mut BTreeMap<String, u32>, decisions: &[Decision]) {
+fn count_responses(responses: &mut BTreeMap<String, u32>, decisions: &[Decision]) {
     for decision in decisions {
         if let Decision::Reject { request, .. } | Decision::Fail(request) = decision {
-            *all.entry(request.to_string()).or_default() += 1;
+            *responses.entry(request.to_string()).or_default() += 1;
         }
     }
 }
 
 #[test]
-fn thirty_changes_in_a_minute_and_one_while_draining_lose_no_response() {
-    let mut chance = Pcg::new(5);
+fn frequent_changes_and_draining_lose_no_response() {
+    let mut random = Pcg::new(5);
     let mut harness = harness();
-    let (mut answered, mut read, mut ends) = (BTreeMap::new(), 0, BTreeMap::new());
+    let (mut responses, mut received, mut run_ends) = (BTreeMap::new(), 0, BTreeMap::new());
     for step in 0..6000u64 {
         harness.at(step * 10);
         if step % 200 == 100 {
-            let gone: &[&str] = if step % 400 == 100 { &["pay"] } else { &[] };
-            let more = format!("op_types.0.importance={} tenants.0.quota_per_s={}", 1 + step % 7, step);
-            harness.apply_settings(&without(gone, &more)).expect("a valid change");
+            let removed: &[&str] = if step % 400 == 100 { &["pay"] } else { &[] };
+            let edits = format!("op_types.0.importance={} tenants.0.quota_per_s={}", 1 + step % 7, step);
+            harness.apply_settings(&file_without(removed, &edits)).expect("a valid change");
         }
         if step == 5500 {
             harness.controller.shutdown_notice(harness.now, harness.now + Duration::from_ms(4000));
@@ -262,120 +265,120 @@
         if step < 5500 {
             for name in ["view", "book", "pay"] {
                 let id = harness.catalog.borrow().find_request_class(name).map(|(id, _)| id.0);
-                if let Some(request_class) = id.filter(|_| chance.draw_fraction() < 0.08) {
-                    read += 1;
-                    let (user, tenant) = (format!("u{}", read % 50), read % 2);
+                if let Some(request_class) = id.filter(|_| random.draw_fraction() < 0.08) {
+                    received += 1;
+                    let (user, tenant) = (format!("u{}", received % 50), received % 2);
                     harness.receive(
-                        &format!("op{read}"),
+                        &format!("op{received}"),
                         RequestSpec { request_class, tenant, session: &user, ..RequestSpec::default() },
                     );
                 }
             }
         }
-        let over: Vec<String> = ends
+        let finished: Vec<String> = run_ends
             .iter()
             .filter(|(_, at)| **at <= step)
             .map(|(request, _): (&String, _)| request.clone())
             .collect();
-        for request in over {
-            ends.remove(&request);
+        for request in finished {
+            run_ends.remove(&request);
             harness.finish_run(&request, Outcome::Ok);
-            *answered.entry(request).or_default() += 1;
+            *responses.entry(request).or_default() += 1;
         }
         if step % 4 == 0 {
-            harness.tick(ends.len() as f64);
+            harness.tick(run_ends.len() as f64);
         }
         let decisions = harness.decide();
-        count_responses(&mut answered, &decisions);
+        count_responses(&mut responses, &decisions);
         for decision in &decisions {
             let name = |request: &hazelspur::RequestId| request.to_string().trim_end_matches('-').to_string();
             match decision {
                 Decision::Run(request) => {
-                    ends.insert(name(request), step + 5 + u64::from(chance.draw() % 40));
+                    run_ends.insert(name(request), step + 5 + u64::from(random.draw() % 40));
                 }
                 // The response was sent already: the end of the run is no second one.
                 Decision::Preempt(request) => {
-                    ends.remove(&name(request));
+                    run_ends.remove(&name(request));
                     harness.finish_run(&name(request), Outcome::Preempted);
                 }
                 _ => {}
             }
         }
     }
-    let answered: BTreeMap<String, u32> =
-        answered.into_iter().fold(BTreeMap::new(), |mut all, (request, n): (String, u32)| {
+    let responses: BTreeMap<String, u32> =
+        responses.into_iter().fold(BTreeMap::new(), |mut all, (request, n): (String, u32)| {
             *all.entry(request.trim_end_matches('-').to_string()).or_default() += n;
             all
         });
-    assert!(read > 1000, "{read}");
-    assert_eq!(answered.len(), read, "each request has a response");
-    let twice: Vec<&String> = answered.iter().filter(|(_, n)| **n > 1).map(|(request, _)| request).collect();
+    assert!(received > 1000, "{received}");
+    assert_eq!(responses.len(), received, "each request has a response");
+    let twice: Vec<&String> = responses.iter().filter(|(_, n)| **n > 1).map(|(request, _)| request).collect();
     assert!(twice.is_empty(), "{twice:?}");
 }
 
 /// Random request classes and tenants with random terms.
-fn random_entries(chance: &mut Pcg) -> Vec<(String, SettingValue)> {
-    let mut words: Vec<(String, SettingValue)> = Vec::new();
-    for (table, most) in [("op_types", 9), ("tenants", 7)] {
-        let mut at = 0;
-        for of in 0..most {
+fn random_entries(random: &mut Pcg) -> Vec<(String, SettingValue)> {
+    let mut settings: Vec<(String, SettingValue)> = Vec::new();
+    for (table, max_entries) in [("op_types", 9), ("tenants", 7)] {
+        let mut index = 0;
+        for number in 0..max_entries {
             // The first entry stays, so that no change removes a whole table.
-            if of > 0 && chance.draw_fraction() < 0.4 {
+            if number > 0 && random.draw_fraction() < 0.4 {
                 continue;
             }
-            let mut put = |key: &str, fact| words.push((format!("{table}.{at}.{key}"), fact));
-            put("name", SettingValue::Text(format!("{table}{of}")));
+            let mut put = |key: &str, value| settings.push((format!("{table}.{index}.{key}"), value));
+            put("name", SettingValue::Text(format!("{table}{number}")));
             if table == "op_types" {
-                put("target_latency_us", SettingValue::Number(f64::from(chance.draw() % 3 + 1) * 1e5));
+                put("target_latency_us", SettingValue::Number(f64::from(random.draw() % 3 + 1) * 1e5));
                 put(
                     "repeats",
-                    SettingValue::Text(["retryable", "non-retryable"][chance.draw() as usize % 2].into()),
+                    SettingValue::Text(["retryable", "non-retryable"][random.draw() as usize % 2].into()),
                 );
             } else {
-                put("quota_per_s", SettingValue::Number(f64::from(chance.draw() % 5)));
+                put("quota_per_s", SettingValue::Number(f64::from(random.draw() % 5)));
             }
-            at += 1;
+            index += 1;
         }
     }
-    words
+    settings
 }
 
 #[test]
-fn after_any_sequence_of_changes_the_catalog_equals_the_last_file() {
-    let (mut most_id, mut changes) = (0, 0);
+fn catalog_after_random_changes_equals_the_last_file() {
+    let (mut max_id, mut changes) = (0, 0);
     for seed in 0..40 {
-        let mut chance = Pcg::new(seed);
+        let mut random = Pcg::new(seed);
         let mut harness = Harness::new("op_types.0.name=op_types0 tenants.0.name=tenants0");
         let mut names: BTreeMap<usize, String> = BTreeMap::new();
         for _ in 0..40 {
-            let more: String = random_entries(&mut chance)
+            let file: String = random_entries(&mut random)
                 .into_iter()
-                .map(|(key, fact)| match fact {
+                .map(|(key, value)| match value {
                     SettingValue::Number(n) => format!("{key}={n} "),
                     SettingValue::Text(text) => format!("{key}={text} "),
                 })
                 .collect();
-            harness.apply_settings(&more).expect("a valid change");
+            harness.apply_settings(&file).expect("a valid change");
             changes += 1;
-            let fresh = Catalog::from_flat(flat_settings(&more)).expect("valid settings");
+            let fresh = Catalog::from_flat(flat_settings(&file)).expect("valid settings");
             let in_force = harness.catalog.borrow();
-            let by_name = |catalog: &Catalog| {
-                let mut all: Vec<String> =
-                    catalog.request_classes().iter().map(|(_, of)| format!("{of:?}")).collect();
-                all.extend(catalog.tenants().iter().map(|(_, of)| format!("{of:?}")));
-                all.sort();
-                let first = catalog.find_tenant(None).map(|(_, name)| name);
-                (all, catalog.flat_settings().clone(), first)
+            let contents = |catalog: &Catalog| {
+                let mut entries: Vec<String> =
+                    catalog.request_classes().iter().map(|(_, entry)| format!("{entry:?}")).collect();
+                entries.extend(catalog.tenants().iter().map(|(_, entry)| format!("{entry:?}")));
+                entries.sort();
+                let default_tenant = catalog.find_tenant(None).map(|(_, name)| name);
+                (entries, catalog.flat_settings().clone(), default_tenant)
             };
-            assert_eq!(by_name(&in_force), by_name(&fresh), "seed {seed}: {more}");
-            for (id, terms) in in_force.request_classes() {
-                most_id = most_id.max(id.0);
-                let of = names.entry(id.0).or_insert_with(|| terms.name.to_string());
-                assert_eq!(**of, *terms.name, "an id keeps its name");
+            assert_eq!(contents(&in_force), contents(&fresh), "seed {seed}: {file}");
+            for (id, class) in in_force.request_classes() {
+                max_id = max_id.max(id.0);
+                let name = names.entry(id.0).or_insert_with(|| class.name.to_string());
+                assert_eq!(**name, *class.name, "an id keeps its name");
             }
         }
     }
-    assert!(changes == 1600 && most_id > 50, "{changes} {most_id}");
+    assert!(changes == 1600 && max_id > 50, "{changes} {max_id}");
 }
 
 /// A change of one setting; `None` removes its key.
@@ -385,7 +388,7 @@
 }
 
 #[test]
-fn a_changed_setting_applies_and_a_removed_one_returns_to_the_figure_of_the_start() {
+fn removed_setting_falls_back_to_its_start_value() {
     let settings = ControllerSettings { cores: 4.0, servers: 7.0, ..ControllerSettings::default() };
     let mut catalog = Catalog::with_settings(settings);
     let now = Timestamp::default();
--- a/tests/fleet_totals.rs
+++ b/tests/fleet_totals.rs
@@ -20,27 +20,27 @@
 /// How long a cancelled call goes on loading the dependency (`lingers_us` of the settings).
 const RESIDUAL_LOAD: Duration = Duration::from_ms(200);
 /// How long the dependency is loaded.
-const CALL_TEST_LENGTH: Duration = Duration::from_ms(10_000);
+const CALL_TEST_DURATION: Duration = Duration::from_ms(10_000);
 /// Seeds of each setup with calls.
-const SEEDS: u64 = 3;
+const SEED_COUNT: u64 = 3;
 /// How long servers run that may change their mode together.
-const MODE_TEST_LENGTH: Duration = Duration::from_ms(20_000);
+const MODE_TEST_DURATION: Duration = Duration::from_ms(20_000);
 /// Servers that may change their mode together.
 const MODE_TEST_SERVERS: usize = 30;
 /// Retries and changes of the mode are counted in bins of this time.
-const BIN: Duration = Duration::from_ms(100);
+const BIN_WIDTH: Duration = Duration::from_ms(100);
 
 /// How calls are answered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Dependency {
     /// In 20 to 200 ms.
-    Well,
+    Healthy,
     /// In 400 to 1,600 ms.
     Slow,
     /// Not at all: each call goes on until its timeout ends.
     Silent,
     /// It rejects every second call.
-    Full,
+    Overloaded,
 }
 
 /// When a call ends, and how.
@@ -52,13 +52,13 @@
 
 impl Dependency {
     /// How a call that starts now ends.
-    fn answer(self, now: Timestamp, timeout: Duration, random: &mut Pcg) -> CallEnd {
+    fn call_end(self, now: Timestamp, timeout: Duration, random: &mut Pcg) -> CallEnd {
         let (latency, outcome) = match self {
-            Self::Well => (between_ms(random, 20, 200), Outcome::Ok),
+            Self::Healthy => (between_ms(random, 20, 200), Outcome::Ok),
             Self::Slow => (between_ms(random, 400, 1600), Outcome::Ok),
-            Self::Silent => (CALL_TEST_LENGTH, Outcome::Ok),
-            Self::Full if random.draw_fraction() < 0.5 => (STEP, Outcome::Rejected),
-            Self::Full => (between_ms(random, 20, 200), Outcome::Ok),
+            Self::Silent => (CALL_TEST_DURATION, Outcome::Ok),
+            Self::Overloaded if random.draw_fraction() < 0.5 => (STEP, Outcome::Rejected),
+            Self::Overloaded => (between_ms(random, 20, 200), Outcome::Ok),
         };
         if latency < timeout {
             CallEnd { at: now + latency, outcome }
@@ -181,7 +181,7 @@
                 self.run_ends.insert(request, now + Duration::from_ms(20));
             }
             Decision::StartCall { request, timeout } => {
-                self.calls.insert(request, dependency.answer(now, timeout, random));
+                self.calls.insert(request, dependency.call_end(now, timeout, random));
             }
             Decision::Fail(request) | Decision::Reject { request, .. } => {
                 self.run_ends.remove(&request);
@@ -256,10 +256,11 @@
     let (mut loads, mut started) = (VecDeque::new(), VecDeque::new());
     let (mut max_load, mut max_started) = (0.0f64, 0);
     let mut now = START;
-    while now < START + CALL_TEST_LENGTH {
+    while now < START + CALL_TEST_DURATION {
         now = now + STEP;
-        let up = fleet.iter_mut().filter(|server| server.starts_at <= now);
-        let started_now: usize = up.map(|server| server.step_with_calls(now, dependency, &mut random)).sum();
+        let started_servers = fleet.iter_mut().filter(|server| server.starts_at <= now);
+        let started_now: usize =
+            started_servers.map(|server| server.step_with_calls(now, dependency, &mut random)).sum();
         loads.push_back(fleet.iter().map(Server::call_load).sum::<usize>() as f64);
         started.push_back(started_now);
         if loads.len() as u64 > OVERLOAD_TOLERANCE.us() / STEP.us() {
@@ -277,11 +278,11 @@
 fn cold_servers_together_stay_within_the_limit_of_the_dependency() {
     let mut report = String::new();
     let mut over_limit = Vec::new();
-    for dependency in [Dependency::Well, Dependency::Slow, Dependency::Silent, Dependency::Full] {
+    for dependency in [Dependency::Healthy, Dependency::Slow, Dependency::Silent, Dependency::Overloaded] {
         for servers in [1, 10, 20, 30] {
             for limit in [3.0, 12.0] {
                 let peaks: Vec<CallPeak> =
-                    (0..SEEDS).map(|seed| call_peak(servers, limit, dependency, seed)).collect();
+                    (0..SEED_COUNT).map(|seed| call_peak(servers, limit, dependency, seed)).collect();
                 let load = peaks.iter().map(|peak| peak.load_over_limit).fold(0.0, f64::max);
                 let started = peaks.iter().map(|peak| peak.started).max().unwrap_or(0);
                 let line = format!(
@@ -307,7 +308,7 @@
 
 impl BinCounts {
     fn bin(at: Timestamp) -> u64 {
-        (at - START).us() / BIN.us()
+        (at - START).us() / BIN_WIDTH.us()
     }
 
     fn record_mode_change(&mut self, at: Timestamp) {
@@ -329,7 +330,7 @@
         .collect();
     let mut counts = BinCounts::default();
     let mut now = START;
-    while now < START + MODE_TEST_LENGTH {
+    while now < START + MODE_TEST_DURATION {
         now = now + STEP;
         for server in &mut fleet {
             server.step_overloaded(now, &mut random, &mut counts);
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -83,27 +83,27 @@
     RequestId::parse(&format!("{name:-<36}")).expect("a short name")
 }
 
-/// Two cores, ample memory, one idempotent request class with a latency objective of 1 s, overridden by `more`.
-pub(crate) fn flat_settings(more: &str) -> FlatSettings {
-    let plain = "server.cores=2 server.memory_kb=100000 server.run_factor=8 server.stop=drop \
+/// Two cores, ample memory, one idempotent request class with a latency objective of 1 s, overridden by `overrides`.
+pub(crate) fn flat_settings(overrides: &str) -> FlatSettings {
+    let defaults = "server.cores=2 server.memory_kb=100000 server.run_factor=8 server.stop=drop \
         rules.crowd_multiple=5 rules.cold_share=0.2 rules.cold_us=10000000 rules.drain_grace_us=2000000 \
         limits.retry_after=1 limits.max_retry_after_us=1000000 counted_by=op servers=1 \
         op_types.0.target_latency_us=1000000 op_types.0.op_timeout_us=4000000 op_types.0.repeats=retryable";
-    let pair = |pair: &str| {
+    let parse_pair = |pair: &str| {
         let (name, value) = pair.split_once('=').expect("name=value");
         (
             name.to_string(),
             value.parse().map_or_else(|_| SettingValue::Text(value.into()), SettingValue::Number),
         )
     };
-    plain.split_whitespace().chain(more.split_whitespace()).map(pair).collect()
+    defaults.split_whitespace().chain(overrides.split_whitespace()).map(parse_pair).collect()
 }
 
 impl Harness {
-    /// A controller with the settings of `flat_settings(more)`.
-    pub(crate) fn new(more: &str) -> Self {
+    /// A controller with the settings of `flat_settings(overrides)`.
+    pub(crate) fn new(overrides: &str) -> Self {
         let now = Timestamp::from_us(50_000_000);
-        let catalog = Catalog::from_flat(flat_settings(more)).expect("valid settings");
+        let catalog = Catalog::from_flat(flat_settings(overrides)).expect("valid settings");
         let cold = catalog.settings().starts_cold;
         let catalog = Rc::new(RefCell::new(catalog));
         let controller = AdmissionController::with(catalog.clone(), cold, 7, now);
@@ -120,11 +120,11 @@
     }
 
     /// Applies the settings of a newer file, or returns why they are refused.
-    pub(crate) fn apply_settings(&mut self, more: &str) -> Result<ChangeSummary, ConfigError> {
+    pub(crate) fn apply_settings(&mut self, overrides: &str) -> Result<ChangeSummary, ConfigError> {
         let change = {
             let in_force = self.catalog.borrow();
             let mut difference = Difference::new(&in_force);
-            let rest = read_flat_entries(&mut difference, flat_settings(more))?;
+            let rest = read_flat_entries(&mut difference, flat_settings(overrides))?;
             difference.complete(&rest)?
         };
         self.controller.apply_change(self.now, &change)
@@ -199,14 +199,14 @@
 
     /// Receives `per_s` requests a second, each of a new session, for `ms`; each run ends after `run_time`.
     pub(crate) fn offer_load(&mut self, ms: u64, per_s: u64) -> &mut Self {
-        let from = self.now;
+        let load_start = self.now;
         let mut received = 0;
-        while self.now - from < Duration::from_ms(ms) {
+        while self.now - load_start < Duration::from_ms(ms) {
             self.now = self.now + LOAD_STEP;
             self.finish_due_runs();
-            while received < (self.now - from).us() * per_s / 1_000_000 {
+            while received < (self.now - load_start).us() * per_s / 1_000_000 {
                 received += 1;
-                let name = format!("n{}x{received}", (from - self.start).us());
+                let name = format!("n{}x{received}", (load_start - self.start).us());
                 self.receive(&name, RequestSpec { session: &name, ..RequestSpec::default() });
             }
             if (self.now - self.start).us().is_multiple_of(TICK_MS * 1000) {
--- a/tests/known_failures.rs
+++ b/tests/known_failures.rs
@@ -23,8 +23,8 @@
 }
 
 /// Judges a run that printed `output` and ended with `status`, beside `list` as KNOWN-RED.txt if there is one.
-fn judge(name: &str, output: &str, status: u8, list: Option<&str>) -> Verdict {
-    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
+fn judge(case: &str, output: &str, status: u8, list: Option<&str>) -> Verdict {
+    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(case);
     std::fs::create_dir_all(&folder).expect("a folder for the test");
     let (printed, known) = (folder.join("printed.txt"), folder.join("KNOWN-RED.txt"));
     std::fs::write(&printed, output).expect("the output is written");
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_run_without_failures_passes_and_one_with_an_unlisted_failure_fails() {
+fn clean_run_passes_and_an_unlisted_failure_fails_the_run() {
     assert!(judge("sound", "test sound ... ok\ntest result: ok. 1 passed\n", 0, None).passes);
     let unlisted = judge("unlisted", ONE_FAILURE, 101, None);
     assert!(!unlisted.passes);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn an_entry_without_all_four_parts_fails_the_run() {
+fn entry_without_exactly_four_parts_fails_the_run() {
     for (case, entry) in [
         ("three", "fault | answered twice | 36\n"),
         ("blank", "fault | cargo test fault | | 36\n"),
@@ -72,17 +72,17 @@
 }
 
 #[test]
-fn a_listed_test_that_was_not_run_and_a_fourth_entry_fail_the_run() {
-    let gone = judge("gone", ONE_FAILURE, 101, Some("gone | cargo test gone | answered twice | 36\n"));
-    assert!(!gone.passes);
-    assert_eq!(gone.printed, "known red: there is no test 'gone'\n");
+fn absent_listed_test_or_a_fourth_entry_fails_the_run() {
+    let absent = judge("gone", ONE_FAILURE, 101, Some("gone | cargo test gone | answered twice | 36\n"));
+    assert!(!absent.passes);
+    assert_eq!(absent.printed, "known red: there is no test 'gone'\n");
     let four = judge("four", ONE_FAILURE, 101, Some(&COMPLETE_ENTRY.repeat(4)));
     assert!(!four.passes);
     assert_eq!(four.printed, "known red: 4 entries, at most 3\n");
 }
 
 #[test]
-fn a_test_binary_that_did_not_end_fails_the_run_beside_a_listed_failure() {
+fn crashed_test_binary_fails_the_run() {
     let crashed = format!("{ONE_FAILURE}    `-p package --test third`\n");
     let verdict = judge("crashed", &crashed, 101, Some(COMPLETE_ENTRY));
     assert!(!verdict.passes);
