--- a/crates/hazelspur-adapter/tests/wire.rs
+++ b/crates/hazelspur-adapter/tests/wire.rs
@@ -84,9 +84,9 @@
         line 4: field telemetry is unreadable: TIMER nonce=beat telemetry=on_cores:many
         exit Some(0)
         CONTEXT server-id=server_1
-        GIVE_IN message=setting server.cores is absurd: 0
+        GIVE_IN message=setting server.cores is out of range: 0
         READY
-        line 4: setting server.cores is absurd: 0: ENLIST salt=1 boot-info={"family-info":{"n-cores":0}}
+        line 4: setting server.cores is out of range: 0: ENLIST salt=1 boot-info={"family-info":{"n-cores":0}}
         exit Some(0)
         CONTEXT server-id=server_1
         GIVE_IN message=field boot-info is unreadable
--- a/crates/hazelspur-parsers/tests/settings.rs
+++ b/crates/hazelspur-parsers/tests/settings.rs
@@ -286,21 +286,21 @@
     let seen: String = texts.iter().map(|text| error(text) + "\n").collect();
     expect_test::expect![[r#"
         setting op_types.0.target_latency_us is missing
-        setting op_types.0.target_latency_us is no number
-        setting op_types.0.target_latency_us is absurd: -1
-        setting op_types.0.late_worth is no number
-        setting op_types.0.repeats is not known: perhaps
-        setting op_types.0.novelty is absurd: NaN
-        settings.lanes: a: named twice
-        settings.lanes: there twice
-        settings.lanes.1: 65 figures, 64 at most
-        settings: 4097 figures, 4096 at most
-        setting tenants.0.quota_per_s is no number
-        setting tenants.0.quota_per_s is absurd: -1
-        setting server.cores is absurd: 0
-        setting server.memory_kb is absurd: -1
-        setting rules.cold_us is absurd: -5
-        setting novelty.odd is absurd: NaN
+        setting op_types.0.target_latency_us is not a number
+        setting op_types.0.target_latency_us is out of range: -1
+        setting op_types.0.late_worth is not a number
+        setting op_types.0.repeats has an unknown value: perhaps
+        setting op_types.0.novelty is out of range: NaN
+        settings.lanes: duplicate name a
+        settings.lanes: the table appears twice
+        settings.lanes.1: 65 keys, at most 64 allowed
+        settings: 4097 keys, at most 4096 allowed
+        setting tenants.0.quota_per_s is not a number
+        setting tenants.0.quota_per_s is out of range: -1
+        setting server.cores is out of range: 0
+        setting server.memory_kb is out of range: -1
+        setting rules.cold_us is out of range: -5
+        setting novelty.odd is out of range: NaN
     "#]]
     .assert_eq(&seen);
 }
--- a/crates/hazelspur-server/tests/configuration.rs
+++ b/crates/hazelspur-server/tests/configuration.rs
@@ -71,7 +71,7 @@
         error start refused why="seed: not 16 hexadecimal digits", exit Some(2)
         error start refused why="stop_ms: not a number from 1 to 600000", exit Some(2)
         error start refused why="limits.sockets: not a number from 32 to 10000000", exit Some(2)
-        error start refused why="settings: setting server.cores is absurd: 0", exit Some(2)
+        error start refused why="settings: setting server.cores is out of range: 0", exit Some(2)
         error start refused why="settings.lanes: missing or empty", exit Some(2)
         error start refused why="the configuration is no JSON object", exit Some(2)
     "#]]
--- a/crates/hazelspur-server/tests/settings_reload.rs
+++ b/crates/hazelspur-server/tests/settings_reload.rs
@@ -158,16 +158,16 @@
     }
     expect_test::expect![[r#"
         runtime < sync 0
-        error reload refused, the old configuration stays why="settings: op_types.book.window_us: shorter than that of ops whose keys are kept; waits for the next start"
+        error reload refused, the old configuration stays why="settings: op_types.book.window_us: shorter than the window of keys that are still stored; the change requires a restart"
         runtime < start 0000000000000001 view 5 hello
         gateway < {"jsonrpc":"2.0","id":1,"result":{"data":"ZG9uZQ=="}}
-        error reload refused, the old configuration stays why="settings: op_types.colour: an unknown key, not there at the start"
+        error reload refused, the old configuration stays why="settings: op_types.colour: unknown key, absent at the start"
         runtime < start 0000000000000002 view 5 hello
         gateway < {"jsonrpc":"2.0","id":2,"result":{"data":"ZG9uZQ=="}}
-        error reload refused, the old configuration stays why="settings: setting tenants.0.quota_per_s is absurd: -50"
+        error reload refused, the old configuration stays why="settings: setting tenants.0.quota_per_s is out of range: -50"
         runtime < start 0000000000000003 view 5 hello
         gateway < {"jsonrpc":"2.0","id":3,"result":{"data":"ZG9uZQ=="}}
-        error reload refused, the old configuration stays why="settings: server.cores: waits for the next start"
+        error reload refused, the old configuration stays why="settings: server.cores: the change requires a restart"
         runtime < start 0000000000000004 view 5 hello
         gateway < {"jsonrpc":"2.0","id":4,"result":{"data":"ZG9uZQ=="}}
         error reload refused, the old configuration stays why="settings.lanes: view: the operator's file names it"
@@ -182,7 +182,7 @@
         error reload refused, the old configuration stays why="ROUTER_CONFIG: FILE: 8388609 bytes, 8388608 at most"
         runtime < start 0000000000000008 view 5 hello
         gateway < {"jsonrpc":"2.0","id":8,"result":{"data":"ZG9uZQ=="}}
-        error reload refused, the old configuration stays why="settings: 5018 figures, 4096 at most"
+        error reload refused, the old configuration stays why="settings: 5018 keys, at most 4096 allowed"
         runtime < start 0000000000000009 view 5 hello
         gateway < {"jsonrpc":"2.0","id":9,"result":{"data":"ZG9uZQ=="}}
     "#]].assert_eq(&server.trace);
@@ -309,9 +309,9 @@
         let _ = writeln!(seen, "{text}, exit {:?}", out.status.code());
     }
     expect_test::expect![[r#"
-        error start refused why="settings.lanes: 17401, 17400 at most", exit Some(2)
-        error start refused why="settings.orgs: 84001, 84000 at most", exit Some(2)
-        error start refused why="settings: 5018 figures, 4096 at most", exit Some(2)
+        error start refused why="settings.lanes: 17401 entries, at most 17400 allowed", exit Some(2)
+        error start refused why="settings.orgs: 84001 entries, at most 84000 allowed", exit Some(2)
+        error start refused why="settings: 5018 keys, at most 4096 allowed", exit Some(2)
         error start refused why="ROUTER_CONFIG: FILE: 8388609 bytes, 8388608 at most", exit Some(2)
     "#]]
     .assert_eq(&seen);
--- a/src/config/catalog.rs
+++ b/src/config/catalog.rs
@@ -1,5 +1,7 @@
-//! The configuration in force: request classes and tenants by name or id, and the typed settings. A `Change` alters it
-//! in place. It decides nothing and does no I/O.
+//! The configuration in force: request classes and tenants by name or id, and the typed settings.
+//!
+//! Input: entries from an `EntryVisitor` source and dotted keys at the start, a `Change` at a reload. Output:
+//! look-ups. It takes no admission decisions and does no I/O.
 
 use crate::config::entries::{EntryVisitor, UnknownKeys, check_entry_count, read_flat_entries};
 use crate::config::entry_kind::EntryKind;
@@ -18,24 +20,26 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RemovedClass {
     pub(crate) deduplication_window: Duration,
-    /// Until then retries of its requests may arrive.
+    /// Time until which retries of its requests may arrive.
     pub(crate) retries_until: Timestamp,
 }
 
-/// The configuration in force.
+/// The configuration in force: request classes, tenants and settings.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
     pub(crate) request_classes: Table<Rc<RequestClass>>,
     pub(crate) tenants: Table<Tenant>,
+    /// The tenant of requests that name none: the first tenant of the newest file.
     pub(crate) default_tenant: TenantId,
-    /// The figures that hold where a key is absent.
+    /// Values of the settings whose key is absent.
     defaults: ControllerSettings,
     settings: ControllerSettings,
     pub(crate) flat_settings: FlatSettings,
-    /// Unknown keys of entries in the settings of the start.
+    /// Unknown keys of request classes and tenants in the settings read at the start.
     pub(crate) unknown_keys: UnknownKeys,
-    /// The longest request timeout of the start: results are stored long enough for it.
+    /// Longest request timeout of the classes read at the start. Results are stored long enough for it.
     pub(crate) max_request_timeout: Duration,
+    /// Removed request classes with stored idempotency keys, by name.
     pub(crate) removed_classes: BTreeMap<Arc<str>, RemovedClass>,
 }
 
@@ -61,7 +65,8 @@
     }
 }
 
-/// The name under which an entry is added: none for an empty one. Refuses a name that is in the table.
+/// Returns the name under which an entry is added, or `None` for an empty name. Rejects a name that the table
+/// has.
 fn unused_name<T: Named>(
     entries: &Table<T>,
     name: &Arc<str>,
@@ -77,20 +82,28 @@
 }
 
 impl Catalog {
-    /// A catalog without entries whose settings are given as figures; `visit_request_class` and `visit_tenant` fill it.
+    /// Creates a catalog with these settings and no entries; `visit_request_class` and `visit_tenant` add
+    /// them.
     pub fn with_settings(settings: ControllerSettings) -> Self {
         Self { defaults: settings.clone(), settings, ..Self::default() }
     }
 
-    /// Reads a map of dotted keys: `op_types.0.importance`, `tenants.3.quota_per_s`, `server.cores`.
+    /// Builds a catalog from dotted keys such as `op_types.0.importance`, `tenants.3.quota_per_s` and
+    /// `server.cores`.
+    ///
+    /// # Errors
+    /// The first key or entry that is missing, duplicated or out of its bounds.
     pub fn from_flat(settings: FlatSettings) -> Result<Self, ConfigError> {
         let mut catalog = Self::default();
         let other_settings = read_flat_entries(&mut catalog, settings)?;
         catalog.complete(other_settings)
     }
 
-    /// Adds all settings that are not in a table. The value of answers without dependency calls goes to the request
-    /// classes.
+    /// Adds the settings other than request classes and tenants. The values of responses without a dependency
+    /// call (`server.skip_worth`) move to their request classes.
+    ///
+    /// # Errors
+    /// Too many keys, or a number that is out of range.
     pub fn complete(mut self, mut settings: FlatSettings) -> Result<Self, ConfigError> {
         settings.check()?;
         for id in 0..self.request_classes.len() {
@@ -105,38 +118,39 @@
         Ok(self)
     }
 
-    /// Reads the typed settings from the flat ones again.
+    /// Derives the typed settings from the flat ones again.
     pub(crate) fn update_settings(&mut self) {
         self.settings = self.defaults.overridden_by(&self.flat_settings);
     }
 
-    /// The typed settings beside request classes and tenants.
+    /// Returns the typed settings other than request classes and tenants.
     pub fn settings(&self) -> &ControllerSettings {
         &self.settings
     }
 
-    /// The same settings by dotted key, those included that nothing reads.
+    /// Returns the same settings by dotted key, including keys that nothing reads.
     pub fn flat_settings(&self) -> &FlatSettings {
         &self.flat_settings
     }
 
-    /// The request class of an id.
+    /// Returns the request class with an id.
     pub fn request_class(&self, id: RequestClassId) -> Option<&Rc<RequestClass>> {
         self.request_classes.get(id.0)
     }
 
-    /// The request class of a name.
+    /// Returns the request class with a name, and its id.
     pub fn find_request_class(&self, name: &str) -> Option<(RequestClassId, Rc<RequestClass>)> {
         let id = self.request_classes.find(name)?;
         self.request_classes.get(id).map(|class| (RequestClassId(id), class.clone()))
     }
 
-    /// The tenant of an id.
+    /// Returns the tenant with an id.
     pub fn tenant(&self, id: TenantId) -> Option<&Tenant> {
         self.tenants.get(id.0)
     }
 
-    /// A tenant and its name. Without an owner that is the first tenant, even where no tenant is configured.
+    /// Returns the id and name of the tenant called `owner`. Without an owner this is the default tenant,
+    /// with an empty name where no tenant is configured.
     pub fn find_tenant(&self, owner: Option<&str>) -> Option<(TenantId, Arc<str>)> {
         let id = match owner {
             Some(owner) => TenantId(self.tenants.find(owner)?),
@@ -145,29 +159,29 @@
         Some((id, self.tenant(id).map_or_else(|| "".into(), |tenant| tenant.name.clone())))
     }
 
-    /// All request classes in the order of their ids.
+    /// Returns all request classes in the order of their ids.
     pub fn request_classes(&self) -> Vec<(RequestClassId, &RequestClass)> {
         let entries = self.request_classes.in_order().into_iter();
         entries.map(|entry| (RequestClassId(entry.id), &**entry.value)).collect()
     }
 
-    /// All tenants in the order of their ids.
+    /// Returns all tenants in the order of their ids.
     pub fn tenants(&self) -> Vec<(TenantId, &Tenant)> {
         let entries = self.tenants.in_order().into_iter();
         entries.map(|entry| (TenantId(entry.id), entry.value)).collect()
     }
 
-    /// Number of request classes.
+    /// Returns the number of request classes.
     pub fn request_class_count(&self) -> usize {
         self.request_classes.len()
     }
 
-    /// Number of tenants.
+    /// Returns the number of tenants.
     pub fn tenant_count(&self) -> usize {
         self.tenants.len()
     }
 
-    /// The longest request timeout of the start.
+    /// Returns the longest request timeout of the classes read at the start.
     pub fn max_request_timeout(&self) -> Duration {
         self.max_request_timeout
     }
--- a/src/config/change.rs
+++ b/src/config/change.rs
@@ -1,5 +1,7 @@
-//! A change of the configuration in force: the bounded difference between it and a newer file. `Catalog::check` decides
-//! whether it may apply, `Catalog::apply` applies it.
+//! A change of the configuration in force: the edits that turn it into a newer file, bounded in number.
+//!
+//! `Difference` produces a change, `Catalog::check` decides whether it may apply and `Catalog::apply` applies
+//! it.
 
 use crate::config::flat_settings::SettingValue;
 use crate::config::request_class::RequestClass;
@@ -8,20 +10,20 @@
 use crate::{RequestClassId, TenantId};
 use std::sync::Arc;
 
-/// The most edits of one change; a file that differs in more is a different file.
+/// Maximum number of edits in one change. A file that differs in more is probably another installation's.
 pub const MAX_EDITS: usize = 4096;
 
-/// An edit of one entry.
+/// An edit of one request class or tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Edit<T> {
-    /// Adds an entry, or replaces the one of its name.
+    /// Addition of an entry, or replacement of the one with the same name.
     Put(T),
-    /// Removes the entry of a name.
+    /// Removal of the entry with this name.
     Remove(Arc<str>),
 }
 
 impl<T: Named> Edit<T> {
-    /// Name of the edited entry.
+    /// Returns the name of the edited entry.
     pub fn name(&self) -> &Arc<str> {
         match self {
             Self::Put(entry) => entry.name(),
@@ -30,30 +32,30 @@
     }
 }
 
-/// An edit of one setting beside the tables.
+/// An edit of one setting other than request classes and tenants.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingEdit {
-    /// The dotted key.
+    /// Dotted key of the setting.
     pub key: String,
-    /// Its new value; `None` where the newer file has no such key.
+    /// New value; `None` where the newer file has no such key.
     pub value: Option<SettingValue>,
 }
 
-/// The edits that lead from the configuration in force to a newer one.
+/// The edits that turn the configuration in force into a newer one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Change {
-    /// Edits of request classes.
+    /// Edits of request classes, each name at most once.
     pub request_classes: Vec<Edit<RequestClass>>,
-    /// Edits of tenants.
+    /// Edits of tenants, each name at most once.
     pub tenants: Vec<Edit<Tenant>>,
-    /// Edits of settings beside the tables.
+    /// Edits of the other settings.
     pub settings: Vec<SettingEdit>,
-    /// The tenant of requests that name none, where it becomes another one.
+    /// New tenant of requests that name none; `None` where it stays the same.
     pub default_tenant: Option<Arc<str>>,
 }
 
 impl Change {
-    /// Number of edits.
+    /// Returns the number of edits, a new default tenant included.
     pub fn edit_count(&self) -> usize {
         self.request_classes.len()
             + self.tenants.len()
@@ -61,38 +63,38 @@
             + usize::from(self.default_tenant.is_some())
     }
 
-    /// Whether there is no edit.
+    /// Returns whether the change has no edits.
     pub fn is_empty(&self) -> bool {
         self.edit_count() == 0
     }
 }
 
-/// How many entries of a table a change edited.
+/// Numbers of request classes or tenants that a change edited.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EditCounts {
-    /// New entries.
+    /// Entries that were added.
     pub added: usize,
-    /// Entries with other terms than before.
+    /// Entries that were replaced under the same name and id.
     pub replaced: usize,
-    /// Entries that are no longer in force.
+    /// Entries that were removed.
     pub removed: usize,
 }
 
-/// How much a change edited.
+/// Numbers of edits that a change made.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ChangeSummary {
-    /// Edits of request classes.
+    /// Numbers of edited request classes.
     pub request_classes: EditCounts,
-    /// Edits of tenants.
+    /// Numbers of edited tenants.
     pub tenants: EditCounts,
-    /// Number of edited settings beside the tables.
+    /// Number of edited settings other than request classes and tenants.
     pub settings: usize,
 }
 
 /// The result of applying a change.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AppliedChange {
-    /// How much it edited.
+    /// Numbers of edits that were made.
     pub summary: ChangeSummary,
     /// Ids of the removed request classes.
     pub removed_request_classes: Vec<RequestClassId>,
--- a/src/config/change_apply.rs
+++ b/src/config/change_apply.rs
@@ -1,4 +1,4 @@
-//! Applies a checked change to the configuration in force.
+//! Applies a change to the configuration in force. The caller has checked it with `Catalog::check`.
 
 use crate::config::catalog::{Catalog, RemovedClass};
 use crate::config::change::{AppliedChange, Change, Edit, EditCounts, SettingEdit};
@@ -6,12 +6,14 @@
 use crate::{RequestClassId, TenantId, Timestamp};
 use std::rc::Rc;
 
-/// How long after its deduplication window a retry may arrive, in request timeouts: its client may wait one, then
-/// state its wait as one and a half, and the first attempt may have run for one and a half.
+/// Longest time after the deduplication window at which a retry can still arrive, in request timeouts. It is
+/// the sum of one that the client waits, one and a half that it states as its remaining wait and one and a
+/// half that the first attempt may have run.
 const MAX_RETRY_DELAY_IN_TIMEOUTS: f64 = 4.0;
 
 impl Catalog {
-    /// Applies a change that `check` has accepted. Requests that were read before keep the terms of their class.
+    /// Applies a change that `check` has accepted. Requests that were received earlier keep the settings of
+    /// their class.
     pub fn apply(&mut self, now: Timestamp, change: &Change) -> AppliedChange {
         self.removed_classes.retain(|_, removed| removed.retries_until > now);
         let mut applied = AppliedChange::default();
@@ -71,7 +73,7 @@
     }
 }
 
-/// Adds an entry, or replaces the one of its name, which keeps its id.
+/// Adds an entry, or replaces the one with the same name under its id, and counts the edit.
 fn put<T: Named>(table: &mut Table<T>, entry: T, counts: &mut EditCounts) {
     match table.find(&**entry.name()) {
         Some(id) => {
--- a/src/config/change_check.rs
+++ b/src/config/change_check.rs
@@ -1,5 +1,7 @@
-//! The rules for a change of the configuration in force. A change that breaks one applies in no part; its text names the
-//! key at fault. What can't be safe while requests are being served waits for a restart.
+//! The rules for a change of the configuration in force.
+//!
+//! A change that breaks a rule is rejected as a whole, with an error that names the key at fault. Edits that
+//! would be unsafe while requests are being served are rejected too and need a restart.
 
 use crate::Timestamp;
 use crate::config::catalog::Catalog;
@@ -15,14 +17,14 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The most removed request classes whose idempotency keys are still stored.
+/// Maximum number of removed request classes whose idempotency keys are still stored.
 const MAX_REMOVED_CLASSES: usize = 4096;
 
 impl Catalog {
     /// Checks whether a change may apply as a whole.
     ///
     /// # Errors
-    /// The first rule that it breaks, with the key at fault.
+    /// The first rule that the change breaks, with the key at fault.
     pub fn check(&self, now: Timestamp, change: &Change) -> Result<(), ConfigError> {
         check_edit_count(change)?;
         change.settings.iter().try_for_each(check_setting_edit)?;
@@ -37,7 +39,7 @@
         self.check_default_tenant(change)
     }
 
-    /// Refuses to remove a class with stored keys while too many such removals are remembered.
+    /// Rejects the removal of a class with stored keys while the table of such removed classes is full.
     fn check_removal(&self, name: &str) -> Result<(), ConfigError> {
         let stores_keys = self.find_request_class(name).is_some_and(|(_, class)| class.stores_keys());
         if stores_keys && self.removed_classes.len() >= MAX_REMOVED_CLASSES {
@@ -47,7 +49,7 @@
         Ok(())
     }
 
-    /// Refuses new terms of a class under which a retry of a request whose key is stored could run again.
+    /// Rejects settings of a class under which the retry of a request whose key is stored could run again.
     fn check_stored_keys(&self, now: Timestamp, class: &RequestClass) -> Result<(), ConfigError> {
         let refuse = |key: &'static str, conflict: KeyConflict| {
             let request_class = class.name.to_string();
@@ -71,7 +73,7 @@
         Ok(())
     }
 
-    /// Refuses a first tenant that would not be in force after the change.
+    /// Rejects a default tenant that would not be in force after the change.
     fn check_default_tenant(&self, change: &Change) -> Result<(), ConfigError> {
         match &change.default_tenant {
             Some(name) if !self.has_tenant_after(change, name) => {
@@ -101,8 +103,8 @@
     valid.map_err(|error| ConfigError::InvalidSetting(Box::new(error)))
 }
 
-/// Checks the names of edits, that none stands twice, that the table stays within its bound and that not all entries
-/// of the table go.
+/// Rejects edits with invalid or repeated names, edits that remove absent entries or the whole table, and
+/// edits that make the table exceed its maximum size.
 fn check_table_edits<T: Named, U>(
     table: EntryKind,
     entries: &Table<U>,
--- a/src/config/difference.rs
+++ b/src/config/difference.rs
@@ -1,5 +1,7 @@
-//! Compares the entries of a newer file with the configuration in force, as they are read, and keeps only the edits.
-//! Its memory is bounded by `MAX_EDITS` and the size of the catalog.
+//! Compares a newer file with the configuration in force and returns the edits between them as a `Change`.
+//!
+//! Entries are compared as they are read and only differing ones are kept, so that memory is bounded by
+//! `MAX_EDITS` and the size of the catalog.
 
 use crate::config::catalog::Catalog;
 use crate::config::change::{Change, Edit, MAX_EDITS, SettingEdit};
@@ -13,7 +15,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The comparison of a newer file with the configuration in force.
+/// A comparison in progress of a newer file with the configuration in force.
 pub struct Difference<'a> {
     in_force: &'a Catalog,
     change: Change,
@@ -21,13 +23,14 @@
     tenants: TableComparison,
 }
 
-/// What was read of one table of the newer file.
+/// Progress of the comparison of one table.
 struct TableComparison {
     table: EntryKind,
+    /// Number of entries read from the newer file.
     read_count: usize,
     /// Ids of entries in force that the newer file has too.
     kept_ids: BTreeSet<usize>,
-    /// Names of entries that are not in force.
+    /// Names of entries in the newer file that are not in force.
     new_names: BTreeSet<Arc<str>>,
 }
 
@@ -36,7 +39,8 @@
         Self { table, read_count: 0, kept_ids: BTreeSet::new(), new_names: BTreeSet::new() }
     }
 
-    /// The id in force of the entry that is being read: by name, or by its place where neither has one.
+    /// Returns the id in force of the entry that is being read. Entries match by name, or by index if both
+    /// are unnamed.
     fn id_in_force<T: Named>(&self, in_force: &Table<T>, entry: &impl Named) -> Option<usize> {
         let id_by_index = || {
             let old = in_force.get(self.read_count)?;
@@ -45,7 +49,7 @@
         in_force.find(&**entry.name()).or_else(id_by_index)
     }
 
-    /// Counts an entry as read; refuses the second one of a name.
+    /// Records an entry as read. Rejects the second entry of a name.
     fn record(&mut self, id: Option<usize>, entry: &impl Named) -> Result<(), ConfigError> {
         self.read_count += 1;
         let is_first = match id {
@@ -67,7 +71,7 @@
         self.request_classes.record(id, &class)?;
         let old = id.and_then(|id| in_force.get(id));
         if let Some(old) = old {
-            // It comes from another key of the settings, which needs a restart.
+            // Comes from `server.skip_worth`, which needs a restart to change.
             class.degraded_value = old.degraded_value;
         }
         if old.is_some_and(|old| **old == class) {
@@ -107,7 +111,7 @@
 }
 
 impl<'a> Difference<'a> {
-    /// Begins a comparison in which nothing of the newer file was read.
+    /// Starts a comparison; the caller passes the newer file's entries to the visitor methods.
     pub fn new(in_force: &'a Catalog) -> Self {
         Self {
             in_force,
@@ -117,10 +121,10 @@
         }
     }
 
-    /// Compares a file whose entries were gathered before.
+    /// Compares a newer file whose entries were already read.
     ///
     /// # Errors
-    /// The first entry or key that can't be compared, or too many differences.
+    /// The first invalid entry or key, or too many differences.
     pub fn compare_gathered(
         in_force: &'a Catalog,
         entries: GatheredEntries,
@@ -133,10 +137,10 @@
         difference.complete(settings)
     }
 
-    /// Ends the comparison with the newer file's settings beside its entries.
+    /// Ends the comparison with the newer file's settings other than request classes and tenants.
     ///
     /// # Errors
-    /// A value that no file may have, or too many differences.
+    /// A setting that is out of range, or too many settings or differences.
     pub fn complete(mut self, settings: &FlatSettings) -> Result<Change, ConfigError> {
         settings.check()?;
         self.remove_absent_request_classes()?;
--- a/src/config/entries.rs
+++ b/src/config/entries.rs
@@ -1,4 +1,4 @@
-//! Reads the entries of the settings, request classes and tenants, from their dotted keys and passes each one to an
+//! Reads request classes and tenants, together called entries, from dotted keys and passes each one to an
 //! `EntryVisitor`: the catalog at the start, the comparison with the catalog in force at a reload.
 
 use crate::Duration;
@@ -11,10 +11,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The most keys of one request class or tenant, unknown ones included.
+/// Maximum number of keys of one request class or tenant, unknown keys included.
 pub const MAX_ENTRY_KEYS: usize = 64;
 
-/// The keys of a request class.
+/// Known keys of a request class.
 const REQUEST_CLASS_KEYS: [&str; 8] = [
     "name",
     "target_latency_us",
@@ -25,24 +25,24 @@
     "repeats",
     "window_us",
 ];
-/// Ends of a request class's keys whose value must be a number.
+/// Suffixes of the request class keys whose value must be a number.
 const REQUEST_CLASS_NUMBER_SUFFIXES: [&str; 4] = ["_us", ".target_stretch", ".importance", ".late_worth"];
-/// The keys of a tenant.
+/// Known keys of a tenant.
 const TENANT_KEYS: [&str; 2] = ["name", "quota_per_s"];
-/// Ends of a tenant's keys whose value must be a number.
+/// Suffixes of the tenant keys whose value must be a number.
 const TENANT_NUMBER_SUFFIXES: [&str; 1] = [".quota_per_s"];
 
-/// Takes request classes and tenants as they are read, in their order.
+/// A receiver of request classes and tenants, which are passed to it in the order of the file.
 pub trait EntryVisitor {
-    /// Takes a request class.
+    /// Takes a request class, or rejects it.
     fn visit_request_class(&mut self, class: RequestClass) -> Result<(), ConfigError>;
-    /// Takes a tenant.
+    /// Takes a tenant, or rejects it.
     fn visit_tenant(&mut self, tenant: Tenant) -> Result<(), ConfigError>;
-    /// Takes the dotted key of an entry that nothing here reads, without the entry's index.
+    /// Takes a dotted key of an entry that this crate does not know, without the entry's index.
     fn visit_unknown_key(&mut self, key: &str) -> Result<(), ConfigError>;
 }
 
-/// Entries that were read on another thread, to be compared later.
+/// Entries that were read on another thread, for a later comparison with the catalog in force.
 #[derive(Clone, Debug, Default)]
 pub struct GatheredEntries {
     pub(crate) request_classes: Vec<RequestClass>,
@@ -67,7 +67,7 @@
     }
 }
 
-/// The first `MAX_ENTRY_KEYS` unknown keys of entries.
+/// The first `MAX_ENTRY_KEYS` distinct unknown keys of entries, as dotted keys without the entry's index.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UnknownKeys(BTreeSet<String>);
 
@@ -87,13 +87,17 @@
     }
 }
 
-/// Refuses more entries of a kind than a configuration may have.
+/// Rejects a number of entries above the maximum of their kind.
 pub fn check_entry_count(table: EntryKind, count: usize) -> Result<(), ConfigError> {
     let max = table.max_count();
     if count <= max { Ok(()) } else { Err(ConfigError::TooManyEntries { table, count, max }) }
 }
 
-/// Reads the entry at an index of its table from its own keys and passes it to the visitor.
+/// Reads one entry from its keys and passes it to the visitor. `index` is its place in the table, for error
+/// texts.
+///
+/// # Errors
+/// A missing key, an invalid value, or a rejection by the visitor.
 pub fn read_entry(
     visitor: &mut impl EntryVisitor,
     table: EntryKind,
@@ -115,8 +119,11 @@
     }
 }
 
-/// Passes the entries of a map of dotted keys, such as `op_types.0.importance`, to the visitor and returns all other
-/// keys.
+/// Reads the entries from dotted keys such as `op_types.0.importance`, passes them to the visitor and returns
+/// all other keys.
+///
+/// # Errors
+/// Too many entries, an index that is left out, an invalid entry, or a rejection by the visitor.
 pub fn read_flat_entries(
     visitor: &mut impl EntryVisitor,
     settings: FlatSettings,
@@ -156,7 +163,7 @@
     }
 }
 
-/// Reads entries by index; the indexes must begin at zero and leave none out.
+/// Reads the entries of one table by index. The indexes must start at zero and be contiguous.
 fn read_table(
     visitor: &mut impl EntryVisitor,
     table: EntryKind,
@@ -216,7 +223,7 @@
     Ok(name.into())
 }
 
-/// Checks each value of an entry, and that keys with one of the ends in `numbers` have no text.
+/// Rejects values that are out of range, and texts under keys that end in one of `number_suffixes`.
 fn check_values(entry: &FlatSettings, path: &str, number_suffixes: &[&str]) -> Result<(), ConfigError> {
     for (key, value) in entry.iter() {
         let key = format!("{path}.{key}");
@@ -229,7 +236,7 @@
     Ok(())
 }
 
-/// Whether the first part of a key is none of the known ones.
+/// Returns whether the first part of a dotted key is not among the known keys.
 fn is_unknown_key(known: &[&str], key: &str) -> bool {
     !known.contains(&key.split('.').next().unwrap_or(key))
 }
--- a/src/config/entry_kind.rs
+++ b/src/config/entry_kind.rs
@@ -1,16 +1,18 @@
-//! The two kinds of entries that the settings list: their keys and how many of each may stand in a file.
+//! The two kinds of entries in the settings, request classes and tenants: the keys of their tables and the
+//! maximum number of each.
 
-/// The most request classes in a configuration: twice the routes that the fleet is to have in two years.
+/// Maximum number of request classes: twice the number of routes that the fleet is expected to have in two
+/// years.
 pub const MAX_REQUEST_CLASSES: usize = 17_400;
-/// The most tenants in a configuration: twice the tenants of the fleet.
+/// Maximum number of tenants: twice the tenants of the fleet.
 pub const MAX_TENANTS: usize = 84_000;
 
-/// A table of entries in the settings.
+/// A kind of entry; each kind has a table of its own in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EntryKind {
-    /// Request classes: `lanes` on the wire.
+    /// Request classes, under the key `lanes` of the settings.
     RequestClasses,
-    /// Tenants: `orgs` on the wire.
+    /// Tenants, under the key `orgs` of the settings.
     Tenants,
 }
 
@@ -18,7 +20,7 @@
     /// Both kinds, in the order in which they are read.
     pub const ALL: [Self; 2] = [Self::RequestClasses, Self::Tenants];
 
-    /// The table's key in the settings file.
+    /// Returns the key of the table in the settings.
     pub fn wire_key(self) -> &'static str {
         match self {
             Self::RequestClasses => "lanes",
@@ -26,7 +28,7 @@
         }
     }
 
-    /// The first part of the dotted keys that error texts name.
+    /// Returns the first part of the dotted keys of this kind, as in `op_types.0.name`.
     pub fn dotted_key(self) -> &'static str {
         match self {
             Self::RequestClasses => "op_types",
@@ -34,12 +36,12 @@
         }
     }
 
-    /// The kind that a first part of a dotted key stands for.
+    /// Returns the kind whose dotted keys start with this part.
     pub fn from_dotted_key(key: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.dotted_key() == key)
     }
 
-    /// The most entries of this kind in a configuration.
+    /// Returns the maximum number of entries of this kind.
     pub fn max_count(self) -> usize {
         match self {
             Self::RequestClasses => MAX_REQUEST_CLASSES,
@@ -47,7 +49,7 @@
         }
     }
 
-    /// The kind's name in the text of `ConfigError::MissingEntry`.
+    /// Returns the name of the kind in the text of `ConfigError::MissingEntry`.
     pub(crate) fn label(self) -> &'static str {
         match self {
             Self::RequestClasses => "OpTypes",
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,194 +1,196 @@
-//! Why settings, or a change of them, are refused. Operators and tests read the texts: each names the key at fault.
+//! Errors of the settings and of changes to them. The texts are read by operators; each names the key or
+//! table at fault.
 
 use crate::config::entry_kind::EntryKind;
 use thiserror::Error;
 
-/// A fault of the settings or of a change; nothing of what was read applies.
+/// An error in the settings or in a change to them. Settings or changes with an error apply in no part.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ConfigError {
     /// A number is not finite, or negative or zero where it must not be.
-    #[error("setting {key} is absurd: {value}")]
+    #[error("setting {key} is out of range: {value}")]
     OutOfRange {
-        /// The dotted key.
+        /// Dotted key.
         key: String,
-        /// The refused number.
+        /// Rejected number.
         value: f64,
     },
-    /// A text stands where a number must.
-    #[error("setting {key} is no number")]
+    /// A key that needs a number has a text.
+    #[error("setting {key} is not a number")]
     NotANumber {
-        /// The dotted key.
+        /// Dotted key.
         key: String,
     },
-    /// A key that has no default is absent.
+    /// A required key is absent.
     #[error("setting {key} is missing")]
     MissingKey {
-        /// The dotted key.
+        /// Dotted key.
         key: String,
     },
-    /// A word is none of those that the key may have.
-    #[error("setting {key} is not known: {value}")]
+    /// A text is none of the values that the key may have.
+    #[error("setting {key} has an unknown value: {value}")]
     UnknownValue {
-        /// The dotted key.
+        /// Dotted key.
         key: String,
-        /// The refused word.
+        /// Rejected value.
         value: String,
     },
-    /// The name of an entry is too long.
-    #[error("setting {key} has {bytes} bytes, {max_bytes} at most")]
+    /// The name of a request class or tenant is too long.
+    #[error("setting {key} is too long: {bytes} bytes, at most {max_bytes} allowed")]
     NameTooLong {
-        /// The dotted key of the name.
+        /// Dotted key of the name.
         key: String,
-        /// Length of the name.
+        /// Length of the name in bytes.
         bytes: usize,
-        /// Length that a name may have.
+        /// Maximum length of a name in bytes.
         max_bytes: usize,
     },
     /// Two entries of one table have the same name.
-    #[error("settings.{}: {name}: named twice", table.wire_key())]
+    #[error("settings.{}: duplicate name {name}", table.wire_key())]
     DuplicateName {
-        /// The table of both.
+        /// Table of both entries.
         table: EntryKind,
-        /// Their name.
+        /// Name of both entries.
         name: String,
     },
-    /// The indexes of a table leave one out.
+    /// The indexes of a table's entries are not contiguous from zero.
     #[error("settings: entry {index} of {} is missing", table.label())]
     MissingEntry {
-        /// The table.
+        /// Table of the entries.
         table: EntryKind,
-        /// The first index that is absent.
+        /// First index that is absent.
         index: usize,
     },
-    /// A table stands twice in the settings.
-    #[error("settings.{}: there twice", table.wire_key())]
+    /// A table appears twice in the settings.
+    #[error("settings.{}: the table appears twice", table.wire_key())]
     DuplicateTable {
-        /// The table.
+        /// Table of the entries.
         table: EntryKind,
     },
     /// A table has too many entries.
-    #[error("settings.{}: {count}, {max} at most", table.wire_key())]
+    #[error("settings.{}: {count} entries, at most {max} allowed", table.wire_key())]
     TooManyEntries {
-        /// The table.
+        /// Table of the entries.
         table: EntryKind,
-        /// Entries that it would have.
+        /// Number of entries that the table would have.
         count: usize,
-        /// Entries that it may have.
+        /// Maximum number of entries in the table.
         max: usize,
     },
     /// An object of the settings has too many keys.
-    #[error("{path}: {count} figures, {max} at most")]
+    #[error("{path}: {count} keys, at most {max} allowed")]
     TooManyKeys {
-        /// Where the object stands in the file.
+        /// Path of the object in the file.
         path: String,
-        /// Keys that it has.
+        /// Number of keys found.
         count: usize,
-        /// Keys that it may have.
+        /// Maximum number of keys.
         max: usize,
     },
-    /// The settings have too many keys beside their tables.
-    #[error("settings: {count} figures beside op types and tenants, {max} at most")]
+    /// The settings have too many keys other than request classes and tenants.
+    #[error("settings: {count} keys beside op types and tenants, at most {max} allowed")]
     TooManySettings {
-        /// Keys that they have.
+        /// Number of keys found.
         count: usize,
-        /// Keys that they may have.
+        /// Maximum number of keys.
         max: usize,
     },
-    /// An entry of a newer file has a key that nothing here reads and that no entry had at the start.
-    #[error("settings: {key}: an unknown key, not there at the start")]
+    /// An entry of a newer file has an unknown key that no entry had at the start.
+    #[error("settings: {key}: unknown key, absent at the start")]
     UnknownEntryKey {
-        /// The dotted key, without the entry's index.
+        /// Dotted key without the entry's index.
         key: String,
     },
-    /// A newer file differs in too many entries and keys; reading stopped there.
-    #[error("settings: more than {max} differences, the most of one change")]
+    /// A newer file differs in too many entries and keys. Reading stopped at the first one too many.
+    #[error("settings: more than {max} differences, the maximum of one change")]
     TooManyDifferences {
-        /// Edits that a change may have.
+        /// Maximum number of edits in a change.
         max: usize,
     },
     /// A change has too many edits.
-    #[error("settings: {count} differences, {max} at most in one change")]
+    #[error("settings: {count} differences, at most {max} allowed in one change")]
     ChangeTooLarge {
-        /// Edits that it has.
+        /// Number of edits in the change.
         count: usize,
-        /// Edits that it may have.
+        /// Maximum number of edits in a change.
         max: usize,
     },
-    /// A change edits a setting to a value that no file may have.
+    /// A change gives a setting an invalid value.
     #[error("settings: {0}")]
     InvalidSetting(Box<ConfigError>),
-    /// A change edits a setting that only a restart applies.
-    #[error("settings: {key}: waits for the next start")]
+    /// A change edits a setting that can change only with a restart.
+    #[error("settings: {key}: the change requires a restart")]
     NeedsRestart {
-        /// The dotted key.
+        /// Dotted key.
         key: String,
     },
-    /// A change would make a request class unsafe while keys of its requests are stored.
-    #[error("settings: op_types.{request_class}.{key}: {conflict}; waits for the next start")]
+    /// A change could make retries of a request class run twice while idempotency keys of its requests are
+    /// stored.
+    #[error("settings: op_types.{request_class}.{key}: {conflict}; the change requires a restart")]
     UnsafeRequestClass {
         /// Name of the request class.
         request_class: String,
-        /// The key that may not have its new value.
+        /// Key whose new value is unsafe.
         key: &'static str,
-        /// Why it may not.
+        /// Reason why the new value is unsafe.
         conflict: KeyConflict,
     },
-    /// Too many request classes with stored idempotency keys were removed lately.
-    #[error("settings: op_types.{request_class}: {max} keyed ones went lately, the most")]
+    /// A change removes a request class while too many removed classes still have stored idempotency keys.
+    #[error("settings: op_types.{request_class}: keys of {max} removed classes are stored, the maximum")]
     TooManyRemovedClasses {
         /// Name of the request class that can't be removed now.
         request_class: String,
-        /// Removed classes that are remembered.
+        /// Maximum number of removed classes with stored keys.
         max: usize,
     },
-    /// A change edits an entry that has no name.
-    #[error("settings.{}: an entry without a name can't change in place", table.wire_key())]
+    /// A change edits an entry without a name.
+    #[error("settings.{}: an entry without a name can change only with a restart", table.wire_key())]
     UnnamedEntry {
-        /// Its table.
+        /// Table of the entry.
         table: EntryKind,
     },
-    /// An edit has no name, one that is too long, or stands twice in the change.
-    #[error("settings.{}: {name}: no name, one over {max_bytes} bytes, or edited twice", table.wire_key())]
+    /// An edit has an empty name, one that is too long, or one that another edit of the change has.
+    #[error("settings.{}: name '{name}' is empty, over {max_bytes} bytes or edited twice", table.wire_key())]
     InvalidEdit {
-        /// The table of the edited entry.
+        /// Table of the edited entry.
         table: EntryKind,
-        /// Name of the entry.
+        /// Name of the edited entry.
         name: String,
-        /// Length that a name may have.
+        /// Maximum length of a name in bytes.
         max_bytes: usize,
     },
     /// A change removes an entry that is not in force.
-    #[error("settings.{}: {name}: is not there to go", table.wire_key())]
+    #[error("settings.{}: {name} cannot be removed: it is not in force", table.wire_key())]
     RemovesAbsentEntry {
-        /// The table.
+        /// Table of the entries.
         table: EntryKind,
         /// Name of the entry.
         name: String,
     },
-    /// A change removes every entry of a table: the file is probably that of another installation.
-    #[error("settings.{}: none of those in force is left: another installation's file", table.wire_key())]
+    /// A change removes every entry in force of a table. The file is probably another installation's.
+    #[error("settings.{}: no entry in force is left, as in another installation's file", table.wire_key())]
     RemovesAllEntries {
-        /// The table.
+        /// Table of the entries.
         table: EntryKind,
     },
-    /// The tenant of requests that name none would not be in force.
-    #[error("settings.orgs: {name}: the first tenant is none")]
+    /// The new default tenant would not be in force after the change.
+    #[error("settings.orgs: default tenant {name} is not in force")]
     UnknownDefaultTenant {
         /// Name of the tenant.
         name: String,
     },
 }
 
-/// Why a request class with stored idempotency keys may not change.
+/// The reason why a request class with idempotency keys may not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum KeyConflict {
-    /// Results are stored for no longer than the longest request timeout of the start.
-    #[error("keys are kept for no longer than the start's waits")]
+    /// The request timeout would exceed the longest one at the start, for which results are stored.
+    #[error("longer than the longest timeout at the start, for which keys are stored")]
     TimeoutExceedsRetention,
-    /// The class would no longer look keys up, so that a retry would run a second time.
-    #[error("its keys are kept, a repeat would run again")]
+    /// The class would no longer check stored keys, so that a retry would run a second time.
+    #[error("keys of its requests are still stored, and a retry would run again")]
     KeysNoLongerChecked,
     /// The deduplication window would be shorter than that of the stored keys.
-    #[error("shorter than that of ops whose keys are kept")]
+    #[error("shorter than the window of keys that are still stored")]
     WindowTooShort,
 }
--- a/src/config/flat_settings.rs
+++ b/src/config/flat_settings.rs
@@ -1,13 +1,15 @@
-//! Settings as dotted keys with plain values, such as `server.cores`: what a newer file is compared with, key by key.
-//! `settings` maps the keys to typed figures; nothing else reads a key by its name.
+//! Settings as dotted keys such as `server.cores` with numbers or texts as values.
+//!
+//! A newer file is compared with the configuration in force in this form, key by key. The module `settings`
+//! maps the keys to typed fields.
 
 use crate::config::error::ConfigError;
 use std::collections::BTreeMap;
 
-/// The most keys beside request classes and tenants.
+/// Maximum number of settings other than request classes and tenants.
 pub const MAX_SETTINGS: usize = 4096;
 
-/// The value of a key.
+/// The value of a setting.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SettingValue {
     /// A number; flags are 0 or 1.
@@ -16,7 +18,7 @@
     Text(String),
 }
 
-/// Values by dotted key.
+/// Values of settings by dotted key.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FlatSettings(BTreeMap<String, SettingValue>);
 
@@ -26,32 +28,34 @@
         self.0.insert(key, value);
     }
 
-    /// Whether the key is present.
+    /// Returns whether the key is present.
     pub fn contains(&self, key: &str) -> bool {
         self.0.contains_key(key)
     }
 
-    /// Number of keys.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there is no key.
+    /// Returns whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Keys and values in the order of the keys.
+    /// Iterates over keys and values in the order of the keys.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &SettingValue)> {
         self.0.iter().map(|(key, value)| (key.as_str(), value))
     }
 
-    /// Removes the values of answers without dependency calls (`server.skip_worth`): the host can't skip a call.
+    /// Removes the values of responses without a dependency call (`server.skip_worth`), for a host that can't
+    /// skip a call.
     pub fn remove_degraded_values(&mut self) {
         self.0.retain(|key, _| !key.starts_with("server.skip_worth"));
     }
 
-    /// Removes and returns the value of an answer without its dependency call, by index of the request class.
+    /// Removes and returns the value of a response without its dependency call, by index of the request
+    /// class.
     pub(crate) fn take_degraded_value(&mut self, class_index: usize) -> Option<f64> {
         match self.0.remove(&format!("server.skip_worth.{class_index}")) {
             Some(SettingValue::Number(value)) => Some(value),
@@ -67,7 +71,7 @@
         self.0.remove(key);
     }
 
-    /// The number of a key; absent keys and texts have none.
+    /// Returns the number of a key, or `None` if the key is absent or has a text.
     pub(crate) fn number(&self, key: &str) -> Option<f64> {
         match self.0.get(key) {
             Some(SettingValue::Number(number)) => Some(*number),
@@ -75,7 +79,7 @@
         }
     }
 
-    /// The text of a key; absent keys and numbers have an empty one.
+    /// Returns the text of a key, or an empty one if the key is absent or has a number.
     pub(crate) fn text_or_empty(&self, key: &str) -> &str {
         match self.0.get(key) {
             Some(SettingValue::Text(text)) => text,
@@ -83,7 +87,7 @@
         }
     }
 
-    /// Checks the number of keys and each value.
+    /// Rejects more than `MAX_SETTINGS` keys and values that are out of range.
     pub(crate) fn check(&self) -> Result<(), ConfigError> {
         if self.len() > MAX_SETTINGS {
             return Err(ConfigError::TooManySettings { count: self.len(), max: MAX_SETTINGS });
@@ -107,12 +111,12 @@
     }
 }
 
-/// Keys whose number must be above zero.
+/// Keys whose number must be positive.
 const POSITIVE_KEYS: [&str; 3] = ["server.cores", "server.memory_kb", "server.run_factor"];
-/// Ends of keys whose number must not be negative.
+/// Suffixes of keys whose number must not be negative.
 const NON_NEGATIVE_KEY_SUFFIXES: [&str; 3] = ["_us", ".importance", ".quota_per_s"];
 
-/// Refuses a number that is not finite, or negative or zero where the key does not allow it.
+/// Rejects a number that is not finite, or that is negative or zero where the key does not allow it.
 pub(crate) fn check_value(key: &str, value: &SettingValue) -> Result<(), ConfigError> {
     let SettingValue::Number(value) = *value else { return Ok(()) };
     let must_be_positive = POSITIVE_KEYS.contains(&key);
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,7 +1,7 @@
-//! The configuration in force: typed settings, request classes and tenants, and the changes that a newer file makes.
+//! The configuration in force (typed settings, request classes and tenants) and its changes by a newer file.
 //!
-//! Input: entries and dotted keys that a parser has read. Output: a `Catalog`, a `Change` of it, or a `ConfigError`
-//! that names the key. Invariant: a change applies whole or not at all. No I/O.
+//! Input: entries and dotted keys that a parser has read. Output: a `Catalog`, a `Change` to it, or a
+//! `ConfigError` that names the key at fault. Invariant: a change applies as a whole or not at all. No I/O.
 
 pub mod catalog;
 pub mod change;
--- a/src/config/request_class.rs
+++ b/src/config/request_class.rs
@@ -1,48 +1,50 @@
-//! A request class: its objectives, its value to the operator and whether its requests may be retried.
+//! A request class: its latency objective, the value of its responses to the operator and whether its
+//! requests may be retried.
 
 use crate::Duration;
 use crate::config::table::Named;
 use std::sync::Arc;
 
-/// The latency objective of a class that is not configured.
+/// Latency objective of a class that is not configured.
 const DEFAULT_LATENCY_OBJECTIVE: Duration = Duration::from_ms(1000);
-/// The request timeout where the class has none, in latency objectives.
+/// Request timeout of a class that configures none, in multiples of its latency objective.
 pub(crate) const DEFAULT_TIMEOUT_IN_OBJECTIVES: f64 = 2.0;
-/// The deduplication window where the class has none.
+/// Deduplication window of a class that configures none.
 const DEFAULT_DEDUPLICATION_WINDOW: Duration = Duration::from_ms(5000);
 
-/// Whether a request may be sent a second time.
+/// The effect of running a request a second time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Running it twice has the effect of running it once.
+    /// Running a request twice has the effect of running it once.
     Idempotent,
-    /// Its idempotency key is stored, so that a retry does not run a second time.
+    /// The idempotency key of a request is stored, so that a retry does not run a second time.
     IdempotentWithKey,
-    /// It may run once only.
+    /// A request may run only once.
     #[default]
     NonIdempotent,
 }
 
-/// The terms of a request class. A request keeps the terms under which it was read, whatever is in force later.
+/// The settings of a request class. A request keeps those under which it was received, whatever is in force
+/// later.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Empty where the platform names its request classes by number.
+    /// Name of the class; empty where the platform identifies its request classes by number.
     pub name: Arc<str>,
-    /// The response time that counts as on time.
+    /// Response time up to which a success counts as on time.
     pub latency_objective: Duration,
-    /// Seconds by which the objective grows for each second of the request's stated cost.
+    /// Seconds by which the latency objective grows for each second of a request's stated cost.
     pub latency_objective_per_cost: f64,
-    /// How long a client waits where the request has no deadline of its own.
+    /// Time that a client waits for the response to a request without a deadline of its own.
     pub request_timeout: Duration,
-    /// Weight of a request among those of other classes.
+    /// Weight of a request relative to those of other classes.
     pub priority_weight: f64,
-    /// Value of a success past the latency objective, of one within it.
+    /// Value of a success past the latency objective, relative to one within it.
     pub late_value: f64,
-    /// Value of a response without its dependency call, of one with it.
+    /// Value of a response without its dependency call, relative to one with it.
     pub degraded_value: f64,
-    /// Whether a request may be sent a second time.
+    /// Effect of running a request a second time.
     pub idempotency: Idempotency,
-    /// How long the idempotency key of a request is stored.
+    /// Time for which the idempotency key of a request is stored.
     pub deduplication_window: Duration,
 }
 
@@ -63,7 +65,7 @@
 }
 
 impl RequestClass {
-    /// Whether idempotency keys of its requests are stored.
+    /// Returns whether the idempotency keys of this class's requests are stored.
     pub fn stores_keys(&self) -> bool {
         self.idempotency == Idempotency::IdempotentWithKey
     }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,10 +1,13 @@
-//! The settings beside request classes and tenants, as typed figures. This is the one mapping from dotted keys to
-//! fields: unknown keys, and keys whose value is of another kind, are ignored; absent keys keep their defaults.
+//! The settings other than request classes and tenants as typed fields.
+//!
+//! This is the only mapping from dotted keys to fields. Unknown keys and keys with a value of the wrong type
+//! are ignored; absent keys keep their defaults.
 
 use crate::Duration;
 use crate::config::flat_settings::{FlatSettings, SettingValue};
 
-/// Keys that a reload may change, since each server applies them to itself alone; all others need a restart.
+/// Keys that a reload may change, because each server applies them to itself alone. All other keys need a
+/// restart.
 pub(crate) const RELOADABLE_KEYS: [&str; 5] = [
     "limits.max_retry_after_us",
     "limits.retry_after",
@@ -13,97 +16,99 @@
     "servers",
 ];
 
-/// Memory of a running request over that of a queued one, by default.
+/// Default memory of a running request, in multiples of the memory of a queued one.
 const DEFAULT_RUN_MEMORY_FACTOR: f64 = 8.0;
-/// The limit of concurrent dependency calls by default, which is none in effect.
+/// Default limit of concurrent dependency calls; so high that it does not limit.
 const DEFAULT_CALL_CONCURRENCY_LIMIT: f64 = 1e9;
-/// How long the dependency tolerates calls over its limit, by default.
+/// Default time for which the dependency tolerates calls over its limit.
 const DEFAULT_CALL_OVERLOAD_TOLERANCE: Duration = Duration::from_ms(5000);
-/// Running requests per core above which the cores lose throughput, by default.
+/// Default number of running requests per core above which the cores lose throughput.
 const DEFAULT_CONCURRENCY_LIMIT_PER_CORE: f64 = 3.0;
-/// The part of a warm server's limit that applies at a cold start, by default.
+/// Default fraction of a warm server's concurrency limit that applies at a cold start.
 const DEFAULT_WARM_UP_INITIAL_SHARE: f64 = 0.2;
 
-/// What the runtime does with a running request that is to leave the cores.
+/// The behaviour of the worker when a running request is preempted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Preemption {
-    /// It drops the work done.
+    /// The worker discards the work done.
     #[default]
     Drop,
-    /// It keeps the request in memory and can resume it.
+    /// The worker keeps the request in memory and can resume it.
     Pause,
-    /// It cannot take a request off the cores.
+    /// The worker cannot preempt a request.
     Unsupported,
 }
 
-/// What the capacity figure sent with each response means to the clients.
+/// The meaning to clients of the capacity number sent with each response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CapacitySignal {
-    /// No figure is sent.
+    /// No number is sent.
     #[default]
     None,
-    /// How many requests a client may have outstanding here.
+    /// Number of requests that a client may have outstanding at this server.
     Credit,
-    /// The share of a client's requests that it should send here.
+    /// Share of a client's requests that it should send to this server.
     Weight,
 }
 
-/// In what the operator counts the value of served requests.
+/// The unit in which the operator counts the value of served requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ValueUnit {
-    /// A request counts alike whatever it costs.
+    /// Every request counts the same, whatever it costs.
     #[default]
     Request,
-    /// A request counts by its work.
+    /// A request counts in proportion to its work.
     Work,
 }
 
-/// Figures of the settings other than request classes and tenants.
+/// The settings other than request classes and tenants. Each field names its dotted key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControllerSettings {
-    /// Cores of the worker process, the platform's runtime (`server.cores`).
+    /// Number of cores of the worker process (`server.cores`).
     pub cores: f64,
     /// Memory of the worker process, in kB (`server.memory_kb`).
     pub memory_kb: f64,
-    /// Memory of a running request over that of a queued one (`server.run_factor`).
+    /// Memory of a running request, in multiples of the memory of a queued one (`server.run_factor`).
     pub run_memory_factor: f64,
     /// Memory of one stored idempotency key, in kB (`server.key_kb`).
     pub key_memory_kb: f64,
     /// Whether the server starts cold and warms up (`server.cold`).
     pub starts_cold: bool,
-    /// Names of the gauges that the runtime reports, in its order (`server.meters.0` and on).
+    /// Names of the gauges that the worker reports, in the order of its reports (`server.meters.0` and up).
     pub gauge_names: Vec<String>,
-    /// What becomes of preempted work (`server.stop`).
+    /// Behaviour of the worker when a request is preempted (`server.stop`).
     pub preemption: Preemption,
-    /// What the advertised figure means (`server.value`).
+    /// Meaning of the advertised capacity (`server.value`).
     pub capacity_signal: CapacitySignal,
-    /// When clients close idle connections; zero where that is not known (`server.caller_idle_us`).
+    /// Idle time after which clients close a connection; zero where it is not known
+    /// (`server.caller_idle_us`).
     pub client_idle_timeout: Duration,
-    /// How long a cancelled call goes on loading the dependency (`server.lingers_us`).
+    /// Time for which a cancelled call still loads the dependency (`server.lingers_us`).
     pub call_residual_load: Duration,
-    /// Concurrent calls that this server may have on the shared dependency (`server.calls_bound`).
+    /// Maximum number of this server's concurrent calls to the shared dependency (`server.calls_bound`).
     pub call_concurrency_limit: f64,
-    /// How long the dependency tolerates calls over the limit (`server.calls_over_us`).
+    /// Time for which the dependency tolerates calls over the limit (`server.calls_over_us`).
     pub call_overload_tolerance: Duration,
-    /// For how long results of idempotent reads are shared; zero where they are not (`server.share_reads_us`).
+    /// Time for which results of idempotent reads are shared; zero where they are not
+    /// (`server.share_reads_us`).
     pub read_sharing_window: Duration,
-    /// Running requests per core above which the cores lose throughput (`rules.crowd_multiple`).
+    /// Number of running requests per core above which the cores lose throughput (`rules.crowd_multiple`).
     pub concurrency_limit_per_core: f64,
-    /// The part of a warm server's limit that applies at a cold start (`rules.cold_share`).
+    /// Fraction of a warm server's concurrency limit that applies at a cold start (`rules.cold_share`).
     pub warm_up_initial_share: f64,
-    /// How long a server warms up (`rules.cold_us`).
+    /// Duration of the warm-up (`rules.cold_us`).
     pub warm_up: Duration,
-    /// How long after a shutdown notice arriving requests are still served (`rules.drain_grace_us`).
+    /// Time after a shutdown notice for which arriving requests are still served (`rules.drain_grace_us`).
     pub drain_grace_period: Duration,
-    /// Whether clients heed a Retry-After (`limits.retry_after`).
+    /// Whether clients respect Retry-After (`limits.retry_after`).
     pub retry_after_supported: bool,
-    /// The longest Retry-After (`limits.max_retry_after_us`).
+    /// Maximum Retry-After (`limits.max_retry_after_us`).
     pub max_retry_after: Duration,
-    /// What the value of a request is counted by (`counted_by`).
+    /// Unit in which the value of a request is counted (`counted_by`).
     pub value_unit: ValueUnit,
-    /// Value of a request past its tenant's quota, of one within it (`over_share_worth`).
+    /// Value of a request past its tenant's quota, relative to one within it (`over_share_worth`).
     pub over_quota_value: f64,
-    /// Servers of the fleet (`servers`).
+    /// Number of servers in the fleet (`servers`).
     pub servers: f64,
 }
 
@@ -137,12 +142,13 @@
 }
 
 impl ControllerSettings {
-    /// Reads the figures of dotted keys; absent keys and keys whose value is of another kind give the defaults.
+    /// Reads the settings from dotted keys. Absent keys and keys with a value of the wrong type give the
+    /// defaults.
     pub fn from_flat(flat: &FlatSettings) -> Self {
         Self::default().overridden_by(flat)
     }
 
-    /// These figures with those of dotted keys in their place.
+    /// Returns these settings with the values of the dotted keys in their place.
     pub fn overridden_by(&self, flat: &FlatSettings) -> Self {
         let mut settings = self.clone();
         for (key, value) in flat.iter() {
@@ -193,14 +199,14 @@
     }
 }
 
-/// The names from `server.meters.0` on, up to the first index that is absent, empty or no text.
+/// Returns the names from `server.meters.0` up to the first index that is absent, empty or not a text.
 fn gauge_names(flat: &FlatSettings) -> Vec<String> {
     let name = |index: usize| flat.text_or_empty(&format!("server.meters.{index}")).to_string();
     (0..flat.len()).map(name).take_while(|name| !name.is_empty()).collect()
 }
 
 impl Preemption {
-    /// Reads the setting's word; unknown words stand for the default.
+    /// Reads the value of the setting; an unknown value gives the default.
     fn parse(text: &str) -> Self {
         match text {
             "pause" => Self::Pause,
@@ -211,7 +217,7 @@
 }
 
 impl CapacitySignal {
-    /// Reads the setting's word; unknown words stand for the default.
+    /// Reads the value of the setting; an unknown value gives the default.
     fn parse(text: &str) -> Self {
         match text {
             "credit" => Self::Credit,
@@ -222,7 +228,7 @@
 }
 
 impl ValueUnit {
-    /// Reads the setting's word; unknown words stand for the default.
+    /// Reads the value of the setting; an unknown value gives the default.
     fn parse(text: &str) -> Self {
         match text {
             "work" => Self::Work,
--- a/src/config/table.rs
+++ b/src/config/table.rs
@@ -1,4 +1,6 @@
-//! A table of entries by name and id; the time of a look-up does not grow with the number of entries.
+//! A table of entries by name and id. The time of a look-up does not grow with the number of entries.
+//!
+//! Invariant: an id is assigned once and never reused.
 
 use std::borrow::Borrow;
 use std::collections::HashMap;
@@ -6,12 +8,13 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The longest name of an entry, in bytes: a longer one fits no gateway line beside a request.
+/// Maximum length of an entry's name in bytes. A longer one would not fit into a gateway's line beside a
+/// request.
 pub const MAX_NAME_BYTES: usize = 255;
 
 /// An entry that knows its name.
 pub trait Named {
-    /// The name; empty where the platform names entries by number.
+    /// Returns the name; empty where the platform identifies entries by number.
     fn name(&self) -> &Arc<str>;
 }
 
@@ -24,17 +27,17 @@
 /// An entry of a table with its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry<T> {
-    /// Assigned once and never reused.
+    /// Id, assigned once and never reused.
     pub id: usize,
-    /// What is stored under the id.
+    /// Value stored under the id.
     pub value: T,
 }
 
-/// A hash map whose order is the same in every process.
+/// A hash map with fixed hash keys, so that its order is the same in every process.
 type Map<K, V> = HashMap<K, V, BuildHasherDefault<DefaultHasher>>;
 
-/// Entries by name and id. Ids are never reused: what is stored for a removed entry can't pass to a later one of its
-/// name.
+/// Entries by name and id. Ids are never reused, so that state kept for a removed entry can't pass to a later
+/// one with the same name.
 #[derive(Clone, Debug)]
 pub struct Table<T, K = Arc<str>> {
     ids: Map<K, usize>,
@@ -49,7 +52,7 @@
 }
 
 impl<T, K: Clone + Eq + Hash> Table<T, K> {
-    /// The id of a name.
+    /// Returns the id of the entry with a name.
     pub fn find<Q: Eq + Hash + ?Sized>(&self, name: &Q) -> Option<usize>
     where
         K: Borrow<Q>,
@@ -57,22 +60,23 @@
         self.ids.get(name).copied()
     }
 
-    /// The entry of an id.
+    /// Returns the entry with an id.
     pub fn get(&self, id: usize) -> Option<&T> {
         self.entries.get(&id)
     }
 
-    /// Number of entries.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is no entry.
+    /// Returns whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Adds an entry, by name if it has one, and returns its id. The name must not be in the table.
+    /// Adds an entry under a new id, and under its name if it has one, and returns the id. The table must not
+    /// have the name yet.
     pub fn add(&mut self, name: Option<K>, entry: T) -> usize {
         let id = self.next_id;
         self.next_id += 1;
@@ -83,12 +87,12 @@
         id
     }
 
-    /// Replaces the entry of an id and returns the old one; an unknown id changes nothing.
+    /// Replaces the entry with an id and returns the old one. An unknown id changes nothing.
     pub fn replace(&mut self, id: usize, entry: T) -> Option<T> {
         self.entries.get_mut(&id).map(|old| std::mem::replace(old, entry))
     }
 
-    /// Removes the entry of a name.
+    /// Removes and returns the entry with a name.
     pub fn remove<Q: Eq + Hash + ?Sized>(&mut self, name: &Q) -> Option<Entry<T>>
     where
         K: Borrow<Q>,
@@ -97,7 +101,7 @@
         self.entries.remove(&id).map(|value| Entry { id, value })
     }
 
-    /// All entries in the order of their ids, which is that in which they were added.
+    /// Returns all entries in the order of their ids, which is the order in which they were added.
     pub fn in_order(&self) -> Vec<Entry<&T>> {
         let mut entries: Vec<Entry<&T>> =
             self.entries.iter().map(|(id, value)| Entry { id: *id, value }).collect();
--- a/src/config/tenant.rs
+++ b/src/config/tenant.rs
@@ -3,12 +3,12 @@
 use crate::config::table::Named;
 use std::sync::Arc;
 
-/// The terms of a tenant.
+/// The settings of a tenant.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tenant {
-    /// Empty where the platform names its tenants by number.
+    /// Name of the tenant; empty where the platform identifies its tenants by number.
     pub name: Arc<str>,
-    /// Requests a second of the whole fleet; `None` where the tenant has no quota.
+    /// Quota of the tenant over the whole fleet, in requests per second; `None` where it has none.
     pub quota_per_s: Option<f64>,
 }
 
--- a/tests/catalog.rs
+++ b/tests/catalog.rs
@@ -1,4 +1,5 @@
-//! The catalog's bounds and the text of their errors, the cost of its look-ups, and ids that are never reused.
+//! Tests of the catalog: its bounds and their error texts, the cost of look-ups, ids that are never reused,
+//! and the map of recently seen keys.
 
 mod helpers;
 
@@ -12,7 +13,7 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-/// A catalog with `count` entries, named by table and number.
+/// Returns a catalog with `count` entries, named by table and number.
 fn catalog_with<T>(
     table: &str,
     count: usize,
@@ -32,7 +33,7 @@
     catalog.visit_tenant(Tenant { name, quota_per_s: Some(1.0) })
 }
 
-/// The text of an error; empty where there is none.
+/// Returns the text of an error, empty if there is none.
 fn error_text(result: Result<(), ConfigError>) -> String {
     result.err().map(|error| error.to_string()).unwrap_or_default()
 }
@@ -45,7 +46,7 @@
         classes.find_request_class("route-17399").is_some(),
         tenants.find_tenant(Some("tenant-83999")).is_some(),
     );
-    assert_eq!(last_entries_found, (true, true), "the last entries are found too");
+    assert_eq!(last_entries_found, (true, true), "the last entries are found");
     let settings = (0..=MAX_SETTINGS).map(|i| (format!("new.{i}"), SettingValue::Number(1.0)));
     let error_of_flat = |settings: FlatSettings| error_text(Catalog::from_flat(settings).map(drop));
     let error_of = |overrides: &str| error_of_flat(helpers::flat_settings(overrides));
@@ -67,23 +68,23 @@
         error_of("tenants.0.quota_per_s=-1"),
     ];
     expect_test::expect![[r#"
-        settings.lanes: 17401, 17400 at most
-        settings.orgs: 84001, 84000 at most
-        settings: 4097 figures beside op types and tenants, 4096 at most
-        setting op_types.0.name has 256 bytes, 255 at most
-        setting tenants.0.name has 256 bytes, 255 at most
+        settings.lanes: 17401 entries, at most 17400 allowed
+        settings.orgs: 84001 entries, at most 84000 allowed
+        settings: 4097 keys beside op types and tenants, at most 4096 allowed
+        setting op_types.0.name is too long: 256 bytes, at most 255 allowed
+        setting tenants.0.name is too long: 256 bytes, at most 255 allowed
         settings: entry 1 of OpTypes is missing
         setting op_types.1.target_latency_us is missing
-        settings.orgs: a: named twice
-        setting op_types.0.importance is no number
-        setting tenants.0.quota_per_s is absurd: -1
+        settings.orgs: duplicate name a
+        setting op_types.0.importance is not a number
+        setting tenants.0.quota_per_s is out of range: -1
     "#]]
     .assert_eq(&errors.map(|line| line + "\n").concat());
 }
 
 thread_local!(static COMPARISONS: Cell<u64> = const { Cell::new(0) });
 
-/// A name that counts how many others it is compared with.
+/// A name that counts its comparisons with other names.
 #[derive(Clone, Debug)]
 struct CountingName(u64);
 
@@ -104,7 +105,8 @@
 
 type Lookup<'a> = &'a dyn Fn(&Table<u64, CountingName>, &CountingName) -> Option<usize>;
 
-/// Mean number of names compared in a hundred look-ups across a table of this size, one of an absent name included.
+/// Returns the mean number of comparisons over 100 look-ups spread across a table of this size, one of them
+/// of an absent name.
 fn comparisons_per_lookup(size: u64, find: Lookup) -> f64 {
     let mut table = Table::default();
     (0..size).for_each(|i| _ = table.add(Some(CountingName(i)), i));
@@ -122,7 +124,7 @@
         comparisons_per_lookup(42_000, find) > 1.2 * comparisons_per_lookup(420, find).max(1.0)
     };
     assert!(!grows(&|table, name| table.find(name)));
-    // Shows that the check above would detect a scan of the table.
+    // Proves that the check above detects a scan of the table.
     let scan = |table: &Table<u64, CountingName>, name: &CountingName| {
         table.in_order().into_iter().find(|entry| CountingName(*entry.value) == *name).map(|entry| entry.id)
     };
--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -1,4 +1,5 @@
-//! Changes of the configuration while requests are in progress: which terms apply, what is refused, what survives.
+//! Tests of configuration changes while requests are in progress: which settings apply to which request,
+//! which changes are rejected and which state is kept.
 
 mod helpers;
 
@@ -13,7 +14,8 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// Three request classes and two tenants; each `key=value` in `edits` replaces that of its key.
+/// Returns settings with three request classes and two tenants. Each `key=value` in `edits` replaces the
+/// value of its key.
 fn file_with(edits: &str) -> String {
     let base = "op_types.0.name=view op_types.1.name=book op_types.1.target_latency_us=1000000 \
         op_types.1.op_timeout_us=4000000 op_types.1.repeats=keyed op_types.1.window_us=5000000 \
@@ -23,7 +25,8 @@
     base.to_string() + edits
 }
 
-/// The same without some request classes or tenants; those left are numbered again.
+/// Returns the settings of `file_with(edits)` without the request classes and tenants named in `removed`. The
+/// remaining ones are renumbered.
 fn file_without(removed: &[&str], edits: &str) -> String {
     let words: Vec<String> = file_with(edits).split_whitespace().map(String::from).collect();
     let mut out = String::new();
@@ -55,7 +58,8 @@
 #[test]
 fn requests_in_progress_keep_the_terms_of_their_arrival() {
     let mut harness = harness();
-    // Two run and two are queued by the old terms; the first is idempotent, so its call may be retried.
+    // Two requests run and two are queued under the old settings. The first is idempotent, so its call may be
+    // retried.
     for (name, request_class) in [("one", 0), ("two", 0), ("old-low", 0), ("old-pay", 2)] {
         harness
             .receive(name, RequestSpec { request_class, remaining_wait_ms: 4000, ..RequestSpec::default() });
@@ -113,7 +117,7 @@
     harness.at(90).finish_run("waits", Outcome::Ok).decide();
     harness.apply_settings(&file_with("")).expect("a valid change");
     let new_id = harness.catalog.borrow().find_request_class("pay").expect("in force again").0;
-    assert_eq!(new_id.0, 3, "another id than before");
+    assert_eq!(new_id.0, 3, "the id is not reused");
     harness.receive("back", RequestSpec { request_class: new_id.0, ..RequestSpec::default() });
     harness.decide();
     expect![[r#"
@@ -135,7 +139,7 @@
     };
     let before = in_force(&harness);
     let too_many: String = (2..MAX_EDITS + 4).map(|i| format!(" tenants.{i}.name=n{i}")).collect();
-    // Stands beside each fault; alone it is accepted.
+    // Accepted alone, so that each refusal is due to the fault beside it.
     let valid = "op_types.0.importance=9 tenants.1.quota_per_s=70 ";
     let faults = [
         "op_types.1.window_us=4999999",
@@ -162,6 +166,7 @@
         let _ = writeln!(errors, "{error}");
         assert_eq!(in_force(&harness), before, "{fault}");
     }
+    // Files in which every request class, or every tenant, has another name than in force.
     for other in ["op_types.0.name=x op_types.0.target_latency_us=9", "tenants.0.name=x"] {
         let file = file_with("").replace("view", "x1").replace("book", "x2").replace("pay", "x3");
         let file = if other.starts_with("op") {
@@ -173,25 +178,25 @@
         assert_eq!(in_force(&harness), before, "{other}");
     }
     expect![[r#"
-        settings: op_types.book.window_us: shorter than that of ops whose keys are kept; waits for the next start
-        settings: op_types.book.repeats: its keys are kept, a repeat would run again; waits for the next start
-        settings: op_types.book.repeats: its keys are kept, a repeat would run again; waits for the next start
-        settings: op_types.book.op_timeout_us: keys are kept for no longer than the start's waits; waits for the next start
-        settings: op_types.new.op_timeout_us: keys are kept for no longer than the start's waits; waits for the next start
-        setting op_types.2.importance is absurd: -1
-        setting op_types.2.repeats is not known: sometimes
-        settings: op_types.colour: an unknown key, not there at the start
-        settings.lanes: view: named twice
-        setting tenants.1.quota_per_s is absurd: inf
-        settings.orgs: an entry without a name can't change in place
-        settings: server.cores: waits for the next start
-        settings: server.calls_bound: waits for the next start
-        settings: rules.drain_grace_us: waits for the next start
-        settings: new.figure: waits for the next start
-        setting limits.max_retry_after_us is absurd: -1
-        settings: more than 4096 differences, the most of one change
-        settings.lanes: none of those in force is left: another installation's file
-        settings.orgs: none of those in force is left: another installation's file
+        settings: op_types.book.window_us: shorter than the window of keys that are still stored; the change requires a restart
+        settings: op_types.book.repeats: keys of its requests are still stored, and a retry would run again; the change requires a restart
+        settings: op_types.book.repeats: keys of its requests are still stored, and a retry would run again; the change requires a restart
+        settings: op_types.book.op_timeout_us: longer than the longest timeout at the start, for which keys are stored; the change requires a restart
+        settings: op_types.new.op_timeout_us: longer than the longest timeout at the start, for which keys are stored; the change requires a restart
+        setting op_types.2.importance is out of range: -1
+        setting op_types.2.repeats has an unknown value: sometimes
+        settings: op_types.colour: unknown key, absent at the start
+        settings.lanes: duplicate name view
+        setting tenants.1.quota_per_s is out of range: inf
+        settings.orgs: an entry without a name can change only with a restart
+        settings: server.cores: the change requires a restart
+        settings: server.calls_bound: the change requires a restart
+        settings: rules.drain_grace_us: the change requires a restart
+        settings: new.figure: the change requires a restart
+        setting limits.max_retry_after_us is out of range: -1
+        settings: more than 4096 differences, the maximum of one change
+        settings.lanes: no entry in force is left, as in another installation's file
+        settings.orgs: no entry in force is left, as in another installation's file
     "#]].assert_eq(&errors);
     harness.apply_settings(&file_with(valid)).expect("a valid change");
 }
@@ -210,8 +215,8 @@
     harness.at(21_000);
     let late = harness.apply_settings(&back("retryable")).map(|changed| changed.request_classes);
     expect![[r#"
-        settings: op_types.book.repeats: its keys are kept, a repeat would run again; waits for the next start
-        settings: op_types.book.repeats: its keys are kept, a repeat would run again; waits for the next start
+        settings: op_types.book.repeats: keys of its requests are still stored, and a retry would run again; the change requires a restart
+        settings: op_types.book.repeats: keys of its requests are still stored, and a retry would run again; the change requires a restart
         Ok(EditCounts { added: 1, replaced: 0, removed: 0 })
     "#]]
     .assert_eq(&format!("{early}\n{before_expiry}\n{late:?}\n"));
@@ -238,7 +243,7 @@
     assert_eq!(seen[0], seen[1], "the same lines at the same times");
 }
 
-/// Counts the final responses of each request among the decisions.
+/// Adds the final responses among the decisions to the count of each request.
 fn count_responses(responses: &mut BTreeMap<String, u32>, decisions: &[Decision]) {
     for decision in decisions {
         if let Decision::Reject { request, .. } | Decision::Fail(request) = decision {
@@ -296,7 +301,7 @@
                 Decision::Run(request) => {
                     run_ends.insert(name(request), step + 5 + u64::from(random.draw() % 40));
                 }
-                // The response was sent already: the end of the run is no second one.
+                // The response was sent already, so the end of the run is not a second one.
                 Decision::Preempt(request) => {
                     run_ends.remove(&name(request));
                     harness.finish_run(&name(request), Outcome::Preempted);
@@ -316,13 +321,13 @@
     assert!(twice.is_empty(), "{twice:?}");
 }
 
-/// Random request classes and tenants with random terms.
+/// Returns random request classes and tenants with random settings.
 fn random_entries(random: &mut Pcg) -> Vec<(String, SettingValue)> {
     let mut settings: Vec<(String, SettingValue)> = Vec::new();
     for (table, max_entries) in [("op_types", 9), ("tenants", 7)] {
         let mut index = 0;
         for number in 0..max_entries {
-            // The first entry stays, so that no change removes a whole table.
+            // The first entry is always present, so that no change removes a whole table.
             if number > 0 && random.draw_fraction() < 0.4 {
                 continue;
             }
@@ -381,7 +386,7 @@
     assert!(changes == 1600 && max_id > 50, "{changes} {max_id}");
 }
 
-/// A change of one setting; `None` removes its key.
+/// Returns a change of one setting; `None` removes its key.
 fn setting_change(key: &str, value: Option<f64>) -> Change {
     let edit = SettingEdit { key: key.into(), value: value.map(SettingValue::Number) };
     Change { settings: vec![edit], ..Change::default() }
@@ -419,13 +424,13 @@
         catalog.check(Timestamp::default(), change).expect_err("an invalid change").to_string() + "\n"
     });
     expect![[r#"
-        settings: 4097 differences, 4096 at most in one change
-        settings.lanes: : no name, one over 255 bytes, or edited twice
-        settings.lanes: a: no name, one over 255 bytes, or edited twice
-        settings.orgs: a: is not there to go
-        settings.orgs: a: the first tenant is none
-        settings: setting servers is absurd: NaN
-        settings: server.cores: waits for the next start
+        settings: 4097 differences, at most 4096 allowed in one change
+        settings.lanes: name '' is empty, over 255 bytes or edited twice
+        settings.lanes: name 'a' is empty, over 255 bytes or edited twice
+        settings.orgs: a cannot be removed: it is not in force
+        settings.orgs: default tenant a is not in force
+        settings: setting servers is out of range: NaN
+        settings: server.cores: the change requires a restart
     "#]]
     .assert_eq(&errors.collect::<String>());
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -131,9 +131,9 @@
         error_text("rules.cold_us=-5")
     );
     expect![[r#"
-        setting server.cores is absurd: 0
-        setting server.memory_kb is absurd: -1
-        setting rules.cold_us is absurd: -5
+        setting server.cores is out of range: 0
+        setting server.memory_kb is out of range: -1
+        setting rules.cold_us is out of range: -5
     "#]]
     .assert_eq(&seen);
 }
