--- a/tests/known_failures.rs
+++ b/tests/known_failures.rs
@@ -1,9 +1,9 @@
-//! `.ci/judge`: which runs of the tests pass beside a list of known failures.
+//! Tests of `.ci/judge`, which decides whether a test run passes given a list of known failures.
 
 use std::path::PathBuf;
 use std::process::Command;
 
-/// What a run of two test binaries prints when `fault` fails in the second one.
+/// Output of a run of two test binaries in which the test `fault` of the second one fails.
 const ONE_FAILURE: &str = "\
 running 1 test
 test sound ... ok
@@ -22,15 +22,16 @@
     printed: String,
 }
 
-/// Judges a run that printed `output` and ended with `status`, beside `list` as KNOWN-RED.txt if there is one.
+/// Runs `.ci/judge` on a test run that printed `output` and exited with `status`, with `list` as
+/// KNOWN-RED.txt if given.
 fn judge(case: &str, output: &str, status: u8, list: Option<&str>) -> Verdict {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(case);
-    std::fs::create_dir_all(&folder).expect("a folder for the test");
+    std::fs::create_dir_all(&folder).expect("create the folder of the test");
     let (printed, known) = (folder.join("printed.txt"), folder.join("KNOWN-RED.txt"));
-    std::fs::write(&printed, output).expect("the output is written");
+    std::fs::write(&printed, output).expect("write the output");
     let _ = std::fs::remove_file(&known);
     if let Some(list) = list {
-        std::fs::write(&known, list).expect("the list is written");
+        std::fs::write(&known, list).expect("write the list");
     }
     let judged = Command::new("bash")
         .arg(concat!(env!("CARGO_MANIFEST_DIR"), "/.ci/judge"))
@@ -38,7 +39,7 @@
         .arg(status.to_string())
         .arg(&known)
         .output()
-        .expect("bash runs");
+        .expect("run bash");
     Verdict { passes: judged.status.success(), printed: String::from_utf8_lossy(&judged.stdout).into_owned() }
 }
 
@@ -54,7 +55,7 @@
 fn a_listed_failure_passes_and_is_printed() {
     let verdict = judge("listed", ONE_FAILURE, 101, Some(COMPLETE_ENTRY));
     assert!(verdict.passes);
-    assert_eq!(verdict.printed, "known red: fault: FAILED\n");
+    assert_eq!(verdict.printed, "known failure: fault: FAILED\n");
 }
 
 #[test]
@@ -75,10 +76,10 @@
 fn absent_listed_test_or_a_fourth_entry_fails_the_run() {
     let absent = judge("gone", ONE_FAILURE, 101, Some("gone | cargo test gone | answered twice | 36\n"));
     assert!(!absent.passes);
-    assert_eq!(absent.printed, "known red: there is no test 'gone'\n");
+    assert_eq!(absent.printed, "known failure: no test 'gone' in the output\n");
     let four = judge("four", ONE_FAILURE, 101, Some(&COMPLETE_ENTRY.repeat(4)));
     assert!(!four.passes);
-    assert_eq!(four.printed, "known red: 4 entries, at most 3\n");
+    assert_eq!(four.printed, "known failures: 4 entries, at most 3 allowed\n");
 }
 
 #[test]
@@ -86,5 +87,5 @@
     let crashed = format!("{ONE_FAILURE}    `-p package --test third`\n");
     let verdict = judge("crashed", &crashed, 101, Some(COMPLETE_ENTRY));
     assert!(!verdict.passes);
-    assert!(verdict.printed.contains("failed: 2 test binaries, of which 1 came to an end"));
+    assert!(verdict.printed.contains("failed: 2 test binaries, of which 1 ran to completion"));
 }
