--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,5 +1,6 @@
-//! A toy town for one server started with examples/config.json: a runtime, a ledger and a control plane that do
-//! as little as they can, and a gateway that asks for one request every second and shows the answer.
+//! Minimal stand-ins for the peers of one server that was started with examples/config.json: a worker
+//! (printed as `runtime`), a dependency, a control plane, and a gateway that sends one request per second and
+//! prints the response.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -7,6 +8,7 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
+/// Duration of each part of a run: before the dependency call and after it.
 const WORK_TIME: Duration = Duration::from_millis(80);
 
 fn main() -> io::Result<()> {
@@ -36,7 +38,7 @@
     }
 }
 
-/// One request on a connection of its own.
+/// Sends one request on a new connection and prints the response.
 fn send_request() -> io::Result<()> {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
     let mut server = TcpStream::connect("127.0.0.1:10080")?;
@@ -53,7 +55,8 @@
     Ok(())
 }
 
-/// Every run works a little, makes one call, works again and ends with its body turned round.
+/// Serves runs on a connection of the server: each run works, makes one dependency call, works again and
+/// returns the reversed body of its request.
 fn serve_worker_connection(connection: TcpStream) {
     let mut lines = BufReader::new(match connection.try_clone() {
         Ok(connection) => connection,
@@ -105,7 +108,7 @@
     }
 }
 
-/// Answers all calls on a connection alike.
+/// Answers every HTTP request on a connection with the same status and body.
 fn serve_http(connection: TcpStream, status: &str, body: &str) {
     let mut reader = BufReader::new(&connection);
     loop {
--- a/src/gauges.rs
+++ b/src/gauges.rs
@@ -1,14 +1,14 @@
-//! What the host measures in the runtime at each timer tick.
+//! The measurements of the worker that the host passes to the controller at each timer tick.
 
-/// The runtime's gauges at one timer tick; what is not measured is `None`.
+/// Gauges of the worker at one timer tick. A gauge that is not measured is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RuntimeGauges {
-    /// Requests, reads and handshakes that are on the cores now.
+    /// Number of requests, reads and handshakes that occupy the cores.
     pub requests_on_cores: Option<f64>,
 }
 
 impl RuntimeGauges {
-    /// Gauges that measured this many requests on the cores.
+    /// Returns gauges with this number of requests on the cores.
     pub fn with_requests_on_cores(count: f64) -> Self {
         Self { requests_on_cores: Some(count) }
     }
--- a/src/guidance.rs
+++ b/src/guidance.rs
@@ -1,37 +1,36 @@
-//! Fleet guidance: what the servers of a fleet agreed on, as one controller gets it.
+//! Fleet guidance: values that the servers of a fleet have agreed on, as passed to one controller.
 
 use crate::TenantId;
 use std::collections::BTreeMap;
 
-/// Names one figure of the guidance.
+/// The key of one guidance value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum GuidanceKey {
-    /// Above zero while the fleet's circuit breaker is open.
+    /// State of the fleet's circuit breaker; above zero while it is open.
     BreakerOpen,
-    /// Concurrent dependency calls that this server may have.
+    /// Maximum number of concurrent dependency calls of this server.
     CallConcurrencyLimit,
-    /// The share of recent requests that the fleet rejected, from 0 to 1.
+    /// Share of recent requests that the fleet rejected, from 0 to 1.
     RejectedShare,
-    /// Requests a second of one tenant that this server may serve.
+    /// Requests per second of one tenant that this server may serve.
     TenantRate(TenantId),
 }
 
-/// The guidance in force; what is not known falls back to the server's own settings.
+/// The guidance in force. For a value that is not known the server's own settings apply.
 #[derive(Clone, Debug, Default)]
 pub struct FleetGuidance {
-    /// Whether the shared dependency is known to be out of reach.
+    /// Whether the fleet's circuit breaker for the shared dependency is open.
     pub breaker_open: bool,
-    /// Concurrent dependency calls that this server may have.
+    /// Maximum number of concurrent dependency calls of this server, if known.
     pub call_concurrency_limit: Option<f64>,
-    /// The share of recent requests that the fleet rejected, from 0 to 1.
+    /// Share of recent requests that the fleet rejected, from 0 to 1, if known.
     pub rejected_share: Option<f64>,
-    /// Requests a second that this server may serve, by tenant.
+    /// Requests per second that this server may serve, by tenant.
     pub tenant_rates: BTreeMap<TenantId, f64>,
 }
 
 impl FleetGuidance {
-    /// Sets a figure, or clears it with `None`. A figure that is not finite, or negative, counts as not
-    /// known.
+    /// Sets a value, or clears it with `None`. A negative or non-finite number clears it too.
     pub fn set(&mut self, key: GuidanceKey, value: Option<f64>) {
         let value = value.filter(|n| n.is_finite() && *n >= 0.0);
         match key {
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,28 +1,28 @@
-//! One type for each kind of id.
+//! Ids of requests, sessions, request classes, tenants and clients, one type for each.
 
 use std::fmt;
 
-/// The length of a request id in bytes.
+/// Length of a request id in bytes.
 const REQUEST_ID_LENGTH: usize = 36;
-/// Fills up shorter request ids.
+/// Byte that pads shorter request ids to `REQUEST_ID_LENGTH`.
 const REQUEST_ID_PADDING: u8 = b' ';
 /// The offset basis of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 /// The prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// The id that an ingress hands over for a request, 36 characters or fewer, shown unchanged.
+/// The id of a request, up to 36 characters, as received from an ingress and shown unchanged.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId([u8; REQUEST_ID_LENGTH]);
 
 impl RequestId {
-    /// An id of exactly 36 bytes; `None` for any other length.
+    /// Returns the id with this text of exactly 36 bytes; `None` for any other length.
     pub fn parse(text: &str) -> Option<Self> {
         text.as_bytes().try_into().ok().map(Self)
     }
 
-    /// An id of 1 to 36 graphic ASCII characters, padded with blanks that are not shown; `None` for any other
-    /// text.
+    /// Returns the id with this text of 1 to 36 graphic ASCII characters; `None` for any other text. The id
+    /// is padded with spaces that are not shown.
     pub fn padded(text: &str) -> Option<Self> {
         let is_length_allowed = (1..=REQUEST_ID_LENGTH).contains(&text.len());
         if !is_length_allowed || !text.bytes().all(|byte| byte.is_ascii_graphic()) {
@@ -46,26 +46,26 @@
     }
 }
 
-/// The session that a request belongs to, as a 64-bit FNV-1a hash of its name.
+/// The key of a session: a 64-bit FNV-1a hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SessionKey(u64);
 
 impl SessionKey {
-    /// The key of a session's name.
+    /// Returns the key of the session with this name.
     pub fn of(name: &str) -> Self {
         let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
         Self(name.bytes().fold(FNV_OFFSET_BASIS, mix))
     }
 }
 
-/// The position of a request class in the catalog.
+/// The id of a request class in the catalog, never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestClassId(pub usize);
 
-/// The position of a tenant in the catalog.
+/// The id of a tenant in the catalog, never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantId(pub usize);
 
-/// The client that sent a request: a gateway, a broker or a connection's peer.
+/// The id of the client that sent a request: a gateway, a broker or the peer of a connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClientId(pub u64);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! Admission control and scheduling for one server behind balancers that it does not control.
+//! Admission control and scheduling for one server behind load balancers that it does not control.
 //!
-//! The crate decides and does no I/O: see [`AdmissionController`] for the calls and docs/design.md for the
-//! rules. The policies import only the data modules (`request`, `request_table`, `statistics`); `controller`
-//! calls the policies.
+//! The crate takes decisions and does no I/O: see [`AdmissionController`] for the calls and docs/design.md
+//! for the rules. The modules with policies import only the data modules (`request`, `request_table`,
+//! `statistics`); `controller` calls the policies.
 
 mod admission;
 mod arrivals;
--- a/src/recently_seen.rs
+++ b/src/recently_seen.rs
@@ -1,14 +1,15 @@
-//! A bounded map of what is known about the keys that were used lately.
+//! A bounded map that keeps the values of the most recently used keys.
 //!
-//! Invariant: at most `CAPACITY` keys; inserting one more evicts the least recently used half.
+//! Invariant: the map has at most `CAPACITY` keys; inserting one more evicts the least recently used half.
 
 use std::collections::BTreeMap;
 
-/// Request classes and tenants about which something is remembered.
+/// Maximum number of request classes, or of tenants, for which observations are kept.
 pub const RECENTLY_SEEN_CAPACITY: usize = 4096;
 
 #[derive(Clone, Debug)]
 struct Entry<V> {
+    /// Value of the map's `use_count` at the last use.
     last_use: u64,
     value: V,
 }
@@ -17,7 +18,7 @@
 #[derive(Clone, Debug)]
 pub struct RecentlySeen<K, V, const CAPACITY: usize> {
     entries: BTreeMap<K, Entry<V>>,
-    /// Counts uses: their order, not their time.
+    /// Number of uses so far, which orders them.
     use_count: u64,
 }
 
@@ -28,7 +29,7 @@
 }
 
 impl<K: Ord + Copy, V: Default, const CAPACITY: usize> RecentlySeen<K, V, CAPACITY> {
-    /// The value of a key that is used now, inserted if absent.
+    /// Marks a key as just used and returns its value, which is inserted as the default if absent.
     pub fn touch(&mut self, key: K) -> &mut V {
         if self.entries.len() >= CAPACITY && !self.entries.contains_key(&key) {
             self.evict_older_half();
@@ -46,7 +47,7 @@
         self.entries.retain(|_, entry| entry.last_use >= median);
     }
 
-    /// The value of a key; this does not count as a use.
+    /// Returns the value of a key, without marking it as used.
     pub fn get(&self, key: &K) -> Option<&V> {
         self.entries.get(key).map(|entry| &entry.value)
     }
@@ -56,12 +57,12 @@
         self.entries.remove(key);
     }
 
-    /// The number of keys.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is known.
+    /// Returns whether the map has no keys.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/src/time.rs
+++ b/src/time.rs
@@ -2,12 +2,10 @@
 
 use std::ops::{Add, Sub};
 
-/// Microseconds of a millisecond.
 const US_PER_MS: u64 = 1000;
-/// Microseconds of a second.
 const US_PER_S: f64 = 1e6;
 
-/// A point in time, in microseconds of the clock that the host uses.
+/// A point in time, in microseconds since the zero point of the host's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Timestamp(u64);
 
@@ -16,78 +14,78 @@
 pub struct Duration(u64);
 
 impl Timestamp {
-    /// The timestamp this many microseconds after zero.
+    /// Returns the timestamp this many microseconds after the clock's zero point.
     pub const fn from_us(us: u64) -> Self {
         Self(us)
     }
 
-    /// Microseconds since zero.
+    /// Returns the microseconds since the clock's zero point.
     pub const fn us(self) -> u64 {
         self.0
     }
 
-    /// The timestamp this much earlier; zero at the earliest.
+    /// Returns the timestamp earlier by this duration, zero at the earliest.
     pub const fn saturating_sub(self, by: Duration) -> Self {
         Self(self.0.saturating_sub(by.0))
     }
 }
 
 impl Duration {
-    /// No time at all.
+    /// A duration of zero.
     pub const ZERO: Self = Self(0);
 
-    /// A duration of whole microseconds.
+    /// Returns a duration of this many microseconds.
     pub const fn from_us(us: u64) -> Self {
         Self(us)
     }
 
-    /// A duration of whole milliseconds.
+    /// Returns a duration of this many milliseconds.
     pub const fn from_ms(ms: u64) -> Self {
         Self(ms * US_PER_MS)
     }
 
-    /// A duration in seconds, cut to whole microseconds; zero for a negative number, the longest for
-    /// infinity.
+    /// Returns a duration of this many seconds, truncated to whole microseconds. Negative numbers give zero,
+    /// infinity gives the longest duration.
     pub fn from_secs(secs: f64) -> Self {
         Self((secs * US_PER_S) as u64)
     }
 
-    /// Whole microseconds.
+    /// Returns the duration in microseconds.
     pub const fn us(self) -> u64 {
         self.0
     }
 
-    /// Seconds.
+    /// Returns the duration in seconds.
     pub const fn secs(self) -> f64 {
         self.0 as f64 / US_PER_S
     }
 
-    /// This duration times a factor, cut to whole microseconds.
+    /// Returns the duration times a factor, truncated to whole microseconds.
     pub fn scaled(self, by: f64) -> Self {
         Self((self.0 as f64 * by) as u64)
     }
 }
 
-/// A monotonic timeline of Unix timestamps. It starts at the Unix time of its creation and advances evenly,
-/// whoever sets the Unix clock; timestamps of others are placed on it by their age.
+/// A monotonic timeline of Unix timestamps. It starts at the Unix time of its creation and advances evenly
+/// even if the Unix clock is set. Timestamps from other machines are placed on it by their age.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Timeline {
     start: Timestamp,
 }
 
 impl Timeline {
-    /// A timeline that starts now, at this Unix time.
+    /// Creates a timeline that starts now, at this Unix time.
     pub fn new(unix_now: Timestamp) -> Self {
         Self { start: unix_now }
     }
 
-    /// The timestamp after this time on a monotonic clock.
+    /// Returns the timestamp at which this time has elapsed since the start on a monotonic clock.
     pub fn at(self, elapsed: Duration) -> Timestamp {
         self.start + elapsed
     }
 
-    /// Places a timestamp of the Unix clock on the timeline, when that clock shows `unix_now` and the timeline
-    /// `now`.
+    /// Converts a timestamp of the Unix clock to the timeline by its age, where `unix_now` is the present
+    /// time of the Unix clock and `now` that of the timeline.
     pub fn convert_unix(now: Timestamp, unix_now: Timestamp, timestamp: Timestamp) -> Timestamp {
         if timestamp > unix_now {
             now + (timestamp - unix_now)
@@ -104,7 +102,7 @@
     }
 }
 
-/// The time from `rhs` to `self`; zero when `rhs` is the later one.
+/// Returns the time from `rhs` to `self`, zero if `rhs` is later.
 impl Sub for Timestamp {
     type Output = Duration;
     fn sub(self, rhs: Timestamp) -> Duration {
--- a/tests/fleet_totals.rs
+++ b/tests/fleet_totals.rs
@@ -1,5 +1,6 @@
-//! What many servers do in total, in virtual time. Each is an `AdmissionController` with its part of the settings; none hears
-//! of another, all start together and receive more than they can serve.
+//! Tests of the total effect of many servers, in virtual time. Each server is an `AdmissionController` with
+//! its part of the limits and no knowledge of the others. All start together and receive more than they can
+//! serve.
 
 mod helpers;
 
@@ -11,39 +12,39 @@
 use helpers::flat_settings;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The time between two steps.
+/// Virtual time between two steps.
 const STEP: Duration = Duration::from_ms(5);
-/// When the first servers start.
+/// Time at which the first servers start.
 const START: Timestamp = Timestamp::from_us(50_000_000);
-/// The period over which the dependency's limit is a mean (`calls_over_us` of the settings).
+/// Period over which the mean load of the dependency must not exceed its limit (`server.calls_over_us`).
 const OVERLOAD_TOLERANCE: Duration = Duration::from_ms(5000);
-/// How long a cancelled call goes on loading the dependency (`lingers_us` of the settings).
+/// Time for which a cancelled call still loads the dependency (`server.lingers_us`).
 const RESIDUAL_LOAD: Duration = Duration::from_ms(200);
-/// How long the dependency is loaded.
+/// Duration of the test of dependency calls.
 const CALL_TEST_DURATION: Duration = Duration::from_ms(10_000);
-/// Seeds of each setup with calls.
+/// Number of seeds for each setup of the test of dependency calls.
 const SEED_COUNT: u64 = 3;
-/// How long servers run that may change their mode together.
+/// Duration of the test of simultaneous mode changes.
 const MODE_TEST_DURATION: Duration = Duration::from_ms(20_000);
-/// Servers that may change their mode together.
+/// Number of servers in the test of simultaneous mode changes.
 const MODE_TEST_SERVERS: usize = 30;
-/// Retries and changes of the mode are counted in bins of this time.
+/// Width of the bins in which retries and mode changes are counted.
 const BIN_WIDTH: Duration = Duration::from_ms(100);
 
-/// How calls are answered.
+/// The behaviour of the dependency towards calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Dependency {
-    /// In 20 to 200 ms.
+    /// Calls take 20 to 200 ms.
     Healthy,
-    /// In 400 to 1,600 ms.
+    /// Calls take 400 to 1,600 ms.
     Slow,
-    /// Not at all: each call goes on until its timeout ends.
+    /// Calls are never answered and run into their timeout.
     Silent,
-    /// It rejects every second call.
+    /// Half of the calls, at random, are rejected; the others take 20 to 200 ms.
     Overloaded,
 }
 
-/// When a call ends, and how.
+/// The time and outcome of the end of a call.
 #[derive(Clone, Copy, Debug)]
 struct CallEnd {
     at: Timestamp,
@@ -51,7 +52,7 @@
 }
 
 impl Dependency {
-    /// How a call that starts now ends.
+    /// Returns the end of a call that starts now.
     fn call_end(self, now: Timestamp, timeout: Duration, random: &mut Pcg) -> CallEnd {
         let (latency, outcome) = match self {
             Self::Healthy => (between_ms(random, 20, 200), Outcome::Ok),
@@ -72,15 +73,15 @@
     Duration::from_ms(min + u64::from(random.draw()) % (max - min))
 }
 
-/// One server with what it has in progress.
+/// A server with its runs and calls in progress.
 struct Server {
     index: usize,
     controller: AdmissionController,
     starts_at: Timestamp,
-    /// When each run ends or calls.
+    /// Time at which each run ends or requests a call.
     run_ends: BTreeMap<RequestId, Timestamp>,
     calls: BTreeMap<RequestId, CallEnd>,
-    /// Until when each cancelled call loads the dependency.
+    /// Times until which cancelled or timed-out calls load the dependency.
     residual_loads: Vec<Timestamp>,
     received: u64,
 }
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Receives one more request, from one of `clients` clients in turn.
+    /// Receives one request, from each of `clients` clients in turn.
     fn receive(&mut self, now: Timestamp, clients: u64) {
         self.received += 1;
         let name = format!("{}x{}", self.index, self.received);
@@ -129,12 +130,12 @@
         due
     }
 
-    /// The calls that load the dependency.
+    /// Returns the number of calls that load the dependency.
     fn call_load(&self) -> usize {
         self.calls.len() + self.residual_loads.len()
     }
 
-    /// One step of a server that calls a dependency; returns how many calls started.
+    /// Runs one step of a server with dependency calls and returns the number of calls started.
     fn step_with_calls(&mut self, now: Timestamp, dependency: Dependency, random: &mut Pcg) -> usize {
         self.residual_loads.retain(|until| *until > now);
         if random.draw_fraction() < 0.15 {
@@ -142,7 +143,7 @@
         }
         self.finish_due_calls(now);
         for request in self.take_due_runs(now) {
-            // The first part of a run ends at a call; what is left after that ends the run.
+            // With a probability of 0.6 the run requests a call here, otherwise it ends.
             if random.draw_fraction() < 0.6 {
                 self.controller.call_requested(now, request);
             } else {
@@ -198,7 +199,7 @@
         }
     }
 
-    /// One step of an overloaded server without calls.
+    /// Runs one step of an overloaded server without calls.
     fn step_overloaded(&mut self, now: Timestamp, random: &mut Pcg, counts: &mut BinCounts) {
         if random.draw_fraction() < 0.2 {
             self.receive(now, 17);
@@ -229,16 +230,16 @@
     }
 }
 
-/// The largest load of the dependency over [`OVERLOAD_TOLERANCE`].
+/// The peak of the calls to the dependency over any period of [`OVERLOAD_TOLERANCE`].
 #[derive(Clone, Copy, Debug)]
 struct CallPeak {
-    /// Mean calls at once, over the limit.
+    /// Largest mean number of concurrent calls, divided by the limit.
     load_over_limit: f64,
-    /// Calls started.
+    /// Largest number of calls started.
     started: usize,
 }
 
-/// Lets cold servers share a call limit and returns the peak of their calls.
+/// Runs cold servers that share a call limit equally and returns the peak of their calls.
 fn call_peak(servers: usize, limit: f64, dependency: Dependency, seed: u64) -> CallPeak {
     let mut random = Pcg::new(seed);
     let settings = format!(
@@ -299,7 +300,7 @@
     assert!(over_limit.is_empty(), "{over_limit:?}\n{report}");
 }
 
-/// What overloaded servers do in each bin of time.
+/// Numbers of mode changes and retries of overloaded servers, by bin of [`BIN_WIDTH`] since [`START`].
 #[derive(Default)]
 struct BinCounts {
     mode_changes: BTreeMap<u64, u32>,
@@ -320,8 +321,8 @@
     }
 }
 
-/// Of servers that start in the same instant, each overloaded: how many change their mode within the same 100 ms, and how many
-/// rejected clients are to retry then, over the mean.
+/// Overloaded servers that start in the same instant would change their mode and let rejected clients retry
+/// at the same time if nothing spread them. Guards the peak of both within 100 ms.
 #[test]
 fn servers_started_together_do_not_act_in_step() {
     let mut random = Pcg::new(3);
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -1,5 +1,6 @@
-//! Drives an `AdmissionController` in virtual time and records its decisions as a trace, one line each.
-#![allow(dead_code)] // each test file uses its part
+//! A harness that drives an `AdmissionController` in virtual time and records its decisions as a trace, one
+//! line each.
+#![allow(dead_code)] // each test binary uses only some of the helpers
 
 use expect_test::Expect;
 use hazelspur::config::change::ChangeSummary;
@@ -14,9 +15,9 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// The time between two timer ticks under load, in ms.
+/// Time between two timer ticks under load, in ms.
 const TICK_MS: u64 = 40;
-/// The time between two steps under load.
+/// Time between two steps under load.
 const LOAD_STEP: Duration = Duration::from_ms(10);
 
 /// A controller with its virtual clock and the trace of its decisions.
@@ -27,31 +28,31 @@
     pub now: Timestamp,
     trace: String,
     run_ends: BTreeSet<RunEnd>,
-    /// How long the runs take that `offer_load` starts.
+    /// Duration of the runs that are started under `offer_load`.
     pub run_time: Duration,
-    /// What other work adds to the gauge of requests on the cores under `offer_load`.
+    /// Number that other work adds to the gauge of requests on the cores under `offer_load`.
     pub other_work_on_cores: f64,
 }
 
-/// When a run under load ends.
+/// The scheduled end of a run under `offer_load`.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RunEnd {
     at: Timestamp,
     request: RequestId,
 }
 
-/// A request to be received.
+/// The properties of a request to be received.
 pub(crate) struct RequestSpec<'a> {
     pub request_class: usize,
     pub tenant: usize,
-    /// Empty for a request without a session.
+    /// Name of the session; empty for a request without one.
     pub session: &'a str,
     pub client: u64,
-    /// How long the client still waits, in ms.
+    /// Remaining time that the client waits, in ms.
     pub remaining_wait_ms: u64,
     pub cost_ms: Option<u64>,
     pub size_kb: f64,
-    /// How long before its receipt the client sent it, in ms.
+    /// Time from sending to receipt, in ms.
     pub age_ms: u64,
     pub retry_of: Option<&'a str>,
 }
@@ -72,18 +73,20 @@
     }
 }
 
-/// Pulls the decisions and compares those lines of the trace that contain one of `words`.
+/// Pulls all decisions and compares the lines of the trace that contain one of `words`, or all lines without
+/// words, with the expected ones.
 pub(crate) fn check(harness: &mut Harness, words: &[&str], expected: &Expect) {
     harness.decide();
     expected.assert_eq(&harness.take_trace(words));
 }
 
-/// A request id with this name, padded with dashes.
+/// Returns the request id with this name, padded with dashes.
 pub(crate) fn id(name: &str) -> RequestId {
     RequestId::parse(&format!("{name:-<36}")).expect("a short name")
 }
 
-/// Two cores, ample memory, one idempotent request class with a latency objective of 1 s, overridden by `overrides`.
+/// Returns settings with two cores, ample memory and one idempotent request class with a latency objective of
+/// 1 s. Each `key=value` in `overrides` replaces the value of its key.
 pub(crate) fn flat_settings(overrides: &str) -> FlatSettings {
     let defaults = "server.cores=2 server.memory_kb=100000 server.run_factor=8 server.stop=drop \
         rules.crowd_multiple=5 rules.cold_share=0.2 rules.cold_us=10000000 rules.drain_grace_us=2000000 \
@@ -100,7 +103,7 @@
 }
 
 impl Harness {
-    /// A controller with the settings of `flat_settings(overrides)`.
+    /// Creates a harness whose controller has the settings of `flat_settings(overrides)`.
     pub(crate) fn new(overrides: &str) -> Self {
         let now = Timestamp::from_us(50_000_000);
         let catalog = Catalog::from_flat(flat_settings(overrides)).expect("valid settings");
@@ -119,7 +122,8 @@
         }
     }
 
-    /// Applies the settings of a newer file, or returns why they are refused.
+    /// Applies the settings of `flat_settings(overrides)` as a newer file and returns the summary of the
+    /// change, or the error for which it is rejected.
     pub(crate) fn apply_settings(&mut self, overrides: &str) -> Result<ChangeSummary, ConfigError> {
         let change = {
             let in_force = self.catalog.borrow();
@@ -130,7 +134,7 @@
         self.controller.apply_change(self.now, &change)
     }
 
-    /// Sets the clock, in ms since the start.
+    /// Sets the clock to a time in ms since the start.
     pub(crate) fn at(&mut self, ms: u64) -> &mut Self {
         self.now = self.start + Duration::from_ms(ms);
         self
@@ -180,7 +184,7 @@
         self
     }
 
-    /// Pulls all decisions and records them; timers and good health are left out of the trace.
+    /// Pulls all decisions and records them in the trace, except timers and reports of good health.
     pub(crate) fn decide(&mut self) -> Vec<Decision> {
         let decisions: Vec<Decision> =
             std::iter::from_fn(|| self.controller.next_decision(self.now)).collect();
@@ -197,7 +201,8 @@
         decisions
     }
 
-    /// Receives `per_s` requests a second, each of a new session, for `ms`; each run ends after `run_time`.
+    /// Receives `per_s` requests per second for `ms` milliseconds, each of a new session. Each run ends after
+    /// `run_time`.
     pub(crate) fn offer_load(&mut self, ms: u64, per_s: u64) -> &mut Self {
         let load_start = self.now;
         let mut received = 0;
@@ -239,7 +244,7 @@
         }
     }
 
-    /// The lines since the last time, or only those that contain one of `words`.
+    /// Removes and returns the lines of the trace, only those that contain one of `words` if there are words.
     pub(crate) fn take_trace(&mut self, words: &[&str]) -> String {
         let trace = std::mem::take(&mut self.trace);
         let wanted = |line: &&str| words.is_empty() || words.iter().any(|word| line.contains(word));
--- a/tests/timeline.rs
+++ b/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! The monotonic timeline that waits and windows follow, while the Unix clock is set.
+//! Tests of the monotonic timeline while the Unix clock is set forward and back.
 
 use hazelspur::{Duration, Timeline, Timestamp};
 
@@ -7,7 +7,8 @@
     let unix = |ms: u64| Timestamp::from_us(1_800_000_000_000_000 + ms * 1000);
     let timeline = Timeline::new(unix(0));
     let mut report = String::new();
-    // What the Unix clock shows 1 s later: the right time, set forward, set back, set to 1970.
+    // Times that the Unix clock may show 1 s later: the right one, set forward by 60 s, set back by 60 s, set
+    // to 1970.
     let unix_times =
         [unix(1000), unix(61_000), Timestamp::from_us(unix(0).us() - 59_000_000), Timestamp::from_us(0)];
     for unix_now in unix_times {
