--- a/src/config/change_check.rs
+++ b/src/config/change_check.rs
@@ -51,12 +51,12 @@
 
     /// Rejects settings of a class under which the retry of a request whose key is stored could run again.
     fn check_stored_keys(&self, now: Timestamp, class: &RequestClass) -> Result<(), ConfigError> {
-        let refuse = |key: &'static str, conflict: KeyConflict| {
+        let reject = |key: &'static str, conflict: KeyConflict| {
             let request_class = class.name.to_string();
             Err(ConfigError::UnsafeRequestClass { request_class, key, conflict })
         };
         if class.stores_keys() && class.request_timeout > self.max_request_timeout {
-            return refuse("op_timeout_us", KeyConflict::TimeoutExceedsRetention);
+            return reject("op_timeout_us", KeyConflict::TimeoutExceedsRetention);
         }
         let class_in_force = self.find_request_class(&class.name).map(|(_, class)| class);
         let window_in_force =
@@ -65,10 +65,10 @@
         let stored_window = window_in_force.max(removed.map(|removed| removed.deduplication_window));
         let Some(stored_window) = stored_window else { return Ok(()) };
         if !class.stores_keys() {
-            return refuse("repeats", KeyConflict::KeysNoLongerChecked);
+            return reject("repeats", KeyConflict::KeysNoLongerChecked);
         }
         if class.deduplication_window < stored_window {
-            return refuse("window_us", KeyConflict::WindowTooShort);
+            return reject("window_us", KeyConflict::WindowTooShort);
         }
         Ok(())
     }
--- a/src/config/flat_settings.rs
+++ b/src/config/flat_settings.rs
@@ -121,7 +121,7 @@
     let SettingValue::Number(value) = *value else { return Ok(()) };
     let must_be_positive = POSITIVE_KEYS.contains(&key);
     let must_not_be_negative = NON_NEGATIVE_KEY_SUFFIXES.iter().any(|suffix| key.ends_with(suffix));
-    let is_refused =
+    let is_out_of_range =
         !value.is_finite() || must_be_positive && value <= 0.0 || must_not_be_negative && value < 0.0;
-    if is_refused { Err(ConfigError::OutOfRange { key: key.into(), value }) } else { Ok(()) }
+    if is_out_of_range { Err(ConfigError::OutOfRange { key: key.into(), value }) } else { Ok(()) }
 }
--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn requests_in_progress_keep_the_terms_of_their_arrival() {
+fn requests_in_progress_keep_the_settings_of_their_arrival() {
     let mut harness = harness();
     // Two requests run and two are queued under the old settings. The first is idempotent, so its call may be
     // retried.
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn unsafe_change_is_refused_whole_and_names_the_key() {
+fn unsafe_change_is_rejected_whole_and_names_the_key() {
     let mut harness = harness();
     let in_force = |harness: &Harness| {
         let catalog = harness.catalog.borrow();
