--- a/src/ids.rs
+++ b/src/ids.rs
@@ -6,9 +6,9 @@
 const REQUEST_ID_LENGTH: usize = 36;
 /// Byte that pads shorter request ids to `REQUEST_ID_LENGTH`.
 const REQUEST_ID_PADDING: u8 = b' ';
-/// The offset basis of the 64-bit FNV-1a hash.
+/// Offset basis of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-/// The prime of the 64-bit FNV-1a hash.
+/// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
 /// The id of a request, up to 36 characters, as received from an ingress and shown unchanged.
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Removes and returns the lines of the trace, only those that contain one of `words` if there are words.
+    /// Clears the trace and returns its lines, only those that contain one of `words` if there are words.
     pub(crate) fn take_trace(&mut self, words: &[&str]) -> String {
         let trace = std::mem::take(&mut self.trace);
         let wanted = |line: &&str| words.is_empty() || words.iter().any(|word| line.contains(word));
