--- a/tests/fleet_totals.rs
+++ b/tests/fleet_totals.rs
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn cold_servers_together_stay_within_the_limit_of_the_dependency() {
+fn cold_servers_together_stay_within_the_dependency_limit() {
     let mut report = String::new();
     let mut over_limit = Vec::new();
     for dependency in [Dependency::Healthy, Dependency::Slow, Dependency::Silent, Dependency::Overloaded] {
