--- a/crates/hazelspur-deliveries/src/broker_selector.rs
+++ b/crates/hazelspur-deliveries/src/broker_selector.rs
@@ -103,7 +103,7 @@
     /// Limits the delay of the next attempt to `MAX_SHUTDOWN_DELAY`, for a shutdown with replies still to be
     /// published.
     pub fn shorten_delay(&mut self, now: Timestamp) {
-        let delay = MAX_SHUTDOWN_DELAY.scaled(self.random.unit());
+        let delay = MAX_SHUTDOWN_DELAY.scaled(self.random.draw_fraction());
         self.next_attempt = self.next_attempt.min(now + delay);
     }
 
@@ -143,7 +143,7 @@
     /// first and second attempts of a fleet would reach the broker in the same period.
     fn schedule_attempt(&mut self, now: Timestamp, was_connected: bool, refused: bool) {
         let offset = if was_connected { 0.0 } else { REPEATED_ATTEMPT_OFFSET };
-        let delay = self.spread.scaled(self.random.unit() + offset);
+        let delay = self.spread.scaled(self.random.draw_fraction() + offset);
         // After a refusal the selected broker is not tried while it is avoided, even if all brokers are
         // avoided.
         let from = if refused { now.max(self.brokers[self.selected].avoided_until) } else { now };
--- a/crates/hazelspur-fleet/tests/quota.rs
+++ b/crates/hazelspur-fleet/tests/quota.rs
@@ -598,7 +598,7 @@
         2 => -1.0,
         3 => 1e30,
         4 => f32::from_bits(random.draw()),
-        _ => random.unit() as f32 * 100.0,
+        _ => random.draw_fraction() as f32 * 100.0,
     };
     for i in 0..20_000u64 {
         let arbitrary_list = |random: &mut Pcg| -> Vec<f32> {
--- a/src/config/change_check.rs
+++ b/src/config/change_check.rs
@@ -1,5 +1,7 @@
-//! The rules for a change of the configuration in force. A change that breaks one applies in no part; its text names the
-//! key at fault. What can't be safe while requests are being served waits for a restart.
+//! The rules for a change of the configuration in force.
+//!
+//! A change that breaks a rule is rejected as a whole, with an error that names the key at fault. Edits that
+//! would be unsafe while requests are being served are rejected too and need a restart.
 
 use crate::Timestamp;
 use crate::config::catalog::Catalog;
@@ -15,14 +17,14 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The most removed request classes whose idempotency keys are still stored.
+/// Maximum number of removed request classes whose idempotency keys are still stored.
 const MAX_REMOVED_CLASSES: usize = 4096;
 
 impl Catalog {
     /// Checks whether a change may apply as a whole.
     ///
     /// # Errors
-    /// The first rule that it breaks, with the key at fault.
+    /// The first rule that the change breaks, with the key at fault.
     pub fn check(&self, now: Timestamp, change: &Change) -> Result<(), ConfigError> {
         check_edit_count(change)?;
         change.settings.iter().try_for_each(check_setting_edit)?;
@@ -34,10 +36,10 @@
                 Edit::Remove(name) => self.check_removal(name)?,
             }
         }
-        self.check_first_tenant(change)
+        self.check_default_tenant(change)
     }
 
-    /// Refuses to remove a class with stored keys while too many such removals are remembered.
+    /// Rejects the removal of a class with stored keys while the table of such removed classes is full.
     fn check_removal(&self, name: &str) -> Result<(), ConfigError> {
         let stores_keys = self.find_request_class(name).is_some_and(|(_, class)| class.stores_keys());
         if stores_keys && self.removed_classes.len() >= MAX_REMOVED_CLASSES {
@@ -47,34 +49,35 @@
         Ok(())
     }
 
-    /// Refuses new terms of a class under which a retry of a request whose key is stored could run again.
+    /// Rejects settings of a class under which the retry of a request whose key is stored could run again.
     fn check_stored_keys(&self, now: Timestamp, class: &RequestClass) -> Result<(), ConfigError> {
-        let refuse = |key: &'static str, conflict: KeyConflict| {
+        let reject = |key: &'static str, conflict: KeyConflict| {
             let request_class = class.name.to_string();
             Err(ConfigError::UnsafeRequestClass { request_class, key, conflict })
         };
         if class.stores_keys() && class.request_timeout > self.max_request_timeout {
-            return refuse("op_timeout_us", KeyConflict::TimeoutAboveStored);
+            return reject("op_timeout_us", KeyConflict::TimeoutExceedsRetention);
         }
-        let in_force = self.find_request_class(&class.name).map(|(_, class)| class);
-        let in_force = in_force.filter(|class| class.stores_keys()).map(|class| class.deduplication_window);
+        let class_in_force = self.find_request_class(&class.name).map(|(_, class)| class);
+        let window_in_force =
+            class_in_force.filter(|class| class.stores_keys()).map(|class| class.deduplication_window);
         let removed = self.removed_classes.get(&class.name).filter(|removed| removed.retries_until > now);
-        let stored = in_force.max(removed.map(|removed| removed.deduplication_window));
-        let Some(stored_window) = stored else { return Ok(()) };
+        let stored_window = window_in_force.max(removed.map(|removed| removed.deduplication_window));
+        let Some(stored_window) = stored_window else { return Ok(()) };
         if !class.stores_keys() {
-            return refuse("repeats", KeyConflict::KeysNoLongerRead);
+            return reject("repeats", KeyConflict::KeysNoLongerChecked);
         }
         if class.deduplication_window < stored_window {
-            return refuse("window_us", KeyConflict::WindowTooShort);
+            return reject("window_us", KeyConflict::WindowTooShort);
         }
         Ok(())
     }
 
-    /// Refuses a first tenant that would not be in force after the change.
-    fn check_first_tenant(&self, change: &Change) -> Result<(), ConfigError> {
-        match &change.first_tenant {
+    /// Rejects a default tenant that would not be in force after the change.
+    fn check_default_tenant(&self, change: &Change) -> Result<(), ConfigError> {
+        match &change.default_tenant {
             Some(name) if !self.has_tenant_after(change, name) => {
-                Err(ConfigError::UnknownFirstTenant { name: name.to_string() })
+                Err(ConfigError::UnknownDefaultTenant { name: name.to_string() })
             }
             _ => Ok(()),
         }
@@ -100,8 +103,8 @@
     valid.map_err(|error| ConfigError::InvalidSetting(Box::new(error)))
 }
 
-/// Checks the names of edits, that none stands twice, that the table stays within its bound and that not all entries
-/// of the table go.
+/// Rejects edits with invalid or repeated names, edits that remove absent entries or the whole table, and
+/// edits that make the table exceed its maximum size.
 fn check_table_edits<T: Named, U>(
     table: EntryKind,
     entries: &Table<U>,
--- a/src/config/entries.rs
+++ b/src/config/entries.rs
@@ -1,20 +1,20 @@
-//! Reads the entries of the settings, request classes and tenants, from their dotted keys and passes each one to an
+//! Reads request classes and tenants, together called entries, from dotted keys and passes each one to an
 //! `EntryVisitor`: the catalog at the start, the comparison with the catalog in force at a reload.
 
 use crate::Duration;
 use crate::config::entry_kind::EntryKind;
 use crate::config::error::ConfigError;
 use crate::config::flat_settings::{FlatSettings, SettingValue, check_value};
-use crate::config::request_class::{DEFAULT_TIMEOUT_OBJECTIVES, Idempotency, RequestClass};
+use crate::config::request_class::{DEFAULT_TIMEOUT_IN_OBJECTIVES, Idempotency, RequestClass};
 use crate::config::table::MAX_NAME_BYTES;
 use crate::config::tenant::Tenant;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The most keys of one request class or tenant, unknown ones included.
+/// Maximum number of keys of one request class or tenant, unknown keys included.
 pub const MAX_ENTRY_KEYS: usize = 64;
 
-/// The keys of a request class.
+/// Known keys of a request class.
 const REQUEST_CLASS_KEYS: [&str; 8] = [
     "name",
     "target_latency_us",
@@ -25,24 +25,24 @@
     "repeats",
     "window_us",
 ];
-/// Ends of a request class's keys whose value must be a number.
-const REQUEST_CLASS_NUMBERS: [&str; 4] = ["_us", ".target_stretch", ".importance", ".late_worth"];
-/// The keys of a tenant.
+/// Suffixes of the request class keys whose value must be a number.
+const REQUEST_CLASS_NUMBER_SUFFIXES: [&str; 4] = ["_us", ".target_stretch", ".importance", ".late_worth"];
+/// Known keys of a tenant.
 const TENANT_KEYS: [&str; 2] = ["name", "quota_per_s"];
-/// Ends of a tenant's keys whose value must be a number.
-const TENANT_NUMBERS: [&str; 1] = [".quota_per_s"];
+/// Suffixes of the tenant keys whose value must be a number.
+const TENANT_NUMBER_SUFFIXES: [&str; 1] = [".quota_per_s"];
 
-/// Takes request classes and tenants as they are read, in their order.
+/// A receiver of request classes and tenants, which are passed to it in the order of the file.
 pub trait EntryVisitor {
-    /// Takes a request class.
+    /// Takes a request class, or rejects it.
     fn visit_request_class(&mut self, class: RequestClass) -> Result<(), ConfigError>;
-    /// Takes a tenant.
+    /// Takes a tenant, or rejects it.
     fn visit_tenant(&mut self, tenant: Tenant) -> Result<(), ConfigError>;
-    /// Takes the dotted key of an entry that nothing here reads, without the entry's index.
+    /// Takes a dotted key of an entry that this crate does not know, without the entry's index.
     fn visit_unknown_key(&mut self, key: &str) -> Result<(), ConfigError>;
 }
 
-/// Entries that were read on another thread, to be compared later.
+/// Entries that were read on another thread, for a later comparison with the catalog in force.
 #[derive(Clone, Debug, Default)]
 pub struct GatheredEntries {
     pub(crate) request_classes: Vec<RequestClass>,
@@ -67,7 +67,7 @@
     }
 }
 
-/// The first `MAX_ENTRY_KEYS` unknown keys of entries.
+/// The first `MAX_ENTRY_KEYS` distinct unknown keys of entries, as dotted keys without the entry's index.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UnknownKeys(BTreeSet<String>);
 
@@ -87,13 +87,17 @@
     }
 }
 
-/// Refuses more entries of a kind than a configuration may have.
+/// Rejects a number of entries above the maximum of their kind.
 pub fn check_entry_count(table: EntryKind, count: usize) -> Result<(), ConfigError> {
     let max = table.max_count();
     if count <= max { Ok(()) } else { Err(ConfigError::TooManyEntries { table, count, max }) }
 }
 
-/// Reads the entry at an index of its table from its own keys and passes it to the visitor.
+/// Reads one entry from its keys and passes it to the visitor. `index` is its place in the table, for error
+/// texts.
+///
+/// # Errors
+/// A missing key, an invalid value, or a rejection by the visitor.
 pub fn read_entry(
     visitor: &mut impl EntryVisitor,
     table: EntryKind,
@@ -105,28 +109,31 @@
         EntryKind::Tenants => &TENANT_KEYS,
     };
     let table_key = table.dotted_key();
-    if let Some((key, _)) = entry.iter().find(|(key, _)| is_unknown(known_keys, key)) {
+    if let Some((key, _)) = entry.iter().find(|(key, _)| is_unknown_key(known_keys, key)) {
         visitor.visit_unknown_key(&format!("{table_key}.{key}"))?;
     }
     let path = format!("{table_key}.{index}");
     match table {
-        EntryKind::RequestClasses => visitor.visit_request_class(request_class(entry, &path)?),
-        EntryKind::Tenants => visitor.visit_tenant(tenant(entry, &path)?),
+        EntryKind::RequestClasses => visitor.visit_request_class(parse_request_class(entry, &path)?),
+        EntryKind::Tenants => visitor.visit_tenant(parse_tenant(entry, &path)?),
     }
 }
 
-/// Passes the entries of a map of dotted keys, such as `op_types.0.importance`, to the visitor and returns all other
-/// keys.
+/// Reads the entries from dotted keys such as `op_types.0.importance`, passes them to the visitor and returns
+/// all other keys.
+///
+/// # Errors
+/// Too many entries, an index that is left out, an invalid entry, or a rejection by the visitor.
 pub fn read_flat_entries(
     visitor: &mut impl EntryVisitor,
     settings: FlatSettings,
 ) -> Result<FlatSettings, ConfigError> {
-    let mut others = FlatSettings::default();
+    let mut other_settings = FlatSettings::default();
     let mut request_classes: BTreeMap<usize, FlatSettings> = BTreeMap::new();
     let mut tenants: BTreeMap<usize, FlatSettings> = BTreeMap::new();
     for (key, value) in settings {
         let Some(entry_key) = EntryKey::parse(&key) else {
-            others.insert(key, value);
+            other_settings.insert(key, value);
             continue;
         };
         let entries = match entry_key.table {
@@ -137,7 +144,7 @@
     }
     read_table(visitor, EntryKind::RequestClasses, request_classes)?;
     read_table(visitor, EntryKind::Tenants, tenants)?;
-    Ok(others)
+    Ok(other_settings)
 }
 
 /// A dotted key of an entry, such as `tenants.3.quota_per_s`.
@@ -149,14 +156,14 @@
 
 impl<'a> EntryKey<'a> {
     fn parse(dotted: &'a str) -> Option<Self> {
-        let (table, below) = dotted.split_once('.')?;
+        let (table, index_and_key) = dotted.split_once('.')?;
         let table = EntryKind::from_dotted_key(table)?;
-        let (index, key) = below.split_once('.')?;
+        let (index, key) = index_and_key.split_once('.')?;
         Some(Self { table, index: index.parse().ok()?, key })
     }
 }
 
-/// Reads entries by index; the indexes must begin at zero and leave none out.
+/// Reads the entries of one table by index. The indexes must start at zero and be contiguous.
 fn read_table(
     visitor: &mut impl EntryVisitor,
     table: EntryKind,
@@ -172,8 +179,8 @@
     Ok(())
 }
 
-fn request_class(entry: &FlatSettings, path: &str) -> Result<RequestClass, ConfigError> {
-    check_values(entry, path, &REQUEST_CLASS_NUMBERS)?;
+fn parse_request_class(entry: &FlatSettings, path: &str) -> Result<RequestClass, ConfigError> {
+    check_values(entry, path, &REQUEST_CLASS_NUMBER_SUFFIXES)?;
     let Some(objective_us) = entry.number("target_latency_us") else {
         return Err(ConfigError::MissingKey { key: format!("{path}.target_latency_us") });
     };
@@ -181,33 +188,33 @@
     let number = |key: &str, default: f64| entry.number(key).unwrap_or(default);
     let duration_us = |key: &str, default_us: f64| Duration::from_us(number(key, default_us) as u64);
     Ok(RequestClass {
-        name: name(entry, path)?,
+        name: parse_name(entry, path)?,
         latency_objective: Duration::from_us(objective_us as u64),
         latency_objective_per_cost: number("target_stretch", default.latency_objective_per_cost),
-        request_timeout: duration_us("op_timeout_us", objective_us * DEFAULT_TIMEOUT_OBJECTIVES),
+        request_timeout: duration_us("op_timeout_us", objective_us * DEFAULT_TIMEOUT_IN_OBJECTIVES),
         priority_weight: number("importance", default.priority_weight),
         late_value: number("late_worth", default.late_value),
         degraded_value: default.degraded_value,
-        idempotency: idempotency(entry, path)?,
+        idempotency: parse_idempotency(entry, path)?,
         deduplication_window: duration_us("window_us", default.deduplication_window.us() as f64),
     })
 }
 
-fn idempotency(entry: &FlatSettings, path: &str) -> Result<Idempotency, ConfigError> {
+fn parse_idempotency(entry: &FlatSettings, path: &str) -> Result<Idempotency, ConfigError> {
     match entry.text_or_empty("repeats") {
         "retryable" => Ok(Idempotency::Idempotent),
         "keyed" => Ok(Idempotency::IdempotentWithKey),
         "non-retryable" | "" => Ok(Idempotency::NonIdempotent),
-        other => Err(ConfigError::UnknownWord { key: format!("{path}.repeats"), value: other.to_string() }),
+        other => Err(ConfigError::UnknownValue { key: format!("{path}.repeats"), value: other.to_string() }),
     }
 }
 
-fn tenant(entry: &FlatSettings, path: &str) -> Result<Tenant, ConfigError> {
-    check_values(entry, path, &TENANT_NUMBERS)?;
-    Ok(Tenant { name: name(entry, path)?, quota_per_s: entry.number("quota_per_s") })
+fn parse_tenant(entry: &FlatSettings, path: &str) -> Result<Tenant, ConfigError> {
+    check_values(entry, path, &TENANT_NUMBER_SUFFIXES)?;
+    Ok(Tenant { name: parse_name(entry, path)?, quota_per_s: entry.number("quota_per_s") })
 }
 
-fn name(entry: &FlatSettings, path: &str) -> Result<Arc<str>, ConfigError> {
+fn parse_name(entry: &FlatSettings, path: &str) -> Result<Arc<str>, ConfigError> {
     let name = entry.text_or_empty("name");
     if name.len() > MAX_NAME_BYTES {
         let key = format!("{path}.name");
@@ -216,12 +223,12 @@
     Ok(name.into())
 }
 
-/// Checks each value of an entry, and that keys with one of the ends in `numbers` have no text.
-fn check_values(entry: &FlatSettings, path: &str, numbers: &[&str]) -> Result<(), ConfigError> {
+/// Rejects values that are out of range, and texts under keys that end in one of `number_suffixes`.
+fn check_values(entry: &FlatSettings, path: &str, number_suffixes: &[&str]) -> Result<(), ConfigError> {
     for (key, value) in entry.iter() {
         let key = format!("{path}.{key}");
         check_value(&key, value)?;
-        let must_be_number = numbers.iter().any(|end| key.ends_with(end));
+        let must_be_number = number_suffixes.iter().any(|suffix| key.ends_with(suffix));
         if must_be_number && matches!(value, SettingValue::Text(_)) {
             return Err(ConfigError::NotANumber { key });
         }
@@ -229,7 +236,7 @@
     Ok(())
 }
 
-/// Whether the first part of a key is none of the known ones.
-fn is_unknown(known: &[&str], key: &str) -> bool {
+/// Returns whether the first part of a dotted key is not among the known keys.
+fn is_unknown_key(known: &[&str], key: &str) -> bool {
     !known.contains(&key.split('.').next().unwrap_or(key))
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -85,7 +85,7 @@
         let settings = catalog.borrow().settings().clone();
         // Part of the first control cycle counts as past, at random: servers that start together would
         // otherwise adjust their admission rates at the same instants for ever.
-        let first_cycle_began = now.back(MAX_CYCLE.scaled(Pcg::new(!seed).unit()));
+        let first_cycle_began = now.saturating_sub(MAX_CYCLE.scaled(Pcg::new(!seed).draw_fraction()));
         let mut pending_decisions = VecDeque::from([Decision::SetHealth { active: true, cached: true }]);
         if is_cold {
             pending_decisions.push_back(Decision::Log(ControllerEvent::WarmingUp));
--- a/src/shutdown.rs
+++ b/src/shutdown.rs
@@ -17,7 +17,7 @@
 impl Shutdown {
     /// Returns whether all requests must be answered now.
     pub(crate) fn is_stopping(self, now: Timestamp) -> bool {
-        now >= self.stops_at.back(RESPONSE_MARGIN)
+        now >= self.stops_at.saturating_sub(RESPONSE_MARGIN)
     }
 
     /// Returns whether a request received at this time comes after the grace period, whenever its client sent
--- a/tests/fleet_totals.rs
+++ b/tests/fleet_totals.rs
@@ -1,5 +1,6 @@
-//! What many servers do in total, in virtual time. Each is an `AdmissionController` with its part of the settings; none hears
-//! of another, all start together and receive more than they can serve.
+//! Tests of the total effect of many servers, in virtual time. Each server is an `AdmissionController` with
+//! its part of the limits and no knowledge of the others. All start together and receive more than they can
+//! serve.
 
 mod helpers;
 
@@ -11,39 +12,39 @@
 use helpers::flat_settings;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The time between two steps.
+/// Virtual time between two steps.
 const STEP: Duration = Duration::from_ms(5);
-/// When the first servers start.
+/// Time at which the first servers start.
 const START: Timestamp = Timestamp::from_us(50_000_000);
-/// The period over which the dependency's limit is a mean (`calls_over_us` of the settings).
+/// Period over which the mean load of the dependency must not exceed its limit (`server.calls_over_us`).
 const OVERLOAD_TOLERANCE: Duration = Duration::from_ms(5000);
-/// How long a cancelled call goes on loading the dependency (`lingers_us` of the settings).
+/// Time for which a cancelled call still loads the dependency (`server.lingers_us`).
 const RESIDUAL_LOAD: Duration = Duration::from_ms(200);
-/// How long the dependency is loaded.
-const CALL_TEST_LENGTH: Duration = Duration::from_ms(10_000);
-/// Seeds of each setup with calls.
-const SEEDS: u64 = 3;
-/// How long servers run that may change their mode together.
-const MODE_TEST_LENGTH: Duration = Duration::from_ms(20_000);
-/// Servers that may change their mode together.
+/// Duration of the test of dependency calls.
+const CALL_TEST_DURATION: Duration = Duration::from_ms(10_000);
+/// Number of seeds for each setup of the test of dependency calls.
+const SEED_COUNT: u64 = 3;
+/// Duration of the test of simultaneous mode changes.
+const MODE_TEST_DURATION: Duration = Duration::from_ms(20_000);
+/// Number of servers in the test of simultaneous mode changes.
 const MODE_TEST_SERVERS: usize = 30;
-/// Retries and changes of the mode are counted in bins of this time.
-const BIN: Duration = Duration::from_ms(100);
+/// Width of the bins in which retries and mode changes are counted.
+const BIN_WIDTH: Duration = Duration::from_ms(100);
 
-/// How calls are answered.
+/// The behaviour of the dependency towards calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Dependency {
-    /// In 20 to 200 ms.
-    Well,
-    /// In 400 to 1,600 ms.
+    /// Calls take 20 to 200 ms.
+    Healthy,
+    /// Calls take 400 to 1,600 ms.
     Slow,
-    /// Not at all: each call goes on until its timeout ends.
+    /// Calls are never answered and run into their timeout.
     Silent,
-    /// It rejects every second call.
-    Full,
+    /// Half of the calls, at random, are rejected; the others take 20 to 200 ms.
+    Overloaded,
 }
 
-/// When a call ends, and how.
+/// The time and outcome of the end of a call.
 #[derive(Clone, Copy, Debug)]
 struct CallEnd {
     at: Timestamp,
@@ -51,14 +52,14 @@
 }
 
 impl Dependency {
-    /// How a call that starts now ends.
-    fn answer(self, now: Timestamp, timeout: Duration, random: &mut Pcg) -> CallEnd {
+    /// Returns the end of a call that starts now.
+    fn call_end(self, now: Timestamp, timeout: Duration, random: &mut Pcg) -> CallEnd {
         let (latency, outcome) = match self {
-            Self::Well => (between_ms(random, 20, 200), Outcome::Ok),
+            Self::Healthy => (between_ms(random, 20, 200), Outcome::Ok),
             Self::Slow => (between_ms(random, 400, 1600), Outcome::Ok),
-            Self::Silent => (CALL_TEST_LENGTH, Outcome::Ok),
-            Self::Full if random.unit() < 0.5 => (STEP, Outcome::Rejected),
-            Self::Full => (between_ms(random, 20, 200), Outcome::Ok),
+            Self::Silent => (CALL_TEST_DURATION, Outcome::Ok),
+            Self::Overloaded if random.draw_fraction() < 0.5 => (STEP, Outcome::Rejected),
+            Self::Overloaded => (between_ms(random, 20, 200), Outcome::Ok),
         };
         if latency < timeout {
             CallEnd { at: now + latency, outcome }
@@ -72,15 +73,15 @@
     Duration::from_ms(min + u64::from(random.draw()) % (max - min))
 }
 
-/// One server with what it has in progress.
+/// A server with its runs and calls in progress.
 struct Server {
     index: usize,
     controller: AdmissionController,
     starts_at: Timestamp,
-    /// When each run ends or calls.
+    /// Time at which each run ends or requests a call.
     run_ends: BTreeMap<RequestId, Timestamp>,
     calls: BTreeMap<RequestId, CallEnd>,
-    /// Until when each cancelled call loads the dependency.
+    /// Times until which cancelled or timed-out calls load the dependency.
     residual_loads: Vec<Timestamp>,
     received: u64,
 }
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Receives one more request, from one of `clients` clients in turn.
+    /// Receives one request, from each of `clients` clients in turn.
     fn receive(&mut self, now: Timestamp, clients: u64) {
         self.received += 1;
         let name = format!("{}x{}", self.index, self.received);
@@ -129,21 +130,21 @@
         due
     }
 
-    /// The calls that load the dependency.
+    /// Returns the number of calls that load the dependency.
     fn call_load(&self) -> usize {
         self.calls.len() + self.residual_loads.len()
     }
 
-    /// One step of a server that calls a dependency; returns how many calls started.
+    /// Runs one step of a server with dependency calls and returns the number of calls started.
     fn step_with_calls(&mut self, now: Timestamp, dependency: Dependency, random: &mut Pcg) -> usize {
         self.residual_loads.retain(|until| *until > now);
-        if random.unit() < 0.15 {
+        if random.draw_fraction() < 0.15 {
             self.receive(now, 7);
         }
         self.finish_due_calls(now);
         for request in self.take_due_runs(now) {
-            // The first part of a run ends at a call; what is left after that ends the run.
-            if random.unit() < 0.6 {
+            // With a probability of 0.6 the run requests a call here, otherwise it ends.
+            if random.draw_fraction() < 0.6 {
                 self.controller.call_requested(now, request);
             } else {
                 self.controller.run_finished(now, request, Outcome::Ok);
@@ -181,7 +182,7 @@
                 self.run_ends.insert(request, now + Duration::from_ms(20));
             }
             Decision::StartCall { request, timeout } => {
-                self.calls.insert(request, dependency.answer(now, timeout, random));
+                self.calls.insert(request, dependency.call_end(now, timeout, random));
             }
             Decision::Fail(request) | Decision::Reject { request, .. } => {
                 self.run_ends.remove(&request);
@@ -198,9 +199,9 @@
         }
     }
 
-    /// One step of an overloaded server without calls.
+    /// Runs one step of an overloaded server without calls.
     fn step_overloaded(&mut self, now: Timestamp, random: &mut Pcg, counts: &mut BinCounts) {
-        if random.unit() < 0.2 {
+        if random.draw_fraction() < 0.2 {
             self.receive(now, 17);
         }
         for request in self.take_due_runs(now) {
@@ -229,16 +230,16 @@
     }
 }
 
-/// The largest load of the dependency over [`OVERLOAD_TOLERANCE`].
+/// The peak of the calls to the dependency over any period of [`OVERLOAD_TOLERANCE`].
 #[derive(Clone, Copy, Debug)]
 struct CallPeak {
-    /// Mean calls at once, over the limit.
+    /// Largest mean number of concurrent calls, divided by the limit.
     load_over_limit: f64,
-    /// Calls started.
+    /// Largest number of calls started.
     started: usize,
 }
 
-/// Lets cold servers share a call limit and returns the peak of their calls.
+/// Runs cold servers that share a call limit equally and returns the peak of their calls.
 fn call_peak(servers: usize, limit: f64, dependency: Dependency, seed: u64) -> CallPeak {
     let mut random = Pcg::new(seed);
     let settings = format!(
@@ -256,10 +257,11 @@
     let (mut loads, mut started) = (VecDeque::new(), VecDeque::new());
     let (mut max_load, mut max_started) = (0.0f64, 0);
     let mut now = START;
-    while now < START + CALL_TEST_LENGTH {
+    while now < START + CALL_TEST_DURATION {
         now = now + STEP;
-        let up = fleet.iter_mut().filter(|server| server.starts_at <= now);
-        let started_now: usize = up.map(|server| server.step_with_calls(now, dependency, &mut random)).sum();
+        let started_servers = fleet.iter_mut().filter(|server| server.starts_at <= now);
+        let started_now: usize =
+            started_servers.map(|server| server.step_with_calls(now, dependency, &mut random)).sum();
         loads.push_back(fleet.iter().map(Server::call_load).sum::<usize>() as f64);
         started.push_back(started_now);
         if loads.len() as u64 > OVERLOAD_TOLERANCE.us() / STEP.us() {
@@ -274,14 +276,14 @@
 }
 
 #[test]
-fn cold_servers_together_stay_within_the_limit_of_the_dependency() {
+fn cold_servers_together_stay_within_the_dependency_limit() {
     let mut report = String::new();
     let mut over_limit = Vec::new();
-    for dependency in [Dependency::Well, Dependency::Slow, Dependency::Silent, Dependency::Full] {
+    for dependency in [Dependency::Healthy, Dependency::Slow, Dependency::Silent, Dependency::Overloaded] {
         for servers in [1, 10, 20, 30] {
             for limit in [3.0, 12.0] {
                 let peaks: Vec<CallPeak> =
-                    (0..SEEDS).map(|seed| call_peak(servers, limit, dependency, seed)).collect();
+                    (0..SEED_COUNT).map(|seed| call_peak(servers, limit, dependency, seed)).collect();
                 let load = peaks.iter().map(|peak| peak.load_over_limit).fold(0.0, f64::max);
                 let started = peaks.iter().map(|peak| peak.started).max().unwrap_or(0);
                 let line = format!(
@@ -298,7 +300,7 @@
     assert!(over_limit.is_empty(), "{over_limit:?}\n{report}");
 }
 
-/// What overloaded servers do in each bin of time.
+/// Numbers of mode changes and retries of overloaded servers, by bin of [`BIN_WIDTH`] since [`START`].
 #[derive(Default)]
 struct BinCounts {
     mode_changes: BTreeMap<u64, u32>,
@@ -307,7 +309,7 @@
 
 impl BinCounts {
     fn bin(at: Timestamp) -> u64 {
-        (at - START).us() / BIN.us()
+        (at - START).us() / BIN_WIDTH.us()
     }
 
     fn record_mode_change(&mut self, at: Timestamp) {
@@ -319,8 +321,8 @@
     }
 }
 
-/// Of servers that start in the same instant, each overloaded: how many change their mode within the same 100 ms, and how many
-/// rejected clients are to retry then, over the mean.
+/// Overloaded servers that start in the same instant would change their mode and let rejected clients retry
+/// at the same time if nothing spread them. Guards the peak of both within 100 ms.
 #[test]
 fn servers_started_together_do_not_act_in_step() {
     let mut random = Pcg::new(3);
@@ -329,7 +331,7 @@
         .collect();
     let mut counts = BinCounts::default();
     let mut now = START;
-    while now < START + MODE_TEST_LENGTH {
+    while now < START + MODE_TEST_DURATION {
         now = now + STEP;
         for server in &mut fleet {
             server.step_overloaded(now, &mut random, &mut counts);
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -132,9 +132,9 @@
         error_text("rules.cold_us=-5")
     );
     expect![[r#"
-        setting server.cores is absurd: 0
-        setting server.memory_kb is absurd: -1
-        setting rules.cold_us is absurd: -5
+        setting server.cores is out of range: 0
+        setting server.memory_kb is out of range: -1
+        setting rules.cold_us is out of range: -5
     "#]]
     .assert_eq(&errors);
 }
