--- a/crates/hazelspur-fleet/src/invariant.rs
+++ b/crates/hazelspur-fleet/src/invariant.rs
@@ -10,7 +10,7 @@
 pub enum InvariantViolation {
     /// The set of dead members and the member's status differ.
     #[error("{member}: {status:?}, not so among the lost")]
-    DeadSet {
+    DeadSetMismatch {
         /// The member.
         member: MemberName,
         /// Its status.
@@ -18,7 +18,7 @@
     },
     /// The queue of suspicions and the member's status differ.
     #[error("{member}: {status:?}, among the suspects: {queued}")]
-    SuspicionQueue {
+    SuspicionQueueMismatch {
         /// The member.
         member: MemberName,
         /// Its status.
@@ -28,7 +28,7 @@
     },
     /// A member that announced its end does not count as left.
     #[error("{member}: has left, stands as {status:?}")]
-    NotLeft {
+    AnnouncedLeftMismatch {
         /// The member.
         member: MemberName,
         /// Its status.
@@ -36,7 +36,7 @@
     },
     /// The member table passes its capacity, or its indexes differ from it.
     #[error("{members} members, room for {capacity}")]
-    MemberTable {
+    MemberTableMismatch {
         /// Members in the table.
         members: usize,
         /// Its capacity.
@@ -44,7 +44,7 @@
     },
     /// The bounds of the fleet's size cross, or too many datagrams wait.
     #[error("{size:?}, {outgoing} datagrams wait")]
-    SizeOrQueue {
+    SizeBoundsOrSendQueue {
         /// Bounds of the fleet's size.
         size: FleetSize,
         /// Datagrams that wait to be sent.
--- a/crates/hazelspur-fleet/src/membership/state.rs
+++ b/crates/hazelspur-fleet/src/membership/state.rs
@@ -315,7 +315,7 @@
         self.members.check_invariants()?;
         let (size, outgoing) = (self.size(None), self.outgoing.len());
         if size.min > size.max || outgoing > MAX_OUTGOING {
-            return Err(InvariantViolation::SizeOrQueue { size, outgoing });
+            return Err(InvariantViolation::SizeBoundsOrSendQueue { size, outgoing });
         }
         Ok(())
     }
--- a/crates/hazelspur-fleet/src/membership/table.rs
+++ b/crates/hazelspur-fleet/src/membership/table.rs
@@ -261,7 +261,7 @@
         }
         let (members, capacity) = (self.members.len(), self.capacity);
         if self.suspicions.len() > members || members > capacity || self.names.len() != members {
-            return Err(InvariantViolation::MemberTable { members, capacity });
+            return Err(InvariantViolation::MemberTableMismatch { members, capacity });
         }
         Ok(())
     }
@@ -269,14 +269,14 @@
     fn check_member(&self, name: MemberName, member: &Member) -> Result<(), InvariantViolation> {
         let status = member.status;
         if (status == MemberStatus::Dead) != self.dead.contains(&name) {
-            return Err(InvariantViolation::DeadSet { member: name, status });
+            return Err(InvariantViolation::DeadSetMismatch { member: name, status });
         }
         let queued = self.suspicions.contains(&SuspicionTimer { at: member.suspicion_timer, member: name });
         if (status == MemberStatus::Suspected) != queued {
-            return Err(InvariantViolation::SuspicionQueue { member: name, status, queued });
+            return Err(InvariantViolation::SuspicionQueueMismatch { member: name, status, queued });
         }
         if member.announced_left && status != MemberStatus::Left {
-            return Err(InvariantViolation::NotLeft { member: name, status });
+            return Err(InvariantViolation::AnnouncedLeftMismatch { member: name, status });
         }
         Ok(())
     }
