--- a/crates/hazelspur-fleet/src/membership/dissemination.rs
+++ b/crates/hazelspur-fleet/src/membership/dissemination.rs
@@ -39,7 +39,7 @@
     fn updates_for(&mut self, to: Option<MemberName>, free_bytes: usize) -> Vec<MemberUpdate> {
         let mut updates = Vec::new();
         let mut free_bytes = free_bytes;
-        if let Some(update) = to.and_then(|to| self.to_refute(to)) {
+        if let Some(update) = to.and_then(|to| self.update_to_refute(to)) {
             free_bytes = free_bytes.saturating_sub(encoded_size(&update));
             updates.push(update);
         }
@@ -65,7 +65,7 @@
         updates
     }
 
-    fn to_refute(&self, name: MemberName) -> Option<MemberUpdate> {
+    fn update_to_refute(&self, name: MemberName) -> Option<MemberUpdate> {
         let update = self.members.get(name)?.update;
         Some(update).filter(|update| update.state != MemberState::Alive)
     }
@@ -81,12 +81,12 @@
     /// refute it. Not as long as they are remembered: each process forgets them at another moment and would
     /// learn of them from the next.
     fn gossiped_update(&self, member: &Member) -> Option<MemberUpdate> {
-        let gossiped_for = match member.status {
+        let gossip_duration = match member.status {
             MemberStatus::Left => self.config.probe_period.scaled(LEFT_GOSSIP_PERIODS),
             MemberStatus::Dead => self.config.retention.scaled(DEAD_GOSSIP_FRACTION),
             _ => return Some(member.update),
         };
-        (self.next_period - member.status_since <= gossiped_for).then_some(member.update)
+        (self.next_period - member.status_since <= gossip_duration).then_some(member.update)
     }
 
     /// As much of the list after a name as fits, and where it goes on.
--- a/crates/hazelspur-fleet/src/membership/failure_detector.rs
+++ b/crates/hazelspur-fleet/src/membership/failure_detector.rs
@@ -32,7 +32,7 @@
 /// Probes that this process makes for others at once.
 const MAX_INDIRECT_PROBES: usize = 64;
 /// Part of the retention time: after a longer suspension the member list is read anew.
-const REREAD_AFTER_SUSPENSION: f64 = 0.5;
+const REREAD_SUSPENSION_FRACTION: f64 = 0.5;
 
 /// The probe of this period.
 #[derive(Clone, Debug)]
@@ -48,7 +48,7 @@
 pub(super) struct IndirectProbe {
     number: u32,
     requester: SocketAddr,
-    requested_number: u32,
+    requester_number: u32,
     expires: Timestamp,
 }
 
@@ -60,15 +60,15 @@
         if let Some(probe) = self.probe.take() {
             self.probe_failed(now, probe.target);
         }
-        for name in self.members.gone_for(now, self.config.retention) {
+        for name in self.members.gone_longer_than(now, self.config.retention) {
             self.forget(name);
         }
         if self.me.state != MemberState::Left {
             self.send_next_probe(now);
-            self.probe_missing();
+            self.probe_seeds_and_dead();
         }
         self.refuted_in_period = false;
-        self.continue_reading();
+        self.continue_list_read();
         if !self.gossip_queue.is_empty() {
             self.gossip_at = Some(now + self.config.probe_period.scaled(GOSSIP_FRACTION));
         }
@@ -122,9 +122,10 @@
         let Some(target_address) = self.members.get(target).map(|member| member.update.address) else {
             return;
         };
-        let helps = |name: MemberName, status: MemberStatus| name != target && status == MemberStatus::Alive;
-        for helper in self.pick(INDIRECT_PROBERS, |member| helps(member.update.name, member.status)) {
-            self.send_to_member(helper, Body::PingRequest { number, target, target_address });
+        let can_probe =
+            |name: MemberName, status: MemberStatus| name != target && status == MemberStatus::Alive;
+        for prober in self.pick(INDIRECT_PROBERS, |member| can_probe(member.update.name, member.status)) {
+            self.send_to_member(prober, Body::PingRequest { number, target, target_address });
         }
     }
 
@@ -132,7 +133,7 @@
         &mut self,
         now: Timestamp,
         requester: SocketAddr,
-        requested_number: u32,
+        requester_number: u32,
         target: MemberName,
         target_address: SocketAddr,
     ) {
@@ -142,26 +143,26 @@
         }
         let number = self.random.draw();
         let expires = now + self.config.probe_period;
-        self.indirect_probes.push(IndirectProbe { number, requester, requested_number, expires });
+        self.indirect_probes.push(IndirectProbe { number, requester, requester_number, expires });
         self.send(target_address, Some(target), Body::Ping { number, to: Some(target) });
     }
 
     pub(super) fn receive_ack(&mut self, now: Timestamp, number: u32) {
         if self.probe.as_ref().is_some_and(|probe| probe.number == number) {
             self.probe = None;
-            self.health.reward();
+            self.health.decrease_score();
             return;
         }
-        let is_answered = |probe: &IndirectProbe| probe.number == number && probe.expires > now;
-        if let Some(index) = self.indirect_probes.iter().position(is_answered) {
+        let is_acked = |probe: &IndirectProbe| probe.number == number && probe.expires > now;
+        if let Some(index) = self.indirect_probes.iter().position(is_acked) {
             let probe = self.indirect_probes.swap_remove(index);
-            self.send(probe.requester, None, Body::Ack { number: probe.requested_number });
+            self.send(probe.requester, None, Body::Ack { number: probe.requester_number });
         }
     }
 
     /// A probe was answered neither directly nor indirectly.
     fn probe_failed(&mut self, now: Timestamp, target: MemberName) {
-        self.health.penalize();
+        self.health.increase_score();
         let has_just_resumed = self.resumed_at + self.config.probe_period > now;
         // A process that hears nobody, or was suspended, suspects nobody.
         if self.health.is_isolated(now) || self.health.is_degraded(now) && has_just_resumed {
@@ -172,7 +173,7 @@
         match member.status {
             MemberStatus::Alive => {
                 member.update.state = MemberState::Suspected(me);
-                member.note_update(me, now);
+                member.record_update_source(me, now);
                 self.gossip_queue.enqueue(target);
                 self.suspect(now, target, me);
             }
@@ -197,12 +198,12 @@
     pub(super) fn confirm_suspicion(&mut self, now: Timestamp, name: MemberName, accuser: MemberName) {
         let Some(member) = self.members.get(name) else { return };
         if !member.accusers.contains(&accuser) && member.accusers.len() <= MAX_CONFIRMATIONS {
-            self.members.accuse(now, name, accuser);
+            self.members.add_accuser(now, name, accuser);
             self.gossip_queue.enqueue(name);
         }
     }
 
-    pub(super) fn end_suspicions(&mut self, now: Timestamp) {
+    pub(super) fn process_expired_suspicions(&mut self, now: Timestamp) {
         while let Some(name) = self.members.expired_suspicion(now) {
             let is_final_probe_sent =
                 self.members.get(name).is_none_or(|member| member.is_final_probe_sent());
@@ -225,7 +226,7 @@
         self.resumed_at = now;
         self.probe = None;
         self.members.postpone_all(suspended);
-        if suspended > self.config.retention.scaled(REREAD_AFTER_SUSPENSION) {
+        if suspended > self.config.retention.scaled(REREAD_SUSPENSION_FRACTION) {
             self.list.restart();
         }
     }
--- a/crates/hazelspur-fleet/src/membership/gossip_queue.rs
+++ b/crates/hazelspur-fleet/src/membership/gossip_queue.rs
@@ -44,19 +44,19 @@
         self.transmissions.is_empty()
     }
 
-    /// Offers up to `max` members to `take`, least transmitted first, until it refuses one; counts them as
+    /// Offers up to `max` members to `try_add`, least transmitted first, until it refuses one; counts them as
     /// transmitted.
     pub(super) fn transmit(
         &mut self,
         max: usize,
         fleet_size: usize,
-        mut take: impl FnMut(MemberName) -> bool,
+        mut try_add: impl FnMut(MemberName) -> bool,
     ) {
         let log_size = (((fleet_size + 1) as f64).log10().ceil() as u32).max(1);
         let max_transmissions = TRANSMISSIONS_PER_LOG_SIZE * log_size;
         let next: Vec<QueueEntry> = self.by_transmissions.iter().take(max).copied().collect();
         for QueueEntry { transmissions, name } in next {
-            if !take(name) {
+            if !try_add(name) {
                 return;
             }
             self.remove(name);
--- a/crates/hazelspur-fleet/src/membership/list_sync.rs
+++ b/crates/hazelspur-fleet/src/membership/list_sync.rs
@@ -7,9 +7,9 @@
 use crate::names::MemberName;
 
 /// Part by which the table must have grown before the list is read again.
-const REREAD_GROWTH: f64 = 0.05;
+const REREAD_GROWTH_FRACTION: f64 = 0.05;
 /// Periods between two readings.
-const REREAD_AFTER_PERIODS: u64 = 3;
+const MIN_PERIODS_BETWEEN_READS: u64 = 3;
 
 /// How far the member list was read.
 #[derive(Clone, Debug)]
@@ -29,10 +29,10 @@
 
 impl ListSync {
     /// A process that is alone has nothing to read.
-    pub(super) fn new(is_alone: bool) -> Self {
+    pub(super) fn new(has_no_other_seed: bool) -> Self {
         Self {
-            is_complete: is_alone,
-            is_reading: !is_alone,
+            is_complete: has_no_other_seed,
+            is_reading: !has_no_other_seed,
             size_when_read: 0,
             read_in_period: 0,
             after: None,
@@ -49,14 +49,14 @@
 
     fn has_grown(&self, members: usize, periods: u64) -> bool {
         self.is_complete
-            && members as f64 > self.size_when_read as f64 * (1.0 + REREAD_GROWTH)
-            && periods >= self.read_in_period + REREAD_AFTER_PERIODS
+            && members as f64 > self.size_when_read as f64 * (1.0 + REREAD_GROWTH_FRACTION)
+            && periods >= self.read_in_period + MIN_PERIODS_BETWEEN_READS
     }
 }
 
 impl Membership {
     /// In each period: requests again what was not answered, or begins another reading.
-    pub(super) fn continue_reading(&mut self) {
+    pub(super) fn continue_list_read(&mut self) {
         self.list.is_requested = false;
         self.list.is_reading |= self.list.has_grown(self.members.len(), self.periods);
         if self.list.is_reading {
@@ -65,7 +65,7 @@
     }
 
     /// After each datagram: requests a page of its sender, if no other member is known to run.
-    pub(super) fn request_first_page(&mut self, sender: MemberName) {
+    pub(super) fn request_page_if_reading(&mut self, sender: MemberName) {
         if self.list.is_reading && !self.list.is_requested {
             self.request_list_page(Some(sender));
         }
@@ -90,8 +90,8 @@
     /// Requests a page of any living member, so that requests of new members spread over all; otherwise of
     /// `fallback`.
     fn request_list_page(&mut self, fallback: Option<MemberName>) {
-        let any = self.pick(1, |member| member.status == MemberStatus::Alive).pop();
-        if let Some(name) = any.or(fallback) {
+        let any_alive = self.pick(1, |member| member.status == MemberStatus::Alive).pop();
+        if let Some(name) = any_alive.or(fallback) {
             self.list.is_requested = true;
             self.send_to_member(name, Body::MemberListRequest { after: self.list.after });
         }
--- a/crates/hazelspur-fleet/src/membership/local_health.rs
+++ b/crates/hazelspur-fleet/src/membership/local_health.rs
@@ -71,32 +71,32 @@
     }
 
     /// A probe was answered.
-    pub(super) fn reward(&mut self) {
+    pub(super) fn decrease_score(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
     /// A probe was not answered, or this process had to refute a suspicion.
-    pub(super) fn penalize(&mut self) {
-        self.add_to_score(1);
+    pub(super) fn increase_score(&mut self) {
+        self.add_penalty(1);
     }
 
     /// A datagram of another member arrived.
-    pub(super) fn received(&mut self, now: Timestamp) {
+    pub(super) fn record_received(&mut self, now: Timestamp) {
         self.last_received = self.last_received.max(now);
     }
 
     /// A timer that was due at `due` runs now: how long the process was suspended, zero if it was not.
-    pub(super) fn timer_ran(&mut self, now: Timestamp, due: Timestamp) -> Duration {
-        let late = now - due;
-        if late < self.period.scaled(LATE_TIMER_FRACTION) {
+    pub(super) fn record_timer_run(&mut self, now: Timestamp, due: Timestamp) -> Duration {
+        let lateness = now - due;
+        if lateness < self.period.scaled(LATE_TIMER_FRACTION) {
             return Duration::ZERO;
         }
-        self.add_to_score(LATE_TIMER_PENALTY);
+        self.add_penalty(LATE_TIMER_PENALTY);
         self.recovering_until = now + self.period + self.period;
         // It received nothing meanwhile because it did not run.
-        let received_while_suspended = (self.last_received + late).min(now);
+        let received_while_suspended = (self.last_received + lateness).min(now);
         self.last_received = self.last_received.max(received_while_suspended);
-        late
+        lateness
     }
 
     pub(super) fn is_degraded(&self, now: Timestamp) -> bool {
@@ -107,7 +107,7 @@
         now - self.last_received > Duration::from_us(self.period.us() * ISOLATED_AFTER_PERIODS)
     }
 
-    fn add_to_score(&mut self, penalty: u32) {
+    fn add_penalty(&mut self, penalty: u32) {
         self.score = (self.score + penalty).min(MAX_MULTIPLIER - 1);
     }
 }
--- a/crates/hazelspur-fleet/src/membership/operator.rs
+++ b/crates/hazelspur-fleet/src/membership/operator.rs
@@ -29,9 +29,9 @@
         if self.budget.operator_replies == 0 {
             return;
         }
-        let following = self.members.by_name().range((after.map_or(Unbounded, Excluded), Unbounded));
+        let members_after = self.members.by_name().range((after.map_or(Unbounded, Excluded), Unbounded));
         let mut members: Vec<MemberRow> =
-            following.take(MAX_QUERY_ROWS + 1).map(|(_, member)| row(now, member)).collect();
+            members_after.take(MAX_QUERY_ROWS + 1).map(|(_, member)| member_row(now, member)).collect();
         let has_more = members.len() > MAX_QUERY_ROWS;
         members.truncate(MAX_QUERY_ROWS);
         let next = members.last().filter(|_| has_more).map(|row| row.update.name);
@@ -48,7 +48,7 @@
     }
 }
 
-fn row(now: Timestamp, member: &Member) -> MemberRow {
+fn member_row(now: Timestamp, member: &Member) -> MemberRow {
     let age_ms = |since: Timestamp| (now - since).us() / 1000;
     MemberRow {
         update: member.update,
--- a/crates/hazelspur-fleet/src/membership/receive.rs
+++ b/crates/hazelspur-fleet/src/membership/receive.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy)]
 struct Transition {
     reported_by: MemberName,
-    previous: MemberStatus,
+    previous_status: MemberStatus,
     /// The update is of a newer generation.
     restarted: bool,
 }
@@ -44,7 +44,7 @@
             return Err(DatagramError::Replayed);
         }
         self.receive_sender(now, datagram)?;
-        self.health.received(now);
+        self.health.record_received(now);
         for update in datagram.updates.iter().take(MAX_UPDATES) {
             self.merge(now, update, sender.name);
         }
@@ -61,11 +61,11 @@
         let Some(member) = self.members.get_mut(name) else { return Err(DatagramError::Replayed) };
         member.replay_window.accept(datagram.sequence);
         member.last_heard = Some(now);
-        member.note_update(name, now);
+        member.record_update_source(name, now);
         member.announced_left |= sender.state == MemberState::Left;
-        let denies_leaving = member.status == MemberStatus::Left && !member.announced_left;
+        let contradicts_left_report = member.status == MemberStatus::Left && !member.announced_left;
         let was_dead = member.status == MemberStatus::Dead;
-        if denies_leaving || was_dead || member.status == MemberStatus::Suspected {
+        if contradicts_left_report || was_dead || member.status == MemberStatus::Suspected {
             self.recovered_in_period += usize::from(was_dead);
             // The next datagram to it carries the suspicion, which it then refutes for all others.
             self.members.set_status(now, name, MemberStatus::Alive);
@@ -77,12 +77,12 @@
     fn check_replay(&mut self, datagram: &Datagram) -> Result<(), DatagramError> {
         let generation = datagram.sender.generation;
         let Some(member) = self.members.get_mut(datagram.sender.name) else { return Ok(()) };
-        let known = member.update.generation;
-        if known < generation {
+        let known_generation = member.update.generation;
+        if known_generation < generation {
             return Ok(());
         }
-        let is_over = known > generation || member.announced_left;
-        if is_over || !member.replay_window.accept(datagram.sequence) {
+        let is_ended_generation = known_generation > generation || member.announced_left;
+        if is_ended_generation || !member.replay_window.accept(datagram.sequence) {
             return Err(DatagramError::Replayed);
         }
         Ok(())
@@ -102,8 +102,8 @@
             return self.add_member(now, update, reported_by);
         };
         if update.supersedes(&member.update) {
-            let (previous, restarted) = (member.status, update.generation > member.update.generation);
-            let transition = Transition { reported_by, previous, restarted };
+            let (previous_status, restarted) = (member.status, update.generation > member.update.generation);
+            let transition = Transition { reported_by, previous_status, restarted };
             member.apply(update, reported_by, now);
             self.gossip_queue.enqueue(update.name);
             return self.apply_state(now, update, transition);
@@ -129,14 +129,14 @@
 
     /// Concludes a member's status from the update that was just applied to it.
     fn apply_state(&mut self, now: Timestamp, update: &MemberUpdate, transition: Transition) {
-        let Transition { reported_by, previous, restarted } = transition;
+        let Transition { reported_by, previous_status, restarted } = transition;
         let name = update.name;
         match update.state {
             MemberState::Alive => {
                 self.members.set_status(now, name, MemberStatus::Alive);
                 if restarted {
                     self.push_event(MembershipEvent::Restarted(name));
-                } else if matches!(previous, MemberStatus::Suspected | MemberStatus::Dead) {
+                } else if matches!(previous_status, MemberStatus::Suspected | MemberStatus::Dead) {
                     self.push_event(MembershipEvent::Recovered(name));
                 }
             }
@@ -144,7 +144,7 @@
             MemberState::Suspected(_) if reported_by != name && self.was_recently_heard(now, name) => {
                 self.members.set_status(now, name, MemberStatus::Alive);
             }
-            MemberState::Suspected(_) if previous == MemberStatus::Dead && !restarted => {}
+            MemberState::Suspected(_) if previous_status == MemberStatus::Dead && !restarted => {}
             MemberState::Suspected(accuser) => self.suspect(now, name, accuser),
             MemberState::Leaving => {
                 self.members.set_status(now, name, MemberStatus::Leaving);
@@ -158,8 +158,8 @@
     }
 
     fn was_recently_heard(&self, now: Timestamp, name: MemberName) -> bool {
-        let recently = self.config.probe_period.scaled(RECENTLY_HEARD_PERIODS);
-        self.members.get(name).is_some_and(|member| member.was_heard_within(now, recently))
+        let recent = self.config.probe_period.scaled(RECENTLY_HEARD_PERIODS);
+        self.members.get(name).is_some_and(|member| member.was_heard_within(now, recent))
     }
 
     fn add_member(&mut self, now: Timestamp, update: &MemberUpdate, reported_by: MemberName) {
@@ -169,14 +169,14 @@
         }
         self.members.insert(now, update, reported_by);
         self.gossip_queue.enqueue(update.name);
-        let place = self.random.draw() as usize % (self.probe_order.len() + 1);
+        let position = self.random.draw() as usize % (self.probe_order.len() + 1);
         if self.probe_order.len() < self.members.capacity() {
-            self.probe_order.insert(place, update.name);
+            self.probe_order.insert(position, update.name);
         }
         if update.state == MemberState::Alive {
             self.push_event(MembershipEvent::Joined(update.name));
         }
-        let transition = Transition { reported_by, previous: MemberStatus::Alive, restarted: false };
+        let transition = Transition { reported_by, previous_status: MemberStatus::Alive, restarted: false };
         self.apply_state(now, update, transition);
     }
 
@@ -209,7 +209,7 @@
             Body::MemberListPage { next } => self.receive_list_page(next),
             _ => {}
         }
-        self.request_first_page(sender);
+        self.request_page_if_reading(sender);
     }
 }
 
--- a/crates/hazelspur-fleet/src/membership/refutation.rs
+++ b/crates/hazelspur-fleet/src/membership/refutation.rs
@@ -26,7 +26,7 @@
         }
         // Once a period: a stream of false updates must not make this process distrust all that it observes.
         if !std::mem::replace(&mut self.refuted_in_period, true) {
-            self.health.penalize();
+            self.health.increase_score();
         }
         self.gossip_queue.enqueue(self.me.name);
         self.push_event(MembershipEvent::Refuted(self.me.incarnation));
@@ -39,7 +39,7 @@
         if update.incarnation < self.me.incarnation || self.me.state == MemberState::Left {
             return false;
         }
-        let same_generation = MemberUpdate { state: update.state, ..self.me };
-        update.incarnation > self.me.incarnation || same_generation.supersedes(&self.me)
+        let hypothetical = MemberUpdate { state: update.state, ..self.me };
+        update.incarnation > self.me.incarnation || hypothetical.supersedes(&self.me)
     }
 }
--- a/crates/hazelspur-fleet/src/membership/rejoin.rs
+++ b/crates/hazelspur-fleet/src/membership/rejoin.rs
@@ -15,7 +15,7 @@
 const REJOIN_PROBES_PER_RECOVERY: usize = 2;
 
 impl Membership {
-    pub(super) fn probe_missing(&mut self) {
+    pub(super) fn probe_seeds_and_dead(&mut self) {
         for address in self.seeds_to_probe() {
             let number = self.random.draw();
             self.send(address, None, Body::Ping { number, to: None });
@@ -23,27 +23,27 @@
         let recovered = std::mem::take(&mut self.recovered_in_period);
         let probes = 1 + (REJOIN_PROBES_PER_RECOVERY * recovered).min(MAX_EXTRA_REJOIN_PROBES);
         for _ in 0..probes.min(self.members.dead().len()) {
-            let place = self.random.draw() as usize % self.members.dead().len();
-            let Some(name) = self.members.dead().iter().nth(place).copied() else { break };
+            let index = self.random.draw() as usize % self.members.dead().len();
+            let Some(name) = self.members.dead().iter().nth(index).copied() else { break };
             self.ping_member(name);
         }
     }
 
     fn seeds_to_probe(&mut self) -> Vec<SocketAddr> {
         let seeds = self.config.seeds.iter().copied();
-        let unknown: Vec<SocketAddr> =
-            seeds.filter(|seed| *seed != self.config.address && !self.runs_at(*seed)).collect();
-        if unknown.is_empty() || !self.list.is_complete || self.status == LocalStatus::Isolated {
-            return unknown;
+        let not_running: Vec<SocketAddr> =
+            seeds.filter(|seed| *seed != self.config.address && !self.is_running_at(*seed)).collect();
+        if not_running.is_empty() || !self.list.is_complete || self.status == LocalStatus::Isolated {
+            return not_running;
         }
         if !self.periods.is_multiple_of(SEED_PROBE_PERIODS) {
             return Vec::new();
         }
-        vec![unknown[self.random.draw() as usize % unknown.len()]]
+        vec![not_running[self.random.draw() as usize % not_running.len()]]
     }
 
-    fn runs_at(&self, address: SocketAddr) -> bool {
-        let runs = |status: MemberStatus| status != MemberStatus::Dead && status.may_serve();
-        self.members.iter().any(|member| member.update.address == address && runs(member.status))
+    fn is_running_at(&self, address: SocketAddr) -> bool {
+        let is_running = |status: MemberStatus| status != MemberStatus::Dead && status.may_serve();
+        self.members.iter().any(|member| member.update.address == address && is_running(member.status))
     }
 }
--- a/crates/hazelspur-fleet/src/membership/state.rs
+++ b/crates/hazelspur-fleet/src/membership/state.rs
@@ -22,7 +22,7 @@
 /// Members to which a gossip datagram goes in a period with recent updates.
 const GOSSIP_FANOUT: usize = 2;
 /// Members to which this process announces at once that it leaves, and that it has left.
-const FAREWELL_FANOUT: usize = 8;
+const LEAVE_ANNOUNCEMENT_FANOUT: usize = 8;
 /// Pages of the member list that are answered in a period.
 const LIST_PAGES_PER_PERIOD: usize = 64;
 /// Operators' questions that are answered in a period.
@@ -120,10 +120,10 @@
         let mut random = Pcg::new(seed);
         // Servers that start together must not probe in step.
         let first_period = config.probe_period.scaled(random.unit());
-        let is_alone = config.seeds.iter().all(|seed| *seed == config.address);
+        let has_no_other_seed = config.seeds.iter().all(|seed| *seed == config.address);
         Self {
             health: LocalHealth::new(config.probe_period, now),
-            status: if is_alone { LocalStatus::Healthy } else { LocalStatus::Joining },
+            status: if has_no_other_seed { LocalStatus::Healthy } else { LocalStatus::Joining },
             me,
             sequence: 0,
             random,
@@ -135,7 +135,7 @@
             next_period: now + first_period,
             gossip_at: None,
             periods: 0,
-            list: ListSync::new(is_alone),
+            list: ListSync::new(has_no_other_seed),
             refuted_in_period: false,
             recovered_in_period: 0,
             budget: PeriodBudget::FULL,
@@ -156,7 +156,7 @@
         if now < due {
             return;
         }
-        let suspended = self.health.timer_ran(now, due);
+        let suspended = self.health.record_timer_run(now, due);
         if suspended > Duration::ZERO {
             self.resume(now, suspended);
         }
@@ -168,7 +168,7 @@
             let targets = self.pick(GOSSIP_FANOUT, |_| true);
             self.gossip_to(targets);
         }
-        self.end_suspicions(now);
+        self.process_expired_suspicions(now);
         if self.next_period <= now {
             self.begin_period(now);
         }
@@ -188,7 +188,7 @@
     fn announce(&mut self, now: Timestamp, state: MemberState) {
         self.me.state = state;
         self.gossip_queue.enqueue(self.me.name);
-        self.gossip(FAREWELL_FANOUT);
+        self.gossip(LEAVE_ANNOUNCEMENT_FANOUT);
         self.update_status(now);
     }
 
@@ -282,23 +282,23 @@
 
     /// Bounds of the size of the fleet or of a site. This process counts itself until it has left.
     pub fn size(&self, site: Option<SiteName>) -> FleetSize {
-        let (mut certain, mut serving, mut dead) = (0, 0, 0);
+        let (mut known_alive, mut serving, mut dead) = (0, 0, 0);
         let in_site = |of: SiteName| site.is_none_or(|site| site == of);
         for member in self.members.iter().filter(|member| in_site(member.update.site)) {
             serving += usize::from(member.status.may_serve());
             dead += usize::from(member.status == MemberStatus::Dead);
-            certain += usize::from(member.status == MemberStatus::Alive && self.is_certain_of(member));
+            known_alive += usize::from(member.status == MemberStatus::Alive && self.is_known_alive(member));
         }
         let own = usize::from(in_site(self.me.site) && self.me.state != MemberState::Left);
         let max_servers = self.config.max_servers;
         // Where this process cannot see all, any number may have started there.
         let sees_all = self.list.is_complete && self.status != LocalStatus::Isolated;
         let max = if sees_all { serving + dead + own } else { max_servers };
-        let min = certain + own;
+        let min = known_alive + own;
         FleetSize { min, max: max.min(max_servers).max(min) }
     }
 
-    fn is_certain_of(&self, member: &Member) -> bool {
+    fn is_known_alive(&self, member: &Member) -> bool {
         match self.status {
             LocalStatus::Healthy | LocalStatus::Leaving => true,
             LocalStatus::Degraded => member.last_heard.is_some_and(|heard| heard >= self.resumed_at),
@@ -323,14 +323,14 @@
     // ---- inside ----
 
     pub(super) fn update_status(&mut self, now: Timestamp) {
-        let status = self.current_status(now);
+        let status = self.evaluate_status(now);
         if status != self.status {
             self.push_event(MembershipEvent::LocalStatusChanged { from: self.status, to: status });
             self.status = status;
         }
     }
 
-    fn current_status(&self, now: Timestamp) -> LocalStatus {
+    fn evaluate_status(&self, now: Timestamp) -> LocalStatus {
         let has_others = self.members.iter().any(|member| member.status.may_serve());
         if self.me.state != MemberState::Alive {
             LocalStatus::Leaving
@@ -364,16 +364,16 @@
     /// Reservoir sampling over the whole table.
     fn pick_from_all(&mut self, max: usize, qualifies: impl Fn(&Member) -> bool) -> Vec<MemberName> {
         let mut picked: Vec<MemberName> = Vec::new();
-        let mut passed = 0;
+        let mut qualified = 0;
         for member in self.members.iter().filter(|member| qualifies(member)) {
-            passed += 1;
+            qualified += 1;
             if picked.len() < max {
                 picked.push(member.update.name);
                 continue;
             }
-            let place = self.random.draw() as usize % passed;
-            if place < max {
-                picked[place] = member.update.name;
+            let index = self.random.draw() as usize % qualified;
+            if index < max {
+                picked[index] = member.update.name;
             }
         }
         picked
--- a/crates/hazelspur-fleet/src/membership/table.rs
+++ b/crates/hazelspur-fleet/src/membership/table.rs
@@ -61,10 +61,10 @@
             self.announced_left = false;
         }
         self.update = *update;
-        self.note_update(reported_by, now);
+        self.record_update_source(reported_by, now);
     }
 
-    pub(super) fn note_update(&mut self, reported_by: MemberName, now: Timestamp) {
+    pub(super) fn record_update_source(&mut self, reported_by: MemberName, now: Timestamp) {
         self.reported_by = reported_by;
         self.updated_at = now;
     }
@@ -166,9 +166,9 @@
     }
 
     /// Members that are gone for longer than `retention`.
-    pub(super) fn gone_for(&self, now: Timestamp, retention: Duration) -> Vec<MemberName> {
-        let expired = |member: &Member| member.status.is_gone() && now - member.status_since > retention;
-        self.members.iter().filter(|(_, member)| expired(member)).map(|(name, _)| *name).collect()
+    pub(super) fn gone_longer_than(&self, now: Timestamp, retention: Duration) -> Vec<MemberName> {
+        let is_expired = |member: &Member| member.status.is_gone() && now - member.status_since > retention;
+        self.members.iter().filter(|(_, member)| is_expired(member)).map(|(name, _)| *name).collect()
     }
 
     /// Sets any status but `Suspected`.
@@ -197,22 +197,22 @@
         member.status_since = now;
         member.accusers = vec![accuser];
         member.final_probe_sent = false;
-        self.update_timeout(now, name);
+        self.reset_suspicion_timer(now, name);
     }
 
     /// Adds an accuser, whose accusation is the update to pass on.
-    pub(super) fn accuse(&mut self, now: Timestamp, name: MemberName, accuser: MemberName) {
+    pub(super) fn add_accuser(&mut self, now: Timestamp, name: MemberName, accuser: MemberName) {
         if let Some(member) = self.members.get_mut(&name) {
             member.accusers.push(accuser);
             member.update.state = MemberState::Suspected(accuser);
-            self.update_timeout(now, name);
+            self.reset_suspicion_timer(now, name);
         }
     }
 
     /// Sets the timer by the number of accusers. Never before now: a late accuser may make the timeout
     /// shorter than the suspicion has lasted, and a timer in the past would look like a suspension of this
     /// process.
-    fn update_timeout(&mut self, now: Timestamp, name: MemberName) {
+    fn reset_suspicion_timer(&mut self, now: Timestamp, name: MemberName) {
         let others = self.members.len();
         let Some(member) = self.members.get(&name) else { return };
         let end = member.status_since + self.period.scaled(timeout_periods(others, member.accusers.len()));
--- a/crates/hazelspur-fleet/src/names.rs
+++ b/crates/hazelspur-fleet/src/names.rs
@@ -21,10 +21,10 @@
         impl $type {
             /// 1 to 31 visible ASCII characters; `None` for anything else.
             pub fn new(text: &str) -> Option<Self> {
-                let fits = (1..=MAX_NAME_BYTES).contains(&text.len());
-                let visible = text.bytes().all(|b| b.is_ascii_graphic());
+                let has_valid_length = (1..=MAX_NAME_BYTES).contains(&text.len());
+                let is_visible = text.bytes().all(|b| b.is_ascii_graphic());
                 let mut bytes = [0; MAX_NAME_BYTES];
-                (fits && visible).then(|| {
+                (has_valid_length && is_visible).then(|| {
                     bytes[..text.len()].copy_from_slice(text.as_bytes());
                     Self { text: bytes, length: text.len() as u8 }
                 })
@@ -56,8 +56,8 @@
 
         impl<'de> Deserialize<'de> for $type {
             fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-                struct Reader;
-                impl serde::de::Visitor<'_> for Reader {
+                struct NameVisitor;
+                impl serde::de::Visitor<'_> for NameVisitor {
                     type Value = $type;
                     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                         write!(f, "a name of 1 to {MAX_NAME_BYTES} visible ASCII characters")
@@ -66,7 +66,7 @@
                         $type::new(text).ok_or_else(|| E::invalid_value(serde::de::Unexpected::Str(text), &self))
                     }
                 }
-                from.deserialize_str(Reader)
+                from.deserialize_str(NameVisitor)
             }
         }
     };
--- a/crates/hazelspur-fleet/src/node.rs
+++ b/crates/hazelspur-fleet/src/node.rs
@@ -16,19 +16,19 @@
 use hazelspur::{Duration, Timestamp};
 
 /// The shared dependency. Probers and time slots are drawn by this name, so all servers must use the same.
-const DEPENDENCY: &str = "ledger";
+const DEPENDENCY_NAME: &str = "ledger";
 /// Members to which the load report goes in each period, besides those that get a datagram anyway.
 const REPORT_FANOUT: usize = 3;
 /// Largest age of a load report, in periods.
 const MAX_REPORT_AGE_PERIODS: f64 = 5.0;
 /// Load reports that are kept, over the largest number of servers.
-const REPORTS_OVER_SERVERS: usize = 2;
+const REPORT_CAPACITY_OVER_SERVERS: usize = 2;
 /// Members that learn at once that this server reaches the dependency again.
 const RECOVERY_FANOUT: usize = 8;
 /// Weight of the last call in the share of calls that did not reach the dependency.
 const LAST_CALL_WEIGHT: f64 = 0.3;
 /// Time after the last call within which the share of unreachable calls is reported.
-const RECENT_CALL: Duration = Duration::from_ms(3000);
+const RECENT_CALL_WINDOW: Duration = Duration::from_ms(3000);
 /// Time for which the same servers are designated probers.
 const PROBER_ROTATION: Duration = Duration::from_ms(60_000);
 
@@ -69,7 +69,7 @@
     /// The circuit breaker of the shared dependency.
     pub breaker: CircuitBreaker,
     fingerprint: Option<ConfigFingerprint>,
-    reports: LoadReportTable,
+    load_reports: LoadReportTable,
     latency_ratio: LatencyRatioTracker,
     own_report: PeerLoadReport,
     aggregated: Option<AggregatedLoad>,
@@ -78,7 +78,7 @@
     unreachable_fraction: f64,
     last_call_at: Timestamp,
     period: Duration,
-    next_exchange_at: Timestamp,
+    next_report_exchange_at: Timestamp,
 }
 
 impl FleetNode {
@@ -96,8 +96,8 @@
         Self {
             fingerprint: quota.as_ref().map(QuotaConfig::fingerprint),
             quota: quota.map(|quota| QuotaManager::new(quota, me, seed, now.monotonic)),
-            breaker: CircuitBreaker::new(me.name, DEPENDENCY, max_servers),
-            reports: LoadReportTable::new(max_servers * REPORTS_OVER_SERVERS, max_report_age),
+            breaker: CircuitBreaker::new(me.name, DEPENDENCY_NAME, max_servers),
+            load_reports: LoadReportTable::new(max_servers * REPORT_CAPACITY_OVER_SERVERS, max_report_age),
             latency_ratio: LatencyRatioTracker::default(),
             own_report: PeerLoadReport::default(),
             aggregated: None,
@@ -105,7 +105,7 @@
             unreachable_fraction: 0.0,
             last_call_at: Timestamp::default(),
             period,
-            next_exchange_at: now.monotonic + period,
+            next_report_exchange_at: now.monotonic + period,
             membership: Membership::new(config, generation, seed, now.wall),
         }
     }
@@ -136,7 +136,7 @@
 
     fn receive_report(&mut self, now: Clocks, datagram: &Datagram, report: PeerLoadReport) {
         let sender = &datagram.sender;
-        self.reports.receive(now.monotonic, sender.name, sender.site, report);
+        self.load_reports.receive(now.monotonic, sender.name, sender.site, report);
         if report.is_valid() && report.is_reachable() {
             self.breaker.recovery_hint(now.wall);
         }
@@ -154,9 +154,9 @@
 
     /// Takes what this server observed lately, which becomes its load report.
     pub fn observe(&mut self, now: Clocks, load: LocalLoad) {
-        let called_recently = now.monotonic - self.last_call_at < RECENT_CALL;
+        let called_recently = now.monotonic - self.last_call_at < RECENT_CALL_WINDOW;
         let unreachable = if self.breaker.is_closed() {
-            called_recently.then(|| fraction(self.unreachable_fraction))
+            called_recently.then(|| clamp_fraction(self.unreachable_fraction))
         } else {
             Some(1.0)
         };
@@ -164,7 +164,7 @@
         self.own_report = PeerLoadReport {
             latency_ratio: ratio,
             unreachable_fraction: unreachable,
-            rejected_fraction: fraction(load.rejected_fraction),
+            rejected_fraction: clamp_fraction(load.rejected_fraction),
         };
         self.membership.set_load_report(self.own_report);
     }
@@ -203,8 +203,8 @@
         {
             quota.tick(now.monotonic);
         }
-        if now.monotonic >= self.next_exchange_at {
-            self.next_exchange_at = now.monotonic + self.period;
+        if now.monotonic >= self.next_report_exchange_at {
+            self.next_report_exchange_at = now.monotonic + self.period;
             self.membership.gossip(REPORT_FANOUT);
             self.aggregate_reports(now);
         }
@@ -233,7 +233,7 @@
 
     /// After how long `tick` is to be called.
     pub fn time_to_next_tick(&self, now: Clocks) -> Duration {
-        let timers = [Some(self.next_exchange_at), self.quota.as_ref().map(QuotaManager::next_tick)];
+        let timers = [Some(self.next_report_exchange_at), self.quota.as_ref().map(QuotaManager::next_tick)];
         let waits = timers.into_iter().flatten().map(|timer| timer - now.monotonic);
         waits.fold(self.membership.next_tick() - now.wall, Duration::min)
     }
@@ -302,7 +302,7 @@
     // ---- inside ----
 
     fn aggregate_reports(&mut self, now: Clocks) {
-        self.aggregated = self.reports.aggregate(now.monotonic);
+        self.aggregated = self.load_reports.aggregate(now.monotonic);
         self.fault_scope = FaultScope::of(&self.own_report, self.aggregated.as_ref());
         let view = self.aggregated.map(|aggregated| PeerView {
             // Only an open breaker asks whether this server is designated.
@@ -317,7 +317,7 @@
         let candidates = alive.map(|(name, site)| WeightedMember { name, site, weight: 1.0 });
         let round = now.wall.us() / PROBER_ROTATION.us();
         let me = self.membership.local_update().name;
-        let probers = select_across_sites(DEPENDENCY, round, DESIGNATED_PROBERS, candidates);
+        let probers = select_across_sites(DEPENDENCY_NAME, round, DESIGNATED_PROBERS, candidates);
         probers.iter().any(|prober| prober.name == me)
     }
 
@@ -345,6 +345,6 @@
 }
 
 /// A share from 0 to 1; zero for what is no number.
-fn fraction(value: f64) -> f32 {
+fn clamp_fraction(value: f64) -> f32 {
     if value.is_finite() { value.clamp(0.0, 1.0) as f32 } else { 0.0 }
 }
--- a/crates/hazelspur-fleet/tests/membership.rs
+++ b/crates/hazelspur-fleet/tests/membership.rs
@@ -11,26 +11,26 @@
     Body, Datagram, DatagramError, Generation, Installation, Key, LocalStatus, MemberState, MemberStatus,
     MemberUpdate, Membership, MembershipEvent,
 };
-use helpers::{START, TestFleet, address, config, name, number};
+use helpers::{START, TestFleet, address, config, index_of, name};
 
 #[test]
-fn members_find_each_other_by_two_seeds() {
+fn members_discover_each_other_through_two_seeds() {
     let mut fleet = TestFleet::new(7);
     fleet.run(3000);
     expect![[r#"
         n6 whole 7..7: alive n0 n1 n2 n3 n4 n5
     "#]]
     .assert_eq(&format!("{}\n", fleet.view_of(6)));
-    assert!(fleet.agree());
+    assert!(fleet.all_agree());
 }
 
 #[test]
-fn a_killed_member_is_declared_dead_and_a_leaving_one_is_never_suspected() {
+fn killed_member_dies_and_leaving_member_is_never_suspected() {
     let mut fleet = TestFleet::new(7);
     fleet.run(5000);
     fleet.events.clear();
-    let leaver = fleet.members.get_mut(&5).expect("it runs");
-    leaver.leave(fleet.now);
+    let leaving_member = fleet.members.get_mut(&5).expect("it runs");
+    leaving_member.leave(fleet.now);
     fleet.run(1000);
     fleet.members.get_mut(&5).expect("it runs").announce_left(fleet.now);
     fleet.run(10);
@@ -47,12 +47,12 @@
 }
 
 #[test]
-fn a_suspended_member_is_degraded_and_declares_nobody_dead() {
+fn suspended_member_is_degraded_and_declares_nobody_dead() {
     check_suspended_members(TestFleet::resume);
 }
 
 #[test]
-fn a_suspended_member_that_reads_before_it_acts_is_degraded_and_declares_nobody_dead() {
+fn suspended_member_reading_input_first_declares_nobody_dead() {
     check_suspended_members(TestFleet::resume_input_first);
 }
 
@@ -60,34 +60,34 @@
     let mut fleet = TestFleet::new(12);
     fleet.run(8000);
     fleet.events.clear();
-    (0..4).for_each(|of| fleet.suspend(of * 3));
+    (0..4).for_each(|index| fleet.suspend(index * 3));
     fleet.run(10_000);
-    (0..4).for_each(|of| resume(&mut fleet, of * 3));
+    (0..4).for_each(|index| resume(&mut fleet, index * 3));
     fleet.run(20);
-    let of = |fleet: &TestFleet, of: usize| fleet.members[&of].local_status();
-    assert_eq!(of(&fleet, 0), LocalStatus::Degraded);
-    let by_suspended = |(_, by, event): &(u64, usize, MembershipEvent)| {
-        by % 3 == 0 && matches!(event, MembershipEvent::Died(_))
+    let local_status = |fleet: &TestFleet, index: usize| fleet.members[&index].local_status();
+    assert_eq!(local_status(&fleet, 0), LocalStatus::Degraded);
+    let declared_by_suspended = |(_, observer, event): &(u64, usize, MembershipEvent)| {
+        observer % 3 == 0 && matches!(event, MembershipEvent::Died(_))
     };
     fleet.run(40_000);
-    assert!(!fleet.events.iter().any(by_suspended), "a suspended member declared others dead");
-    assert_eq!(of(&fleet, 0), LocalStatus::Healthy);
-    assert!(fleet.agree(), "{}", fleet.view_of(1));
+    assert!(!fleet.events.iter().any(declared_by_suspended), "a suspended member declared others dead");
+    assert_eq!(local_status(&fleet, 0), LocalStatus::Healthy);
+    assert!(fleet.all_agree(), "{}", fleet.view_of(1));
 }
 
 #[test]
-fn indirect_probes_bridge_a_link_that_is_silent_one_way() {
+fn indirect_probes_prevent_deaths_when_one_direction_fails() {
     let mut fleet = TestFleet::new(8);
     fleet.run(5000);
     fleet.events.clear();
     fleet.blocked = |from, to| (from, to) == (3, 4);
     fleet.run(120_000);
-    assert_eq!(fleet.deaths(), 0, "{:?}", fleet.events);
-    assert!(fleet.agree());
+    assert_eq!(fleet.death_declarations(), 0, "{:?}", fleet.events);
+    assert!(fleet.all_agree());
 }
 
 #[test]
-fn healed_partitions_with_starts_and_ends_meanwhile_merge() {
+fn healed_partitions_merge_despite_starts_and_kills() {
     let mut fleet = TestFleet::new(10);
     fleet.run(5000);
     fleet.blocked = |from, to| from % 2 != to % 2;
@@ -98,29 +98,34 @@
     fleet.start(10);
     fleet.start(11);
     fleet.run(40_000);
-    let apart = (fleet.view_of(0), fleet.view_of(1));
+    let views_while_partitioned = (fleet.view_of(0), fleet.view_of(1));
     for half in [0, 1] {
         let size = fleet.members[&half].size(None);
         assert!(size.min <= 5 && size.max >= 10, "{size:?} of 10");
     }
     fleet.blocked = |_, _| false;
-    let met = fleet.now;
-    while !fleet.agree() && fleet.now - met < Duration::from_ms(60_000) {
+    let healed_at = fleet.now;
+    while !fleet.all_agree() && fleet.now - healed_at < Duration::from_ms(60_000) {
         fleet.run(500);
     }
-    let rounds = (fleet.now - met).us() / 1_000_000;
-    assert!(fleet.agree() && rounds <= 20, "{rounds} rounds\n{}\n{}", apart.0, apart.1);
-    assert!(apart.0.contains("alive n10 n2 n4 n6,"), "{}", apart.0);
+    let elapsed_secs = (fleet.now - healed_at).us() / 1_000_000;
+    assert!(
+        fleet.all_agree() && elapsed_secs <= 20,
+        "{elapsed_secs} s\n{}\n{}",
+        views_while_partitioned.0,
+        views_while_partitioned.1
+    );
+    assert!(views_while_partitioned.0.contains("alive n10 n2 n4 n6,"), "{}", views_while_partitioned.0);
 }
 
 #[test]
-fn a_restart_before_detection_is_a_new_generation_and_old_datagrams_are_dropped() {
+fn quick_restart_is_a_new_generation_and_drops_old_datagrams() {
     let mut fleet = TestFleet::new(5);
     fleet.run(5000);
-    let mut former = fleet.members[&3].clone();
-    let late = loop {
-        former.tick(fleet.now + Duration::from_ms(2000));
-        if let Some(next) = former.next_datagram(fleet.now) {
+    let mut previous_run = fleet.members[&3].clone();
+    let late_datagram = loop {
+        previous_run.tick(fleet.now + Duration::from_ms(2000));
+        if let Some(next) = previous_run.next_datagram(fleet.now) {
             break next.datagram;
         }
     };
@@ -131,75 +136,83 @@
     let restarted =
         fleet.events.iter().filter(|(.., event)| *event == MembershipEvent::Restarted(name(3))).count();
     assert_eq!(restarted, 4);
-    let generation = fleet.members[&0].member_status(name(3));
+    let status_before = fleet.members[&0].member_status(name(3));
     let n0 = fleet.members.get_mut(&0).expect("it runs");
-    assert_eq!(n0.receive(fleet.now, &late), Err(DatagramError::Replayed));
-    assert_eq!(n0.member_status(name(3)), generation);
-    assert!(fleet.agree());
+    assert_eq!(n0.receive(fleet.now, &late_datagram), Err(DatagramError::Replayed));
+    assert_eq!(n0.member_status(name(3)), status_before);
+    assert!(fleet.all_agree());
 }
 
 #[test]
-fn a_member_rejoins_after_a_restart_with_its_clock_set_back() {
+fn member_rejoins_after_restart_with_clock_set_back() {
     let mut fleet = TestFleet::new(5);
     fleet.run(5000);
     fleet.kill(3);
-    let back = Generation(fleet.now.us() / 1000 - 600_000);
-    fleet.members.insert(3, Membership::new(config(3, 64), back, 9, fleet.now));
+    let earlier_generation = Generation(fleet.now.us() / 1000 - 600_000);
+    fleet.members.insert(3, Membership::new(config(3, 64), earlier_generation, 9, fleet.now));
     fleet.run(15_000);
-    assert!(fleet.agree(), "{}", fleet.view_of(0));
+    assert!(fleet.all_agree(), "{}", fleet.view_of(0));
 }
 
 #[test]
-fn without_a_seed_the_upper_bound_is_the_largest_number_of_servers() {
+fn without_running_seed_upper_size_bound_is_max_servers() {
     let mut fleet = TestFleet::new(0);
-    (2..5).for_each(|of| fleet.start(of));
+    (2..5).for_each(|index| fleet.start(index));
     fleet.run(30_000);
     assert_eq!(fleet.view_of(2), "n2 joining 1..64: ");
     fleet.start(0);
     fleet.run(5000);
-    assert!(fleet.agree(), "{}", fleet.view_of(2));
+    assert!(fleet.all_agree(), "{}", fleet.view_of(2));
 }
 
 #[test]
-fn an_isolated_member_says_so_and_declares_nobody_dead() {
+fn isolated_member_reports_it_and_declares_nobody_dead() {
     let mut fleet = TestFleet::new(6);
     fleet.run(5000);
     fleet.events.clear();
     fleet.blocked = |from, to| from == 2 || to == 2;
     fleet.run(90_000);
     assert_eq!(fleet.view_of(2).split(':').next(), Some("n2 cut-off 1..64"));
-    assert!(!fleet.events.iter().any(|(_, by, event)| *by == 2 && matches!(event, MembershipEvent::Died(_))));
+    assert!(
+        !fleet
+            .events
+            .iter()
+            .any(|(_, observer, event)| *observer == 2 && matches!(event, MembershipEvent::Died(_)))
+    );
     expect!["n0 whole 5..7: alive n1 n3 n4 n5, lost n2"].assert_eq(&fleet.view_of(0));
     fleet.blocked = |_, _| false;
     fleet.run(15_000);
-    assert!(fleet.agree(), "{}\n{}", fleet.view_of(0), fleet.view_of(2));
+    assert!(fleet.all_agree(), "{}\n{}", fleet.view_of(0), fleet.view_of(2));
 }
 
 /// A member with the key claims that all others are suspected, have left, or have an impossible generation.
 #[test]
-fn false_updates_cost_refutations_and_no_member_dies_of_them() {
+fn false_updates_are_refuted_and_kill_no_member() {
     for state in [MemberState::Suspected(name(63)), MemberState::Left, MemberState::Leaving] {
         let mut fleet = TestFleet::new(9);
         fleet.run(5000);
         fleet.events.clear();
-        let mut number = 0;
+        let mut sequence = 0;
         for round in 0..120 {
             for victim in 1..8 {
-                let of = *fleet.members[&victim].local_update();
-                let more = if round % 2 == 0 { 0 } else { 3 };
-                let false_update =
-                    MemberUpdate { state, incarnation: Incarnation(of.incarnation.0 + more), ..of };
+                let victim_update = *fleet.members[&victim].local_update();
+                let incarnation_lead = if round % 2 == 0 { 0 } else { 3 };
+                let false_update = MemberUpdate {
+                    state,
+                    incarnation: Incarnation(victim_update.incarnation.0 + incarnation_lead),
+                    ..victim_update
+                };
                 let impossible = MemberUpdate { generation: Generation(u64::MAX), ..false_update };
-                number += 1;
+                sequence += 1;
                 let datagram = Datagram {
                     installation: Installation::new("bread").expect("a name"),
                     sender: MemberUpdate {
                         name: name(63),
                         address: address(63),
                         state: MemberState::Alive,
-                        ..of
+                        ..victim_update
                     },
-                    sequence: number,
+                    sequence,
                     sent_ms: fleet.now.us() / 1000,
                     body: Body::Gossip,
                     load_report: None,
@@ -211,36 +224,39 @@
             fleet.run(500);
         }
         fleet.run(30_000);
-        let lost =
-            |of: usize| fleet.events.iter().any(|(.., event)| *event == MembershipEvent::Died(name(of)));
-        assert!((1..8).all(|of| !lost(of)), "{state:?}");
-        for (of, member) in &fleet.members {
-            let alive =
-                member.statuses().filter(|(n, s)| *n != name(63) && *s == MemberStatus::Alive).count();
-            assert_eq!(alive, 8, "{state:?} {of}: {}", fleet.view_of(*of));
+        let was_declared_dead = |index: usize| {
+            fleet.events.iter().any(|(.., event)| *event == MembershipEvent::Died(name(index)))
+        };
+        assert!((1..8).all(|index| !was_declared_dead(index)), "{state:?}");
+        for (index, member) in &fleet.members {
+            let alive = member
+                .statuses()
+                .filter(|(other, status)| *other != name(63) && *status == MemberStatus::Alive)
+                .count();
+            assert_eq!(alive, 8, "{state:?} {index}: {}", fleet.view_of(*index));
         }
     }
 }
 
 #[test]
-fn a_full_table_forgets_members_that_are_gone_and_takes_no_more() {
+fn full_table_forgets_gone_members_and_rejects_new_ones() {
     let mut member = Membership::new(config(0, 4), Generation(1), 1, START);
-    let claim = |of: usize| MemberUpdate {
-        name: name(of),
-        site: config(of, 4).site,
-        address: address(of),
+    let update = |index: usize| MemberUpdate {
+        name: name(index),
+        site: config(index, 4).site,
+        address: address(index),
         generation: Generation(5),
         incarnation: Incarnation(0),
-        state: if of == 2 { MemberState::Left } else { MemberState::Alive },
+        state: if index == 2 { MemberState::Left } else { MemberState::Alive },
     };
     let datagram = Datagram {
         installation: Installation::new("bread").expect("a name"),
-        sender: claim(1),
+        sender: update(1),
         sequence: 1,
         sent_ms: START.us() / 1000,
         body: Body::Gossip,
         load_report: None,
-        updates: (2..40).map(claim).collect(),
+        updates: (2..40).map(update).collect(),
     };
     member.receive(START, &datagram).expect("it is taken");
     member.check_invariants().expect("it is sound");
@@ -249,44 +265,45 @@
 }
 
 #[test]
-fn malformed_foreign_stale_and_replayed_datagrams_are_dropped_with_their_reason() {
+fn invalid_datagrams_are_dropped_with_their_reason() {
     let key = Key::from_text("a key of sixteen characters").expect("long enough");
-    let other = Key::from_text("another key of that length").expect("long enough");
-    let ours = Installation::new("bread").expect("a name");
+    let other_key = Key::from_text("another key of that length").expect("long enough");
+    let installation = Installation::new("bread").expect("a name");
     let mut member = Membership::new(config(3, 64), Generation(9), 1, START);
     member.tick(START + Duration::from_ms(1000));
     let datagram = member.next_datagram(START).expect("it looks for others").datagram;
     let bytes = datagram::seal(&key, &datagram);
     let now = START;
-    let open = |key: &Key, now: Timestamp, bytes: &[u8]| datagram::open(key, &ours, now, bytes).map(|_| ());
-    let changed = |at: usize, by: u8| {
+    let open =
+        |key: &Key, now: Timestamp, bytes: &[u8]| datagram::open(key, &installation, now, bytes).map(|_| ());
+    let flipped = |position: usize, mask: u8| {
         let mut bytes = bytes.clone();
-        bytes[at] ^= by;
+        bytes[position] ^= mask;
         bytes
     };
     let foreign = Datagram { installation: Installation::new("cake").expect("a name"), ..datagram.clone() };
-    let mut long = datagram.clone();
-    long.updates = vec![datagram.sender; 200];
-    let seen = format!(
+    let mut oversized = datagram.clone();
+    oversized.updates = vec![datagram.sender; 200];
+    let results = format!(
         "{:?}\n{:?} {:?} {:?} {:?} {:?}\n{:?} {:?} {:?}\n",
         open(&key, now, &bytes),
-        open(&other, now, &bytes),
-        open(&key, now, &changed(0, 1)),
-        open(&key, now, &changed(9, 1)),
-        open(&key, now, &changed(30, 1)),
+        open(&other_key, now, &bytes),
+        open(&key, now, &flipped(0, 1)),
+        open(&key, now, &flipped(9, 1)),
+        open(&key, now, &flipped(30, 1)),
         open(&key, now, &bytes[..10]),
         open(&key, now, &datagram::seal(&key, &foreign)),
         open(&key, now + Duration::from_ms(200_000), &bytes),
-        open(&key, now, &datagram::seal(&key, &long)),
+        open(&key, now, &datagram::seal(&key, &oversized)),
     );
     expect![[r#"
         Ok(())
         Err(Tag) Err(Version) Err(Tag) Err(Tag) Err(Size)
         Err(Foreign) Err(Stale) Ok(())
     "#]]
-    .assert_eq(&seen);
+    .assert_eq(&results);
     assert_eq!(bytes.len(), datagram::encoded_length(&datagram));
-    assert!(datagram::seal(&key, &long).len() <= datagram::MAX_DATAGRAM_BYTES);
+    assert!(datagram::seal(&key, &oversized).len() <= datagram::MAX_DATAGRAM_BYTES);
 
     let mut receiver = Membership::new(config(0, 64), Generation(9), 1, START);
     assert_eq!(
@@ -296,9 +313,9 @@
 }
 
 #[test]
-fn arbitrary_bytes_under_a_valid_tag_keep_the_invariants() {
+fn arbitrary_bytes_with_valid_tag_keep_the_invariants() {
     let key = Key::from_text("a key of sixteen characters").expect("long enough");
-    let ours = Installation::new("bread").expect("a name");
+    let installation = Installation::new("bread").expect("a name");
     let mut fleet = TestFleet::new(4);
     fleet.run(3000);
     let mut random = hazelspur::pcg::Pcg::new(3);
@@ -309,23 +326,23 @@
         datagrams.extend(std::iter::from_fn(|| sender.next_datagram(fleet.now)));
     }
     let (mut accepted, mut rejected) = (0, 0);
-    for turn in 0..20_000u64 {
-        let now = fleet.now + Duration::from_ms(turn);
+    for round in 0..20_000u64 {
+        let now = fleet.now + Duration::from_ms(round);
         let OutgoingDatagram { address: to, mut datagram } =
-            datagrams[turn as usize % datagrams.len()].clone();
+            datagrams[round as usize % datagrams.len()].clone();
         // A datagram with some of its bytes changed before it is sealed.
-        datagram.sequence += 1000 + turn;
+        datagram.sequence += 1000 + round;
         let mut bytes = datagram::seal(&key, &datagram);
         for _ in 0..random.draw() % 4 {
-            let at = 17 + random.draw() as usize % (bytes.len() - 17);
-            bytes[at] = random.draw() as u8;
+            let position = 17 + random.draw() as usize % (bytes.len() - 17);
+            bytes[position] = random.draw() as u8;
         }
         bytes.truncate(if random.draw().is_multiple_of(5) { 18 + bytes.len() / 2 } else { bytes.len() });
         let bytes = datagram::reseal(&key, bytes);
-        match datagram::open(&key, &ours, now, &bytes) {
+        match datagram::open(&key, &installation, now, &bytes) {
             Ok(datagram) => {
                 accepted += 1;
-                let Some(receiver) = fleet.members.get_mut(&(number(to) % 4)) else { continue };
+                let Some(receiver) = fleet.members.get_mut(&(index_of(to) % 4)) else { continue };
                 let _ = receiver.receive(now, &datagram);
                 receiver.tick(now);
                 while receiver.next_datagram(now).is_some() {}
@@ -339,23 +356,23 @@
 }
 
 #[test]
-fn a_storm_of_starts_is_bounded_and_nobody_is_declared_dead() {
+fn mass_start_traffic_is_bounded_and_nobody_is_declared_dead() {
     let mut fleet = TestFleet::new(0);
-    for of in 0..60 {
-        fleet.start(of);
+    for index in 0..60 {
+        fleet.start(index);
         fleet.run(16);
     }
-    fleet.sent = 0;
+    fleet.sent_datagrams = 0;
     fleet.run(10_000);
-    let each = fleet.sent as f64 / 60.0 / 10.0;
-    assert!(each < 12.0, "{each} datagrams a second and server");
+    let datagrams_per_sec = fleet.sent_datagrams as f64 / 60.0 / 10.0;
+    assert!(datagrams_per_sec < 12.0, "{datagrams_per_sec} datagrams a second and server");
     fleet.run(10_000);
-    assert_eq!(fleet.deaths(), 0);
-    assert!(fleet.agree(), "{}", fleet.view_of(7));
+    assert_eq!(fleet.death_declarations(), 0);
+    assert!(fleet.all_agree(), "{}", fleet.view_of(7));
 }
 
 #[test]
-fn a_member_that_runs_three_seconds_late_is_not_declared_dead() {
+fn member_suspended_for_three_seconds_is_not_declared_dead() {
     let mut fleet = TestFleet::new(9);
     fleet.run(5000);
     fleet.events.clear();
@@ -366,24 +383,24 @@
         fleet.run(50);
     }
     fleet.run(30_000);
-    assert_eq!(fleet.deaths(), 0, "{:?}", fleet.events);
-    assert!(fleet.agree(), "{}", fleet.view_of(0));
+    assert_eq!(fleet.death_declarations(), 0, "{:?}", fleet.events);
+    assert!(fleet.all_agree(), "{}", fleet.view_of(0));
 }
 
 /// One member, and others that the test plays: some answer its probes, some are dead.
-struct Single {
+struct MemberWithScriptedPeers {
     member: Membership,
     now: Timestamp,
     sequence: u64,
     events: String,
 }
 
-impl Single {
+impl MemberWithScriptedPeers {
     const ALIVE: std::ops::Range<usize> = 1..8;
     const DEAD: std::ops::Range<usize> = 8..10;
 
-    fn update(of: usize, state: MemberState) -> MemberUpdate {
-        let config = config(of, 64);
+    fn update(index: usize, state: MemberState) -> MemberUpdate {
+        let config = config(index, 64);
         let (generation, incarnation) = (Generation(START.us() / 1000), Incarnation(0));
         MemberUpdate {
             name: config.name,
@@ -395,11 +412,11 @@
         }
     }
 
-    fn receive_from(&mut self, from: usize, body: Body, updates: Vec<MemberUpdate>) {
+    fn receive_from(&mut self, sender: usize, body: Body, updates: Vec<MemberUpdate>) {
         self.sequence += 1;
         let datagram = Datagram {
             installation: config(0, 64).installation,
-            sender: Self::update(from, MemberState::Alive),
+            sender: Self::update(sender, MemberState::Alive),
             sequence: self.sequence,
             sent_ms: self.now.us() / 1000,
             body,
@@ -414,10 +431,10 @@
         while self.now < START + Duration::from_ms(ms) {
             self.member.tick(self.now);
             while let Some(OutgoingDatagram { address: to, datagram }) = self.member.next_datagram(self.now) {
-                if let Body::Ping { number: asked, .. } = datagram.body
-                    && Self::ALIVE.contains(&number(to))
+                if let Body::Ping { number, .. } = datagram.body
+                    && Self::ALIVE.contains(&index_of(to))
                 {
-                    self.receive_from(number(to), Body::Ack { number: asked }, Vec::new());
+                    self.receive_from(index_of(to), Body::Ack { number }, Vec::new());
                 }
             }
             while let Some(event) = self.member.next_event() {
@@ -432,26 +449,32 @@
 }
 
 #[test]
-fn a_late_accuser_is_no_suspension_and_postpones_no_other_suspicion() {
+fn late_accusers_do_not_postpone_other_suspicions() {
     let member = Membership::new(config(0, 64), Generation(START.us() / 1000), 7, START);
-    let mut single = Single { member, now: START, sequence: 0, events: String::new() };
-    let all = Single::ALIVE.chain(Single::DEAD).map(|of| Single::update(of, MemberState::Alive)).collect();
-    single.receive_from(1, Body::MemberListPage { next: None }, all);
-    single.run_until(1000);
-    let suspected =
-        |by| Single::DEAD.map(|of| Single::update(of, MemberState::Suspected(name(by)))).collect::<Vec<_>>();
-    single.receive_from(1, Body::Gossip, suspected(1));
-    single.run_until(12_000);
+    let mut scripted = MemberWithScriptedPeers { member, now: START, sequence: 0, events: String::new() };
+    let updates = MemberWithScriptedPeers::ALIVE
+        .chain(MemberWithScriptedPeers::DEAD)
+        .map(|index| MemberWithScriptedPeers::update(index, MemberState::Alive))
+        .collect();
+    scripted.receive_from(1, Body::MemberListPage { next: None }, updates);
+    scripted.run_until(1000);
+    let suspicions = |accuser| {
+        MemberWithScriptedPeers::DEAD
+            .map(|index| MemberWithScriptedPeers::update(index, MemberState::Suspected(name(accuser))))
+            .collect::<Vec<_>>()
+    };
+    scripted.receive_from(1, Body::Gossip, suspicions(1));
+    scripted.run_until(12_000);
     // The other accusers of the first one speak only now, when the suspicion has lasted longer than their
     // timeout.
-    for by in 2..5 {
-        single.receive_from(by, Body::Gossip, suspected(by)[..1].to_vec());
+    for accuser in 2..5 {
+        scripted.receive_from(accuser, Body::Gossip, suspicions(accuser)[..1].to_vec());
     }
-    single.run_until(40_000);
+    scripted.run_until(40_000);
     expect![[r#"
         0 LocalStatusChanged { from: Joining, to: Healthy }
         13296 Died(n8)
         15296 Died(n9)
     "#]]
-    .assert_eq(&single.events);
+    .assert_eq(&scripted.events);
 }
--- a/crates/hazelspur-fleet/tests/membership_orders.rs
+++ b/crates/hazelspur-fleet/tests/membership_orders.rs
@@ -10,7 +10,7 @@
 use hazelspur_fleet::membership::GenerationStatus;
 use hazelspur_fleet::membership::OutgoingDatagram;
 use hazelspur_fleet::{Datagram, Generation, MemberName, MemberStatus, Membership};
-use helpers::{START, config, name, number};
+use helpers::{START, config, index_of, name};
 use std::collections::BTreeMap;
 
 /// Datagrams in flight at once; older ones beyond that are lost.
@@ -40,17 +40,17 @@
 fn regressed_member(
     known_generations: &mut BTreeMap<(usize, Generation, MemberName), Generation>,
     observer: (usize, Generation),
-    now: impl Iterator<Item = (MemberName, Generation)>,
+    known: impl Iterator<Item = (MemberName, Generation)>,
 ) -> Option<MemberName> {
-    let mut found = None;
-    for (of, generation) in now {
-        let before = known_generations.entry((observer.0, observer.1, of)).or_insert(generation);
-        if generation < *before {
-            found = Some(of);
+    let mut regressed = None;
+    for (name, generation) in known {
+        let last_known = known_generations.entry((observer.0, observer.1, name)).or_insert(generation);
+        if generation < *last_known {
+            regressed = Some(name);
         }
-        *before = generation;
+        *last_known = generation;
     }
-    found
+    regressed
 }
 
 impl TestFleet {
@@ -62,29 +62,29 @@
             starts: 0,
             known_generations: BTreeMap::new(),
         };
-        (0..size).for_each(|of| fleet.start(of));
+        (0..size).for_each(|index| fleet.start(index));
         fleet
     }
 
-    fn start(&mut self, of: usize) {
+    fn start(&mut self, index: usize) {
         self.starts += 1;
         let generation = Generation(self.now.us() / 1000 + self.starts);
-        let seed = of as u64 * 1000 + self.starts;
-        self.members.insert(of, Membership::new(config(of, 8), generation, seed, self.now));
+        let seed = index as u64 * 1000 + self.starts;
+        self.members.insert(index, Membership::new(config(index, 8), generation, seed, self.now));
     }
 
-    fn steps(&self) -> Vec<Step> {
+    fn possible_steps(&self) -> Vec<Step> {
         let in_flight = 0..self.in_flight.len();
         let mut steps: Vec<Step> = in_flight.clone().map(Step::Deliver).collect();
         steps.extend(in_flight.clone().map(Step::Drop));
         steps.extend(in_flight.map(Step::Duplicate));
-        steps.extend(self.members.keys().map(|of| Step::Tick(*of)));
+        steps.extend(self.members.keys().map(|index| Step::Tick(*index)));
         // Killing and restarting one member is as good as any.
         steps.push(if self.members.contains_key(&2) { Step::Kill(2) } else { Step::Start(2) });
         steps
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Deliver(i) => {
                 let (to, datagram) = self.in_flight.remove(i);
@@ -95,43 +95,43 @@
                 self.deliver(to, &datagram);
             }
             Step::Drop(i) => drop(self.in_flight.remove(i)),
-            Step::Tick(of) => {
-                let Some(member) = self.members.get_mut(&of) else { return };
+            Step::Tick(index) => {
+                let Some(member) = self.members.get_mut(&index) else { return };
                 self.now = self.now.max(member.next_tick());
                 member.tick(self.now);
-                self.gather(of);
+                self.collect_outgoing(index);
             }
-            Step::Kill(of) => drop(self.members.remove(&of)),
-            Step::Start(of) => self.start(of),
+            Step::Kill(index) => drop(self.members.remove(&index)),
+            Step::Start(index) => self.start(index),
         }
         self.in_flight.drain(..self.in_flight.len().saturating_sub(MAX_IN_FLIGHT));
-        self.check();
+        self.check_invariants();
     }
 
     fn deliver(&mut self, to: usize, datagram: &Datagram) {
         if let Some(member) = self.members.get_mut(&to) {
             let _ = member.receive(self.now, datagram);
-            self.gather(to);
+            self.collect_outgoing(to);
         }
     }
 
-    fn gather(&mut self, of: usize) {
-        let Some(member) = self.members.get_mut(&of) else { return };
+    fn collect_outgoing(&mut self, index: usize) {
+        let Some(member) = self.members.get_mut(&index) else { return };
         while let Some(OutgoingDatagram { address: to, datagram }) = member.next_datagram(self.now) {
-            self.in_flight.push((number(to), datagram));
+            self.in_flight.push((index_of(to), datagram));
         }
         while member.next_event().is_some() {}
     }
 
-    fn check(&mut self) {
-        for (of, member) in &self.members {
-            member.check_invariants().unwrap_or_else(|why| panic!("{of}: {why}"));
+    fn check_invariants(&mut self) {
+        for (index, member) in &self.members {
+            member.check_invariants().unwrap_or_else(|violation| panic!("{index}: {violation}"));
             let known = member
                 .statuses()
                 .filter_map(|(name, _)| Some((name, member.member_status(name)?.generation)));
-            let observer = (*of, member.local_update().generation);
-            let back = regressed_member(&mut self.known_generations, observer, known);
-            assert_eq!(back, None, "n{of} fell back to an older generation");
+            let observer = (*index, member.local_update().generation);
+            let regressed = regressed_member(&mut self.known_generations, observer, known);
+            assert_eq!(regressed, None, "n{index} fell back to an older generation");
         }
     }
 
@@ -145,27 +145,30 @@
             }
             if self.in_flight.is_empty() {
                 let next = self.members.iter().min_by_key(|(_, member)| member.next_tick());
-                let Some(of) = next.map(|(of, _)| *of) else { return Ok(()) };
-                let member = self.members.get_mut(&of).expect("looked up above");
+                let Some(index) = next.map(|(index, _)| *index) else { return Ok(()) };
+                let member = self.members.get_mut(&index).expect("looked up above");
                 self.now = self.now.max(member.next_tick());
                 member.tick(self.now);
-                self.gather(of);
+                self.collect_outgoing(index);
             }
         }
-        self.check();
-        for (of, member) in &self.members {
-            for (other, newest) in &self.members {
-                let right = Some(GenerationStatus {
-                    generation: newest.local_update().generation,
+        self.check_invariants();
+        for (index, member) in &self.members {
+            for (other, other_member) in &self.members {
+                let expected = Some(GenerationStatus {
+                    generation: other_member.local_update().generation,
                     status: MemberStatus::Alive,
                 });
-                if of != other && member.member_status(name(*other)) != right {
-                    return Err(format!("n{of} sees n{other} as {:?}", member.member_status(name(*other))));
+                if index != other && member.member_status(name(*other)) != expected {
+                    return Err(format!(
+                        "n{index} sees n{other} as {:?}",
+                        member.member_status(name(*other))
+                    ));
                 }
             }
-            let alive = member.statuses().filter(|(_, standing)| *standing == MemberStatus::Alive).count();
+            let alive = member.statuses().filter(|(_, status)| *status == MemberStatus::Alive).count();
             if alive + 1 != self.members.len() {
-                return Err(format!("n{of} sees {alive} others of {}", self.members.len() - 1));
+                return Err(format!("n{index} sees {alive} others of {}", self.members.len() - 1));
             }
         }
         Ok(())
@@ -178,27 +181,27 @@
 }
 
 /// Takes every order of steps to this depth, and lets one in `each` of the ends converge.
-fn explore(fleet: &TestFleet, depth: usize, each: usize, seen: &mut (usize, usize)) {
+fn explore(fleet: &TestFleet, depth: usize, convergence_interval: usize, counts: &mut (usize, usize)) {
     if depth == 0 {
-        seen.0 += 1;
-        if seen.0.is_multiple_of(each) {
-            seen.1 += 1;
-            fleet.clone().converges().unwrap_or_else(|why| panic!("{why}"));
+        counts.0 += 1;
+        if counts.0.is_multiple_of(convergence_interval) {
+            counts.1 += 1;
+            fleet.clone().converges().unwrap_or_else(|violation| panic!("{violation}"));
         }
         return;
     }
-    for step in fleet.steps() {
+    for step in fleet.possible_steps() {
         let mut next = fleet.clone();
-        next.take(step);
-        explore(&next, depth - 1, each, seen);
+        next.apply(step);
+        explore(&next, depth - 1, convergence_interval, counts);
     }
 }
 
 #[test]
 fn three_members_that_join_in_any_order_converge() {
-    let mut seen = (0, 0);
-    explore(&TestFleet::new(3), depth(), 211, &mut seen);
-    assert!(seen.0 > 20_000 && seen.1 > 100, "{seen:?}");
+    let mut counts = (0, 0);
+    explore(&TestFleet::new(3), depth(), 211, &mut counts);
+    assert!(counts.0 > 20_000 && counts.1 > 100, "{counts:?}");
 }
 
 #[test]
@@ -207,14 +210,14 @@
     fleet.clone().converges().expect("a quiet start");
     for _ in 0..60 {
         while !fleet.in_flight.is_empty() {
-            fleet.take(Step::Deliver(0));
+            fleet.apply(Step::Deliver(0));
         }
-        let next = fleet.members.iter().min_by_key(|(_, member)| member.next_tick()).map(|(of, _)| *of);
-        fleet.take(Step::Tick(next.expect("three run")));
+        let next = fleet.members.iter().min_by_key(|(_, member)| member.next_tick()).map(|(index, _)| *index);
+        fleet.apply(Step::Tick(next.expect("three run")));
     }
-    let mut seen = (0, 0);
-    explore(&fleet, depth(), 101, &mut seen);
-    assert!(seen.0 > 20_000 && seen.1 > 100, "{seen:?}");
+    let mut counts = (0, 0);
+    explore(&fleet, depth(), 101, &mut counts);
+    assert!(counts.0 > 20_000 && counts.1 > 100, "{counts:?}");
 }
 
 #[test]
@@ -223,15 +226,15 @@
         let mut random = Pcg::new(seed);
         let mut fleet = TestFleet::new(4);
         for _ in 0..150 {
-            let steps = fleet.steps();
-            fleet.take(steps[random.draw() as usize % steps.len()]);
+            let steps = fleet.possible_steps();
+            fleet.apply(steps[random.draw() as usize % steps.len()]);
         }
-        fleet.converges().unwrap_or_else(|why| panic!("seed {seed}: {why}"));
+        fleet.converges().unwrap_or_else(|violation| panic!("seed {seed}: {violation}"));
     }
 }
 
 #[test]
-fn injected_faults_are_found() {
+fn checks_detect_regressed_generation_and_failed_convergence() {
     let mut known_generations = BTreeMap::new();
     let observer = (0, Generation(1));
     let known = |generation| [(name(2), Generation(generation))].into_iter();
--- a/crates/hazelspur-fleet/tests/wire.rs
+++ b/crates/hazelspur-fleet/tests/wire.rs
@@ -16,16 +16,16 @@
 };
 
 /// One line for each datagram: its name and its bytes in hexadecimal digits.
-const FIXED: &str = include_str!("wire-v2.txt");
+const EXPECTED_LINES: &str = include_str!("wire-v2.txt");
 const SENT_MS: u64 = 1_700_000_000_000;
 
-fn member(text: &str) -> MemberName {
+fn member_name(text: &str) -> MemberName {
     MemberName::new(text).expect("a name")
 }
 
 fn update(text: &str, state: MemberState) -> MemberUpdate {
     MemberUpdate {
-        name: member(text),
+        name: member_name(text),
         site: SiteName::new("east").expect("a name"),
         address: "10.1.2.3:7000".parse().expect("an address"),
         generation: Generation(1_699_999_999_000),
@@ -34,7 +34,7 @@
     }
 }
 
-fn with_body(body: Body) -> Datagram {
+fn datagram_with_body(body: Body) -> Datagram {
     Datagram {
         installation: Installation::new("bread").expect("a name"),
         sender: update("n1", MemberState::Alive),
@@ -46,53 +46,78 @@
     }
 }
 
-fn quota(message: QuotaMessage) -> Datagram {
-    with_body(Body::Quota { fingerprint: ConfigFingerprint(0x0123_4567_89ab_cdef), message })
+fn quota_datagram(message: QuotaMessage) -> Datagram {
+    datagram_with_body(Body::Quota { fingerprint: ConfigFingerprint(0x0123_4567_89ab_cdef), message })
 }
 
-fn about_members() -> Vec<(&'static str, Datagram)> {
-    let other = "[2001:db8::7]:7001".parse().expect("an address");
-    let v6 = MemberUpdate { address: other, ..update("n5", MemberState::Suspected(member("n4"))) };
+fn membership_datagrams() -> Vec<(&'static str, Datagram)> {
+    let ipv6_address = "[2001:db8::7]:7001".parse().expect("an address");
+    let ipv6_update =
+        MemberUpdate { address: ipv6_address, ..update("n5", MemberState::Suspected(member_name("n4"))) };
     let updates = [
-        v6,
+        ipv6_update,
         update("n6", MemberState::Leaving),
         update("n7", MemberState::Left),
         update("n8", MemberState::Alive),
     ];
-    let report = |unreached| {
-        Some(PeerLoadReport { latency_ratio: 1.5, unreachable_fraction: unreached, rejected_fraction: 0.25 })
+    let report = |unreachable_fraction| {
+        Some(PeerLoadReport { latency_ratio: 1.5, unreachable_fraction, rejected_fraction: 0.25 })
     };
     vec![
-        ("ping", with_body(Body::Ping { number: 70_000, to: Some(member("n2")) })),
-        ("ping-unknown", with_body(Body::Ping { number: 1, to: None })),
-        ("ack", with_body(Body::Ack { number: u32::MAX })),
-        ("ping-for", with_body(Body::PingRequest { number: 9, target: member("n2"), target_address: other })),
-        ("gossip", Datagram { updates: updates.to_vec(), ..with_body(Body::Gossip) }),
-        ("gossip-word", Datagram { load_report: report(Some(0.5)), ..with_body(Body::Gossip) }),
-        ("gossip-word-without-calls", Datagram { load_report: report(None), ..with_body(Body::Gossip) }),
-        ("ask", with_body(Body::MemberListRequest { after: Some(member("n2")) })),
-        ("ask-from-the-start", with_body(Body::MemberListRequest { after: None })),
-        ("page", with_body(Body::MemberListPage { next: Some(member("n3")) })),
+        ("ping", datagram_with_body(Body::Ping { number: 70_000, to: Some(member_name("n2")) })),
+        ("ping-unknown", datagram_with_body(Body::Ping { number: 1, to: None })),
+        ("ack", datagram_with_body(Body::Ack { number: u32::MAX })),
+        (
+            "ping-for",
+            datagram_with_body(Body::PingRequest {
+                number: 9,
+                target: member_name("n2"),
+                target_address: ipv6_address,
+            }),
+        ),
+        ("gossip", Datagram { updates: updates.to_vec(), ..datagram_with_body(Body::Gossip) }),
+        ("gossip-word", Datagram { load_report: report(Some(0.5)), ..datagram_with_body(Body::Gossip) }),
+        (
+            "gossip-word-without-calls",
+            Datagram { load_report: report(None), ..datagram_with_body(Body::Gossip) },
+        ),
+        ("ask", datagram_with_body(Body::MemberListRequest { after: Some(member_name("n2")) })),
+        ("ask-from-the-start", datagram_with_body(Body::MemberListRequest { after: None })),
+        ("page", datagram_with_body(Body::MemberListPage { next: Some(member_name("n3")) })),
     ]
 }
 
-fn about_quotas() -> Vec<(&'static str, Datagram)> {
-    let allocator = Some(member("n2"));
+fn quota_datagrams() -> Vec<(&'static str, Datagram)> {
+    let allocator = Some(member_name("n2"));
     let (demands, retained, amounts) = (vec![1.5, 200.0], vec![0.25, 0.0], vec![0.1, 3.0]);
     vec![
-        ("share-ask", quota(QuotaMessage::VoteRequest { ballot: 400 })),
+        ("share-ask", quota_datagram(QuotaMessage::VoteRequest { ballot: 400 })),
         (
             "share-vote-yes",
-            quota(QuotaMessage::VoteResponse(VoteResponse { ballot: 400, granted: true, allocator })),
+            quota_datagram(QuotaMessage::VoteResponse(VoteResponse {
+                ballot: 400,
+                granted: true,
+                allocator,
+            })),
         ),
         (
             "share-vote-no",
-            quota(QuotaMessage::VoteResponse(VoteResponse { ballot: 400, granted: false, allocator: None })),
+            quota_datagram(QuotaMessage::VoteResponse(VoteResponse {
+                ballot: 400,
+                granted: false,
+                allocator: None,
+            })),
+        ),
+        ("share-drop", quota_datagram(QuotaMessage::VoteRelease { ballot: 400 })),
+        (
+            "share-want",
+            quota_datagram(QuotaMessage::LeaseRequest(LeaseRequest { number: 5, demands, retained })),
+        ),
+        (
+            "share-have",
+            quota_datagram(QuotaMessage::LeaseGrant(LeaseGrant { number: 5, duration_ms: 8000, amounts })),
         ),
-        ("share-drop", quota(QuotaMessage::VoteRelease { ballot: 400 })),
-        ("share-want", quota(QuotaMessage::LeaseRequest(LeaseRequest { number: 5, demands, retained }))),
-        ("share-have", quota(QuotaMessage::LeaseGrant(LeaseGrant { number: 5, duration_ms: 8000, amounts }))),
-        ("share-elsewhere", quota(QuotaMessage::NotLeader { number: 5, allocator })),
+        ("share-elsewhere", quota_datagram(QuotaMessage::NotLeader { number: 5, allocator })),
     ]
 }
 
@@ -100,13 +125,13 @@
     ShareSummary { limit: LimitName::new(limit).expect("a name"), amount, guaranteed, expires_in_ms }
 }
 
-fn to_operators() -> Vec<(&'static str, Datagram)> {
+fn operator_datagrams() -> Vec<(&'static str, Datagram)> {
     let row = |status, heard_ago_ms| MemberRow {
         update: update("n9", MemberState::Alive),
         status,
         status_age_ms: 1000,
         update_age_ms: 200,
-        reported_by: member("n4"),
+        reported_by: member_name("n4"),
         heard_ago_ms,
     };
     let rows = |statuses: &[MemberStatus]| statuses.iter().map(|status| row(*status, Some(150))).collect();
@@ -117,7 +142,7 @@
         fleet: size(3, 300),
         sites: vec![SiteSize { site: SiteName::new("east").expect("a name"), size: size(1, 2) }],
         members,
-        next: Some(member("n9")),
+        next: Some(member_name("n9")),
     };
     let aggregated = AggregatedLoad {
         latency_ratio: Some(2.5),
@@ -128,7 +153,7 @@
         oldest_age_ms: 900,
     };
     let state = |fault_scope| CoordinationState {
-        allocator: Some(member("n2")),
+        allocator: Some(member_name("n2")),
         allocation: Some(AllocationSummary { granted: 12.5, lessees: 4 }),
         shares: vec![share("calls", 9.5, 2.0, Some(3500)), share("tenant.a", 1.0, 1.0, None)],
         breaker_open: true,
@@ -140,54 +165,57 @@
         },
         aggregated: Some(aggregated),
     };
-    let reply = |scope| with_body(Body::CoordinationReply { number: 12, state: state(scope) });
-    let first = [MemberStatus::Alive, MemberStatus::Suspected, MemberStatus::Leaving];
+    let reply = |scope| datagram_with_body(Body::CoordinationReply { number: 12, state: state(scope) });
+    let joining_statuses = [MemberStatus::Alive, MemberStatus::Suspected, MemberStatus::Leaving];
     vec![
-        ("show", with_body(Body::FleetQuery { number: 11, after: Some(member("n2")) })),
-        ("show-choices", with_body(Body::CoordinationQuery { number: 12 })),
-        ("shown-joining", with_body(fleet_reply(LocalStatus::Joining, rows(&first)))),
+        ("show", datagram_with_body(Body::FleetQuery { number: 11, after: Some(member_name("n2")) })),
+        ("show-choices", datagram_with_body(Body::CoordinationQuery { number: 12 })),
+        ("shown-joining", datagram_with_body(fleet_reply(LocalStatus::Joining, rows(&joining_statuses)))),
         (
             "shown-whole",
-            with_body(fleet_reply(LocalStatus::Healthy, rows(&[MemberStatus::Left, MemberStatus::Dead]))),
+            datagram_with_body(fleet_reply(
+                LocalStatus::Healthy,
+                rows(&[MemberStatus::Left, MemberStatus::Dead]),
+            )),
         ),
         (
             "shown-doubtful",
-            with_body(fleet_reply(LocalStatus::Degraded, vec![row(MemberStatus::Dead, None)])),
+            datagram_with_body(fleet_reply(LocalStatus::Degraded, vec![row(MemberStatus::Dead, None)])),
         ),
-        ("shown-cut-off", with_body(fleet_reply(LocalStatus::Isolated, vec![]))),
-        ("shown-leaving", with_body(fleet_reply(LocalStatus::Leaving, vec![]))),
+        ("shown-cut-off", datagram_with_body(fleet_reply(LocalStatus::Isolated, vec![]))),
+        ("shown-leaving", datagram_with_body(fleet_reply(LocalStatus::Leaving, vec![]))),
         ("choices-none", reply(FaultScope::None)),
         ("choices-mine", reply(FaultScope::Local)),
         ("choices-shared", reply(FaultScope::Shared)),
         ("choices-unknown", reply(FaultScope::Unknown)),
         (
             "choices-empty",
-            with_body(Body::CoordinationReply { number: 13, state: CoordinationState::default() }),
+            datagram_with_body(Body::CoordinationReply { number: 13, state: CoordinationState::default() }),
         ),
     ]
 }
 
-fn hexadecimal(bytes: &[u8]) -> String {
+fn to_hexadecimal(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
 #[test]
-fn datagrams_have_the_same_bytes_as_ever_and_are_read_from_them() {
+fn datagrams_encode_to_and_decode_from_the_recorded_bytes() {
     let key = Key::from_text("a key of sixteen characters").expect("long enough");
     let installation = Installation::new("bread").expect("a name");
     let now = Timestamp::from_us(SENT_MS * 1000);
-    let all: Vec<_> = [about_members(), about_quotas(), to_operators()].concat();
-    let written: Vec<String> = all
+    let datagrams: Vec<_> = [membership_datagrams(), quota_datagrams(), operator_datagrams()].concat();
+    let encoded_lines: Vec<String> = datagrams
         .iter()
-        .map(|(name, datagram)| format!("{name} {}", hexadecimal(&datagram::seal(&key, datagram))))
+        .map(|(name, datagram)| format!("{name} {}", to_hexadecimal(&datagram::seal(&key, datagram))))
         .collect();
-    let fixed: Vec<&str> = FIXED.lines().collect();
-    assert_eq!(written.len(), fixed.len(), "{}", written.join("\n"));
-    for ((written, fixed), (name, datagram)) in written.iter().zip(fixed).zip(&all) {
-        assert_eq!(written, fixed, "{name}");
-        let digits = fixed.split_once(' ').expect("a name and bytes").1;
+    let expected_lines: Vec<&str> = EXPECTED_LINES.lines().collect();
+    assert_eq!(encoded_lines.len(), expected_lines.len(), "{}", encoded_lines.join("\n"));
+    for ((encoded, expected), (name, datagram)) in encoded_lines.iter().zip(expected_lines).zip(&datagrams) {
+        assert_eq!(encoded, expected, "{name}");
+        let digits = expected.split_once(' ').expect("a name and bytes").1;
         let bytes: Vec<u8> = (0..digits.len() / 2)
-            .map(|at| u8::from_str_radix(&digits[2 * at..2 * at + 2], 16).expect("two digits"))
+            .map(|index| u8::from_str_radix(&digits[2 * index..2 * index + 2], 16).expect("two digits"))
             .collect();
         assert_eq!(datagram::open(&key, &installation, now, &bytes).as_ref(), Ok(datagram), "{name}");
     }
@@ -195,7 +223,7 @@
 
 /// Servers whose fingerprints differ give each other nothing.
 #[test]
-fn the_fingerprint_of_a_configuration_is_the_same_as_ever() {
+fn quota_configuration_fingerprint_is_unchanged() {
     let limit = |name: &str, max_turn| SharedLimit {
         name: LimitName::new(name).expect("a name"),
         total: 48.5,
@@ -204,7 +232,7 @@
         max_turn,
     };
     let config = QuotaConfig {
-        voters: vec![member("n1"), member("n2"), member("n3")],
+        voters: vec![member_name("n1"), member_name("n2"), member_name("n3")],
         max_servers: 300,
         vote_duration: Duration::from_ms(4000),
         limits: vec![limit("calls", None), limit("turns", Some(Duration::from_ms(5000)))],
@@ -214,7 +242,7 @@
 
 /// `hazelspur-server fleet FILE --shape json` shows these; scripts of operators read them.
 #[test]
-fn figures_for_an_operator_have_the_same_json_as_ever() {
+fn operator_json_output_is_unchanged() {
     let aggregated = AggregatedLoad {
         latency_ratio: Some(2.5),
         unreachable_fraction: 0.25,
