--- a/crates/hazelspur-fleet/src/anti_replay.rs
+++ b/crates/hazelspur-fleet/src/anti_replay.rs
@@ -22,16 +22,16 @@
             self.advance_to(sequence);
             return true;
         }
-        let behind = self.highest - sequence;
-        let bit = 1u64.checked_shl(behind as u32).filter(|_| behind < WINDOW_BITS);
+        let distance_behind = self.highest - sequence;
+        let bit = 1u64.checked_shl(distance_behind as u32).filter(|_| distance_behind < WINDOW_BITS);
         let is_new = bit.is_some_and(|bit| self.received & bit == 0);
         self.received |= bit.unwrap_or(0);
         is_new
     }
 
     fn advance_to(&mut self, sequence: u64) {
-        let by = sequence - self.highest;
-        self.received = if by < WINDOW_BITS { self.received << by | 1 } else { 1 };
+        let distance = sequence - self.highest;
+        self.received = if distance < WINDOW_BITS { self.received << distance | 1 } else { 1 };
         self.highest = sequence;
     }
 }
--- a/crates/hazelspur-fleet/src/membership/state.rs
+++ b/crates/hazelspur-fleet/src/membership/state.rs
@@ -283,7 +283,7 @@
     /// Bounds of the size of the fleet or of a site. This process counts itself until it has left.
     pub fn size(&self, site: Option<SiteName>) -> FleetSize {
         let (mut known_alive, mut serving, mut dead) = (0, 0, 0);
-        let in_site = |of: SiteName| site.is_none_or(|site| site == of);
+        let in_site = |other: SiteName| site.is_none_or(|site| site == other);
         for member in self.members.iter().filter(|member| in_site(member.update.site)) {
             serving += usize::from(member.status.may_serve());
             dead += usize::from(member.status == MemberStatus::Dead);
--- a/crates/hazelspur-fleet/src/names.rs
+++ b/crates/hazelspur-fleet/src/names.rs
@@ -49,13 +49,13 @@
         }
 
         impl Serialize for $type {
-            fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-                to.serialize_str(self.as_str())
+            fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+                serializer.serialize_str(self.as_str())
             }
         }
 
         impl<'de> Deserialize<'de> for $type {
-            fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
+            fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
                 struct NameVisitor;
                 impl serde::de::Visitor<'_> for NameVisitor {
                     type Value = $type;
@@ -66,7 +66,7 @@
                         $type::new(text).ok_or_else(|| E::invalid_value(serde::de::Unexpected::Str(text), &self))
                     }
                 }
-                from.deserialize_str(NameVisitor)
+                deserializer.deserialize_str(NameVisitor)
             }
         }
     };
--- a/crates/hazelspur-fleet/tests/membership.rs
+++ b/crates/hazelspur-fleet/tests/membership.rs
@@ -42,8 +42,8 @@
         n6 whole 5..7: alive n0 n1 n2 n3, left n5, lost n4
     "#]]
     .assert_eq(&format!("{}\n{}\n", fleet.view_of(0), fleet.view_of(6)));
-    let suspected = |event: &MembershipEvent| matches!(event, MembershipEvent::Suspected { member, .. } if *member == name(5));
-    assert!(!fleet.events.iter().any(|(.., event)| suspected(event)));
+    let is_suspicion_of_leaving_member = |event: &MembershipEvent| matches!(event, MembershipEvent::Suspected { member, .. } if *member == name(5));
+    assert!(!fleet.events.iter().any(|(.., event)| is_suspicion_of_leaving_member(event)));
 }
 
 #[test]
--- a/crates/hazelspur-fleet/tests/wire.rs
+++ b/crates/hazelspur-fleet/tests/wire.rs
@@ -258,7 +258,7 @@
         LocalStatus::Isolated,
         LocalStatus::Leaving,
     ];
-    let json = |value: serde_json::Result<String>| value.expect("it is written");
+    let json = |result: serde_json::Result<String>| result.expect("it is written");
     assert_eq!(
         json(serde_json::to_string(&aggregated)),
         r#"{"pace":2.5,"unreached":0.25,"refused":0.125,"voices":7,"sites":3,"oldest_ms":900}"#
