--- a/crates/hazelspur-fleet/src/anti_replay.rs
+++ b/crates/hazelspur-fleet/src/anti_replay.rs
@@ -1,19 +1,21 @@
-//! The anti-replay window of one sender: accepts each sequence number once, in whatever order datagrams
-//! arrive.
+//! The anti-replay window of one sender. It accepts each sequence number once, in any order of arrival, and
+//! rejects numbers that are too far behind the highest one.
 
-/// Sequence numbers behind the highest that may still arrive; older ones count as replayed.
+/// Width of the window: a number that is this far or farther behind the highest counts as replayed.
 const WINDOW_BITS: u64 = 64;
 
-/// The sequence numbers of one process incarnation that were received.
+/// The received sequence numbers of one process incarnation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AntiReplayWindow {
+    /// Highest received number; zero before the first.
     highest: u64,
-    /// Bit `i` stands for `highest - i`.
+    /// Bit `i` is set if the number `highest - i` was received.
     received: u64,
 }
 
 impl AntiReplayWindow {
-    /// Notes a sequence number, from 1 on. False if it was received before or is too old to tell.
+    /// Records a sequence number, at least 1, and returns whether it is new. Returns false if the number was
+    /// received before, is zero or lies behind the window.
     pub fn accept(&mut self, sequence: u64) -> bool {
         if sequence == 0 {
             return false;
--- a/crates/hazelspur-fleet/src/datagram/body.rs
+++ b/crates/hazelspur-fleet/src/datagram/body.rs
@@ -1,4 +1,4 @@
-//! What a datagram is about, besides the updates that travel with it.
+//! The body of a datagram, that is the message besides the membership updates that travel with it.
 
 use super::fleet_query::{CoordinationState, MemberRow, SiteSize};
 use crate::membership::{FleetSize, LocalStatus};
@@ -7,14 +7,14 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The body of a datagram.
+/// The body of a datagram. The order of the variants and fields is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
     /// A probe, which the target answers with `Ack`.
     Ping {
         /// Number of the probe.
         number: u32,
-        /// The target; none where the sender knows only its address.
+        /// Name of the target; `None` if the sender knows only its address.
         to: Option<MemberName>,
     },
     /// The answer to a probe.
@@ -22,16 +22,16 @@
         /// Number of the probe.
         number: u32,
     },
-    /// SWIM's indirect probe: the receiver probes the target and passes its answer on.
+    /// SWIM's indirect probe. The receiver probes the target and passes the answer on to the sender.
     PingRequest {
         /// Number of the probe.
         number: u32,
-        /// The target.
+        /// Name of the target.
         target: MemberName,
-        /// Where the target receives datagrams.
+        /// Address at which the target receives datagrams.
         target_address: SocketAddr,
     },
-    /// Only updates and a load report.
+    /// An empty body, for a datagram that carries only updates and a load report.
     Gossip,
     /// A message of the quota protocol.
     Quota {
@@ -40,48 +40,49 @@
         /// The message.
         message: QuotaMessage,
     },
-    /// Asks for the member list after this name.
+    /// A request for a page of the member list.
     MemberListRequest {
-        /// None from the start.
+        /// The name after which the page begins; `None` for the first page.
         after: Option<MemberName>,
     },
-    /// A page of the member list travels as updates.
+    /// The answer to `MemberListRequest`. The page travels as the updates of the datagram.
     MemberListPage {
-        /// The name after which the list goes on; none at its end.
+        /// The name after which the next page begins; `None` on the last page.
         next: Option<MemberName>,
     },
-    /// An operator's question for the members after this name; the sender is no member.
+    /// An operator's query for the members of the fleet. The sender is not a member.
     FleetQuery {
-        /// Number of the question.
+        /// Number of the query.
         number: u32,
-        /// None from the start.
+        /// The name after which the reply begins; `None` for the first members.
         after: Option<MemberName>,
     },
-    /// An operator's question for what this server decided together with others.
+    /// An operator's query for the state of the server's coordination with others. The sender is not a
+    /// member.
     CoordinationQuery {
-        /// Number of the question.
+        /// Number of the query.
         number: u32,
     },
     /// The answer to `CoordinationQuery`.
     CoordinationReply {
-        /// Number of the question.
+        /// Number of the query.
         number: u32,
-        /// The answer.
+        /// The state of the coordination.
         state: CoordinationState,
     },
     /// The answer to `FleetQuery`.
     FleetReply {
-        /// Number of the question.
+        /// Number of the query.
         number: u32,
-        /// The server's own status.
+        /// Status of the answering server.
         status: LocalStatus,
-        /// Size of the fleet.
+        /// Bounds of the number of servers in the fleet.
         fleet: FleetSize,
-        /// Size of each site, in the first reply only.
+        /// Bounds of the number of servers in each site; only in the reply to a query with `after: None`.
         sites: Vec<SiteSize>,
-        /// Members.
+        /// The members, in the order of their names.
         members: Vec<MemberRow>,
-        /// The name after which the list goes on; none at its end.
+        /// The name after which the next page begins; `None` on the last page.
         next: Option<MemberName>,
     },
 }
--- a/crates/hazelspur-fleet/src/datagram/codec.rs
+++ b/crates/hazelspur-fleet/src/datagram/codec.rs
@@ -1,4 +1,4 @@
-//! Encodes and seals datagrams, and checks and decodes them.
+//! Encoding of datagrams with an authentication tag, and the checks and decoding of received ones.
 
 use super::{Body, Datagram, DatagramError, Key};
 use super::{MAX_CLOCK_SKEW_MS, MAX_DATAGRAM_BYTES, MAX_QUERY_ROWS, MAX_QUERY_SITES, MAX_UPDATES};
@@ -8,14 +8,14 @@
 
 /// Version of the protocol, the first byte of a datagram.
 const VERSION: u8 = 2;
-/// Length of the tag, which follows the version, in bytes.
+/// Length of the authentication tag, which follows the version, in bytes.
 const TAG_BYTES: usize = 16;
 /// Length of version and tag, in bytes.
 const HEADER_BYTES: usize = 1 + TAG_BYTES;
 
 type Tag = [u8; TAG_BYTES];
 
-/// The bytes of a datagram. Updates at the end of one that would be too long are left out.
+/// Returns the bytes of a datagram. If it would exceed `MAX_DATAGRAM_BYTES`, drops updates from its end.
 pub fn seal(key: &Key, datagram: &Datagram) -> Vec<u8> {
     let mut bytes = vec![0; HEADER_BYTES];
     bytes[0] = VERSION;
@@ -35,19 +35,20 @@
     content
 }
 
-/// How many bytes `seal` would give without leaving updates out.
+/// Returns the length of a datagram in bytes with all of its updates.
 pub fn encoded_length(datagram: &Datagram) -> usize {
     HEADER_BYTES + postcard::experimental::serialized_size(datagram).unwrap_or(MAX_DATAGRAM_BYTES)
 }
 
-/// Replaces the tag by the one that fits the content: for tests and fuzzing of what is behind the tag.
+/// Replaces the tag by the valid one for the content. Tests and fuzzing also use it, to get altered content
+/// past the check of the tag.
 pub fn reseal(key: &Key, mut bytes: Vec<u8>) -> Vec<u8> {
     let tag = tag(key, &bytes);
     bytes[1..HEADER_BYTES].copy_from_slice(&tag);
     bytes
 }
 
-/// The tag of a datagram, in which the tag's own place counts as zeros.
+/// Returns the tag of a datagram, computed with zeros in place of the tag.
 fn tag(key: &Key, bytes: &[u8]) -> Tag {
     let mut untagged = bytes.to_vec();
     untagged[1..HEADER_BYTES].fill(0);
@@ -56,10 +57,10 @@
     tag
 }
 
-/// Checks and decodes what was received. Whether the content is plausible, `Membership` checks.
+/// Checks and decodes a received datagram. `Membership` checks afterwards whether its content is plausible.
 ///
 /// # Errors
-/// `DatagramError` for the first check that fails, in the order of its variants.
+/// Returns the `DatagramError` of the first check that fails. The checks run in the order of its variants.
 pub fn open(
     key: &Key,
     installation: &Installation,
@@ -86,7 +87,7 @@
 }
 
 fn has_valid_tag(key: &Key, bytes: &[u8]) -> bool {
-    // The library's own type compares in constant time.
+    // `blake3::Hash` compares in constant time, so the time of the check reveals nothing about the valid tag.
     let padded = |tag: &[u8]| {
         let mut hash = [0; blake3::OUT_LEN];
         hash[..TAG_BYTES].copy_from_slice(tag);
@@ -102,6 +103,7 @@
     is_valid.then_some(datagram)
 }
 
+/// Returns whether the lists of the body are within their maximum lengths.
 fn has_valid_length(body: &Body) -> bool {
     match body {
         Body::FleetReply { members, sites, .. } => {
--- a/crates/hazelspur-fleet/src/datagram/error.rs
+++ b/crates/hazelspur-fleet/src/datagram/error.rs
@@ -1,29 +1,30 @@
-//! Why a datagram is dropped.
+//! The reasons to drop a received datagram.
 
 use thiserror::Error;
 
-/// Why a datagram is dropped.
+/// The reason to drop a received datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 #[error("datagram dropped: {}", self.name())]
 pub enum DatagramError {
-    /// Too long or too short.
+    /// The datagram is too long or too short.
     Size,
-    /// Of another version of the protocol.
+    /// The datagram has another version of the protocol.
     Version,
-    /// Not sealed with our key, or damaged on the way.
+    /// The tag is invalid: the datagram was sealed with another key or damaged in transit.
     Tag,
-    /// Sealed with our key, but malformed or implausible.
+    /// The tag is valid, but the content is malformed or implausible.
     Content,
-    /// Of another installation with the same key.
+    /// The datagram belongs to another installation with the same key.
     Foreign,
-    /// Sent too long ago, or by a clock with too large a skew.
+    /// The datagram was sent too long ago, or the sender's clock differs too much.
     Stale,
-    /// A sequence number that was received before, or a generation that is over.
+    /// The sequence number was received before, or the generation has ended. `Membership::receive` names
+    /// further cases.
     Replayed,
 }
 
 impl DatagramError {
-    /// The word that log lines show.
+    /// Returns the word for the reason in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Self::Size => "size",
--- a/crates/hazelspur-fleet/src/datagram/fleet_query.rs
+++ b/crates/hazelspur-fleet/src/datagram/fleet_query.rs
@@ -1,24 +1,24 @@
-//! What a server answers to an operator's command.
+//! The content of the replies to operators' queries. The order of the fields is part of the wire format.
 
 use crate::load_reports::{AggregatedLoad, FaultScope, PeerLoadReport};
 use crate::membership::{FleetSize, MemberStatus, MemberUpdate};
 use crate::names::{LimitName, MemberName, SiteName};
 use serde::{Deserialize, Serialize};
 
-/// One member, as the answering server sees it.
+/// One member, as the answering server knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberRow {
-    /// The last update about the member.
+    /// The newest update about the member.
     pub update: MemberUpdate,
     /// The member's status.
     pub status: MemberStatus,
-    /// Age of the status, in milliseconds.
+    /// Time since the status began, in milliseconds.
     pub status_age_ms: u64,
-    /// Age of the last update, in milliseconds.
+    /// Time since the newest update arrived, in milliseconds.
     pub update_age_ms: u64,
-    /// Who sent the last update.
+    /// The member that sent the newest update.
     pub reported_by: MemberName,
-    /// Time since the member itself was last heard, in milliseconds; none if never.
+    /// Time since the last datagram from the member itself, in milliseconds; `None` if there was none.
     pub heard_ago_ms: Option<u64>,
 }
 
@@ -27,11 +27,11 @@
 pub struct SiteSize {
     /// The site.
     pub site: SiteName,
-    /// Bounds of its number of servers.
+    /// Bounds of the number of servers in the site.
     pub size: FleetSize,
 }
 
-/// What the answering server allocates of the first limit.
+/// The leases of the first limit that the answering server has granted as the allocator.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AllocationSummary {
     /// Sum of the outstanding leases.
@@ -40,34 +40,34 @@
     pub lessees: u32,
 }
 
-/// The answering server's share of one limit.
+/// The answering server's share of one limit, in the unit of the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShareSummary {
-    /// The limit.
+    /// Name of the limit.
     pub limit: LimitName,
-    /// What the server may use now.
+    /// Amount that the server may use now.
     pub amount: f32,
-    /// What it may use without a lease.
+    /// Guaranteed minimum, which the server may use without a lease.
     pub guaranteed: f32,
-    /// How long the lease still lasts, in milliseconds; none without a lease.
+    /// Time until the lease expires, in milliseconds; `None` without a lease.
     pub expires_in_ms: Option<u32>,
 }
 
-/// What the answering server decided together with others.
+/// The state of the answering server's coordination with other servers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CoordinationState {
-    /// The allocator of quotas, as far as the server knows.
+    /// The allocator of quotas; `None` if the server knows none.
     pub allocator: Option<MemberName>,
-    /// What the server allocates, if it is the allocator.
+    /// The leases that the server has granted; `None` if it is not the allocator.
     pub allocation: Option<AllocationSummary>,
-    /// Its shares, in the order of the configuration.
+    /// The server's shares, in the order of the limits in the configuration.
     pub shares: Vec<ShareSummary>,
-    /// Whether its circuit breaker is open.
+    /// Whether the circuit breaker of the shared dependency is open.
     pub breaker_open: bool,
-    /// Who is affected by the fault that it sees.
+    /// The scope of the fault that the server observes.
     pub fault_scope: FaultScope,
-    /// Its own load report.
+    /// The server's own load report.
     pub load_report: PeerLoadReport,
-    /// The aggregated load reports.
+    /// The aggregated load reports of all servers; `None` without recent reports.
     pub aggregated: Option<AggregatedLoad>,
 }
--- a/crates/hazelspur-fleet/src/datagram/key.rs
+++ b/crates/hazelspur-fleet/src/datagram/key.rs
@@ -1,12 +1,12 @@
-//! The installation's key.
+//! The installation's key, with which servers authenticate their datagrams.
 
 use thiserror::Error;
 
-/// Shortest text of a key, in bytes.
+/// Minimum length of the text of a key, in bytes.
 const MIN_TEXT_BYTES: usize = 16;
-/// Longest text of a key, in bytes.
+/// Maximum length of the text of a key, in bytes.
 const MAX_TEXT_BYTES: usize = 4096;
-/// Context of BLAKE3's key derivation; part of the wire format.
+/// Context of BLAKE3's key derivation. It determines the key and is thus part of the wire format.
 const DERIVATION_CONTEXT: &str = "hazelspur fleet 1: datagrams among servers";
 /// Length of a derived key, in bytes.
 const KEY_BYTES: usize = 32;
@@ -15,22 +15,22 @@
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key([u8; KEY_BYTES]);
 
-/// Why a text is no key.
+/// The reason to reject the text of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum KeyError {
     /// The text is shorter than the minimum.
-    #[error("shorter than {MIN_TEXT_BYTES} characters")]
+    #[error("key is shorter than {MIN_TEXT_BYTES} bytes")]
     TooShort,
     /// The text is longer than the maximum.
-    #[error("longer than {MAX_TEXT_BYTES} characters")]
+    #[error("key is longer than {MAX_TEXT_BYTES} bytes")]
     TooLong,
 }
 
 impl Key {
-    /// Derives the key from a text of 16 to 4096 bytes, without the blanks at both ends.
+    /// Derives the key from a text of 16 to 4096 bytes. White space at both ends is ignored.
     ///
     /// # Errors
-    /// `KeyError` where the text is too short or too long.
+    /// Returns a `KeyError` if the text is too short or too long.
     pub fn from_text(text: &str) -> Result<Self, KeyError> {
         let text = text.trim();
         if text.len() < MIN_TEXT_BYTES {
--- a/crates/hazelspur-fleet/src/datagram/mod.rs
+++ b/crates/hazelspur-fleet/src/datagram/mod.rs
@@ -1,8 +1,8 @@
-//! Datagrams between servers: a version byte, a tag, and the `postcard` encoding of a `Datagram`. The tag is
-//! a keyed BLAKE3 hash over version and content, so only holders of the installation's key are heard. Nothing
-//! is encrypted.
+//! Datagrams between servers. The bytes are a version, an authentication tag and the `postcard` encoding of a
+//! `Datagram`. The tag is a keyed BLAKE3 hash over version and content, so only datagrams from holders of the
+//! installation's key are accepted. Nothing is encrypted.
 //!
-//! `postcard` encodes by position: the order of variants and fields and their types are the wire format.
+//! `postcard` encodes by position, so the types and the order of variants and fields are the wire format.
 
 mod body;
 mod codec;
@@ -21,18 +21,19 @@
 use crate::names::Installation;
 use serde::{Deserialize, Serialize};
 
-/// Length of the longest datagram, in bytes: with its headers it fits an Ethernet frame.
+/// Maximum length of a datagram, in bytes. With the headers of UDP and IP it fits an Ethernet frame.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// Updates in one datagram; a datagram with more is malformed.
+/// Maximum number of updates in one datagram. A datagram with more is malformed.
 pub const MAX_UPDATES: usize = 64;
-/// Members in one reply to an operator: with the longest names they just fit.
+/// Maximum number of members in one reply to an operator. With names of maximum length they just fit.
 pub const MAX_QUERY_ROWS: usize = 4;
-/// Sites in one reply to an operator.
+/// Maximum number of sites in one reply to an operator.
 pub const MAX_QUERY_SITES: usize = 8;
-/// Largest difference of two clocks, in milliseconds; it bounds the age of a replayed datagram.
+/// Maximum difference between the sending time of a datagram and the receiver's clock, in milliseconds. It
+/// bounds the age at which a recorded datagram can still be replayed.
 pub const MAX_CLOCK_SKEW_MS: u64 = 120_000;
 
-/// One datagram.
+/// One datagram. The order of the fields is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Datagram {
     /// The installation to which the sender belongs.
@@ -41,11 +42,11 @@
     pub sender: MemberUpdate,
     /// Sequence number within the sender's generation, from 1 on.
     pub sequence: u64,
-    /// The sender's wall clock, in Unix milliseconds.
+    /// Time of sending by the sender's wall clock, in Unix milliseconds.
     pub sent_ms: u64,
-    /// What the datagram is about.
+    /// The message of the datagram.
     pub body: Body,
-    /// The sender's report on the shared dependency.
+    /// The sender's report on the shared dependency and its own rejections, if any.
     pub load_report: Option<PeerLoadReport>,
     /// Updates about members.
     pub updates: Vec<MemberUpdate>,
--- a/crates/hazelspur-fleet/src/lib.rs
+++ b/crates/hazelspur-fleet/src/lib.rs
@@ -1,13 +1,18 @@
-//! What the servers of a fleet know of each other and decide together. Without I/O and without a clock: the
-//! server, the simulator and the tests hand in datagrams and points in time, and send what comes out.
+//! Coordination among the servers of a fleet: membership, shared limits and the health of the shared
+//! dependency. The crate performs no I/O and reads no clock. Its callers (the server, the simulator and the
+//! tests) pass in received datagrams and the current time, and send the datagrams that it returns.
 //!
-//! - `membership`: who belongs to the fleet (SWIM with Lifeguard);
-//! - `datagram`: datagrams, sealed with the installation's key;
-//! - `quota`: shared limits, divided by leases of an elected allocator;
-//! - `load_reports`: what servers report about the shared dependency, aggregated;
-//! - `circuit_breaker`: whether calls to the shared dependency leave this server, and who probes it;
-//! - `subset`, `time_slots`: who of many, and when, decided alike by each server on its own;
-//! - `node`: all of it for one server; `guidance`: what follows for its admission controller.
+//! - `membership`: the members of the fleet and their status (SWIM with the Lifeguard extensions);
+//! - `datagram`: the datagrams between servers, authenticated with the installation's key;
+//! - `quota`: the division of shared limits by leases, which an elected allocator grants;
+//! - `load_reports`: reports of the servers about the shared dependency, and their aggregation;
+//! - `circuit_breaker`: the circuit breaker of the shared dependency, and its probes;
+//! - `subset`, `time_slots`: selection of members and of points in time, which each server computes on its
+//!   own with the same result;
+//! - `node`: the combination of these parts for one server;
+//! - `guidance`: the resulting input of the server's admission controller;
+//! - `names`, `node_config`, `anti_replay`, `invariant`: names and numbers of members, the configuration of
+//!   one server, detection of replayed datagrams, and the invariants that tests check.
 
 pub mod anti_replay;
 pub mod circuit_breaker;
--- a/crates/hazelspur-fleet/src/membership/dissemination.rs
+++ b/crates/hazelspur-fleet/src/membership/dissemination.rs
@@ -1,4 +1,4 @@
-//! Chooses the updates that travel with a datagram.
+//! Choice of the updates that travel with a datagram.
 
 use super::state::Membership;
 use super::table::Member;
@@ -8,23 +8,24 @@
 use crate::names::MemberName;
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// Updates of the list's next page that fill a datagram up.
+/// Maximum number of updates from the next page of the member list that fill up a datagram.
 const PAGE_UPDATES: usize = 6;
-/// Periods for which it is passed on that a member has left.
+/// Number of periods for which updates about members that have left are passed on.
 const LEFT_GOSSIP_PERIODS: f64 = 60.0;
-/// Part of the retention time for which updates about dead members are passed on.
+/// Fraction of the retention time for which updates about dead members are passed on.
 const DEAD_GOSSIP_FRACTION: f64 = 0.5;
-/// Bytes kept free for the name after which a page of the list goes on.
+/// Bytes reserved in a page for the name after which the next page begins.
 const NEXT_NAME_BYTES: usize = 40;
 
 /// A page of the member list.
 struct ListPage {
     updates: Vec<MemberUpdate>,
+    /// The name after which the next page begins; `None` on the last page.
     next: Option<MemberName>,
 }
 
 impl Membership {
-    /// Fills a datagram with updates up to its longest length.
+    /// Fills a datagram with updates up to the maximum length. `to` is the receiver's name, if known.
     pub(super) fn add_updates(&mut self, datagram: &mut Datagram, to: Option<MemberName>) {
         let free_bytes = MAX_DATAGRAM_BYTES.saturating_sub(encoded_length(datagram));
         if let Body::MemberListPage { next } = &mut datagram.body {
@@ -35,7 +36,8 @@
         }
     }
 
-    /// First what the receiver has to refute, then recent updates, then a page of the list.
+    /// Selects first the update that the receiver has to refute, then recent updates, then a page of the
+    /// member list.
     fn updates_for(&mut self, to: Option<MemberName>, free_bytes: usize) -> Vec<MemberUpdate> {
         let mut updates = Vec::new();
         let mut free_bytes = free_bytes;
@@ -65,6 +67,7 @@
         updates
     }
 
+    /// Returns the last update about a member if it states anything but that the member is alive.
     fn update_to_refute(&self, name: MemberName) -> Option<MemberUpdate> {
         let update = self.members.get(name)?.update;
         Some(update).filter(|update| update.state != MemberState::Alive)
@@ -77,9 +80,10 @@
         self.members.get(name).map(|member| member.update)
     }
 
-    /// The update that is passed on about a member; the dead are passed on as suspected, so that they can
-    /// refute it. Not as long as they are remembered: each process forgets them at another moment and would
-    /// learn of them from the next.
+    /// Returns the update to pass on about a member, or `None` if the member ended too long ago. Updates
+    /// about dead members state a suspicion, so that a member that still runs can refute it. They are passed
+    /// on for less time than the members are remembered: processes forget a member at different moments and
+    /// would otherwise learn of it again from each other.
     fn gossiped_update(&self, member: &Member) -> Option<MemberUpdate> {
         let gossip_duration = match member.status {
             MemberStatus::Left => self.config.probe_period.scaled(LEFT_GOSSIP_PERIODS),
@@ -89,7 +93,7 @@
         (self.next_period - member.status_since <= gossip_duration).then_some(member.update)
     }
 
-    /// As much of the list after a name as fits, and where it goes on.
+    /// Returns the page of the member list that begins after a name, with as many updates as fit.
     fn list_page(&self, after: Option<MemberName>, free_bytes: usize) -> ListPage {
         let mut free_bytes = free_bytes.saturating_sub(NEXT_NAME_BYTES);
         let mut updates = Vec::new();
--- a/crates/hazelspur-fleet/src/membership/event.rs
+++ b/crates/hazelspur-fleet/src/membership/event.rs
@@ -1,4 +1,4 @@
-//! Changes of the membership, for the log.
+//! Events of the membership protocol, which the caller writes to the log.
 
 use super::local_health::LocalStatus;
 use crate::names::{Incarnation, MemberName};
@@ -14,27 +14,27 @@
         /// The status from now on.
         to: LocalStatus,
     },
-    /// A member was met for the first time.
+    /// A member was added to the table.
     Joined(MemberName),
-    /// A member runs in a newer generation.
+    /// A member restarted: it runs in a newer generation.
     Restarted(MemberName),
     /// A member is suspected.
     Suspected {
         /// The member.
         member: MemberName,
-        /// Whom it did not answer.
+        /// The member whose probe was not answered.
         accuser: MemberName,
     },
-    /// A suspected or dead member is alive.
+    /// A member that was suspected, dead or reported as left is alive.
     Recovered(MemberName),
-    /// The time for a refutation is over.
+    /// A suspected member did not refute the suspicion in time and now counts as dead.
     Died(MemberName),
     /// A member drains.
     Leaving(MemberName),
-    /// A member has ended in good order.
+    /// A member announced its end, or stopped answering after it announced that it drains.
     Left(MemberName),
-    /// Others thought this process gone; it refuted that with this incarnation number.
+    /// This process refuted an update about itself. The value is its incarnation number from now on.
     Refuted(Incarnation),
-    /// Another process uses this server's name, from this address.
+    /// Another process uses this server's name. The value is that process's address.
     DuplicateName(SocketAddr),
 }
--- a/crates/hazelspur-fleet/src/membership/failure_detector.rs
+++ b/crates/hazelspur-fleet/src/membership/failure_detector.rs
@@ -1,13 +1,15 @@
-//! SWIM's failure detector. When a member misses a probe:
+//! SWIM's failure detector. The steps from a probe to the conclusion that a member is dead are:
 //!
-//! 1. `send_next_probe` pings one member a period;
-//! 2. without an answer after `DIRECT_PROBE_FRACTION` of the period, `probe_indirectly` asks others to ping it;
-//! 3. without any answer at the end of the period, `probe_failed` lowers the own local health and, unless this process is
-//!    isolated or was just suspended itself, suspects the member;
-//! 4. the suspicion spreads by gossip; further accusers shorten its timeout (`suspicion`), the member may refute it
-//!    (`refutation`);
-//! 5. one period before the timeout a final probe goes to the member;
-//! 6. at the timeout each process concludes for itself that the member is dead; a degraded or isolated one waits.
+//! 1. `send_next_probe` pings one member in each period.
+//! 2. If no answer arrives within `DIRECT_PROBE_FRACTION` of the period, `probe_indirectly` asks other
+//!    members to ping it.
+//! 3. If no answer arrives by the end of the period, `probe_failed` lowers this process's local health. It
+//!    then suspects the member, unless this process is isolated or was just suspended itself.
+//! 4. The suspicion spreads by gossip. Further accusers shorten its timeout (`suspicion`), and the member may
+//!    refute it (`refutation`).
+//! 5. One period before the timeout, a final probe goes to the member.
+//! 6. At the timeout, each process concludes for itself that the member is dead. A degraded or isolated
+//!    process postpones this.
 
 use super::event::MembershipEvent;
 use super::state::{Membership, PeriodBudget};
@@ -19,40 +21,46 @@
 use hazelspur::{Duration, Timestamp};
 use std::net::SocketAddr;
 
-/// Part of a period after which others are asked to probe.
+/// Fraction of a period after which other members are asked to probe the target.
 const DIRECT_PROBE_FRACTION: f64 = 0.4;
-/// Largest part of a period after which others are asked to probe, so that their answer arrives in time.
+/// Maximum fraction of a period after which other members are asked to probe the target, so that their answer
+/// arrives within the period.
 const MAX_DIRECT_PROBE_FRACTION: f64 = 0.6;
-/// Members that are asked to probe.
+/// Number of members that are asked to probe the target.
 const INDIRECT_PROBERS: usize = 3;
-/// Largest factor by which a period grows, so that updates still spread.
+/// Maximum factor by which poor local health lengthens a period, so that updates still spread.
 const MAX_PERIOD_STRETCH: f64 = 2.0;
-/// Part of a period after which recent updates are sent on their own.
+/// Fraction of a period after which recent updates are sent in gossip datagrams.
 const GOSSIP_FRACTION: f64 = 0.5;
-/// Probes that this process makes for others at once.
+/// Maximum number of concurrent probes on behalf of other members.
 const MAX_INDIRECT_PROBES: usize = 64;
-/// Part of the retention time: after a longer suspension the member list is read anew.
+/// Fraction of the retention time. After a longer suspension of this process the member list is read anew.
 const REREAD_SUSPENSION_FRACTION: f64 = 0.5;
 
-/// The probe of this period.
+/// The probe of the current period.
 #[derive(Clone, Debug)]
 pub(super) struct Probe {
     target: MemberName,
     number: u32,
-    /// When others are asked to probe; none once they are.
+    /// Time at which other members are asked to probe the target; `None` after they were asked.
     pub(super) indirect_at: Option<Timestamp>,
 }
 
-/// A probe made for another member.
+/// A probe on behalf of another member.
 #[derive(Clone, Debug)]
 pub(super) struct IndirectProbe {
     number: u32,
+    /// Address of the member that asked for the probe.
     requester: SocketAddr,
+    /// The number under which the requester expects the answer.
     requester_number: u32,
+    /// Time after which an answer is no longer passed on.
     expires: Timestamp,
 }
 
 impl Membership {
+    /// Ends the last period and begins a new one: evaluates the last probe, forgets members whose retention
+    /// time is over, and sends the next probes.
     pub(super) fn begin_period(&mut self, now: Timestamp) {
         self.periods += 1;
         self.budget = PeriodBudget::FULL;
@@ -90,7 +98,7 @@
         self.send_to_member(target, Body::Ping { number, to: Some(target) });
     }
 
-    /// The next member of this round; a new round visits all members in another random order.
+    /// Returns the next member to probe. Each round visits all members in a new random order.
     fn next_target(&mut self) -> Option<MemberName> {
         let mut is_new_round = false;
         loop {
@@ -115,6 +123,7 @@
         }
     }
 
+    /// Asks other members to probe the target of the current probe.
     pub(super) fn probe_indirectly(&mut self) {
         let Some(probe) = &mut self.probe else { return };
         probe.indirect_at = None;
@@ -129,6 +138,7 @@
         }
     }
 
+    /// Probes `target` on behalf of another member, unless too many such probes are open.
     pub(super) fn receive_ping_request(
         &mut self,
         now: Timestamp,
@@ -147,6 +157,7 @@
         self.send(target_address, Some(target), Body::Ping { number, to: Some(target) });
     }
 
+    /// Handles the answer to a probe of this process or to one on behalf of another member.
     pub(super) fn receive_ack(&mut self, now: Timestamp, number: u32) {
         if self.probe.as_ref().is_some_and(|probe| probe.number == number) {
             self.probe = None;
@@ -160,11 +171,11 @@
         }
     }
 
-    /// A probe was answered neither directly nor indirectly.
+    /// Handles a probe that was answered neither directly nor indirectly.
     fn probe_failed(&mut self, now: Timestamp, target: MemberName) {
         self.health.increase_score();
         let has_just_resumed = self.resumed_at + self.config.probe_period > now;
-        // A process that hears nobody, or was suspended, suspects nobody.
+        // The missing answer may be the fault of this process if it hears nobody or was just suspended.
         if self.health.is_isolated(now) || self.health.is_degraded(now) && has_just_resumed {
             return;
         }
@@ -178,7 +189,7 @@
                 self.suspect(now, target, me);
             }
             MemberStatus::Suspected => self.confirm_suspicion(now, target, me),
-            // It announced that it leaves, and has.
+            // The member announced that it drains, so a missing answer means that it has ended.
             MemberStatus::Leaving => {
                 self.members.set_status(now, target, MemberStatus::Left);
                 self.push_event(MembershipEvent::Left(target));
@@ -189,12 +200,13 @@
 
     // ---- suspicions ----
 
+    /// Begins a suspicion.
     pub(super) fn suspect(&mut self, now: Timestamp, member: MemberName, accuser: MemberName) {
         self.members.suspect(now, member, accuser);
         self.push_event(MembershipEvent::Suspected { member, accuser });
     }
 
-    /// Another accuser of a suspected member shortens the suspicion.
+    /// Adds an accuser to a suspicion, which shortens its timeout.
     pub(super) fn confirm_suspicion(&mut self, now: Timestamp, name: MemberName, accuser: MemberName) {
         let Some(member) = self.members.get(name) else { return };
         if !member.accusers.contains(&accuser) && member.accusers.len() <= MAX_CONFIRMATIONS {
@@ -203,15 +215,18 @@
         }
     }
 
+    /// Sends the final probe of each suspicion whose timer has run out. After the final probe, declares the
+    /// member dead.
     pub(super) fn process_expired_suspicions(&mut self, now: Timestamp) {
         while let Some(name) = self.members.expired_suspicion(now) {
             let is_final_probe_sent =
                 self.members.get(name).is_none_or(|member| member.is_final_probe_sent());
             if self.health.is_isolated(now) || self.health.is_degraded(now) {
-                // A process that cannot rely on its observations declares nobody dead.
+                // This process cannot rely on its observations, so it declares nobody dead.
                 self.members.postpone(now, name, false);
             } else if !is_final_probe_sent {
-                // A member that can be heard from here must not die of a refutation that was lost.
+                // The refutation may have been lost. A member that answers this process must not be declared
+                // dead.
                 self.members.postpone(now, name, true);
                 self.ping_member(name);
             } else {
@@ -221,7 +236,7 @@
         }
     }
 
-    /// This process runs again after it was suspended.
+    /// Handles the end of a suspension of this process that lasted for `suspended`.
     pub(super) fn resume(&mut self, now: Timestamp, suspended: Duration) {
         self.resumed_at = now;
         self.probe = None;
@@ -231,6 +246,7 @@
         }
     }
 
+    /// Removes a member from the table and the gossip queue.
     pub(super) fn forget(&mut self, name: MemberName) {
         self.members.remove(name);
         self.gossip_queue.remove(name);
--- a/crates/hazelspur-fleet/src/membership/gossip_queue.rs
+++ b/crates/hazelspur-fleet/src/membership/gossip_queue.rs
@@ -1,34 +1,37 @@
-//! Selects the updates that travel with each datagram: recent updates, those first that were sent least
-//! often, each as often as makes it likely that all receive it (SWIM's infection-style dissemination); and
-//! pages of the whole list in turn, which repair whatever was lost.
+//! The queue of members whose updates are passed on, from which each datagram is filled:
+//!
+//! - recent updates, those first that were transmitted least often. Each is transmitted as often as makes it
+//!   likely that all members receive it (SWIM's infection-style dissemination);
+//! - pages of the whole member list in turn, which repair the loss of recent updates.
 
 use super::update::MemberUpdate;
 use crate::names::MemberName;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// Transmissions of an update over the decimal logarithm, rounded up, of the fleet's size.
+/// Ratio of the transmissions of an update to the decimal logarithm, rounded up, of the fleet's size.
 const TRANSMISSIONS_PER_LOG_SIZE: u32 = 4;
 
-/// A member's place in the queue.
+/// An entry of the queue, ordered by the number of transmissions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueEntry {
     transmissions: u32,
     name: MemberName,
 }
 
-/// Members about whom there are recent updates; the member table bounds it.
+/// The members with recent updates. The capacity of the member table bounds their number.
 #[derive(Clone, Debug, Default)]
 pub(super) struct GossipQueue {
+    /// The number of transmissions of each member's update.
     transmissions: BTreeMap<MemberName, u32>,
-    /// The same by the number of transmissions.
+    /// The same entries, ordered by the number of transmissions.
     by_transmissions: BTreeSet<QueueEntry>,
-    /// The last member of the last page.
+    /// The last member of the last page; `None` if the next page is the first.
     page_after: Option<MemberName>,
 }
 
 impl GossipQueue {
-    /// Queues the update about a member anew.
+    /// Queues the update about a member, and resets its number of transmissions.
     pub(super) fn enqueue(&mut self, name: MemberName) {
         self.remove(name);
         self.insert(name, 0);
@@ -44,8 +47,8 @@
         self.transmissions.is_empty()
     }
 
-    /// Offers up to `max` members to `try_add`, least transmitted first, until it refuses one; counts them as
-    /// transmitted.
+    /// Offers up to `max` members to `try_add`, least transmitted first, until it rejects one. Counts each
+    /// accepted member as transmitted once more, and removes it after the last of its transmissions.
     pub(super) fn transmit(
         &mut self,
         max: usize,
@@ -66,7 +69,8 @@
         }
     }
 
-    /// The updates of the next `count` members of the list; after the last page the first one follows.
+    /// Returns the updates of the next `count` members of the member list. The first page follows the last
+    /// one.
     pub(super) fn next_page<T>(
         &mut self,
         members: &BTreeMap<MemberName, T>,
--- a/crates/hazelspur-fleet/src/membership/list_sync.rs
+++ b/crates/hazelspur-fleet/src/membership/list_sync.rs
@@ -1,34 +1,36 @@
-//! Reads the whole member list from others, page by page: when this process starts, after a long suspension,
-//! and after the table has grown, because what a process reads first in a storm of starts is short.
+//! Reading of the whole member list from other members, page by page. This process reads the list when it
+//! starts, after a long suspension, and again when its table has grown, because a list read while many
+//! servers start at once is short.
 
 use super::state::Membership;
 use super::view::MemberStatus;
 use crate::datagram::Body;
 use crate::names::MemberName;
 
-/// Part by which the table must have grown before the list is read again.
+/// Fraction by which the table must have grown since the last read before the list is read again.
 const REREAD_GROWTH_FRACTION: f64 = 0.05;
-/// Periods between two readings.
+/// Minimum number of periods between the end of one read and the begin of the next.
 const MIN_PERIODS_BETWEEN_READS: u64 = 3;
 
-/// How far the member list was read.
+/// The progress of reading the member list.
 #[derive(Clone, Debug)]
 pub(super) struct ListSync {
-    /// The list was read to its end.
+    /// Whether the list was read to its end since the start or the last `restart`.
     pub(super) is_complete: bool,
+    /// Whether a read is in progress.
     is_reading: bool,
-    /// Members that were known when the last reading ended.
+    /// Number of members in the table when the last read ended.
     size_when_read: usize,
-    /// The period in which the last reading ended.
+    /// Number of the period in which the last read ended.
     read_in_period: u64,
-    /// The name after which the list goes on.
+    /// The name after which the next page begins; `None` for the first page.
     after: Option<MemberName>,
-    /// A page was requested in this period.
+    /// Whether a page was requested in the current period.
     is_requested: bool,
 }
 
 impl ListSync {
-    /// A process that is alone has nothing to read.
+    /// Creates the state at the start of the process. Without another seed member there is no list to read.
     pub(super) fn new(has_no_other_seed: bool) -> Self {
         Self {
             is_complete: has_no_other_seed,
@@ -40,7 +42,7 @@
         }
     }
 
-    /// Reads the list anew: members may have come and gone more than once.
+    /// Begins a new read and marks the list as incomplete, because many members may have changed.
     pub(super) fn restart(&mut self) {
         self.is_complete = false;
         self.is_reading = true;
@@ -55,7 +57,8 @@
 }
 
 impl Membership {
-    /// In each period: requests again what was not answered, or begins another reading.
+    /// Requests a page if a read is in progress or the table has grown enough for another read. Called in
+    /// each period, so that a request that was not answered is repeated.
     pub(super) fn continue_list_read(&mut self) {
         self.list.is_requested = false;
         self.list.is_reading |= self.list.has_grown(self.members.len(), self.periods);
@@ -64,14 +67,15 @@
         }
     }
 
-    /// After each datagram: requests a page of its sender, if no other member is known to run.
+    /// Requests a page if a read is in progress and no page was requested in the current period. Called after
+    /// each datagram. The request goes to the sender if no other member is known to be alive.
     pub(super) fn request_page_if_reading(&mut self, sender: MemberName) {
         if self.list.is_reading && !self.list.is_requested {
             self.request_list_page(Some(sender));
         }
     }
 
-    /// A page has arrived; its updates are in the table already.
+    /// Handles a page whose updates were already merged into the table.
     pub(super) fn receive_list_page(&mut self, next: Option<MemberName>) {
         if !self.list.is_reading {
             return;
@@ -87,8 +91,8 @@
         }
     }
 
-    /// Requests a page of any living member, so that requests of new members spread over all; otherwise of
-    /// `fallback`.
+    /// Requests a page from a random living member, so that the requests of new members spread over the
+    /// fleet. If none is known, requests it from `fallback`.
     fn request_list_page(&mut self, fallback: Option<MemberName>) {
         let any_alive = self.pick(1, |member| member.status == MemberStatus::Alive).pop();
         if let Some(name) = any_alive.or(fallback) {
--- a/crates/hazelspur-fleet/src/membership/local_health.rs
+++ b/crates/hazelspur-fleet/src/membership/local_health.rs
@@ -1,44 +1,46 @@
-//! How far this process trusts its own observations. A process that was suspended receives nothing, which is
-//! no fault of the others, so it blames itself first.
+//! The local health of this process: the degree to which it trusts its own observations. A process that was
+//! suspended or lost its network receives nothing although the other members run, so it first assumes that
+//! the fault is its own.
 //!
 //! The score is the local health multiplier of Dadgar, Phillips and Currey, "Lifeguard: Local Health
-//! Awareness for More Accurate Failure Detection" (2018). That a late timer counts as well is an addition.
+//! Awareness for More Accurate Failure Detection" (2018). As an addition, late timers raise the score.
 
 use hazelspur::{Duration, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// Lifeguard's S: the largest factor by which timeouts grow.
+/// Maximum factor by which timeouts grow; Lifeguard's parameter S.
 const MAX_MULTIPLIER: u32 = 8;
-/// Periods without any datagram after which the process counts as isolated.
+/// Number of periods without any datagram after which the process counts as isolated.
 const ISOLATED_AFTER_PERIODS: u64 = 6;
-/// Part of a period by which a timer may be late.
+/// Fraction of a period by which a timer may be late before the process counts as suspended.
 const LATE_TIMER_FRACTION: f64 = 0.5;
-/// What a late timer adds to the score.
+/// Increase of the score for a late timer.
 const LATE_TIMER_PENALTY: u32 = 2;
-/// Score from which the process counts as degraded.
+/// Lowest score at which the process counts as degraded.
 const DEGRADED_SCORE: u32 = MAX_MULTIPLIER / 2;
 
-/// This process's standing towards the fleet, by its own judgement. The serialized names are those of
-/// operators' commands.
+/// The status of this process in the fleet, as it judges itself. The serialized names are those that the
+/// output of operators' commands shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LocalStatus {
-    /// It has not found the fleet yet, or has not read the whole member list.
+    /// The process has not found the fleet yet, or has not read the whole member list.
     Joining,
-    /// Its observations count.
+    /// The process can rely on its observations.
     #[serde(rename = "Whole")]
     Healthy,
-    /// It was suspended or runs late, so what it observes may be its own fault.
+    /// The process was suspended recently, runs late or lacks answers to its probes, so missing answers may
+    /// be its own fault.
     #[serde(rename = "Doubtful")]
     Degraded,
-    /// It receives nothing from anybody.
+    /// The process receives no datagrams from any member.
     #[serde(rename = "CutOff")]
     Isolated,
-    /// It drains or has ended.
+    /// The process drains or has announced its end.
     Leaving,
 }
 
 impl LocalStatus {
-    /// The word that log lines and operators' commands show.
+    /// Returns the word for the status in log lines and in the output of operators' commands.
     pub fn name(self) -> &'static str {
         match self {
             Self::Joining => "joining",
@@ -50,13 +52,16 @@
     }
 }
 
-/// The score and the times on which it rests.
+/// The local health score and the times from which isolation and degradation follow.
 #[derive(Clone, Debug)]
 pub(super) struct LocalHealth {
+    /// The probe period.
     period: Duration,
+    /// Zero for full health, at most `MAX_MULTIPLIER` - 1.
     score: u32,
+    /// Time of the last datagram from another member. The time of suspensions is added to it.
     last_received: Timestamp,
-    /// Until then the process does not act on what it concluded before a suspension.
+    /// End of the time after a suspension during which the process counts as degraded.
     recovering_until: Timestamp,
 }
 
@@ -65,27 +70,29 @@
         Self { period, score: 0, last_received: now, recovering_until: now }
     }
 
-    /// The factor by which timeouts are longer, from 1 on.
+    /// Returns the factor by which timeouts are lengthened, at least 1.
     pub(super) fn multiplier(&self) -> f64 {
         f64::from(1 + self.score)
     }
 
-    /// A probe was answered.
+    /// Improves the health by one step, after a probe was answered.
     pub(super) fn decrease_score(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// A probe was not answered, or this process had to refute a suspicion.
+    /// Worsens the health by one step, after a probe was not answered or this process had to refute an
+    /// update.
     pub(super) fn increase_score(&mut self) {
         self.add_penalty(1);
     }
 
-    /// A datagram of another member arrived.
+    /// Records the arrival of a datagram from another member.
     pub(super) fn record_received(&mut self, now: Timestamp) {
         self.last_received = self.last_received.max(now);
     }
 
-    /// A timer that was due at `due` runs now: how long the process was suspended, zero if it was not.
+    /// Records that a timer due at `due` runs now. Returns the time for which the process was suspended, zero
+    /// if the timer is in time.
     pub(super) fn record_timer_run(&mut self, now: Timestamp, due: Timestamp) -> Duration {
         let lateness = now - due;
         if lateness < self.period.scaled(LATE_TIMER_FRACTION) {
@@ -93,7 +100,8 @@
         }
         self.add_penalty(LATE_TIMER_PENALTY);
         self.recovering_until = now + self.period + self.period;
-        // It received nothing meanwhile because it did not run.
+        // A process that does not run receives nothing, so the suspension does not count as silence of the
+        // others.
         let received_while_suspended = (self.last_received + lateness).min(now);
         self.last_received = self.last_received.max(received_while_suspended);
         lateness
--- a/crates/hazelspur-fleet/src/membership/mod.rs
+++ b/crates/hazelspur-fleet/src/membership/mod.rs
@@ -1,15 +1,20 @@
-//! Who belongs to the fleet, as far as this process can know: a failure detector with direct and indirect
-//! probes, suspicions that members can refute, dissemination by gossip, and a member list that repairs
-//! itself.
+//! Membership of the fleet, as one process knows it: a failure detector with direct and indirect probes,
+//! suspicions that members can refute, dissemination of updates by gossip, and repair of the member list by
+//! repeated exchange.
 //!
-//! After Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
-//! Protocol" (2002), with the suspicion timeout and the local health of "Lifeguard" (2018). Additions: no
-//! process declares a member dead for others, a datagram of the member itself outweighs updates of others,
-//! generations tell runs of a process apart, the size has two bounds, and dead members are probed again, so
-//! that partitions that heal find each other.
+//! The protocol follows Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process
+//! Group Membership Protocol" (2002), with the suspicion timeout and the local health of "Lifeguard" (2018).
+//! It adds:
 //!
-//! Inputs of `Membership` (`receive`, `tick`, `leave`, `announce_left`) only update; then drain
-//! `next_datagram` and `next_event`, and call `tick` at `next_tick`.
+//! - each process declares members dead only for itself;
+//! - a datagram from a member outweighs the updates of others about that member;
+//! - generations distinguish the runs of a process;
+//! - the size of the fleet is given as a lower and an upper bound;
+//! - dead members are probed further, so that the two sides of a healed partition find each other.
+//!
+//! The inputs of `Membership` (`receive`, `tick`, `leave`, `announce_left`) change its state and queue
+//! output. After each input the caller drains `next_datagram` and `next_event`, and it calls `tick` at the
+//! time of `next_tick`.
 
 mod dissemination;
 mod event;
--- a/crates/hazelspur-fleet/src/membership/operator.rs
+++ b/crates/hazelspur-fleet/src/membership/operator.rs
@@ -1,4 +1,4 @@
-//! Answers operators' commands, a bounded number in each period.
+//! Replies to operators' queries, a bounded number in each period.
 
 use super::state::Membership;
 use super::table::Member;
@@ -10,7 +10,7 @@
 use std::ops::Bound::{Excluded, Unbounded};
 
 impl Membership {
-    /// Queues a reply to an operator's command, unless this period's budget is spent.
+    /// Queues a reply to an operator's query, unless this period's budget is spent.
     pub fn reply_to_operator(&mut self, address: SocketAddr, reply: Body) {
         if self.budget.operator_replies > 0 {
             self.budget.operator_replies -= 1;
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Answers a fleet query with the members after a name.
+    /// Replies to a fleet query with the members after a name, or the first members if there is none.
     pub(super) fn answer_fleet_query(
         &mut self,
         now: Timestamp,
--- a/crates/hazelspur-fleet/src/membership/receive.rs
+++ b/crates/hazelspur-fleet/src/membership/receive.rs
@@ -1,4 +1,5 @@
-//! Takes received datagrams: what the sender says about itself, its updates about others, and the body.
+//! Processing of received datagrams, in this order: the sender's update about itself, its updates about other
+//! members, and the body.
 
 use super::event::MembershipEvent;
 use super::state::Membership;
@@ -8,26 +9,29 @@
 use crate::names::MemberName;
 use hazelspur::Timestamp;
 
-/// How far a generation may be ahead of the clock, in milliseconds.
+/// Maximum time by which a generation may be ahead of this process's clock, in milliseconds.
 const MAX_GENERATION_LEAD_MS: u64 = 600_000;
-/// Periods within which hearing a member itself outweighs a suspicion of others.
+/// Number of periods after a datagram from a member during which suspicions of others about it are overruled.
 const RECENTLY_HEARD_PERIODS: f64 = 2.0;
 
-/// How an update that was just applied changes what was known of its member.
+/// The circumstances of an update that was just applied to a member.
 #[derive(Clone, Copy)]
 struct Transition {
+    /// The member that sent the update.
     reported_by: MemberName,
+    /// The status before the update.
     previous_status: MemberStatus,
-    /// The update is of a newer generation.
+    /// Whether the update has a newer generation than the one before.
     restarted: bool,
 }
 
 impl Membership {
-    /// Takes a datagram that `datagram::open` has accepted.
+    /// Processes a datagram that `datagram::open` has accepted.
     ///
     /// # Errors
-    /// `DatagramError::Content` for an implausible sender, `DatagramError::Replayed` for a datagram that was
-    /// received before, of a generation that is over, or under this process's own name.
+    /// Returns `DatagramError::Content` if the sender's update about itself is implausible, and
+    /// `DatagramError::Replayed` if the datagram was received before, is of a generation that has ended,
+    /// comes from a new member for which the table has no capacity, or bears this process's own name.
     pub fn receive(&mut self, now: Timestamp, datagram: &Datagram) -> Result<(), DatagramError> {
         let sender = &datagram.sender;
         if let Body::FleetQuery { number, after } = datagram.body {
@@ -53,7 +57,8 @@
         Ok(())
     }
 
-    /// The sender runs, whatever others say about it.
+    /// Applies the sender's update about itself. The datagram shows that the sender runs, which overrules
+    /// reports of others.
     fn receive_sender(&mut self, now: Timestamp, datagram: &Datagram) -> Result<(), DatagramError> {
         let (sender, name) = (&datagram.sender, datagram.sender.name);
         self.check_replay(datagram)?;
@@ -67,13 +72,15 @@
         let was_dead = member.status == MemberStatus::Dead;
         if contradicts_left_report || was_dead || member.status == MemberStatus::Suspected {
             self.recovered_in_period += usize::from(was_dead);
-            // The next datagram to it carries the suspicion, which it then refutes for all others.
+            // The next datagram to the member carries the suspicion, so that the member refutes it for all
+            // others.
             self.members.set_status(now, name, MemberStatus::Alive);
             self.push_event(MembershipEvent::Recovered(name));
         }
         Ok(())
     }
 
+    /// Rejects a datagram of an ended generation or with a sequence number that was received before.
     fn check_replay(&mut self, datagram: &Datagram) -> Result<(), DatagramError> {
         let generation = datagram.sender.generation;
         let Some(member) = self.members.get_mut(datagram.sender.name) else { return Ok(()) };
@@ -90,7 +97,7 @@
 
     // ---- updates ----
 
-    /// Takes an update that `reported_by` has sent.
+    /// Merges an update that `reported_by` has sent.
     fn merge(&mut self, now: Timestamp, update: &MemberUpdate, reported_by: MemberName) {
         if !is_plausible(now, update) {
             return;
@@ -115,7 +122,8 @@
         }
     }
 
-    /// An accusation that does not supersede the last update may still confirm a suspicion or begin one.
+    /// Handles a suspicion that does not supersede the last update. It may still confirm a suspicion or begin
+    /// one.
     fn merge_accusation(&mut self, now: Timestamp, name: MemberName, accuser: MemberName) {
         let Some(member) = self.members.get(name) else { return };
         match member.status {
@@ -127,7 +135,7 @@
         }
     }
 
-    /// Concludes a member's status from the update that was just applied to it.
+    /// Sets a member's status according to the update that was just applied to it.
     fn apply_state(&mut self, now: Timestamp, update: &MemberUpdate, transition: Transition) {
         let Transition { reported_by, previous_status, restarted } = transition;
         let name = update.name;
@@ -140,7 +148,7 @@
                     self.push_event(MembershipEvent::Recovered(name));
                 }
             }
-            // It will refute this; until then hearing it counts more.
+            // The member will refute the suspicion. Until then its own recent datagram outweighs the report.
             MemberState::Suspected(_) if reported_by != name && self.was_recently_heard(now, name) => {
                 self.members.set_status(now, name, MemberStatus::Alive);
             }
@@ -180,7 +188,8 @@
         self.apply_state(now, update, transition);
     }
 
-    /// Whether the table has capacity for another member, if need be by forgetting one that is gone.
+    /// Returns whether the table has capacity for another member. If it is full, forgets the oldest member
+    /// that is dead or has left.
     fn ensure_capacity(&mut self) -> bool {
         if self.members.len() < self.members.capacity() {
             return true;
@@ -203,7 +212,7 @@
             }
             Body::MemberListRequest { after } if self.budget.list_pages > 0 => {
                 self.budget.list_pages -= 1;
-                // The page says where it begins until it is filled.
+                // Until the page is filled when it is sent, `next` holds the name after which it begins.
                 self.send(address, Some(sender), Body::MemberListPage { next: after });
             }
             Body::MemberListPage { next } => self.receive_list_page(next),
@@ -213,7 +222,7 @@
     }
 }
 
-/// Whether the update's generation may exist by now.
+/// Returns whether the update's generation can exist yet, given the permitted difference of clocks.
 fn is_plausible(now: Timestamp, update: &MemberUpdate) -> bool {
     update.generation.0 <= now.us() / 1000 + MAX_GENERATION_LEAD_MS
 }
--- a/crates/hazelspur-fleet/src/membership/refutation.rs
+++ b/crates/hazelspur-fleet/src/membership/refutation.rs
@@ -1,5 +1,5 @@
-//! Refutes what others say about this process: a greater incarnation number where they suspect it, a new
-//! generation where they say that its run is over.
+//! Refutation of updates about this process. It raises its incarnation number if others suspect it, and
+//! adopts a new generation if others report that its run has ended or know a newer generation.
 
 use super::event::MembershipEvent;
 use super::state::Membership;
@@ -7,7 +7,8 @@
 use crate::names::{Generation, Incarnation};
 
 impl Membership {
-    /// Takes an update about this process.
+    /// Handles an update of another member about this process, and refutes it if it contradicts the own
+    /// state.
     pub(super) fn merge_own(&mut self, update: &MemberUpdate) {
         if !self.contradicts(update) {
             return;
@@ -24,7 +25,8 @@
         } else {
             self.me.incarnation = Incarnation(update.incarnation.0 + 1);
         }
-        // Once a period: a stream of false updates must not make this process distrust all that it observes.
+        // The score rises at most once in a period, so that a stream of false updates does not make this
+        // process distrust all its observations.
         if !std::mem::replace(&mut self.refuted_in_period, true) {
             self.health.increase_score();
         }
@@ -32,6 +34,7 @@
         self.push_event(MembershipEvent::Refuted(self.me.incarnation));
     }
 
+    /// Returns whether the update would replace this process's update about itself.
     fn contradicts(&self, update: &MemberUpdate) -> bool {
         if update.generation != self.me.generation {
             return update.generation > self.me.generation;
--- a/crates/hazelspur-fleet/src/membership/rejoin.rs
+++ b/crates/hazelspur-fleet/src/membership/rejoin.rs
@@ -1,5 +1,7 @@
-//! Probes those whom this process does not hear: seed members while nobody is known, one of them from time to
-//! time, and dead members in each period. So partitions that heal find each other.
+//! Probes of addresses and members from which this process hears nothing, so that the two sides of a healed
+//! partition find each other: dead members in each period, and seed addresses at which no member is known to
+//! run (all of them in each period while this process joins or is isolated, otherwise one of them now and
+//! then).
 
 use super::local_health::LocalStatus;
 use super::state::Membership;
@@ -7,14 +9,15 @@
 use crate::datagram::Body;
 use std::net::SocketAddr;
 
-/// Periods between two probes of a seed address that is no known member.
+/// Periods between two probes of seed addresses at which no member is known to run.
 const SEED_PROBE_PERIODS: u64 = 10;
-/// Dead members probed in a period besides the first, where some have recovered.
+/// Maximum number of additional dead members probed in a period after some have recovered.
 const MAX_EXTRA_REJOIN_PROBES: usize = 7;
-/// Extra probes of dead members for each one that has recovered.
+/// Additional dead members to probe for each one that has recovered.
 const REJOIN_PROBES_PER_RECOVERY: usize = 2;
 
 impl Membership {
+    /// Probes seed addresses and dead members, once in each period.
     pub(super) fn probe_seeds_and_dead(&mut self) {
         for address in self.seeds_to_probe() {
             let number = self.random.draw();
@@ -29,6 +32,7 @@
         }
     }
 
+    /// Returns the seed addresses to probe in the current period.
     fn seeds_to_probe(&mut self) -> Vec<SocketAddr> {
         let seeds = self.config.seeds.iter().copied();
         let not_running: Vec<SocketAddr> =
--- a/crates/hazelspur-fleet/src/membership/state.rs
+++ b/crates/hazelspur-fleet/src/membership/state.rs
@@ -1,5 +1,5 @@
-//! The membership state machine: its inputs, its outputs and its queues. The other files add one step of the
-//! protocol each.
+//! The membership state machine: its state, inputs, outputs and queues. Each of the other files of the module
+//! implements one step of the protocol.
 
 use super::event::MembershipEvent;
 use super::failure_detector::{IndirectProbe, Probe};
@@ -19,28 +19,33 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Members to which a gossip datagram goes in a period with recent updates.
+/// Number of members that receive a gossip datagram in a period with recent updates.
 const GOSSIP_FANOUT: usize = 2;
-/// Members to which this process announces at once that it leaves, and that it has left.
+/// Number of members to which this process announces immediately that it leaves, and again that it has left.
 const LEAVE_ANNOUNCEMENT_FANOUT: usize = 8;
-/// Pages of the member list that are answered in a period.
+/// Maximum number of requests for member list pages answered in a period.
 const LIST_PAGES_PER_PERIOD: usize = 64;
-/// Operators' questions that are answered in a period.
+/// Maximum number of operators' queries answered in a period.
 const OPERATOR_REPLIES_PER_PERIOD: usize = 128;
-/// New generations that this process takes in a period: two processes of one name would go on for ever.
+/// Maximum number of new generations that this process adopts in a period. Without the bound, two processes
+/// with the same name would raise their generations without end.
 const NEW_GENERATIONS_PER_PERIOD: u32 = 2;
-/// Datagrams that wait to be sent; more are dropped, as a network would.
+/// Maximum number of datagrams that wait to be sent. Further ones are dropped, which the protocol handles
+/// like loss in the network.
 const MAX_OUTGOING: usize = 512;
-/// Events that wait to be read; more are dropped.
+/// Maximum number of events that wait to be read. Further ones are dropped.
 const MAX_EVENTS: usize = 1024;
-/// Random draws over the number of members to pick, before the whole table is searched.
+/// Random draws for each member to pick, after which the whole table is searched.
 const DRAWS_PER_PICK: usize = 4;
 
-/// What may still be done in this period.
+/// The remaining budget of the current period for work that other processes cause.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PeriodBudget {
+    /// Requests for member list pages that may still be answered.
     pub(super) list_pages: usize,
+    /// Operators' queries that may still be answered.
     pub(super) operator_replies: usize,
+    /// New generations that this process may still adopt.
     pub(super) new_generations: u32,
 }
 
@@ -56,22 +61,22 @@
 /// A datagram to send.
 #[derive(Clone, Debug)]
 pub struct OutgoingDatagram {
-    /// Where it goes.
+    /// The address of the receiver.
     pub address: SocketAddr,
     /// The datagram.
     pub datagram: Datagram,
 }
 
-/// A body that waits to be sent; what travels with it is chosen when it is sent.
+/// A body that waits to be sent. The updates that travel with it are chosen when it is sent.
 #[derive(Clone, Debug)]
 struct OutgoingBody {
     address: SocketAddr,
-    /// None where only the address is known.
+    /// The receiver's name; `None` if only the address is known.
     name: Option<MemberName>,
     body: Body,
 }
 
-/// One process's part in the membership protocol.
+/// The membership protocol of one process.
 #[derive(Clone, Debug)]
 pub struct Membership {
     pub(super) config: NodeConfig,
@@ -83,31 +88,37 @@
     pub(super) status: LocalStatus,
     pub(super) members: MemberTable,
     pub(super) gossip_queue: GossipQueue,
-    /// Members to probe in this round, last first.
+    /// Members to probe in the current round, in reverse order.
     pub(super) probe_order: Vec<MemberName>,
+    /// The probe of the current period; `None` once it is answered.
     pub(super) probe: Option<Probe>,
-    /// Probes made for others.
+    /// Unexpired probes on behalf of other members.
     pub(super) indirect_probes: Vec<IndirectProbe>,
+    /// Start of the next period.
     pub(super) next_period: Timestamp,
+    /// Time at which recent updates are sent in gossip datagrams; `None` if nothing is to be sent.
     pub(super) gossip_at: Option<Timestamp>,
+    /// Number of periods since the start of the process.
     pub(super) periods: u64,
     pub(super) list: ListSync,
+    /// Whether this process refuted an update about itself in the current period.
     pub(super) refuted_in_period: bool,
-    /// Dead members that were heard again in this period: where one recovers, others may.
+    /// Number of dead members that were heard again in the current period. More dead members are probed for
+    /// each one, because a healed partition usually brings back several.
     pub(super) recovered_in_period: usize,
     pub(super) budget: PeriodBudget,
-    /// When this process was last suspended, or started.
+    /// Time at which this process last resumed after a suspension, or started.
     pub(super) resumed_at: Timestamp,
     outgoing: VecDeque<OutgoingBody>,
     events: VecDeque<MembershipEvent>,
     load_report: Option<PeerLoadReport>,
-    /// Members for which the table had no capacity, since the start of the process.
+    /// Number of members rejected because the table was full, since the start of the process.
     pub rejected_members: u64,
 }
 
 impl Membership {
-    /// A new run of the process. `generation` is the wall clock in Unix milliseconds; if others know a
-    /// greater one, this process takes one greater still.
+    /// Creates the state of a new run of the process. `generation` is the wall clock in Unix milliseconds. If
+    /// other members know a higher generation, this process later adopts one above it.
     pub fn new(config: NodeConfig, generation: Generation, seed: u64, now: Timestamp) -> Self {
         let me = MemberUpdate {
             name: config.name,
@@ -118,7 +129,7 @@
             state: MemberState::Alive,
         };
         let mut random = Pcg::new(seed);
-        // Servers that start together must not probe in step.
+        // A random first period keeps servers that start together from probing at the same moments.
         let first_period = config.probe_period.scaled(random.unit());
         let has_no_other_seed = config.seeds.iter().all(|seed| *seed == config.address);
         Self {
@@ -150,7 +161,7 @@
 
     // ---- inputs ----
 
-    /// Acts on timers: to be called when the time of `next_tick` has come.
+    /// Runs all timers that are due. To be called at the time of `next_tick`; an earlier call has no effect.
     pub fn tick(&mut self, now: Timestamp) {
         let due = self.next_tick();
         if now < due {
@@ -175,7 +186,7 @@
         self.update_status(now);
     }
 
-    /// Announces that this process drains, so that nobody suspects it.
+    /// Announces that this process drains, so that other members do not suspect it when it ends.
     pub fn leave(&mut self, now: Timestamp) {
         self.announce(now, MemberState::Leaving);
     }
@@ -192,12 +203,12 @@
         self.update_status(now);
     }
 
-    /// Sets the load report that travels with each datagram from here on.
+    /// Sets the load report that travels with each datagram sent from now on.
     pub fn set_load_report(&mut self, report: PeerLoadReport) {
         self.load_report = Some(report);
     }
 
-    /// Queues a datagram to a member; false where the member is not known.
+    /// Queues a datagram to a member. Returns false if the member is not known.
     pub fn send_to_member(&mut self, name: MemberName, body: Body) -> bool {
         let address = self.members.get(name).map(|member| member.update.address);
         if let Some(address) = address {
@@ -206,7 +217,7 @@
         address.is_some()
     }
 
-    /// Queues gossip to up to `max` living members by chance.
+    /// Queues gossip datagrams to up to `max` randomly chosen living members.
     pub fn gossip(&mut self, max: usize) {
         let targets = self.pick(max, |member| member.status == MemberStatus::Alive);
         self.gossip_to(targets);
@@ -220,14 +231,14 @@
 
     // ---- outputs ----
 
-    /// When `tick` is to be called next.
+    /// Returns the time at which `tick` is to be called next.
     pub fn next_tick(&self) -> Timestamp {
         let indirect = self.probe.as_ref().and_then(|probe| probe.indirect_at);
         let timers = [indirect, self.gossip_at, self.members.next_timer()];
         timers.into_iter().flatten().fold(self.next_period, Timestamp::min)
     }
 
-    /// The next datagram to send.
+    /// Removes and returns the next datagram to send.
     pub fn next_datagram(&mut self, now: Timestamp) -> Option<OutgoingDatagram> {
         let OutgoingBody { address, name, body } = self.outgoing.pop_front()?;
         self.sequence += 1;
@@ -247,40 +258,41 @@
         Some(OutgoingDatagram { address, datagram })
     }
 
-    /// The next event for the log.
+    /// Removes and returns the next event for the log.
     pub fn next_event(&mut self) -> Option<MembershipEvent> {
         self.events.pop_front()
     }
 
-    /// This process's own status.
+    /// Returns this process's own status.
     pub fn local_status(&self) -> LocalStatus {
         self.status
     }
 
-    /// This process's update about itself.
+    /// Returns this process's update about itself.
     pub fn local_update(&self) -> &MemberUpdate {
         &self.me
     }
 
-    /// The newest known run of a member and its status; `None` where the member is not known.
+    /// Returns the newest known generation of a member and its status, or `None` if the member is not known.
     pub fn member_status(&self, name: MemberName) -> Option<GenerationStatus> {
         let member = self.members.get(name)?;
         Some(GenerationStatus { generation: member.update.generation, status: member.status })
     }
 
-    /// The status of each other member.
+    /// Returns the name and status of each other member.
     pub fn statuses(&self) -> impl Iterator<Item = (MemberName, MemberStatus)> {
         self.members.by_name().iter().map(|(name, member)| (*name, member.status))
     }
 
-    /// All living members, this one included, and their sites.
+    /// Returns all living members, including this process, with their sites.
     pub fn alive(&self) -> impl Iterator<Item = (MemberName, SiteName)> {
         let others = self.members.iter().filter(|member| member.status == MemberStatus::Alive);
         let others = others.map(|member| (member.update.name, member.update.site));
         others.chain([(self.me.name, self.me.site)])
     }
 
-    /// Bounds of the size of the fleet or of a site. This process counts itself until it has left.
+    /// Returns bounds of the number of servers in the fleet, or in one site if `site` is given. This process
+    /// counts itself until it has left.
     pub fn size(&self, site: Option<SiteName>) -> FleetSize {
         let (mut known_alive, mut serving, mut dead) = (0, 0, 0);
         let in_site = |other: SiteName| site.is_none_or(|site| site == other);
@@ -291,13 +303,16 @@
         }
         let own = usize::from(in_site(self.me.site) && self.me.state != MemberState::Left);
         let max_servers = self.config.max_servers;
-        // Where this process cannot see all, any number may have started there.
+        // Without a complete view, any number of servers may have started unnoticed.
         let sees_all = self.list.is_complete && self.status != LocalStatus::Isolated;
         let max = if sees_all { serving + dead + own } else { max_servers };
         let min = known_alive + own;
         FleetSize { min, max: max.min(max_servers).max(min) }
     }
 
+    /// Returns whether a member with the status `Alive` counts towards the lower bound of the fleet's size.
+    /// While this process is degraded, the member must have been heard since the last suspension; while it
+    /// joins, at any time. An isolated process counts no member.
     fn is_known_alive(&self, member: &Member) -> bool {
         match self.status {
             LocalStatus::Healthy | LocalStatus::Leaving => true,
@@ -307,7 +322,7 @@
         }
     }
 
-    /// Checks what must be true after each input.
+    /// Checks the invariants, which hold after each input.
     ///
     /// # Errors
     /// Returns the first invariant that does not hold.
@@ -320,7 +335,7 @@
         Ok(())
     }
 
-    // ---- inside ----
+    // ---- internals ----
 
     pub(super) fn update_status(&mut self, now: Timestamp) {
         let status = self.evaluate_status(now);
@@ -345,8 +360,8 @@
         }
     }
 
-    /// Picks up to `max` different members by chance. Draws first; where few qualify, searches the whole
-    /// table.
+    /// Picks up to `max` distinct random members that qualify and have not left. Tries random draws first
+    /// and, if they find too few, searches the whole table.
     pub(super) fn pick(&mut self, max: usize, qualifies: impl Fn(&Member) -> bool) -> Vec<MemberName> {
         let qualifies = |member: &Member| member.status != MemberStatus::Left && qualifies(member);
         let mut picked: Vec<MemberName> = Vec::new();
@@ -361,7 +376,7 @@
         if picked.len() == max { picked } else { self.pick_from_all(max, qualifies) }
     }
 
-    /// Reservoir sampling over the whole table.
+    /// Picks up to `max` random members that qualify, by reservoir sampling over the whole table.
     fn pick_from_all(&mut self, max: usize, qualifies: impl Fn(&Member) -> bool) -> Vec<MemberName> {
         let mut picked: Vec<MemberName> = Vec::new();
         let mut qualified = 0;
@@ -379,13 +394,14 @@
         picked
     }
 
+    /// Queues a datagram, unless the queue is full.
     pub(super) fn send(&mut self, address: SocketAddr, name: Option<MemberName>, body: Body) {
         if self.outgoing.len() < MAX_OUTGOING {
             self.outgoing.push_back(OutgoingBody { address, name, body });
         }
     }
 
-    /// Probes a member without waiting: any answer counts as a datagram of the member.
+    /// Sends a ping without tracking its answer. Any datagram received from the member shows that it runs.
     pub(super) fn ping_member(&mut self, name: MemberName) {
         let number = self.random.draw();
         self.send_to_member(name, Body::Ping { number, to: Some(name) });
--- a/crates/hazelspur-fleet/src/membership/suspicion.rs
+++ b/crates/hazelspur-fleet/src/membership/suspicion.rs
@@ -1,17 +1,21 @@
-//! How long a member stays suspected: Lifeguard's timeout, which shrinks with each independent accuser.
+//! The timeout of a suspicion, after which the member counts as dead. As in Lifeguard, it shrinks with each
+//! independent accuser.
 
-/// Lifeguard's alpha: the shortest timeout in periods, over the decimal logarithm of the fleet's size.
+/// Ratio of the shortest timeout, in periods, to the decimal logarithm of the fleet's size; Lifeguard's
+/// parameter alpha.
 const MIN_PERIODS_PER_LOG_SIZE: f64 = 4.0;
-/// Lifeguard's beta: the longest timeout over the shortest.
+/// Ratio of the longest timeout to the shortest; Lifeguard's parameter beta.
 const MAX_OVER_MIN: f64 = 6.0;
-/// Accusers besides the first that make the timeout the shortest.
+/// Number of accusers besides the first at which the timeout is the shortest.
 pub(super) const MAX_CONFIRMATIONS: usize = 3;
 
-/// The timeout in periods, in a table of `others` members, with `accusers` in all.
+/// Returns the timeout in periods, given the number of other members in the table and the number of accusers
+/// including the first.
 pub(super) fn timeout_periods(others: usize, accusers: usize) -> f64 {
     let fleet_size = others as f64 + 1.0;
     let min = MIN_PERIODS_PER_LOG_SIZE * fleet_size.log10().max(1.0);
-    // Too few others could confirm the suspicion: waiting for them is of no use.
+    // In a small fleet too few members could confirm the suspicion, so the longer timeout would only delay
+    // it.
     if others < MAX_CONFIRMATIONS + 2 {
         return min;
     }
--- a/crates/hazelspur-fleet/src/membership/table.rs
+++ b/crates/hazelspur-fleet/src/membership/table.rs
@@ -1,7 +1,8 @@
-//! The table of all other members, with its indexes: suspicions by their end, the dead, and a list to draw
-//! from.
+//! The table of all other members, with its indexes: the suspicions ordered by their timers, the set of dead
+//! members and the list of all names for random draws.
 //!
-//! Invariant: the indexes contain exactly the members whose status says so.
+//! Invariant: the first two indexes contain exactly the members that are suspected or dead, and the list
+//! contains all members.
 
 use super::suspicion::timeout_periods;
 use super::update::{MemberState, MemberUpdate};
@@ -12,26 +13,30 @@
 use hazelspur::{Duration, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Capacity of the table over the largest number of servers: it remembers as many that are gone.
+/// Ratio of the capacity of the table to the maximum number of servers. The table thus has as much capacity
+/// for members that are dead or have left as for running ones.
 const CAPACITY_OVER_SERVERS: usize = 2;
 
-/// What is known of one member.
+/// The entry of one member.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
-    /// The last update.
+    /// The newest update about the member.
     pub(super) update: MemberUpdate,
-    /// Who sent the last update.
+    /// The member that sent the newest update.
     pub(super) reported_by: MemberName,
     pub(super) updated_at: Timestamp,
     pub(super) status: MemberStatus,
     pub(super) status_since: Timestamp,
-    /// When the member itself was last heard, in its newest generation.
+    /// Time of the last datagram from the member itself in its newest generation; `None` if there was none.
     pub(super) last_heard: Option<Timestamp>,
     pub(super) replay_window: AntiReplayWindow,
-    /// The member itself said that it has left. Others saying so counts only until it speaks.
+    /// Whether the member itself announced that it has left. A report of others holds only until the next
+    /// datagram from the member.
     pub(super) announced_left: bool,
+    /// The members that suspect the member; empty unless it is suspected.
     pub(super) accusers: Vec<MemberName>,
-    /// While suspected: when the final probe goes out, and after that when the suspicion ends.
+    /// While the member is suspected: the time of the final probe and, once that is sent, the end of the
+    /// suspicion.
     suspicion_timer: Timestamp,
     final_probe_sent: bool,
 }
@@ -53,7 +58,7 @@
         }
     }
 
-    /// Replaces the update; a newer generation starts with nothing heard.
+    /// Replaces the update. A newer generation starts without any datagram received from it.
     pub(super) fn apply(&mut self, update: &MemberUpdate, reported_by: MemberName, now: Timestamp) {
         if update.generation > self.update.generation {
             self.replay_window = AntiReplayWindow::default();
@@ -64,37 +69,41 @@
         self.record_update_source(reported_by, now);
     }
 
+    /// Records the sender and the time of the newest update.
     pub(super) fn record_update_source(&mut self, reported_by: MemberName, now: Timestamp) {
         self.reported_by = reported_by;
         self.updated_at = now;
     }
 
+    /// Returns whether the last datagram from the member itself is younger than `duration`.
     pub(super) fn was_heard_within(&self, now: Timestamp, duration: Duration) -> bool {
         self.last_heard.is_some_and(|heard| now - heard < duration)
     }
 
-    /// Whether the member was asked once more before its suspicion ends.
+    /// Returns whether the final probe of the current suspicion was sent.
     pub(super) fn is_final_probe_sent(&self) -> bool {
         self.final_probe_sent
     }
 }
 
-/// When the timer of a suspicion runs out.
+/// The timer of a suspicion, ordered by the time at which it runs out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SuspicionTimer {
     at: Timestamp,
     member: MemberName,
 }
 
-/// All members but this process itself.
+/// The table of all members except this process itself.
 #[derive(Clone, Debug)]
 pub(super) struct MemberTable {
+    /// Maximum number of members.
     capacity: usize,
+    /// The probe period.
     period: Duration,
     members: BTreeMap<MemberName, Member>,
     suspicions: BTreeSet<SuspicionTimer>,
     dead: BTreeSet<MemberName>,
-    /// All names, in no order.
+    /// All names in arbitrary order, for random draws.
     names: Vec<MemberName>,
 }
 
@@ -159,19 +168,20 @@
         }
     }
 
-    /// The member to forget first: who has left longest ago, then who is dead longest.
+    /// Returns the member to forget first: the one that left longest ago or, if none has left, the one dead
+    /// for longest.
     pub(super) fn oldest_gone(&self) -> Option<MemberName> {
         let gone = self.members.iter().filter(|(_, member)| member.status.is_gone());
         gone.min_by_key(|(_, member)| (member.status, member.status_since)).map(|(name, _)| *name)
     }
 
-    /// Members that are gone for longer than `retention`.
+    /// Returns the members that have been dead or left for longer than `retention`.
     pub(super) fn gone_longer_than(&self, now: Timestamp, retention: Duration) -> Vec<MemberName> {
         let is_expired = |member: &Member| member.status.is_gone() && now - member.status_since > retention;
         self.members.iter().filter(|(_, member)| is_expired(member)).map(|(name, _)| *name).collect()
     }
 
-    /// Sets any status but `Suspected`.
+    /// Sets any status but `Suspected`, for which `suspect` is used, and ends a suspicion.
     pub(super) fn set_status(&mut self, now: Timestamp, name: MemberName, status: MemberStatus) {
         let Some(member) = self.members.get_mut(&name) else { return };
         self.suspicions.remove(&SuspicionTimer { at: member.suspicion_timer, member: name });
@@ -189,7 +199,7 @@
 
     // ---- suspicions ----
 
-    /// Begins a suspicion, also of a member that is suspected already.
+    /// Begins a suspicion. A suspicion that is in progress begins anew.
     pub(super) fn suspect(&mut self, now: Timestamp, name: MemberName, accuser: MemberName) {
         let Some(member) = self.members.get_mut(&name) else { return };
         self.dead.remove(&name);
@@ -200,7 +210,7 @@
         self.reset_suspicion_timer(now, name);
     }
 
-    /// Adds an accuser, whose accusation is the update to pass on.
+    /// Adds an accuser to a suspicion. The update that is passed on names this accuser from now on.
     pub(super) fn add_accuser(&mut self, now: Timestamp, name: MemberName, accuser: MemberName) {
         if let Some(member) = self.members.get_mut(&name) {
             member.accusers.push(accuser);
@@ -209,9 +219,9 @@
         }
     }
 
-    /// Sets the timer by the number of accusers. Never before now: a late accuser may make the timeout
-    /// shorter than the suspicion has lasted, and a timer in the past would look like a suspension of this
-    /// process.
+    /// Sets the timer of a suspicion according to the number of accusers, but never to a time before `now`. A
+    /// late accuser may make the timeout shorter than the suspicion has lasted, and a timer in the past would
+    /// look like a suspension of this process.
     fn reset_suspicion_timer(&mut self, now: Timestamp, name: MemberName) {
         let others = self.members.len();
         let Some(member) = self.members.get(&name) else { return };
@@ -221,7 +231,7 @@
         self.set_timer(name, at.max(now));
     }
 
-    /// Puts the end of a suspicion off by a period.
+    /// Sets the timer of a suspicion to one period from now.
     pub(super) fn postpone(&mut self, now: Timestamp, name: MemberName, final_probe_sent: bool) {
         if let Some(member) = self.members.get_mut(&name) {
             member.final_probe_sent = final_probe_sent;
@@ -229,18 +239,19 @@
         }
     }
 
-    /// Puts all suspicions off by the time for which this process was suspended.
+    /// Postpones all suspicions by the time for which this process was suspended.
     pub(super) fn postpone_all(&mut self, suspended: Duration) {
         for timer in std::mem::take(&mut self.suspicions) {
             self.set_timer(timer.member, timer.at + suspended);
         }
     }
 
+    /// Returns the time of the first timer.
     pub(super) fn next_timer(&self) -> Option<Timestamp> {
         self.suspicions.first().map(|timer| timer.at)
     }
 
-    /// The first suspicion whose timer has run out.
+    /// Returns the member with the first timer, if it has run out.
     pub(super) fn expired_suspicion(&self, now: Timestamp) -> Option<MemberName> {
         self.suspicions.first().filter(|timer| timer.at <= now).map(|timer| timer.member)
     }
--- a/crates/hazelspur-fleet/src/membership/update.rs
+++ b/crates/hazelspur-fleet/src/membership/update.rs
@@ -1,20 +1,22 @@
-//! A membership update: what a server says about a member, and which of two updates replaces the other.
+//! Membership updates, which servers exchange about members, and the order in which one update replaces
+//! another.
 
 use crate::names::{Generation, Incarnation, MemberName, SiteName};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The state that an update states. No update says that a member is dead: each process concludes that by
-/// itself, once its own time for a refutation is over. So a false update costs one refutation and no more.
+/// The state of a member according to an update. There is no state for a dead member, because each process
+/// concludes for itself that a member is dead, when the member did not refute a suspicion in time. A false
+/// update therefore costs one refutation and nothing more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MemberState {
     /// The member runs.
     Alive,
-    /// The member did not answer this accuser.
+    /// The member did not answer a probe. The value is the accuser, the member that sent the probe.
     Suspected(MemberName),
-    /// The member drains: it serves accepted requests and takes no new ones.
+    /// The member drains: it completes accepted requests and accepts no new ones.
     Leaving,
-    /// The member has ended in good order.
+    /// The member has ended after an orderly shutdown.
     Left,
 }
 
@@ -29,26 +31,27 @@
     }
 }
 
-/// An update about one member. The order of fields is the wire format.
+/// An update about one member. The order of the fields is part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberUpdate {
     /// The member's name.
     pub name: MemberName,
     /// The site in which the member runs.
     pub site: SiteName,
-    /// Where the member receives datagrams.
+    /// The address at which the member receives datagrams.
     pub address: SocketAddr,
-    /// The run of the member's process.
+    /// The generation of the member's process.
     pub generation: Generation,
-    /// SWIM's incarnation number within that run.
+    /// SWIM's incarnation number within that generation.
     pub incarnation: Incarnation,
     /// The member's state.
     pub state: MemberState,
 }
 
 impl MemberUpdate {
-    /// Whether this update replaces `other` about the same member. A newer generation always does. Within a
-    /// generation the higher incarnation does, then the higher precedence of the state; nothing replaces
+    /// Returns whether this update replaces `other`, which is about the same member. An update of a newer
+    /// generation always does. Within a generation, the higher incarnation number decides, then the
+    /// precedence of the state. No update of the same generation replaces the state `Left`, except another
     /// `Left`.
     pub fn supersedes(&self, other: &Self) -> bool {
         if self.generation != other.generation {
--- a/crates/hazelspur-fleet/src/membership/view.rs
+++ b/crates/hazelspur-fleet/src/membership/view.rs
@@ -1,54 +1,56 @@
-//! What this process concludes about the members and the size of the fleet.
+//! The status of members and the size of the fleet, as this process concludes them.
 
 use crate::names::Generation;
 use serde::{Deserialize, Serialize};
 
-/// A member's status, as this process concludes it. The order is that in which a full table forgets members.
+/// The status of a member, as this process concludes it. The order of the variants matters: a full table
+/// forgets `Left` members before `Dead` ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberStatus {
-    /// It answers.
+    /// The member answers.
     Alive,
-    /// It did not answer, and may still refute the suspicion.
+    /// The member did not answer a probe and may still refute the suspicion.
     Suspected,
-    /// It drains.
+    /// The member drains.
     Leaving,
-    /// It has ended in good order.
+    /// The member announced its end, or stopped answering after it announced that it drains.
     Left,
-    /// The time for a refutation is over: it crashed, is suspended or is unreachable.
+    /// The time for a refutation is over: the member crashed, is suspended or is unreachable.
     Dead,
 }
 
 impl MemberStatus {
-    /// The word that log lines and operators' commands show.
+    /// Returns the word for the status in log lines and in the output of operators' commands.
     pub fn name(self) -> &'static str {
         match self {
             Self::Alive => "alive",
             Self::Suspected => "suspected",
             Self::Leaving => "leaving",
             Self::Left => "left",
-            // The word of the operators' output.
+            // Scripts of operators read this word, so it differs from the variant's name.
             Self::Dead => "lost",
         }
     }
 
-    /// Whether the member may be running requests.
+    /// Returns whether the member may be serving requests. A dead member may, because it may only be
+    /// unreachable.
     pub fn may_serve(self) -> bool {
         self != Self::Left
     }
 
-    /// Whether the member has ended, as far as can be known.
+    /// Returns whether the member has ended, as far as this process can know.
     pub fn is_gone(self) -> bool {
         matches!(self, Self::Left | Self::Dead)
     }
 }
 
-/// Bounds of a number of servers. `min` may still count members whose death was not detected yet.
+/// Bounds of a number of running servers. `min` may include members whose end was not detected yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetSize {
-    /// At least so many servers run.
+    /// Lower bound.
     #[serde(rename = "least")]
     pub min: usize,
-    /// At most so many servers run.
+    /// Upper bound.
     #[serde(rename = "most")]
     pub max: usize,
 }
@@ -56,8 +58,8 @@
 /// The status of the newest known run of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GenerationStatus {
-    /// The run.
+    /// The number of the run.
     pub generation: Generation,
-    /// Its status.
+    /// The status of the member in that run.
     pub status: MemberStatus,
 }
--- a/crates/hazelspur-fleet/src/names.rs
+++ b/crates/hazelspur-fleet/src/names.rs
@@ -1,10 +1,10 @@
-//! Names and numbers of members, one type for each kind. Names are short texts stored inline, so that a table
-//! of thousands of members is copied and compared without allocation.
+//! Names and version numbers of members, one type for each kind. Names are short texts stored inline, so that
+//! a table of thousands of members is copied and compared without allocation.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 
-/// Length of the longest name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 31;
 
 macro_rules! name {
@@ -19,7 +19,7 @@
         }
 
         impl $type {
-            /// 1 to 31 visible ASCII characters; `None` for anything else.
+            /// Creates a name from 1 to 31 visible ASCII characters. Returns `None` for any other text.
             pub fn new(text: &str) -> Option<Self> {
                 let has_valid_length = (1..=MAX_NAME_BYTES).contains(&text.len());
                 let is_visible = text.bytes().all(|b| b.is_ascii_graphic());
@@ -30,7 +30,7 @@
                 })
             }
 
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 std::str::from_utf8(&self.text[..usize::from(self.length)]).unwrap_or_default()
             }
@@ -73,38 +73,40 @@
 }
 
 name!(
-    /// A server's name, the same after a restart.
+    /// The name of a server. It stays the same when the server restarts.
     MemberName
 );
 name!(
-    /// A failure domain: a zone, a hall, a rack.
+    /// The name of a site, a group of servers that can fail together: a zone, a hall or a rack.
     SiteName
 );
 name!(
-    /// A limit that all servers share: slots of a dependency, a tenant's rate, exclusive turns.
+    /// The name of a limit that all servers share: concurrent calls of a dependency, a tenant's rate or
+    /// exclusive turns.
     LimitName
 );
 name!(
-    /// The name of all servers that belong together; datagrams of other installations are dropped.
+    /// The name of an installation, the set of servers that belong together. Datagrams of other installations
+    /// are dropped.
     Installation
 );
 
-/// One run of a process: the wall clock at its start in Unix milliseconds, or one more than the greatest
-/// generation that was heard under its name. Greater is newer.
+/// The number of one run of a server's process. It is the wall clock at the start in Unix milliseconds, or
+/// one more than the highest generation reported for the server's name. A higher number means a newer run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Generation(pub u64);
 
-/// SWIM's incarnation number: how often a member has refuted a suspicion within a generation. Only the member
-/// itself raises it.
+/// SWIM's incarnation number of a member within one generation. Only the member itself raises it, each time
+/// it refutes a suspicion.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u32);
 
-/// One run of a process, by the server's name and the generation of its start. Not SWIM's incarnation number,
-/// which a member raises several times within one run.
+/// One run of a server's process, identified by the server's name and the generation. It differs from SWIM's
+/// incarnation number, which a member may raise several times within one run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProcessIncarnation {
     /// The server's name.
     pub name: MemberName,
-    /// The generation of this run.
+    /// The generation of the run.
     pub generation: Generation,
 }
--- a/crates/hazelspur-fleet/src/node.rs
+++ b/crates/hazelspur-fleet/src/node.rs
@@ -1,8 +1,8 @@
-//! One server's part in the fleet: membership, quotas, load reports and the circuit breaker of the shared
-//! dependency behind one set of inputs, as the server, the simulator and the tests drive it.
+//! The fleet node: membership, quotas, load reports and the circuit breaker of the shared dependency for one
+//! server, behind one set of inputs and outputs. The server, the simulator and the tests drive it.
 //!
-//! The caller hands in two clocks: the wall clock, by which servers share time slots and datagrams show their
-//! age, and a monotonic clock, by which leases are counted.
+//! The caller passes the readings of two clocks: the wall clock, which determines time slots and the age of
+//! datagrams, and a monotonic clock, which determines the duration of leases.
 
 use crate::circuit_breaker::{CircuitBreaker, DESIGNATED_PROBERS, PeerView};
 use crate::datagram::{AllocationSummary, Body, CoordinationState, Datagram, DatagramError, ShareSummary};
@@ -15,74 +15,79 @@
 use crate::subset::{WeightedMember, select_across_sites};
 use hazelspur::{Duration, Timestamp};
 
-/// The shared dependency. Probers and time slots are drawn by this name, so all servers must use the same.
+/// Name of the shared dependency. It determines the choice of probers and time slots, so all servers must use
+/// the same name.
 const DEPENDENCY_NAME: &str = "ledger";
-/// Members to which the load report goes in each period, besides those that get a datagram anyway.
+/// Number of members that receive an additional datagram with the load report in each period.
 const REPORT_FANOUT: usize = 3;
-/// Largest age of a load report, in periods.
+/// Maximum age of a load report, in periods.
 const MAX_REPORT_AGE_PERIODS: f64 = 5.0;
-/// Load reports that are kept, over the largest number of servers.
+/// Ratio of the number of load reports that are kept to the maximum number of servers.
 const REPORT_CAPACITY_OVER_SERVERS: usize = 2;
-/// Members that learn at once that this server reaches the dependency again.
+/// Number of members that are told immediately that this server reaches the dependency again.
 const RECOVERY_FANOUT: usize = 8;
-/// Weight of the last call in the share of calls that did not reach the dependency.
+/// Weight of the last call in the moving average of calls that did not reach the dependency.
 const LAST_CALL_WEIGHT: f64 = 0.3;
-/// Time after the last call within which the share of unreachable calls is reported.
+/// Time after the last call for which the share of unreachable calls is reported.
 const RECENT_CALL_WINDOW: Duration = Duration::from_ms(3000);
-/// Time for which the same servers are designated probers.
+/// Interval after which other servers become the designated probers.
 const PROBER_ROTATION: Duration = Duration::from_ms(60_000);
 
-/// One moment by both clocks.
+/// The readings of both clocks at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Clocks {
     /// The wall clock.
     pub wall: Timestamp,
-    /// A clock that nobody sets.
+    /// The monotonic clock, which is never set.
     pub monotonic: Timestamp,
 }
 
-/// What this server observes of its own work.
+/// This server's recent measurements of its own requests and calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LocalLoad {
-    /// Mean latency of calls to the shared dependency, in seconds; none without calls.
+    /// Mean latency of calls to the shared dependency, in seconds; `None` without calls.
     pub call_secs: Option<f64>,
-    /// Share of the last requests that it rejected, 0 to 1.
+    /// Share of the last requests that the server rejected, 0 to 1.
     pub rejected_fraction: f64,
 }
 
-/// The share of one limit.
+/// This server's share of one limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitShare {
-    /// The limit.
+    /// Name of the limit.
     pub limit: LimitName,
-    /// What this server may use of it.
+    /// The share.
     pub share: QuotaShare,
 }
 
-/// One server's part in the fleet.
+/// The state of one server's coordination with the fleet.
 #[derive(Clone, Debug)]
 pub struct FleetNode {
-    /// Who belongs to the fleet.
+    /// The membership protocol.
     pub membership: Membership,
-    /// This server's part in dividing shared limits; none where nothing is shared.
+    /// The division of shared limits; `None` if no limit is shared.
     pub quota: Option<QuotaManager>,
     /// The circuit breaker of the shared dependency.
     pub breaker: CircuitBreaker,
+    /// Fingerprint of the quota configuration. Messages of servers with another one are ignored.
     fingerprint: Option<ConfigFingerprint>,
     load_reports: LoadReportTable,
     latency_ratio: LatencyRatioTracker,
     own_report: PeerLoadReport,
+    /// The aggregated load reports as of the last period.
     aggregated: Option<AggregatedLoad>,
     fault_scope: FaultScope,
-    /// Share of the last calls that did not reach the dependency, exponentially weighted.
+    /// Exponentially weighted moving average of the calls that did not reach the dependency, 0 to 1.
     unreachable_fraction: f64,
     last_call_at: Timestamp,
+    /// The probe period, in which load reports are also exchanged.
     period: Duration,
+    /// Time of the next gossip of load reports, by the monotonic clock.
     next_report_exchange_at: Timestamp,
 }
 
 impl FleetNode {
-    /// A new run of the process. `quota` has passed `QuotaConfig::check`.
+    /// Creates the node of a new run of the process. `quota` must have passed `QuotaConfig::check`.
     pub fn new(
         config: NodeConfig,
         quota: Option<QuotaConfig>,
@@ -112,10 +117,10 @@
 
     // ---- inputs ----
 
-    /// Takes a datagram that `datagram::open` has accepted.
+    /// Processes a datagram that `datagram::open` has accepted.
     ///
     /// # Errors
-    /// As `Membership::receive`.
+    /// Returns the errors of `Membership::receive`.
     pub fn receive(&mut self, now: Clocks, datagram: &Datagram) -> Result<(), DatagramError> {
         if let Body::CoordinationQuery { number } = datagram.body {
             let reply = Body::CoordinationReply { number, state: self.coordination_state(now) };
@@ -152,7 +157,7 @@
         }
     }
 
-    /// Takes what this server observed lately, which becomes its load report.
+    /// Updates this server's load report from its recent measurements.
     pub fn observe(&mut self, now: Clocks, load: LocalLoad) {
         let called_recently = now.monotonic - self.last_call_at < RECENT_CALL_WINDOW;
         let unreachable = if self.breaker.is_closed() {
@@ -169,8 +174,8 @@
         self.membership.set_load_report(self.own_report);
     }
 
-    /// A call to the shared dependency has ended, or a probe while the breaker was open: whether it was
-    /// reached.
+    /// Records the end of a call to the shared dependency, or of a probe while the breaker was open.
+    /// `reached` states whether the dependency was reached.
     pub fn call_finished(&mut self, now: Clocks, reached: bool) {
         let was_closed = self.breaker.is_closed();
         self.last_call_at = now.monotonic;
@@ -182,12 +187,13 @@
         }
     }
 
-    /// A call to the shared dependency was accepted and not answered in time.
+    /// Records a call that the shared dependency accepted and did not answer in time.
     pub fn call_unanswered(&mut self, now: Clocks) {
         self.last_call_at = now.monotonic;
         self.breaker.call_unanswered(now.wall);
     }
 
+    /// Reports the dependency as reachable and sends the report to some members immediately.
     fn announce_recovery(&mut self) {
         self.unreachable_fraction = 0.0;
         self.own_report.unreachable_fraction = Some(0.0);
@@ -195,7 +201,8 @@
         self.membership.gossip(RECOVERY_FANOUT);
     }
 
-    /// Acts on timers: to be called after `time_to_next_tick`.
+    /// Runs all timers that are due. To be called after `time_to_next_tick` has passed; an earlier call is
+    /// harmless.
     pub fn tick(&mut self, now: Clocks) {
         self.membership.tick(now.wall);
         if let Some(quota) = &mut self.quota
@@ -211,7 +218,7 @@
         self.send_quota_messages();
     }
 
-    /// This server drains: others learn that, and its leases are given back.
+    /// Begins draining: announces it to other members and returns the leases.
     pub fn leave(&mut self, now: Clocks) {
         self.membership.leave(now.wall);
         if let Some(quota) = &mut self.quota {
@@ -220,7 +227,7 @@
         self.send_quota_messages();
     }
 
-    /// Sets what this server would use of a limit.
+    /// Sets the amount of a limit that this server could use. Has no effect if the limit is not shared.
     pub fn set_demand(&mut self, limit: &str, amount: f64) {
         if let Some(quota) = &mut self.quota
             && let Some(limit) = quota.config().find(limit)
@@ -231,25 +238,25 @@
 
     // ---- outputs ----
 
-    /// After how long `tick` is to be called.
+    /// Returns the time until `tick` is to be called.
     pub fn time_to_next_tick(&self, now: Clocks) -> Duration {
         let timers = [Some(self.next_report_exchange_at), self.quota.as_ref().map(QuotaManager::next_tick)];
         let waits = timers.into_iter().flatten().map(|timer| timer - now.monotonic);
         waits.fold(self.membership.next_tick() - now.wall, Duration::min)
     }
 
-    /// The next datagram to send.
+    /// Removes and returns the next datagram to send.
     pub fn next_datagram(&mut self, now: Clocks) -> Option<OutgoingDatagram> {
         self.membership.next_datagram(now.wall)
     }
 
-    /// What this server may use of a limit now; `None` where it is not shared.
+    /// Returns this server's current share of a limit, or `None` if the limit is not shared.
     pub fn share(&self, now: Clocks, limit: &str) -> Option<QuotaShare> {
         let quota = self.quota.as_ref()?;
         quota.config().find(limit).map(|limit| quota.share(now.monotonic, limit))
     }
 
-    /// The shares of all limits, in the order of the configuration.
+    /// Returns the shares of all limits, in the order of the configuration.
     pub fn shares(&self, now: Clocks) -> Vec<LimitShare> {
         let Some(quota) = &self.quota else { return Vec::new() };
         let share = |index| quota.share(now.monotonic, LimitId(index));
@@ -257,22 +264,22 @@
         limits.map(|(index, limit)| LimitShare { limit: limit.name, share: share(index) }).collect()
     }
 
-    /// What the load reports of all say, as of the last period.
+    /// Returns the aggregated load reports as of the last period, or `None` without recent reports.
     pub fn aggregated_load(&self) -> Option<AggregatedLoad> {
         self.aggregated
     }
 
-    /// This server's own load report.
+    /// Returns this server's own load report.
     pub fn load_report(&self) -> PeerLoadReport {
         self.own_report
     }
 
-    /// Who is affected by the fault that this server sees, as of the last period.
+    /// Returns the scope of the fault that this server observes, as of the last period.
     pub fn fault_scope(&self) -> FaultScope {
         self.fault_scope
     }
 
-    /// What an operator's command shows.
+    /// Returns the state of the coordination with other servers, for the reply to an operator's query.
     pub fn coordination_state(&self, now: Clocks) -> CoordinationState {
         let quota = self.quota.as_ref();
         let allocation = quota.and_then(|quota| quota.allocation(now.monotonic, LimitId(0)));
@@ -290,7 +297,7 @@
         }
     }
 
-    /// Checks what must be true after each input.
+    /// Checks the invariants, which hold after each input.
     ///
     /// # Errors
     /// Returns the first invariant that does not hold.
@@ -299,19 +306,21 @@
         self.quota.as_ref().map_or(Ok(()), |quota| quota.check_invariants(now.monotonic))
     }
 
-    // ---- inside ----
+    // ---- internals ----
 
+    /// Aggregates the load reports and tells the circuit breaker the result.
     fn aggregate_reports(&mut self, now: Clocks) {
         self.aggregated = self.load_reports.aggregate(now.monotonic);
         self.fault_scope = FaultScope::of(&self.own_report, self.aggregated.as_ref());
         let view = self.aggregated.map(|aggregated| PeerView {
-            // Only an open breaker asks whether this server is designated.
+            // Only an open breaker uses this value, so the selection is skipped while it is closed.
             designated: !self.breaker.is_closed() && self.is_designated_prober(now),
             mostly_unreachable: aggregated.is_unreachable(),
         });
         self.breaker.set_peer_view(now.wall, view);
     }
 
+    /// Returns whether this server is one of the designated probers of the current rotation.
     fn is_designated_prober(&self, now: Clocks) -> bool {
         let alive = self.membership.alive();
         let candidates = alive.map(|(name, site)| WeightedMember { name, site, weight: 1.0 });
@@ -321,8 +330,8 @@
         probers.iter().any(|prober| prober.name == me)
     }
 
-    /// Hands the messages of the quota protocol to the membership. A member that is not known yet is not
-    /// reached, as if the datagram were lost.
+    /// Queues the pending messages of the quota protocol as datagrams. A message to a member that is not
+    /// known yet is dropped, which the protocol handles like the loss of a datagram.
     fn send_quota_messages(&mut self) {
         let (Some(quota), Some(fingerprint)) = (&mut self.quota, self.fingerprint) else { return };
         while let Some(OutgoingMessage { to, message }) = quota.next_message() {
@@ -344,7 +353,7 @@
     }
 }
 
-/// A share from 0 to 1; zero for what is no number.
+/// Limits a value to 0 to 1. Returns zero for infinities and NaN.
 fn clamp_fraction(value: f64) -> f32 {
     if value.is_finite() { value.clamp(0.0, 1.0) as f32 } else { 0.0 }
 }
--- a/crates/hazelspur-fleet/src/node_config.rs
+++ b/crates/hazelspur-fleet/src/node_config.rs
@@ -1,28 +1,28 @@
-//! What an operator sets for one server of a fleet.
+//! The configuration of one server of a fleet.
 
 use crate::names::{Installation, MemberName, SiteName};
 use hazelspur::Duration;
 use std::net::SocketAddr;
 
-/// The configuration of one server.
+/// The settings of one server that an operator chooses.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// The installation, alike on all servers that belong together.
+    /// The installation, the same on all servers that belong together.
     pub installation: Installation,
     /// The server's name.
     pub name: MemberName,
     /// The site in which the server runs.
     pub site: SiteName,
-    /// Where others reach this process.
+    /// The address at which other members reach this process.
     pub address: SocketAddr,
-    /// Seed members, which the server contacts first; up to 16.
+    /// Addresses of the seed members, which the server contacts first; at most 16.
     pub seeds: Vec<SocketAddr>,
-    /// Largest number of servers that exist at once, 1 to 4096: the upper bound of the size where nothing
-    /// better is known.
+    /// Maximum number of servers that exist at once, 1 to 4096. It is the upper bound of the fleet's size
+    /// while the server does not know the whole member list or is isolated.
     pub max_servers: usize,
-    /// Time between two probes.
+    /// Time between two probes of the failure detector.
     pub probe_period: Duration,
-    /// How long members that are dead or have left are remembered. Until then the dead count to the upper
-    /// bound.
+    /// Time for which members that are dead or have left stay in the member table. During that time dead
+    /// members count towards the upper bound of the fleet's size.
     pub retention: Duration,
 }
