--- a/crates/hazelspur-fleet/tests/helpers/mod.rs
+++ b/crates/hazelspur-fleet/tests/helpers/mod.rs
@@ -1,6 +1,6 @@
-//! A few members and the network between them, moved by hand.
+//! Names and configurations of test members, and a small fleet over a simulated network and clock.
 
-#![allow(dead_code)] // each test uses its part
+#![allow(dead_code)] // each test program uses only some of the items
 
 use hazelspur::pcg::Pcg;
 use hazelspur::{Duration, Timestamp};
@@ -16,7 +16,7 @@
 pub(crate) const PERIOD: Duration = Duration::from_ms(1000);
 
 pub(crate) fn name(index: usize) -> MemberName {
-    MemberName::new(&format!("n{index}")).expect("a name")
+    MemberName::new(&format!("n{index}")).expect("valid name")
 }
 
 pub(crate) fn address(index: usize) -> SocketAddr {
@@ -29,12 +29,12 @@
 }
 
 pub(crate) fn site(index: usize) -> SiteName {
-    SiteName::new(["east", "west", "north"][index % 3]).expect("a name")
+    SiteName::new(["east", "west", "north"][index % 3]).expect("valid name")
 }
 
 pub(crate) fn config(index: usize, max_servers: usize) -> NodeConfig {
     NodeConfig {
-        installation: Installation::new("bread").expect("a name"),
+        installation: Installation::new("bread").expect("valid name"),
         name: name(index),
         site: site(index),
         address: address(index),
@@ -45,15 +45,21 @@
     }
 }
 
-/// Several members; datagrams take 1 ms, in order, and are dropped where `blocked` says so.
+/// Several members on a simulated network. Datagrams arrive in order after 1 ms. The network drops those that
+/// `blocked` selects, and others at random with the probability `loss_rate`.
 #[derive(Clone)]
 pub(crate) struct TestFleet {
     pub now: Timestamp,
+    /// The running members by index, including suspended ones.
     pub members: BTreeMap<usize, Membership>,
+    /// The datagrams that arrived for each suspended member.
     pub suspended: BTreeMap<usize, VecDeque<Datagram>>,
+    /// Whether datagrams from the first member to the second are dropped.
     pub blocked: fn(usize, usize) -> bool,
     pub loss_rate: f64,
+    /// Time of arrival, sender, receiver and datagram.
     in_flight: VecDeque<(Timestamp, usize, usize, Datagram)>,
+    /// Milliseconds since the start, the member that reported the event, and the event.
     pub events: Vec<(u64, usize, MembershipEvent)>,
     random: Pcg,
     pub sent_datagrams: usize,
@@ -86,7 +92,7 @@
         self.suspended.insert(index, VecDeque::new());
     }
 
-    /// The member acts on its timers and then receives all datagrams that arrived meanwhile.
+    /// Ends a suspension. The member runs its timers and then receives the datagrams that arrived meanwhile.
     pub(crate) fn resume(&mut self, index: usize) {
         let buffered = self.suspended.remove(&index).unwrap_or_default();
         if let Some(member) = self.members.get_mut(&index) {
@@ -97,7 +103,8 @@
         }
     }
 
-    /// The member receives all datagrams that arrived meanwhile before it acts on its timers, as the server does.
+    /// Ends a suspension. The member receives the datagrams that arrived meanwhile and then runs its timers,
+    /// as the server does.
     pub(crate) fn resume_input_first(&mut self, index: usize) {
         let buffered = self.suspended.remove(&index).unwrap_or_default();
         if let Some(member) = self.members.get_mut(&index) {
@@ -112,7 +119,7 @@
         self.members.remove(&index);
     }
 
-    /// Runs for so many milliseconds, from event to event.
+    /// Runs the fleet for `ms` milliseconds. The clock advances to the next timer or arrival.
     pub(crate) fn run(&mut self, ms: u64) {
         let end = self.now + Duration::from_ms(ms);
         loop {
@@ -159,7 +166,7 @@
         }
     }
 
-    /// One member's view of all others, in one line.
+    /// Returns one member's view of all others in one line.
     pub(crate) fn view_of(&self, index: usize) -> String {
         let member = &self.members[&index];
         let mut names_by_status: BTreeMap<MemberStatus, Vec<String>> = BTreeMap::new();
@@ -175,7 +182,7 @@
         format!("n{index} {local_status} {}..{}: {}", size.min, size.max, statuses.join(", "))
     }
 
-    /// Whether each running member counts exactly the other running members as alive.
+    /// Returns whether each running member considers exactly the other running members alive.
     pub(crate) fn all_agree(&self) -> bool {
         self.members.iter().all(|(index, member)| {
             let alive = member.statuses().filter(|(_, status)| *status == MemberStatus::Alive);
@@ -187,7 +194,7 @@
         })
     }
 
-    /// How many members were declared dead, by all.
+    /// Returns the number of events in which any member declared another one dead.
     pub(crate) fn death_declarations(&self) -> usize {
         self.events.iter().filter(|(.., event)| matches!(event, MembershipEvent::Died(_))).count()
     }
--- a/crates/hazelspur-fleet/tests/membership.rs
+++ b/crates/hazelspur-fleet/tests/membership.rs
@@ -1,4 +1,5 @@
-//! What members conclude, as short traces.
+//! Behaviour of the membership protocol in small fleets: discovery, failures, suspensions, partitions, false
+//! updates and invalid datagrams.
 
 mod helpers;
 
@@ -29,10 +30,10 @@
     let mut fleet = TestFleet::new(7);
     fleet.run(5000);
     fleet.events.clear();
-    let leaving_member = fleet.members.get_mut(&5).expect("it runs");
+    let leaving_member = fleet.members.get_mut(&5).expect("member is running");
     leaving_member.leave(fleet.now);
     fleet.run(1000);
-    fleet.members.get_mut(&5).expect("it runs").announce_left(fleet.now);
+    fleet.members.get_mut(&5).expect("member is running").announce_left(fleet.now);
     fleet.run(10);
     fleet.kill(5);
     fleet.kill(4);
@@ -92,7 +93,7 @@
     fleet.run(5000);
     fleet.blocked = |from, to| from % 2 != to % 2;
     fleet.run(20_000);
-    // On both sides one member ends and one starts; each side has one of the seeds.
+    // On each side one member is killed and one starts. Each side contains one of the seeds.
     fleet.kill(8);
     fleet.kill(9);
     fleet.start(10);
@@ -118,6 +119,8 @@
     assert!(views_while_partitioned.0.contains("alive n10 n2 n4 n6,"), "{}", views_while_partitioned.0);
 }
 
+/// The member restarts before the failure detector notices its end, so that the others learn of the restart
+/// only from the new generation.
 #[test]
 fn quick_restart_is_a_new_generation_and_drops_old_datagrams() {
     let mut fleet = TestFleet::new(5);
@@ -137,12 +140,14 @@
         fleet.events.iter().filter(|(.., event)| *event == MembershipEvent::Restarted(name(3))).count();
     assert_eq!(restarted, 4);
     let status_before = fleet.members[&0].member_status(name(3));
-    let n0 = fleet.members.get_mut(&0).expect("it runs");
+    let n0 = fleet.members.get_mut(&0).expect("member is running");
     assert_eq!(n0.receive(fleet.now, &late_datagram), Err(DatagramError::Replayed));
     assert_eq!(n0.member_status(name(3)), status_before);
     assert!(fleet.all_agree());
 }
 
+/// The new run starts with a lower generation than the old one, so the others ignore it until it adopts a
+/// higher one.
 #[test]
 fn member_rejoins_after_restart_with_clock_set_back() {
     let mut fleet = TestFleet::new(5);
@@ -185,7 +190,8 @@
     assert!(fleet.all_agree(), "{}\n{}", fleet.view_of(0), fleet.view_of(2));
 }
 
-/// A member with the key claims that all others are suspected, have left, or have an impossible generation.
+/// A member that has the key sends updates that all others are suspected, leaving or have left, and updates
+/// with an impossible generation.
 #[test]
 fn false_updates_are_refuted_and_kill_no_member() {
     for state in [MemberState::Suspected(name(63)), MemberState::Left, MemberState::Leaving] {
@@ -205,7 +211,7 @@
                 let impossible = MemberUpdate { generation: Generation(u64::MAX), ..false_update };
                 sequence += 1;
                 let datagram = Datagram {
-                    installation: Installation::new("bread").expect("a name"),
+                    installation: Installation::new("bread").expect("valid name"),
                     sender: MemberUpdate {
                         name: name(63),
                         address: address(63),
@@ -219,7 +225,11 @@
                     updates: vec![false_update, impossible],
                 };
                 let receiver = (victim + round) % 9;
-                let _ = fleet.members.get_mut(&receiver).expect("it runs").receive(fleet.now, &datagram);
+                let _ = fleet
+                    .members
+                    .get_mut(&receiver)
+                    .expect("member is running")
+                    .receive(fleet.now, &datagram);
             }
             fleet.run(500);
         }
@@ -250,7 +260,7 @@
         state: if index == 2 { MemberState::Left } else { MemberState::Alive },
     };
     let datagram = Datagram {
-        installation: Installation::new("bread").expect("a name"),
+        installation: Installation::new("bread").expect("valid name"),
         sender: update(1),
         sequence: 1,
         sent_ms: START.us() / 1000,
@@ -258,20 +268,20 @@
         load_report: None,
         updates: (2..40).map(update).collect(),
     };
-    member.receive(START, &datagram).expect("it is taken");
-    member.check_invariants().expect("it is sound");
+    member.receive(START, &datagram).expect("datagram is accepted");
+    member.check_invariants().expect("invariants hold");
     assert_eq!((member.member_status(name(2)), member.rejected_members), (None, 30));
     assert_eq!(member.size(None).max, 4);
 }
 
 #[test]
 fn invalid_datagrams_are_dropped_with_their_reason() {
-    let key = Key::from_text("a key of sixteen characters").expect("long enough");
-    let other_key = Key::from_text("another key of that length").expect("long enough");
-    let installation = Installation::new("bread").expect("a name");
+    let key = Key::from_text("a key of sixteen characters").expect("valid key text");
+    let other_key = Key::from_text("another key of that length").expect("valid key text");
+    let installation = Installation::new("bread").expect("valid name");
     let mut member = Membership::new(config(3, 64), Generation(9), 1, START);
     member.tick(START + Duration::from_ms(1000));
-    let datagram = member.next_datagram(START).expect("it looks for others").datagram;
+    let datagram = member.next_datagram(START).expect("ping to a seed member").datagram;
     let bytes = datagram::seal(&key, &datagram);
     let now = START;
     let open =
@@ -281,7 +291,8 @@
         bytes[position] ^= mask;
         bytes
     };
-    let foreign = Datagram { installation: Installation::new("cake").expect("a name"), ..datagram.clone() };
+    let foreign =
+        Datagram { installation: Installation::new("cake").expect("valid name"), ..datagram.clone() };
     let mut oversized = datagram.clone();
     oversized.updates = vec![datagram.sender; 200];
     let results = format!(
@@ -314,8 +325,8 @@
 
 #[test]
 fn arbitrary_bytes_with_valid_tag_keep_the_invariants() {
-    let key = Key::from_text("a key of sixteen characters").expect("long enough");
-    let installation = Installation::new("bread").expect("a name");
+    let key = Key::from_text("a key of sixteen characters").expect("valid key text");
+    let installation = Installation::new("bread").expect("valid name");
     let mut fleet = TestFleet::new(4);
     fleet.run(3000);
     let mut random = hazelspur::pcg::Pcg::new(3);
@@ -330,7 +341,7 @@
         let now = fleet.now + Duration::from_ms(round);
         let OutgoingDatagram { address: to, mut datagram } =
             datagrams[round as usize % datagrams.len()].clone();
-        // A datagram with some of its bytes changed before it is sealed.
+        // Some bytes of the content are changed, and the tag is computed again so that decoding is reached.
         datagram.sequence += 1000 + round;
         let mut bytes = datagram::seal(&key, &datagram);
         for _ in 0..random.draw() % 4 {
@@ -347,7 +358,7 @@
                 receiver.tick(now);
                 while receiver.next_datagram(now).is_some() {}
                 while receiver.next_event().is_some() {}
-                receiver.check_invariants().expect("sound");
+                receiver.check_invariants().expect("invariants hold");
             }
             Err(_) => rejected += 1,
         }
@@ -355,6 +366,7 @@
     assert!(accepted > 1000 && rejected > 1000, "{accepted} accepted, {rejected} rejected");
 }
 
+/// Members start 16 ms apart, so each reads a member list that is still short.
 #[test]
 fn mass_start_traffic_is_bounded_and_nobody_is_declared_dead() {
     let mut fleet = TestFleet::new(0);
@@ -365,7 +377,7 @@
     fleet.sent_datagrams = 0;
     fleet.run(10_000);
     let datagrams_per_sec = fleet.sent_datagrams as f64 / 60.0 / 10.0;
-    assert!(datagrams_per_sec < 12.0, "{datagrams_per_sec} datagrams a second and server");
+    assert!(datagrams_per_sec < 12.0, "{datagrams_per_sec} datagrams per second and server");
     fleet.run(10_000);
     assert_eq!(fleet.death_declarations(), 0);
     assert!(fleet.all_agree(), "{}", fleet.view_of(7));
@@ -387,16 +399,20 @@
     assert!(fleet.all_agree(), "{}", fleet.view_of(0));
 }
 
-/// One member, and others that the test plays: some answer its probes, some are dead.
+/// One member whose peers the test plays. Some peers answer its probes, and others are dead.
 struct MemberWithScriptedPeers {
     member: Membership,
     now: Timestamp,
+    /// Sequence number of the last datagram, shared by all peers.
     sequence: u64,
+    /// Deaths and changes of the local status, one line each: milliseconds since the start and the event.
     events: String,
 }
 
 impl MemberWithScriptedPeers {
+    /// Indexes of the peers that answer probes.
     const ALIVE: std::ops::Range<usize> = 1..8;
+    /// Indexes of the peers that do not answer probes.
     const DEAD: std::ops::Range<usize> = 8..10;
 
     fn update(index: usize, state: MemberState) -> MemberUpdate {
@@ -423,10 +439,10 @@
             load_report: None,
             updates,
         };
-        self.member.receive(self.now, &datagram).expect("a sound datagram");
+        self.member.receive(self.now, &datagram).expect("datagram is accepted");
     }
 
-    /// Runs until so many milliseconds after the start; living members answer at once.
+    /// Runs the member until `ms` milliseconds after the start. Living peers answer probes immediately.
     fn run_until(&mut self, ms: u64) {
         while self.now < START + Duration::from_ms(ms) {
             self.member.tick(self.now);
@@ -442,12 +458,14 @@
                     self.events += &format!("{} {event:?}\n", (self.now - START).us() / 1000);
                 }
             }
-            self.member.check_invariants().expect("sound");
+            self.member.check_invariants().expect("invariants hold");
             self.now = self.member.next_tick().max(self.now + Duration::from_ms(1));
         }
     }
 }
 
+/// An accusation that shortens a timeout into the past must not look like a late timer of the process. That
+/// would count as a suspension and postpone all suspicions.
 #[test]
 fn late_accusers_do_not_postpone_other_suspicions() {
     let member = Membership::new(config(0, 64), Generation(START.us() / 1000), 7, START);
@@ -465,8 +483,8 @@
     };
     scripted.receive_from(1, Body::Gossip, suspicions(1));
     scripted.run_until(12_000);
-    // The other accusers of the first one speak only now, when the suspicion has lasted longer than their
-    // timeout.
+    // Three more peers accuse the first suspect only now. Its suspicion has already lasted longer than the
+    // timeout that their accusations shorten.
     for accuser in 2..5 {
         scripted.receive_from(accuser, Body::Gossip, suspicions(accuser)[..1].to_vec());
     }
--- a/crates/hazelspur-fleet/tests/membership_orders.rs
+++ b/crates/hazelspur-fleet/tests/membership_orders.rs
@@ -1,7 +1,8 @@
-//! All orders of few events among three and four members: any datagram in flight may arrive next, arrive
-//! twice or never, any timer may be next, one member may be killed and start again. After each step no member
-//! falls back to an older generation of another; after the last step a network without loss brings all
-//! running members to the same view.
+//! Exhaustive and random orders of a few steps among three and four members. In each step any datagram in
+//! flight may arrive, arrive and stay in flight, or be lost, any member may run its timers, and one member
+//! may be killed or started. After each step the invariants hold and no member has fallen back to an older
+//! generation of another one. After the last step, all running members reach the same view over a network
+//! without loss.
 
 mod helpers;
 
@@ -13,30 +14,38 @@
 use helpers::{START, config, index_of, name};
 use std::collections::BTreeMap;
 
-/// Datagrams in flight at once; older ones beyond that are lost.
+/// Maximum number of datagrams in flight. The oldest ones beyond it are lost.
 const MAX_IN_FLIGHT: usize = 5;
 
+/// Several members and the datagrams between them. The test chooses each step.
 #[derive(Clone)]
 struct TestFleet {
     now: Timestamp,
     members: BTreeMap<usize, Membership>,
+    /// Receiver and datagram, oldest first.
     in_flight: Vec<(usize, Datagram)>,
+    /// Number of starts, which makes generations and seeds unique.
     starts: u64,
-    /// The generation of each other member that each run of a member knew last.
+    /// The generation that the observer, one run of a member, last knew of another member.
     known_generations: BTreeMap<(usize, Generation, MemberName), Generation>,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
+    /// Delivers the datagram at this index of `in_flight`.
     Deliver(usize),
+    /// Delivers a copy and leaves the datagram in flight.
     Duplicate(usize),
+    /// Loses the datagram at this index.
     Drop(usize),
+    /// Advances the clock to the next timer of the member and runs it.
     Tick(usize),
     Kill(usize),
     Start(usize),
 }
 
-/// A member of which the observer knows an older generation than before.
+/// Records the generations that an observer knows now. Returns a member whose generation is older than the
+/// one recorded before, if there is one.
 fn regressed_member(
     known_generations: &mut BTreeMap<(usize, Generation, MemberName), Generation>,
     observer: (usize, Generation),
@@ -79,7 +88,7 @@
         steps.extend(in_flight.clone().map(Step::Drop));
         steps.extend(in_flight.map(Step::Duplicate));
         steps.extend(self.members.keys().map(|index| Step::Tick(*index)));
-        // Killing and restarting one member is as good as any.
+        // Member 2 alone is killed and restarted, to keep the number of orders small.
         steps.push(if self.members.contains_key(&2) { Step::Kill(2) } else { Step::Start(2) });
         steps
     }
@@ -115,6 +124,7 @@
         }
     }
 
+    /// Moves the queued datagrams of a member into flight, and discards its events.
     fn collect_outgoing(&mut self, index: usize) {
         let Some(member) = self.members.get_mut(&index) else { return };
         while let Some(OutgoingDatagram { address: to, datagram }) = member.next_datagram(self.now) {
@@ -135,8 +145,8 @@
         }
     }
 
-    /// Without further loss, all running members come to know each other in their newest generations, and
-    /// nobody else.
+    /// Runs the fleet for 150 s without loss. Returns an error unless each running member then knows exactly
+    /// the other running members as alive, each in its newest generation.
     fn converges(mut self) -> Result<(), String> {
         let end = self.now + Duration::from_ms(150_000);
         while self.now < end {
@@ -146,7 +156,7 @@
             if self.in_flight.is_empty() {
                 let next = self.members.iter().min_by_key(|(_, member)| member.next_tick());
                 let Some(index) = next.map(|(index, _)| *index) else { return Ok(()) };
-                let member = self.members.get_mut(&index).expect("looked up above");
+                let member = self.members.get_mut(&index).expect("index comes from the map");
                 self.now = self.now.max(member.next_tick());
                 member.tick(self.now);
                 self.collect_outgoing(index);
@@ -175,12 +185,14 @@
     }
 }
 
-/// 5 in CI; 6 takes a quarter of an hour without optimization.
+/// Returns the number of steps to explore. The default of 5 is for CI; 6 takes a quarter of an hour without
+/// optimization.
 fn depth() -> usize {
     std::env::var("HAZELSPUR_DEPTH").ok().and_then(|depth| depth.parse().ok()).unwrap_or(5)
 }
 
-/// Takes every order of steps to this depth, and lets one in `each` of the ends converge.
+/// Explores every order of `depth` steps, and checks one in `convergence_interval` of the final states for
+/// convergence. Adds the number of final states and of convergence checks to `counts`.
 fn explore(fleet: &TestFleet, depth: usize, convergence_interval: usize, counts: &mut (usize, usize)) {
     if depth == 0 {
         counts.0 += 1;
@@ -207,13 +219,13 @@
 #[test]
 fn three_members_converge_after_any_order_of_loss_and_restart() {
     let mut fleet = TestFleet::new(3);
-    fleet.clone().converges().expect("a quiet start");
+    fleet.clone().converges().expect("convergence without faults");
     for _ in 0..60 {
         while !fleet.in_flight.is_empty() {
             fleet.apply(Step::Deliver(0));
         }
         let next = fleet.members.iter().min_by_key(|(_, member)| member.next_tick()).map(|(index, _)| *index);
-        fleet.apply(Step::Tick(next.expect("three run")));
+        fleet.apply(Step::Tick(next.expect("three members are running")));
     }
     let mut counts = (0, 0);
     explore(&fleet, depth(), 101, &mut counts);
@@ -233,6 +245,7 @@
     }
 }
 
+/// Shows that the checks of the other tests fail when they should.
 #[test]
 fn checks_detect_regressed_generation_and_failed_convergence() {
     let mut known_generations = BTreeMap::new();
@@ -240,7 +253,8 @@
     let known = |generation| [(name(2), Generation(generation))].into_iter();
     assert_eq!(regressed_member(&mut known_generations, observer, known(7)), None);
     assert_eq!(regressed_member(&mut known_generations, observer, known(6)), Some(name(2)));
-    // A member that nobody can reach does not converge with the others.
+    // The address of this member leads to index 8, so no datagram reaches it and it cannot converge with the
+    // others.
     let mut fleet = TestFleet::new(3);
     fleet.members.insert(9, Membership::new(config(8, 8), Generation(1), 1, START));
     assert!(fleet.converges().is_err());
--- a/crates/hazelspur-fleet/tests/wire.rs
+++ b/crates/hazelspur-fleet/tests/wire.rs
@@ -1,6 +1,6 @@
-//! The bytes of each kind of datagram, written and read, and the fingerprint of a quota configuration.
-//! Servers of two versions run beside each other while an installation is upgraded, so neither may change by
-//! accident.
+//! Stability of the formats that leave the process: the bytes of each kind of datagram, the fingerprint of a
+//! quota configuration and the JSON of operators' commands. Servers of two versions run side by side during
+//! an upgrade, and scripts of operators read the JSON, so none of them may change by accident.
 
 use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::datagram::{
@@ -15,19 +15,20 @@
     MemberName, MemberState, MemberStatus, MemberUpdate, SiteName,
 };
 
-/// One line for each datagram: its name and its bytes in hexadecimal digits.
+/// The recorded bytes, one line for each datagram: its name in this file and its bytes in hexadecimal digits.
 const EXPECTED_LINES: &str = include_str!("wire-v2.txt");
+/// Time of sending of all datagrams, in Unix milliseconds.
 const SENT_MS: u64 = 1_700_000_000_000;
 
 fn member_name(text: &str) -> MemberName {
-    MemberName::new(text).expect("a name")
+    MemberName::new(text).expect("valid name")
 }
 
 fn update(text: &str, state: MemberState) -> MemberUpdate {
     MemberUpdate {
         name: member_name(text),
-        site: SiteName::new("east").expect("a name"),
-        address: "10.1.2.3:7000".parse().expect("an address"),
+        site: SiteName::new("east").expect("valid name"),
+        address: "10.1.2.3:7000".parse().expect("valid address"),
         generation: Generation(1_699_999_999_000),
         incarnation: Incarnation(3),
         state,
@@ -36,7 +37,7 @@
 
 fn datagram_with_body(body: Body) -> Datagram {
     Datagram {
-        installation: Installation::new("bread").expect("a name"),
+        installation: Installation::new("bread").expect("valid name"),
         sender: update("n1", MemberState::Alive),
         sequence: 300,
         sent_ms: SENT_MS,
@@ -51,7 +52,7 @@
 }
 
 fn membership_datagrams() -> Vec<(&'static str, Datagram)> {
-    let ipv6_address = "[2001:db8::7]:7001".parse().expect("an address");
+    let ipv6_address = "[2001:db8::7]:7001".parse().expect("valid address");
     let ipv6_update =
         MemberUpdate { address: ipv6_address, ..update("n5", MemberState::Suspected(member_name("n4"))) };
     let updates = [
@@ -122,7 +123,7 @@
 }
 
 fn share(limit: &str, amount: f32, guaranteed: f32, expires_in_ms: Option<u32>) -> ShareSummary {
-    ShareSummary { limit: LimitName::new(limit).expect("a name"), amount, guaranteed, expires_in_ms }
+    ShareSummary { limit: LimitName::new(limit).expect("valid name"), amount, guaranteed, expires_in_ms }
 }
 
 fn operator_datagrams() -> Vec<(&'static str, Datagram)> {
@@ -140,7 +141,7 @@
         number: 11,
         status,
         fleet: size(3, 300),
-        sites: vec![SiteSize { site: SiteName::new("east").expect("a name"), size: size(1, 2) }],
+        sites: vec![SiteSize { site: SiteName::new("east").expect("valid name"), size: size(1, 2) }],
         members,
         next: Some(member_name("n9")),
     };
@@ -201,8 +202,8 @@
 
 #[test]
 fn datagrams_encode_to_and_decode_from_the_recorded_bytes() {
-    let key = Key::from_text("a key of sixteen characters").expect("long enough");
-    let installation = Installation::new("bread").expect("a name");
+    let key = Key::from_text("a key of sixteen characters").expect("valid key text");
+    let installation = Installation::new("bread").expect("valid name");
     let now = Timestamp::from_us(SENT_MS * 1000);
     let datagrams: Vec<_> = [membership_datagrams(), quota_datagrams(), operator_datagrams()].concat();
     let encoded_lines: Vec<String> = datagrams
@@ -213,19 +214,21 @@
     assert_eq!(encoded_lines.len(), expected_lines.len(), "{}", encoded_lines.join("\n"));
     for ((encoded, expected), (name, datagram)) in encoded_lines.iter().zip(expected_lines).zip(&datagrams) {
         assert_eq!(encoded, expected, "{name}");
-        let digits = expected.split_once(' ').expect("a name and bytes").1;
+        let digits = expected.split_once(' ').expect("a line of name and bytes").1;
         let bytes: Vec<u8> = (0..digits.len() / 2)
-            .map(|index| u8::from_str_radix(&digits[2 * index..2 * index + 2], 16).expect("two digits"))
+            .map(|index| {
+                u8::from_str_radix(&digits[2 * index..2 * index + 2], 16).expect("two hexadecimal digits")
+            })
             .collect();
         assert_eq!(datagram::open(&key, &installation, now, &bytes).as_ref(), Ok(datagram), "{name}");
     }
 }
 
-/// Servers whose fingerprints differ give each other nothing.
+/// Servers with different fingerprints ignore each other's quota messages.
 #[test]
 fn quota_configuration_fingerprint_is_unchanged() {
     let limit = |name: &str, max_turn| SharedLimit {
-        name: LimitName::new(name).expect("a name"),
+        name: LimitName::new(name).expect("valid name"),
         total: 48.5,
         guaranteed_fraction: 0.25,
         residual_duration: Duration::from_ms(500),
@@ -240,7 +243,8 @@
     assert_eq!(config.fingerprint(), ConfigFingerprint(17_912_680_018_067_210_397));
 }
 
-/// `hazelspur-server fleet FILE --shape json` shows these; scripts of operators read them.
+/// The output of `hazelspur-server fleet FILE --shape json` contains these values, and scripts of operators
+/// read it.
 #[test]
 fn operator_json_output_is_unchanged() {
     let aggregated = AggregatedLoad {
@@ -258,7 +262,7 @@
         LocalStatus::Isolated,
         LocalStatus::Leaving,
     ];
-    let json = |result: serde_json::Result<String>| result.expect("it is written");
+    let json = |result: serde_json::Result<String>| result.expect("value serializes to JSON");
     assert_eq!(
         json(serde_json::to_string(&aggregated)),
         r#"{"pace":2.5,"unreached":0.25,"refused":0.125,"voices":7,"sites":3,"oldest_ms":900}"#
