--- a/crates/hazelspur-fleet/src/membership/list_sync.rs
+++ b/crates/hazelspur-fleet/src/membership/list_sync.rs
@@ -9,7 +9,7 @@
 
 /// Fraction by which the table must have grown since the last read before the list is read again.
 const REREAD_GROWTH_FRACTION: f64 = 0.05;
-/// Minimum number of periods between the end of one read and the begin of the next.
+/// Minimum number of periods between the end of one read and the start of the next.
 const MIN_PERIODS_BETWEEN_READS: u64 = 3;
 
 /// The progress of reading the member list.
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Begins a new read and marks the list as incomplete, because many members may have changed.
+    /// Begins a new read and marks the list as incomplete, because members may have come and gone several times.
     pub(super) fn restart(&mut self) {
         self.is_complete = false;
         self.is_reading = true;
