--- a/crates/hazelspur-fleet/src/anti_replay.rs
+++ b/crates/hazelspur-fleet/src/anti_replay.rs
@@ -1,19 +1,21 @@
-//! The anti-replay window of one sender: accepts each sequence number once, in whatever order datagrams
-//! arrive.
+//! The anti-replay window of one sender. It accepts each sequence number once, in any order of arrival, and
+//! rejects numbers that are too far behind the highest one.
 
-/// Sequence numbers behind the highest that may still arrive; older ones count as replayed.
+/// Width of the window: a number that is this far or farther behind the highest counts as replayed.
 const WINDOW_BITS: u64 = 64;
 
-/// The sequence numbers of one process incarnation that were received.
+/// The received sequence numbers of one process incarnation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AntiReplayWindow {
+    /// Highest received number; zero before the first.
     highest: u64,
-    /// Bit `i` stands for `highest - i`.
+    /// Bit `i` is set if the number `highest - i` was received.
     received: u64,
 }
 
 impl AntiReplayWindow {
-    /// Notes a sequence number, from 1 on. False if it was received before or is too old to tell.
+    /// Records a sequence number, at least 1, and returns whether it is new. Returns false if the number was
+    /// received before, is zero or lies behind the window.
     pub fn accept(&mut self, sequence: u64) -> bool {
         if sequence == 0 {
             return false;
@@ -22,16 +24,16 @@
             self.advance_to(sequence);
             return true;
         }
-        let behind = self.highest - sequence;
-        let bit = 1u64.checked_shl(behind as u32).filter(|_| behind < WINDOW_BITS);
+        let distance_behind = self.highest - sequence;
+        let bit = 1u64.checked_shl(distance_behind as u32).filter(|_| distance_behind < WINDOW_BITS);
         let is_new = bit.is_some_and(|bit| self.received & bit == 0);
         self.received |= bit.unwrap_or(0);
         is_new
     }
 
     fn advance_to(&mut self, sequence: u64) {
-        let by = sequence - self.highest;
-        self.received = if by < WINDOW_BITS { self.received << by | 1 } else { 1 };
+        let distance = sequence - self.highest;
+        self.received = if distance < WINDOW_BITS { self.received << distance | 1 } else { 1 };
         self.highest = sequence;
     }
 }
--- a/crates/hazelspur-fleet/src/membership/receive.rs
+++ b/crates/hazelspur-fleet/src/membership/receive.rs
@@ -1,4 +1,5 @@
-//! Takes received datagrams: what the sender says about itself, its updates about others, and the body.
+//! Processing of received datagrams, in this order: the sender's update about itself, its updates about other
+//! members, and the body.
 
 use super::event::MembershipEvent;
 use super::state::Membership;
@@ -8,26 +9,29 @@
 use crate::names::MemberName;
 use hazelspur::Timestamp;
 
-/// How far a generation may be ahead of the clock, in milliseconds.
+/// Maximum time by which a generation may be ahead of this process's clock, in milliseconds.
 const MAX_GENERATION_LEAD_MS: u64 = 600_000;
-/// Periods within which hearing a member itself outweighs a suspicion of others.
+/// Number of periods after a datagram from a member during which suspicions of others about it are overruled.
 const RECENTLY_HEARD_PERIODS: f64 = 2.0;
 
-/// How an update that was just applied changes what was known of its member.
+/// The circumstances of an update that was just applied to a member.
 #[derive(Clone, Copy)]
 struct Transition {
+    /// The member that sent the update.
     reported_by: MemberName,
-    previous: MemberStatus,
-    /// The update is of a newer generation.
+    /// The status before the update.
+    previous_status: MemberStatus,
+    /// Whether the update has a newer generation than the one before.
     restarted: bool,
 }
 
 impl Membership {
-    /// Takes a datagram that `datagram::open` has accepted.
+    /// Processes a datagram that `datagram::open` has accepted.
     ///
     /// # Errors
-    /// `DatagramError::Content` for an implausible sender, `DatagramError::Replayed` for a datagram that was
-    /// received before, of a generation that is over, or under this process's own name.
+    /// Returns `DatagramError::Content` if the sender's update about itself is implausible, and
+    /// `DatagramError::Replayed` if the datagram was received before, is of a generation that has ended,
+    /// comes from a new member for which the table has no capacity, or bears this process's own name.
     pub fn receive(&mut self, now: Timestamp, datagram: &Datagram) -> Result<(), DatagramError> {
         let sender = &datagram.sender;
         if let Body::FleetQuery { number, after } = datagram.body {
@@ -44,7 +48,7 @@
             return Err(DatagramError::Replayed);
         }
         self.receive_sender(now, datagram)?;
-        self.health.received(now);
+        self.health.record_received(now);
         for update in datagram.updates.iter().take(MAX_UPDATES) {
             self.merge(now, update, sender.name);
         }
@@ -53,7 +57,8 @@
         Ok(())
     }
 
-    /// The sender runs, whatever others say about it.
+    /// Applies the sender's update about itself. The datagram shows that the sender runs, which overrules
+    /// reports of others.
     fn receive_sender(&mut self, now: Timestamp, datagram: &Datagram) -> Result<(), DatagramError> {
         let (sender, name) = (&datagram.sender, datagram.sender.name);
         self.check_replay(datagram)?;
@@ -61,28 +66,30 @@
         let Some(member) = self.members.get_mut(name) else { return Err(DatagramError::Replayed) };
         member.replay_window.accept(datagram.sequence);
         member.last_heard = Some(now);
-        member.note_update(name, now);
+        member.record_update_source(name, now);
         member.announced_left |= sender.state == MemberState::Left;
-        let denies_leaving = member.status == MemberStatus::Left && !member.announced_left;
+        let contradicts_left_report = member.status == MemberStatus::Left && !member.announced_left;
         let was_dead = member.status == MemberStatus::Dead;
-        if denies_leaving || was_dead || member.status == MemberStatus::Suspected {
+        if contradicts_left_report || was_dead || member.status == MemberStatus::Suspected {
             self.recovered_in_period += usize::from(was_dead);
-            // The next datagram to it carries the suspicion, which it then refutes for all others.
+            // The next datagram to the member carries the suspicion, so that the member refutes it for all
+            // others.
             self.members.set_status(now, name, MemberStatus::Alive);
             self.push_event(MembershipEvent::Recovered(name));
         }
         Ok(())
     }
 
+    /// Rejects a datagram of an ended generation or with a sequence number that was received before.
     fn check_replay(&mut self, datagram: &Datagram) -> Result<(), DatagramError> {
         let generation = datagram.sender.generation;
         let Some(member) = self.members.get_mut(datagram.sender.name) else { return Ok(()) };
-        let known = member.update.generation;
-        if known < generation {
+        let known_generation = member.update.generation;
+        if known_generation < generation {
             return Ok(());
         }
-        let is_over = known > generation || member.announced_left;
-        if is_over || !member.replay_window.accept(datagram.sequence) {
+        let is_ended_generation = known_generation > generation || member.announced_left;
+        if is_ended_generation || !member.replay_window.accept(datagram.sequence) {
             return Err(DatagramError::Replayed);
         }
         Ok(())
@@ -90,7 +97,7 @@
 
     // ---- updates ----
 
-    /// Takes an update that `reported_by` has sent.
+    /// Merges an update that `reported_by` has sent.
     fn merge(&mut self, now: Timestamp, update: &MemberUpdate, reported_by: MemberName) {
         if !is_plausible(now, update) {
             return;
@@ -102,8 +109,8 @@
             return self.add_member(now, update, reported_by);
         };
         if update.supersedes(&member.update) {
-            let (previous, restarted) = (member.status, update.generation > member.update.generation);
-            let transition = Transition { reported_by, previous, restarted };
+            let (previous_status, restarted) = (member.status, update.generation > member.update.generation);
+            let transition = Transition { reported_by, previous_status, restarted };
             member.apply(update, reported_by, now);
             self.gossip_queue.enqueue(update.name);
             return self.apply_state(now, update, transition);
@@ -115,7 +122,8 @@
         }
     }
 
-    /// An accusation that does not supersede the last update may still confirm a suspicion or begin one.
+    /// Handles a suspicion that does not supersede the last update. It may still confirm a suspicion or begin
+    /// one.
     fn merge_accusation(&mut self, now: Timestamp, name: MemberName, accuser: MemberName) {
         let Some(member) = self.members.get(name) else { return };
         match member.status {
@@ -127,24 +135,24 @@
         }
     }
 
-    /// Concludes a member's status from the update that was just applied to it.
+    /// Sets a member's status according to the update that was just applied to it.
     fn apply_state(&mut self, now: Timestamp, update: &MemberUpdate, transition: Transition) {
-        let Transition { reported_by, previous, restarted } = transition;
+        let Transition { reported_by, previous_status, restarted } = transition;
         let name = update.name;
         match update.state {
             MemberState::Alive => {
                 self.members.set_status(now, name, MemberStatus::Alive);
                 if restarted {
                     self.push_event(MembershipEvent::Restarted(name));
-                } else if matches!(previous, MemberStatus::Suspected | MemberStatus::Dead) {
+                } else if matches!(previous_status, MemberStatus::Suspected | MemberStatus::Dead) {
                     self.push_event(MembershipEvent::Recovered(name));
                 }
             }
-            // It will refute this; until then hearing it counts more.
+            // The member will refute the suspicion. Until then its own recent datagram outweighs the report.
             MemberState::Suspected(_) if reported_by != name && self.was_recently_heard(now, name) => {
                 self.members.set_status(now, name, MemberStatus::Alive);
             }
-            MemberState::Suspected(_) if previous == MemberStatus::Dead && !restarted => {}
+            MemberState::Suspected(_) if previous_status == MemberStatus::Dead && !restarted => {}
             MemberState::Suspected(accuser) => self.suspect(now, name, accuser),
             MemberState::Leaving => {
                 self.members.set_status(now, name, MemberStatus::Leaving);
@@ -158,8 +166,8 @@
     }
 
     fn was_recently_heard(&self, now: Timestamp, name: MemberName) -> bool {
-        let recently = self.config.probe_period.scaled(RECENTLY_HEARD_PERIODS);
-        self.members.get(name).is_some_and(|member| member.was_heard_within(now, recently))
+        let recent = self.config.probe_period.scaled(RECENTLY_HEARD_PERIODS);
+        self.members.get(name).is_some_and(|member| member.was_heard_within(now, recent))
     }
 
     fn add_member(&mut self, now: Timestamp, update: &MemberUpdate, reported_by: MemberName) {
@@ -169,18 +177,19 @@
         }
         self.members.insert(now, update, reported_by);
         self.gossip_queue.enqueue(update.name);
-        let place = self.random.draw() as usize % (self.probe_order.len() + 1);
+        let position = self.random.draw() as usize % (self.probe_order.len() + 1);
         if self.probe_order.len() < self.members.capacity() {
-            self.probe_order.insert(place, update.name);
+            self.probe_order.insert(position, update.name);
         }
         if update.state == MemberState::Alive {
             self.push_event(MembershipEvent::Joined(update.name));
         }
-        let transition = Transition { reported_by, previous: MemberStatus::Alive, restarted: false };
+        let transition = Transition { reported_by, previous_status: MemberStatus::Alive, restarted: false };
         self.apply_state(now, update, transition);
     }
 
-    /// Whether the table has capacity for another member, if need be by forgetting one that is gone.
+    /// Returns whether the table has capacity for another member. If it is full, forgets the oldest member
+    /// that is dead or has left.
     fn ensure_capacity(&mut self) -> bool {
         if self.members.len() < self.members.capacity() {
             return true;
@@ -203,17 +212,17 @@
             }
             Body::MemberListRequest { after } if self.budget.list_pages > 0 => {
                 self.budget.list_pages -= 1;
-                // The page says where it begins until it is filled.
+                // Until the page is filled when it is sent, `next` holds the name after which it begins.
                 self.send(address, Some(sender), Body::MemberListPage { next: after });
             }
             Body::MemberListPage { next } => self.receive_list_page(next),
             _ => {}
         }
-        self.request_first_page(sender);
+        self.request_page_if_reading(sender);
     }
 }
 
-/// Whether the update's generation may exist by now.
+/// Returns whether the update's generation can exist yet, given the permitted difference of clocks.
 fn is_plausible(now: Timestamp, update: &MemberUpdate) -> bool {
     update.generation.0 <= now.us() / 1000 + MAX_GENERATION_LEAD_MS
 }
