--- a/crates/hazelspur-amqp/src/connection/channel_methods.rs
+++ b/crates/hazelspur-amqp/src/connection/channel_methods.rs
@@ -76,7 +76,7 @@
                 Ok(())
             }
             (_, Method::CHANNEL_FLOW) => self.on_flow(call),
-            _ => Err(ProtocolError::MethodOutOfPlace),
+            _ => Err(ProtocolError::UnexpectedMethod),
         }
     }
 
@@ -96,7 +96,7 @@
                 Ok(())
             }
             (_, Method::BASIC_ACK | Method::BASIC_NACK) if self.publishes() => self.on_confirm(call),
-            _ => Err(ProtocolError::MethodOutOfPlace),
+            _ => Err(ProtocolError::UnexpectedMethod),
         }
     }
 
--- a/crates/hazelspur-amqp/src/connection/content.rs
+++ b/crates/hazelspur-amqp/src/connection/content.rs
@@ -49,7 +49,7 @@
         let mut reader = WireReader::new(payload);
         let (class, _weight, body_size) = (reader.u16()?, reader.u16()?, reader.u64()?);
         if class != BASIC_CLASS {
-            return Err(ProtocolError::ContentOfOtherClass);
+            return Err(ProtocolError::UnexpectedContentClass);
         }
         self.properties = reader.remaining().to_vec();
         self.body_bytes_left = Some(body_size);
@@ -79,7 +79,7 @@
         payload: &[u8],
         handler: &mut impl ConnectionHandler,
     ) -> Processed {
-        let content = self.content.as_mut().ok_or(ProtocolError::UnannouncedContent)?;
+        let content = self.content.as_mut().ok_or(ProtocolError::UnexpectedContent)?;
         match content.body_bytes_left {
             None => content.take_header(payload)?,
             Some(_) => return Err(ProtocolError::ContentOutOfOrder),
@@ -88,7 +88,7 @@
     }
 
     pub(super) fn content_body(&mut self, payload: &[u8], handler: &mut impl ConnectionHandler) -> Processed {
-        let content = self.content.as_mut().ok_or(ProtocolError::UnannouncedContent)?;
+        let content = self.content.as_mut().ok_or(ProtocolError::UnexpectedContent)?;
         match content.body_bytes_left {
             Some(bytes_left) => content.take_body(payload, bytes_left)?,
             None => return Err(ProtocolError::ContentOutOfOrder),
--- a/crates/hazelspur-amqp/src/connection/handshake.rs
+++ b/crates/hazelspur-amqp/src/connection/handshake.rs
@@ -67,20 +67,20 @@
                 handler.publishers_blocked(None);
                 Ok(())
             }
-            _ => Err(ProtocolError::MethodOutOfPlace),
+            _ => Err(ProtocolError::UnexpectedMethod),
         }
     }
 
     fn on_start(&mut self, reader: &mut WireReader<'_>) -> Processed {
         let (major, minor) = (reader.u8()?, reader.u8()?);
         if (major, minor) != (VERSION_MAJOR, VERSION_MINOR) {
-            self.finish(ConnectionEnd::OtherVersion);
+            self.finish(ConnectionEnd::VersionMismatch);
             return Ok(());
         }
         let _server_properties = FieldTable::read(reader)?;
         let mechanisms = std::str::from_utf8(reader.long_string()?).unwrap_or_default();
         let _locales = reader.long_string()?;
-        reader.end()?;
+        reader.expect_end()?;
         let mechanism = match self.settings.credentials {
             Some(_) => MECHANISM_PLAIN,
             None => MECHANISM_EXTERNAL,
@@ -121,7 +121,7 @@
     fn on_secure(&mut self, reader: &mut WireReader<'_>) -> Processed {
         self.challenge_answered = true;
         let _challenge = reader.long_string()?;
-        reader.end()?;
+        reader.expect_end()?;
         let response = self.sasl_response();
         frame::put_method(&mut self.output, CONNECTION_CHANNEL, Method::CONNECTION_SECURE_OK, |out| {
             put_long_string(out, &response);
@@ -131,7 +131,7 @@
 
     fn on_tune(&mut self, reader: &mut WireReader<'_>) -> Processed {
         let (max_channel, max_frame_bytes, heartbeat_s) = (reader.u16()?, reader.u32()?, reader.u16()?);
-        reader.end()?;
+        reader.expect_end()?;
         if max_frame_bytes != 0 && max_frame_bytes < MIN_FRAME_MAX_BYTES {
             return Err(ProtocolError::FrameMaxTooSmall);
         }
--- a/crates/hazelspur-amqp/src/connection/mod.rs
+++ b/crates/hazelspur-amqp/src/connection/mod.rs
@@ -45,7 +45,7 @@
     /// `connection.close` is sent.
     Closing,
     /// Nothing more is sent or processed.
-    Over,
+    Closed,
 }
 
 /// Result of processing what the broker sent.
@@ -132,7 +132,7 @@
         self.silence_recheck_at = None;
         let mut input = std::mem::take(&mut self.input);
         let mut used = 0;
-        while self.state != ConnectionState::Over {
+        while self.state != ConnectionState::Closed {
             let max_payload_bytes = self.max_frame_bytes - FRAME_OVERHEAD_BYTES;
             match frame::read_first(&input.unread()[used..], max_payload_bytes) {
                 Ok(Some(frame)) => {
@@ -144,7 +144,7 @@
                 Err(error) => {
                     self.protocol_error(now, ProtocolError::Frame(error));
                     // Where the next frame begins is unknown, so a close-ok cannot be read either.
-                    self.finish(ConnectionEnd::Undecodable(error));
+                    self.finish(ConnectionEnd::UndecodableFrame(error));
                 }
             }
         }
@@ -158,14 +158,14 @@
     }
 
     fn finish(&mut self, end: ConnectionEnd) {
-        if self.state != ConnectionState::Over {
-            self.state = ConnectionState::Over;
+        if self.state != ConnectionState::Closed {
+            self.state = ConnectionState::Closed;
             self.end.get_or_insert(end);
         }
     }
 
     fn is_closing(&self) -> bool {
-        matches!(self.state, ConnectionState::Closing | ConnectionState::Over)
+        matches!(self.state, ConnectionState::Closing | ConnectionState::Closed)
     }
 
     /// Closes the connection once; then only the broker's answer is processed.
--- a/crates/hazelspur-amqp/src/connection/timers.rs
+++ b/crates/hazelspur-amqp/src/connection/timers.rs
@@ -21,7 +21,7 @@
 impl Connection {
     /// When `tick` has to be called next.
     pub fn next_tick(&self) -> Option<Timestamp> {
-        if self.state == ConnectionState::Over {
+        if self.state == ConnectionState::Closed {
             return None;
         }
         let heartbeats = self.heartbeat > Duration::ZERO;
@@ -32,14 +32,14 @@
 
     /// Checks the timeouts and sends a heartbeat if one is due.
     pub fn tick(&mut self, now: Timestamp) {
-        if self.state == ConnectionState::Over {
+        if self.state == ConnectionState::Closed {
             return;
         }
         if self.state_deadline().is_some_and(|deadline| now >= deadline) {
             return self.finish(ConnectionEnd::HandshakeTimeout);
         }
         if self.content_deadline().is_some_and(|deadline| now >= deadline) {
-            return self.protocol_error(now, ProtocolError::UnfinishedContent);
+            return self.protocol_error(now, ProtocolError::ContentTimeout);
         }
         if self.heartbeat > Duration::ZERO {
             self.send_heartbeat_if_due(now);
@@ -53,7 +53,7 @@
                 Some(self.state_since + HANDSHAKE_TIMEOUT)
             }
             ConnectionState::Closing => Some(self.state_since + CLOSE_TIMEOUT),
-            ConnectionState::Open | ConnectionState::Over => None,
+            ConnectionState::Open | ConnectionState::Closed => None,
         }
     }
 
--- a/crates/hazelspur-amqp/src/error.rs
+++ b/crates/hazelspur-amqp/src/error.rs
@@ -16,7 +16,7 @@
     InvalidUtf8,
     /// The broker answered with a protocol header.
     #[error("the broker speaks another version")]
-    OtherVersion,
+    VersionMismatch,
     /// The frame type is not defined.
     #[error("a frame of an unknown type")]
     UnknownFrameType,
@@ -60,7 +60,7 @@
     ChannelNotOpen,
     /// The method is not allowed in this state.
     #[error("a method that has no place here")]
-    MethodOutOfPlace,
+    UnexpectedMethod,
     /// A method comes between the frames of a message.
     #[error("a method within a message")]
     MethodWithinContent,
@@ -84,10 +84,10 @@
     UnknownConfirm,
     /// A header or body frame comes without its method.
     #[error("content that no method announced")]
-    UnannouncedContent,
+    UnexpectedContent,
     /// A content header names another class than `basic`.
     #[error("content of another class")]
-    ContentOfOtherClass,
+    UnexpectedContentClass,
     /// A body frame is empty or longer than the header says.
     #[error("a body that does not fit its header")]
     BodySizeMismatch,
@@ -96,7 +96,7 @@
     ContentOutOfOrder,
     /// A message is not complete in time.
     #[error("a message that does not end")]
-    UnfinishedContent,
+    ContentTimeout,
 }
 
 impl ProtocolError {
@@ -108,15 +108,15 @@
             Self::Syntax(_) | Self::FrameMaxTooSmall | Self::DeliveryTagInUse | Self::UnknownConfirm => {
                 reply_code::SYNTAX_ERROR
             }
-            Self::MethodOutOfPlace | Self::UnsolicitedReply => reply_code::COMMAND_INVALID,
+            Self::UnexpectedMethod | Self::UnsolicitedReply => reply_code::COMMAND_INVALID,
             Self::ChannelNotOpen => reply_code::CHANNEL_ERROR,
             Self::ChannelBeforeOpen
             | Self::MethodWithinContent
-            | Self::UnannouncedContent
-            | Self::ContentOfOtherClass
+            | Self::UnexpectedContent
+            | Self::UnexpectedContentClass
             | Self::BodySizeMismatch
             | Self::ContentOutOfOrder
-            | Self::UnfinishedContent => reply_code::UNEXPECTED_FRAME,
+            | Self::ContentTimeout => reply_code::UNEXPECTED_FRAME,
             Self::TooFewChannels => reply_code::NOT_ALLOWED,
         }
     }
@@ -152,7 +152,7 @@
     ProtocolError(ProtocolError),
     /// A frame could not be decoded while the connection was closing.
     #[error("{0}")]
-    Undecodable(DecodeError),
+    UndecodableFrame(DecodeError),
     /// It was closed from this side before the handshake.
     #[error("leaving")]
     ClosedBeforeHandshake,
@@ -175,7 +175,7 @@
     HeartbeatTimeout,
     /// The broker speaks another version of the protocol.
     #[error("the broker speaks another version")]
-    OtherVersion,
+    VersionMismatch,
     /// The broker does not offer the SASL mechanism that is needed.
     #[error("the broker does not offer {0}")]
     MechanismNotOffered(&'static str),
--- a/crates/hazelspur-amqp/src/frame.rs
+++ b/crates/hazelspur-amqp/src/frame.rs
@@ -56,7 +56,7 @@
 /// A payload longer than `max_payload_bytes` is refused as soon as its length is read.
 pub fn read_first(bytes: &[u8], max_payload_bytes: usize) -> Result<Option<Frame<'_>>, DecodeError> {
     if bytes.starts_with(PROTOCOL_NAME) {
-        return Err(DecodeError::OtherVersion);
+        return Err(DecodeError::VersionMismatch);
     }
     let mut reader = WireReader::new(bytes);
     let (Ok(kind), Ok(channel), Ok(length)) = (reader.u8(), reader.u16(), reader.u32()) else {
--- a/crates/hazelspur-amqp/src/properties.rs
+++ b/crates/hazelspur-amqp/src/properties.rs
@@ -78,7 +78,7 @@
             app_id: property!(reader.short_string()),
             cluster_id: property!(reader.short_string()),
         };
-        reader.end()?;
+        reader.expect_end()?;
         Ok(properties)
     }
 
--- a/crates/hazelspur-amqp/src/wire.rs
+++ b/crates/hazelspur-amqp/src/wire.rs
@@ -90,7 +90,7 @@
     ///
     /// # Errors
     /// `TrailingBytes`.
-    pub fn end(&self) -> Result<(), DecodeError> {
+    pub fn expect_end(&self) -> Result<(), DecodeError> {
         if self.0.is_empty() { Ok(()) } else { Err(DecodeError::TrailingBytes) }
     }
 }
--- a/crates/hazelspur-server/src/ingress/amqp/connection.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/connection.rs
@@ -26,7 +26,7 @@
 
 impl BrokerConnection {
     fn is_over(&self) -> bool {
-        self.protocol.state() == ConnectionState::Over
+        self.protocol.state() == ConnectionState::Closed
     }
 
     /// Settles on the connection that the tag is of; on any other it is invalid.
