--- a/crates/hazelspur-amqp/benches/frames.rs
+++ b/crates/hazelspur-amqp/benches/frames.rs
@@ -61,9 +61,9 @@
     connection
 }
 
-fn deliveries(from: u64, count: u64, size: usize) -> Vec<u8> {
+fn encoded_deliveries(first_tag: u64, count: u64, body_bytes: usize) -> Vec<u8> {
     let mut out = Vec::new();
-    for tag in from..from + count {
+    for tag in first_tag..first_tag + count {
         frame::put_method(&mut out, 1, Method::BASIC_DELIVER, |out| {
             wire::put_short_string(out, "hazelspur-1");
             out.extend_from_slice(&tag.to_be_bytes());
@@ -72,32 +72,32 @@
         });
         frame::put(&mut out, FrameKind::Header, 1, |out| {
             out.extend([0, 60, 0, 0]);
-            out.extend_from_slice(&(size as u64).to_be_bytes());
+            out.extend_from_slice(&(body_bytes as u64).to_be_bytes());
             let headers = TableWriter::default().integer("x-sent-ms", 5);
-            let id = Some("order-1234567");
-            Properties { headers: Some(headers.finish()), message_id: id, ..Properties::default() }.put(out);
+            let message_id = Some("order-1234567");
+            Properties { headers: Some(headers.finish()), message_id, ..Properties::default() }.put(out);
         });
-        frame::put(&mut out, FrameKind::Body, 1, |out| out.resize(out.len() + size, 7));
+        frame::put(&mut out, FrameKind::Body, 1, |out| out.resize(out.len() + body_bytes, 7));
     }
     out
 }
 
-fn decode_and_settle(c: &mut Criterion) {
-    for size in [100, 2000] {
-        let mut group = c.benchmark_group(format!("{size} byte bodies"));
-        let (mut connection, mut tag) = (open_connection(), 1);
-        let length = deliveries(1, 100, size).len() as u64;
+fn decode_and_settle(criterion: &mut Criterion) {
+    for body_bytes in [100, 2000] {
+        let mut group = criterion.benchmark_group(format!("{body_bytes} byte bodies"));
+        let (mut connection, mut next_tag) = (open_connection(), 1);
+        let input_bytes = encoded_deliveries(1, 100, body_bytes).len() as u64;
         group.throughput(Throughput::Elements(300));
-        group.bench_function(format!("frames ({} bytes in 300)", length), |b| {
-            b.iter_batched(
+        group.bench_function(format!("frames ({} bytes in 300)", input_bytes), |bencher| {
+            bencher.iter_batched(
                 || {
-                    tag += 100;
-                    (tag - 100, deliveries(tag - 100, 100, size))
+                    next_tag += 100;
+                    (next_tag - 100, encoded_deliveries(next_tag - 100, 100, body_bytes))
                 },
-                |(from, bytes)| {
+                |(first_tag, bytes)| {
                     connection.input_buffer().extend_from_slice(&bytes);
                     connection.process_input(now(), &mut LastTag(0));
-                    for tag in from..from + 100 {
+                    for tag in first_tag..first_tag + 100 {
                         assert!(connection.ack(1, tag));
                     }
                     black_box(connection.take_output(now()).len())
--- a/crates/hazelspur-amqp/src/connection/channel_methods.rs
+++ b/crates/hazelspur-amqp/src/connection/channel_methods.rs
@@ -2,7 +2,7 @@
 
 use super::channel::{Channel, ChannelPurpose, ChannelState, QosReason};
 use super::content::{Content, ContentOrigin};
-use super::{Connection, ConnectionHandler, Processed};
+use super::{Connection, ConnectionHandler, ProtocolResult};
 use crate::error::ProtocolError;
 use crate::frame::{self, Frame};
 use crate::method::{BASIC_CLASS, Method};
@@ -33,7 +33,7 @@
         now: Timestamp,
         frame: &Frame<'_>,
         handler: &mut impl ConnectionHandler,
-    ) -> Processed {
+    ) -> ProtocolResult {
         let channel = self.channels.get_mut(&frame.channel).ok_or(ProtocolError::ChannelNotOpen)?;
         let mut arguments = WireReader::new(frame.payload);
         let method = Method::read(&mut arguments)?;
@@ -57,7 +57,7 @@
         number: u16,
         arguments: &mut WireReader<'_>,
         handler: &mut impl ConnectionHandler,
-    ) -> Processed {
+    ) -> ProtocolResult {
         let (reply_code, reply_text) = (arguments.u16()?, arguments.short_string()?);
         frame::put_method(&mut self.output, number, Method::CHANNEL_CLOSE_OK, |_| {});
         self.channels.remove(&number);
@@ -68,7 +68,7 @@
 
 impl Channel {
     /// Handles the methods of the classes `channel` and `confirm`.
-    fn setup_method<H: ConnectionHandler>(&mut self, call: &mut MethodCall<'_, '_, H>) -> Processed {
+    fn setup_method<H: ConnectionHandler>(&mut self, call: &mut MethodCall<'_, '_, H>) -> ProtocolResult {
         match (self.state, call.method) {
             (ChannelState::Opening, Method::CHANNEL_OPEN_OK) => self.on_open_ok(call),
             (ChannelState::Preparing, Method::CONFIRM_SELECT_OK) => {
@@ -80,7 +80,7 @@
         }
     }
 
-    fn basic_method<H: ConnectionHandler>(&mut self, call: &mut MethodCall<'_, '_, H>) -> Processed {
+    fn basic_method<H: ConnectionHandler>(&mut self, call: &mut MethodCall<'_, '_, H>) -> ProtocolResult {
         match (self.state, call.method) {
             (_, Method::BASIC_QOS_OK) => self.on_qos_ok(call),
             (ChannelState::Preparing, Method::BASIC_CONSUME_OK) => self.on_consume_ok(call),
@@ -105,7 +105,7 @@
         call.handler.channel_ready(self.number);
     }
 
-    fn on_open_ok<H: ConnectionHandler>(&mut self, call: &mut MethodCall<'_, '_, H>) -> Processed {
+    fn on_open_ok<H: ConnectionHandler>(&mut self, call: &mut MethodCall<'_, '_, H>) -> ProtocolResult {
         call.arguments.long_string()?;
         self.state = ChannelState::Preparing;
         match self.purpose {
@@ -120,13 +120,13 @@
         Ok(())
     }
 
-    fn on_flow<H>(&mut self, call: &mut MethodCall<'_, '_, H>) -> Processed {
+    fn on_flow<H>(&mut self, call: &mut MethodCall<'_, '_, H>) -> ProtocolResult {
         let active = call.arguments.u8()? & ACTIVE_BIT;
         frame::put_method(call.output, self.number, Method::CHANNEL_FLOW_OK, |out| out.push(active));
         Ok(())
     }
 
-    fn on_qos_ok<H: ConnectionHandler>(&mut self, call: &mut MethodCall<'_, '_, H>) -> Processed {
+    fn on_qos_ok<H: ConnectionHandler>(&mut self, call: &mut MethodCall<'_, '_, H>) -> ProtocolResult {
         match self.pending_qos.pop_front() {
             Some(QosReason::BeforeConsume) => self.send_consume(call.output),
             Some(QosReason::PrefetchChanged) => Ok(()),
@@ -138,7 +138,7 @@
         }
     }
 
-    fn send_consume(&self, output: &mut Vec<u8>) -> Processed {
+    fn send_consume(&self, output: &mut Vec<u8>) -> ProtocolResult {
         let ChannelPurpose::Consume { queue, .. } = &self.purpose else {
             return Err(ProtocolError::UnsolicitedReply);
         };
@@ -154,13 +154,13 @@
         Ok(())
     }
 
-    fn on_consume_ok<H: ConnectionHandler>(&mut self, call: &mut MethodCall<'_, '_, H>) -> Processed {
+    fn on_consume_ok<H: ConnectionHandler>(&mut self, call: &mut MethodCall<'_, '_, H>) -> ProtocolResult {
         let _consumer_tag = call.arguments.short_string()?;
         self.become_ready(call);
         Ok(())
     }
 
-    fn on_deliver<H>(&mut self, call: &mut MethodCall<'_, '_, H>) -> Processed {
+    fn on_deliver<H>(&mut self, call: &mut MethodCall<'_, '_, H>) -> ProtocolResult {
         let _consumer_tag = call.arguments.short_string()?;
         let (tag, redelivered) = (call.arguments.u64()?, call.arguments.u8()? != 0);
         let _exchange = call.arguments.short_string()?;
@@ -177,7 +177,7 @@
         Ok(())
     }
 
-    fn on_return<H>(&mut self, call: &mut MethodCall<'_, '_, H>) -> Processed {
+    fn on_return<H>(&mut self, call: &mut MethodCall<'_, '_, H>) -> ProtocolResult {
         let _reply_code = call.arguments.u16()?;
         let _reply_text = call.arguments.short_string()?;
         let _exchange = call.arguments.short_string()?;
@@ -186,7 +186,7 @@
         Ok(())
     }
 
-    fn on_cancel<H: ConnectionHandler>(&mut self, call: &mut MethodCall<'_, '_, H>) -> Processed {
+    fn on_cancel<H: ConnectionHandler>(&mut self, call: &mut MethodCall<'_, '_, H>) -> ProtocolResult {
         let (consumer_tag, bits) = (call.arguments.short_string()?, call.arguments.u8()?);
         if bits & NO_WAIT_BIT == 0 {
             frame::put_method(call.output, self.number, Method::BASIC_CANCEL_OK, |out| {
@@ -198,7 +198,7 @@
         Ok(())
     }
 
-    fn on_confirm<H: ConnectionHandler>(&mut self, call: &mut MethodCall<'_, '_, H>) -> Processed {
+    fn on_confirm<H: ConnectionHandler>(&mut self, call: &mut MethodCall<'_, '_, H>) -> ProtocolResult {
         let (tag, bits) = (call.arguments.u64()?, call.arguments.u8()?);
         if tag > self.published {
             return Err(ProtocolError::UnknownConfirm);
--- a/crates/hazelspur-amqp/src/connection/commands.rs
+++ b/crates/hazelspur-amqp/src/connection/commands.rs
@@ -68,11 +68,11 @@
     pub fn send_fence(&mut self, number: u16, fence: u64) -> bool {
         let Some(channel) = self.channels.get_mut(&number) else { return false };
         let ChannelPurpose::Consume { prefetch, .. } = channel.purpose else { return false };
-        let possible = channel.can_send_qos();
-        if possible {
+        let can_send = channel.can_send_qos();
+        if can_send {
             channel.send_qos(&mut self.output, prefetch, QosReason::Fence(fence));
         }
-        possible
+        can_send
     }
 
     /// Acknowledges a delivery; returns false, sends nothing and counts it where the tag is not open.
@@ -91,8 +91,8 @@
             return false;
         }
         let channel = self.channels.get_mut(&number);
-        let open = channel.is_some_and(|channel| channel.unsettled.remove(&tag));
-        if !open {
+        let was_unsettled = channel.is_some_and(|channel| channel.unsettled.remove(&tag));
+        if !was_unsettled {
             self.stale_settlements += 1;
             return false;
         }
--- a/crates/hazelspur-amqp/src/connection/content.rs
+++ b/crates/hazelspur-amqp/src/connection/content.rs
@@ -1,7 +1,7 @@
 //! Messages in parts: a `basic.deliver` or `basic.return`, a header frame, body frames.
 
 use super::channel::Channel;
-use super::{ConnectionHandler, IncomingDelivery, Processed};
+use super::{ConnectionHandler, IncomingDelivery, ProtocolResult};
 use crate::error::ProtocolError;
 use crate::method::BASIC_CLASS;
 use crate::properties::Properties;
@@ -25,7 +25,7 @@
 /// A message of which a part is received.
 pub(super) struct Content {
     origin: ContentOrigin,
-    pub(super) began: Timestamp,
+    pub(super) started_at: Timestamp,
     properties: Vec<u8>,
     /// Bytes of the body that are not received yet; `None` until the header is.
     body_bytes_left: Option<u64>,
@@ -37,7 +37,7 @@
     pub(super) fn new(now: Timestamp, origin: ContentOrigin) -> Self {
         Self {
             origin,
-            began: now,
+            started_at: now,
             properties: Vec::new(),
             body_bytes_left: None,
             oversized: false,
@@ -45,7 +45,7 @@
         }
     }
 
-    fn take_header(&mut self, payload: &[u8]) -> Processed {
+    fn receive_header(&mut self, payload: &[u8]) -> ProtocolResult {
         let mut reader = WireReader::new(payload);
         let (class, _weight, body_size) = (reader.u16()?, reader.u16()?, reader.u64()?);
         if class != BASIC_CLASS {
@@ -60,7 +60,7 @@
         Ok(())
     }
 
-    fn take_body(&mut self, payload: &[u8], bytes_left: u64) -> Processed {
+    fn receive_body(&mut self, payload: &[u8], bytes_left: u64) -> ProtocolResult {
         let received = payload.len() as u64;
         if received == 0 || received > bytes_left {
             return Err(ProtocolError::BodySizeMismatch);
@@ -78,26 +78,30 @@
         &mut self,
         payload: &[u8],
         handler: &mut impl ConnectionHandler,
-    ) -> Processed {
+    ) -> ProtocolResult {
         let content = self.content.as_mut().ok_or(ProtocolError::UnexpectedContent)?;
         match content.body_bytes_left {
-            None => content.take_header(payload)?,
+            None => content.receive_header(payload)?,
             Some(_) => return Err(ProtocolError::ContentOutOfOrder),
         }
         self.complete_content(handler)
     }
 
-    pub(super) fn content_body(&mut self, payload: &[u8], handler: &mut impl ConnectionHandler) -> Processed {
+    pub(super) fn content_body(
+        &mut self,
+        payload: &[u8],
+        handler: &mut impl ConnectionHandler,
+    ) -> ProtocolResult {
         let content = self.content.as_mut().ok_or(ProtocolError::UnexpectedContent)?;
         match content.body_bytes_left {
-            Some(bytes_left) => content.take_body(payload, bytes_left)?,
+            Some(bytes_left) => content.receive_body(payload, bytes_left)?,
             None => return Err(ProtocolError::ContentOutOfOrder),
         }
         self.complete_content(handler)
     }
 
     /// Passes the message on once all of it is received.
-    fn complete_content(&mut self, handler: &mut impl ConnectionHandler) -> Processed {
+    fn complete_content(&mut self, handler: &mut impl ConnectionHandler) -> ProtocolResult {
         let Some(content) = self.content.take_if(|content| content.body_bytes_left == Some(0)) else {
             return Ok(());
         };
@@ -113,7 +117,7 @@
                 });
             }
             ContentOrigin::Return => {
-                if let Some(number) = self.returned_number(&content)? {
+                if let Some(number) = self.returned_message_number(&content)? {
                     handler.publish_returned(number);
                 }
             }
@@ -121,7 +125,7 @@
         Ok(())
     }
 
-    fn returned_number(&self, content: &Content) -> Result<Option<u64>, ProtocolError> {
+    fn returned_message_number(&self, content: &Content) -> Result<Option<u64>, ProtocolError> {
         let properties = Properties::read(&content.properties)?;
         let number = properties.header(NUMBER_HEADER).and_then(|value| value.unsigned());
         let is_unconfirmed = |number: &u64| self.unconfirmed.values().any(|other| other == number);
--- a/crates/hazelspur-amqp/src/connection/handshake.rs
+++ b/crates/hazelspur-amqp/src/connection/handshake.rs
@@ -1,6 +1,6 @@
 //! Methods of class `connection`: handshake, tuning, close and `blocked`.
 
-use super::{CONNECTION_CHANNEL, Connection, ConnectionHandler, ConnectionState, Processed};
+use super::{CONNECTION_CHANNEL, Connection, ConnectionHandler, ConnectionState, ProtocolResult};
 use crate::error::{ConnectionEnd, ProtocolError, reply_code};
 use crate::frame::{self, MIN_FRAME_MAX_BYTES};
 use crate::method::Method;
@@ -44,7 +44,7 @@
         &mut self,
         reader: &mut WireReader<'_>,
         handler: &mut impl ConnectionHandler,
-    ) -> Processed {
+    ) -> ProtocolResult {
         let method = Method::read(reader)?;
         match (self.state, method) {
             (ConnectionState::Starting, Method::CONNECTION_START) => self.on_start(reader),
@@ -71,7 +71,7 @@
         }
     }
 
-    fn on_start(&mut self, reader: &mut WireReader<'_>) -> Processed {
+    fn on_start(&mut self, reader: &mut WireReader<'_>) -> ProtocolResult {
         let (major, minor) = (reader.u8()?, reader.u8()?);
         if (major, minor) != (VERSION_MAJOR, VERSION_MINOR) {
             self.finish(ConnectionEnd::VersionMismatch);
@@ -97,7 +97,7 @@
 
     fn sasl_response(&self) -> Vec<u8> {
         match &self.settings.credentials {
-            Some(login) => format!("\0{}\0{}", login.user, login.password).into_bytes(),
+            Some(credentials) => format!("\0{}\0{}", credentials.user, credentials.password).into_bytes(),
             None => Vec::new(),
         }
     }
@@ -118,7 +118,7 @@
         });
     }
 
-    fn on_secure(&mut self, reader: &mut WireReader<'_>) -> Processed {
+    fn on_secure(&mut self, reader: &mut WireReader<'_>) -> ProtocolResult {
         self.challenge_answered = true;
         let _challenge = reader.long_string()?;
         reader.expect_end()?;
@@ -129,7 +129,7 @@
         Ok(())
     }
 
-    fn on_tune(&mut self, reader: &mut WireReader<'_>) -> Processed {
+    fn on_tune(&mut self, reader: &mut WireReader<'_>) -> ProtocolResult {
         let (max_channel, max_frame_bytes, heartbeat_s) = (reader.u16()?, reader.u32()?, reader.u16()?);
         reader.expect_end()?;
         if max_frame_bytes != 0 && max_frame_bytes < MIN_FRAME_MAX_BYTES {
@@ -138,10 +138,10 @@
         if max_channel != 0 && max_channel < self.settings.max_channel {
             return Err(ProtocolError::TooFewChannels);
         }
-        let own_frame_bytes = u64::from(self.settings.max_frame_bytes);
-        let max_frame_bytes = negotiated(u64::from(max_frame_bytes), own_frame_bytes) as u32;
-        let own_heartbeat_s = self.settings.heartbeat.us().div_ceil(US_PER_S);
-        let heartbeat_s = negotiated(u64::from(heartbeat_s), own_heartbeat_s) as u16;
+        let proposed_frame_bytes = u64::from(self.settings.max_frame_bytes);
+        let max_frame_bytes = negotiated(u64::from(max_frame_bytes), proposed_frame_bytes) as u32;
+        let proposed_heartbeat_s = self.settings.heartbeat.us().div_ceil(US_PER_S);
+        let heartbeat_s = negotiated(u64::from(heartbeat_s), proposed_heartbeat_s) as u16;
         self.max_frame_bytes = max_frame_bytes as usize;
         self.heartbeat = Duration::from_ms(u64::from(heartbeat_s) * MS_PER_S);
         frame::put_method(&mut self.output, CONNECTION_CHANNEL, Method::CONNECTION_TUNE_OK, |out| {
@@ -162,14 +162,18 @@
         });
     }
 
-    fn on_open_ok(&mut self, reader: &mut WireReader<'_>, handler: &mut impl ConnectionHandler) -> Processed {
+    fn on_open_ok(
+        &mut self,
+        reader: &mut WireReader<'_>,
+        handler: &mut impl ConnectionHandler,
+    ) -> ProtocolResult {
         let _reserved = reader.short_string()?;
         self.state = ConnectionState::Open;
         handler.connection_open();
         Ok(())
     }
 
-    fn on_close(&mut self, reader: &mut WireReader<'_>) -> Processed {
+    fn on_close(&mut self, reader: &mut WireReader<'_>) -> ProtocolResult {
         let (reply_code, reply_text) = (reader.u16()?, reader.short_string()?);
         self.refused = matches!(reply_code, reply_code::ACCESS_REFUSED | reply_code::NOT_ALLOWED);
         frame::put_method(&mut self.output, CONNECTION_CHANNEL, Method::CONNECTION_CLOSE_OK, |_| {});
--- a/crates/hazelspur-amqp/src/connection/mod.rs
+++ b/crates/hazelspur-amqp/src/connection/mod.rs
@@ -49,7 +49,7 @@
 }
 
 /// Result of processing what the broker sent.
-type Processed = Result<(), ProtocolError>;
+type ProtocolResult = Result<(), ProtocolError>;
 
 /// A connection to a broker.
 pub struct Connection {
@@ -131,14 +131,14 @@
         self.last_received = now;
         self.silence_recheck_at = None;
         let mut input = std::mem::take(&mut self.input);
-        let mut used = 0;
+        let mut consumed_bytes = 0;
         while self.state != ConnectionState::Closed {
             let max_payload_bytes = self.max_frame_bytes - FRAME_OVERHEAD_BYTES;
-            match frame::read_first(&input.unread()[used..], max_payload_bytes) {
+            match frame::read_first(&input.unread()[consumed_bytes..], max_payload_bytes) {
                 Ok(Some(frame)) => {
-                    let processed = self.process_frame(now, &frame, handler);
-                    processed.unwrap_or_else(|error| self.protocol_error(now, error));
-                    used += frame.frame_bytes;
+                    let result = self.process_frame(now, &frame, handler);
+                    result.unwrap_or_else(|error| self.protocol_error(now, error));
+                    consumed_bytes += frame.frame_bytes;
                 }
                 Ok(None) => break,
                 Err(error) => {
@@ -148,7 +148,7 @@
                 }
             }
         }
-        input.consume(used);
+        input.consume(consumed_bytes);
         self.input = input;
     }
 
@@ -208,12 +208,12 @@
         now: Timestamp,
         frame: &Frame<'_>,
         handler: &mut impl ConnectionHandler,
-    ) -> Processed {
-        let on_connection = frame.channel == CONNECTION_CHANNEL;
+    ) -> ProtocolResult {
+        let is_connection_frame = frame.channel == CONNECTION_CHANNEL;
         match frame.kind {
-            FrameKind::Heartbeat if on_connection && frame.payload.is_empty() => Ok(()),
+            FrameKind::Heartbeat if is_connection_frame && frame.payload.is_empty() => Ok(()),
             FrameKind::Heartbeat => Err(ProtocolError::InvalidHeartbeat),
-            FrameKind::Method if on_connection => {
+            FrameKind::Method if is_connection_frame => {
                 self.connection_method(&mut WireReader::new(frame.payload), handler)
             }
             _ if self.state == ConnectionState::Closing => Ok(()),
--- a/crates/hazelspur-amqp/src/connection/timers.rs
+++ b/crates/hazelspur-amqp/src/connection/timers.rs
@@ -14,9 +14,9 @@
 /// Delay before a silence that was found too long is checked again: this process may have been suspended.
 const SILENCE_RECHECK_DELAY: Duration = Duration::from_ms(250);
 /// Time without output after which a heartbeat is sent, in heartbeat intervals.
-const SEND_INTERVALS: f64 = 0.5;
+const HEARTBEAT_SEND_INTERVALS: f64 = 0.5;
 /// Time without input after which the broker is taken for dead, in heartbeat intervals.
-const SILENCE_INTERVALS: f64 = 2.0;
+const MAX_SILENCE_INTERVALS: f64 = 2.0;
 
 impl Connection {
     /// When `tick` has to be called next.
@@ -25,8 +25,8 @@
             return None;
         }
         let heartbeats = self.heartbeat > Duration::ZERO;
-        let send_at = heartbeats.then(|| self.heartbeat_due());
-        let silence_at = heartbeats.then(|| self.silence_recheck_at.unwrap_or(self.silence_limit()));
+        let send_at = heartbeats.then(|| self.next_heartbeat_at());
+        let silence_at = heartbeats.then(|| self.silence_recheck_at.unwrap_or(self.silence_deadline()));
         [self.state_deadline(), send_at, silence_at, self.content_deadline()].into_iter().flatten().min()
     }
 
@@ -58,20 +58,20 @@
     }
 
     fn content_deadline(&self) -> Option<Timestamp> {
-        let contents = self.channels.values().filter_map(|channel| channel.content.as_ref());
-        contents.map(|content| content.began + CONTENT_TIMEOUT).min()
+        let incomplete = self.channels.values().filter_map(|channel| channel.content.as_ref());
+        incomplete.map(|content| content.started_at + CONTENT_TIMEOUT).min()
     }
 
-    fn heartbeat_due(&self) -> Timestamp {
-        self.last_sent + self.heartbeat.scaled(SEND_INTERVALS)
+    fn next_heartbeat_at(&self) -> Timestamp {
+        self.last_sent + self.heartbeat.scaled(HEARTBEAT_SEND_INTERVALS)
     }
 
-    fn silence_limit(&self) -> Timestamp {
-        self.last_received + self.heartbeat.scaled(SILENCE_INTERVALS)
+    fn silence_deadline(&self) -> Timestamp {
+        self.last_received + self.heartbeat.scaled(MAX_SILENCE_INTERVALS)
     }
 
     fn send_heartbeat_if_due(&mut self, now: Timestamp) {
-        if now >= self.heartbeat_due() {
+        if now >= self.next_heartbeat_at() {
             frame::put(&mut self.output, FrameKind::Heartbeat, CONNECTION_CHANNEL, |_| {});
             self.last_sent = now;
         }
@@ -79,7 +79,7 @@
 
     /// Ends the connection at the second check, since input may wait that was received during a suspension.
     fn check_silence(&mut self, now: Timestamp) {
-        if now < self.silence_limit() {
+        if now < self.silence_deadline() {
             return;
         }
         match self.silence_recheck_at {
--- a/crates/hazelspur-amqp/src/frame.rs
+++ b/crates/hazelspur-amqp/src/frame.rs
@@ -79,12 +79,12 @@
 pub fn put(out: &mut Vec<u8>, kind: FrameKind, channel: u16, write: impl FnOnce(&mut Vec<u8>)) {
     out.push(kind as u8);
     out.extend_from_slice(&channel.to_be_bytes());
-    let length_at = out.len();
+    let length_offset = out.len();
     out.extend([0; LENGTH_BYTES]);
-    let payload_at = out.len();
+    let payload_offset = out.len();
     write(out);
-    let length = (out.len() - payload_at) as u32;
-    out[length_at..payload_at].copy_from_slice(&length.to_be_bytes());
+    let length = (out.len() - payload_offset) as u32;
+    out[length_offset..payload_offset].copy_from_slice(&length.to_be_bytes());
     out.push(FRAME_END);
 }
 
--- a/crates/hazelspur-amqp/src/properties.rs
+++ b/crates/hazelspur-amqp/src/properties.rs
@@ -84,7 +84,7 @@
 
     /// Appends the flags and the properties.
     pub fn put(&self, out: &mut Vec<u8>) {
-        let flags_at = out.len();
+        let flags_offset = out.len();
         out.extend([0, 0]);
         let (mut flags, mut bit) = (0u16, FIRST_FLAG);
         let mut flag = |present: bool| {
@@ -112,7 +112,7 @@
             out.extend_from_slice(&timestamp.to_be_bytes());
         }
         short_strings!(self.message_type, self.user_id, self.app_id, self.cluster_id);
-        out[flags_at..flags_at + 2].copy_from_slice(&flags.to_be_bytes());
+        out[flags_offset..flags_offset + 2].copy_from_slice(&flags.to_be_bytes());
     }
 
     /// The first header of this name.
--- a/crates/hazelspur-amqp/src/wire.rs
+++ b/crates/hazelspur-amqp/src/wire.rs
@@ -98,7 +98,7 @@
 /// Writes a short string, truncated to 255 bytes at a character boundary.
 pub fn put_short_string(out: &mut Vec<u8>, text: &str) {
     let max_length = text.len().min(MAX_SHORT_STRING_BYTES);
-    let length = (0..=max_length).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
+    let length = (0..=max_length).rev().find(|index| text.is_char_boundary(*index)).unwrap_or(0);
     out.push(length as u8);
     out.extend_from_slice(&text.as_bytes()[..length]);
 }
--- a/crates/hazelspur-amqp/tests/codec.rs
+++ b/crates/hazelspur-amqp/tests/codec.rs
@@ -8,10 +8,10 @@
 use hazelspur::pcg::Pcg;
 use hazelspur_amqp::frame::{self, FrameKind};
 use hazelspur_amqp::{Connection, FieldValue, Properties, TableWriter, WireReader, table};
-use helpers::{EventLog, at, bytes, feed, settings};
+use helpers::{EventLog, at, encode, feed, settings};
 use proptest::prelude::*;
 
-fn value() -> impl Strategy<Value = AMQPValue> {
+fn field_value() -> impl Strategy<Value = AMQPValue> {
     let leaf = prop_oneof![
         any::<bool>().prop_map(AMQPValue::Boolean),
         any::<i8>().prop_map(AMQPValue::ShortShortInt),
@@ -39,12 +39,12 @@
 }
 
 fn headers() -> impl Strategy<Value = FieldTable> {
-    proptest::collection::btree_map("[a-z]{1,12}".prop_map(ShortString::from), value(), 0..6)
+    proptest::collection::btree_map("[a-z]{1,12}".prop_map(ShortString::from), field_value(), 0..6)
         .prop_map(FieldTable::from)
 }
 
 /// Whether both are the same value, as far as ours decodes it.
-fn same(field: FieldValue<'_>, value: &AMQPValue) -> bool {
+fn is_same_value(field: FieldValue<'_>, value: &AMQPValue) -> bool {
     match (field, value) {
         (FieldValue::Boolean(a), AMQPValue::Boolean(b)) => a == *b,
         (FieldValue::Integer(a), AMQPValue::ShortShortInt(b)) => a == i64::from(*b),
@@ -59,8 +59,9 @@
         (FieldValue::Timestamp(a), AMQPValue::Timestamp(b)) => a == *b,
         (FieldValue::Table(a), AMQPValue::FieldTable(b)) => {
             a.fields().count() == b.inner().len()
-                && b.into_iter()
-                    .all(|(name, value)| a.get(name.as_str()).is_some_and(|field| same(field, value)))
+                && b.into_iter().all(|(name, value)| {
+                    a.get(name.as_str()).is_some_and(|field| is_same_value(field, value))
+                })
         }
         (FieldValue::Undecoded, AMQPValue::DecimalValue(_) | AMQPValue::FieldArray(_) | AMQPValue::Void) => {
             true
@@ -69,7 +70,7 @@
     }
 }
 
-fn short() -> impl Strategy<Value = Option<String>> {
+fn optional_short_string() -> impl Strategy<Value = Option<String>> {
     proptest::option::of("[ -~åäö]{0,60}")
 }
 
@@ -77,64 +78,94 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn frames_of_the_other_codec_are_decoded(
-        headers in proptest::option::of(headers()), id in short(), reply in short(), kind in short(),
-        expiration in short(), timestamp in proptest::option::of(any::<u64>()), mode in proptest::option::of(any::<u8>()),
+    fn header_frames_of_amq_protocol_are_decoded(
+        headers in proptest::option::of(headers()), message_id in optional_short_string(),
+        reply_to in optional_short_string(), message_type in optional_short_string(),
+        expiration in optional_short_string(), timestamp in proptest::option::of(any::<u64>()),
+        delivery_mode in proptest::option::of(any::<u8>()),
     ) {
-        let mut theirs = AMQPProperties::default();
-        if let Some(headers) = &headers { theirs = theirs.with_headers(headers.clone()); }
-        if let Some(id) = &id { theirs = theirs.with_message_id(id.as_str().into()); }
-        if let Some(reply) = &reply { theirs = theirs.with_reply_to(reply.as_str().into()); }
-        if let Some(kind) = &kind { theirs = theirs.with_type(kind.as_str().into()); }
-        if let Some(expiration) = &expiration { theirs = theirs.with_expiration(expiration.as_str().into()); }
-        if let Some(timestamp) = timestamp { theirs = theirs.with_timestamp(timestamp); }
-        if let Some(mode) = mode { theirs = theirs.with_delivery_mode(mode); }
-        let frame = bytes(&AMQPFrame::Header(3, AMQPContentHeader { class_id: 60, body_size: 9, properties: theirs }));
-        let read = frame::read_first(&frame, 1 << 20).unwrap().unwrap();
-        prop_assert_eq!((read.kind, read.channel, read.frame_bytes), (FrameKind::Header, 3, frame.len()));
-        let payload = read.payload;
-        let ours = Properties::read(&payload[12..]).unwrap();
-        prop_assert_eq!(ours.message_id, id.as_deref());
-        prop_assert_eq!(ours.reply_to, reply.as_deref());
-        prop_assert_eq!(ours.message_type, kind.as_deref());
-        prop_assert_eq!(ours.expiration, expiration.as_deref());
-        prop_assert_eq!((ours.timestamp, ours.delivery_mode), (timestamp, mode));
-        let read = headers.map(|headers| same(FieldValue::Table(ours.headers.unwrap()), &AMQPValue::FieldTable(headers)));
-        prop_assert_eq!(read.unwrap_or(true), true);
+        let mut amq_properties = AMQPProperties::default();
+        if let Some(headers) = &headers {
+            amq_properties = amq_properties.with_headers(headers.clone());
+        }
+        if let Some(message_id) = &message_id {
+            amq_properties = amq_properties.with_message_id(message_id.as_str().into());
+        }
+        if let Some(reply_to) = &reply_to {
+            amq_properties = amq_properties.with_reply_to(reply_to.as_str().into());
+        }
+        if let Some(message_type) = &message_type {
+            amq_properties = amq_properties.with_type(message_type.as_str().into());
+        }
+        if let Some(expiration) = &expiration {
+            amq_properties = amq_properties.with_expiration(expiration.as_str().into());
+        }
+        if let Some(timestamp) = timestamp {
+            amq_properties = amq_properties.with_timestamp(timestamp);
+        }
+        if let Some(delivery_mode) = delivery_mode {
+            amq_properties = amq_properties.with_delivery_mode(delivery_mode);
+        }
+        let frame = encode(&AMQPFrame::Header(
+            3,
+            AMQPContentHeader { class_id: 60, body_size: 9, properties: amq_properties },
+        ));
+        let decoded = frame::read_first(&frame, 1 << 20).unwrap().unwrap();
+        prop_assert_eq!(
+            (decoded.kind, decoded.channel, decoded.frame_bytes),
+            (FrameKind::Header, 3, frame.len())
+        );
+        let payload = decoded.payload;
+        let properties = Properties::read(&payload[12..]).unwrap();
+        prop_assert_eq!(properties.message_id, message_id.as_deref());
+        prop_assert_eq!(properties.reply_to, reply_to.as_deref());
+        prop_assert_eq!(properties.message_type, message_type.as_deref());
+        prop_assert_eq!(properties.expiration, expiration.as_deref());
+        prop_assert_eq!((properties.timestamp, properties.delivery_mode), (timestamp, delivery_mode));
+        let same_headers = headers.map(|headers| {
+            is_same_value(FieldValue::Table(properties.headers.unwrap()), &AMQPValue::FieldTable(headers))
+        });
+        prop_assert_eq!(same_headers.unwrap_or(true), true);
         // Encoded again it is the same to the byte.
-        let mut again = Vec::new();
-        ours.put(&mut again);
-        prop_assert_eq!(&again[..], &payload[12..]);
+        let mut reencoded = Vec::new();
+        properties.put(&mut reencoded);
+        prop_assert_eq!(&reencoded[..], &payload[12..]);
     }
 
     #[test]
-    fn the_other_codec_decodes_our_frames(
-        id in short(), to in short(), text in "[ -~]{0,300}", n in any::<i64>(), flag in any::<bool>(), body in any::<Vec<u8>>(),
+    fn amq_protocol_decodes_the_written_frames(
+        message_id in optional_short_string(), reply_to in optional_short_string(),
+        text in "[ -~]{0,300}", n in any::<i64>(), flag in any::<bool>(), body in any::<Vec<u8>>(),
     ) {
         let headers = TableWriter::default().text("t", &text).integer("n", n).boolean("f", flag);
-        let ours = Properties { headers: Some(headers.finish()), message_id: id.as_deref(), reply_to: to.as_deref(), ..Properties::default() };
-        let mut frame = Vec::new();
-        frame::put(&mut frame, FrameKind::Header, 7, |out| {
+        let properties = Properties {
+            headers: Some(headers.finish()),
+            message_id: message_id.as_deref(),
+            reply_to: reply_to.as_deref(),
+            ..Properties::default()
+        };
+        let mut frames = Vec::new();
+        frame::put(&mut frames, FrameKind::Header, 7, |out| {
             out.extend([0, 60, 0, 0]);
             out.extend_from_slice(&(body.len() as u64).to_be_bytes());
-            ours.put(out);
+            properties.put(out);
         });
-        frame::put(&mut frame, FrameKind::Body, 7, |out| out.extend_from_slice(&body));
-        let (rest, header) = parse_frame(&frame[..]).unwrap();
+        frame::put(&mut frames, FrameKind::Body, 7, |out| out.extend_from_slice(&body));
+        let (rest, header) = parse_frame(&frames[..]).unwrap();
         let AMQPFrame::Header(7, header) = header else { panic!("another frame") };
-        let theirs = header.properties.headers().clone().unwrap();
-        prop_assert_eq!(theirs.inner().get("t"), Some(&AMQPValue::LongString(text.into())));
-        prop_assert_eq!(theirs.inner().get("n"), Some(&AMQPValue::LongLongInt(n)));
-        prop_assert_eq!(theirs.inner().get("f"), Some(&AMQPValue::Boolean(flag)));
-        prop_assert_eq!(header.properties.message_id().as_ref().map(|t| t.as_str()), id.as_deref());
-        prop_assert_eq!(header.properties.reply_to().as_ref().map(|t| t.as_str()), to.as_deref());
-        let (rest, part) = parse_frame(rest).unwrap();
-        prop_assert_eq!(part, AMQPFrame::Body(7, body));
+        let decoded_headers = header.properties.headers().clone().unwrap();
+        prop_assert_eq!(decoded_headers.inner().get("t"), Some(&AMQPValue::LongString(text.into())));
+        prop_assert_eq!(decoded_headers.inner().get("n"), Some(&AMQPValue::LongLongInt(n)));
+        prop_assert_eq!(decoded_headers.inner().get("f"), Some(&AMQPValue::Boolean(flag)));
+        prop_assert_eq!(header.properties.message_id().as_ref().map(|t| t.as_str()), message_id.as_deref());
+        prop_assert_eq!(header.properties.reply_to().as_ref().map(|t| t.as_str()), reply_to.as_deref());
+        let (rest, body_frame) = parse_frame(rest).unwrap();
+        prop_assert_eq!(body_frame, AMQPFrame::Body(7, body));
         prop_assert!(rest.is_empty());
     }
 }
 
-fn nested(depth: usize) -> Vec<u8> {
+fn nested_tables(depth: usize) -> Vec<u8> {
     (0..depth).fold(Vec::new(), |inner, _| {
         let mut outer = vec![1, b'a', b'F'];
         outer.extend_from_slice(&(inner.len() as u32).to_be_bytes());
@@ -146,19 +177,19 @@
 #[test]
 fn tables_are_bounded_in_depth_fields_and_length() {
     let read = |fields: &[u8]| {
-        let mut whole = (fields.len() as u32).to_be_bytes().to_vec();
-        whole.extend_from_slice(fields);
-        table::FieldTable::read(&mut WireReader::new(&whole))
+        let mut encoded = (fields.len() as u32).to_be_bytes().to_vec();
+        encoded.extend_from_slice(fields);
+        table::FieldTable::read(&mut WireReader::new(&encoded))
             .map(|table| table.fields().count())
             .map_err(|error| error.to_string())
     };
-    let many: Vec<u8> = (0..=table::MAX_FIELDS).flat_map(|_| [1, b'a', b't', 1]).collect();
-    let seen = format!(
+    let too_many_fields: Vec<u8> = (0..=table::MAX_FIELDS).flat_map(|_| [1, b'a', b't', 1]).collect();
+    let results = format!(
         "{:?}\n{:?}\n{:?}\n{:?}\n{:?}\n{:?}\n{:?}\n",
-        read(&nested(7)),
-        read(&nested(8)),
-        read(&nested(1000)),
-        read(&many),
+        read(&nested_tables(7)),
+        read(&nested_tables(8)),
+        read(&nested_tables(1000)),
+        read(&too_many_fields),
         read(&[1, b'a', b'S', 0xFF, 0xFF, 0xFF, 0xFF]),
         read(&[1, b'a', b'q', 0]),
         table::FieldTable::read(&mut WireReader::new(&[0xFF, 0xFF, 0xFF, 0xFF, 1]))
@@ -173,31 +204,31 @@
         Err("a field of an unknown type")
         Err("too short")
     "#]]
-    .assert_eq(&seen);
+    .assert_eq(&results);
 }
 
 /// A fixed number of inputs from a seed: valid frames with changed, removed and inserted bytes. Nothing panics, the
 /// output is bounded by the input, and a connection that is over stays over.
 #[test]
-fn random_bytes_end_a_connection_and_nothing_else() {
+fn corrupted_input_never_panics_or_amplifies_output() {
     let mut random = Pcg::new(11);
     let valid = handshake_frames();
-    let mut ended = 0;
+    let mut ended_connections = 0;
     for _ in 0..20_000 {
         let mut input: Vec<u8> = valid.iter().flatten().copied().collect();
         for _ in 0..1 + random.draw() % 4 {
-            let at = random.draw() as usize % input.len().max(1);
+            let index = random.draw() as usize % input.len().max(1);
             match random.draw() % 4 {
-                0 if !input.is_empty() => input[at] = random.draw() as u8,
-                1 => input.truncate(at.max(1)),
-                2 if input.len() > 1 => drop(input.remove(at)),
-                _ => input.insert(at, random.draw() as u8),
+                0 if !input.is_empty() => input[index] = random.draw() as u8,
+                1 => input.truncate(index.max(1)),
+                2 if input.len() > 1 => drop(input.remove(index)),
+                _ => input.insert(index, random.draw() as u8),
             }
         }
         let mut connection = Connection::new(settings(), at(0));
         let mut events = EventLog::default();
-        let whole = input.len();
-        feed(&mut connection, &mut events, 1, &input, 1 + random.draw() as usize % whole);
+        let input_bytes = input.len();
+        feed(&mut connection, &mut events, 1, &input, 1 + random.draw() as usize % input_bytes);
         if events.0.contains("open\n") {
             connection.consume(1, "q", 4);
             feed(&mut connection, &mut events, 1, &input, 64);
@@ -206,12 +237,12 @@
         connection.tick(at(40_000));
         connection.tick(at(41_000));
         assert!(
-            connection.take_output(at(41_000)).len() < 8 * 1024 + whole,
+            connection.take_output(at(41_000)).len() < 8 * 1024 + input_bytes,
             "a short input makes a long output"
         );
-        ended += u32::from(connection.end().is_some());
+        ended_connections += u32::from(connection.end().is_some());
     }
-    assert!(ended > 15_000, "{ended} connections ended");
+    assert!(ended_connections > 15_000, "{ended_connections} connections ended");
 }
 
 /// What a broker sends from its first frame to the answer of `connection.open`.
@@ -227,6 +258,6 @@
     };
     let tune = Tune { channel_max: 100, frame_max: 8192, heartbeat: 5 };
     [AMQPMethod::Start(start), AMQPMethod::Tune(tune), AMQPMethod::OpenOk(OpenOk {})]
-        .map(|method| bytes(&AMQPFrame::Method(0, Connection(method))))
+        .map(|method| encode(&AMQPFrame::Method(0, Connection(method))))
         .to_vec()
 }
--- a/crates/hazelspur-amqp/tests/connection.rs
+++ b/crates/hazelspur-amqp/tests/connection.rs
@@ -4,18 +4,18 @@
 
 use amq_protocol::frame::{AMQPContentHeader, AMQPFrame};
 use amq_protocol::protocol::AMQPClass;
-use amq_protocol::protocol::basic::{self, AMQPMethod as Basic, AMQPProperties};
-use amq_protocol::protocol::channel::{self, AMQPMethod as OnChannel};
-use amq_protocol::protocol::confirm::{self, AMQPMethod as Confirm};
-use amq_protocol::protocol::connection::{self, AMQPMethod as OnConnection};
+use amq_protocol::protocol::basic::{self, AMQPMethod as BasicMethod, AMQPProperties};
+use amq_protocol::protocol::channel::{self, AMQPMethod as ChannelMethod};
+use amq_protocol::protocol::confirm::{self, AMQPMethod as ConfirmMethod};
+use amq_protocol::protocol::connection::{self, AMQPMethod as ConnectionMethod};
 use hazelspur_amqp::connection::MAX_BODY_BYTES;
 use hazelspur_amqp::{Connection, ConnectionSettings, OutgoingMessage, Properties};
-use helpers::{EventLog, at, bytes, feed, settings, shown, written};
+use helpers::{EventLog, at, encode, feed, settings, take_frames, transcript_of};
 
 struct BrokerScript {
     connection: Connection,
     events: EventLog,
-    seen: String,
+    transcript: String,
     ms: u64,
 }
 
@@ -24,23 +24,23 @@
         Self {
             connection: Connection::new(settings, at(0)),
             events: EventLog::default(),
-            seen: String::new(),
+            transcript: String::new(),
             ms: 0,
         }
     }
 
     /// Sends these frames to the connection and records its events and its output.
     fn receive(&mut self, frames: &[AMQPFrame]) {
-        let all: Vec<u8> = frames.iter().flat_map(bytes).collect();
-        self.receive_bytes(&all);
+        let input: Vec<u8> = frames.iter().flat_map(encode).collect();
+        self.receive_bytes(&input);
     }
 
-    fn receive_bytes(&mut self, all: &[u8]) {
-        feed(&mut self.connection, &mut self.events, self.ms, all, 7);
-        self.seen += &std::mem::take(&mut self.events.0);
-        self.seen += &shown(&written(&mut self.connection, self.ms));
+    fn receive_bytes(&mut self, input: &[u8]) {
+        feed(&mut self.connection, &mut self.events, self.ms, input, 7);
+        self.transcript += &std::mem::take(&mut self.events.0);
+        self.transcript += &transcript_of(&take_frames(&mut self.connection, self.ms));
         if let Some(end) = self.connection.end() {
-            self.seen += &format!("ended: {end}\n");
+            self.transcript += &format!("ended: {end}\n");
         }
     }
 
@@ -48,51 +48,51 @@
         self.ms = ms;
         self.connection.tick(at(ms));
         let end = self.connection.end().map(ToString::to_string);
-        self.seen += &format!("at {ms}: {end:?}\n");
-        self.seen += &shown(&written(&mut self.connection, ms));
+        self.transcript += &format!("at {ms}: {end:?}\n");
+        self.transcript += &transcript_of(&take_frames(&mut self.connection, ms));
     }
 
     fn open(heartbeat: u16) -> Self {
         let mut script = Self::new(settings());
-        written(&mut script.connection, 0);
+        take_frames(&mut script.connection, 0);
         script.receive(&[start("PLAIN AMQPLAIN")]);
         script.receive(&[tune(8192, heartbeat)]);
-        script.receive(&[on(0, OnConnection::OpenOk(connection::OpenOk {}))]);
+        script.receive(&[connection_frame(0, ConnectionMethod::OpenOk(connection::OpenOk {}))]);
         script
     }
 
     /// Channel 1 consumes, channel 2 publishes.
-    fn consuming() -> Self {
+    fn consuming_and_publishing() -> Self {
         let mut script = Self::open(0);
         script.connection.consume(1, "orders", 3);
         script.connection.open_publishing_channel(2);
-        let open_ok = |n| channel_frame(n, OnChannel::OpenOk(channel::OpenOk {}));
+        let open_ok = |n| channel_frame(n, ChannelMethod::OpenOk(channel::OpenOk {}));
         script.receive(&[open_ok(1), open_ok(2)]);
         script.receive(&[
-            basic_frame(1, Basic::QosOk(basic::QosOk {})),
-            AMQPFrame::Method(2, AMQPClass::Confirm(Confirm::SelectOk(confirm::SelectOk {}))),
+            basic_frame(1, BasicMethod::QosOk(basic::QosOk {})),
+            AMQPFrame::Method(2, AMQPClass::Confirm(ConfirmMethod::SelectOk(confirm::SelectOk {}))),
         ]);
         script.receive(&[basic_frame(
             1,
-            Basic::ConsumeOk(basic::ConsumeOk { consumer_tag: "hazelspur-1".into() }),
+            BasicMethod::ConsumeOk(basic::ConsumeOk { consumer_tag: "hazelspur-1".into() }),
         )]);
         script
     }
 }
 
-fn reply(number: u64, body: &[u8]) -> OutgoingMessage<'_> {
+fn outgoing(number: u64, body: &[u8]) -> OutgoingMessage<'_> {
     OutgoingMessage { number, queue: "answers", properties: Properties::default(), body }
 }
 
-fn on(channel: u16, method: OnConnection) -> AMQPFrame {
+fn connection_frame(channel: u16, method: ConnectionMethod) -> AMQPFrame {
     AMQPFrame::Method(channel, AMQPClass::Connection(method))
 }
 
-fn channel_frame(channel: u16, method: OnChannel) -> AMQPFrame {
+fn channel_frame(channel: u16, method: ChannelMethod) -> AMQPFrame {
     AMQPFrame::Method(channel, AMQPClass::Channel(method))
 }
 
-fn basic_frame(channel: u16, method: Basic) -> AMQPFrame {
+fn basic_frame(channel: u16, method: BasicMethod) -> AMQPFrame {
     AMQPFrame::Method(channel, AMQPClass::Basic(method))
 }
 
@@ -101,14 +101,14 @@
     let (version_major, version_minor) = (0, 9);
     let (mechanisms, locales) = (mechanisms.into(), "en_US".into());
     let start = connection::Start { version_major, version_minor, server_properties, mechanisms, locales };
-    on(0, OnConnection::Start(start))
+    connection_frame(0, ConnectionMethod::Start(start))
 }
 
 fn tune(frame_max: u32, heartbeat: u16) -> AMQPFrame {
-    on(0, OnConnection::Tune(connection::Tune { channel_max: 100, frame_max, heartbeat }))
+    connection_frame(0, ConnectionMethod::Tune(connection::Tune { channel_max: 100, frame_max, heartbeat }))
 }
 
-fn deliver(tag: u64, size: u64) -> Vec<AMQPFrame> {
+fn delivery_start(tag: u64, body_size: u64) -> Vec<AMQPFrame> {
     let deliver = basic::Deliver {
         consumer_tag: "hazelspur-1".into(),
         delivery_tag: tag,
@@ -117,40 +117,43 @@
         routing_key: "orders".into(),
     };
     let properties = AMQPProperties::default().with_message_id(format!("m{tag}").into());
-    let header = AMQPContentHeader { class_id: 60, body_size: size, properties };
-    vec![basic_frame(1, Basic::Deliver(deliver)), AMQPFrame::Header(1, header)]
+    let header = AMQPContentHeader { class_id: 60, body_size, properties };
+    vec![basic_frame(1, BasicMethod::Deliver(deliver)), AMQPFrame::Header(1, header)]
 }
 
-fn message(tag: u64, body: &[u8], part: usize) -> Vec<AMQPFrame> {
-    let mut frames = deliver(tag, body.len() as u64);
-    frames.extend(body.chunks(part).map(|part| AMQPFrame::Body(1, part.to_vec())));
+fn delivery(tag: u64, body: &[u8], frame_bytes: usize) -> Vec<AMQPFrame> {
+    let mut frames = delivery_start(tag, body.len() as u64);
+    frames.extend(body.chunks(frame_bytes).map(|part| AMQPFrame::Body(1, part.to_vec())));
     frames
 }
 
 #[test]
 fn a_connection_opens_consumes_settles_and_closes() {
-    let mut script = BrokerScript::consuming();
-    script.receive(&message(1, b"forty loaves", 5));
-    script.receive(&message(2, b"", 5));
+    let mut script = BrokerScript::consuming_and_publishing();
+    script.receive(&delivery(1, b"forty loaves", 5));
+    script.receive(&delivery(2, b"", 5));
     assert!(
         script.connection.send_fence(1, 77)
             && script.connection.ack(1, 1)
             && script.connection.reject(1, 2, true)
     );
-    script.receive(&[basic_frame(1, Basic::QosOk(basic::QosOk {}))]);
-    let settled =
+    script.receive(&[basic_frame(1, BasicMethod::QosOk(basic::QosOk {}))]);
+    let settled_again =
         format!("again {} other channel {}", script.connection.ack(1, 1), script.connection.ack(2, 2));
     let body = vec![7; 20_000];
-    script.connection.publish(2, &reply(5, &body));
-    script.connection.publish(2, &reply(6, b""));
+    script.connection.publish(2, &outgoing(5, &body));
+    script.connection.publish(2, &outgoing(6, b""));
     let ack = basic::Ack { delivery_tag: 2, multiple: true };
-    script.receive(&[basic_frame(2, Basic::Ack(ack))]);
+    script.receive(&[basic_frame(2, BasicMethod::Ack(ack))]);
     script.connection.cancel_consumer(1);
-    script
-        .receive(&[basic_frame(1, Basic::CancelOk(basic::CancelOk { consumer_tag: "hazelspur-1".into() }))]);
+    script.receive(&[basic_frame(
+        1,
+        BasicMethod::CancelOk(basic::CancelOk { consumer_tag: "hazelspur-1".into() }),
+    )]);
     script.connection.close(at(1));
-    script.receive(&[on(0, OnConnection::CloseOk(connection::CloseOk {}))]);
-    let seen = format!("{}{settled}, stale {}\n", script.seen, script.connection.stale_settlements());
+    script.receive(&[connection_frame(0, ConnectionMethod::CloseOk(connection::CloseOk {}))]);
+    let transcript =
+        format!("{}{settled_again}, stale {}\n", script.transcript, script.connection.stale_settlements());
     expect_test::expect![[r#"
         < 0 Connection(StartOk(StartOk
         < 0 Connection(TuneOk(TuneOk
@@ -183,43 +186,45 @@
         ended: closed
         again false other channel false, stale 2
     "#]]
-    .assert_eq(&seen);
+    .assert_eq(&transcript);
 }
 
 #[test]
-fn each_protocol_error_of_the_broker_is_answered_with_one_close() {
-    let mut seen = String::new();
-    let mut violation = |name: &str, send: &dyn Fn(&mut BrokerScript)| {
-        let mut script = BrokerScript::consuming();
-        script.seen.clear();
+fn each_protocol_error_is_answered_with_one_close() {
+    let mut transcript = String::new();
+    let mut run_case = |name: &str, send: &dyn Fn(&mut BrokerScript)| {
+        let mut script = BrokerScript::consuming_and_publishing();
+        script.transcript.clear();
         send(&mut script);
-        seen += &format!("{name}\n{}", script.seen);
+        transcript += &format!("{name}\n{}", script.transcript);
     };
-    violation("a wrong end octet", &|script| {
-        let mut frame = bytes(&AMQPFrame::Heartbeat);
+    run_case("a wrong frame-end octet", &|script| {
+        let mut frame = encode(&AMQPFrame::Heartbeat);
         *frame.last_mut().expect("an end") = 0;
         script.receive_bytes(&frame);
     });
-    violation("a huge frame", &|script| script.receive_bytes(&[3, 0, 1, 0xFF, 0xFF, 0xFF, 0xFF, 1, 2]));
-    violation("a body that does not end", &|script| {
-        script.receive(&deliver(1, 5));
+    run_case("a frame above the maximum size", &|script| {
+        script.receive_bytes(&[3, 0, 1, 0xFF, 0xFF, 0xFF, 0xFF, 1, 2])
+    });
+    run_case("an empty body frame", &|script| {
+        script.receive(&delivery_start(1, 5));
         script.receive(&[AMQPFrame::Body(1, vec![1; 3]), AMQPFrame::Body(1, vec![])]);
     });
-    violation("a body too long", &|script| {
-        script.receive(&deliver(1, 2));
+    run_case("a body longer than its header says", &|script| {
+        script.receive(&delivery_start(1, 2));
         script.receive(&[AMQPFrame::Body(1, vec![1; 3])]);
     });
-    violation("a tag twice", &|script| {
-        script.receive(&message(1, b"a", 9));
-        script.receive(&message(1, b"a", 9));
+    run_case("a delivery tag twice", &|script| {
+        script.receive(&delivery(1, b"a", 9));
+        script.receive(&delivery(1, b"a", 9));
     });
-    violation("more than was asked for", &|script| {
-        (1..=5).for_each(|tag| script.receive(&message(tag, b"a", 9)))
+    run_case("more deliveries than max_unsettled", &|script| {
+        (1..=5).for_each(|tag| script.receive(&delivery(tag, b"a", 9)))
     });
-    violation("content from nowhere", &|script| script.receive(&[AMQPFrame::Body(1, vec![1])]));
-    violation("a channel that is not open", &|script| {
+    run_case("a body frame without its method", &|script| script.receive(&[AMQPFrame::Body(1, vec![1])]));
+    run_case("a delivery on an unopened channel", &|script| {
         script.receive(
-            &message(1, b"a", 9)
+            &delivery(1, b"a", 9)
                 .iter()
                 .map(|frame| match frame {
                     AMQPFrame::Method(_, class) => AMQPFrame::Method(9, class.clone()),
@@ -228,67 +233,70 @@
                 .collect::<Vec<_>>(),
         )
     });
-    violation("a confirm for nothing", &|script| {
-        script.receive(&[basic_frame(2, Basic::Ack(basic::Ack { delivery_tag: 4, multiple: false }))]);
+    run_case("a confirm of an unpublished message", &|script| {
+        script.receive(&[basic_frame(2, BasicMethod::Ack(basic::Ack { delivery_tag: 4, multiple: false }))]);
     });
-    violation("a second tune", &|script| script.receive(&[tune(8192, 1)]));
+    run_case("a second tune", &|script| script.receive(&[tune(8192, 1)]));
     expect_test::expect![[r#"
-        a wrong end octet
+        a wrong frame-end octet
         < 0 Connection(Close(Close
         ended: fault of the broker: a frame without its end octet
-        a huge frame
+        a frame above the maximum size
         < 0 Connection(Close(Close
         ended: fault of the broker: a frame longer than agreed
-        a body that does not end
+        an empty body frame
         < 0 Connection(Close(Close
         ended: fault of the broker: a body that does not fit its header
-        a body too long
+        a body longer than its header says
         < 0 Connection(Close(Close
         ended: fault of the broker: a body that does not fit its header
-        a tag twice
+        a delivery tag twice
         delivered 1:1 redelivered false key orders id m1 body Some((1, 97))
         < 0 Connection(Close(Close
         ended: fault of the broker: a delivery tag that is in use
-        more than was asked for
+        more deliveries than max_unsettled
         delivered 1:1 redelivered false key orders id m1 body Some((1, 97))
         delivered 1:2 redelivered true key orders id m2 body Some((1, 97))
         delivered 1:3 redelivered true key orders id m3 body Some((1, 97))
         delivered 1:4 redelivered true key orders id m4 body Some((1, 97))
         < 0 Connection(Close(Close
         ended: fault of the broker: more deliveries than were asked for
-        content from nowhere
+        a body frame without its method
         < 0 Connection(Close(Close
         ended: fault of the broker: content that no method announced
-        a channel that is not open
+        a delivery on an unopened channel
         < 0 Connection(Close(Close
         ended: fault of the broker: a channel that is not open
-        a confirm for nothing
+        a confirm of an unpublished message
         < 0 Connection(Close(Close
         ended: fault of the broker: a confirm for what was never published
         a second tune
         < 0 Connection(Close(Close
         ended: fault of the broker: a method that has no place here
     "#]]
-    .assert_eq(&seen);
+    .assert_eq(&transcript);
 }
 
 #[test]
 fn a_channel_error_does_not_end_the_connection() {
-    let mut script = BrokerScript::consuming();
-    script.seen.clear();
+    let mut script = BrokerScript::consuming_and_publishing();
+    script.transcript.clear();
     let (reply_code, reply_text, class_id, method_id) = (404, "no such queue".into(), 60, 20);
     script.receive(&[channel_frame(
         1,
-        OnChannel::Close(channel::Close { reply_code, reply_text, class_id, method_id }),
+        ChannelMethod::Close(channel::Close { reply_code, reply_text, class_id, method_id }),
     )]);
     script.connection.consume(1, "orders", 3);
-    script.receive(&[channel_frame(1, OnChannel::OpenOk(channel::OpenOk {}))]);
-    script.receive(&[on(0, OnConnection::Blocked(connection::Blocked { reason: "memory".into() }))]);
-    script.receive(&[on(0, OnConnection::Unblocked(connection::Unblocked {}))]);
+    script.receive(&[channel_frame(1, ChannelMethod::OpenOk(channel::OpenOk {}))]);
+    script.receive(&[connection_frame(
+        0,
+        ConnectionMethod::Blocked(connection::Blocked { reason: "memory".into() }),
+    )]);
+    script.receive(&[connection_frame(0, ConnectionMethod::Unblocked(connection::Unblocked {}))]);
     let reply_text = "shutting down".into();
-    script.receive(&[on(
+    script.receive(&[connection_frame(
         0,
-        OnConnection::Close(connection::Close { reply_code: 320, reply_text, class_id, method_id }),
+        ConnectionMethod::Close(connection::Close { reply_code: 320, reply_text, class_id, method_id }),
     )]);
     expect_test::expect![[r#"
         channel 1 closed 404 no such queue
@@ -300,29 +308,29 @@
         < 0 Connection(CloseOk(CloseOk))
         ended: closed by the broker: 320 shutting down
     "#]]
-    .assert_eq(&script.seen);
+    .assert_eq(&script.transcript);
 }
 
 #[test]
-fn an_oversized_body_is_counted_and_not_kept() {
-    let mut script = BrokerScript::consuming();
-    script.seen.clear();
+fn an_oversized_body_is_delivered_as_none() {
+    let mut script = BrokerScript::consuming_and_publishing();
+    script.transcript.clear();
     let body = vec![1; MAX_BODY_BYTES + 1];
-    let frames = message(1, &body, 8000);
-    let all: Vec<u8> = frames.iter().flat_map(bytes).collect();
-    feed(&mut script.connection, &mut script.events, 0, &all, 4096);
-    script.receive(&message(2, b"a", 9));
+    let frames = delivery(1, &body, 8000);
+    let input: Vec<u8> = frames.iter().flat_map(encode).collect();
+    feed(&mut script.connection, &mut script.events, 0, &input, 4096);
+    script.receive(&delivery(2, b"a", 9));
     expect_test::expect![[r#"
         delivered 1:1 redelivered false key orders id m1 body None
         delivered 1:2 redelivered true key orders id m2 body Some((1, 97))
     "#]]
-    .assert_eq(&script.seen);
+    .assert_eq(&script.transcript);
 }
 
 #[test]
-fn silence_is_answered_with_heartbeats_and_ends_the_connection_at_the_second_check() {
+fn silence_ends_the_connection_at_the_second_check() {
     let mut script = BrokerScript::open(2);
-    script.seen.clear();
+    script.transcript.clear();
     script.tick(500);
     script.tick(1000);
     // After a suspension of the process, input that waits is read before the connection is given up.
@@ -344,38 +352,43 @@
         at 13700: None
         at 13800: Some("no heartbeat")
     "#]]
-    .assert_eq(&script.seen);
+    .assert_eq(&script.transcript);
 }
 
 #[test]
-fn a_handshake_without_success_ends_in_time_with_a_reason() {
-    let mut seen = String::new();
+fn a_failed_handshake_ends_in_time_with_a_reason() {
+    let mut transcript = String::new();
     let mut handshake = |name: &str, settings: ConnectionSettings, frames: &[AMQPFrame]| {
         let mut script = BrokerScript::new(settings);
-        written(&mut script.connection, 0);
+        take_frames(&mut script.connection, 0);
         frames.iter().for_each(|frame| script.receive(std::slice::from_ref(frame)));
         script.tick(10_000);
         script.tick(12_000);
-        seen += &format!("{name}, refused {}\n{}", script.connection.was_refused(), script.seen);
+        transcript += &format!("{name}, refused {}\n{}", script.connection.was_refused(), script.transcript);
     };
     let external = ConnectionSettings { credentials: None, ..settings() };
-    handshake("silence", settings(), &[]);
-    handshake("another mechanism", external.clone(), &[start("PLAIN")]);
-    handshake("small frames", external, &[start("EXTERNAL"), tune(1000, 0)]);
+    handshake("no start method", settings(), &[]);
+    handshake("mechanism not offered", external.clone(), &[start("PLAIN")]);
+    handshake("frame-max below the minimum", external, &[start("EXTERNAL"), tune(1000, 0)]);
     let (reply_text, class_id, method_id) = ("ACCESS_REFUSED".into(), 10, 11);
     let close = connection::Close { reply_code: 403, reply_text, class_id, method_id };
-    handshake("wrong password", settings(), &[start("PLAIN"), on(0, OnConnection::Close(close))]);
-    let secure = || on(0, OnConnection::Secure(connection::Secure { challenge: "who".into() }));
+    handshake(
+        "wrong password",
+        settings(),
+        &[start("PLAIN"), connection_frame(0, ConnectionMethod::Close(close))],
+    );
+    let secure =
+        || connection_frame(0, ConnectionMethod::Secure(connection::Secure { challenge: "who".into() }));
     handshake("two challenges", settings(), &[start("PLAIN"), secure(), secure()]);
     expect_test::expect![[r#"
-        silence, refused false
+        no start method, refused false
         at 10000: Some("no answer in time")
         at 12000: Some("no answer in time")
-        another mechanism, refused true
+        mechanism not offered, refused true
         ended: the broker does not offer EXTERNAL
         at 10000: Some("the broker does not offer EXTERNAL")
         at 12000: Some("the broker does not offer EXTERNAL")
-        small frames, refused false
+        frame-max below the minimum, refused false
         < 0 Connection(StartOk(StartOk
         < 0 Connection(Close(Close
         ended: fault of the broker: frames smaller than the specification allows
@@ -395,5 +408,5 @@
         at 10000: Some("fault of the broker: a method that has no place here")
         at 12000: Some("fault of the broker: a method that has no place here")
     "#]]
-    .assert_eq(&seen);
+    .assert_eq(&transcript);
 }
--- a/crates/hazelspur-amqp/tests/helpers/mod.rs
+++ b/crates/hazelspur-amqp/tests/helpers/mod.rs
@@ -11,7 +11,7 @@
     Timestamp::from_us(1_000_000_000 + ms * 1000)
 }
 
-pub(crate) fn bytes(frame: &AMQPFrame) -> Vec<u8> {
+pub(crate) fn encode(frame: &AMQPFrame) -> Vec<u8> {
     gen_frame(frame)(Vec::new().into()).expect("a frame that can be written").into_inner().0
 }
 
@@ -31,7 +31,7 @@
 pub(crate) struct EventLog(pub String);
 
 impl EventLog {
-    fn note(&mut self, line: String) {
+    fn record(&mut self, line: String) {
         self.0 += &line;
         self.0.push('\n');
     }
@@ -39,10 +39,10 @@
 
 impl ConnectionHandler for EventLog {
     fn connection_open(&mut self) {
-        self.note("open".into());
+        self.record("open".into());
     }
     fn channel_ready(&mut self, channel: u16) {
-        self.note(format!("ready {channel}"));
+        self.record(format!("ready {channel}"));
     }
     fn delivered(&mut self, delivery: &IncomingDelivery<'_>) {
         let IncomingDelivery { channel, tag, redelivered, routing_key, .. } = delivery;
@@ -50,59 +50,65 @@
         let id = properties.and_then(|properties| properties.message_id).unwrap_or("none");
         let checksum = |body: &[u8]| body.iter().map(|b| u64::from(*b)).sum::<u64>();
         let body = delivery.body.map(|body| (body.len(), checksum(body)));
-        self.note(format!(
+        self.record(format!(
             "delivered {channel}:{tag} redelivered {redelivered} key {routing_key} id {id} body {body:?}"
         ));
     }
     fn fence_answered(&mut self, channel: u16, fence: u64) {
-        self.note(format!("fence answered {channel} {fence}"));
+        self.record(format!("fence answered {channel} {fence}"));
     }
     fn publish_confirmed(&mut self, number: u64, accepted: bool) {
-        self.note(format!("confirmed {number} {accepted}"));
+        self.record(format!("confirmed {number} {accepted}"));
     }
     fn publish_returned(&mut self, number: u64) {
-        self.note(format!("returned {number}"));
+        self.record(format!("returned {number}"));
     }
     fn consumer_cancelled(&mut self, channel: u16) {
-        self.note(format!("cancelled {channel}"));
+        self.record(format!("cancelled {channel}"));
     }
     fn channel_closed(&mut self, channel: u16, reply_code: u16, reply_text: &str) {
-        self.note(format!("channel {channel} closed {reply_code} {reply_text}"));
+        self.record(format!("channel {channel} closed {reply_code} {reply_text}"));
     }
     fn publishers_blocked(&mut self, reason: Option<&str>) {
-        self.note(format!("blocked {reason:?}"));
+        self.record(format!("blocked {reason:?}"));
     }
 }
 
 /// Passes bytes to the connection in parts of this size.
-pub(crate) fn feed(connection: &mut Connection, events: &mut EventLog, ms: u64, bytes: &[u8], part: usize) {
-    for part in bytes.chunks(part.max(1)) {
-        connection.input_buffer().extend_from_slice(part);
+pub(crate) fn feed(
+    connection: &mut Connection,
+    events: &mut EventLog,
+    ms: u64,
+    bytes: &[u8],
+    chunk_bytes: usize,
+) {
+    for chunk in bytes.chunks(chunk_bytes.max(1)) {
+        connection.input_buffer().extend_from_slice(chunk);
         connection.process_input(at(ms), events);
     }
 }
 
 /// All frames that the session wants to write, as the other codec reads them: `channel name`, a line each.
-pub(crate) fn written(connection: &mut Connection, ms: u64) -> Vec<AMQPFrame> {
-    let out = connection.take_output(at(ms));
-    let (mut rest, mut frames) = (&out[..], Vec::new());
+pub(crate) fn take_frames(connection: &mut Connection, ms: u64) -> Vec<AMQPFrame> {
+    let output = connection.take_output(at(ms));
+    let (mut rest, mut frames) = (&output[..], Vec::new());
     while !rest.is_empty() {
-        let (left, frame) = amq_protocol::frame::parse_frame(rest).expect("the other codec reads it");
-        rest = left;
+        let (remaining, frame) = amq_protocol::frame::parse_frame(rest).expect("the other codec reads it");
+        rest = remaining;
         frames.push(frame);
     }
     frames
 }
 
-pub(crate) fn shown(frames: &[AMQPFrame]) -> String {
-    let name = |frame: &AMQPFrame| match frame {
+pub(crate) fn transcript_of(frames: &[AMQPFrame]) -> String {
+    let line = |frame: &AMQPFrame| match frame {
         AMQPFrame::Method(channel, class) => {
-            let text = format!("{class:?}");
-            format!("< {channel} {}\n", text.split([' ', '{']).next().unwrap_or_default())
+            let debug = format!("{class:?}");
+            format!("< {channel} {}\n", debug.split([' ', '{']).next().unwrap_or_default())
         }
         AMQPFrame::Header(channel, header) => format!("< {channel} header {}\n", header.body_size),
         AMQPFrame::Body(channel, part) => format!("< {channel} body {}\n", part.len()),
         other => format!("< {other:?}\n"),
     };
-    frames.iter().map(name).collect()
+    frames.iter().map(line).collect()
 }
