--- a/crates/hazelspur-amqp/benches/frames.rs
+++ b/crates/hazelspur-amqp/benches/frames.rs
@@ -1,4 +1,5 @@
-//! How fast a connection decodes and settles deliveries, without sockets: `cargo bench -p hazelspur-amqp`.
+//! Benchmark of decoding and acknowledging deliveries in a `Connection`, without sockets. Run it with
+//! `cargo bench -p hazelspur-amqp`.
 
 use criterion::{Criterion, Throughput, criterion_main};
 use hazelspur::{Duration, Timestamp};
@@ -9,7 +10,7 @@
 };
 use std::hint::black_box;
 
-/// Tag of the last delivery.
+/// Handler that decodes the properties of each delivery and keeps its tag.
 struct LastTag(u64);
 
 impl ConnectionHandler for LastTag {
@@ -31,7 +32,7 @@
     Timestamp::from_us(1)
 }
 
-/// A connection that consumes on channel 1.
+/// Returns an open connection that consumes on channel 1.
 fn open_connection() -> Connection {
     let settings = ConnectionSettings {
         credentials: None,
@@ -61,6 +62,8 @@
     connection
 }
 
+/// Returns the encoded frames of `count` deliveries on channel 1: a method, a content header and a body frame
+/// each.
 fn encoded_deliveries(first_tag: u64, count: u64, body_bytes: usize) -> Vec<u8> {
     let mut out = Vec::new();
     for tag in first_tag..first_tag + count {
@@ -82,6 +85,7 @@
     out
 }
 
+/// Measures batches of 100 deliveries, which are 300 frames.
 fn decode_and_settle(criterion: &mut Criterion) {
     for body_bytes in [100, 2000] {
         let mut group = criterion.benchmark_group(format!("{body_bytes} byte bodies"));
@@ -108,7 +112,7 @@
     }
 }
 
-/// All benchmarks of this file.
+/// Runs all benchmarks of this file.
 fn benches() {
     decode_and_settle(&mut Criterion::default().configure_from_args());
 }
--- a/crates/hazelspur-amqp/src/connection/channel_methods.rs
+++ b/crates/hazelspur-amqp/src/connection/channel_methods.rs
@@ -1,4 +1,4 @@
-//! Methods of the classes `channel`, `basic` and `confirm` that a broker sends, one function each.
+//! Handling of the methods of the classes `channel`, `basic` and `confirm` that a broker sends.
 
 use super::channel::{Channel, ChannelPurpose, ChannelState, QosReason};
 use super::content::{Content, ContentOrigin};
@@ -17,11 +17,13 @@
 /// Bit `active` of `channel.flow`.
 const ACTIVE_BIT: u8 = 1;
 
-/// A method and what its handling needs.
+/// A received method with the values and references that its handling needs.
 struct MethodCall<'c, 'a, H> {
     now: Timestamp,
     method: Method,
+    /// Arguments that have not been read yet.
     arguments: WireReader<'a>,
+    /// Maximum number of unsettled deliveries on the channel.
     max_unsettled: usize,
     output: &'c mut Vec<u8>,
     handler: &'c mut H,
@@ -84,7 +86,7 @@
         match (self.state, call.method) {
             (_, Method::BASIC_QOS_OK) => self.on_qos_ok(call),
             (ChannelState::Preparing, Method::BASIC_CONSUME_OK) => self.on_consume_ok(call),
-            // Some brokers deliver before they confirm the consumer.
+            // Some brokers send deliveries before `basic.consume-ok`.
             (
                 ChannelState::Preparing | ChannelState::Ready | ChannelState::Cancelled,
                 Method::BASIC_DELIVER,
@@ -147,7 +149,7 @@
             out.extend([0, 0]);
             put_short_string(out, queue);
             put_short_string(out, &self.consumer_tag());
-            // No flags: no-local, no-ack, exclusive, no-wait.
+            // The bits `no-local`, `no-ack`, `exclusive` and `no-wait` are not set.
             out.push(0);
             TableWriter::default().finish().put(out);
         });
--- a/crates/hazelspur-amqp/src/connection/commands.rs
+++ b/crates/hazelspur-amqp/src/connection/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of the caller: consume, settle, publish.
+//! Commands of the caller: open channels, consume, change the prefetch count, settle deliveries and publish.
 
 use super::channel::{Channel, ChannelPurpose, ChannelState, QosReason};
 use super::content::NUMBER_HEADER;
@@ -9,33 +9,35 @@
 use crate::table::TableWriter;
 use crate::wire::put_short_string;
 
-/// The exchange that routes a message to the queue named by the routing key.
+/// Default exchange, which routes a message to the queue named by its routing key.
 const DEFAULT_EXCHANGE: &str = "";
 /// Bit `mandatory` of `basic.publish`: a message that reaches no queue is returned.
 const MANDATORY_BIT: u8 = 1;
-/// Weight in a content header; unused.
+/// Field `weight` in a content header; unused, must be zero.
 const CONTENT_WEIGHT: u16 = 0;
 
 /// A message to publish.
 #[derive(Clone, Copy, Debug)]
 pub struct OutgoingMessage<'a> {
-    /// The caller's number, which the confirm names.
+    /// Number chosen by the caller, under which the confirm and the return of the message are reported.
     pub number: u64,
-    /// Queue to publish to, by the default exchange.
+    /// Name of the queue to publish to through the default exchange.
     pub queue: &'a str,
-    /// Its properties.
+    /// Message properties. A header `x-hazelspur-number` is replaced by `number`.
     pub properties: Properties<'a>,
-    /// Its body.
+    /// Message body.
     pub body: &'a [u8],
 }
 
 impl Connection {
-    /// Opens a channel that consumes this queue with at most `prefetch` unsettled deliveries.
+    /// Opens a channel that consumes `queue` with at most `prefetch` unsettled deliveries. Does nothing if
+    /// the connection is not open or the channel number is in use.
     pub fn consume(&mut self, channel: u16, queue: &str, prefetch: u16) {
         self.open_channel(channel, ChannelPurpose::Consume { queue: queue.into(), prefetch });
     }
 
-    /// Opens the channel for `publish`.
+    /// Opens a channel for `publish`, in confirm mode. Does nothing if the connection is not open or the
+    /// channel number is in use.
     pub fn open_publishing_channel(&mut self, channel: u16) {
         self.open_channel(channel, ChannelPurpose::Publish);
     }
@@ -49,7 +51,8 @@
         self.channels.insert(number, Channel::opening(number, purpose));
     }
 
-    /// Changes the maximum number of unsettled deliveries of a consumer.
+    /// Changes the maximum number of unsettled deliveries of a consumer. Does nothing if the channel is not
+    /// ready or has too many unanswered `basic.qos` methods.
     pub fn set_prefetch(&mut self, number: u16, prefetch: u16) {
         if let Some(channel) = self.channels.get_mut(&number)
             && channel.state == ChannelState::Ready
@@ -62,9 +65,11 @@
         }
     }
 
-    /// Sends a method whose answer shows that the broker has read everything sent before on this channel; returns
-    /// false where the channel cannot. A `basic.qos` that changes nothing serves, since the methods of a channel
-    /// are processed in order (specification 4.7).
+    /// Sends a method whose answer shows that the broker has read everything sent before on this channel; the
+    /// answer is reported with the number `fence`. The method is a `basic.qos` that repeats the prefetch
+    /// count, since the methods of a channel are processed in order (specification 4.7). Returns false,
+    /// without sending, if the channel does not exist, does not consume or has too many unanswered
+    /// `basic.qos` methods.
     pub fn send_fence(&mut self, number: u16, fence: u64) -> bool {
         let Some(channel) = self.channels.get_mut(&number) else { return false };
         let ChannelPurpose::Consume { prefetch, .. } = channel.purpose else { return false };
@@ -75,17 +80,20 @@
         can_send
     }
 
-    /// Acknowledges a delivery; returns false, sends nothing and counts it where the tag is not open.
+    /// Acknowledges a delivery. Returns false, without sending, if the connection is not open or the tag is
+    /// not that of an unsettled delivery on the channel; the latter is counted in `stale_settlements`.
     pub fn ack(&mut self, channel: u16, tag: u64) -> bool {
         self.settle(channel, tag, Method::BASIC_ACK, 0)
     }
 
-    /// Rejects a delivery, with or without requeue; returns false as `ack` does.
+    /// Rejects a delivery; the broker puts the message back into its queue if `requeue` is set. Returns false
+    /// in the same cases as `ack`.
     pub fn reject(&mut self, channel: u16, tag: u64, requeue: bool) -> bool {
         self.settle(channel, tag, Method::BASIC_REJECT, u8::from(requeue))
     }
 
-    /// After a close nothing can be settled, so a tag that is not sent then is not counted as stale.
+    /// Sends a settlement. Once the connection is closing nothing can be settled, so a settlement that is
+    /// then dropped is not counted as stale.
     fn settle(&mut self, number: u16, tag: u64, method: Method, bits: u8) -> bool {
         if self.state != ConnectionState::Open {
             return false;
@@ -103,7 +111,8 @@
         true
     }
 
-    /// Publishes a message; returns false where the channel is not ready or the properties exceed a frame.
+    /// Publishes a message. Returns false, without sending, if the connection is not open, the channel is not
+    /// ready or the properties do not fit in one frame.
     pub fn publish(&mut self, channel: u16, message: &OutgoingMessage<'_>) -> bool {
         let max_payload_bytes = self.max_frame_bytes - FRAME_OVERHEAD_BYTES;
         let is_open = self.state == ConnectionState::Open;
@@ -132,7 +141,7 @@
         true
     }
 
-    /// Consumes again on a channel whose consumer was cancelled.
+    /// Starts a new consumer on a channel whose consumer was cancelled.
     pub fn resume_consumer(&mut self, number: u16) {
         if let Some(channel) = self.channels.get_mut(&number)
             && channel.state == ChannelState::Cancelled
@@ -143,7 +152,7 @@
         }
     }
 
-    /// Cancels a consumer; its deliveries can still be settled.
+    /// Cancels the consumer of a channel. Its deliveries can still be settled.
     pub fn cancel_consumer(&mut self, number: u16) {
         if let Some(channel) = self.channels.get_mut(&number)
             && matches!(channel.state, ChannelState::Preparing | ChannelState::Ready)
@@ -152,13 +161,14 @@
             let consumer_tag = channel.consumer_tag();
             frame::put_method(&mut self.output, number, Method::BASIC_CANCEL, |out| {
                 put_short_string(out, &consumer_tag);
-                // No flags: no-wait.
+                // Bit `no-wait` is not set.
                 out.push(0);
             });
         }
     }
 }
 
+/// Returns the payload of the content header frame, with the caller's number added to the headers.
 fn content_header(message: &OutgoingMessage<'_>) -> Vec<u8> {
     let headers = TableWriter::default()
         .fields_except(message.properties.headers.unwrap_or_default(), &[NUMBER_HEADER])
--- a/crates/hazelspur-amqp/src/connection/content.rs
+++ b/crates/hazelspur-amqp/src/connection/content.rs
@@ -1,4 +1,5 @@
-//! Messages in parts: a `basic.deliver` or `basic.return`, a header frame, body frames.
+//! Assembly of received messages. Each consists of a `basic.deliver` or `basic.return` method, a content
+//! header frame and body frames; a complete one is passed to the `ConnectionHandler`.
 
 use super::channel::Channel;
 use super::{ConnectionHandler, IncomingDelivery, ProtocolResult};
@@ -8,27 +9,33 @@
 use crate::wire::WireReader;
 use hazelspur::Timestamp;
 
-/// Largest body that is kept; the bytes of a larger one are counted and dropped.
+/// Maximum size of a body that is kept, in bytes. The bytes of a larger body are counted and dropped.
 pub const MAX_BODY_BYTES: usize = 256 * 1024;
-/// Memory that a body may reserve before its bytes are received.
+/// Maximum memory reserved for a body before its bytes are received, so that a content header with a false
+/// size costs little.
 const MAX_RESERVED_BODY_BYTES: usize = 16 * 1024;
-/// Header of a published message with the caller's number, by which a returned message is identified.
+/// Header of a published message that holds the caller's number, by which a returned message is identified.
 pub(super) const NUMBER_HEADER: &str = "x-hazelspur-number";
 
-/// What announced a message.
+/// Method that announced a message, with the arguments that are kept.
 #[derive(Clone, Debug)]
 pub(super) enum ContentOrigin {
+    /// `basic.deliver`.
     Delivery { tag: u64, redelivered: bool, routing_key: String },
+    /// `basic.return`.
     Return,
 }
 
-/// A message of which a part is received.
+/// A message that is being received.
 pub(super) struct Content {
     origin: ContentOrigin,
+    /// Time at which the method was received.
     pub(super) started_at: Timestamp,
+    /// Encoded properties; empty until the content header is received.
     properties: Vec<u8>,
-    /// Bytes of the body that are not received yet; `None` until the header is.
+    /// Number of body bytes not received yet; `None` until the content header is received.
     body_bytes_left: Option<u64>,
+    /// Whether the body is larger than `MAX_BODY_BYTES`; its bytes are then not kept.
     oversized: bool,
     body: Vec<u8>,
 }
@@ -100,7 +107,7 @@
         self.complete_content(handler)
     }
 
-    /// Passes the message on once all of it is received.
+    /// Passes the message to `handler` if it is complete.
     fn complete_content(&mut self, handler: &mut impl ConnectionHandler) -> ProtocolResult {
         let Some(content) = self.content.take_if(|content| content.body_bytes_left == Some(0)) else {
             return Ok(());
@@ -125,6 +132,8 @@
         Ok(())
     }
 
+    /// Returns the caller's number of a returned message; `None` if the header is missing or names no
+    /// unconfirmed message.
     fn returned_message_number(&self, content: &Content) -> Result<Option<u64>, ProtocolError> {
         let properties = Properties::read(&content.properties)?;
         let number = properties.header(NUMBER_HEADER).and_then(|value| value.unsigned());
--- a/crates/hazelspur-amqp/src/connection/handshake.rs
+++ b/crates/hazelspur-amqp/src/connection/handshake.rs
@@ -1,4 +1,5 @@
-//! Methods of class `connection`: handshake, tuning, close and `blocked`.
+//! Methods of class `connection` that a broker sends: the handshake (start, secure, tune, open-ok), close,
+//! close-ok, blocked and unblocked.
 
 use super::{CONNECTION_CHANNEL, Connection, ConnectionHandler, ConnectionState, ProtocolResult};
 use crate::error::{ConnectionEnd, ProtocolError, reply_code};
@@ -8,33 +9,33 @@
 use crate::wire::{WireReader, put_long_string, put_short_string};
 use hazelspur::Duration;
 
-/// Major version of the protocol.
+/// Major version in `connection.start`.
 const VERSION_MAJOR: u8 = 0;
-/// Minor version of the protocol.
+/// Minor version in `connection.start`; the revision 1 of 0-9-1 is not sent.
 const VERSION_MINOR: u8 = 9;
-/// SASL mechanism with user and password.
+/// SASL mechanism that authenticates with user name and password.
 const MECHANISM_PLAIN: &str = "PLAIN";
-/// SASL mechanism for a client that the transport authenticates.
+/// SASL mechanism for a client that the transport has authenticated.
 const MECHANISM_EXTERNAL: &str = "EXTERNAL";
 /// Locale of reply texts.
 const LOCALE: &str = "en_US";
-/// Product name shown by the broker.
+/// Value of the client property `product`.
 const PRODUCT: &str = "hazelspur";
-/// Client property: name of the product.
+/// Client property with the name of the product, which the broker shows to its operators.
 const PRODUCT_PROPERTY: &str = "product";
-/// Client property: name of the connection that the broker shows.
+/// Client property with the connection name, which the broker shows to its operators.
 const CONNECTION_NAME_PROPERTY: &str = "connection_name";
-/// Client property: extensions that the client supports.
+/// Client property with a table of the protocol extensions that the client supports.
 const CAPABILITIES_PROPERTY: &str = "capabilities";
-/// The extensions that this client supports.
+/// Protocol extensions that this client supports.
 const CAPABILITIES: [&str; 4] =
     ["basic.nack", "connection.blocked", "consumer_cancel_notify", "publisher_confirms"];
-/// Microseconds of a second.
+/// Microseconds in a second.
 const US_PER_S: u64 = 1_000_000;
-/// Milliseconds of a second.
+/// Milliseconds in a second.
 const MS_PER_S: u64 = 1000;
 
-/// The smaller of two limits, where zero means no limit.
+/// Returns the smaller of two proposed limits, where zero means no limit.
 fn negotiated(a: u64, b: u64) -> u64 {
     if a == 0 || b == 0 { a.max(b) } else { a.min(b) }
 }
@@ -95,6 +96,8 @@
         Ok(())
     }
 
+    /// Returns the SASL response: for PLAIN an empty authorization identity, the user name and the password,
+    /// each of the latter two after a zero byte; for EXTERNAL nothing.
     fn sasl_response(&self) -> Vec<u8> {
         match &self.settings.credentials {
             Some(credentials) => format!("\0{}\0{}", credentials.user, credentials.password).into_bytes(),
@@ -157,7 +160,7 @@
     fn send_open(&mut self) {
         frame::put_method(&mut self.output, CONNECTION_CHANNEL, Method::CONNECTION_OPEN, |out| {
             put_short_string(out, &self.settings.virtual_host);
-            // Two reserved arguments: an empty string and a bit.
+            // Reserved arguments: an empty short string and a bit.
             out.extend([0, 0]);
         });
     }
--- a/crates/hazelspur-amqp/src/connection/mod.rs
+++ b/crates/hazelspur-amqp/src/connection/mod.rs
@@ -1,9 +1,10 @@
-//! One connection to a broker as a state machine: bytes, times and commands in; bytes and events out.
+//! State machine of one connection to a broker. Inputs are received bytes, the current time and the caller's
+//! commands; outputs are bytes to send and calls of a `ConnectionHandler`.
 //!
-//! A connection never reconnects: once over it stays over, so a delivery tag cannot be mistaken for one of a later
-//! connection. Each queue is consumed on its own channel, so a channel error affects that queue only. Messages
-//! are published on a channel in confirm mode. A protocol error of the broker ends the connection with one
-//! `connection.close`.
+//! A connection never reconnects: once closed it stays closed, so a delivery tag cannot be mistaken for one
+//! of a later connection. Each queue is consumed on its own channel, so a channel error affects that queue
+//! only. Messages are published on a channel in confirm mode. A protocol error of the broker ends the
+//! connection with one `connection.close`.
 
 mod channel;
 mod channel_methods;
@@ -34,37 +35,43 @@
 /// State of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// The protocol header is sent.
+    /// The protocol header is sent; `connection.start` is awaited.
     Starting,
-    /// `connection.start-ok` is sent.
+    /// `connection.start-ok` is sent; `connection.tune` is awaited.
     Tuning,
-    /// `connection.open` is sent.
+    /// `connection.tune-ok` and `connection.open` are sent; `connection.open-ok` is awaited.
     Opening,
-    /// Channels can be opened.
+    /// The handshake is complete; channels can be opened.
     Open,
-    /// `connection.close` is sent.
+    /// `connection.close` is sent; `connection.close-ok` is awaited.
     Closing,
-    /// Nothing more is sent or processed.
+    /// Final state: the remaining output can be taken, but nothing more is produced or processed.
     Closed,
 }
 
-/// Result of processing what the broker sent.
+/// Result of processing a frame or a method; an error closes the connection.
 type ProtocolResult = Result<(), ProtocolError>;
 
-/// A connection to a broker.
+/// Client side of a connection to a broker.
 pub struct Connection {
     settings: ConnectionSettings,
     state: ConnectionState,
+    /// Time of creation, or of sending `connection.close`: the start of the timeout of the handshake or the
+    /// close.
     state_since: Timestamp,
     input: Buffer,
     output: Vec<u8>,
     channels: BTreeMap<u16, Channel>,
+    /// Maximum frame size in bytes: the own proposal until `connection.tune`, then the negotiated one.
     max_frame_bytes: usize,
+    /// Negotiated interval of heartbeats; zero for none.
     heartbeat: Duration,
     last_received: Timestamp,
     last_sent: Timestamp,
-    /// When a silence that was found too long is checked again.
+    /// Time of the second check of a silence that exceeded the limit; `None` before the first check that
+    /// finds one.
     silence_recheck_at: Option<Timestamp>,
+    /// Whether a `connection.secure` was answered; a second one is a protocol error.
     challenge_answered: bool,
     end: Option<ConnectionEnd>,
     refused: bool,
@@ -72,7 +79,7 @@
 }
 
 impl Connection {
-    /// Creates a connection whose first output is the protocol header.
+    /// Creates a connection; its first output is the protocol header.
     pub fn new(settings: ConnectionSettings, now: Timestamp) -> Self {
         Self {
             max_frame_bytes: settings.max_frame_bytes.max(MIN_FRAME_MAX_BYTES) as usize,
@@ -93,32 +100,36 @@
         }
     }
 
-    /// Its state.
+    /// Returns the state of the connection.
     pub fn state(&self) -> ConnectionState {
         self.state
     }
 
-    /// Why it is over, or will be once the broker has confirmed the close.
+    /// Returns the reason why the connection ended. After a protocol error it is set before the state is
+    /// `Closed`, while `connection.close-ok` is awaited.
     pub fn end(&self) -> Option<&ConnectionEnd> {
         self.end.as_ref()
     }
 
-    /// Whether the broker refused the login, the virtual host or the settings.
+    /// Returns whether the broker refused the login, the virtual host or the settings: it closed the
+    /// connection with `access-refused` or `not-allowed`, or does not offer the SASL mechanism that the
+    /// settings require.
     pub fn was_refused(&self) -> bool {
         self.refused
     }
 
-    /// Number of settlements of tags that were not open. Each is a fault of the caller.
+    /// Returns the number of settlements that were dropped because their delivery tag was unknown or already
+    /// settled. Each is a fault of the caller.
     pub fn stale_settlements(&self) -> u64 {
         self.stale_settlements
     }
 
-    /// Where received bytes are appended before `process_input`.
+    /// Returns the buffer to append received bytes to before `process_input` is called.
     pub fn input_buffer(&mut self) -> &mut Vec<u8> {
         self.input.spare_capacity()
     }
 
-    /// Takes all bytes that are to be sent now.
+    /// Takes all bytes to send. `now` counts as the time of sending for the heartbeats.
     pub fn take_output(&mut self, now: Timestamp) -> Vec<u8> {
         if !self.output.is_empty() {
             self.last_sent = now;
@@ -126,7 +137,8 @@
         std::mem::take(&mut self.output)
     }
 
-    /// Processes all complete frames of the input.
+    /// Processes all complete frames in the input buffer and calls `handler` for each event. To be called
+    /// after bytes were received at `now`.
     pub fn process_input(&mut self, now: Timestamp, handler: &mut impl ConnectionHandler) {
         self.last_received = now;
         self.silence_recheck_at = None;
@@ -143,7 +155,8 @@
                 Ok(None) => break,
                 Err(error) => {
                     self.protocol_error(now, ProtocolError::Frame(error));
-                    // Where the next frame begins is unknown, so a close-ok cannot be read either.
+                    // The start of the next frame is unknown, so `connection.close-ok` could not be read
+                    // either.
                     self.finish(ConnectionEnd::UndecodableFrame(error));
                 }
             }
@@ -152,7 +165,7 @@
         self.input = input;
     }
 
-    /// The transport is closed or failed, with this reason.
+    /// Ends the connection because its transport was closed or failed; `reason` is kept for the log.
     pub fn transport_closed(&mut self, reason: &str) {
         self.finish(ConnectionEnd::Transport(reason.into()));
     }
@@ -168,7 +181,8 @@
         matches!(self.state, ConnectionState::Closing | ConnectionState::Closed)
     }
 
-    /// Closes the connection once; then only the broker's answer is processed.
+    /// Sends `connection.close` for a protocol error, unless the connection is closing already. Before
+    /// `connection.start` is received, the connection ends without it.
     fn protocol_error(&mut self, now: Timestamp, error: ProtocolError) {
         if self.is_closing() {
             return;
@@ -181,7 +195,8 @@
         self.send_close(now, error.reply_code(), &error.to_string());
     }
 
-    /// Closes the connection; the broker's answer shows that it has read everything sent before.
+    /// Sends `connection.close`. The broker's `connection.close-ok` shows that it has read everything sent
+    /// before. Before `connection.start` is received, the connection ends at once.
     pub fn close(&mut self, now: Timestamp) {
         if self.is_closing() {
             return;
@@ -196,7 +211,7 @@
         frame::put_method(&mut self.output, CONNECTION_CHANNEL, Method::CONNECTION_CLOSE, |out| {
             out.extend_from_slice(&reply_code.to_be_bytes());
             put_short_string(out, reply_text);
-            // The failing method's class and id: not given.
+            // Class id and method id of the method that caused the close: zero, as none is named.
             out.extend([0; 4]);
         });
         self.state = ConnectionState::Closing;
--- a/crates/hazelspur-amqp/src/connection/timers.rs
+++ b/crates/hazelspur-amqp/src/connection/timers.rs
@@ -1,25 +1,26 @@
-//! Timeouts of a connection and its heartbeats.
+//! Timeouts of the handshake, the close and incomplete messages; heartbeats in both directions.
 
 use super::{CONNECTION_CHANNEL, Connection, ConnectionState};
 use crate::error::{ConnectionEnd, ProtocolError};
 use crate::frame::{self, FrameKind};
 use hazelspur::{Duration, Timestamp};
 
-/// Time within which the handshake is complete.
+/// Maximum time from the creation of a connection to `connection.open-ok`.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_ms(10_000);
-/// Time within which the broker answers `connection.close`.
+/// Maximum time from `connection.close` to `connection.close-ok`.
 const CLOSE_TIMEOUT: Duration = Duration::from_ms(2000);
-/// Time within which a message is complete.
+/// Maximum time from the method that announces a message to the last frame of its body.
 const CONTENT_TIMEOUT: Duration = Duration::from_ms(20_000);
-/// Delay before a silence that was found too long is checked again: this process may have been suspended.
+/// Delay before the second check of a silence that exceeded the limit. This process may have been suspended,
+/// so input received meanwhile is read first.
 const SILENCE_RECHECK_DELAY: Duration = Duration::from_ms(250);
 /// Time without output after which a heartbeat is sent, in heartbeat intervals.
 const HEARTBEAT_SEND_INTERVALS: f64 = 0.5;
-/// Time without input after which the broker is taken for dead, in heartbeat intervals.
+/// Time without input after which the broker is considered failed, in heartbeat intervals.
 const MAX_SILENCE_INTERVALS: f64 = 2.0;
 
 impl Connection {
-    /// When `tick` has to be called next.
+    /// Returns the time at which `tick` must be called next; `None` if no timeout is pending.
     pub fn next_tick(&self) -> Option<Timestamp> {
         if self.state == ConnectionState::Closed {
             return None;
@@ -30,7 +31,7 @@
         [self.state_deadline(), send_at, silence_at, self.content_deadline()].into_iter().flatten().min()
     }
 
-    /// Checks the timeouts and sends a heartbeat if one is due.
+    /// Ends or closes the connection if a timeout has passed, and sends a heartbeat if one is due.
     pub fn tick(&mut self, now: Timestamp) {
         if self.state == ConnectionState::Closed {
             return;
@@ -77,7 +78,8 @@
         }
     }
 
-    /// Ends the connection at the second check, since input may wait that was received during a suspension.
+    /// Ends the connection if the silence still exceeds the limit at a second check. At the first one, input
+    /// that was received while this process was suspended may not have been read yet.
     fn check_silence(&mut self, now: Timestamp) {
         if now < self.silence_deadline() {
             return;
--- a/crates/hazelspur-amqp/src/frame.rs
+++ b/crates/hazelspur-amqp/src/frame.rs
@@ -1,32 +1,33 @@
-//! Frames: type, channel, payload length, payload and a frame-end octet.
+//! Decoding and encoding of frames: type octet, channel number, payload length, payload and frame-end octet.
 
 use crate::error::DecodeError;
 use crate::method::Method;
 use crate::wire::WireReader;
 
-/// Octet after the payload.
+/// Octet that ends every frame (specification, `frame-end`).
 const FRAME_END: u8 = 0xCE;
-/// Bytes of a frame besides its payload.
+/// Bytes that a frame takes in addition to its payload.
 pub const FRAME_OVERHEAD_BYTES: usize = 8;
-/// Smallest maximum frame size that a peer may propose (specification, `frame-min-size`).
+/// Lower bound of the negotiated maximum frame size, in bytes (specification, `frame-min-size`).
 pub const MIN_FRAME_MAX_BYTES: u32 = 4096;
-/// First bytes that a client sends: the protocol and its version.
+/// Protocol header that a client sends first: the name `AMQP`, protocol id 0 and version 0-9-1.
 pub const PROTOCOL_HEADER: &[u8; 8] = b"AMQP\x00\x00\x09\x01";
-/// First bytes of a protocol header of any version.
+/// Prefix of a protocol header of any version. A broker that does not support the requested version sends its
+/// own protocol header instead of a frame.
 const PROTOCOL_NAME: &[u8] = b"AMQP";
-/// Bytes of the payload's length.
+/// Bytes of the field that holds the payload length.
 const LENGTH_BYTES: usize = 4;
 
-/// Type of a frame.
+/// Frame type; each discriminant is the type octet on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameKind {
-    /// A method and its arguments.
+    /// Class id, method id and arguments of a method.
     Method = 1,
-    /// The header of a message: size and properties.
+    /// Content header of a message: class, body size and properties.
     Header = 2,
-    /// A part of a message's body.
+    /// Part of the body of a message.
     Body = 3,
-    /// A heartbeat.
+    /// Heartbeat, with an empty payload on channel 0.
     Heartbeat = 8,
 }
 
@@ -37,23 +38,26 @@
     }
 }
 
-/// A complete frame.
+/// A complete frame, borrowed from the input.
 #[derive(Clone, Copy, Debug)]
 pub struct Frame<'a> {
-    /// Its type.
+    /// Frame type.
     pub kind: FrameKind,
-    /// Its channel; zero for the connection.
+    /// Channel number; 0 for the connection itself.
     pub channel: u16,
-    /// Its payload.
+    /// Payload, without the frame-end octet.
     pub payload: &'a [u8],
-    /// Bytes that the whole frame takes.
+    /// Length of the whole frame in bytes, `FRAME_OVERHEAD_BYTES` included.
     pub frame_bytes: usize,
 }
 
-/// Reads the first frame of `bytes`; `None` while it is not complete.
+/// Returns the frame at the start of `bytes`, or `None` while it is incomplete.
 ///
 /// # Errors
-/// A payload longer than `max_payload_bytes` is refused as soon as its length is read.
+/// - `VersionMismatch`: `bytes` begin with a protocol header.
+/// - `UnknownFrameType`: the type octet is not defined.
+/// - `FrameTooLong`: the payload length exceeds `max_payload_bytes`, found before the payload is received.
+/// - `MissingFrameEnd`: the octet after the payload is not the frame end.
 pub fn read_first(bytes: &[u8], max_payload_bytes: usize) -> Result<Option<Frame<'_>>, DecodeError> {
     if bytes.starts_with(PROTOCOL_NAME) {
         return Err(DecodeError::VersionMismatch);
@@ -75,7 +79,7 @@
     }
 }
 
-/// Appends a frame whose payload `write` appends.
+/// Appends a frame to `out`; `write` appends its payload.
 pub fn put(out: &mut Vec<u8>, kind: FrameKind, channel: u16, write: impl FnOnce(&mut Vec<u8>)) {
     out.push(kind as u8);
     out.extend_from_slice(&channel.to_be_bytes());
@@ -88,7 +92,7 @@
     out.push(FRAME_END);
 }
 
-/// Appends a method frame whose arguments `write` appends.
+/// Appends a method frame to `out`; `write` appends the arguments of the method.
 pub fn put_method(out: &mut Vec<u8>, channel: u16, method: Method, write: impl FnOnce(&mut Vec<u8>)) {
     put(out, FrameKind::Method, channel, |out| {
         out.extend_from_slice(&method.class.to_be_bytes());
--- a/crates/hazelspur-amqp/src/lib.rs
+++ b/crates/hazelspur-amqp/src/lib.rs
@@ -1,8 +1,8 @@
-//! AMQP 0-9-1 as a client speaks it, without I/O and without a clock: `Connection` takes bytes, times and
-//! commands, calls a `ConnectionHandler` for each event and collects the bytes to send.
+//! Client side of AMQP 0-9-1 without I/O and without a clock: `Connection` takes received bytes, the current
+//! time and commands, calls a `ConnectionHandler` for each event and collects the bytes to send.
 //!
-//! Based on the AMQP 0-9-1 specification (sections 2.3, 4.2 and the XML description of classes and methods), its
-//! published errata and extensions (nack, confirms, `connection.blocked`, field types).
+//! Based on the AMQP 0-9-1 specification (sections 2.3, 4.2 and the XML description of classes and methods),
+//! its published errata and extensions (nack, confirms, `connection.blocked`, field types).
 
 pub mod connection;
 mod error;
--- a/crates/hazelspur-amqp/src/method.rs
+++ b/crates/hazelspur-amqp/src/method.rs
@@ -1,14 +1,14 @@
-//! Identifiers of the methods that a client sends or receives (specification, XML description).
+//! Class and method ids of the methods that a client sends or receives (specification, XML description).
 
 use crate::error::DecodeError;
 use crate::wire::WireReader;
 
-/// A method: its class and its index in the class.
+/// Identifier of a method, without its arguments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Method {
-    /// Class id.
+    /// Id of the class.
     pub class: u16,
-    /// Method id within the class.
+    /// Id of the method, unique within the class.
     pub method: u16,
 }
 
@@ -16,13 +16,13 @@
     Method { class, method }
 }
 
-/// Class `connection`.
+/// Id of class `connection`.
 pub(crate) const CONNECTION_CLASS: u16 = 10;
-/// Class `channel`.
+/// Id of class `channel`.
 pub(crate) const CHANNEL_CLASS: u16 = 20;
-/// Class `basic`.
+/// Id of class `basic`.
 pub(crate) const BASIC_CLASS: u16 = 60;
-/// Class `confirm`, an extension.
+/// Id of class `confirm`, the publisher confirms extension.
 pub(crate) const CONFIRM_CLASS: u16 = 85;
 
 impl Method {
@@ -91,10 +91,10 @@
     /// `confirm.select-ok`
     pub const CONFIRM_SELECT_OK: Method = method(CONFIRM_CLASS, 11);
 
-    /// Reads the ids at the beginning of a method frame's payload.
+    /// Reads the class id and the method id, with which the payload of a method frame begins.
     ///
     /// # Errors
-    /// `TooShort`.
+    /// `TooShort` if fewer than four bytes are left.
     pub fn read(reader: &mut WireReader<'_>) -> Result<Self, DecodeError> {
         Ok(Self { class: reader.u16()?, method: reader.u16()? })
     }
--- a/crates/hazelspur-amqp/src/properties.rs
+++ b/crates/hazelspur-amqp/src/properties.rs
@@ -1,4 +1,5 @@
-//! The properties in a content header of class `basic`.
+//! Decoding and encoding of the message properties in a content header of class `basic`: 16 flags that tell
+//! which properties are present, then the values of those.
 
 use crate::error::DecodeError;
 use crate::table::{FieldTable, FieldValue};
@@ -6,49 +7,50 @@
 
 /// Number of properties of class `basic`.
 const PROPERTY_COUNT: u32 = 14;
-/// Flag of the first property.
+/// Flag of the first property, `content-type`; each further property has the next lower bit.
 const FIRST_FLAG: u16 = 0x8000;
-/// Flags that no property of class `basic` uses.
+/// Flags that stand for no property of class `basic`.
 const UNUSED_FLAGS: u16 = 0b11;
 
-/// The properties of a message, in the order of the wire; an absent one is `None`.
+/// Properties of a message in the order of their encoding; `None` if absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Properties<'a> {
     /// MIME type of the body.
     pub content_type: Option<&'a str>,
     /// MIME encoding of the body.
     pub content_encoding: Option<&'a str>,
-    /// Headers of the application.
+    /// Headers set by the publisher or the broker.
     pub headers: Option<FieldTable<'a>>,
-    /// 1 for transient messages, 2 for persistent ones.
+    /// 1 for a transient message, 2 for a persistent one.
     pub delivery_mode: Option<u8>,
-    /// Priority from 0 to 9.
+    /// Priority from 0 to 9, 9 being the highest.
     pub priority: Option<u8>,
-    /// Message-id of the request that a reply answers.
+    /// Identifier that relates a reply to its request.
     pub correlation_id: Option<&'a str>,
-    /// Queue to send the reply to.
+    /// Queue that the reply is to be published to.
     pub reply_to: Option<&'a str>,
-    /// Time to live in milliseconds, as text.
+    /// Time to live of the message, in milliseconds as decimal text.
     pub expiration: Option<&'a str>,
-    /// Identifier that the publisher chose.
+    /// Message identifier set by the publisher.
     pub message_id: Option<&'a str>,
-    /// When it was published, in seconds since 1970.
+    /// Time of publishing in seconds since 1970-01-01 UTC.
     pub timestamp: Option<u64>,
-    /// Type that the publisher chose.
+    /// Message type name set by the publisher (`type` in the specification).
     pub message_type: Option<&'a str>,
-    /// User that published the message.
+    /// Name of the user that published the message.
     pub user_id: Option<&'a str>,
-    /// Application that published the message.
+    /// Identifier of the application that published the message.
     pub app_id: Option<&'a str>,
-    /// Reserved.
+    /// Reserved by the specification.
     pub cluster_id: Option<&'a str>,
 }
 
 impl<'a> Properties<'a> {
-    /// Reads the flags and the properties that they announce, up to the end of `bytes`.
+    /// Decodes the property flags and the properties; `bytes` must hold nothing else.
     ///
     /// # Errors
-    /// Returns what cannot be decoded.
+    /// `UnknownPropertyFlags` if an unused flag is set, `TrailingBytes` if bytes follow the last property, or
+    /// the error of a property that cannot be decoded.
     pub fn read(bytes: &'a [u8]) -> Result<Self, DecodeError> {
         let mut reader = WireReader::new(bytes);
         let flags = reader.u16()?;
@@ -82,7 +84,7 @@
         Ok(properties)
     }
 
-    /// Appends the flags and the properties.
+    /// Appends the property flags and the properties that are present.
     pub fn put(&self, out: &mut Vec<u8>) {
         let flags_offset = out.len();
         out.extend([0, 0]);
@@ -115,7 +117,7 @@
         out[flags_offset..flags_offset + 2].copy_from_slice(&flags.to_be_bytes());
     }
 
-    /// The first header of this name.
+    /// Returns the value of the first header called `name`.
     pub fn header(&self, name: &str) -> Option<FieldValue<'a>> {
         self.headers?.get(name)
     }
--- a/crates/hazelspur-amqp/src/table.rs
+++ b/crates/hazelspur-amqp/src/table.rs
@@ -1,51 +1,54 @@
-//! Field tables: validated as a whole when they are read, then looked up in place.
+//! Field tables. A table is validated as a whole when it is read; its fields are then decoded in place on
+//! each access, without a copy.
 
 use crate::error::DecodeError;
 use crate::wire::{WireReader, put_long_string, put_short_string};
 
-/// Maximum nesting of tables and arrays; deeper ones are refused before they are entered.
+/// Maximum number of levels of tables and arrays, the outermost table included. A deeper one is rejected
+/// before its contents are read, which bounds the recursion.
 pub const MAX_DEPTH: usize = 8;
-/// Maximum number of fields in a table, nested ones included.
+/// Maximum number of values in a table, those of nested tables and arrays included.
 pub const MAX_FIELDS: usize = 512;
-/// Bytes of a decimal value: scale and number.
+/// Bytes of a decimal value: scale (1) and integer (4).
 const DECIMAL_BYTES: usize = 5;
 
-/// A field of a table.
+/// A field of a table, borrowed from its encoded form.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TableField<'a> {
-    /// Its name.
+    /// Field name.
     pub name: &'a str,
-    /// Its value.
+    /// Decoded value.
     pub value: FieldValue<'a>,
-    /// Name and value as encoded.
+    /// Encoded name, type and value.
     pub encoded: &'a [u8],
 }
 
-/// A table that has been validated.
+/// A field table in its encoded form, without the length. It was validated by `read` or written by
+/// `TableWriter`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FieldTable<'a>(&'a [u8]);
 
-/// Value of a field.
+/// Value of a field or of an array item.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FieldValue<'a> {
-    /// A boolean.
+    /// Boolean.
     Boolean(bool),
-    /// An integer of any size.
+    /// Signed or unsigned integer of 8, 16 or 32 bits, or signed integer of 64 bits.
     Integer(i64),
-    /// A floating-point number of any size.
+    /// Floating-point number of 32 or 64 bits.
     Float(f64),
-    /// A long string or a byte array.
+    /// Long string or byte array.
     Bytes(&'a [u8]),
-    /// A nested table.
+    /// Nested table.
     Table(FieldTable<'a>),
-    /// Seconds since 1970.
+    /// Timestamp in seconds since 1970-01-01 UTC.
     Timestamp(u64),
-    /// A value that is not decoded: an array, a decimal or void.
+    /// Array, decimal or void: validated, but not decoded.
     Undecoded,
 }
 
 impl<'a> FieldValue<'a> {
-    /// The value as text, where it is a string of UTF-8.
+    /// Returns the text of a long string or byte array; `None` for any other type and for invalid UTF-8.
     pub fn text(self) -> Option<&'a str> {
         match self {
             FieldValue::Bytes(bytes) => std::str::from_utf8(bytes).ok(),
@@ -53,7 +56,8 @@
         }
     }
 
-    /// The value as an integer from 0 up, also where it is written as text.
+    /// Returns the value of a non-negative integer, a timestamp or a decimal number written as text; `None`
+    /// otherwise.
     pub fn unsigned(self) -> Option<u64> {
         match self {
             FieldValue::Integer(n) => u64::try_from(n).ok(),
@@ -65,10 +69,11 @@
 }
 
 impl<'a> FieldTable<'a> {
-    /// Reads a table's length and the table, and validates it.
+    /// Reads the length of a table and the table, and validates all its fields.
     ///
     /// # Errors
-    /// Returns what cannot be decoded, or `NestedTooDeep` or `TooManyFields`.
+    /// `NestedTooDeep` or `TooManyFields` if a bound is exceeded; `TooShort`, `InvalidUtf8` or
+    /// `UnknownFieldType` if a field cannot be decoded.
     pub fn read(reader: &mut WireReader<'a>) -> Result<Self, DecodeError> {
         let table = FieldTable(reader.long_string()?);
         let mut fields_left = MAX_FIELDS;
@@ -85,12 +90,12 @@
         Ok(())
     }
 
-    /// The value of the first field of this name.
+    /// Returns the value of the first field called `name`.
     pub fn get(self, name: &str) -> Option<FieldValue<'a>> {
         self.fields().find(|field| field.name == name).map(|field| field.value)
     }
 
-    /// The fields in order.
+    /// Returns the fields of this level in the order of their encoding.
     pub fn fields(self) -> impl Iterator<Item = TableField<'a>> {
         let mut reader = WireReader::new(self.0);
         std::iter::from_fn(move || {
@@ -102,12 +107,14 @@
         })
     }
 
-    /// Appends the table with its length.
+    /// Appends the length of the table and the table.
     pub fn put(self, out: &mut Vec<u8>) {
         put_long_string(out, self.0);
     }
 }
 
+/// Skips one value after checking it and all values nested in it. `depth` is the number of enclosing tables
+/// and arrays besides the outermost table; `fields_left` is the number of values still allowed.
 fn validate_value(
     reader: &mut WireReader<'_>,
     depth: usize,
@@ -132,7 +139,7 @@
     }
 }
 
-/// Reads one value; the contents of tables and arrays are skipped.
+/// Reads the type octet and one value; the contents of tables and arrays are skipped without being checked.
 fn read_value<'a>(reader: &mut WireReader<'a>) -> Result<FieldValue<'a>, DecodeError> {
     Ok(match reader.u8()? {
         b't' => FieldValue::Boolean(reader.u8()? != 0),
@@ -161,12 +168,12 @@
     })
 }
 
-/// Writes a table field by field.
+/// Builder of a field table.
 #[derive(Default)]
 pub struct TableWriter(Vec<u8>);
 
 impl TableWriter {
-    /// Appends a long string.
+    /// Appends a field with a long string.
     pub fn text(mut self, name: &str, text: &str) -> Self {
         put_short_string(&mut self.0, name);
         self.0.push(b'S');
@@ -174,14 +181,14 @@
         self
     }
 
-    /// Appends a boolean.
+    /// Appends a field with a boolean.
     pub fn boolean(mut self, name: &str, value: bool) -> Self {
         put_short_string(&mut self.0, name);
         self.0.extend([b't', u8::from(value)]);
         self
     }
 
-    /// Appends an integer of 64 bits.
+    /// Appends a field with a signed integer of 64 bits.
     pub fn integer(mut self, name: &str, value: i64) -> Self {
         put_short_string(&mut self.0, name);
         self.0.push(b'l');
@@ -189,7 +196,7 @@
         self
     }
 
-    /// Appends a nested table.
+    /// Appends a field with a nested table.
     pub fn table(mut self, name: &str, table: FieldTable<'_>) -> Self {
         put_short_string(&mut self.0, name);
         self.0.push(b'F');
@@ -197,14 +204,14 @@
         self
     }
 
-    /// Appends all fields of another table but those of these names.
+    /// Appends copies of the fields of `table` whose names are not in `names`.
     pub fn fields_except(mut self, table: FieldTable<'_>, names: &[&str]) -> Self {
         let kept = table.fields().filter(|field| !names.contains(&field.name));
         kept.for_each(|field| self.0.extend_from_slice(field.encoded));
         self
     }
 
-    /// The table as written so far.
+    /// Returns the table with the fields appended so far.
     pub fn finish(&self) -> FieldTable<'_> {
         FieldTable(&self.0)
     }
--- a/crates/hazelspur-amqp/tests/codec.rs
+++ b/crates/hazelspur-amqp/tests/codec.rs
@@ -1,4 +1,5 @@
-//! The codec against another one (amq-protocol), both ways, and against random bytes.
+//! Tests of encoding and decoding against an independent codec, `amq-protocol`, in both directions, and with
+//! corrupted input.
 
 mod helpers;
 
@@ -11,6 +12,7 @@
 use helpers::{EventLog, at, encode, feed, settings};
 use proptest::prelude::*;
 
+/// Generates field values of the types that `amq-protocol` supports, nested ones included.
 fn field_value() -> impl Strategy<Value = AMQPValue> {
     let leaf = prop_oneof![
         any::<bool>().prop_map(AMQPValue::Boolean),
@@ -43,7 +45,7 @@
         .prop_map(FieldTable::from)
 }
 
-/// Whether both are the same value, as far as ours decodes it.
+/// Returns whether `field` is the decoded form of `value`. Of undecoded types only the type is compared.
 fn is_same_value(field: FieldValue<'_>, value: &AMQPValue) -> bool {
     match (field, value) {
         (FieldValue::Boolean(a), AMQPValue::Boolean(b)) => a == *b,
@@ -126,7 +128,7 @@
             is_same_value(FieldValue::Table(properties.headers.unwrap()), &AMQPValue::FieldTable(headers))
         });
         prop_assert_eq!(same_headers.unwrap_or(true), true);
-        // Encoded again it is the same to the byte.
+        // Encoding the decoded properties again yields the same bytes.
         let mut reencoded = Vec::new();
         properties.put(&mut reencoded);
         prop_assert_eq!(&reencoded[..], &payload[12..]);
@@ -152,7 +154,7 @@
         });
         frame::put(&mut frames, FrameKind::Body, 7, |out| out.extend_from_slice(&body));
         let (rest, header) = parse_frame(&frames[..]).unwrap();
-        let AMQPFrame::Header(7, header) = header else { panic!("another frame") };
+        let AMQPFrame::Header(7, header) = header else { panic!("not a content header on channel 7") };
         let decoded_headers = header.properties.headers().clone().unwrap();
         prop_assert_eq!(decoded_headers.inner().get("t"), Some(&AMQPValue::LongString(text.into())));
         prop_assert_eq!(decoded_headers.inner().get("n"), Some(&AMQPValue::LongLongInt(n)));
@@ -165,6 +167,7 @@
     }
 }
 
+/// Returns the fields of a table in which `depth` tables are nested.
 fn nested_tables(depth: usize) -> Vec<u8> {
     (0..depth).fold(Vec::new(), |inner, _| {
         let mut outer = vec![1, b'a', b'F'];
@@ -207,8 +210,8 @@
     .assert_eq(&results);
 }
 
-/// A fixed number of inputs from a seed: valid frames with changed, removed and inserted bytes. Nothing panics, the
-/// output is bounded by the input, and a connection that is over stays over.
+/// Feeds 20,000 handshakes with changed, removed, inserted and truncated bytes, generated from a fixed seed.
+/// None may cause a panic or an output much longer than its input, and most must end the connection.
 #[test]
 fn corrupted_input_never_panics_or_amplifies_output() {
     let mut random = Pcg::new(11);
@@ -238,14 +241,14 @@
         connection.tick(at(41_000));
         assert!(
             connection.take_output(at(41_000)).len() < 8 * 1024 + input_bytes,
-            "a short input makes a long output"
+            "output longer than 8 KiB plus the {input_bytes} bytes of input"
         );
         ended_connections += u32::from(connection.end().is_some());
     }
     assert!(ended_connections > 15_000, "{ended_connections} connections ended");
 }
 
-/// What a broker sends from its first frame to the answer of `connection.open`.
+/// Returns the frames that a broker sends during the handshake.
 fn handshake_frames() -> Vec<Vec<u8>> {
     use amq_protocol::protocol::AMQPClass::Connection;
     use amq_protocol::protocol::connection::{AMQPMethod, OpenOk, Start, Tune};
--- a/crates/hazelspur-amqp/tests/connection.rs
+++ b/crates/hazelspur-amqp/tests/connection.rs
@@ -1,4 +1,5 @@
-//! Connections step by step, with the broker's frames made by another codec (amq-protocol).
+//! Tests of `Connection` against a scripted broker, whose frames are encoded by an independent codec,
+//! `amq-protocol`. Events and sent frames (`<`) are compared as transcripts.
 
 mod helpers;
 
@@ -12,10 +13,13 @@
 use hazelspur_amqp::{Connection, ConnectionSettings, OutgoingMessage, Properties};
 use helpers::{EventLog, at, encode, feed, settings, take_frames, transcript_of};
 
+/// A connection and the broker's side of it, which sends the frames that a test passes to `receive`.
 struct BrokerScript {
     connection: Connection,
     events: EventLog,
+    /// Events, sent frames and the end of the connection, one line each.
     transcript: String,
+    /// Current time in milliseconds.
     ms: u64,
 }
 
@@ -29,7 +33,7 @@
         }
     }
 
-    /// Sends these frames to the connection and records its events and its output.
+    /// Passes `frames` to the connection and records its events and the frames that it sends.
     fn receive(&mut self, frames: &[AMQPFrame]) {
         let input: Vec<u8> = frames.iter().flat_map(encode).collect();
         self.receive_bytes(&input);
@@ -44,6 +48,7 @@
         }
     }
 
+    /// Sets the time and records the end of the connection, if any, and the frames that it sends.
     fn tick(&mut self, ms: u64) {
         self.ms = ms;
         self.connection.tick(at(ms));
@@ -52,6 +57,7 @@
         self.transcript += &transcript_of(&take_frames(&mut self.connection, ms));
     }
 
+    /// Completes the handshake with a heartbeat interval of `heartbeat` seconds.
     fn open(heartbeat: u16) -> Self {
         let mut script = Self::new(settings());
         take_frames(&mut script.connection, 0);
@@ -61,7 +67,7 @@
         script
     }
 
-    /// Channel 1 consumes, channel 2 publishes.
+    /// Opens channel 1, which consumes `orders`, and channel 2, which publishes.
     fn consuming_and_publishing() -> Self {
         let mut script = Self::open(0);
         script.connection.consume(1, "orders", 3);
@@ -108,6 +114,7 @@
     connection_frame(0, ConnectionMethod::Tune(connection::Tune { channel_max: 100, frame_max, heartbeat }))
 }
 
+/// Returns the method and the content header of a delivery on channel 1.
 fn delivery_start(tag: u64, body_size: u64) -> Vec<AMQPFrame> {
     let deliver = basic::Deliver {
         consumer_tag: "hazelspur-1".into(),
@@ -121,6 +128,7 @@
     vec![basic_frame(1, BasicMethod::Deliver(deliver)), AMQPFrame::Header(1, header)]
 }
 
+/// Returns all frames of a delivery on channel 1, with at most `frame_bytes` of body in each.
 fn delivery(tag: u64, body: &[u8], frame_bytes: usize) -> Vec<AMQPFrame> {
     let mut frames = delivery_start(tag, body.len() as u64);
     frames.extend(body.chunks(frame_bytes).map(|part| AMQPFrame::Body(1, part.to_vec())));
@@ -200,7 +208,7 @@
     };
     run_case("a wrong frame-end octet", &|script| {
         let mut frame = encode(&AMQPFrame::Heartbeat);
-        *frame.last_mut().expect("an end") = 0;
+        *frame.last_mut().expect("a frame-end octet") = 0;
         script.receive_bytes(&frame);
     });
     run_case("a frame above the maximum size", &|script| {
@@ -311,6 +319,7 @@
     .assert_eq(&script.transcript);
 }
 
+/// A body above `MAX_BODY_BYTES` is counted but not kept, and the next delivery is read correctly.
 #[test]
 fn an_oversized_body_is_delivered_as_none() {
     let mut script = BrokerScript::consuming_and_publishing();
@@ -327,13 +336,15 @@
     .assert_eq(&script.transcript);
 }
 
+/// Heartbeats are sent while the broker is silent. The first check that finds the silence too long only
+/// schedules a second one, since the process may have been suspended.
 #[test]
 fn silence_ends_the_connection_at_the_second_check() {
     let mut script = BrokerScript::open(2);
     script.transcript.clear();
     script.tick(500);
     script.tick(1000);
-    // After a suspension of the process, input that waits is read before the connection is given up.
+    // The process was suspended: unread input is read before the silence ends the connection.
     script.tick(9000);
     script.receive(&[AMQPFrame::Heartbeat]);
     script.tick(9300);
--- a/crates/hazelspur-amqp/tests/helpers/mod.rs
+++ b/crates/hazelspur-amqp/tests/helpers/mod.rs
@@ -1,4 +1,5 @@
-//! A handler that records the events, and frames made with another codec (amq-protocol).
+//! Helpers of the tests: a handler that records the events, settings, and frames encoded and decoded by an
+//! independent codec, `amq-protocol`.
 #![allow(dead_code)]
 
 use amq_protocol::frame::{AMQPFrame, gen_frame};
@@ -7,12 +8,13 @@
     Connection, ConnectionHandler, ConnectionSettings, Credentials, IncomingDelivery, Properties,
 };
 
+/// Returns the time `ms` milliseconds after the start of a test.
 pub(crate) fn at(ms: u64) -> Timestamp {
     Timestamp::from_us(1_000_000_000 + ms * 1000)
 }
 
 pub(crate) fn encode(frame: &AMQPFrame) -> Vec<u8> {
-    gen_frame(frame)(Vec::new().into()).expect("a frame that can be written").into_inner().0
+    gen_frame(frame)(Vec::new().into()).expect("amq-protocol encodes the frame").into_inner().0
 }
 
 pub(crate) fn settings() -> ConnectionSettings {
@@ -27,6 +29,7 @@
     }
 }
 
+/// Handler that records each event as one line of text.
 #[derive(Default)]
 pub(crate) struct EventLog(pub String);
 
@@ -74,7 +77,7 @@
     }
 }
 
-/// Passes bytes to the connection in parts of this size.
+/// Passes `bytes` to the connection in chunks of `chunk_bytes`.
 pub(crate) fn feed(
     connection: &mut Connection,
     events: &mut EventLog,
@@ -88,18 +91,20 @@
     }
 }
 
-/// All frames that the session wants to write, as the other codec reads them: `channel name`, a line each.
+/// Takes the output of the connection and returns its frames as `amq-protocol` decodes them.
 pub(crate) fn take_frames(connection: &mut Connection, ms: u64) -> Vec<AMQPFrame> {
     let output = connection.take_output(at(ms));
     let (mut rest, mut frames) = (&output[..], Vec::new());
     while !rest.is_empty() {
-        let (remaining, frame) = amq_protocol::frame::parse_frame(rest).expect("the other codec reads it");
+        let (remaining, frame) =
+            amq_protocol::frame::parse_frame(rest).expect("amq-protocol decodes the frame");
         rest = remaining;
         frames.push(frame);
     }
     frames
 }
 
+/// Returns one line for each frame: its channel and the method name, or the size of a header or body.
 pub(crate) fn transcript_of(frames: &[AMQPFrame]) -> String {
     let line = |frame: &AMQPFrame| match frame {
         AMQPFrame::Method(channel, class) => {
