--- a/crates/hazelspur-amqp/src/connection/handshake.rs
+++ b/crates/hazelspur-amqp/src/connection/handshake.rs
@@ -1,6 +1,7 @@
-//! Methods of class `connection`: handshake, tuning, close and `blocked`.
+//! Methods of class `connection` that a broker sends: the handshake (start, secure, tune, open-ok), close,
+//! close-ok, blocked and unblocked.
 
-use super::{CONNECTION_CHANNEL, Connection, ConnectionHandler, ConnectionState, Processed};
+use super::{CONNECTION_CHANNEL, Connection, ConnectionHandler, ConnectionState, ProtocolResult};
 use crate::error::{ConnectionEnd, ProtocolError, reply_code};
 use crate::frame::{self, MIN_FRAME_MAX_BYTES};
 use crate::method::Method;
@@ -8,33 +9,33 @@
 use crate::wire::{WireReader, put_long_string, put_short_string};
 use hazelspur::Duration;
 
-/// Major version of the protocol.
+/// Major version in `connection.start`.
 const VERSION_MAJOR: u8 = 0;
-/// Minor version of the protocol.
+/// Minor version in `connection.start`; the revision 1 of 0-9-1 is not sent.
 const VERSION_MINOR: u8 = 9;
-/// SASL mechanism with user and password.
+/// SASL mechanism that authenticates with user name and password.
 const MECHANISM_PLAIN: &str = "PLAIN";
-/// SASL mechanism for a client that the transport authenticates.
+/// SASL mechanism for a client that the transport has authenticated.
 const MECHANISM_EXTERNAL: &str = "EXTERNAL";
 /// Locale of reply texts.
 const LOCALE: &str = "en_US";
-/// Product name shown by the broker.
+/// Value of the client property `product`.
 const PRODUCT: &str = "hazelspur";
-/// Client property: name of the product.
+/// Client property with the name of the product, which the broker shows to its operators.
 const PRODUCT_PROPERTY: &str = "product";
-/// Client property: name of the connection that the broker shows.
+/// Client property with the connection name, which the broker shows to its operators.
 const CONNECTION_NAME_PROPERTY: &str = "connection_name";
-/// Client property: extensions that the client supports.
+/// Client property with a table of the protocol extensions that the client supports.
 const CAPABILITIES_PROPERTY: &str = "capabilities";
-/// The extensions that this client supports.
+/// Protocol extensions that this client supports.
 const CAPABILITIES: [&str; 4] =
     ["basic.nack", "connection.blocked", "consumer_cancel_notify", "publisher_confirms"];
-/// Microseconds of a second.
+/// Microseconds in a second.
 const US_PER_S: u64 = 1_000_000;
-/// Milliseconds of a second.
+/// Milliseconds in a second.
 const MS_PER_S: u64 = 1000;
 
-/// The smaller of two limits, where zero means no limit.
+/// Returns the smaller of two proposed limits, where zero means no limit.
 fn negotiated(a: u64, b: u64) -> u64 {
     if a == 0 || b == 0 { a.max(b) } else { a.min(b) }
 }
@@ -44,7 +45,7 @@
         &mut self,
         reader: &mut WireReader<'_>,
         handler: &mut impl ConnectionHandler,
-    ) -> Processed {
+    ) -> ProtocolResult {
         let method = Method::read(reader)?;
         match (self.state, method) {
             (ConnectionState::Starting, Method::CONNECTION_START) => self.on_start(reader),
@@ -67,20 +68,20 @@
                 handler.publishers_blocked(None);
                 Ok(())
             }
-            _ => Err(ProtocolError::MethodOutOfPlace),
+            _ => Err(ProtocolError::UnexpectedMethod),
         }
     }
 
-    fn on_start(&mut self, reader: &mut WireReader<'_>) -> Processed {
+    fn on_start(&mut self, reader: &mut WireReader<'_>) -> ProtocolResult {
         let (major, minor) = (reader.u8()?, reader.u8()?);
         if (major, minor) != (VERSION_MAJOR, VERSION_MINOR) {
-            self.finish(ConnectionEnd::OtherVersion);
+            self.finish(ConnectionEnd::VersionMismatch);
             return Ok(());
         }
         let _server_properties = FieldTable::read(reader)?;
         let mechanisms = std::str::from_utf8(reader.long_string()?).unwrap_or_default();
         let _locales = reader.long_string()?;
-        reader.end()?;
+        reader.expect_end()?;
         let mechanism = match self.settings.credentials {
             Some(_) => MECHANISM_PLAIN,
             None => MECHANISM_EXTERNAL,
@@ -95,9 +96,11 @@
         Ok(())
     }
 
+    /// Returns the SASL response: for PLAIN an empty authorization identity, the user name and the password,
+    /// each of the latter two after a zero byte; for EXTERNAL nothing.
     fn sasl_response(&self) -> Vec<u8> {
         match &self.settings.credentials {
-            Some(login) => format!("\0{}\0{}", login.user, login.password).into_bytes(),
+            Some(credentials) => format!("\0{}\0{}", credentials.user, credentials.password).into_bytes(),
             None => Vec::new(),
         }
     }
@@ -118,10 +121,10 @@
         });
     }
 
-    fn on_secure(&mut self, reader: &mut WireReader<'_>) -> Processed {
+    fn on_secure(&mut self, reader: &mut WireReader<'_>) -> ProtocolResult {
         self.challenge_answered = true;
         let _challenge = reader.long_string()?;
-        reader.end()?;
+        reader.expect_end()?;
         let response = self.sasl_response();
         frame::put_method(&mut self.output, CONNECTION_CHANNEL, Method::CONNECTION_SECURE_OK, |out| {
             put_long_string(out, &response);
@@ -129,19 +132,19 @@
         Ok(())
     }
 
-    fn on_tune(&mut self, reader: &mut WireReader<'_>) -> Processed {
+    fn on_tune(&mut self, reader: &mut WireReader<'_>) -> ProtocolResult {
         let (max_channel, max_frame_bytes, heartbeat_s) = (reader.u16()?, reader.u32()?, reader.u16()?);
-        reader.end()?;
+        reader.expect_end()?;
         if max_frame_bytes != 0 && max_frame_bytes < MIN_FRAME_MAX_BYTES {
             return Err(ProtocolError::FrameMaxTooSmall);
         }
         if max_channel != 0 && max_channel < self.settings.max_channel {
             return Err(ProtocolError::TooFewChannels);
         }
-        let own_frame_bytes = u64::from(self.settings.max_frame_bytes);
-        let max_frame_bytes = negotiated(u64::from(max_frame_bytes), own_frame_bytes) as u32;
-        let own_heartbeat_s = self.settings.heartbeat.us().div_ceil(US_PER_S);
-        let heartbeat_s = negotiated(u64::from(heartbeat_s), own_heartbeat_s) as u16;
+        let proposed_frame_bytes = u64::from(self.settings.max_frame_bytes);
+        let max_frame_bytes = negotiated(u64::from(max_frame_bytes), proposed_frame_bytes) as u32;
+        let proposed_heartbeat_s = self.settings.heartbeat.us().div_ceil(US_PER_S);
+        let heartbeat_s = negotiated(u64::from(heartbeat_s), proposed_heartbeat_s) as u16;
         self.max_frame_bytes = max_frame_bytes as usize;
         self.heartbeat = Duration::from_ms(u64::from(heartbeat_s) * MS_PER_S);
         frame::put_method(&mut self.output, CONNECTION_CHANNEL, Method::CONNECTION_TUNE_OK, |out| {
@@ -157,19 +160,23 @@
     fn send_open(&mut self) {
         frame::put_method(&mut self.output, CONNECTION_CHANNEL, Method::CONNECTION_OPEN, |out| {
             put_short_string(out, &self.settings.virtual_host);
-            // Two reserved arguments: an empty string and a bit.
+            // Reserved arguments: an empty short string and a bit.
             out.extend([0, 0]);
         });
     }
 
-    fn on_open_ok(&mut self, reader: &mut WireReader<'_>, handler: &mut impl ConnectionHandler) -> Processed {
+    fn on_open_ok(
+        &mut self,
+        reader: &mut WireReader<'_>,
+        handler: &mut impl ConnectionHandler,
+    ) -> ProtocolResult {
         let _reserved = reader.short_string()?;
         self.state = ConnectionState::Open;
         handler.connection_open();
         Ok(())
     }
 
-    fn on_close(&mut self, reader: &mut WireReader<'_>) -> Processed {
+    fn on_close(&mut self, reader: &mut WireReader<'_>) -> ProtocolResult {
         let (reply_code, reply_text) = (reader.u16()?, reader.short_string()?);
         self.refused = matches!(reply_code, reply_code::ACCESS_REFUSED | reply_code::NOT_ALLOWED);
         frame::put_method(&mut self.output, CONNECTION_CHANNEL, Method::CONNECTION_CLOSE_OK, |_| {});
