--- a/crates/hazelspur-fault-harness/src/lightweight/processes.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/processes.rs
@@ -4,10 +4,10 @@
 use super::member::{Counted, Order, Task};
 use super::{CALLS, CORES, Fleet, INSTALLATION, KEY, LEASE_S, Plan, STOP_MS};
 use anyhow::Context;
-use hazelspur_test_doubles::control::Control;
+use hazelspur_test_doubles::dependency::Ledger;
 use hazelspur_test_doubles::gateway::{Answer, Gateway, Habits};
-use hazelspur_test_doubles::ledger::Ledger;
-use hazelspur_test_doubles::runtime::{Pace, Runtime};
+use hazelspur_test_doubles::registry::Control;
+use hazelspur_test_doubles::worker::{Pace, Runtime};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use std::io::{BufRead, BufReader, Write};
--- a/crates/hazelspur-server/benches/queues.rs
+++ b/crates/hazelspur-server/benches/queues.rs
@@ -6,7 +6,7 @@
 mod helpers;
 
 use hazelspur_test_doubles::now_ms;
-use hazelspur_test_doubles::runtime::Pace;
+use hazelspur_test_doubles::worker::Pace;
 use helpers::{Sent, Shop};
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
--- a/crates/hazelspur-server/tests/helpers/mod.rs
+++ b/crates/hazelspur-server/tests/helpers/mod.rs
@@ -10,7 +10,7 @@
 use hazelspur_test_doubles::now_ms;
 use hazelspur_test_doubles::process::send_signal;
 use hazelspur_test_doubles::reserved_address::ReservedAddress;
-use hazelspur_test_doubles::runtime::{Pace, Runtime};
+use hazelspur_test_doubles::worker::{Pace, Runtime};
 use std::collections::BTreeMap;
 use std::io::Read;
 use std::net::Ipv4Addr;
--- a/crates/hazelspur-server/tests/queues.rs
+++ b/crates/hazelspur-server/tests/queues.rs
@@ -6,8 +6,8 @@
 use hazelspur_test_doubles::broker::Broker;
 use hazelspur_test_doubles::now_ms;
 use hazelspur_test_doubles::process::send_signal;
-use hazelspur_test_doubles::runtime::Pace;
 use hazelspur_test_doubles::script::{self, At, Fault};
+use hazelspur_test_doubles::worker::Pace;
 use helpers::{SOON, Said, Sent, Shop};
 
 const ORDERS: &str = "queue(name = \"orders\", window = \"fixed\", most = 16)\n";
--- a/crates/hazelspur-simulator/src/models/ledger.rs
+++ b/crates/hazelspur-simulator/src/models/ledger.rs
@@ -1,5 +1,5 @@
 //! The shared ledger: so many slots; past them a call takes the square of the crowd over the slots as long,
-//! by the crowd at its beginning. The law is that of `hazelspur_test_doubles::ledger`.
+//! by the crowd at its beginning. The law is that of `hazelspur_test_doubles::dependency`.
 
 use hazelspur::Duration;
 
--- a/crates/hazelspur-test-doubles/examples/town.rs
+++ b/crates/hazelspur-test-doubles/examples/town.rs
@@ -5,7 +5,7 @@
 use amq_protocol::types::AMQPValue;
 use hazelspur_test_doubles::broker::Broker;
 use hazelspur_test_doubles::http::Http;
-use hazelspur_test_doubles::runtime::{Pace, Runtime};
+use hazelspur_test_doubles::worker::{Pace, Runtime};
 use std::thread::sleep;
 use std::time::Duration;
 
--- a/crates/hazelspur-test-doubles/src/checker.rs
+++ b/crates/hazelspur-test-doubles/src/checker.rs
@@ -1,7 +1,7 @@
 //! Checks the rules against what the test doubles counted, independently of the server.
 
 use crate::broker::{MessageEnd, SettledBy, State};
-use crate::runtime::WorkerState;
+use crate::worker::WorkerState;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What must hold for a message that was published, known by its body.
--- a/crates/hazelspur-test-doubles/src/lib.rs
+++ b/crates/hazelspur-test-doubles/src/lib.rs
@@ -6,14 +6,14 @@
 pub mod arrival;
 pub mod broker;
 pub mod checker;
-pub mod control;
+pub mod dependency;
 pub mod gateway;
 pub mod http;
-pub mod ledger;
 pub mod process;
+pub mod registry;
 pub mod reserved_address;
-pub mod runtime;
 pub mod script;
+pub mod worker;
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
--- a/crates/hazelspur-test-doubles/tests/checker.rs
+++ b/crates/hazelspur-test-doubles/tests/checker.rs
@@ -5,7 +5,7 @@
 use amq_protocol::protocol::{AMQPClass, channel, connection};
 use hazelspur_test_doubles::broker::{Broker, MessageEnd};
 use hazelspur_test_doubles::checker::{Expected, breaches};
-use hazelspur_test_doubles::runtime::WorkerState;
+use hazelspur_test_doubles::worker::WorkerState;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::TcpStream;
--- a/crates/hazelspur-test-doubles/tests/runtime.rs
+++ b/crates/hazelspur-test-doubles/tests/worker.rs
@@ -1,7 +1,7 @@
 //! The worker double: when it says that a run began.
 
 use hazelspur_test_doubles::now_ms;
-use hazelspur_test_doubles::runtime::{Pace, Runtime};
+use hazelspur_test_doubles::worker::{Pace, Runtime};
 use std::io::Write;
 use std::net::TcpStream;
 use std::thread::sleep;
