--- a/crates/hazelspur-fault-harness/src/checker.rs
+++ b/crates/hazelspur-fault-harness/src/checker.rs
@@ -4,7 +4,7 @@
 use crate::observer::View;
 use crate::script::{Fault, Party, site};
 use hazelspur_fleet::{LocalStatus, MemberStatus};
-use hazelspur_test_doubles::gateway::{Answer, Try};
+use hazelspur_test_doubles::gateway::{Attempt, Response};
 use std::collections::BTreeMap;
 
 /// An answer may be so late before that counts, in ms: the machine that tests run on may be busy, and the
@@ -62,7 +62,7 @@
     /// When the script began, in Unix milliseconds.
     pub began_ms: u64,
     /// By gateway.
-    pub tries: Vec<Vec<Try>>,
+    pub tries: Vec<Vec<Attempt>>,
     /// Connections that were refused behind a relay.
     pub refusals: Vec<(Party, Party, u64)>,
     /// By server.
@@ -105,13 +105,13 @@
 
     /// Answers that were later than the protocol's 50 ms, though not so late as to count here.
     pub fn late(&self) -> usize {
-        let late = |of: &&Try| of.answers.first().is_some_and(|(_, at)| *at > of.due_ms + 50);
+        let late = |of: &&Attempt| of.responses.first().is_some_and(|(_, at)| *at > of.due_ms + 50);
         self.tries.iter().flatten().filter(late).count()
     }
 
     /// Attempts whose first response is this one.
-    pub fn count(&self, of: Answer) -> usize {
-        let first = |t: &&Try| t.answers.first().is_some_and(|(answer, _)| *answer == of);
+    pub fn count(&self, of: Response) -> usize {
+        let first = |t: &&Attempt| t.responses.first().is_some_and(|(answer, _)| *answer == of);
         self.tries.iter().flatten().filter(first).count()
     }
 
@@ -119,26 +119,26 @@
     fn answers(&self, found: &mut Vec<String>) {
         for (gateway, tries) in self.tries.iter().enumerate() {
             for of in tries {
-                let name = format!("{} ({}) of g{gateway} at n{}", of.request, of.req, of.server);
-                if of.answers.len() > 1 {
-                    found.push(format!("{name} has {} answers", of.answers.len()));
+                let name = format!("{} ({}) of g{gateway} at n{}", of.request, of.attempt_id, of.server);
+                if of.responses.len() > 1 {
+                    found.push(format!("{name} has {} answers", of.responses.len()));
                 }
-                if of.spoilt {
+                if of.corrupted {
                     found.push(format!("{name} was acked with what no run made"));
                 }
                 if self.excused(gateway, of) {
                     continue;
                 }
                 let after = |at: u64| at.saturating_sub(of.sent_ms);
-                match of.answers.first() {
-                    None if of.broke_ms.is_some() => {
+                match of.responses.first() {
+                    None if of.disconnected_ms.is_some() => {
                         let started =
-                            self.ran.get(of.server).is_some_and(|r| r.started.contains_key(&of.req));
+                            self.ran.get(of.server).is_some_and(|r| r.started.contains_key(&of.attempt_id));
                         found.push(format!(
                             "{name} was lost with its connection: sent at {} ms, broke after {} ms, started: {started}, farewell: {}",
                             of.sent_ms.saturating_sub(self.began_ms),
-                            of.broke_ms.map_or(0, after),
-                            of.crossed
+                            of.disconnected_ms.map_or(0, after),
+                            of.crossed_goodbye
                         ))
                     }
                     None => found.push(format!("{name} has no answer")),
@@ -153,8 +153,8 @@
 
     /// A fault between gateway and server, or of the server's process, while the try was open. Faults
     /// elsewhere excuse nothing.
-    fn excused(&self, gateway: usize, of: &Try) -> bool {
-        let end = of.answers.first().map_or(of.due_ms + SLACK_MS, |(_, at)| *at);
+    fn excused(&self, gateway: usize, of: &Attempt) -> bool {
+        let end = of.responses.first().map_or(of.due_ms + SLACK_MS, |(_, at)| *at);
         let open = of.sent_ms.saturating_sub(MARGIN_MS)..=end;
         let meets = |from: u64, to: u64| from <= *open.end() && to + MARGIN_MS >= *open.start();
         let between = |fault: &Fault| {
@@ -176,22 +176,25 @@
         });
         let refused = |(client, server, at): &(Party, Party, u64)| {
             let meant = (*client, *server) == (Party::Gateway(gateway), Party::Server(of.server));
-            meant && *at + 20 >= of.sent_ms && of.broke_ms.is_some_and(|broke| *at <= broke + 20)
+            meant && *at + 20 >= of.sent_ms && of.disconnected_ms.is_some_and(|broke| *at <= broke + 20)
         };
         // Sent while the server's farewell was under way: it closed what had nothing open, and never read
         // this.
-        let unread = self.ran.get(of.server).is_none_or(|ran| !ran.started.contains_key(&of.req));
-        on_link || in_process || of.crossed && unread || self.refusals.iter().any(refused)
+        let unread = self.ran.get(of.server).is_none_or(|ran| !ran.started.contains_key(&of.attempt_id));
+        on_link || in_process || of.crossed_goodbye && unread || self.refusals.iter().any(refused)
     }
 
     /// Rule 2, over all servers together.
     fn effects_once(&self, found: &mut Vec<String>) {
         let mut kinds: BTreeMap<&str, &str> = BTreeMap::new();
         for of in self.tries.iter().flatten() {
-            kinds.insert(&of.request, of.kind);
-            let started = self.ran.get(of.server).is_some_and(|ran| ran.started.contains_key(&of.req));
-            if started && of.answers.iter().any(|(answer, _)| *answer == Answer::Nacked) {
-                found.push(format!("{} ({}) was nacked at n{} after it ran", of.request, of.req, of.server));
+            kinds.insert(&of.request, of.request_class);
+            let started = self.ran.get(of.server).is_some_and(|ran| ran.started.contains_key(&of.attempt_id));
+            if started && of.responses.iter().any(|(answer, _)| *answer == Response::Rejected) {
+                found.push(format!(
+                    "{} ({}) was nacked at n{} after it ran",
+                    of.request, of.attempt_id, of.server
+                ));
             }
         }
         let mut runs: BTreeMap<&str, usize> = BTreeMap::new();
@@ -204,8 +207,8 @@
             }
         }
         for (reference, times) in self.effects.iter().filter(|(_, times)| **times > 1) {
-            let of = self.tries.iter().flatten().find(|of| of.req == *reference);
-            if of.is_some_and(|of| of.kind != "view") {
+            let of = self.tries.iter().flatten().find(|of| of.attempt_id == *reference);
+            if of.is_some_and(|of| of.request_class != "view") {
                 found.push(format!("the call for {reference} was made {times} times"));
             }
         }
@@ -217,9 +220,9 @@
             let Some(notice) = life.notice_ms else { continue };
             let last = notice + self.grace_ms + GRACE_SLACK_MS;
             let ended = life.ended_ms.unwrap_or(u64::MAX);
-            let here = |of: &&Try| of.server == life.server && of.sent_ms > last && of.sent_ms < ended;
+            let here = |of: &&Attempt| of.server == life.server && of.sent_ms > last && of.sent_ms < ended;
             for of in self.tries.iter().flatten().filter(here) {
-                if self.ran.get(life.server).is_some_and(|ran| ran.started.contains_key(&of.req)) {
+                if self.ran.get(life.server).is_some_and(|ran| ran.started.contains_key(&of.attempt_id)) {
                     let by = of.sent_ms - notice;
                     found.push(format!(
                         "{} came to n{} {by} ms into its drain, and ran",
--- a/crates/hazelspur-fault-harness/src/endings/run.rs
+++ b/crates/hazelspur-fault-harness/src/endings/run.rs
@@ -9,11 +9,11 @@
 use anyhow::Context;
 use hazelspur_test_doubles::broker::Broker;
 use hazelspur_test_doubles::checker::{Expected, breaches};
-use hazelspur_test_doubles::dependency::Ledger;
+use hazelspur_test_doubles::dependency::Dependency;
 use hazelspur_test_doubles::now_ms;
-use hazelspur_test_doubles::registry::Control;
+use hazelspur_test_doubles::registry::Registry;
 use hazelspur_test_doubles::reserved_address::ReservedAddress;
-use hazelspur_test_doubles::worker::{Pace, Runtime};
+use hazelspur_test_doubles::worker::{Worker, WorkerSettings};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
@@ -36,9 +36,9 @@
 
 /// The test doubles and the folder of one run.
 struct Scenery {
-    worker: Runtime,
-    dependency: Ledger,
-    registry: Control,
+    worker: Worker,
+    dependency: Dependency,
+    registry: Registry,
     broker: Broker,
     reserved: ReservedAddress,
     folder: PathBuf,
@@ -53,16 +53,16 @@
         let ip = Ipv4Addr::new(127, 81, net, 1 + (run % 250) as u8);
         let folder = std::env::temp_dir().join(format!("hazelspur-endings-{}-{run}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
-        let pace = Pace {
+        let pace = WorkerSettings {
             run_ms: plan.run_ms,
-            calls: plan.seed.is_multiple_of(2),
-            over_ms: client::TIMEOUT_MS,
-            ..Pace::default()
+            makes_calls: plan.seed.is_multiple_of(2),
+            call_deadline_ms: client::TIMEOUT_MS,
+            ..WorkerSettings::default()
         };
         let mut scenery = Self {
-            worker: Runtime::start("127.0.0.1:0", pace),
-            dependency: Ledger::start("127.0.0.1:0", CALL_SLOTS, CALL_MS),
-            registry: Control::start("127.0.0.1:0"),
+            worker: Worker::start("127.0.0.1:0", pace),
+            dependency: Dependency::start("127.0.0.1:0", CALL_SLOTS, CALL_MS),
+            registry: Registry::start("127.0.0.1:0"),
             broker: Broker::start(),
             reserved: ReservedAddress::on(ip).context("an address for the server")?,
             folder,
@@ -79,7 +79,7 @@
             let class = ["view", "book", "pay"][number as usize % 3];
             let body = format!("message-{number}").into_bytes();
             self.broker.publish("orders", queue_message(class, number), &body);
-            self.expected.insert(body, Expected { once: class != "view", until_ms: None });
+            self.expected.insert(body, Expected { at_most_once: class != "view", start_deadline_ms: None });
         }
     }
 
@@ -95,7 +95,8 @@
 
     /// What the broker's checker finds once the broker and the worker have read all that the server wrote.
     fn queue_breaches(&self, log: &str) -> Vec<String> {
-        self.broker.until(SETTLING_TIMEOUT, |state| !state.consumed("orders") && state.unsettled() == 0);
+        self.broker
+            .wait_until(SETTLING_TIMEOUT, |state| !state.has_consumer("orders") && state.unsettled() == 0);
         sleep(OBSERVATION_INTERVAL);
         let lost = figure(log, "unproven");
         breaches(&self.broker.state(), &self.worker.state(), &self.expected, lost)
@@ -134,7 +135,7 @@
                 worker.break_link();
             }
             Operation::EndRefusal if spans.refusals.end() => self.worker.state().refuses_links = false,
-            Operation::CutBroker => self.broker.cut(),
+            Operation::CutBroker => self.broker.cut_connections(),
             // Another span of the kind goes on.
             Operation::BeginSuspension
             | Operation::EndSuspension
--- a/crates/hazelspur-fault-harness/src/lightweight/processes.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/processes.rs
@@ -4,10 +4,10 @@
 use super::member::{Counted, Order, Task};
 use super::{CALLS, CORES, Fleet, INSTALLATION, KEY, LEASE_S, Plan, STOP_MS};
 use anyhow::Context;
-use hazelspur_test_doubles::dependency::Ledger;
-use hazelspur_test_doubles::gateway::{Answer, Gateway, Habits};
-use hazelspur_test_doubles::registry::Control;
-use hazelspur_test_doubles::worker::{Pace, Runtime};
+use hazelspur_test_doubles::dependency::Dependency;
+use hazelspur_test_doubles::gateway::{Gateway, GatewaySettings, Response};
+use hazelspur_test_doubles::registry::Registry;
+use hazelspur_test_doubles::worker::{Worker, WorkerSettings};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use std::io::{BufRead, BufReader, Write};
@@ -33,9 +33,9 @@
     server_binary: PathBuf,
     pub folder: PathBuf,
     processes: Vec<Option<Child>>,
-    runtimes: Vec<Runtime>,
-    ledger: Ledger,
-    control: Control,
+    runtimes: Vec<Worker>,
+    ledger: Dependency,
+    control: Registry,
     gateway: Option<Gateway>,
 }
 
@@ -43,11 +43,17 @@
     /// All but the processes.
     pub fn new(plan: &Plan, fleet: &Fleet, folder: PathBuf) -> anyhow::Result<Self> {
         std::fs::write(folder.join("key"), KEY)?;
-        let pace = Pace { run_ms: RUN_MS, calls: true, fails: 0, cores: CORES, over_ms: OP_TIMEOUT_MS };
+        let pace = WorkerSettings {
+            run_ms: RUN_MS,
+            makes_calls: true,
+            fail_every: 0,
+            cores: CORES,
+            call_deadline_ms: OP_TIMEOUT_MS,
+        };
         Ok(Self {
-            runtimes: (0..fleet.real).map(|_| Runtime::start("127.0.0.1:0", pace)).collect(),
-            ledger: Ledger::start("127.0.0.1:0", fleet.slots() as usize, CALL_MS),
-            control: Control::start("127.0.0.1:0"),
+            runtimes: (0..fleet.real).map(|_| Worker::start("127.0.0.1:0", pace)).collect(),
+            ledger: Dependency::start("127.0.0.1:0", fleet.slots() as usize, CALL_MS),
+            control: Registry::start("127.0.0.1:0"),
             processes: (0..fleet.real).map(|_| None).collect(),
             gateway: None,
             fleet: fleet.clone(),
@@ -116,18 +122,18 @@
         if rate <= 0.0 {
             return;
         }
-        let habits = Habits {
-            by_subject: false,
+        let habits = GatewaySettings {
+            by_request_hash: false,
             retries: 1,
-            walk_on: true,
-            heed: true,
-            rate,
-            list_late_ms: 1000,
+            retries_elsewhere: true,
+            obeys_retry_after: true,
+            requests_per_s: rate,
+            list_age_ms: 1000,
             timeout_ms: OP_TIMEOUT_MS,
         };
         let (list, servers) = (self.control.list.clone(), self.fleet.real);
         let lister = Box::new(move || {
-            let named = list.listed(habits.list_late_ms);
+            let named = list.listed(habits.list_age_ms);
             let numbers = named.iter().filter_map(|name| name.strip_prefix('n')?.parse().ok());
             numbers.filter(|of| *of < servers).collect()
         });
@@ -156,9 +162,10 @@
     /// All leave in good order; how many requests were acked and how many sent. Fails where one had to be killed
     /// or ended badly.
     pub fn end(&mut self) -> anyhow::Result<(usize, usize)> {
-        let tries = self.gateway.take().map(|mut gateway| gateway.end()).unwrap_or_default();
-        let acked =
-            |t: &&hazelspur_test_doubles::gateway::Try| t.answers.iter().any(|a| a.0 == Answer::Acked);
+        let tries = self.gateway.take().map(|mut gateway| gateway.finish()).unwrap_or_default();
+        let acked = |t: &&hazelspur_test_doubles::gateway::Attempt| {
+            t.responses.iter().any(|a| a.0 == Response::Succeeded)
+        };
         let requests = (tries.iter().filter(acked).count(), tries.len());
         for child in self.processes.iter().flatten() {
             // Not waited for yet, so the number is still its own.
--- a/crates/hazelspur-fault-harness/src/run.rs
+++ b/crates/hazelspur-fault-harness/src/run.rs
@@ -8,7 +8,7 @@
 };
 use anyhow::Context;
 use hazelspur_fleet::{LocalStatus, MemberStatus};
-use hazelspur_test_doubles::gateway::Answer;
+use hazelspur_test_doubles::gateway::Response;
 use hazelspur_test_doubles::now_ms;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -53,9 +53,9 @@
             "{} servers, {} lives; {tries} tries: {} acked, {} nacked, {} failed, {} late by over 50 ms; most calls at once {}, most memory {memory} KB; up after {:.1} s, one picture after {together}",
             of.servers,
             of.lives.len(),
-            of.count(Answer::Acked),
-            of.count(Answer::Nacked),
-            of.count(Answer::Failed),
+            of.count(Response::Succeeded),
+            of.count(Response::Rejected),
+            of.count(Response::Failed),
             of.late(),
             of.most_calls,
             self.up_ms as f64 / 1000.0,
@@ -120,7 +120,7 @@
     }
     let last = views;
     bed.gateways.iter().for_each(|gateway| gateway.stop());
-    let tries = bed.gateways.iter_mut().map(|gateway| gateway.end()).collect();
+    let tries = bed.gateways.iter_mut().map(|gateway| gateway.finish()).collect();
     bed.end();
     let evidence = evidence(&bed, (began_ms, tries, seen, last));
     let read = |of| std::fs::read_to_string(bed.log(of)).unwrap_or_default();
@@ -151,7 +151,7 @@
     }
 }
 
-type Seen = (u64, Vec<Vec<hazelspur_test_doubles::gateway::Try>>, Vec<View>, Vec<Option<View>>);
+type Seen = (u64, Vec<Vec<hazelspur_test_doubles::gateway::Attempt>>, Vec<View>, Vec<Option<View>>);
 
 fn evidence(bed: &TestFleet, (began_ms, tries, views, last): Seen) -> Evidence {
     let ran = bed.runtimes.iter().map(|runtime| {
@@ -160,7 +160,7 @@
         Ran {
             started: worker_state.started.clone(),
             runs: worker_state.runs.iter().map(|(body, runs)| (name(body), runs.len())).collect(),
-            most_running: worker_state.most_running,
+            most_running: worker_state.max_concurrent_runs,
         }
     });
     let state = bed.ledger.state();
--- a/crates/hazelspur-fault-harness/src/test_fleet.rs
+++ b/crates/hazelspur-fault-harness/src/test_fleet.rs
@@ -7,11 +7,11 @@
 use crate::relay::{self, Refusals};
 use crate::script::{Fault, Kind, Party, SITES, Script, site};
 use anyhow::Context;
-use hazelspur_test_doubles::dependency::Ledger;
-use hazelspur_test_doubles::gateway::{Gateway, Habits};
+use hazelspur_test_doubles::dependency::Dependency;
+use hazelspur_test_doubles::gateway::{Gateway, GatewaySettings};
 use hazelspur_test_doubles::now_ms;
-use hazelspur_test_doubles::registry::Control;
-use hazelspur_test_doubles::worker::{Pace, Runtime};
+use hazelspur_test_doubles::registry::Registry;
+use hazelspur_test_doubles::worker::{Worker, WorkerSettings};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use std::collections::BTreeMap;
@@ -96,11 +96,11 @@
     /// Connections that were refused behind a relay.
     pub refusals: Refusals,
     /// The worker of each server.
-    pub runtimes: Vec<Runtime>,
+    pub runtimes: Vec<Worker>,
     /// The shared dependency.
-    pub ledger: Ledger,
+    pub ledger: Dependency,
     /// The list of servers.
-    pub control: Control,
+    pub control: Registry,
     processes: Vec<Option<Child>>,
     stopped: Vec<Option<u64>>,
     /// All lives so far; the last one of a server is the one that runs.
@@ -127,12 +127,18 @@
         // Once: a server that starts may be reading it.
         std::fs::write(folder.join("key"), KEY)?;
         let relays = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
-        let pace = Pace { run_ms: 15, calls: true, fails: 0, cores: CORES, over_ms: TIMEOUT_MS };
+        let pace = WorkerSettings {
+            run_ms: 15,
+            makes_calls: true,
+            fail_every: 0,
+            cores: CORES,
+            call_deadline_ms: TIMEOUT_MS,
+        };
         let link_faults = LinkFaults::new(plan.script.clone());
         let mut bed = Self {
-            runtimes: (0..plan.servers).map(|_| Runtime::start("127.0.0.1:0", pace)).collect(),
-            ledger: Ledger::start("127.0.0.1:0", plan.slots(), 10.0),
-            control: Control::start("127.0.0.1:0"),
+            runtimes: (0..plan.servers).map(|_| Worker::start("127.0.0.1:0", pace)).collect(),
+            ledger: Dependency::start("127.0.0.1:0", plan.slots(), 10.0),
+            control: Registry::start("127.0.0.1:0"),
             processes: (0..plan.servers).map(|_| None).collect(),
             stopped: vec![None; plan.servers],
             lives: Vec::new(),
@@ -265,19 +271,19 @@
     /// Starts all gateways.
     pub fn start_gateways(&mut self) {
         for number in 0..self.plan.gateways {
-            let habits = Habits {
-                by_subject: number % 2 == 1,
+            let habits = GatewaySettings {
+                by_request_hash: number % 2 == 1,
                 retries: [0, 1, 3, 8][number % 4],
-                walk_on: number % 3 != 2,
-                heed: number % 4 < 2,
-                rate: self.plan.rate / self.plan.gateways as f64,
-                list_late_ms: 1000 + 400 * (number as u64 % 4),
+                retries_elsewhere: number % 3 != 2,
+                obeys_retry_after: number % 4 < 2,
+                requests_per_s: self.plan.rate / self.plan.gateways as f64,
+                list_age_ms: 1000 + 400 * (number as u64 % 4),
                 timeout_ms: TIMEOUT_MS,
             };
             let servers = (0..self.plan.servers).map(|of| self.at(10 + number, of, 9000)).collect();
             let list = self.control.list.clone();
             let lister = Box::new(move || {
-                let named = list.listed(habits.list_late_ms);
+                let named = list.listed(habits.list_age_ms);
                 named.iter().filter_map(|name| name.strip_prefix('n')?.parse().ok()).collect()
             });
             let seed = self.plan.seed.wrapping_mul(31) + number as u64;
@@ -314,7 +320,7 @@
                     self.start(of)?;
                 }
             }
-            (Kind::Slower(by), begins) => self.ledger.state().slow = if begins { by as f64 } else { 1.0 },
+            (Kind::Slower(by), begins) => self.ledger.state().slowdown = if begins { by as f64 } else { 1.0 },
             _ => {}
         }
         Ok(())
--- a/crates/hazelspur-fault-harness/tests/scripts.rs
+++ b/crates/hazelspur-fault-harness/tests/scripts.rs
@@ -4,7 +4,7 @@
 use hazelspur_fault_harness::observer::View;
 use hazelspur_fault_harness::script::{Party, Script};
 use hazelspur_fleet::{FleetSize, LocalStatus, MemberStatus};
-use hazelspur_test_doubles::gateway::{Answer, Try};
+use hazelspur_test_doubles::gateway::{Attempt, Response};
 
 #[test]
 fn a_script_reads_as_it_is_written_and_says_what_is_wrong() {
@@ -52,17 +52,17 @@
 }
 
 fn sound() -> Evidence {
-    let of = |request: &str, kind, server: usize, sent_ms| Try {
+    let of = |request: &str, request_class, server: usize, sent_ms| Attempt {
         request: request.into(),
-        req: format!("{request}-at-n{server}"),
-        kind,
+        attempt_id: format!("{request}-at-n{server}"),
+        request_class,
         server,
         sent_ms,
         due_ms: sent_ms + 3000,
-        answers: vec![(Answer::Acked, sent_ms + 50)],
-        broke_ms: None,
-        crossed: false,
-        spoilt: false,
+        responses: vec![(Response::Succeeded, sent_ms + 50)],
+        disconnected_ms: None,
+        crossed_goodbye: false,
+        corrupted: false,
     };
     let life = |server| Life {
         server,
@@ -109,12 +109,12 @@
     assert_eq!(sound().breaches(), Vec::<String>::new());
     type Plant = fn(&mut Evidence);
     let plants: [Plant; 17] = [
-        |e| e.tries[0][0].answers.push((Answer::Acked, 100_060)),
-        |e| e.tries[0][0].answers.clear(),
-        |e| (e.tries[0][0].answers, e.tries[0][0].broke_ms) = (Vec::new(), Some(100_020)),
-        |e| e.tries[0][0].answers[0].1 = 109_000,
-        |e| e.tries[0][0].spoilt = true,
-        |e| e.tries[0][0].answers[0].0 = Answer::Nacked,
+        |e| e.tries[0][0].responses.push((Response::Succeeded, 100_060)),
+        |e| e.tries[0][0].responses.clear(),
+        |e| (e.tries[0][0].responses, e.tries[0][0].disconnected_ms) = (Vec::new(), Some(100_020)),
+        |e| e.tries[0][0].responses[0].1 = 109_000,
+        |e| e.tries[0][0].corrupted = true,
+        |e| e.tries[0][0].responses[0].0 = Response::Rejected,
         |e| e.ran[1].runs.extend([("a".to_string(), 1)]),
         |e| e.effects.extend([("a-at-n0".to_string(), 2)]),
         |e| e.lives[0].notice_ms = Some(98_000),
@@ -159,7 +159,7 @@
 #[test]
 fn faults_elsewhere_excuse_nothing() {
     let mut evidence = sound();
-    evidence.tries[0][0].answers.clear();
+    evidence.tries[0][0].responses.clear();
     let script: Script =
         "45+10 cut n0 ledger; 45+10 cut g1 n0; 45+10 cut n0 n1; 45+10 mute n0 list".parse().expect("good");
     evidence.faults = script.0;
@@ -171,7 +171,7 @@
     evidence.refusals = vec![(Party::Gateway(0), Party::Server(0), 100_010)];
     assert_eq!(evidence.breaches().len(), 1, "it was not broken");
     evidence.refusals.clear();
-    (evidence.tries[0][0].broke_ms, evidence.tries[0][0].crossed) = (Some(100_010), true);
+    (evidence.tries[0][0].disconnected_ms, evidence.tries[0][0].crossed_goodbye) = (Some(100_010), true);
     assert_eq!(evidence.breaches().len(), 1, "it ran, so it was read before the farewell");
     evidence.ran[0].started.clear();
     assert_eq!(evidence.breaches(), Vec::<String>::new());
--- a/crates/hazelspur-server/benches/queues.rs
+++ b/crates/hazelspur-server/benches/queues.rs
@@ -6,7 +6,7 @@
 mod helpers;
 
 use hazelspur_test_doubles::now_ms;
-use hazelspur_test_doubles::worker::Pace;
+use hazelspur_test_doubles::worker::WorkerSettings;
 use helpers::{Sent, Shop};
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
@@ -85,9 +85,9 @@
 }
 
 fn free_shop() -> Shop {
-    let shop = Shop::consuming(FREE, Pace { cores: 64, ..Pace::default() }, "orders");
-    shop.broker.state().forgetful = true;
-    shop.runtime.state().forgetful = true;
+    let shop = Shop::consuming(FREE, WorkerSettings { cores: 64, ..WorkerSettings::default() }, "orders");
+    shop.broker.state().discards_history = true;
+    shop.runtime.state().discards_history = true;
     shop
 }
 
@@ -126,7 +126,7 @@
     let acks = shop.broker.state().acks;
     let cost = measured(shop, COST_REQUESTS, || {
         fill(shop, COST_REQUESTS as usize, request_class);
-        let all_acked = shop.broker.until(BATCH_TIMEOUT, |state| state.acks >= acks + COST_REQUESTS);
+        let all_acked = shop.broker.wait_until(BATCH_TIMEOUT, |state| state.acks >= acks + COST_REQUESTS);
         assert!(all_acked, "not all were acked");
     });
     format!("delivery of {request_class}: {cost}")
@@ -185,7 +185,7 @@
     let step = 50_000;
     for n in 1..=20u64 {
         fill(&shop, step as usize, "view");
-        let all_acked = shop.broker.until(BATCH_TIMEOUT, |state| state.acks >= n * step);
+        let all_acked = shop.broker.wait_until(BATCH_TIMEOUT, |state| state.acks >= n * step);
         assert!(all_acked, "not all were acked");
         if n == 1 || n % 5 == 0 {
             println!("after {} deliveries: {:.1} MB resident", n * step, usage(&shop).resident_mb);
@@ -197,7 +197,7 @@
 /// their objective, sent at fixed times whatever the responses.
 fn service_beside_a_backlog() {
     // Two cores, 20 ms a run: 100 requests a second.
-    let pace = Pace { run_ms: 20, cores: 2, ..Pace::default() };
+    let pace = WorkerSettings { run_ms: 20, cores: 2, ..WorkerSettings::default() };
     for rate in [60.0, 95.0, 130.0] {
         for rule in ["none", "fixed", "room", "step"] {
             let window = if rule == "none" { "step" } else { rule };
@@ -305,18 +305,18 @@
     for (spread_s, attempts) in [(0.03, 5), (8.0, 3)] {
         let mut elapsed_ms = Vec::new();
         for _ in 0..attempts {
-            let mut shop = Shop::new(FREE, Pace::default());
+            let mut shop = Shop::new(FREE, WorkerSettings::default());
             shop.spread_s = spread_s;
             shop.broker.declare("dead", None);
             shop.broker.declare("orders", None);
             shop.start();
-            shop.broker.until(BATCH_TIMEOUT, |state| state.consumed("orders"));
+            shop.broker.wait_until(BATCH_TIMEOUT, |state| state.has_consumer("orders"));
             shop.broker.stop();
             sleep(Duration::from_millis(500));
             shop.broker.restart();
             shop.publish("orders", "view", "first", Sent::default());
             let returned_at = Instant::now();
-            shop.broker.until(BATCH_TIMEOUT, |state| state.acks >= 1);
+            shop.broker.wait_until(BATCH_TIMEOUT, |state| state.acks >= 1);
             elapsed_ms.push(returned_at.elapsed().as_millis());
         }
         elapsed_ms.sort_unstable();
--- a/crates/hazelspur-server/tests/helpers/mod.rs
+++ b/crates/hazelspur-server/tests/helpers/mod.rs
@@ -6,11 +6,11 @@
 use hazelspur::pcg::Pcg;
 use hazelspur_test_doubles::broker::Broker;
 use hazelspur_test_doubles::checker::Expected;
-use hazelspur_test_doubles::http::Http;
+use hazelspur_test_doubles::http::HttpServer;
 use hazelspur_test_doubles::now_ms;
 use hazelspur_test_doubles::process::send_signal;
 use hazelspur_test_doubles::reserved_address::ReservedAddress;
-use hazelspur_test_doubles::worker::{Pace, Runtime};
+use hazelspur_test_doubles::worker::{Worker, WorkerSettings};
 use std::collections::BTreeMap;
 use std::io::Read;
 use std::net::Ipv4Addr;
@@ -36,9 +36,9 @@
 
 pub(crate) struct Shop {
     pub broker: Broker,
-    pub runtime: Runtime,
-    pub ledger: Http,
-    control: Http,
+    pub runtime: Worker,
+    pub ledger: HttpServer,
+    control: HttpServer,
     pub expected: BTreeMap<Vec<u8>, Expected>,
     server: Option<Child>,
     pub listen: String,
@@ -79,10 +79,10 @@
 
 impl Shop {
     /// With the queues that this part of an operator's file names, declared at the broker beforehand.
-    pub(crate) fn new(queues: &str, pace: Pace) -> Self {
+    pub(crate) fn new(queues: &str, pace: WorkerSettings) -> Self {
         let number = SHOPS.fetch_add(1, Ordering::Relaxed);
         let ip = Ipv4Addr::new(127, 78, (std::process::id() % 250) as u8, 1 + (number % 250) as u8);
-        let broker = Broker::at((ip, 0).into());
+        let broker = Broker::start_at((ip, 0).into());
         let reserved = ReservedAddress::on(ip).expect("a free port");
         let listen = reserved.address().to_string();
         let file = |end: &str| {
@@ -91,9 +91,9 @@
         let brokers = vec![broker.address.to_string()];
         Self {
             broker,
-            runtime: Runtime::start("127.0.0.1:0", pace),
-            ledger: Http::start("127.0.0.1:0", "200 OK", "noted"),
-            control: Http::start("127.0.0.1:0", "204 No Content", ""),
+            runtime: Worker::start("127.0.0.1:0", pace),
+            ledger: HttpServer::start("127.0.0.1:0", "200 OK", "noted"),
+            control: HttpServer::start("127.0.0.1:0", "204 No Content", ""),
             expected: BTreeMap::new(),
             server: None,
             listen,
@@ -132,12 +132,12 @@
     }
 
     /// Started, and the broker sees its consumer on this queue.
-    pub(crate) fn consuming(queues: &str, pace: Pace, queue: &str) -> Self {
+    pub(crate) fn consuming(queues: &str, pace: WorkerSettings, queue: &str) -> Self {
         let mut shop = Self::new(queues, pace);
         shop.broker.declare("dead", None);
         shop.broker.declare(queue, Some("dead"));
         shop.start();
-        assert!(shop.broker.until(SOON, |state| state.consumed(queue)), "no consumer came");
+        assert!(shop.broker.wait_until(SOON, |state| state.has_consumer(queue)), "no consumer came");
         shop
     }
 
@@ -148,15 +148,19 @@
     /// Publishes a request of this type under a message-id that is its body too.
     pub(crate) fn publish(&mut self, queue: &str, request_class: &str, name: &str, more: Sent) {
         let until_ms = more.waits_ms.map(|waits| more.sent_ms.unwrap_or_else(now_ms) + waits);
-        self.expected.insert(name.into(), Expected { once: request_class != "view", until_ms });
+        self.expected.insert(
+            name.into(),
+            Expected { at_most_once: request_class != "view", start_deadline_ms: until_ms },
+        );
         self.broker.publish(queue, more.properties(request_class, name), name.as_bytes());
     }
 
     /// Nothing is left for the server to do at the broker.
     pub(crate) fn settled(&self, queues: &[&str]) -> bool {
         let queues: Vec<String> = queues.iter().map(|name| name.to_string()).collect();
-        self.broker
-            .until(SOON, |state| state.unsettled() == 0 && queues.iter().all(|queue| state.ready(queue) == 0))
+        self.broker.wait_until(SOON, |state| {
+            state.unsettled() == 0 && queues.iter().all(|queue| state.ready(queue) == 0)
+        })
     }
 
     /// The same while the server, the broker and the worker are suspended in turn, at random.
--- a/crates/hazelspur-server/tests/queues.rs
+++ b/crates/hazelspur-server/tests/queues.rs
@@ -6,22 +6,23 @@
 use hazelspur_test_doubles::broker::Broker;
 use hazelspur_test_doubles::now_ms;
 use hazelspur_test_doubles::process::send_signal;
-use hazelspur_test_doubles::script::{self, At, Fault};
-use hazelspur_test_doubles::worker::Pace;
+use hazelspur_test_doubles::script::{self, Fault, FramePosition};
+use hazelspur_test_doubles::worker::WorkerSettings;
 use helpers::{SOON, Said, Sent, Shop};
 
 const ORDERS: &str = "queue(name = \"orders\", window = \"fixed\", most = 16)\n";
 
 #[test]
 fn a_delivery_runs_with_its_calls_is_settled_and_replied_to() {
-    let mut shop = Shop::consuming(ORDERS, Pace { calls: true, ..Pace::default() }, "orders");
+    let mut shop =
+        Shop::consuming(ORDERS, WorkerSettings { makes_calls: true, ..WorkerSettings::default() }, "orders");
     shop.broker.declare("answers", None);
     for (request_class, name) in [("view", "a"), ("set-qty", "b"), ("book", "c"), ("brew", "d")] {
         shop.publish("orders", request_class, name, Sent { reply: true, ..Sent::default() });
     }
     assert!(shop.settled(&["orders"]));
     let said = shop.leave();
-    let closed_well = shop.broker.state().closed_well;
+    let closed_well = shop.broker.state().connections_closed_cleanly;
     let seen = format!(
         "answers: {}\ndead: {}\nruns: {}\ncalls: {}\nexit {:?}, closed well {}, breaches {:?}\n",
         shop.waiting("answers"),
@@ -71,8 +72,11 @@
         "queue(name = \"orders\", window = \"fixed\", most = {}, settle = \"{settle}\", retry_queue = \"retry\",\n      outcomes = {{\"nacked\": \"{retry}\", \"failed\": \"{retry}\"}}, failed_pause_s = 0.02, most_tries = 3)\n",
         1 + random.draw() % 12
     );
-    let pace =
-        Pace { run_ms: u64::from(random.draw() % 4), fails: u64::from(random.draw() % 9), ..Pace::default() };
+    let pace = WorkerSettings {
+        run_ms: u64::from(random.draw() % 4),
+        fail_every: u64::from(random.draw() % 9),
+        ..WorkerSettings::default()
+    };
     let mut shop = Shop::new(&queue, pace);
     shop.broker.declare("dead", None);
     shop.broker.declare("orders", Some("dead"));
@@ -161,7 +165,7 @@
 
 #[test]
 fn an_expired_message_never_runs_and_does_not_count_as_load() {
-    let mut shop = Shop::new(ORDERS, Pace { run_ms: 400, cores: 1, ..Pace::default() });
+    let mut shop = Shop::new(ORDERS, WorkerSettings { run_ms: 400, cores: 1, ..WorkerSettings::default() });
     shop.broker.declare("dead", None);
     shop.broker.declare("orders", Some("dead"));
     let old = Sent { sent_ms: Some(now_ms() - 60_000), waits_ms: Some(30_000), ..Sent::default() };
@@ -187,7 +191,7 @@
 fn a_message_that_expires_while_the_worker_link_is_down_never_runs_and_is_dead_lettered() {
     for settle in ["before", "after"] {
         let queue = format!("queue(name = \"orders\", window = \"fixed\", most = 8, settle = {settle:?})\n");
-        let mut shop = Shop::consuming(&queue, Pace::default(), "orders");
+        let mut shop = Shop::consuming(&queue, WorkerSettings::default(), "orders");
         {
             let mut worker_state = shop.runtime.state();
             worker_state.refuses_links = true;
@@ -199,10 +203,10 @@
         let long = Sent { sent_ms: Some(now_ms()), waits_ms: Some(60_000), ..Sent::default() };
         shop.publish("orders", "book", "long book", long);
         let times_are_over = short.sent_ms.zip(short.waits_ms).map(|(sent, waits)| sent + waits + 50);
-        shop.broker.until(SOON, |_| Some(now_ms()) >= times_are_over);
+        shop.broker.wait_until(SOON, |_| Some(now_ms()) >= times_are_over);
         shop.runtime.state().refuses_links = false;
         assert!(shop.settled(&["orders"]));
-        assert!(shop.broker.until(SOON, |_| !shop.runtime.state().runs.is_empty()), "nothing ran");
+        assert!(shop.broker.wait_until(SOON, |_| !shop.runtime.state().runs.is_empty()), "nothing ran");
         let said = shop.leave();
         assert_eq!(shop.breaches(0), Vec::<String>::new(), "{settle}\n{}", said.text);
         let seen = (shop.runs(), shop.waiting("dead"), said.errors());
@@ -218,7 +222,7 @@
 /// Guards against a message that is acknowledged and neither runs nor is dead-lettered.
 #[test]
 fn a_message_that_expires_between_its_ack_and_its_fence_is_dead_lettered() {
-    let mut shop = Shop::consuming(ORDERS, Pace::default(), "orders");
+    let mut shop = Shop::consuming(ORDERS, WorkerSettings::default(), "orders");
     shop.broker.declare("answers", None);
     let sent = Sent { sent_ms: Some(now_ms()), waits_ms: Some(400), reply: true, ..Sent::default() };
     shop.publish("orders", "book", "short", sent);
@@ -227,7 +231,7 @@
         let _state = shop.broker.state();
         std::thread::sleep(std::time::Duration::from_millis(600));
     }
-    assert!(shop.broker.until(SOON, |state| state.ready("dead") == 1), "it is not dead-lettered");
+    assert!(shop.broker.wait_until(SOON, |state| state.ready("dead") == 1), "it is not dead-lettered");
     assert!(shop.settled(&["orders"]));
     let said = shop.leave();
     let seen = (shop.runs(), shop.waiting("dead"), shop.waiting("answers"), shop.breaches(0), said.errors());
@@ -238,7 +242,7 @@
 /// Guards against a loss that no log line tells of: the process ends between the ack and the fence.
 #[test]
 fn a_message_whose_fence_is_open_at_the_end_is_counted() {
-    let mut shop = Shop::consuming(ORDERS, Pace::default(), "orders");
+    let mut shop = Shop::consuming(ORDERS, WorkerSettings::default(), "orders");
     shop.publish("orders", "book", "open", Sent::default());
     let mut server = shop.take_server();
     {
@@ -249,14 +253,14 @@
         server.wait().expect("it ends");
     }
     let said = Said::of(server);
-    assert!(shop.broker.until(SOON, |state| state.acks == 1), "the ack was not sent");
+    assert!(shop.broker.wait_until(SOON, |state| state.acks == 1), "the ack was not sent");
     assert_eq!((said.sum("unproven"), said.status), (1, Some(0)), "{}", said.text);
     assert_eq!(shop.breaches(said.sum("unproven")), Vec::<String>::new());
 }
 
 #[test]
 fn a_connection_lost_while_draining_loses_no_reply_and_repeats_no_run() {
-    let mut shop = Shop::new(ORDERS, Pace { run_ms: 300, cores: 4, ..Pace::default() });
+    let mut shop = Shop::new(ORDERS, WorkerSettings { run_ms: 300, cores: 4, ..WorkerSettings::default() });
     shop.broker.declare("dead", None);
     shop.broker.declare("orders", Some("dead"));
     shop.broker.declare("answers", None);
@@ -266,13 +270,16 @@
         shop.publish("orders", request_class, &format!("m{n}"), reply);
     }
     let mut started = 0;
-    shop.broker.until(SOON, |_| {
+    shop.broker.wait_until(SOON, |_| {
         started = shop.runtime.state().runs.len();
         started >= 2
     });
     shop.signal("-TERM");
-    assert!(shop.broker.until(SOON, |state| !state.consumed("orders")), "its consumer is not cancelled");
-    shop.broker.cut();
+    assert!(
+        shop.broker.wait_until(SOON, |state| !state.has_consumer("orders")),
+        "its consumer is not cancelled"
+    );
+    shop.broker.cut_connections();
     let said = shop.ended();
     let runs = shop.runtime.state().runs.len();
     let answered = shop.waiting("answers").matches("acked").count();
@@ -289,10 +296,11 @@
 fn after_a_kill_no_non_idempotent_request_has_run_twice() {
     for settle in ["before", "after"] {
         let queue = format!("queue(name = \"orders\", window = \"fixed\", most = 8, settle = {settle:?})\n");
-        let mut shop = Shop::consuming(&queue, Pace { run_ms: 30, ..Pace::default() }, "orders");
+        let mut shop =
+            Shop::consuming(&queue, WorkerSettings { run_ms: 30, ..WorkerSettings::default() }, "orders");
         (0..12).for_each(|n| shop.publish("orders", "book", &format!("m{n:02}"), Sent::default()));
         let mut started = 0;
-        shop.broker.until(SOON, |_| {
+        shop.broker.wait_until(SOON, |_| {
             started = shop.runtime.state().runs.len();
             started >= 3
         });
@@ -310,21 +318,22 @@
 
 #[test]
 fn a_reload_changes_the_broker_and_settles_open_deliveries_with_the_old_one() {
-    let mut shop = Shop::consuming(ORDERS, Pace { run_ms: 100, ..Pace::default() }, "orders");
+    let mut shop =
+        Shop::consuming(ORDERS, WorkerSettings { run_ms: 100, ..WorkerSettings::default() }, "orders");
     let second = Broker::start();
     second.declare("orders", None);
     (0..2).for_each(|n| shop.publish("orders", "view", &format!("m{n}"), Sent::default()));
-    shop.broker.until(SOON, |_| shop.runtime.state().runs.len() == 2);
+    shop.broker.wait_until(SOON, |_| shop.runtime.state().runs.len() == 2);
     shop.brokers(&[&second]);
     shop.write_files(1500);
     shop.signal("-HUP");
-    assert!(second.until(SOON, |state| state.consumed("orders")));
+    assert!(second.wait_until(SOON, |state| state.has_consumer("orders")));
     assert!(shop.settled(&["orders"]));
     second.publish("orders", Sent::default().properties("view", "there"), b"there");
-    assert!(second.until(SOON, |state| state.acks == 1));
+    assert!(second.wait_until(SOON, |state| state.acks == 1));
     let said = shop.leave();
     let acks = shop.broker.state().acks;
-    let well = shop.broker.state().closed_well;
+    let well = shop.broker.state().connections_closed_cleanly;
     assert_eq!(
         (acks, well, shop.runs().as_str(), said.errors()),
         (2, 1, "m0 1, m1 1, there 1", 0),
@@ -335,15 +344,15 @@
 
 #[test]
 fn a_deleted_queue_is_consumed_again_on_the_same_connection() {
-    let mut shop = Shop::consuming(ORDERS, Pace::default(), "orders");
-    shop.broker.state().delete("orders");
-    assert!(shop.broker.until(SOON, |state| !state.consumed("orders")));
+    let mut shop = Shop::consuming(ORDERS, WorkerSettings::default(), "orders");
+    shop.broker.state().delete_queue("orders");
+    assert!(shop.broker.wait_until(SOON, |state| !state.has_consumer("orders")));
     shop.broker.declare("orders", Some("dead"));
-    assert!(shop.broker.until(SOON, |state| state.consumed("orders")), "it is not consumed again");
+    assert!(shop.broker.wait_until(SOON, |state| state.has_consumer("orders")), "it is not consumed again");
     shop.publish("orders", "view", "after", Sent::default());
     assert!(shop.settled(&["orders"]));
     let said = shop.leave();
-    assert_eq!((shop.runs().as_str(), shop.broker.state().opened), ("after 1", 1));
+    assert_eq!((shop.runs().as_str(), shop.broker.state().connections_opened), ("after 1", 1));
     assert!(said.text.contains("queue taken away queue=orders"), "{}", said.text);
 }
 
@@ -351,7 +360,7 @@
 fn malformed_messages_are_dead_lettered_and_valid_ones_run() {
     use amq_protocol::protocol::basic::AMQPProperties;
     use amq_protocol::types::{AMQPValue, FieldTable};
-    let mut shop = Shop::consuming(ORDERS, Pace::default(), "orders");
+    let mut shop = Shop::consuming(ORDERS, WorkerSettings::default(), "orders");
     let view = || AMQPProperties::default().with_type("view".into());
     let with = |name: &str, value: AMQPValue| {
         let mut headers = FieldTable::default();
@@ -373,7 +382,7 @@
     shop.publish("orders", "view", "good", Sent::default());
     assert!(shop.settled(&["orders"]));
     let dead = shop.broker.state().ready("dead");
-    let opened = shop.broker.state().opened;
+    let opened = shop.broker.state().connections_opened;
     let said = shop.leave();
     assert_eq!((dead, opened, shop.runs().as_str(), said.errors()), (7, 1, "good 1", 0), "{}", said.text);
 }
@@ -382,16 +391,19 @@
 fn a_full_retry_queue_does_not_reset_the_attempt_count() {
     let queue = "queue(name = \"orders\", retry_queue = \"retry\", outcomes = {\"failed\": \"retry\"},\n      failed_pause_s = 0.02, most_tries = 3)\n";
     for most in [Some(0), None] {
-        let mut shop = Shop::new(queue, Pace { fails: 1, ..Pace::default() });
+        let mut shop = Shop::new(queue, WorkerSettings { fail_every: 1, ..WorkerSettings::default() });
         shop.broker.declare("dead", None);
         shop.broker.declare("orders", Some("dead"));
         shop.broker.declare("retry", Some("orders"));
-        shop.broker.state().queues.get_mut("retry").expect("declared").most = most;
+        shop.broker.state().queues.get_mut("retry").expect("declared").max_ready = most;
         shop.start();
         shop.publish("orders", "view", "fails", Sent::default());
         shop.publish("orders", "book", "fails once", Sent::default());
         // The second was acked before its run: it can no longer be dead-lettered.
-        assert!(shop.broker.until(SOON, |state| state.ready("dead") == 1 && state.acks >= 1), "{most:?}");
+        assert!(
+            shop.broker.wait_until(SOON, |state| state.ready("dead") == 1 && state.acks >= 1),
+            "{most:?}"
+        );
         shop.leave();
         assert_eq!(shop.runs(), "fails 3, fails once 1", "{most:?}");
     }
@@ -401,22 +413,22 @@
 #[test]
 fn each_single_broker_fault_leaves_every_message_with_one_outcome() {
     let cases = [
-        ("mute", vec![(At::Sent(14), Fault::Mute)], 2),
-        ("block", vec![(At::Sent(14), Fault::Block(300))], 20),
-        ("refused publish", vec![(At::Read(12), Fault::Refuse)], 20),
+        ("mute", vec![(FramePosition::Sent(14), Fault::Silence)], 2),
+        ("block", vec![(FramePosition::Sent(14), Fault::BlockConnection(300))], 20),
+        ("refused publish", vec![(FramePosition::Read(12), Fault::RefusePublish)], 20),
         ("small frames", vec![], 20),
-        ("cut before an ack is read", vec![(At::Read(16), Fault::Cut)], 20),
-        ("cut after an ack is read", vec![(At::Read(16), Fault::CutWithin)], 20),
+        ("cut before an ack is read", vec![(FramePosition::Read(16), Fault::CutBetweenFrames)], 20),
+        ("cut after an ack is read", vec![(FramePosition::Read(16), Fault::CutWithinFrame)], 20),
     ];
     for (name, script, heartbeat_s) in cases {
-        let mut shop = Shop::new(ORDERS, Pace::default());
+        let mut shop = Shop::new(ORDERS, WorkerSettings::default());
         shop.broker.declare("dead", None);
         shop.broker.declare("orders", Some("dead"));
         shop.broker.declare("answers", None);
         {
             let mut state = shop.broker.state();
             state.scripts.push_back(script);
-            state.beat_s = heartbeat_s;
+            state.heartbeat_s = heartbeat_s;
             state.frame_max = if name == "small frames" { 4096 } else { 131_072 };
         }
         shop.start();
--- a/crates/hazelspur-simulator/src/path/process.rs
+++ b/crates/hazelspur-simulator/src/path/process.rs
@@ -6,9 +6,9 @@
 use crate::path::plan::{Around, Arrival, TableSize, configuration};
 use crate::path::wires::GatewayWire;
 use anyhow::{Context, bail, ensure};
-use hazelspur_test_doubles::registry::Control;
+use hazelspur_test_doubles::registry::Registry;
 use hazelspur_test_doubles::reserved_address::ReservedAddress;
-use hazelspur_test_doubles::worker::{Pace, Runtime};
+use hazelspur_test_doubles::worker::{Worker, WorkerSettings};
 use nix::sys::signal::{Signal, kill};
 use nix::time::ClockId;
 use nix::unistd::Pid;
@@ -111,16 +111,16 @@
     pub address: SocketAddr,
     pub file_bytes: u64,
     began: Instant,
-    _runtime: Runtime,
-    _control: Control,
+    _runtime: Worker,
+    _control: Registry,
     _reserved: ReservedAddress,
 }
 
 /// A stand-in runtime that answers after so many milliseconds, at once for 0.
-pub fn runtime(run_ms: u64) -> Runtime {
-    let pace = Pace { run_ms, calls: false, fails: 0, cores: 64, over_ms: 0 };
-    let runtime = Runtime::start("127.0.0.1:0", pace);
-    runtime.state().forgetful = true;
+pub fn runtime(run_ms: u64) -> Worker {
+    let pace = WorkerSettings { run_ms, makes_calls: false, fail_every: 0, cores: 64, call_deadline_ms: 0 };
+    let runtime = Worker::start("127.0.0.1:0", pace);
+    runtime.state().discards_history = true;
     runtime
 }
 
@@ -135,7 +135,7 @@
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("hazelspur-path-{}-{run}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
-        let (runtime, control) = (runtime(run_ms), Control::start("127.0.0.1:0"));
+        let (runtime, control) = (runtime(run_ms), Registry::start("127.0.0.1:0"));
         let reserved = ReservedAddress::on(Ipv4Addr::LOCALHOST)?;
         let address = reserved.address();
         let around = Around { listen: address, runtime: runtime.address, control: control.address };
--- a/crates/hazelspur-test-doubles/examples/town.rs
+++ b/crates/hazelspur-test-doubles/examples/town.rs
@@ -4,20 +4,23 @@
 use amq_protocol::protocol::basic::AMQPProperties;
 use amq_protocol::types::AMQPValue;
 use hazelspur_test_doubles::broker::Broker;
-use hazelspur_test_doubles::http::Http;
-use hazelspur_test_doubles::worker::{Pace, Runtime};
+use hazelspur_test_doubles::http::HttpServer;
+use hazelspur_test_doubles::worker::{Worker, WorkerSettings};
 use std::thread::sleep;
 use std::time::Duration;
 
 fn main() {
-    let broker = Broker::at("127.0.0.1:5672".parse().expect("an address"));
+    let broker = Broker::start_at("127.0.0.1:5672".parse().expect("an address"));
     broker.declare("orders-dead", None);
     broker.declare("orders", Some("orders-dead"));
     broker.declare("orders-later", Some("orders"));
     broker.declare("answers", None);
-    let _runtime = Runtime::start("127.0.0.1:7300", Pace { run_ms: 80, calls: true, ..Pace::default() });
-    let ledger = Http::start("127.0.0.1:9042", "200 OK", "noted");
-    let _control = Http::start("127.0.0.1:7946", "204 No Content", "");
+    let _runtime = Worker::start(
+        "127.0.0.1:7300",
+        WorkerSettings { run_ms: 80, makes_calls: true, ..WorkerSettings::default() },
+    );
+    let ledger = HttpServer::start("127.0.0.1:9042", "200 OK", "noted");
+    let _control = HttpServer::start("127.0.0.1:7946", "204 No Content", "");
     println!("town: a broker on {}; waiting for a server", broker.address);
     for number in 1u64.. {
         let name = format!("order-{number}");
@@ -31,7 +34,7 @@
             (state.ready("orders"), state.unsettled())
         };
         println!("published {name}: {ready} ready, {unsettled} unsettled");
-        let came = broker.until(Duration::from_secs(1), |state| state.ready("answers") > 0);
+        let came = broker.wait_until(Duration::from_secs(1), |state| state.ready("answers") > 0);
         let mut state = broker.state();
         let answers = state.queues.get_mut("answers").map(|queue| std::mem::take(&mut queue.ready));
         for answer in answers.into_iter().flatten().filter(|_| came) {
--- a/crates/hazelspur-test-doubles/src/broker/connection.rs
+++ b/crates/hazelspur-test-doubles/src/broker/connection.rs
@@ -1,9 +1,9 @@
 //! Connections and channels of clients, and what the broker writes to them.
 
 use super::message::Message;
-use super::state::State;
+use super::state::BrokerState;
 use crate::now_ms;
-use crate::script::{At, Fault, Script};
+use crate::script::{Fault, FramePosition, Script};
 use amq_protocol::frame::{AMQPContentHeader, AMQPFrame, gen_frame};
 use amq_protocol::protocol::AMQPClass;
 use amq_protocol::protocol::basic::{self, AMQPMethod as Basic};
@@ -47,9 +47,9 @@
     pub(super) lose_confirm: bool,
 }
 
-impl State {
+impl BrokerState {
     pub(super) fn begin(&mut self, stream: TcpStream) -> usize {
-        self.begun += 1;
+        self.connections_accepted += 1;
         let script = self.scripts.pop_front().unwrap_or_default();
         let connection = Connection {
             stream,
@@ -97,18 +97,18 @@
             let mut bytes =
                 gen_frame(frame)(Vec::new().into()).expect("frames can be written").into_inner().0;
             let sent = connection.sent;
-            match take_fault(&mut connection.script, At::Sent(sent)) {
-                Some(Fault::Cut) => {
+            match take_fault(&mut connection.script, FramePosition::Sent(sent)) {
+                Some(Fault::CutBetweenFrames) => {
                     let _ = connection.stream.write_all(&out);
                     return self.drop_connection(number);
                 }
-                Some(Fault::CutWithin) => {
+                Some(Fault::CutWithinFrame) => {
                     out.extend_from_slice(&bytes[..bytes.len() / 2]);
                     let _ = connection.stream.write_all(&out);
                     return self.drop_connection(number);
                 }
-                Some(Fault::WrongEnd) => *bytes.last_mut().expect("an end") = 0,
-                Some(Fault::HugeLength) => bytes[3..7].fill(0xFF),
+                Some(Fault::WrongFrameEnd) => *bytes.last_mut().expect("an end") = 0,
+                Some(Fault::HugeFrameLength) => bytes[3..7].fill(0xFF),
                 Some(fault) => self.misbehave(number, fault),
                 None => {}
             }
@@ -127,27 +127,28 @@
             return;
         }
         match fault {
-            Fault::Mute => connection.mute = true,
-            Fault::Refuse => connection.refuse = true,
+            Fault::Silence => connection.mute = true,
+            Fault::RefusePublish => connection.refuse = true,
             Fault::LoseConfirm => connection.lose_confirm = true,
-            Fault::Duplicate => self.duplicate = true,
-            Fault::Block(ms) => {
+            Fault::DuplicateMessage => self.duplicate = true,
+            Fault::BlockConnection(ms) => {
                 connection.unblock_ms = Some(now_ms() + ms);
                 let blocked = connection::Blocked { reason: "memory".into() };
                 self.method(number, 0, AMQPClass::Connection(OnConnection::Blocked(blocked)));
             }
-            Fault::Cancel => self.cancel_all(None),
+            Fault::CancelConsumers => self.cancel_all(None),
             Fault::CloseChannels => self.close_channels(number, 406, "precondition failed"),
-            Fault::Close => {
+            Fault::CloseConnection => {
                 let (class_id, method_id) = (0, 0);
                 let reply_text = "shutting down".into();
                 let close = connection::Close { reply_code: 320, reply_text, class_id, method_id };
                 self.method(number, 0, AMQPClass::Connection(OnConnection::Close(close)));
                 self.connections[number].mute = true;
             }
-            Fault::Cut | Fault::CutWithin | Fault::WrongEnd | Fault::HugeLength => {
-                self.drop_connection(number)
-            }
+            Fault::CutBetweenFrames
+            | Fault::CutWithinFrame
+            | Fault::WrongFrameEnd
+            | Fault::HugeFrameLength => self.drop_connection(number),
         }
     }
 
@@ -212,7 +213,7 @@
     }
 }
 
-pub(super) fn take_fault(script: &mut Script, at: At) -> Option<Fault> {
+pub(super) fn take_fault(script: &mut Script, at: FramePosition) -> Option<Fault> {
     let found = script.iter().position(|(when, _)| *when == at)?;
     Some(script.remove(found).1)
 }
--- a/crates/hazelspur-test-doubles/src/broker/delivery.rs
+++ b/crates/hazelspur-test-doubles/src/broker/delivery.rs
@@ -1,13 +1,13 @@
 //! Delivers messages to consumers, as far as their prefetch allows, and settles them.
 
-use super::message::{Delivered, MessageEnd, SettledBy, content};
-use super::state::State;
+use super::message::{DeliveryRecord, MessageEnd, SettledBy, content};
+use super::state::BrokerState;
 use crate::now_ms;
 use amq_protocol::frame::AMQPFrame;
 use amq_protocol::protocol::AMQPClass;
 use amq_protocol::protocol::basic::{self, AMQPMethod as Basic};
 
-impl State {
+impl BrokerState {
     /// Delivers what consumers have room for.
     pub(super) fn pump(&mut self) {
         if std::mem::take(&mut self.duplicate)
@@ -42,10 +42,11 @@
         let tag = on.last_tag;
         let delivery = self.deliveries.len();
         on.unsettled.insert(tag, (delivery, name.clone(), message.clone()));
-        if !self.forgetful {
-            let (serial, at_ms) = (message.serial, now_ms());
+        if !self.discards_history {
+            let (serial, delivered_ms) = (message.serial, now_ms());
             let settled = None;
-            let delivered = Delivered { connection: number, channel, tag, serial, at_ms, settled };
+            let delivered =
+                DeliveryRecord { connection: number, channel, tag, serial, delivered_ms, settled };
             self.deliveries.push(delivered);
             self.last_delivered = Some((name.clone(), message.clone()));
         }
@@ -65,14 +66,16 @@
     pub(super) fn settle(&mut self, number: usize, channel: u16, tag: u64, how: SettledBy) {
         let on = self.connections[number].channels.get_mut(&channel);
         let Some((delivery, queue, message)) = on.and_then(|on| on.unsettled.remove(&tag)) else {
-            return self.faults.push(format!("{how} of tag {tag} that is not open on channel {channel}"));
+            return self
+                .protocol_violations
+                .push(format!("{how} of tag {tag} that is not open on channel {channel}"));
         };
         self.settled(delivery, how);
         match how {
             SettledBy::Ack => {
                 self.acks += 1;
                 self.ends.insert(message.serial, Some(MessageEnd::Acked));
-                if self.forgetful {
+                if self.discards_history {
                     self.ends.remove(&message.serial);
                 }
             }
--- a/crates/hazelspur-test-doubles/src/broker/message.rs
+++ b/crates/hazelspur-test-doubles/src/broker/message.rs
@@ -34,9 +34,9 @@
     /// Messages to deliver, first in, first out.
     pub ready: VecDeque<Message>,
     /// Where rejected messages go, and expired ones.
-    pub dead_letters: Option<String>,
+    pub dead_letter_queue: Option<String>,
     /// With so many ready messages a publish is refused.
-    pub most: Option<usize>,
+    pub max_ready: Option<usize>,
     /// Whether it was deleted.
     pub deleted: bool,
 }
@@ -67,7 +67,7 @@
 
 /// One delivery of a message to a consumer.
 #[derive(Clone, Debug)]
-pub struct Delivered {
+pub struct DeliveryRecord {
     /// The connection, counted from 0.
     pub connection: usize,
     /// The channel on it.
@@ -77,7 +77,7 @@
     /// The message's serial number.
     pub serial: u64,
     /// When it was delivered, in Unix milliseconds.
-    pub at_ms: u64,
+    pub delivered_ms: u64,
     /// How it was settled; `None` while it is not.
     pub settled: Option<SettledBy>,
 }
--- a/crates/hazelspur-test-doubles/src/broker/methods.rs
+++ b/crates/hazelspur-test-doubles/src/broker/methods.rs
@@ -2,9 +2,9 @@
 
 use super::connection::{Channel, Consumer, take_fault};
 use super::message::SettledBy;
-use super::state::State;
+use super::state::BrokerState;
 use crate::now_ms;
-use crate::script::{At, Fault};
+use crate::script::{Fault, FramePosition};
 use amq_protocol::frame::AMQPFrame;
 use amq_protocol::protocol::basic::{self, AMQPMethod as Basic};
 use amq_protocol::protocol::channel::{self, AMQPMethod as OnChannel};
@@ -13,14 +13,14 @@
 use amq_protocol::protocol::{AMQPClass, queue};
 use amq_protocol::types::FieldTable;
 
-impl State {
+impl BrokerState {
     pub(super) fn take(&mut self, number: usize, frame: AMQPFrame) {
         self.connections[number].read += 1;
         let read = self.connections[number].read;
-        let fault = take_fault(&mut self.connections[number].script, At::Read(read));
+        let fault = take_fault(&mut self.connections[number].script, FramePosition::Read(read));
         match fault {
-            Some(Fault::Cut) => return self.drop_connection(number),
-            Some(Fault::CutWithin) => {
+            Some(Fault::CutBetweenFrames) => return self.drop_connection(number),
+            Some(Fault::CutWithinFrame) => {
                 self.act(number, frame);
                 return self.drop_connection(number);
             }
@@ -37,7 +37,7 @@
                     version_major: 0,
                     version_minor: 9,
                     server_properties: FieldTable::default(),
-                    mechanisms: self.offers.unwrap_or("PLAIN EXTERNAL").into(),
+                    mechanisms: self.mechanisms.unwrap_or("PLAIN EXTERNAL").into(),
                     locales: "en_US".into(),
                 };
                 self.method(number, 0, AMQPClass::Connection(OnConnection::Start(start)));
@@ -55,7 +55,7 @@
             AMQPFrame::Body(channel, part) => {
                 let frame_max = self.connections[number].frame_max;
                 if part.len() + 8 > frame_max {
-                    self.faults.push(format!("a body frame of {} bytes", part.len()));
+                    self.protocol_violations.push(format!("a body frame of {} bytes", part.len()));
                 }
                 let on = self.connections[number].channels.get_mut(&channel);
                 if let Some((.., body)) = on.and_then(|on| on.content.as_mut()) {
@@ -63,7 +63,9 @@
                 }
                 self.publish_whole(number, channel);
             }
-            AMQPFrame::InvalidHeartbeat(_) => self.faults.push("a heartbeat on a channel".into()),
+            AMQPFrame::InvalidHeartbeat(_) => {
+                self.protocol_violations.push("a heartbeat on a channel".into())
+            }
         }
     }
 
@@ -79,8 +81,11 @@
                         connection::Close { reply_code: 403, reply_text, class_id: 10, method_id: 11 };
                     return self.method(number, 0, reply(OnConnection::Close(close)));
                 }
-                let tune =
-                    connection::Tune { channel_max: 2047, frame_max: self.frame_max, heartbeat: self.beat_s };
+                let tune = connection::Tune {
+                    channel_max: 2047,
+                    frame_max: self.frame_max,
+                    heartbeat: self.heartbeat_s,
+                };
                 self.method(number, 0, reply(OnConnection::Tune(tune)));
             }
             OnConnection::TuneOk(ok) => {
@@ -89,27 +94,27 @@
                 connection.beat_ms = u64::from(ok.heartbeat) * 1000;
             }
             OnConnection::Open(_) => {
-                self.opened += 1;
-                self.opened_ms.push(now_ms());
+                self.connections_opened += 1;
+                self.connections_opened_ms.push(now_ms());
                 self.connections[number].open = true;
                 self.method(number, 0, reply(OnConnection::OpenOk(connection::OpenOk {})));
             }
             OnConnection::Close(close) => {
                 if close.reply_code == 200 {
-                    self.closed_well += 1;
+                    self.connections_closed_cleanly += 1;
                 }
                 self.method(number, 0, reply(OnConnection::CloseOk(connection::CloseOk {})));
                 self.drop_connection(number);
             }
             OnConnection::CloseOk(_) => self.drop_connection(number),
-            other => self.faults.push(format!("on channel 0: {other:?}")),
+            other => self.protocol_violations.push(format!("on channel 0: {other:?}")),
         }
     }
 
     pub(super) fn on_channel(&mut self, number: usize, channel: u16, class: AMQPClass) {
         if let AMQPClass::Channel(OnChannel::Open(_)) = class {
             if self.connections[number].channels.insert(channel, Channel::default()).is_some() {
-                self.faults.push(format!("channel {channel} opened twice"));
+                self.protocol_violations.push(format!("channel {channel} opened twice"));
             }
             let ok = channel::OpenOk {};
             return self.method(number, channel, AMQPClass::Channel(OnChannel::OpenOk(ok)));
@@ -153,7 +158,7 @@
                 self.on_declare(number, channel, declare)
             }
             AMQPClass::Channel(OnChannel::Close(_)) => self.on_channel_close(number, channel),
-            other => self.faults.push(format!("on channel {channel}: {other:?}")),
+            other => self.protocol_violations.push(format!("on channel {channel}: {other:?}")),
         }
     }
 
--- a/crates/hazelspur-test-doubles/src/broker/mod.rs
+++ b/crates/hazelspur-test-doubles/src/broker/mod.rs
@@ -9,8 +9,8 @@
 mod publish;
 mod state;
 
-pub use message::{Delivered, Message, MessageEnd, Queue, SettledBy};
-pub use state::State;
+pub use message::{DeliveryRecord, Message, MessageEnd, Queue, SettledBy};
+pub use state::BrokerState;
 
 use crate::WRITE_TIMEOUT;
 use amq_protocol::frame::parse_frame;
@@ -30,13 +30,13 @@
 pub struct Broker {
     /// Where it listens.
     pub address: SocketAddr,
-    shared: Arc<(Mutex<State>, Condvar)>,
+    shared: Arc<(Mutex<BrokerState>, Condvar)>,
 }
 
 impl Broker {
     /// Starts on any free port.
     pub fn start() -> Self {
-        Self::at("127.0.0.1:0".parse().expect("an address"))
+        Self::start_at("127.0.0.1:0".parse().expect("an address"))
     }
 
     /// Starts on this address of the loopback range.
@@ -44,9 +44,9 @@
     /// # Panics
     ///
     /// Where the address is not a loopback address, or is taken.
-    pub fn at(address: SocketAddr) -> Self {
+    pub fn start_at(address: SocketAddr) -> Self {
         assert!(address.ip().is_loopback(), "test doubles stay on loopback");
-        let state = State { frame_max: 131_072, beat_s: 20, ..State::default() };
+        let state = BrokerState { frame_max: 131_072, heartbeat_s: 20, ..BrokerState::default() };
         let mut broker = Self { address, shared: Arc::new((Mutex::new(state), Condvar::new())) };
         broker.listen();
         let shared = Arc::downgrade(&broker.shared);
@@ -80,13 +80,13 @@
     }
 
     /// The state, locked. A second guard in one statement deadlocks.
-    pub fn state(&self) -> MutexGuard<'_, State> {
+    pub fn state(&self) -> MutexGuard<'_, BrokerState> {
         self.shared.0.lock().expect("no panic before")
     }
 
     /// Declares a queue, with the queue that takes its rejected and expired messages if there is one.
-    pub fn declare(&self, name: &str, dead_letters: Option<&str>) {
-        let queue = Queue { dead_letters: dead_letters.map(str::to_string), ..Queue::default() };
+    pub fn declare(&self, name: &str, dead_letter_queue: Option<&str>) {
+        let queue = Queue { dead_letter_queue: dead_letter_queue.map(str::to_string), ..Queue::default() };
         self.state().queues.insert(name.into(), queue);
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// Waits until `holds` is true; false where it was not in time.
-    pub fn until(&self, within: Duration, mut holds: impl FnMut(&mut State) -> bool) -> bool {
+    pub fn wait_until(&self, within: Duration, mut holds: impl FnMut(&mut BrokerState) -> bool) -> bool {
         let end = Instant::now() + within;
         let mut state = self.state();
         while !holds(&mut state) {
@@ -126,7 +126,7 @@
     }
 
     /// Breaks all connections; new ones are taken.
-    pub fn cut(&self) {
+    pub fn cut_connections(&self) {
         let mut state = self.state();
         (0..state.connections.len()).for_each(|n| state.drop_connection(n));
     }
@@ -140,7 +140,7 @@
     }
 }
 
-fn serve(shared: &(Mutex<State>, Condvar), mut stream: TcpStream) {
+fn serve(shared: &(Mutex<BrokerState>, Condvar), mut stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
     let Ok(write) = stream.try_clone() else { return };
--- a/crates/hazelspur-test-doubles/src/broker/publish.rs
+++ b/crates/hazelspur-test-doubles/src/broker/publish.rs
@@ -1,12 +1,12 @@
 //! Takes what clients publish, and confirms it.
 
 use super::message::{Message, content};
-use super::state::State;
+use super::state::BrokerState;
 use amq_protocol::frame::AMQPFrame;
 use amq_protocol::protocol::AMQPClass;
 use amq_protocol::protocol::basic::{self, AMQPMethod as Basic};
 
-impl State {
+impl BrokerState {
     pub(super) fn publish_whole(&mut self, number: usize, channel: u16) {
         let connection = &mut self.connections[number];
         let Some(on) = connection.channels.get_mut(&channel) else { return };
--- a/crates/hazelspur-test-doubles/src/broker/state.rs
+++ b/crates/hazelspur-test-doubles/src/broker/state.rs
@@ -1,32 +1,32 @@
 //! All that the broker knows: queues, deliveries, connections, and counts for tests.
 
 use super::connection::{Channel, Connection};
-use super::message::{Delivered, Message, MessageEnd, Queue, SettledBy, without_expiration};
+use super::message::{DeliveryRecord, Message, MessageEnd, Queue, SettledBy, without_expiration};
 use crate::now_ms;
 use crate::script::Script;
 use std::collections::{BTreeMap, VecDeque};
 
 /// What the broker keeps, and what it counts for tests.
 #[derive(Default)]
-pub struct State {
+pub struct BrokerState {
     /// Queues by name.
     pub queues: BTreeMap<String, Queue>,
     /// All deliveries, in their order.
-    pub deliveries: Vec<Delivered>,
+    pub deliveries: Vec<DeliveryRecord>,
     /// Where each message ended, by its serial number; `None` while it has not.
     pub ends: BTreeMap<u64, Option<MessageEnd>>,
     /// The body of each message, by its serial number.
     pub bodies: BTreeMap<u64, Vec<u8>>,
     /// What clients did against the protocol.
-    pub faults: Vec<String>,
+    pub protocol_violations: Vec<String>,
     /// Connections that were accepted.
-    pub begun: usize,
+    pub connections_accepted: usize,
     /// Connections that completed the handshake.
-    pub opened: usize,
+    pub connections_opened: usize,
     /// When they did, in Unix milliseconds.
-    pub opened_ms: Vec<u64>,
+    pub connections_opened_ms: Vec<u64>,
     /// Connections that were closed in good order by the client.
-    pub closed_well: usize,
+    pub connections_closed_cleanly: usize,
     /// Heartbeats that were read.
     pub heartbeats: u64,
     /// Scripts for the connections to come; past the last one they behave.
@@ -34,13 +34,13 @@
     /// User and password that are asked for; `None` accepts any.
     pub login: Option<(String, String)>,
     /// Authentication mechanisms that are offered in place of the usual ones.
-    pub offers: Option<&'static str>,
+    pub mechanisms: Option<&'static str>,
     /// The longest frame that is offered, in bytes.
     pub frame_max: u32,
     /// The heartbeat interval that is offered, in seconds.
-    pub beat_s: u16,
+    pub heartbeat_s: u16,
     /// Keeps no history of deliveries, for long runs.
-    pub forgetful: bool,
+    pub discards_history: bool,
     /// Messages acknowledged.
     pub acks: u64,
     pub(super) last_serial: u64,
@@ -50,9 +50,9 @@
     pub(super) duplicate: bool,
 }
 
-impl State {
+impl BrokerState {
     /// Messages that are neither acked nor dropped: ready, or delivered and unsettled.
-    pub fn open(&self) -> usize {
+    pub fn unfinished(&self) -> usize {
         self.ends.values().filter(|end| end.is_none()).count()
     }
 
@@ -67,13 +67,13 @@
     }
 
     /// Whether a queue has an active consumer.
-    pub fn consumed(&self, queue: &str) -> bool {
+    pub fn has_consumer(&self, queue: &str) -> bool {
         let of = |channel: &Channel| channel.consumer.as_ref().is_some_and(|c| c.active && c.queue == queue);
         self.connections.iter().filter(|c| c.alive).flat_map(|c| c.channels.values()).any(of)
     }
 
     /// Deletes a queue: its consumers are cancelled, its ready messages dropped.
-    pub fn delete(&mut self, name: &str) {
+    pub fn delete_queue(&mut self, name: &str) {
         if let Some(queue) = self.queues.get_mut(name) {
             queue.deleted = true;
             for message in std::mem::take(&mut queue.ready) {
@@ -108,7 +108,7 @@
     /// A new message in a queue; `None` where there is none of that name, or it is full and `bounded`.
     pub(super) fn put(&mut self, name: &str, mut message: Message, bounded: bool) -> Option<u64> {
         let queue = self.queues.get_mut(name).filter(|queue| !queue.deleted)?;
-        if bounded && queue.most.is_some_and(|most| queue.ready.len() >= most) {
+        if bounded && queue.max_ready.is_some_and(|max| queue.ready.len() >= max) {
             return None;
         }
         self.last_serial += 1;
@@ -117,7 +117,7 @@
         let expires = message.properties.expiration().as_ref().and_then(|ms| ms.as_str().parse::<u64>().ok());
         message.expires_ms = expires.map(|ms| now_ms() + ms);
         let serial = message.serial;
-        if !self.forgetful {
+        if !self.discards_history {
             self.bodies.insert(serial, message.body.clone());
         }
         queue.ready.push_back(message);
@@ -127,7 +127,7 @@
 
     /// Rejected or expired: on to the queue's dead letters, without its expiration, or dropped.
     pub(super) fn bury(&mut self, queue: &str, mut message: Message) {
-        let to = self.queues.get(queue).and_then(|queue| queue.dead_letters.clone());
+        let to = self.queues.get(queue).and_then(|queue| queue.dead_letter_queue.clone());
         let (serial, properties) = (message.serial, message.properties.clone());
         match to.and_then(|to| self.queues.get_mut(&to)) {
             Some(to) => {
--- a/crates/hazelspur-test-doubles/src/checker.rs
+++ b/crates/hazelspur-test-doubles/src/checker.rs
@@ -1,6 +1,6 @@
 //! Checks the rules against what the test doubles counted, independently of the server.
 
-use crate::broker::{MessageEnd, SettledBy, State};
+use crate::broker::{BrokerState, MessageEnd, SettledBy};
 use crate::worker::WorkerState;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,24 +8,24 @@
 #[derive(Clone, Debug, Default)]
 pub struct Expected {
     /// Whether more than one run is a breach.
-    pub once: bool,
+    pub at_most_once: bool,
     /// A run that began after this breaks the rule, in Unix milliseconds.
-    pub until_ms: Option<u64>,
+    pub start_deadline_ms: Option<u64>,
 }
 
 /// All breaches: a settlement of a tag that was not open, messages that vanished, a run too many, a run too late,
 /// a message acked that never ran (of which `may_lose` are allowed where acks go before runs).
 pub fn breaches(
-    state: &State,
+    state: &BrokerState,
     worker_state: &WorkerState,
     expected: &BTreeMap<Vec<u8>, Expected>,
     may_lose: usize,
 ) -> Vec<String> {
-    let mut found = state.faults.clone();
+    let mut found = state.protocol_violations.clone();
     let ready: BTreeSet<u64> =
         state.queues.values().flat_map(|queue| queue.ready.iter().map(|message| message.serial)).collect();
     let there = ready.len() + state.unsettled();
-    let open = state.open();
+    let open = state.unfinished();
     if there != open {
         found.push(format!("{open} messages have no end, {there} are in queues or unsettled"));
     }
@@ -41,10 +41,10 @@
     for (body, terms) in expected {
         let name = String::from_utf8_lossy(body);
         let runs = worker_state.runs.get(body).map_or(&[][..], |runs| runs);
-        if terms.once && runs.len() > 1 {
+        if terms.at_most_once && runs.len() > 1 {
             found.push(format!("{name} ran {} times", runs.len()));
         }
-        if let Some(until) = terms.until_ms
+        if let Some(until) = terms.start_deadline_ms
             && let Some(late) = runs.iter().find(|began| **began > until)
         {
             found.push(format!("{name} began {} ms after its time", late - until));
@@ -60,7 +60,7 @@
 
 /// Bodies of which every copy was acked, though none ran.
 fn lost<'a>(
-    state: &State,
+    state: &BrokerState,
     worker_state: &WorkerState,
     bodies: impl Iterator<Item = &'a Vec<u8>>,
 ) -> Vec<&'a Vec<u8>> {
--- a/crates/hazelspur-test-doubles/src/dependency.rs
+++ b/crates/hazelspur-test-doubles/src/dependency.rs
@@ -32,7 +32,7 @@
     /// The usual time of a call, in milliseconds.
     pub call_ms: f64,
     /// The factor by which all calls are slower now.
-    pub slow: f64,
+    pub slowdown: f64,
     concurrent_calls: usize,
     /// The highest number of concurrent calls so far.
     pub max_concurrent_calls: usize,
@@ -73,13 +73,13 @@
 }
 
 /// A shared dependency on a loopback address.
-pub struct Ledger {
+pub struct Dependency {
     /// Where it listens.
     pub address: SocketAddr,
     state: Arc<Mutex<DependencyState>>,
 }
 
-impl Ledger {
+impl Dependency {
     /// Starts on this address.
     ///
     /// # Panics
@@ -92,7 +92,7 @@
         let state = DependencyState {
             slots,
             call_ms,
-            slow: 1.0,
+            slowdown: 1.0,
             concurrent_calls: 0,
             max_concurrent_calls: 0,
             changes: Vec::new(),
@@ -136,13 +136,13 @@
 fn serve(state: &Mutex<DependencyState>, stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let mut reader = BufReader::new(stream);
-    while let Some((reference, _)) = crate::http::read_call(&mut reader) {
+    while let Some((reference, _)) = crate::http::read_request(&mut reader) {
         let takes = {
             let mut state = state.lock().expect("no panic before");
             let calls = state.concurrent_calls + 1;
             state.change(calls);
             let crowd = (state.concurrent_calls as f64 / state.slots.max(1) as f64).max(1.0);
-            Duration::from_secs_f64(state.call_ms * state.slow * crowd * crowd / 1000.0)
+            Duration::from_secs_f64(state.call_ms * state.slowdown * crowd * crowd / 1000.0)
         };
         let cancelled = !wait_for_caller(stream, takes.min(MAX_CALL));
         {
--- a/crates/hazelspur-test-doubles/src/gateway.rs
+++ b/crates/hazelspur-test-doubles/src/gateway.rs
@@ -23,24 +23,24 @@
 
 /// How it picks servers, and what it does with a rejection.
 #[derive(Clone, Copy, Debug)]
-pub struct Habits {
+pub struct GatewaySettings {
     /// Picks the server by a hash of the request, not in turn.
-    pub by_subject: bool,
+    pub by_request_hash: bool,
     /// Attempts after the first.
     pub retries: u32,
     /// Retries a rejected request at the next server at once.
-    pub walk_on: bool,
+    pub retries_elsewhere: bool,
     /// Heeds Retry-After.
-    pub heed: bool,
+    pub obeys_retry_after: bool,
     /// Requests a second.
-    pub rate: f64,
+    pub requests_per_s: f64,
     /// Age of its list of servers, in milliseconds.
-    pub list_late_ms: u64,
+    pub list_age_ms: u64,
     /// The timeout of an attempt, in milliseconds.
     pub timeout_ms: u64,
 }
 
-impl Habits {
+impl GatewaySettings {
     /// The JSON-RPC line of one attempt.
     fn line(&self, gateway: usize, id: u64, now: u64, req: &str, waiting: &Waiting) -> Value {
         let mut params = json!({"req": req, "ts": now, "via": gateway, "timeout": self.timeout_ms,
@@ -54,24 +54,24 @@
 
 /// A final response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum Response {
     /// The request succeeded.
-    Acked,
+    Succeeded,
     /// It was rejected and never ran.
-    Nacked,
+    Rejected,
     /// It failed.
     Failed,
 }
 
 /// One attempt at a request, with what came of it.
 #[derive(Clone, Debug)]
-pub struct Try {
+pub struct Attempt {
     /// The request's name, which is its body too.
     pub request: String,
     /// The id of this attempt on the wire.
-    pub req: String,
+    pub attempt_id: String,
     /// The request class.
-    pub kind: &'static str,
+    pub request_class: &'static str,
     /// The server, by its number.
     pub server: usize,
     /// When it was sent, in Unix milliseconds.
@@ -79,34 +79,34 @@
     /// When the response is due, in Unix milliseconds.
     pub due_ms: u64,
     /// All final responses that came, and when.
-    pub answers: Vec<(Answer, u64)>,
+    pub responses: Vec<(Response, u64)>,
     /// When its connection ended before a response, in Unix milliseconds.
-    pub broke_ms: Option<u64>,
+    pub disconnected_ms: Option<u64>,
     /// Whether it crossed the goodbye message of its connection.
-    pub crossed: bool,
+    pub crossed_goodbye: bool,
     /// Whether a response came that no run can have made.
-    pub spoilt: bool,
+    pub corrupted: bool,
 }
 
-impl Try {
+impl Attempt {
     fn sent(waiting: &Waiting, req: String, server: usize, sent_ms: u64, due_ms: u64) -> Self {
         Self {
             request: waiting.request.clone(),
-            req,
-            kind: waiting.kind,
+            attempt_id: req,
+            request_class: waiting.kind,
             server,
             sent_ms,
             due_ms,
-            answers: Vec::new(),
-            broke_ms: None,
-            crossed: false,
-            spoilt: false,
+            responses: Vec::new(),
+            disconnected_ms: None,
+            crossed_goodbye: false,
+            corrupted: false,
         }
     }
 }
 
 /// Names of the request classes that it sends.
-pub const KINDS: [&str; 3] = ["view", "set-qty", "book"];
+pub const REQUEST_CLASSES: [&str; 3] = ["view", "set-qty", "book"];
 
 struct Link {
     stream: TcpStream,
@@ -133,12 +133,12 @@
 }
 
 /// Gives the numbers of the servers that are listed now.
-pub type Lister = Box<dyn Fn() -> Vec<usize> + Send>;
+pub type ServerLister = Box<dyn Fn() -> Vec<usize> + Send>;
 
 /// A gateway with a thread of its own.
 pub struct Gateway {
     stop: Arc<AtomicBool>,
-    tries: Arc<Mutex<Vec<Try>>>,
+    tries: Arc<Mutex<Vec<Attempt>>>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -148,7 +148,13 @@
     /// # Panics
     ///
     /// Where an address is not a loopback address.
-    pub fn start(number: usize, habits: Habits, servers: Vec<SocketAddr>, list: Lister, seed: u64) -> Self {
+    pub fn start(
+        number: usize,
+        habits: GatewaySettings,
+        servers: Vec<SocketAddr>,
+        list: ServerLister,
+        seed: u64,
+    ) -> Self {
         assert!(servers.iter().all(|at| at.ip().is_loopback()), "test doubles stay on loopback");
         let (stop, tries) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
         let mut desk = Desk {
@@ -174,15 +180,15 @@
     }
 
     /// All attempts so far.
-    pub fn tries(&self) -> Vec<Try> {
+    pub fn attempts(&self) -> Vec<Attempt> {
         self.tries.lock().expect("no panic before").clone()
     }
 
     /// Waits until every attempt has its response or has timed out.
-    pub fn end(&mut self) -> Vec<Try> {
+    pub fn finish(&mut self) -> Vec<Attempt> {
         self.stop();
         let _ = self.thread.take().map(JoinHandle::join);
-        self.tries()
+        self.attempts()
     }
 }
 
@@ -198,15 +204,15 @@
 
 struct Desk {
     number: usize,
-    habits: Habits,
+    habits: GatewaySettings,
     servers: Vec<SocketAddr>,
-    list: Lister,
+    list: ServerLister,
     chance: Pcg,
     links: BTreeMap<usize, Link>,
     waiting: Vec<Waiting>,
     next_turn: usize,
     names: u64,
-    tries: Arc<Mutex<Vec<Try>>>,
+    tries: Arc<Mutex<Vec<Attempt>>>,
 }
 
 impl Desk {
@@ -219,7 +225,7 @@
             if stopping.is_none() && stopped.load(Ordering::Relaxed) {
                 stopping = Some(now);
             }
-            let owed = (now - began) as f64 / 1000.0 * self.habits.rate;
+            let owed = (now - began) as f64 / 1000.0 * self.habits.requests_per_s;
             while stopping.is_none() && sent < owed {
                 sent += 1.0;
                 self.begin(now);
@@ -244,7 +250,7 @@
     fn begin(&mut self, now: u64) {
         self.names += 1;
         let request = format!("g{}-{}", self.number, self.names);
-        let kind = KINDS[self.chance.draw() as usize % KINDS.len()];
+        let kind = REQUEST_CLASSES[self.chance.draw() as usize % REQUEST_CLASSES.len()];
         let left = self.habits.retries;
         self.waiting.push(Waiting { at_ms: now, request, kind, tried: BTreeSet::new(), left, last: None });
     }
@@ -257,7 +263,7 @@
         if from.is_empty() {
             return None;
         }
-        let turn = if self.habits.by_subject {
+        let turn = if self.habits.by_request_hash {
             waiting.request.bytes().fold(7usize, |h, b| h.wrapping_mul(31).wrapping_add(b.into()))
         } else {
             self.next_turn += 1;
@@ -282,7 +288,7 @@
         let wrote = (&link.stream).write_all(format!("{line}\n").as_bytes());
         let number = {
             let mut tries = self.tries.lock().expect("no panic before");
-            tries.push(Try::sent(&waiting, req, server, now, now + self.habits.timeout_ms));
+            tries.push(Attempt::sent(&waiting, req, server, now, now + self.habits.timeout_ms));
             tries.len() - 1
         };
         waiting.tried.insert(server);
@@ -329,8 +335,8 @@
         for number in link.open.into_values() {
             let retryable = {
                 let mut tries = self.tries.lock().expect("no panic before");
-                (tries[number].broke_ms, tries[number].crossed) = (Some(now), link.going);
-                tries[number].kind == "view"
+                (tries[number].disconnected_ms, tries[number].crossed_goodbye) = (Some(now), link.going);
+                tries[number].request_class == "view"
             };
             let waiting = self.take_waiting(number);
             // Whether it ran nobody knows.
@@ -391,7 +397,7 @@
         let Some(of) = link.open.remove(&number) else {
             if let Some(of) = link.answered.get(&number) {
                 // Its second answer, whatever it says.
-                self.tries.lock().expect("no panic before")[*of].answers.push((Answer::Failed, now));
+                self.tries.lock().expect("no panic before")[*of].responses.push((Response::Failed, now));
             }
             return;
         };
@@ -399,23 +405,23 @@
         let number = of;
         let error = &message["error"];
         let answer = match error["code"].as_i64() {
-            None => Answer::Acked,
-            Some(-32011) => Answer::Nacked,
-            Some(_) => Answer::Failed,
+            None => Response::Succeeded,
+            Some(-32011) => Response::Rejected,
+            Some(_) => Response::Failed,
         };
         {
             let mut tries = self.tries.lock().expect("no panic before");
             let of = &mut tries[number];
-            of.answers.push((answer, now));
+            of.responses.push((answer, now));
             let own = base64(of.request.as_bytes());
-            of.spoilt |= answer == Answer::Acked && message["result"]["data"].as_str() != Some(&own);
+            of.corrupted |= answer == Response::Succeeded && message["result"]["data"].as_str() != Some(&own);
         }
         let Some(waiting) = self.take_waiting(number) else { return };
-        if answer == Answer::Nacked {
+        if answer == Response::Rejected {
             let stay_away = error["data"]["holdoff"].as_f64().unwrap_or(0.0);
             let no_more = error["data"]["nomore"].as_i64() == Some(1);
-            let wait = if self.habits.heed { stay_away as u64 } else { 0 };
-            if self.habits.walk_on && !(self.habits.heed && no_more) {
+            let wait = if self.habits.obeys_retry_after { stay_away as u64 } else { 0 };
+            if self.habits.retries_elsewhere && !(self.habits.obeys_retry_after && no_more) {
                 self.again(now + wait, waiting);
             }
         }
--- a/crates/hazelspur-test-doubles/src/http.rs
+++ b/crates/hazelspur-test-doubles/src/http.rs
@@ -7,14 +7,14 @@
 use std::thread::spawn;
 
 /// The server.
-pub struct Http {
+pub struct HttpServer {
     /// Where it listens.
     pub address: SocketAddr,
     /// Calls by their `X-Txn-Ref`, or path where there is none.
     calls: Arc<Mutex<BTreeMap<String, u32>>>,
 }
 
-impl Http {
+impl HttpServer {
     /// Starts on this address and answers each call with this status line and body.
     ///
     /// # Panics
@@ -43,7 +43,7 @@
 
 /// Reads one call: its `X-Txn-Ref`, or its path where there is none, and its body. `None` at the end, or
 /// where it is no call.
-pub fn read_call(reader: &mut impl BufRead) -> Option<(String, Vec<u8>)> {
+pub fn read_request(reader: &mut impl BufRead) -> Option<(String, Vec<u8>)> {
     let (mut first, mut reference, mut length) = (String::new(), None, 0);
     if reader.read_line(&mut first).map_or(true, |n| n == 0) {
         return None;
@@ -69,7 +69,7 @@
 fn answer(stream: &TcpStream, status: &str, body: &str, calls: &Mutex<BTreeMap<String, u32>>) {
     let _ = stream.set_nodelay(true);
     let mut reader = BufReader::new(stream);
-    while let Some((of, _)) = read_call(&mut reader) {
+    while let Some((of, _)) = read_request(&mut reader) {
         *calls.lock().expect("no panic before").entry(of).or_default() += 1;
         let reply = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         if (&*stream).write_all(reply.as_bytes()).is_err() {
--- a/crates/hazelspur-test-doubles/src/registry.rs
+++ b/crates/hazelspur-test-doubles/src/registry.rs
@@ -14,9 +14,9 @@
 
 /// The reports of all servers by name, shared with the control plane's threads.
 #[derive(Clone, Default)]
-pub struct List(Arc<Mutex<BTreeMap<String, VecDeque<u64>>>>);
+pub struct ServerList(Arc<Mutex<BTreeMap<String, VecDeque<u64>>>>);
 
-impl List {
+impl ServerList {
     fn report(&self, name: &str) {
         let mut all = self.0.lock().expect("no panic before");
         let reports = all.entry(name.to_string()).or_default();
@@ -35,7 +35,7 @@
     }
 
     /// The most reports of all names that came within one second so far.
-    pub fn busiest_second(&self) -> usize {
+    pub fn max_reports_in_a_second(&self) -> usize {
         let mut each: BTreeMap<u64, usize> = BTreeMap::new();
         for ms in self.0.lock().expect("no panic before").values().flatten() {
             *each.entry(ms / 1000).or_default() += 1;
@@ -45,14 +45,14 @@
 }
 
 /// A control plane on a loopback address.
-pub struct Control {
+pub struct Registry {
     /// Where it listens.
     pub address: SocketAddr,
     /// What servers reported.
-    pub list: List,
+    pub list: ServerList,
 }
 
-impl Control {
+impl Registry {
     /// Starts on this address.
     ///
     /// # Panics
@@ -62,7 +62,7 @@
         let listener = TcpListener::bind(address).expect("the address is free");
         let address = listener.local_addr().expect("an address");
         assert!(address.ip().is_loopback(), "test doubles stay on loopback");
-        let list = List::default();
+        let list = ServerList::default();
         let at = list.clone();
         spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -74,9 +74,9 @@
     }
 }
 
-fn serve(list: &List, stream: &TcpStream) {
+fn serve(list: &ServerList, stream: &TcpStream) {
     let mut reader = BufReader::new(stream);
-    while let Some((path, _)) = crate::http::read_call(&mut reader) {
+    while let Some((path, _)) = crate::http::read_request(&mut reader) {
         list.report(path.rsplit('/').next().unwrap_or_default());
         let mut writer = stream;
         if writer.write_all(b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n").is_err() {
--- a/crates/hazelspur-test-doubles/src/script.rs
+++ b/crates/hazelspur-test-doubles/src/script.rs
@@ -4,7 +4,7 @@
 
 /// When a fault strikes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum At {
+pub enum FramePosition {
     /// When the connection is about to send its nth frame, from 1 on.
     Sent(u64),
     /// When it has read its nth frame and not looked at it yet.
@@ -15,56 +15,60 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The connection breaks between two frames.
-    Cut,
+    CutBetweenFrames,
     /// It breaks in the middle of a frame; where one was read, after it was acted on.
-    CutWithin,
+    CutWithinFrame,
     /// Nothing more is sent, heartbeats neither, though the connection stands.
-    Mute,
+    Silence,
     /// The frame's end octet is wrong.
-    WrongEnd,
+    WrongFrameEnd,
     /// The frame's length says 4 GB.
-    HugeLength,
+    HugeFrameLength,
     /// Every consuming channel is closed by the broker.
     CloseChannels,
     /// Every consumer is cancelled by the broker.
-    Cancel,
+    CancelConsumers,
     /// `connection.blocked`, and unblocked after so many ms.
-    Block(u64),
+    BlockConnection(u64),
     /// What is published next is refused.
-    Refuse,
+    RefusePublish,
     /// The next confirm is never sent.
     LoseConfirm,
     /// The message delivered last is published once more, with its message-id.
-    Duplicate,
+    DuplicateMessage,
     /// `connection.close` from the broker.
-    Close,
+    CloseConnection,
 }
 
 /// The faults of one connection.
-pub type Script = Vec<(At, Fault)>;
+pub type Script = Vec<(FramePosition, Fault)>;
 
 /// Up to `most` faults for a connection of some hundred frames.
 pub fn random(chance: &mut Pcg, most: u32) -> Script {
     let faults = [
-        Fault::Cut,
-        Fault::Cut,
-        Fault::CutWithin,
-        Fault::CutWithin,
-        Fault::WrongEnd,
-        Fault::HugeLength,
+        Fault::CutBetweenFrames,
+        Fault::CutBetweenFrames,
+        Fault::CutWithinFrame,
+        Fault::CutWithinFrame,
+        Fault::WrongFrameEnd,
+        Fault::HugeFrameLength,
         Fault::CloseChannels,
-        Fault::Cancel,
-        Fault::Block(30),
-        Fault::Refuse,
+        Fault::CancelConsumers,
+        Fault::BlockConnection(30),
+        Fault::RefusePublish,
         Fault::LoseConfirm,
-        Fault::Duplicate,
-        Fault::Duplicate,
-        Fault::Close,
+        Fault::DuplicateMessage,
+        Fault::DuplicateMessage,
+        Fault::CloseConnection,
     ];
     (0..chance.draw() % (most + 1))
         .map(|_| {
             let frame = 6 + u64::from(chance.draw() % 60);
-            let at = if chance.draw().is_multiple_of(2) { At::Sent(frame) } else { At::Read(frame) };
+            let at = if chance.draw().is_multiple_of(2) {
+                FramePosition::Sent(frame)
+            } else {
+                FramePosition::Read(frame)
+            };
             (at, faults[chance.draw() as usize % faults.len()])
         })
         .collect()
--- a/crates/hazelspur-test-doubles/src/worker.rs
+++ b/crates/hazelspur-test-doubles/src/worker.rs
@@ -19,22 +19,22 @@
 
 /// How requests run here.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct WorkerSettings {
     /// Time of a run on a core of its own, in milliseconds.
     pub run_ms: u64,
     /// Whether each run makes a dependency call.
-    pub calls: bool,
+    pub makes_calls: bool,
     /// Every nth run ends in an error; 0 stands for none.
-    pub fails: u64,
+    pub fail_every: u64,
     /// Cores that the runs share.
     pub cores: usize,
     /// A run that waits for its call this long after it began ends there, in milliseconds; 0 stands for never.
-    pub over_ms: u64,
+    pub call_deadline_ms: u64,
 }
 
-impl Default for Pace {
+impl Default for WorkerSettings {
     fn default() -> Self {
-        Self { run_ms: 0, calls: false, fails: 0, cores: 2, over_ms: 0 }
+        Self { run_ms: 0, makes_calls: false, fail_every: 0, cores: 2, call_deadline_ms: 0 }
     }
 }
 
@@ -53,7 +53,7 @@
 #[derive(Default)]
 pub struct WorkerState {
     /// How requests run now.
-    pub pace: Pace,
+    pub settings: WorkerSettings,
     /// When the starts of the runs of each body can have come at the earliest, in Unix milliseconds.
     pub runs: BTreeMap<Vec<u8>, Vec<u64>>,
     /// Runs that ended.
@@ -61,7 +61,7 @@
     /// When each request's run was started, in Unix milliseconds.
     pub started: BTreeMap<String, u64>,
     /// The highest number of concurrent runs so far.
-    pub most_running: usize,
+    pub max_concurrent_runs: usize,
     running: Vec<Run>,
     notices: VecDeque<(u64, Vec<u8>)>,
     number: u64,
@@ -69,27 +69,27 @@
     /// Closes every link that is opened.
     pub refuses_links: bool,
     /// Keeps neither runs nor ids, for long runs.
-    pub forgetful: bool,
+    pub discards_history: bool,
 }
 
 /// A worker process on a loopback address.
-pub struct Runtime {
+pub struct Worker {
     /// Where it listens.
     pub address: SocketAddr,
     worker_state: Arc<Mutex<WorkerState>>,
 }
 
-impl Runtime {
+impl Worker {
     /// Starts on this address.
     ///
     /// # Panics
     ///
     /// Where the address is not a loopback address, or is taken.
-    pub fn start(address: &str, pace: Pace) -> Self {
+    pub fn start(address: &str, settings: WorkerSettings) -> Self {
         let listener = TcpListener::bind(address).expect("the address is free");
         let address = listener.local_addr().expect("an address");
         assert!(address.ip().is_loopback(), "test doubles stay on loopback");
-        let worker_state = Arc::new(Mutex::new(WorkerState { pace, ..WorkerState::default() }));
+        let worker_state = Arc::new(Mutex::new(WorkerState { settings, ..WorkerState::default() }));
         let at = worker_state.clone();
         spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -155,12 +155,12 @@
             run.into_iter().for_each(|run| run.orphan = None);
             return;
         }
-        if !self.forgetful {
+        if !self.discards_history {
             self.started.insert(id.into(), now_ms());
             self.runs.entry(body.clone()).or_default().push(arrived_after_ms);
         }
-        let calls = self.pace.calls;
-        let left_ms = self.pace.run_ms as f64;
+        let calls = self.settings.makes_calls;
+        let left_ms = self.settings.run_ms as f64;
         self.running.push(Run {
             id: id.into(),
             body,
@@ -170,8 +170,8 @@
             orphan: None,
             began: Instant::now(),
         });
-        self.most_running = self.most_running.max(self.running.len());
-        if self.pace.run_ms == 0 {
+        self.max_concurrent_runs = self.max_concurrent_runs.max(self.running.len());
+        if self.settings.run_ms == 0 {
             self.work(0.0);
         }
     }
@@ -179,8 +179,8 @@
     /// The cores work on what is running and not at a call, each on an equal share.
     fn work(&mut self, passed_ms: f64) {
         let busy = self.running.iter().filter(|run| !run.calling).count().max(1);
-        let share = (self.pace.cores as f64 / busy as f64).min(1.0);
-        let over = Duration::from_millis(self.pace.over_ms);
+        let share = (self.settings.cores as f64 / busy as f64).min(1.0);
+        let over = Duration::from_millis(self.settings.call_deadline_ms);
         let mut at = 0;
         while at < self.running.len() {
             let run = &mut self.running[at];
@@ -212,9 +212,9 @@
 
     fn end(&mut self, run: &Run) {
         self.ended += 1;
-        let failed = self.pace.fails > 0 && self.ended.is_multiple_of(self.pace.fails);
+        let failed = self.settings.fail_every > 0 && self.ended.is_multiple_of(self.settings.fail_every);
         let (how, result) = if failed { ("error", Vec::new()) } else { ("complete", run.body.clone()) };
-        let (id, ms) = (run.id.clone(), self.pace.run_ms);
+        let (id, ms) = (run.id.clone(), self.settings.run_ms);
         self.notice(|number| {
             let mut line = format!("end {number} {id} {how} {ms} {}\r\n", result.len()).into_bytes();
             line.extend_from_slice(&result);
@@ -248,7 +248,7 @@
                 if let Some(run) = self.running.iter_mut().find(|run| run.id == id) {
                     run.calling = false;
                 }
-                if self.pace.run_ms == 0 {
+                if self.settings.run_ms == 0 {
                     self.work(0.0);
                 }
             }
--- a/crates/hazelspur-test-doubles/tests/checker.rs
+++ b/crates/hazelspur-test-doubles/tests/checker.rs
@@ -93,13 +93,13 @@
     let mut client = Client::consuming(&broker);
     client.wait("Deliver");
     client.ack(1);
-    assert!(broker.until(Duration::from_secs(5), |state| state.acks == 1));
+    assert!(broker.wait_until(Duration::from_secs(5), |state| state.acks == 1));
     let mut worker_state = WorkerState::default();
     worker_state.runs.insert(b"a".to_vec(), vec![1]);
     assert_eq!(found(&broker, &worker_state, &[("a", Expected::default())]), "");
     client.ack(1);
     client.ack(7);
-    assert!(broker.until(Duration::from_secs(5), |state| state.faults.len() == 2));
+    assert!(broker.wait_until(Duration::from_secs(5), |state| state.protocol_violations.len() == 2));
     expect_test::expect![[r#"
         ack of tag 1 that is not open on channel 1
         ack of tag 7 that is not open on channel 1"#]]
@@ -117,8 +117,8 @@
     queue.ready.retain(|message| message.body != b"vanished" && message.body != b"lost");
     state.ends.insert(3, Some(MessageEnd::Acked));
     drop(state);
-    let once = Expected { once: true, until_ms: None };
-    let early = Expected { once: false, until_ms: Some(800) };
+    let once = Expected { at_most_once: true, start_deadline_ms: None };
+    let early = Expected { at_most_once: false, start_deadline_ms: Some(800) };
     expect_test::expect![[r#"
         3 messages have no end, 2 are in queues or unsettled
         late began 100 ms after its time
@@ -138,7 +138,8 @@
     client.wait("Deliver");
     drop(client);
     assert!(
-        broker.until(Duration::from_secs(5), |state| state.unsettled() == 0 && state.ready("orders") == 2)
+        broker
+            .wait_until(Duration::from_secs(5), |state| state.unsettled() == 0 && state.ready("orders") == 2)
     );
     let again: Vec<bool> =
         broker.state().queues["orders"].ready.iter().map(|message| message.redelivered).collect();
--- a/crates/hazelspur-test-doubles/tests/gateway.rs
+++ b/crates/hazelspur-test-doubles/tests/gateway.rs
@@ -1,7 +1,7 @@
 //! The stand-in gateway knows how its requests ended, whenever its thread comes to look: it reads what came
 //! before a connection's end, though both come at once.
 
-use hazelspur_test_doubles::gateway::{Answer, Gateway, Habits};
+use hazelspur_test_doubles::gateway::{Gateway, GatewaySettings, Response};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpListener;
@@ -22,25 +22,25 @@
     }
 }
 
-fn played(answers: bool, word: Value) -> Vec<hazelspur_test_doubles::gateway::Try> {
+fn played(answers: bool, word: Value) -> Vec<hazelspur_test_doubles::gateway::Attempt> {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("an address");
     std::thread::spawn(move || serve(listener, answers, word));
-    let habits = Habits {
-        by_subject: false,
+    let habits = GatewaySettings {
+        by_request_hash: false,
         retries: 0,
-        walk_on: false,
-        heed: false,
-        rate: 200.0,
-        list_late_ms: 0,
+        retries_elsewhere: false,
+        obeys_retry_after: false,
+        requests_per_s: 200.0,
+        list_age_ms: 0,
         timeout_ms: 3000,
     };
     let mut gateway = Gateway::start(0, habits, vec![at], Box::new(|| vec![0]), 1);
     let until = Instant::now() + Duration::from_secs(20);
-    while gateway.tries().len() < 50 && Instant::now() < until {
+    while gateway.attempts().len() < 50 && Instant::now() < until {
         std::thread::yield_now();
     }
-    gateway.end()
+    gateway.finish()
 }
 
 fn farewell() -> Value {
@@ -50,8 +50,8 @@
 #[test]
 fn an_answer_that_comes_with_the_end_of_its_connection_counts() {
     let tries = played(true, farewell());
-    let first = tries.iter().filter(|t| t.answers.iter().any(|(answer, _)| *answer == Answer::Acked));
-    let lost = tries.iter().filter(|t| t.answers.is_empty() && !t.crossed).count();
+    let first = tries.iter().filter(|t| t.responses.iter().any(|(answer, _)| *answer == Response::Succeeded));
+    let lost = tries.iter().filter(|t| t.responses.is_empty() && !t.crossed_goodbye).count();
     assert!(first.count() >= 20 && lost == 0, "{lost} of {} lost", tries.len());
 }
 
@@ -60,7 +60,7 @@
     let dismissed = json!({"jsonrpc": "2.0", "id": null, "error": {"code": -32600, "message": "too late"}});
     for word in [farewell(), dismissed] {
         let tries = played(false, word);
-        let not = tries.iter().find(|t| !t.crossed);
+        let not = tries.iter().find(|t| !t.crossed_goodbye);
         assert!(tries.len() >= 50 && not.is_none(), "{not:?}");
     }
 }
--- a/crates/hazelspur-test-doubles/tests/worker.rs
+++ b/crates/hazelspur-test-doubles/tests/worker.rs
@@ -1,14 +1,14 @@
 //! The worker double: when it says that a run began.
 
 use hazelspur_test_doubles::now_ms;
-use hazelspur_test_doubles::worker::{Pace, Runtime};
+use hazelspur_test_doubles::worker::{Worker, WorkerSettings};
 use std::io::Write;
 use std::net::TcpStream;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
 /// Waits until a body has run; the time at which the worker says that its start came.
-fn run_time_ms(worker: &Runtime, body: &[u8]) -> u64 {
+fn run_time_ms(worker: &Worker, body: &[u8]) -> u64 {
     let until = Instant::now() + Duration::from_secs(5);
     loop {
         if let Some(times) = worker.state().runs.get(body) {
@@ -27,7 +27,7 @@
 /// Guards against a run that is taken for late because the machine suspended the worker double.
 #[test]
 fn start_read_late_counts_from_its_earliest_arrival() {
-    let worker = Runtime::start("127.0.0.1:0", Pace::default());
+    let worker = Worker::start("127.0.0.1:0", WorkerSettings::default());
     let mut link = TcpStream::connect(worker.address).expect("it listens");
     link.write_all(b"sync 0\r\n").expect("the worker reads");
     let suspended = worker.state();
@@ -46,7 +46,7 @@
 /// Nothing is excused while nobody is suspended: what is late by some milliseconds is found to be late.
 #[test]
 fn start_read_at_once_counts_from_its_sending() {
-    let worker = Runtime::start("127.0.0.1:0", Pace::default());
+    let worker = Worker::start("127.0.0.1:0", WorkerSettings::default());
     let mut link = TcpStream::connect(worker.address).expect("it listens");
     link.write_all(b"sync 0\r\n").expect("the worker reads");
     let exact = (0..40).any(|n| {
