--- a/crates/hazelspur-test-doubles/examples/town.rs
+++ b/crates/hazelspur-test-doubles/examples/town.rs
@@ -15,12 +15,12 @@
     broker.declare("orders", Some("orders-dead"));
     broker.declare("orders-later", Some("orders"));
     broker.declare("answers", None);
-    let _runtime = Worker::start(
+    let _worker = Worker::start(
         "127.0.0.1:7300",
         WorkerSettings { run_ms: 80, makes_calls: true, ..WorkerSettings::default() },
     );
-    let ledger = HttpServer::start("127.0.0.1:9042", "200 OK", "noted");
-    let _control = HttpServer::start("127.0.0.1:7946", "204 No Content", "");
+    let dependency = HttpServer::start("127.0.0.1:9042", "200 OK", "noted");
+    let _registry = HttpServer::start("127.0.0.1:7946", "204 No Content", "");
     println!("town: a broker on {}; waiting for a server", broker.address);
     for number in 1u64.. {
         let name = format!("order-{number}");
@@ -34,10 +34,10 @@
             (state.ready("orders"), state.unsettled())
         };
         println!("published {name}: {ready} ready, {unsettled} unsettled");
-        let came = broker.wait_until(Duration::from_secs(1), |state| state.ready("answers") > 0);
+        let answered = broker.wait_until(Duration::from_secs(1), |state| state.ready("answers") > 0);
         let mut state = broker.state();
         let answers = state.queues.get_mut("answers").map(|queue| std::mem::take(&mut queue.ready));
-        for answer in answers.into_iter().flatten().filter(|_| came) {
+        for answer in answers.into_iter().flatten().filter(|_| answered) {
             let headers = answer.properties.headers().clone().unwrap_or_default();
             let outcome = match headers.inner().get("x-outcome") {
                 Some(AMQPValue::LongString(outcome)) => outcome.to_string(),
@@ -46,7 +46,7 @@
             let id = answer.properties.correlation_id().as_ref().map_or("?", |id| id.as_str()).to_string();
             println!("answered {id}: {outcome}, {:?}", String::from_utf8_lossy(&answer.body));
         }
-        println!("acked {}, calls to the ledger {}", state.acks, ledger.calls().len());
+        println!("acked {}, calls to the ledger {}", state.acks, dependency.calls().len());
         drop(state);
         sleep(Duration::from_secs(1));
     }
--- a/crates/hazelspur-test-doubles/src/arrival.rs
+++ b/crates/hazelspur-test-doubles/src/arrival.rs
@@ -17,18 +17,18 @@
 /// The reading side of a connection.
 pub struct ArrivalReader<'a> {
     stream: &'a TcpStream,
-    empty_at_ms: u64,
+    last_seen_empty_ms: u64,
 }
 
 impl<'a> ArrivalReader<'a> {
     /// Observes a stream from now on.
     pub fn new(stream: &'a TcpStream) -> Self {
-        Self { stream, empty_at_ms: now_ms() }
+        Self { stream, last_seen_empty_ms: now_ms() }
     }
 
     /// When the bytes that were read last can have come at the earliest, in Unix milliseconds.
     pub fn arrived_after_ms(&self) -> u64 {
-        self.empty_at_ms
+        self.last_seen_empty_ms
     }
 
     /// Reads what is there, without waiting; `None` where nothing is, and 0 bytes at the stream's end.
@@ -36,10 +36,10 @@
     /// # Errors
     /// Where the connection is broken.
     pub fn read_available(&mut self, buffer: &mut [u8]) -> io::Result<Option<usize>> {
-        let looked_at_ms = now_ms();
+        let checked_at_ms = now_ms();
         match recv(self.stream.as_raw_fd(), buffer, MsgFlags::MSG_DONTWAIT) {
             Err(Errno::EAGAIN) => {
-                self.empty_at_ms = looked_at_ms;
+                self.last_seen_empty_ms = checked_at_ms;
                 Ok(None)
             }
             result => Ok(Some(result?)),
--- a/crates/hazelspur-test-doubles/src/broker/connection.rs
+++ b/crates/hazelspur-test-doubles/src/broker/connection.rs
@@ -6,9 +6,9 @@
 use crate::script::{Fault, FramePosition, Script};
 use amq_protocol::frame::{AMQPContentHeader, AMQPFrame, gen_frame};
 use amq_protocol::protocol::AMQPClass;
-use amq_protocol::protocol::basic::{self, AMQPMethod as Basic};
-use amq_protocol::protocol::channel::{self, AMQPMethod as OnChannel};
-use amq_protocol::protocol::connection::{self, AMQPMethod as OnConnection};
+use amq_protocol::protocol::basic::{self, AMQPMethod as BasicMethod};
+use amq_protocol::protocol::channel::{self, AMQPMethod as ChannelMethod};
+use amq_protocol::protocol::connection::{self, AMQPMethod as ConnectionMethod};
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::net::{Shutdown, TcpStream};
@@ -23,197 +23,202 @@
 pub(super) struct Channel {
     pub(super) consumer: Option<Consumer>,
     pub(super) prefetch: u16,
-    pub(super) last_tag: u64,
+    pub(super) last_delivery_tag: u64,
     pub(super) unsettled: BTreeMap<u64, (usize, String, Message)>,
-    pub(super) confirms: bool,
-    pub(super) published: u64,
-    pub(super) content: Option<(basic::Publish, Option<AMQPContentHeader>, Vec<u8>)>,
+    pub(super) confirm_mode: bool,
+    pub(super) published_count: u64,
+    pub(super) incoming_publish: Option<(basic::Publish, Option<AMQPContentHeader>, Vec<u8>)>,
 }
 
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
     pub(super) alive: bool,
     pub(super) open: bool,
-    pub(super) mute: bool,
-    pub(super) sent: u64,
-    pub(super) read: u64,
+    pub(super) silent: bool,
+    pub(super) frames_sent: u64,
+    pub(super) frames_read: u64,
     pub(super) script: Script,
     pub(super) channels: BTreeMap<u16, Channel>,
     pub(super) frame_max: usize,
-    pub(super) beat_ms: u64,
-    pub(super) sent_ms: u64,
-    pub(super) unblock_ms: Option<u64>,
-    pub(super) refuse: bool,
-    pub(super) lose_confirm: bool,
+    pub(super) heartbeat_ms: u64,
+    pub(super) last_sent_ms: u64,
+    pub(super) unblock_at_ms: Option<u64>,
+    pub(super) refuse_next_publish: bool,
+    pub(super) lose_next_confirm: bool,
 }
 
 impl BrokerState {
-    pub(super) fn begin(&mut self, stream: TcpStream) -> usize {
+    pub(super) fn accept(&mut self, stream: TcpStream) -> usize {
         self.connections_accepted += 1;
         let script = self.scripts.pop_front().unwrap_or_default();
         let connection = Connection {
             stream,
             alive: !self.stopped,
             open: false,
-            mute: false,
-            sent: 0,
-            read: 0,
+            silent: false,
+            frames_sent: 0,
+            frames_read: 0,
             script,
             channels: BTreeMap::new(),
             frame_max: self.frame_max as usize,
-            beat_ms: 0,
-            sent_ms: now_ms(),
-            unblock_ms: None,
-            refuse: false,
-            lose_confirm: false,
+            heartbeat_ms: 0,
+            last_sent_ms: now_ms(),
+            unblock_at_ms: None,
+            refuse_next_publish: false,
+            lose_next_confirm: false,
         };
         self.connections.push(connection);
         self.connections.len() - 1
     }
 
-    pub(super) fn drop_connection(&mut self, number: usize) {
-        let connection = &mut self.connections[number];
+    pub(super) fn drop_connection(&mut self, connection_index: usize) {
+        let connection = &mut self.connections[connection_index];
         connection.alive = false;
         let _ = connection.stream.shutdown(Shutdown::Both);
         let channels = std::mem::take(&mut connection.channels);
         channels.into_values().for_each(|channel| self.requeue_all(channel));
-        self.pump();
+        self.deliver_ready();
     }
 
-    pub(super) fn method(&mut self, number: usize, channel: u16, class: AMQPClass) {
-        self.send(number, &[AMQPFrame::Method(channel, class)]);
+    pub(super) fn send_method(&mut self, connection_index: usize, channel: u16, class: AMQPClass) {
+        self.send_frames(connection_index, &[AMQPFrame::Method(channel, class)]);
     }
 
     /// Writes frames, unless the script says otherwise.
-    pub(super) fn send(&mut self, number: usize, frames: &[AMQPFrame]) {
-        let mut out = Vec::new();
+    pub(super) fn send_frames(&mut self, connection_index: usize, frames: &[AMQPFrame]) {
+        let mut pending_bytes = Vec::new();
         for frame in frames {
-            let connection = &mut self.connections[number];
-            if !connection.alive || connection.mute {
+            let connection = &mut self.connections[connection_index];
+            if !connection.alive || connection.silent {
                 return;
             }
-            connection.sent += 1;
-            connection.sent_ms = now_ms();
+            connection.frames_sent += 1;
+            connection.last_sent_ms = now_ms();
             let mut bytes =
                 gen_frame(frame)(Vec::new().into()).expect("frames can be written").into_inner().0;
-            let sent = connection.sent;
-            match take_fault(&mut connection.script, FramePosition::Sent(sent)) {
+            let frames_sent = connection.frames_sent;
+            match take_fault(&mut connection.script, FramePosition::Sent(frames_sent)) {
                 Some(Fault::CutBetweenFrames) => {
-                    let _ = connection.stream.write_all(&out);
-                    return self.drop_connection(number);
+                    let _ = connection.stream.write_all(&pending_bytes);
+                    return self.drop_connection(connection_index);
                 }
                 Some(Fault::CutWithinFrame) => {
-                    out.extend_from_slice(&bytes[..bytes.len() / 2]);
-                    let _ = connection.stream.write_all(&out);
-                    return self.drop_connection(number);
+                    pending_bytes.extend_from_slice(&bytes[..bytes.len() / 2]);
+                    let _ = connection.stream.write_all(&pending_bytes);
+                    return self.drop_connection(connection_index);
                 }
                 Some(Fault::WrongFrameEnd) => *bytes.last_mut().expect("an end") = 0,
                 Some(Fault::HugeFrameLength) => bytes[3..7].fill(0xFF),
-                Some(fault) => self.misbehave(number, fault),
+                Some(fault) => self.inject_fault(connection_index, fault),
                 None => {}
             }
-            out.extend_from_slice(&bytes);
+            pending_bytes.extend_from_slice(&bytes);
         }
-        let connection = &mut self.connections[number];
-        if connection.alive && connection.stream.write_all(&out).is_err() {
-            self.drop_connection(number);
+        let connection = &mut self.connections[connection_index];
+        if connection.alive && connection.stream.write_all(&pending_bytes).is_err() {
+            self.drop_connection(connection_index);
         }
     }
 
     /// Faults that are not about the frame at hand.
-    pub(super) fn misbehave(&mut self, number: usize, fault: Fault) {
-        let connection = &mut self.connections[number];
+    pub(super) fn inject_fault(&mut self, connection_index: usize, fault: Fault) {
+        let connection = &mut self.connections[connection_index];
         if !connection.open {
             return;
         }
         match fault {
-            Fault::Silence => connection.mute = true,
-            Fault::RefusePublish => connection.refuse = true,
-            Fault::LoseConfirm => connection.lose_confirm = true,
-            Fault::DuplicateMessage => self.duplicate = true,
+            Fault::Silence => connection.silent = true,
+            Fault::RefusePublish => connection.refuse_next_publish = true,
+            Fault::LoseConfirm => connection.lose_next_confirm = true,
+            Fault::DuplicateMessage => self.duplicate_last_delivered = true,
             Fault::BlockConnection(ms) => {
-                connection.unblock_ms = Some(now_ms() + ms);
+                connection.unblock_at_ms = Some(now_ms() + ms);
                 let blocked = connection::Blocked { reason: "memory".into() };
-                self.method(number, 0, AMQPClass::Connection(OnConnection::Blocked(blocked)));
+                self.send_method(
+                    connection_index,
+                    0,
+                    AMQPClass::Connection(ConnectionMethod::Blocked(blocked)),
+                );
             }
-            Fault::CancelConsumers => self.cancel_all(None),
-            Fault::CloseChannels => self.close_channels(number, 406, "precondition failed"),
+            Fault::CancelConsumers => self.cancel_consumers(None),
+            Fault::CloseChannels => self.close_channels(connection_index, 406, "precondition failed"),
             Fault::CloseConnection => {
                 let (class_id, method_id) = (0, 0);
                 let reply_text = "shutting down".into();
                 let close = connection::Close { reply_code: 320, reply_text, class_id, method_id };
-                self.method(number, 0, AMQPClass::Connection(OnConnection::Close(close)));
-                self.connections[number].mute = true;
+                self.send_method(connection_index, 0, AMQPClass::Connection(ConnectionMethod::Close(close)));
+                self.connections[connection_index].silent = true;
             }
             Fault::CutBetweenFrames
             | Fault::CutWithinFrame
             | Fault::WrongFrameEnd
-            | Fault::HugeFrameLength => self.drop_connection(number),
+            | Fault::HugeFrameLength => self.drop_connection(connection_index),
         }
     }
 
     /// Sends heartbeats that are due and ends blocks whose time is over.
-    pub(super) fn keep_connections(&mut self, now: u64) {
-        for number in 0..self.connections.len() {
-            let connection = &mut self.connections[number];
+    pub(super) fn maintain_connections(&mut self, now: u64) {
+        for connection_index in 0..self.connections.len() {
+            let connection = &mut self.connections[connection_index];
             if !connection.alive {
                 continue;
             }
-            if connection.unblock_ms.is_some_and(|at| at <= now) {
-                connection.unblock_ms = None;
-                self.method(
-                    number,
+            if connection.unblock_at_ms.is_some_and(|due_ms| due_ms <= now) {
+                connection.unblock_at_ms = None;
+                self.send_method(
+                    connection_index,
                     0,
-                    AMQPClass::Connection(OnConnection::Unblocked(connection::Unblocked {})),
+                    AMQPClass::Connection(ConnectionMethod::Unblocked(connection::Unblocked {})),
                 );
             }
-            let connection = &self.connections[number];
+            let connection = &self.connections[connection_index];
             if connection.open
-                && connection.beat_ms > 0
-                && now.saturating_sub(connection.sent_ms) >= connection.beat_ms / 2
+                && connection.heartbeat_ms > 0
+                && now.saturating_sub(connection.last_sent_ms) >= connection.heartbeat_ms / 2
             {
-                self.send(number, &[AMQPFrame::Heartbeat]);
+                self.send_frames(connection_index, &[AMQPFrame::Heartbeat]);
             }
         }
     }
 
-    pub(super) fn cancel_all(&mut self, queue: Option<&str>) {
-        for number in 0..self.connections.len() {
-            let channels = &mut self.connections[number].channels;
-            let mut told = Vec::new();
-            for (channel, on) in channels.iter_mut() {
-                if let Some(consumer) = on.consumer.as_mut()
+    pub(super) fn cancel_consumers(&mut self, queue: Option<&str>) {
+        for connection_index in 0..self.connections.len() {
+            let channels = &mut self.connections[connection_index].channels;
+            let mut cancelled = Vec::new();
+            for (channel, channel_state) in channels.iter_mut() {
+                if let Some(consumer) = channel_state.consumer.as_mut()
                     && consumer.active
                     && queue.is_none_or(|queue| consumer.queue == queue)
                 {
                     consumer.active = false;
-                    told.push((*channel, consumer.tag.clone()));
+                    cancelled.push((*channel, consumer.tag.clone()));
                 }
             }
-            for (channel, tag) in told {
+            for (channel, tag) in cancelled {
                 let cancel = basic::Cancel { consumer_tag: tag.as_str().into(), nowait: true };
-                self.method(number, channel, AMQPClass::Basic(Basic::Cancel(cancel)));
+                self.send_method(connection_index, channel, AMQPClass::Basic(BasicMethod::Cancel(cancel)));
             }
         }
     }
 
     /// Closes the channels with a consumer, as after a permission was withdrawn.
-    pub fn close_channels(&mut self, number: usize, code: u16, why: &str) {
+    pub fn close_channels(&mut self, connection_index: usize, code: u16, reason: &str) {
         let consuming = |(n, c): (&u16, &Channel)| c.consumer.is_some().then_some(*n);
-        let channels: Vec<u16> = self.connections[number].channels.iter().filter_map(consuming).collect();
-        channels.into_iter().for_each(|channel| self.close_channel(number, channel, code, why));
+        let channels: Vec<u16> =
+            self.connections[connection_index].channels.iter().filter_map(consuming).collect();
+        channels.into_iter().for_each(|channel| self.close_channel(connection_index, channel, code, reason));
     }
 
-    pub(super) fn close_channel(&mut self, number: usize, channel: u16, code: u16, why: &str) {
-        if let Some(on) = self.connections[number].channels.remove(&channel) {
-            self.requeue_all(on);
+    pub(super) fn close_channel(&mut self, connection_index: usize, channel: u16, code: u16, reason: &str) {
+        if let Some(channel_state) = self.connections[connection_index].channels.remove(&channel) {
+            self.requeue_all(channel_state);
         }
-        let close = channel::Close { reply_code: code, reply_text: why.into(), class_id: 0, method_id: 0 };
-        self.method(number, channel, AMQPClass::Channel(OnChannel::Close(close)));
+        let close = channel::Close { reply_code: code, reply_text: reason.into(), class_id: 0, method_id: 0 };
+        self.send_method(connection_index, channel, AMQPClass::Channel(ChannelMethod::Close(close)));
     }
 }
 
 pub(super) fn take_fault(script: &mut Script, at: FramePosition) -> Option<Fault> {
-    let found = script.iter().position(|(when, _)| *when == at)?;
-    Some(script.remove(found).1)
+    let index = script.iter().position(|(position, _)| *position == at)?;
+    Some(script.remove(index).1)
 }
--- a/crates/hazelspur-test-doubles/src/broker/message.rs
+++ b/crates/hazelspur-test-doubles/src/broker/message.rs
@@ -16,7 +16,7 @@
     pub serial: u64,
     /// Whether it was delivered before.
     pub redelivered: bool,
-    pub(super) expires_ms: Option<u64>,
+    pub(super) expires_at_ms: Option<u64>,
 }
 
 /// Where a message ended.
@@ -82,25 +82,29 @@
     pub settled: Option<SettledBy>,
 }
 
-pub(super) fn content(channel: u16, message: &Message, frame_max: usize) -> Vec<AMQPFrame> {
+pub(super) fn content_frames(channel: u16, message: &Message, frame_max: usize) -> Vec<AMQPFrame> {
     let header = AMQPContentHeader {
         class_id: 60,
         body_size: message.body.len() as u64,
         properties: message.properties.clone(),
     };
-    let parts = message.body.chunks(frame_max - 8).map(|part| AMQPFrame::Body(channel, part.to_vec()));
-    std::iter::once(AMQPFrame::Header(channel, header)).chain(parts).collect()
+    let chunks = message.body.chunks(frame_max - 8).map(|chunk| AMQPFrame::Body(channel, chunk.to_vec()));
+    std::iter::once(AMQPFrame::Header(channel, header)).chain(chunks).collect()
 }
 
 /// A copy of the properties that does not expire.
-pub(super) fn without_expiration(p: AMQPProperties) -> AMQPProperties {
-    let mut kept = AMQPProperties::default();
-    macro_rules! keep {
-        ($($get:ident $with:ident),*) => { $( if let Some(v) = p.$get().clone() { kept = kept.$with(v); } )* };
+pub(super) fn without_expiration(properties: AMQPProperties) -> AMQPProperties {
+    let mut copy = AMQPProperties::default();
+    macro_rules! copy_properties {
+        ($($get:ident $with:ident),*) => { $(
+            if let Some(value) = properties.$get().clone() {
+                copy = copy.$with(value);
+            }
+        )* };
     }
-    keep!(content_type with_content_type, content_encoding with_content_encoding, headers with_headers,
+    copy_properties!(content_type with_content_type, content_encoding with_content_encoding, headers with_headers,
         delivery_mode with_delivery_mode, priority with_priority, correlation_id with_correlation_id,
         reply_to with_reply_to, message_id with_message_id, timestamp with_timestamp, kind with_type,
         user_id with_user_id, app_id with_app_id, cluster_id with_cluster_id);
-    kept
+    copy
 }
--- a/crates/hazelspur-test-doubles/src/broker/methods.rs
+++ b/crates/hazelspur-test-doubles/src/broker/methods.rs
@@ -6,31 +6,32 @@
 use crate::now_ms;
 use crate::script::{Fault, FramePosition};
 use amq_protocol::frame::AMQPFrame;
-use amq_protocol::protocol::basic::{self, AMQPMethod as Basic};
-use amq_protocol::protocol::channel::{self, AMQPMethod as OnChannel};
-use amq_protocol::protocol::confirm::{self, AMQPMethod as Confirm};
-use amq_protocol::protocol::connection::{self, AMQPMethod as OnConnection};
+use amq_protocol::protocol::basic::{self, AMQPMethod as BasicMethod};
+use amq_protocol::protocol::channel::{self, AMQPMethod as ChannelMethod};
+use amq_protocol::protocol::confirm::{self, AMQPMethod as ConfirmMethod};
+use amq_protocol::protocol::connection::{self, AMQPMethod as ConnectionMethod};
 use amq_protocol::protocol::{AMQPClass, queue};
 use amq_protocol::types::FieldTable;
 
 impl BrokerState {
-    pub(super) fn take(&mut self, number: usize, frame: AMQPFrame) {
-        self.connections[number].read += 1;
-        let read = self.connections[number].read;
-        let fault = take_fault(&mut self.connections[number].script, FramePosition::Read(read));
+    pub(super) fn handle_frame(&mut self, connection_index: usize, frame: AMQPFrame) {
+        self.connections[connection_index].frames_read += 1;
+        let frames_read = self.connections[connection_index].frames_read;
+        let fault =
+            take_fault(&mut self.connections[connection_index].script, FramePosition::Read(frames_read));
         match fault {
-            Some(Fault::CutBetweenFrames) => return self.drop_connection(number),
+            Some(Fault::CutBetweenFrames) => return self.drop_connection(connection_index),
             Some(Fault::CutWithinFrame) => {
-                self.act(number, frame);
-                return self.drop_connection(number);
+                self.process_frame(connection_index, frame);
+                return self.drop_connection(connection_index);
             }
-            Some(fault) => self.misbehave(number, fault),
+            Some(fault) => self.inject_fault(connection_index, fault),
             None => {}
         }
-        self.act(number, frame);
+        self.process_frame(connection_index, frame);
     }
 
-    pub(super) fn act(&mut self, number: usize, frame: AMQPFrame) {
+    pub(super) fn process_frame(&mut self, connection_index: usize, frame: AMQPFrame) {
         match frame {
             AMQPFrame::ProtocolHeader(_) => {
                 let start = connection::Start {
@@ -40,28 +41,34 @@
                     mechanisms: self.mechanisms.unwrap_or("PLAIN EXTERNAL").into(),
                     locales: "en_US".into(),
                 };
-                self.method(number, 0, AMQPClass::Connection(OnConnection::Start(start)));
+                self.send_method(connection_index, 0, AMQPClass::Connection(ConnectionMethod::Start(start)));
             }
             AMQPFrame::Heartbeat => self.heartbeats += 1,
-            AMQPFrame::Method(0, AMQPClass::Connection(method)) => self.on_connection(number, method),
-            AMQPFrame::Method(channel, class) => self.on_channel(number, channel, class),
+            AMQPFrame::Method(0, AMQPClass::Connection(method)) => {
+                self.handle_connection_method(connection_index, method)
+            }
+            AMQPFrame::Method(channel, class) => self.handle_channel_method(connection_index, channel, class),
             AMQPFrame::Header(channel, header) => {
-                let on = self.connections[number].channels.get_mut(&channel);
-                if let Some((_, kept, _)) = on.and_then(|on| on.content.as_mut()) {
-                    *kept = Some(header);
+                let channel_state = self.connections[connection_index].channels.get_mut(&channel);
+                if let Some((_, pending_header, _)) =
+                    channel_state.and_then(|channel_state| channel_state.incoming_publish.as_mut())
+                {
+                    *pending_header = Some(header);
                 }
-                self.publish_whole(number, channel);
+                self.finish_publish(connection_index, channel);
             }
-            AMQPFrame::Body(channel, part) => {
-                let frame_max = self.connections[number].frame_max;
-                if part.len() + 8 > frame_max {
-                    self.protocol_violations.push(format!("a body frame of {} bytes", part.len()));
+            AMQPFrame::Body(channel, chunk) => {
+                let frame_max = self.connections[connection_index].frame_max;
+                if chunk.len() + 8 > frame_max {
+                    self.protocol_violations.push(format!("a body frame of {} bytes", chunk.len()));
                 }
-                let on = self.connections[number].channels.get_mut(&channel);
-                if let Some((.., body)) = on.and_then(|on| on.content.as_mut()) {
-                    body.extend_from_slice(&part);
+                let channel_state = self.connections[connection_index].channels.get_mut(&channel);
+                if let Some((.., body)) =
+                    channel_state.and_then(|channel_state| channel_state.incoming_publish.as_mut())
+                {
+                    body.extend_from_slice(&chunk);
                 }
-                self.publish_whole(number, channel);
+                self.finish_publish(connection_index, channel);
             }
             AMQPFrame::InvalidHeartbeat(_) => {
                 self.protocol_violations.push("a heartbeat on a channel".into())
@@ -69,123 +76,141 @@
         }
     }
 
-    pub(super) fn on_connection(&mut self, number: usize, method: OnConnection) {
-        let reply = |class| AMQPClass::Connection(class);
+    pub(super) fn handle_connection_method(&mut self, connection_index: usize, method: ConnectionMethod) {
+        let class = |method| AMQPClass::Connection(method);
         match method {
-            OnConnection::StartOk(ok) => {
+            ConnectionMethod::StartOk(ok) => {
                 if let Some((user, password)) = &self.login
                     && ok.response.as_bytes() != format!("\0{user}\0{password}").as_bytes()
                 {
                     let reply_text = "ACCESS_REFUSED".into();
                     let close =
                         connection::Close { reply_code: 403, reply_text, class_id: 10, method_id: 11 };
-                    return self.method(number, 0, reply(OnConnection::Close(close)));
+                    return self.send_method(connection_index, 0, class(ConnectionMethod::Close(close)));
                 }
                 let tune = connection::Tune {
                     channel_max: 2047,
                     frame_max: self.frame_max,
                     heartbeat: self.heartbeat_s,
                 };
-                self.method(number, 0, reply(OnConnection::Tune(tune)));
+                self.send_method(connection_index, 0, class(ConnectionMethod::Tune(tune)));
             }
-            OnConnection::TuneOk(ok) => {
-                let connection = &mut self.connections[number];
+            ConnectionMethod::TuneOk(ok) => {
+                let connection = &mut self.connections[connection_index];
                 connection.frame_max = ok.frame_max as usize;
-                connection.beat_ms = u64::from(ok.heartbeat) * 1000;
+                connection.heartbeat_ms = u64::from(ok.heartbeat) * 1000;
             }
-            OnConnection::Open(_) => {
+            ConnectionMethod::Open(_) => {
                 self.connections_opened += 1;
                 self.connections_opened_ms.push(now_ms());
-                self.connections[number].open = true;
-                self.method(number, 0, reply(OnConnection::OpenOk(connection::OpenOk {})));
+                self.connections[connection_index].open = true;
+                self.send_method(connection_index, 0, class(ConnectionMethod::OpenOk(connection::OpenOk {})));
             }
-            OnConnection::Close(close) => {
+            ConnectionMethod::Close(close) => {
                 if close.reply_code == 200 {
                     self.connections_closed_cleanly += 1;
                 }
-                self.method(number, 0, reply(OnConnection::CloseOk(connection::CloseOk {})));
-                self.drop_connection(number);
-            }
-            OnConnection::CloseOk(_) => self.drop_connection(number),
+                self.send_method(
+                    connection_index,
+                    0,
+                    class(ConnectionMethod::CloseOk(connection::CloseOk {})),
+                );
+                self.drop_connection(connection_index);
+            }
+            ConnectionMethod::CloseOk(_) => self.drop_connection(connection_index),
             other => self.protocol_violations.push(format!("on channel 0: {other:?}")),
         }
     }
 
-    pub(super) fn on_channel(&mut self, number: usize, channel: u16, class: AMQPClass) {
-        if let AMQPClass::Channel(OnChannel::Open(_)) = class {
-            if self.connections[number].channels.insert(channel, Channel::default()).is_some() {
+    pub(super) fn handle_channel_method(&mut self, connection_index: usize, channel: u16, class: AMQPClass) {
+        if let AMQPClass::Channel(ChannelMethod::Open(_)) = class {
+            if self.connections[connection_index].channels.insert(channel, Channel::default()).is_some() {
                 self.protocol_violations.push(format!("channel {channel} opened twice"));
             }
             let ok = channel::OpenOk {};
-            return self.method(number, channel, AMQPClass::Channel(OnChannel::OpenOk(ok)));
+            return self.send_method(
+                connection_index,
+                channel,
+                AMQPClass::Channel(ChannelMethod::OpenOk(ok)),
+            );
         }
-        if let AMQPClass::Channel(OnChannel::CloseOk(_)) = class {
+        if let AMQPClass::Channel(ChannelMethod::CloseOk(_)) = class {
             return;
         }
-        let Some(on) = self.connections[number].channels.get_mut(&channel) else {
+        let Some(channel_state) = self.connections[connection_index].channels.get_mut(&channel) else {
             return; // closed by us while this was on its way
         };
         match class {
-            AMQPClass::Basic(Basic::Qos(qos)) => {
-                on.prefetch = qos.prefetch_count;
-                self.method(number, channel, AMQPClass::Basic(Basic::QosOk(basic::QosOk {})));
-            }
-            AMQPClass::Basic(Basic::Consume(consume)) => self.on_consume(number, channel, consume),
-            AMQPClass::Basic(Basic::Cancel(cancel)) => {
-                on.consumer = None;
+            AMQPClass::Basic(BasicMethod::Qos(qos)) => {
+                channel_state.prefetch = qos.prefetch_count;
+                self.send_method(
+                    connection_index,
+                    channel,
+                    AMQPClass::Basic(BasicMethod::QosOk(basic::QosOk {})),
+                );
+            }
+            AMQPClass::Basic(BasicMethod::Consume(consume)) => {
+                self.handle_consume(connection_index, channel, consume)
+            }
+            AMQPClass::Basic(BasicMethod::Cancel(cancel)) => {
+                channel_state.consumer = None;
                 let ok = basic::CancelOk { consumer_tag: cancel.consumer_tag };
-                self.method(number, channel, AMQPClass::Basic(Basic::CancelOk(ok)));
+                self.send_method(connection_index, channel, AMQPClass::Basic(BasicMethod::CancelOk(ok)));
+            }
+            AMQPClass::Basic(BasicMethod::CancelOk(_)) | AMQPClass::Channel(ChannelMethod::FlowOk(_)) => {}
+            AMQPClass::Basic(BasicMethod::Ack(ack)) => {
+                self.settle(connection_index, channel, ack.delivery_tag, SettledBy::Ack)
             }
-            AMQPClass::Basic(Basic::CancelOk(_)) | AMQPClass::Channel(OnChannel::FlowOk(_)) => {}
-            AMQPClass::Basic(Basic::Ack(ack)) => {
-                self.settle(number, channel, ack.delivery_tag, SettledBy::Ack)
+            AMQPClass::Basic(BasicMethod::Reject(reject)) => {
+                let settled_by = if reject.requeue { SettledBy::Requeue } else { SettledBy::Reject };
+                self.settle(connection_index, channel, reject.delivery_tag, settled_by);
             }
-            AMQPClass::Basic(Basic::Reject(reject)) => {
-                let how = if reject.requeue { SettledBy::Requeue } else { SettledBy::Reject };
-                self.settle(number, channel, reject.delivery_tag, how);
+            AMQPClass::Basic(BasicMethod::Nack(nack)) => {
+                let settled_by = if nack.requeue { SettledBy::Requeue } else { SettledBy::Reject };
+                self.settle(connection_index, channel, nack.delivery_tag, settled_by);
             }
-            AMQPClass::Basic(Basic::Nack(nack)) => {
-                let how = if nack.requeue { SettledBy::Requeue } else { SettledBy::Reject };
-                self.settle(number, channel, nack.delivery_tag, how);
+            AMQPClass::Basic(BasicMethod::Publish(publish)) => {
+                channel_state.incoming_publish = Some((publish, None, Vec::new()))
             }
-            AMQPClass::Basic(Basic::Publish(publish)) => on.content = Some((publish, None, Vec::new())),
-            AMQPClass::Confirm(Confirm::Select(_)) => {
-                on.confirms = true;
+            AMQPClass::Confirm(ConfirmMethod::Select(_)) => {
+                channel_state.confirm_mode = true;
                 let ok = confirm::SelectOk {};
-                self.method(number, channel, AMQPClass::Confirm(Confirm::SelectOk(ok)));
+                self.send_method(connection_index, channel, AMQPClass::Confirm(ConfirmMethod::SelectOk(ok)));
             }
             AMQPClass::Queue(queue::AMQPMethod::Declare(declare)) => {
-                self.on_declare(number, channel, declare)
+                self.handle_declare(connection_index, channel, declare)
+            }
+            AMQPClass::Channel(ChannelMethod::Close(_)) => {
+                self.handle_channel_close(connection_index, channel)
             }
-            AMQPClass::Channel(OnChannel::Close(_)) => self.on_channel_close(number, channel),
             other => self.protocol_violations.push(format!("on channel {channel}: {other:?}")),
         }
     }
 
-    fn on_consume(&mut self, number: usize, channel: u16, consume: basic::Consume) {
+    fn handle_consume(&mut self, connection_index: usize, channel: u16, consume: basic::Consume) {
         let queue = consume.queue.as_str().to_string();
         if self.queues.get(&queue).is_none_or(|queue| queue.deleted) {
-            return self.close_channel(number, channel, 404, "no such queue");
+            return self.close_channel(connection_index, channel, 404, "no such queue");
         }
         let tag = consume.consumer_tag.as_str().to_string();
-        if let Some(on) = self.connections[number].channels.get_mut(&channel) {
-            on.consumer = Some(Consumer { queue, tag, active: true });
+        if let Some(channel_state) = self.connections[connection_index].channels.get_mut(&channel) {
+            channel_state.consumer = Some(Consumer { queue, tag, active: true });
         }
         let ok = basic::ConsumeOk { consumer_tag: consume.consumer_tag };
-        self.method(number, channel, AMQPClass::Basic(Basic::ConsumeOk(ok)));
+        self.send_method(connection_index, channel, AMQPClass::Basic(BasicMethod::ConsumeOk(ok)));
     }
 
-    fn on_declare(&mut self, number: usize, channel: u16, declare: queue::Declare) {
+    fn handle_declare(&mut self, connection_index: usize, channel: u16, declare: queue::Declare) {
         self.queues.entry(declare.queue.as_str().into()).or_default();
         let ok = queue::DeclareOk { queue: declare.queue, message_count: 0, consumer_count: 0 };
-        self.method(number, channel, AMQPClass::Queue(queue::AMQPMethod::DeclareOk(ok)));
+        self.send_method(connection_index, channel, AMQPClass::Queue(queue::AMQPMethod::DeclareOk(ok)));
     }
 
-    fn on_channel_close(&mut self, number: usize, channel: u16) {
-        if let Some(on) = self.connections[number].channels.remove(&channel) {
-            self.requeue_all(on);
+    fn handle_channel_close(&mut self, connection_index: usize, channel: u16) {
+        if let Some(channel_state) = self.connections[connection_index].channels.remove(&channel) {
+            self.requeue_all(channel_state);
         }
         let ok = channel::CloseOk {};
-        self.method(number, channel, AMQPClass::Channel(OnChannel::CloseOk(ok)));
+        self.send_method(connection_index, channel, AMQPClass::Channel(ChannelMethod::CloseOk(ok)));
     }
 }
--- a/crates/hazelspur-test-doubles/src/broker/mod.rs
+++ b/crates/hazelspur-test-doubles/src/broker/mod.rs
@@ -94,18 +94,18 @@
     pub fn publish(&self, queue: &str, properties: AMQPProperties, body: &[u8]) -> u64 {
         let mut state = self.state();
         let message = Message { properties, body: body.to_vec(), ..Message::default() };
-        let serial = state.put(queue, message, false).expect("the queue is declared and has room");
-        state.pump();
+        let serial = state.enqueue(queue, message, false).expect("the queue is declared and has room");
+        state.deliver_ready();
         serial
     }
 
     /// Waits until `holds` is true; false where it was not in time.
-    pub fn wait_until(&self, within: Duration, mut holds: impl FnMut(&mut BrokerState) -> bool) -> bool {
-        let end = Instant::now() + within;
+    pub fn wait_until(&self, timeout: Duration, mut condition: impl FnMut(&mut BrokerState) -> bool) -> bool {
+        let deadline = Instant::now() + timeout;
         let mut state = self.state();
-        while !holds(&mut state) {
-            let Some(left) = end.checked_duration_since(Instant::now()) else { return false };
-            state = self.shared.1.wait_timeout(state, left).expect("no panic before").0;
+        while !condition(&mut state) {
+            let Some(remaining) = deadline.checked_duration_since(Instant::now()) else { return false };
+            state = self.shared.1.wait_timeout(state, remaining).expect("no panic before").0;
         }
         true
     }
@@ -143,27 +143,27 @@
 fn serve(shared: &(Mutex<BrokerState>, Condvar), mut stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
-    let Ok(write) = stream.try_clone() else { return };
-    let number = shared.0.lock().expect("no panic before").begin(write);
-    let (mut unread, mut part) = (Vec::new(), [0; 16 * 1024]);
-    while let Ok(count @ 1..) = stream.read(&mut part) {
-        unread.extend_from_slice(&part[..count]);
+    let Ok(writer) = stream.try_clone() else { return };
+    let connection_index = shared.0.lock().expect("no panic before").accept(writer);
+    let (mut unread, mut chunk) = (Vec::new(), [0; 16 * 1024]);
+    while let Ok(count @ 1..) = stream.read(&mut chunk) {
+        unread.extend_from_slice(&chunk[..count]);
         let mut state = shared.0.lock().expect("no panic before");
         let mut used = 0;
-        while state.connections[number].alive {
+        while state.connections[connection_index].alive {
             let Ok((rest, frame)) = parse_frame(&unread[used..]) else { break };
             used = unread.len() - rest.len();
-            state.take(number, frame);
+            state.handle_frame(connection_index, frame);
         }
         unread.drain(..used);
-        state.pump();
-        let alive = state.connections[number].alive;
+        state.deliver_ready();
+        let alive = state.connections[connection_index].alive;
         drop(state);
         shared.1.notify_all();
         if !alive || unread.len() > MAX_UNREAD_BYTES {
             break;
         }
     }
-    shared.0.lock().expect("no panic before").drop_connection(number);
+    shared.0.lock().expect("no panic before").drop_connection(connection_index);
     shared.1.notify_all();
 }
--- a/crates/hazelspur-test-doubles/src/broker/state.rs
+++ b/crates/hazelspur-test-doubles/src/broker/state.rs
@@ -47,7 +47,7 @@
     pub(super) stopped: bool,
     pub(super) connections: Vec<Connection>,
     pub(super) last_delivered: Option<(String, Message)>,
-    pub(super) duplicate: bool,
+    pub(super) duplicate_last_delivered: bool,
 }
 
 impl BrokerState {
@@ -68,8 +68,9 @@
 
     /// Whether a queue has an active consumer.
     pub fn has_consumer(&self, queue: &str) -> bool {
-        let of = |channel: &Channel| channel.consumer.as_ref().is_some_and(|c| c.active && c.queue == queue);
-        self.connections.iter().filter(|c| c.alive).flat_map(|c| c.channels.values()).any(of)
+        let is_active =
+            |channel: &Channel| channel.consumer.as_ref().is_some_and(|c| c.active && c.queue == queue);
+        self.connections.iter().filter(|c| c.alive).flat_map(|c| c.channels.values()).any(is_active)
     }
 
     /// Deletes a queue: its consumers are cancelled, its ready messages dropped.
@@ -80,24 +81,24 @@
                 self.ends.insert(message.serial, Some(MessageEnd::Dropped));
             }
         }
-        self.cancel_all(Some(name));
+        self.cancel_consumers(Some(name));
     }
 
     /// Puts the unsettled messages of a channel that ended back into their queues.
     pub(super) fn requeue_all(&mut self, channel: Channel) {
         for (_, (delivery, queue, message)) in channel.unsettled.into_iter().rev() {
-            self.settled(delivery, SettledBy::ConnectionLost);
-            self.put_back(&queue, message);
+            self.record_settlement(delivery, SettledBy::ConnectionLost);
+            self.requeue(&queue, message);
         }
     }
 
-    pub(super) fn settled(&mut self, delivery: usize, how: SettledBy) {
+    pub(super) fn record_settlement(&mut self, delivery: usize, settled_by: SettledBy) {
         if let Some(delivered) = self.deliveries.get_mut(delivery) {
-            delivered.settled = Some(how);
+            delivered.settled = Some(settled_by);
         }
     }
 
-    pub(super) fn put_back(&mut self, queue: &str, mut message: Message) {
+    pub(super) fn requeue(&mut self, queue: &str, mut message: Message) {
         message.redelivered = true;
         match self.queues.get_mut(queue) {
             Some(queue) if !queue.deleted => queue.ready.push_front(message),
@@ -106,16 +107,17 @@
     }
 
     /// A new message in a queue; `None` where there is none of that name, or it is full and `bounded`.
-    pub(super) fn put(&mut self, name: &str, mut message: Message, bounded: bool) -> Option<u64> {
+    pub(super) fn enqueue(&mut self, name: &str, mut message: Message, refuse_if_full: bool) -> Option<u64> {
         let queue = self.queues.get_mut(name).filter(|queue| !queue.deleted)?;
-        if bounded && queue.max_ready.is_some_and(|max| queue.ready.len() >= max) {
+        if refuse_if_full && queue.max_ready.is_some_and(|max| queue.ready.len() >= max) {
             return None;
         }
         self.last_serial += 1;
         message.serial = self.last_serial;
         message.redelivered = false;
-        let expires = message.properties.expiration().as_ref().and_then(|ms| ms.as_str().parse::<u64>().ok());
-        message.expires_ms = expires.map(|ms| now_ms() + ms);
+        let expiration_ms =
+            message.properties.expiration().as_ref().and_then(|ms| ms.as_str().parse::<u64>().ok());
+        message.expires_at_ms = expiration_ms.map(|ms| now_ms() + ms);
         let serial = message.serial;
         if !self.discards_history {
             self.bodies.insert(serial, message.body.clone());
@@ -126,15 +128,15 @@
     }
 
     /// Rejected or expired: on to the queue's dead letters, without its expiration, or dropped.
-    pub(super) fn bury(&mut self, queue: &str, mut message: Message) {
-        let to = self.queues.get(queue).and_then(|queue| queue.dead_letter_queue.clone());
+    pub(super) fn dead_letter(&mut self, queue: &str, mut message: Message) {
+        let target = self.queues.get(queue).and_then(|queue| queue.dead_letter_queue.clone());
         let (serial, properties) = (message.serial, message.properties.clone());
-        match to.and_then(|to| self.queues.get_mut(&to)) {
-            Some(to) => {
+        match target.and_then(|name| self.queues.get_mut(&name)) {
+            Some(target) => {
                 message.properties = without_expiration(properties);
-                message.expires_ms = None;
+                message.expires_at_ms = None;
                 message.redelivered = false;
-                to.ready.push_back(message);
+                target.ready.push_back(message);
             }
             None => drop(self.ends.insert(serial, Some(MessageEnd::Dropped))),
         }
@@ -143,22 +145,22 @@
     /// What time brings: expired messages, heartbeats, connections that are no longer blocked.
     pub(super) fn tick(&mut self) {
         let now = now_ms();
-        self.expire(now);
-        self.keep_connections(now);
-        self.pump();
+        self.expire_messages(now);
+        self.maintain_connections(now);
+        self.deliver_ready();
     }
 
-    fn expire(&mut self, now: u64) {
+    fn expire_messages(&mut self, now: u64) {
         let names: Vec<String> = self.queues.keys().cloned().collect();
         for name in names {
             loop {
                 let queue = self.queues.get_mut(&name).expect("named above");
-                let expired = |m: &Message| m.expires_ms.is_some_and(|at| at <= now);
+                let expired = |m: &Message| m.expires_at_ms.is_some_and(|due_ms| due_ms <= now);
                 if !queue.ready.front().is_some_and(expired) {
                     break;
                 }
                 let message = queue.ready.pop_front().expect("looked at");
-                self.bury(&name, message);
+                self.dead_letter(&name, message);
             }
         }
     }
--- a/crates/hazelspur-test-doubles/src/checker.rs
+++ b/crates/hazelspur-test-doubles/src/checker.rs
@@ -24,33 +24,33 @@
     let mut found = state.protocol_violations.clone();
     let ready: BTreeSet<u64> =
         state.queues.values().flat_map(|queue| queue.ready.iter().map(|message| message.serial)).collect();
-    let there = ready.len() + state.unsettled();
-    let open = state.unfinished();
-    if there != open {
-        found.push(format!("{open} messages have no end, {there} are in queues or unsettled"));
+    let held = ready.len() + state.unsettled();
+    let unfinished = state.unfinished();
+    if held != unfinished {
+        found.push(format!("{unfinished} messages have no end, {held} are in queues or unsettled"));
     }
-    let mut settled: BTreeMap<u64, usize> = BTreeMap::new();
-    for delivered in &state.deliveries {
-        if matches!(delivered.settled, Some(SettledBy::Ack | SettledBy::Reject)) {
-            *settled.entry(delivered.serial).or_default() += 1;
+    let mut final_settlements: BTreeMap<u64, usize> = BTreeMap::new();
+    for delivery in &state.deliveries {
+        if matches!(delivery.settled, Some(SettledBy::Ack | SettledBy::Reject)) {
+            *final_settlements.entry(delivery.serial).or_default() += 1;
         }
     }
-    for (serial, times) in settled.iter().filter(|(_, times)| **times > 1) {
+    for (serial, times) in final_settlements.iter().filter(|(_, times)| **times > 1) {
         found.push(format!("message {serial} settled for good {times} times"));
     }
-    for (body, terms) in expected {
+    for (body, rules) in expected {
         let name = String::from_utf8_lossy(body);
         let runs = worker_state.runs.get(body).map_or(&[][..], |runs| runs);
-        if terms.at_most_once && runs.len() > 1 {
+        if rules.at_most_once && runs.len() > 1 {
             found.push(format!("{name} ran {} times", runs.len()));
         }
-        if let Some(until) = terms.start_deadline_ms
-            && let Some(late) = runs.iter().find(|began| **began > until)
+        if let Some(deadline_ms) = rules.start_deadline_ms
+            && let Some(late_ms) = runs.iter().find(|start_ms| **start_ms > deadline_ms)
         {
-            found.push(format!("{name} began {} ms after its time", late - until));
+            found.push(format!("{name} began {} ms after its time", late_ms - deadline_ms));
         }
     }
-    let lost = lost(state, worker_state, expected.keys());
+    let lost = acked_but_never_run(state, worker_state, expected.keys());
     if lost.len() > may_lose {
         let names: Vec<_> = lost.iter().map(|body| String::from_utf8_lossy(body)).collect();
         found.push(format!("acked and never run: {}; {may_lose} may be lost", names.join(" ")));
@@ -59,7 +59,7 @@
 }
 
 /// Bodies of which every copy was acked, though none ran.
-fn lost<'a>(
+fn acked_but_never_run<'a>(
     state: &BrokerState,
     worker_state: &WorkerState,
     bodies: impl Iterator<Item = &'a Vec<u8>>,
@@ -69,7 +69,7 @@
         ends.entry(body).or_default().insert(state.ends.get(serial).copied().flatten());
     }
     let all_acked = |body: &&Vec<u8>| {
-        ends.get(body).is_some_and(|ends| ends.iter().all(|e| *e == Some(MessageEnd::Acked)))
+        ends.get(body).is_some_and(|ends| ends.iter().all(|end| *end == Some(MessageEnd::Acked)))
     };
     bodies.filter(all_acked).filter(|body| !worker_state.runs.contains_key(*body)).collect()
 }
--- a/crates/hazelspur-test-doubles/src/dependency.rs
+++ b/crates/hazelspur-test-doubles/src/dependency.rs
@@ -42,7 +42,7 @@
 }
 
 impl DependencyState {
-    fn change(&mut self, calls: usize) {
+    fn record_concurrency(&mut self, calls: usize) {
         self.concurrent_calls = calls;
         self.max_concurrent_calls = self.max_concurrent_calls.max(calls);
         if self.changes.len() < MAX_CHANGES {
@@ -51,24 +51,24 @@
     }
 
     /// The highest mean of concurrent calls over any time of this length.
-    pub fn max_mean_concurrency(&self, over: Duration) -> f64 {
+    pub fn max_mean_concurrency(&self, window: Duration) -> f64 {
         let Some(first) = self.changes.first() else { return 0.0 };
         // Call-seconds up to each change: between two changes the number stands.
-        let mut sums = vec![0.0];
-        for two in self.changes.windows(2) {
-            let took = (two[1].at - two[0].at).as_secs_f64() * two[0].calls as f64;
-            sums.push(sums[sums.len() - 1] + took);
+        let mut call_seconds_up_to = vec![0.0];
+        for pair in self.changes.windows(2) {
+            let call_seconds = (pair[1].at - pair[0].at).as_secs_f64() * pair[0].calls as f64;
+            call_seconds_up_to.push(call_seconds_up_to[call_seconds_up_to.len() - 1] + call_seconds);
         }
-        let (mut from, mut most) = (0, 0.0f64);
-        for (to, change) in self.changes.iter().enumerate() {
-            while change.at - self.changes[from].at > over {
-                from += 1;
+        let (mut start, mut max_mean) = (0, 0.0f64);
+        for (end, change) in self.changes.iter().enumerate() {
+            while change.at - self.changes[start].at > window {
+                start += 1;
             }
             // The stretch may begin within the step before: that counts whole.
-            let before = sums[from.saturating_sub(usize::from(change.at - first.at > over))];
-            most = most.max((sums[to] - before) / over.as_secs_f64());
+            let before = call_seconds_up_to[start.saturating_sub(usize::from(change.at - first.at > window))];
+            max_mean = max_mean.max((call_seconds_up_to[end] - before) / window.as_secs_f64());
         }
-        most
+        max_mean
     }
 }
 
@@ -99,11 +99,11 @@
             effects: BTreeMap::new(),
         };
         let state = Arc::new(Mutex::new(state));
-        let at = state.clone();
+        let accept_state = state.clone();
         spawn(move || {
             for stream in listener.incoming().flatten() {
-                let at = at.clone();
-                spawn(move || serve(&at, &stream));
+                let call_state = accept_state.clone();
+                spawn(move || serve(&call_state, &stream));
             }
         });
         Self { address, state }
@@ -116,15 +116,15 @@
 }
 
 /// Waits so long; false as soon as the caller has closed its connection, which cancels its call.
-fn wait_for_caller(stream: &TcpStream, takes: Duration) -> bool {
-    let until = Instant::now() + takes;
-    while let left = until.saturating_duration_since(Instant::now())
-        && !left.is_zero()
+fn wait_for_caller(stream: &TcpStream, duration: Duration) -> bool {
+    let deadline = Instant::now() + duration;
+    while let remaining = deadline.saturating_duration_since(Instant::now())
+        && !remaining.is_zero()
     {
-        let _ = stream.set_read_timeout(Some(left.clamp(Duration::from_millis(1), DISCONNECT_POLL)));
+        let _ = stream.set_read_timeout(Some(remaining.clamp(Duration::from_millis(1), DISCONNECT_POLL)));
         match stream.peek(&mut [0]) {
             Ok(0) => return false,
-            Ok(_) => sleep(left.min(DISCONNECT_POLL)),
+            Ok(_) => sleep(remaining.min(DISCONNECT_POLL)),
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
             Err(_) => return false,
         }
@@ -137,18 +137,18 @@
     let _ = stream.set_nodelay(true);
     let mut reader = BufReader::new(stream);
     while let Some((reference, _)) = crate::http::read_request(&mut reader) {
-        let takes = {
+        let duration = {
             let mut state = state.lock().expect("no panic before");
             let calls = state.concurrent_calls + 1;
-            state.change(calls);
-            let crowd = (state.concurrent_calls as f64 / state.slots.max(1) as f64).max(1.0);
-            Duration::from_secs_f64(state.call_ms * state.slowdown * crowd * crowd / 1000.0)
+            state.record_concurrency(calls);
+            let overload = (state.concurrent_calls as f64 / state.slots.max(1) as f64).max(1.0);
+            Duration::from_secs_f64(state.call_ms * state.slowdown * overload * overload / 1000.0)
         };
-        let cancelled = !wait_for_caller(stream, takes.min(MAX_CALL));
+        let cancelled = !wait_for_caller(stream, duration.min(MAX_CALL));
         {
             let mut state = state.lock().expect("no panic before");
             let calls = state.concurrent_calls - 1;
-            state.change(calls);
+            state.record_concurrency(calls);
             *state.effects.entry(reference).or_default() += 1;
         }
         if cancelled {
--- a/crates/hazelspur-test-doubles/src/gateway.rs
+++ b/crates/hazelspur-test-doubles/src/gateway.rs
@@ -19,7 +19,7 @@
 /// Unread bytes of a connection; more is no server of ours.
 const MAX_UNREAD_BYTES: usize = 1 << 20;
 /// Requests open on a connection, by the protocol.
-const MAX_OPEN: usize = 32;
+const MAX_OPEN_REQUESTS: usize = 32;
 
 /// How it picks servers, and what it does with a rejection.
 #[derive(Clone, Copy, Debug)]
@@ -42,13 +42,20 @@
 
 impl GatewaySettings {
     /// The JSON-RPC line of one attempt.
-    fn line(&self, gateway: usize, id: u64, now: u64, req: &str, waiting: &Waiting) -> Value {
-        let mut params = json!({"req": req, "ts": now, "via": gateway, "timeout": self.timeout_ms,
-            "need": 24.5, "level": 0.5, "data": base64(waiting.request.as_bytes())});
-        if waiting.kind == "set-qty" {
-            params["opkey"] = waiting.request.clone().into();
+    fn request_line(
+        &self,
+        gateway_number: usize,
+        id: u64,
+        now_ms: u64,
+        attempt_id: &str,
+        pending: &PendingRequest,
+    ) -> Value {
+        let mut params = json!({"req": attempt_id, "ts": now_ms, "via": gateway_number, "timeout": self.timeout_ms,
+            "need": 24.5, "level": 0.5, "data": base64(pending.request.as_bytes())});
+        if pending.request_class == "set-qty" {
+            params["opkey"] = pending.request.clone().into();
         }
-        json!({"jsonrpc": "2.0", "id": id, "method": waiting.kind, "params": params})
+        json!({"jsonrpc": "2.0", "id": id, "method": pending.request_class, "params": params})
     }
 }
 
@@ -89,11 +96,11 @@
 }
 
 impl Attempt {
-    fn sent(waiting: &Waiting, req: String, server: usize, sent_ms: u64, due_ms: u64) -> Self {
+    fn new(pending: &PendingRequest, attempt_id: String, server: usize, sent_ms: u64, due_ms: u64) -> Self {
         Self {
-            request: waiting.request.clone(),
-            attempt_id: req,
-            request_class: waiting.kind,
+            request: pending.request.clone(),
+            attempt_id,
+            request_class: pending.request_class,
             server,
             sent_ms,
             due_ms,
@@ -108,26 +115,26 @@
 /// Names of the request classes that it sends.
 pub const REQUEST_CLASSES: [&str; 3] = ["view", "set-qty", "book"];
 
-struct Link {
+struct Connection {
     stream: TcpStream,
     unread: Vec<u8>,
     /// Number on this connection, and which try.
-    open: BTreeMap<u64, usize>,
+    open_attempts: BTreeMap<u64, usize>,
     /// Those that have their answer; as many as the connection carried.
-    answered: BTreeMap<u64, usize>,
-    last: u64,
-    going: bool,
+    answered_attempts: BTreeMap<u64, usize>,
+    last_id: u64,
+    closing: bool,
 }
 
-impl Link {
+impl Connection {
     fn new(stream: TcpStream) -> Self {
         Self {
             stream,
             unread: Vec::new(),
-            open: BTreeMap::new(),
-            answered: BTreeMap::new(),
-            last: 0,
-            going: false,
+            open_attempts: BTreeMap::new(),
+            answered_attempts: BTreeMap::new(),
+            last_id: 0,
+            closing: false,
         }
     }
 }
@@ -138,7 +145,7 @@
 /// A gateway with a thread of its own.
 pub struct Gateway {
     stop: Arc<AtomicBool>,
-    tries: Arc<Mutex<Vec<Attempt>>>,
+    attempts: Arc<Mutex<Vec<Attempt>>>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -149,29 +156,29 @@
     ///
     /// Where an address is not a loopback address.
     pub fn start(
-        number: usize,
-        habits: GatewaySettings,
+        gateway_number: usize,
+        settings: GatewaySettings,
         servers: Vec<SocketAddr>,
-        list: ServerLister,
+        list_servers: ServerLister,
         seed: u64,
     ) -> Self {
-        assert!(servers.iter().all(|at| at.ip().is_loopback()), "test doubles stay on loopback");
-        let (stop, tries) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
-        let mut desk = Desk {
-            number,
-            habits,
+        assert!(servers.iter().all(|address| address.ip().is_loopback()), "test doubles stay on loopback");
+        let (stop, attempts) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
+        let mut gateway_loop = GatewayLoop {
+            gateway_number,
+            settings,
             servers,
-            list,
-            chance: Pcg::new(seed),
-            links: BTreeMap::new(),
-            waiting: Vec::new(),
+            list_servers,
+            random_numbers: Pcg::new(seed),
+            connections: BTreeMap::new(),
+            pending: Vec::new(),
             next_turn: 0,
-            names: 0,
-            tries: tries.clone(),
+            request_count: 0,
+            attempts: attempts.clone(),
         };
         let stopped = stop.clone();
-        let thread = spawn(move || desk.run(&stopped));
-        Self { stop, tries, thread: Some(thread) }
+        let thread = spawn(move || gateway_loop.run(&stopped));
+        Self { stop, attempts, thread: Some(thread) }
     }
 
     /// Sends nothing new from now on, and goes on reading.
@@ -181,7 +188,7 @@
 
     /// All attempts so far.
     pub fn attempts(&self) -> Vec<Attempt> {
-        self.tries.lock().expect("no panic before").clone()
+        self.attempts.lock().expect("no panic before").clone()
     }
 
     /// Waits until every attempt has its response or has timed out.
@@ -193,122 +200,136 @@
 }
 
 /// A request that is to be tried at some time.
-struct Waiting {
-    at_ms: u64,
+struct PendingRequest {
+    send_at_ms: u64,
     request: String,
-    kind: &'static str,
-    tried: BTreeSet<usize>,
-    left: u32,
-    last: Option<usize>,
+    request_class: &'static str,
+    tried_servers: BTreeSet<usize>,
+    retries_left: u32,
+    last_attempt: Option<usize>,
 }
 
-struct Desk {
-    number: usize,
-    habits: GatewaySettings,
+struct GatewayLoop {
+    gateway_number: usize,
+    settings: GatewaySettings,
     servers: Vec<SocketAddr>,
-    list: ServerLister,
-    chance: Pcg,
-    links: BTreeMap<usize, Link>,
-    waiting: Vec<Waiting>,
+    list_servers: ServerLister,
+    random_numbers: Pcg,
+    connections: BTreeMap<usize, Connection>,
+    pending: Vec<PendingRequest>,
     next_turn: usize,
-    names: u64,
-    tries: Arc<Mutex<Vec<Attempt>>>,
+    request_count: u64,
+    attempts: Arc<Mutex<Vec<Attempt>>>,
 }
 
-impl Desk {
+impl GatewayLoop {
     fn run(&mut self, stopped: &AtomicBool) {
-        let began = now_ms();
-        let mut sent = 0.0;
-        let mut stopping: Option<u64> = None;
+        let began_ms = now_ms();
+        let mut created = 0.0;
+        let mut stopped_at_ms: Option<u64> = None;
         loop {
             let now = now_ms();
-            if stopping.is_none() && stopped.load(Ordering::Relaxed) {
-                stopping = Some(now);
+            if stopped_at_ms.is_none() && stopped.load(Ordering::Relaxed) {
+                stopped_at_ms = Some(now);
             }
-            let owed = (now - began) as f64 / 1000.0 * self.habits.requests_per_s;
-            while stopping.is_none() && sent < owed {
-                sent += 1.0;
-                self.begin(now);
+            let due_count = (now - began_ms) as f64 / 1000.0 * self.settings.requests_per_s;
+            while stopped_at_ms.is_none() && created < due_count {
+                created += 1.0;
+                self.create_request(now);
             }
             self.read_all(now);
-            let due: Vec<Waiting> = {
-                let (due, rest) = std::mem::take(&mut self.waiting).into_iter().partition(|w| w.at_ms <= now);
-                self.waiting = rest;
+            let due: Vec<PendingRequest> = {
+                let (due, rest) = std::mem::take(&mut self.pending)
+                    .into_iter()
+                    .partition(|request| request.send_at_ms <= now);
+                self.pending = rest;
                 due
             };
-            due.into_iter().for_each(|waiting| self.send(now, waiting));
-            let open = self.links.values().any(|link| !link.open.is_empty());
+            due.into_iter().for_each(|pending| self.send_attempt(now, pending));
+            let any_open = self.connections.values().any(|connection| !connection.open_attempts.is_empty());
             // What has no answer long after it was due has none.
-            let over = stopping.is_some_and(|at| now > at + self.habits.timeout_ms + 6000);
-            if stopping.is_some() && (!open && self.waiting.is_empty() || over) {
+            let timed_out =
+                stopped_at_ms.is_some_and(|stopped_ms| now > stopped_ms + self.settings.timeout_ms + 6000);
+            if stopped_at_ms.is_some() && (!any_open && self.pending.is_empty() || timed_out) {
                 return;
             }
             sleep(TICK);
         }
     }
 
-    fn begin(&mut self, now: u64) {
-        self.names += 1;
-        let request = format!("g{}-{}", self.number, self.names);
-        let kind = REQUEST_CLASSES[self.chance.draw() as usize % REQUEST_CLASSES.len()];
-        let left = self.habits.retries;
-        self.waiting.push(Waiting { at_ms: now, request, kind, tried: BTreeSet::new(), left, last: None });
+    fn create_request(&mut self, now: u64) {
+        self.request_count += 1;
+        let request = format!("g{}-{}", self.gateway_number, self.request_count);
+        let request_class = REQUEST_CLASSES[self.random_numbers.draw() as usize % REQUEST_CLASSES.len()];
+        let retries_left = self.settings.retries;
+        self.pending.push(PendingRequest {
+            send_at_ms: now,
+            request,
+            request_class,
+            tried_servers: BTreeSet::new(),
+            retries_left,
+            last_attempt: None,
+        });
     }
 
     /// Which server is next for this request; none where none is listed.
-    fn pick(&mut self, waiting: &Waiting) -> Option<usize> {
-        let listed = (self.list)();
-        let fresh: Vec<usize> = listed.iter().copied().filter(|of| !waiting.tried.contains(of)).collect();
-        let from = if fresh.is_empty() { &listed } else { &fresh };
-        if from.is_empty() {
+    fn pick_server(&mut self, pending: &PendingRequest) -> Option<usize> {
+        let listed = (self.list_servers)();
+        let untried: Vec<usize> =
+            listed.iter().copied().filter(|server| !pending.tried_servers.contains(server)).collect();
+        let candidates = if untried.is_empty() { &listed } else { &untried };
+        if candidates.is_empty() {
             return None;
         }
-        let turn = if self.habits.by_request_hash {
-            waiting.request.bytes().fold(7usize, |h, b| h.wrapping_mul(31).wrapping_add(b.into()))
+        let turn = if self.settings.by_request_hash {
+            pending.request.bytes().fold(7usize, |hash, byte| hash.wrapping_mul(31).wrapping_add(byte.into()))
         } else {
             self.next_turn += 1;
             self.next_turn
         };
-        Some(from[turn % from.len()])
+        Some(candidates[turn % candidates.len()])
     }
 
-    fn send(&mut self, now: u64, mut waiting: Waiting) {
-        let Some(server) = self.pick(&waiting) else { return };
+    fn send_attempt(&mut self, now: u64, mut pending: PendingRequest) {
+        let Some(server) = self.pick_server(&pending) else { return };
         if !self.connect(server) {
             // A connection that never was proves that nothing ran.
-            waiting.tried.insert(server);
-            return self.again(now, waiting);
+            pending.tried_servers.insert(server);
+            return self.schedule_retry(now, pending);
         }
-        let Some(link) = self.links.get_mut(&server) else { return };
+        let Some(connection) = self.connections.get_mut(&server) else { return };
         // The loop's own time may be old by now: threads of a busy machine run late.
         let now = now_ms();
-        link.last += 1;
-        let req = format!("{:08x}{:08x}", self.chance.draw(), self.chance.draw());
-        let line = self.habits.line(self.number, link.last, now, &req, &waiting);
-        let wrote = (&link.stream).write_all(format!("{line}\n").as_bytes());
-        let number = {
-            let mut tries = self.tries.lock().expect("no panic before");
-            tries.push(Attempt::sent(&waiting, req, server, now, now + self.habits.timeout_ms));
-            tries.len() - 1
+        connection.last_id += 1;
+        let attempt_id = format!("{:08x}{:08x}", self.random_numbers.draw(), self.random_numbers.draw());
+        let line =
+            self.settings.request_line(self.gateway_number, connection.last_id, now, &attempt_id, &pending);
+        let written = (&connection.stream).write_all(format!("{line}\n").as_bytes());
+        let attempt_index = {
+            let mut attempts = self.attempts.lock().expect("no panic before");
+            attempts.push(Attempt::new(&pending, attempt_id, server, now, now + self.settings.timeout_ms));
+            attempts.len() - 1
         };
-        waiting.tried.insert(server);
-        waiting.last = Some(number);
-        link.open.insert(link.last, number);
-        self.waiting.push(Waiting { at_ms: u64::MAX, ..waiting });
+        pending.tried_servers.insert(server);
+        pending.last_attempt = Some(attempt_index);
+        connection.open_attempts.insert(connection.last_id, attempt_index);
+        self.pending.push(PendingRequest { send_at_ms: u64::MAX, ..pending });
         // Where the other end is closed, what it sent before is still to be read; only a line that went out in part
         // breaks the connection at once.
-        if wrote.is_err_and(|e| e.kind() == ErrorKind::WouldBlock) {
-            self.broken(now, server);
+        if written.is_err_and(|e| e.kind() == ErrorKind::WouldBlock) {
+            self.connection_lost(now, server);
         }
     }
 
     /// Whether there is a connection to this server that can carry one more request; dials where there is none.
     fn connect(&mut self, server: usize) -> bool {
-        if self.links.get(&server).is_some_and(|link| !link.going && link.open.len() < MAX_OPEN) {
+        if self.connections.get(&server).is_some_and(|connection| {
+            !connection.closing && connection.open_attempts.len() < MAX_OPEN_REQUESTS
+        }) {
             return true;
         }
         // One that is closing still has to be read to its end.
-        if self.links.get(&server).is_some_and(|link| !link.open.is_empty()) {
+        if self.connections.get(&server).is_some_and(|connection| !connection.open_attempts.is_empty()) {
             return false;
         }
         let Ok(stream) = TcpStream::connect_timeout(&self.servers[server], CONNECT_TIMEOUT) else {
@@ -316,113 +337,116 @@
         };
         let _ = stream.set_nodelay(true);
         let _ = stream.set_nonblocking(true);
-        self.links.insert(server, Link::new(stream));
+        self.connections.insert(server, Connection::new(stream));
         true
     }
 
     /// Sets a request that never ran, or may run again, for its next try.
-    fn again(&mut self, at_ms: u64, mut waiting: Waiting) {
-        if waiting.left > 0 {
-            waiting.left -= 1;
-            waiting.at_ms = at_ms;
-            self.waiting.push(waiting);
+    fn schedule_retry(&mut self, send_at_ms: u64, mut pending: PendingRequest) {
+        if pending.retries_left > 0 {
+            pending.retries_left -= 1;
+            pending.send_at_ms = send_at_ms;
+            self.pending.push(pending);
         }
     }
 
-    fn broken(&mut self, now: u64, server: usize) {
+    fn connection_lost(&mut self, now: u64, server: usize) {
         let now = now.max(now_ms());
-        let Some(link) = self.links.remove(&server) else { return };
-        for number in link.open.into_values() {
+        let Some(connection) = self.connections.remove(&server) else { return };
+        for attempt_index in connection.open_attempts.into_values() {
             let retryable = {
-                let mut tries = self.tries.lock().expect("no panic before");
-                (tries[number].disconnected_ms, tries[number].crossed_goodbye) = (Some(now), link.going);
-                tries[number].request_class == "view"
+                let mut attempts = self.attempts.lock().expect("no panic before");
+                (attempts[attempt_index].disconnected_ms, attempts[attempt_index].crossed_goodbye) =
+                    (Some(now), connection.closing);
+                attempts[attempt_index].request_class == "view"
             };
-            let waiting = self.take_waiting(number);
+            let pending = self.take_pending(attempt_index);
             // Whether it ran nobody knows.
-            waiting.filter(|_| retryable).into_iter().for_each(|waiting| self.again(now, waiting));
+            pending.filter(|_| retryable).into_iter().for_each(|pending| self.schedule_retry(now, pending));
         }
     }
 
-    fn take_waiting(&mut self, number: usize) -> Option<Waiting> {
-        let at = self.waiting.iter().position(|waiting| waiting.last == Some(number))?;
-        Some(self.waiting.swap_remove(at))
+    fn take_pending(&mut self, attempt_index: usize) -> Option<PendingRequest> {
+        let position = self.pending.iter().position(|pending| pending.last_attempt == Some(attempt_index))?;
+        Some(self.pending.swap_remove(position))
     }
 
     fn read_all(&mut self, now: u64) {
-        let servers: Vec<usize> = self.links.keys().copied().collect();
+        let servers: Vec<usize> = self.connections.keys().copied().collect();
         for server in servers {
-            let mut part = [0; 16 * 1024];
+            let mut chunk = [0; 16 * 1024];
             let mut ended = false;
-            while let Some(link) = self.links.get_mut(&server).filter(|_| !ended) {
-                match (&link.stream).read(&mut part) {
-                    Ok(count @ 1..) => link.unread.extend_from_slice(&part[..count]),
+            while let Some(connection) = self.connections.get_mut(&server).filter(|_| !ended) {
+                match (&connection.stream).read(&mut chunk) {
+                    Ok(count @ 1..) => connection.unread.extend_from_slice(&chunk[..count]),
                     Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                     Ok(0) | Err(_) => ended = true,
                 }
             }
             let mut lines = Vec::new();
-            if let Some(link) = self.links.get_mut(&server) {
-                while let Some(end) = link.unread.iter().position(|b| *b == b'\n') {
-                    lines.push(link.unread.drain(..=end).collect::<Vec<u8>>());
+            if let Some(connection) = self.connections.get_mut(&server) {
+                while let Some(end) = connection.unread.iter().position(|b| *b == b'\n') {
+                    lines.push(connection.unread.drain(..=end).collect::<Vec<u8>>());
                 }
-                if link.unread.len() > MAX_UNREAD_BYTES {
-                    self.broken(now, server);
+                if connection.unread.len() > MAX_UNREAD_BYTES {
+                    self.connection_lost(now, server);
                 }
             }
-            lines.into_iter().for_each(|line| self.take_line(now, server, &line));
+            lines.into_iter().for_each(|line| self.handle_line(now, server, &line));
             // Only now: answers and a farewell may have come together with the end.
             if ended {
-                self.broken(now, server);
+                self.connection_lost(now, server);
             }
-            let done = |link: &Link| link.going && link.open.is_empty();
-            if self.links.get(&server).is_some_and(done) {
-                self.links.remove(&server);
+            let drained = |connection: &Connection| connection.closing && connection.open_attempts.is_empty();
+            if self.connections.get(&server).is_some_and(drained) {
+                self.connections.remove(&server);
             }
         }
     }
 
-    fn take_line(&mut self, now: u64, server: usize, line: &[u8]) {
-        let Some(link) = self.links.get_mut(&server) else { return };
+    fn handle_line(&mut self, now: u64, server: usize, line: &[u8]) {
+        let Some(connection) = self.connections.get_mut(&server) else { return };
         let message: Value = serde_json::from_slice(line).unwrap_or(Value::Null);
         if message["method"] == "farewell" {
-            link.going = true;
+            connection.closing = true;
             return;
         }
-        let Some(number) = message["id"].as_u64() else {
+        let Some(id) = message["id"].as_u64() else {
             // An error about the connection itself: it closes, and what was not read is not answered.
-            link.going |= message["error"].is_object();
+            connection.closing |= message["error"].is_object();
             return;
         };
-        let Some(of) = link.open.remove(&number) else {
-            if let Some(of) = link.answered.get(&number) {
+        let Some(attempt_index) = connection.open_attempts.remove(&id) else {
+            if let Some(attempt_index) = connection.answered_attempts.get(&id) {
                 // Its second answer, whatever it says.
-                self.tries.lock().expect("no panic before")[*of].responses.push((Response::Failed, now));
+                self.attempts.lock().expect("no panic before")[*attempt_index]
+                    .responses
+                    .push((Response::Failed, now));
             }
             return;
         };
-        link.answered.insert(number, of);
-        let number = of;
+        connection.answered_attempts.insert(id, attempt_index);
         let error = &message["error"];
-        let answer = match error["code"].as_i64() {
+        let response = match error["code"].as_i64() {
             None => Response::Succeeded,
             Some(-32011) => Response::Rejected,
             Some(_) => Response::Failed,
         };
         {
-            let mut tries = self.tries.lock().expect("no panic before");
-            let of = &mut tries[number];
-            of.responses.push((answer, now));
-            let own = base64(of.request.as_bytes());
-            of.corrupted |= answer == Response::Succeeded && message["result"]["data"].as_str() != Some(&own);
+            let mut attempts = self.attempts.lock().expect("no panic before");
+            let attempt = &mut attempts[attempt_index];
+            attempt.responses.push((response, now));
+            let expected_data = base64(attempt.request.as_bytes());
+            attempt.corrupted |=
+                response == Response::Succeeded && message["result"]["data"].as_str() != Some(&expected_data);
         }
-        let Some(waiting) = self.take_waiting(number) else { return };
-        if answer == Response::Rejected {
-            let stay_away = error["data"]["holdoff"].as_f64().unwrap_or(0.0);
-            let no_more = error["data"]["nomore"].as_i64() == Some(1);
-            let wait = if self.habits.obeys_retry_after { stay_away as u64 } else { 0 };
-            if self.habits.retries_elsewhere && !(self.habits.obeys_retry_after && no_more) {
-                self.again(now + wait, waiting);
+        let Some(pending) = self.take_pending(attempt_index) else { return };
+        if response == Response::Rejected {
+            let retry_after_ms = error["data"]["holdoff"].as_f64().unwrap_or(0.0);
+            let forbids_retry = error["data"]["nomore"].as_i64() == Some(1);
+            let delay_ms = if self.settings.obeys_retry_after { retry_after_ms as u64 } else { 0 };
+            if self.settings.retries_elsewhere && !(self.settings.obeys_retry_after && forbids_retry) {
+                self.schedule_retry(now + delay_ms, pending);
             }
         }
     }
--- a/crates/hazelspur-test-doubles/src/registry.rs
+++ b/crates/hazelspur-test-doubles/src/registry.rs
@@ -18,8 +18,8 @@
 
 impl ServerList {
     fn report(&self, name: &str) {
-        let mut all = self.0.lock().expect("no panic before");
-        let reports = all.entry(name.to_string()).or_default();
+        let mut reports_by_name = self.0.lock().expect("no panic before");
+        let reports = reports_by_name.entry(name.to_string()).or_default();
         reports.push_back(now_ms());
         if reports.len() > REPORT_CAPACITY {
             reports.pop_front();
@@ -27,20 +27,25 @@
     }
 
     /// The names that were listed so many milliseconds ago.
-    pub fn listed(&self, late_ms: u64) -> BTreeSet<String> {
-        let at = now_ms().saturating_sub(late_ms);
-        let there = |reports: &VecDeque<u64>| reports.iter().any(|ms| *ms <= at && *ms + LISTED_FOR_MS > at);
-        let reports = self.0.lock().expect("no panic before");
-        reports.iter().filter(|(_, reports)| there(reports)).map(|(name, _)| name.clone()).collect()
+    pub fn listed(&self, age_ms: u64) -> BTreeSet<String> {
+        let at = now_ms().saturating_sub(age_ms);
+        let was_listed =
+            |reports: &VecDeque<u64>| reports.iter().any(|ms| *ms <= at && *ms + LISTED_FOR_MS > at);
+        let reports_by_name = self.0.lock().expect("no panic before");
+        reports_by_name
+            .iter()
+            .filter(|(_, reports)| was_listed(reports))
+            .map(|(name, _)| name.clone())
+            .collect()
     }
 
     /// The most reports of all names that came within one second so far.
     pub fn max_reports_in_a_second(&self) -> usize {
-        let mut each: BTreeMap<u64, usize> = BTreeMap::new();
+        let mut reports_per_second: BTreeMap<u64, usize> = BTreeMap::new();
         for ms in self.0.lock().expect("no panic before").values().flatten() {
-            *each.entry(ms / 1000).or_default() += 1;
+            *reports_per_second.entry(ms / 1000).or_default() += 1;
         }
-        each.into_values().max().unwrap_or(0)
+        reports_per_second.into_values().max().unwrap_or(0)
     }
 }
 
@@ -63,11 +68,11 @@
         let address = listener.local_addr().expect("an address");
         assert!(address.ip().is_loopback(), "test doubles stay on loopback");
         let list = ServerList::default();
-        let at = list.clone();
+        let accept_list = list.clone();
         spawn(move || {
             for stream in listener.incoming().flatten() {
-                let reports = at.clone();
-                spawn(move || serve(&reports, &stream));
+                let connection_list = accept_list.clone();
+                spawn(move || serve(&connection_list, &stream));
             }
         });
         Self { address, list }
--- a/crates/hazelspur-test-doubles/src/script.rs
+++ b/crates/hazelspur-test-doubles/src/script.rs
@@ -44,7 +44,7 @@
 pub type Script = Vec<(FramePosition, Fault)>;
 
 /// Up to `most` faults for a connection of some hundred frames.
-pub fn random(chance: &mut Pcg, most: u32) -> Script {
+pub fn random(random_numbers: &mut Pcg, max_faults: u32) -> Script {
     let faults = [
         Fault::CutBetweenFrames,
         Fault::CutBetweenFrames,
@@ -61,15 +61,15 @@
         Fault::DuplicateMessage,
         Fault::CloseConnection,
     ];
-    (0..chance.draw() % (most + 1))
+    (0..random_numbers.draw() % (max_faults + 1))
         .map(|_| {
-            let frame = 6 + u64::from(chance.draw() % 60);
-            let at = if chance.draw().is_multiple_of(2) {
+            let frame = 6 + u64::from(random_numbers.draw() % 60);
+            let position = if random_numbers.draw().is_multiple_of(2) {
                 FramePosition::Sent(frame)
             } else {
                 FramePosition::Read(frame)
             };
-            (at, faults[chance.draw() as usize % faults.len()])
+            (position, faults[random_numbers.draw() as usize % faults.len()])
         })
         .collect()
 }
--- a/crates/hazelspur-test-doubles/src/worker.rs
+++ b/crates/hazelspur-test-doubles/src/worker.rs
@@ -41,12 +41,12 @@
 struct Run {
     id: String,
     body: Vec<u8>,
-    left_ms: f64,
-    calling: bool,
-    called: bool,
+    remaining_ms: f64,
+    waits_for_call: bool,
+    call_requested: bool,
     /// Since when no server that is known to run it has a link; its requests are over.
-    orphan: Option<Instant>,
-    began: Instant,
+    orphaned_at: Option<Instant>,
+    began_at: Instant,
 }
 
 /// What the worker runs and has counted.
@@ -64,7 +64,7 @@
     pub max_concurrent_runs: usize,
     running: Vec<Run>,
     notices: VecDeque<(u64, Vec<u8>)>,
-    number: u64,
+    last_notice_number: u64,
     link: Option<TcpStream>,
     /// Closes every link that is opened.
     pub refuses_links: bool,
@@ -90,19 +90,19 @@
         let address = listener.local_addr().expect("an address");
         assert!(address.ip().is_loopback(), "test doubles stay on loopback");
         let worker_state = Arc::new(Mutex::new(WorkerState { settings, ..WorkerState::default() }));
-        let at = worker_state.clone();
+        let accept_state = worker_state.clone();
         spawn(move || {
             for stream in listener.incoming().flatten() {
-                let at = at.clone();
-                spawn(move || serve(&at, &stream));
+                let link_state = accept_state.clone();
+                spawn(move || serve(&link_state, &stream));
             }
         });
-        let worked = Arc::downgrade(&worker_state);
+        let weak_state = Arc::downgrade(&worker_state);
         spawn(move || {
-            let mut before = Instant::now();
-            while let Some(worker_state) = worked.upgrade() {
-                let passed = std::mem::replace(&mut before, Instant::now()).elapsed();
-                worker_state.lock().expect("no panic before").work(passed.as_secs_f64() * 1000.0);
+            let mut last_tick = Instant::now();
+            while let Some(worker_state) = weak_state.upgrade() {
+                let elapsed = std::mem::replace(&mut last_tick, Instant::now()).elapsed();
+                worker_state.lock().expect("no panic before").advance(elapsed.as_secs_f64() * 1000.0);
                 drop(worker_state);
                 sleep(TICK);
             }
@@ -130,7 +130,7 @@
         }
     }
 
-    fn say(&mut self, bytes: &[u8]) {
+    fn send(&mut self, bytes: &[u8]) {
         if let Some(link) = &mut self.link
             && link.write_all(bytes).is_err()
         {
@@ -138,21 +138,21 @@
         }
     }
 
-    fn notice(&mut self, write: impl FnOnce(u64) -> Vec<u8>) {
-        self.number += 1;
-        let bytes = write(self.number);
-        self.say(&bytes);
-        self.notices.push_back((self.number, bytes));
+    fn send_notice(&mut self, format_notice: impl FnOnce(u64) -> Vec<u8>) {
+        self.last_notice_number += 1;
+        let bytes = format_notice(self.last_notice_number);
+        self.send(&bytes);
+        self.notices.push_back((self.last_notice_number, bytes));
         if self.notices.len() > NOTICE_CAPACITY {
             self.notices.pop_front();
         }
     }
 
-    fn begin(&mut self, id: &str, body: Vec<u8>, arrived_after_ms: u64) {
+    fn start_run(&mut self, id: &str, body: Vec<u8>, arrived_after_ms: u64) {
         // A start that is sent once more after a break is the same run.
         if self.started.contains_key(id) {
             let run = self.running.iter_mut().find(|run| run.id == id);
-            run.into_iter().for_each(|run| run.orphan = None);
+            run.into_iter().for_each(|run| run.orphaned_at = None);
             return;
         }
         if !self.discards_history {
@@ -160,63 +160,65 @@
             self.runs.entry(body.clone()).or_default().push(arrived_after_ms);
         }
         let calls = self.settings.makes_calls;
-        let left_ms = self.settings.run_ms as f64;
+        let remaining_ms = self.settings.run_ms as f64;
         self.running.push(Run {
             id: id.into(),
             body,
-            left_ms,
-            calling: false,
-            called: !calls,
-            orphan: None,
-            began: Instant::now(),
+            remaining_ms,
+            waits_for_call: false,
+            call_requested: !calls,
+            orphaned_at: None,
+            began_at: Instant::now(),
         });
         self.max_concurrent_runs = self.max_concurrent_runs.max(self.running.len());
         if self.settings.run_ms == 0 {
-            self.work(0.0);
+            self.advance(0.0);
         }
     }
 
     /// The cores work on what is running and not at a call, each on an equal share.
-    fn work(&mut self, passed_ms: f64) {
-        let busy = self.running.iter().filter(|run| !run.calling).count().max(1);
-        let share = (self.settings.cores as f64 / busy as f64).min(1.0);
-        let over = Duration::from_millis(self.settings.call_deadline_ms);
-        let mut at = 0;
-        while at < self.running.len() {
-            let run = &mut self.running[at];
-            let over = over > Duration::ZERO && run.began.elapsed() >= over;
-            if run.calling && (over || run.orphan.is_some_and(|since| since.elapsed() >= ORPHAN_TIMEOUT)) {
+    fn advance(&mut self, elapsed_ms: f64) {
+        let computing = self.running.iter().filter(|run| !run.waits_for_call).count().max(1);
+        let share = (self.settings.cores as f64 / computing as f64).min(1.0);
+        let call_deadline = Duration::from_millis(self.settings.call_deadline_ms);
+        let mut index = 0;
+        while index < self.running.len() {
+            let run = &mut self.running[index];
+            let overdue = call_deadline > Duration::ZERO && run.began_at.elapsed() >= call_deadline;
+            if run.waits_for_call
+                && (overdue || run.orphaned_at.is_some_and(|since| since.elapsed() >= ORPHAN_TIMEOUT))
+            {
                 // Its request is over: it ends at its call.
-                let id = self.running.swap_remove(at).id;
-                self.notice(|number| format!("end {number} {id} cancelled 0 0\r\n\r\n").into_bytes());
+                let id = self.running.swap_remove(index).id;
+                self.send_notice(|number| format!("end {number} {id} cancelled 0 0\r\n\r\n").into_bytes());
                 continue;
             }
-            if run.calling {
-                at += 1;
+            if run.waits_for_call {
+                index += 1;
                 continue;
             }
-            run.left_ms -= passed_ms * share;
-            if run.left_ms > 0.0 {
-                at += 1;
-            } else if run.called {
-                let run = self.running.swap_remove(at);
-                self.end(&run);
+            run.remaining_ms -= elapsed_ms * share;
+            if run.remaining_ms > 0.0 {
+                index += 1;
+            } else if run.call_requested {
+                let run = self.running.swap_remove(index);
+                self.finish_run(&run);
             } else {
-                (run.calling, run.called) = (true, true);
+                (run.waits_for_call, run.call_requested) = (true, true);
                 let id = run.id.clone();
-                self.notice(|number| format!("wants {number} {id} 4\r\nnote\r\n").into_bytes());
-                at += 1;
+                self.send_notice(|number| format!("wants {number} {id} 4\r\nnote\r\n").into_bytes());
+                index += 1;
             }
         }
     }
 
-    fn end(&mut self, run: &Run) {
+    fn finish_run(&mut self, run: &Run) {
         self.ended += 1;
         let failed = self.settings.fail_every > 0 && self.ended.is_multiple_of(self.settings.fail_every);
-        let (how, result) = if failed { ("error", Vec::new()) } else { ("complete", run.body.clone()) };
+        let (outcome, result) = if failed { ("error", Vec::new()) } else { ("complete", run.body.clone()) };
         let (id, ms) = (run.id.clone(), self.settings.run_ms);
-        self.notice(|number| {
-            let mut line = format!("end {number} {id} {how} {ms} {}\r\n", result.len()).into_bytes();
+        self.send_notice(|number| {
+            let mut line = format!("end {number} {id} {outcome} {ms} {}\r\n", result.len()).into_bytes();
             line.extend_from_slice(&result);
             line.extend_from_slice(b"\r\n");
             line
@@ -224,44 +226,48 @@
     }
 
     /// Carries out a command that came over this link.
-    fn take(&mut self, words: &[&str], body: Vec<u8>, arrived_after_ms: u64, link: &TcpStream) {
+    fn handle_command(&mut self, words: &[&str], body: Vec<u8>, arrived_after_ms: u64, link: &TcpStream) {
         match *words {
             ["sync", last] => {
-                let last: u64 = last.parse().unwrap_or(0);
-                if last == 0 {
+                let last_received: u64 = last.parse().unwrap_or(0);
+                if last_received == 0 {
                     // A new life of the server; one that knows a run sends its start once more.
-                    self.running.iter_mut().for_each(|run| run.orphan = Some(Instant::now()));
+                    self.running.iter_mut().for_each(|run| run.orphaned_at = Some(Instant::now()));
                 }
                 self.link = link.try_clone().ok();
-                self.say(b"ready hot 60000\r\n");
-                let again: Vec<u8> =
-                    self.notices.iter().filter(|(n, _)| *n > last).flat_map(|(_, b)| b.clone()).collect();
-                self.say(&again);
+                self.send(b"ready hot 60000\r\n");
+                let repeated: Vec<u8> = self
+                    .notices
+                    .iter()
+                    .filter(|(number, _)| *number > last_received)
+                    .flat_map(|(_, bytes)| bytes.clone())
+                    .collect();
+                self.send(&repeated);
             }
             ["gauges", tag] => {
-                let on_cores = self.running.iter().filter(|run| !run.calling).count();
-                let load = format!("load {tag} 0.1 {on_cores} 0.0 1\r\n");
-                self.say(load.as_bytes());
+                let computing = self.running.iter().filter(|run| !run.waits_for_call).count();
+                let load = format!("load {tag} 0.1 {computing} 0.0 1\r\n");
+                self.send(load.as_bytes());
             }
-            ["start", id, ..] => self.begin(id, body, arrived_after_ms),
+            ["start", id, ..] => self.start_run(id, body, arrived_after_ms),
             ["give", id, _] => {
                 if let Some(run) = self.running.iter_mut().find(|run| run.id == id) {
-                    run.calling = false;
+                    run.waits_for_call = false;
                 }
                 if self.settings.run_ms == 0 {
-                    self.work(0.0);
+                    self.advance(0.0);
                 }
             }
-            ["stop", id] => self.stop(id),
-            _ => self.say(b"info 0 not understood\r\n"),
+            ["stop", id] => self.cancel_run(id),
+            _ => self.send(b"info 0 not understood\r\n"),
         }
     }
 
-    fn stop(&mut self, id: &str) {
-        if let Some(at) = self.running.iter().position(|run| run.id == id) {
-            self.running.swap_remove(at);
+    fn cancel_run(&mut self, id: &str) {
+        if let Some(index) = self.running.iter().position(|run| run.id == id) {
+            self.running.swap_remove(index);
             let id = id.to_string();
-            self.notice(|number| format!("end {number} {id} cancelled 0 0\r\n\r\n").into_bytes());
+            self.send_notice(|number| format!("end {number} {id} cancelled 0 0\r\n\r\n").into_bytes());
         }
     }
 }
@@ -269,25 +275,25 @@
 fn serve(worker_state: &Mutex<WorkerState>, stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
-    let mut lines = BufReader::new(ArrivalReader::new(stream));
+    let mut reader = BufReader::new(ArrivalReader::new(stream));
     let mut line = String::new();
-    while lines.read_line(&mut line).is_ok_and(|n| n > 0) {
+    while reader.read_line(&mut line).is_ok_and(|count| count > 0) {
         let words: Vec<String> = line.split_whitespace().map(str::to_string).collect();
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
         let mut body = Vec::new();
         if let ["start" | "give", .., length] = words[..] {
             body = vec![0; length.parse::<usize>().unwrap_or(0).min(1 << 20) + 2];
-            if lines.read_exact(&mut body).is_err() {
+            if reader.read_exact(&mut body).is_err() {
                 return;
             }
             body.truncate(body.len() - 2);
         }
-        let arrived_after_ms = lines.get_ref().arrived_after_ms();
+        let arrived_after_ms = reader.get_ref().arrived_after_ms();
         let mut worker_state = worker_state.lock().expect("no panic before");
         if worker_state.refuses_links {
             return;
         }
-        worker_state.take(&words, body, arrived_after_ms, stream);
+        worker_state.handle_command(&words, body, arrived_after_ms, stream);
         line.clear();
     }
 }
--- a/crates/hazelspur-test-doubles/tests/reserved_address.rs
+++ b/crates/hazelspur-test-doubles/tests/reserved_address.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn an_address_outside_the_loopback_range_is_refused() {
+fn address_outside_the_loopback_range_is_refused() {
     let error = ReservedAddress::on(Ipv4Addr::UNSPECIFIED).err().expect("not on loopback");
     assert_eq!(error.kind(), ErrorKind::InvalidInput);
 }
--- a/crates/hazelspur-test-doubles/tests/worker.rs
+++ b/crates/hazelspur-test-doubles/tests/worker.rs
@@ -8,18 +8,18 @@
 use std::time::{Duration, Instant};
 
 /// Waits until a body has run; the time at which the worker says that its start came.
-fn run_time_ms(worker: &Worker, body: &[u8]) -> u64 {
-    let until = Instant::now() + Duration::from_secs(5);
+fn earliest_start_ms(worker: &Worker, body: &[u8]) -> u64 {
+    let deadline = Instant::now() + Duration::from_secs(5);
     loop {
         if let Some(times) = worker.state().runs.get(body) {
             return times[0];
         }
-        assert!(Instant::now() < until, "it never ran");
+        assert!(Instant::now() < deadline, "it never ran");
         sleep(Duration::from_millis(1));
     }
 }
 
-fn start(link: &mut TcpStream, body: &str) {
+fn send_start(link: &mut TcpStream, body: &str) {
     let line = format!("start {body} view {}\r\n{body}\r\n", body.len());
     link.write_all(line.as_bytes()).expect("the worker reads");
 }
@@ -30,16 +30,16 @@
     let worker = Worker::start("127.0.0.1:0", WorkerSettings::default());
     let mut link = TcpStream::connect(worker.address).expect("it listens");
     link.write_all(b"sync 0\r\n").expect("the worker reads");
-    let suspended = worker.state();
-    start(&mut link, "first");
+    let suspended_worker = worker.state();
+    send_start(&mut link, "first");
     let sent_ms = now_ms();
     sleep(Duration::from_millis(100));
-    start(&mut link, "second");
+    send_start(&mut link, "second");
     sleep(Duration::from_millis(100));
-    drop(suspended);
+    drop(suspended_worker);
     for body in ["first", "second"] {
-        let began_ms = run_time_ms(&worker, body.as_bytes());
-        assert!(began_ms <= sent_ms + 100, "{body} began {} ms after it was sent", began_ms - sent_ms);
+        let start_ms = earliest_start_ms(&worker, body.as_bytes());
+        assert!(start_ms <= sent_ms + 100, "{body} began {} ms after it was sent", start_ms - sent_ms);
     }
 }
 
@@ -49,12 +49,12 @@
     let worker = Worker::start("127.0.0.1:0", WorkerSettings::default());
     let mut link = TcpStream::connect(worker.address).expect("it listens");
     link.write_all(b"sync 0\r\n").expect("the worker reads");
-    let exact = (0..40).any(|n| {
+    let any_exact = (0..40).any(|n| {
         sleep(Duration::from_millis(20));
         let sent_ms = now_ms();
         let body = format!("run{n}");
-        start(&mut link, &body);
-        run_time_ms(&worker, body.as_bytes()) + 4 >= sent_ms
+        send_start(&mut link, &body);
+        earliest_start_ms(&worker, body.as_bytes()) + 4 >= sent_ms
     });
-    assert!(exact, "each start counted from more than 4 ms before its sending");
+    assert!(any_exact, "each start counted from more than 4 ms before its sending");
 }
