--- a/crates/hazelspur-test-doubles/examples/town.rs
+++ b/crates/hazelspur-test-doubles/examples/town.rs
@@ -1,5 +1,6 @@
-//! Everything a server started with examples/config.json and examples/queues.star talks to: a broker, a runtime, a
-//! ledger and a control plane. Every second an order is left in the queue; its settlement and its answer are shown.
+//! The peers of a server that is started with examples/config.json and examples/queues.star: a broker, a
+//! worker, a dependency and a registry. An order is published to the queue every second; its settlement and
+//! its answer are printed.
 
 use amq_protocol::protocol::basic::AMQPProperties;
 use amq_protocol::types::AMQPValue;
@@ -10,7 +11,7 @@
 use std::time::Duration;
 
 fn main() {
-    let broker = Broker::start_at("127.0.0.1:5672".parse().expect("an address"));
+    let broker = Broker::start_at("127.0.0.1:5672".parse().expect("valid address"));
     broker.declare("orders-dead", None);
     broker.declare("orders", Some("orders-dead"));
     broker.declare("orders-later", Some("orders"));
--- a/crates/hazelspur-test-doubles/src/broker/connection.rs
+++ b/crates/hazelspur-test-doubles/src/broker/connection.rs
@@ -1,4 +1,5 @@
-//! Connections and channels of clients, and what the broker writes to them.
+//! Connections and channels of clients, and the sending of frames, with the faults of the connection's
+//! script.
 
 use super::message::Message;
 use super::state::BrokerState;
@@ -16,38 +17,47 @@
 pub(super) struct Consumer {
     pub(super) queue: String,
     pub(super) tag: String,
+    /// Whether the broker has not cancelled the consumer.
     pub(super) active: bool,
 }
 
 #[derive(Default)]
 pub(super) struct Channel {
     pub(super) consumer: Option<Consumer>,
+    /// Highest number of unsettled deliveries; 0 for no limit.
     pub(super) prefetch: u16,
     pub(super) last_delivery_tag: u64,
+    /// Index of the delivery record, queue and message of each unsettled delivery, by delivery tag.
     pub(super) unsettled: BTreeMap<u64, (usize, String, Message)>,
     pub(super) confirm_mode: bool,
     pub(super) published_count: u64,
+    /// Message that the client is publishing: method, content header once it was read, and the body so far.
     pub(super) incoming_publish: Option<(basic::Publish, Option<AMQPContentHeader>, Vec<u8>)>,
 }
 
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
     pub(super) alive: bool,
+    /// Whether the handshake is complete.
     pub(super) open: bool,
+    /// Whether the broker sends nothing more, as scripted.
     pub(super) silent: bool,
     pub(super) frames_sent: u64,
     pub(super) frames_read: u64,
     pub(super) script: Script,
     pub(super) channels: BTreeMap<u16, Channel>,
     pub(super) frame_max: usize,
+    /// Heartbeat interval, in milliseconds; 0 for no heartbeats.
     pub(super) heartbeat_ms: u64,
     pub(super) last_sent_ms: u64,
+    /// Time at which `connection.unblocked` is due, in Unix milliseconds; `None` while not blocked.
     pub(super) unblock_at_ms: Option<u64>,
     pub(super) refuse_next_publish: bool,
     pub(super) lose_next_confirm: bool,
 }
 
 impl BrokerState {
+    /// Adds a connection with the next script and returns its index.
     pub(super) fn accept(&mut self, stream: TcpStream) -> usize {
         self.connections_accepted += 1;
         let script = self.scripts.pop_front().unwrap_or_default();
@@ -71,6 +81,7 @@
         self.connections.len() - 1
     }
 
+    /// Breaks a connection, puts its unsettled messages back into their queues, and delivers what is ready.
     pub(super) fn drop_connection(&mut self, connection_index: usize) {
         let connection = &mut self.connections[connection_index];
         connection.alive = false;
@@ -84,7 +95,7 @@
         self.send_frames(connection_index, &[AMQPFrame::Method(channel, class)]);
     }
 
-    /// Writes frames, unless the script says otherwise.
+    /// Sends frames, with the faults that the connection's script places at them.
     pub(super) fn send_frames(&mut self, connection_index: usize, frames: &[AMQPFrame]) {
         let mut pending_bytes = Vec::new();
         for frame in frames {
@@ -94,8 +105,7 @@
             }
             connection.frames_sent += 1;
             connection.last_sent_ms = now_ms();
-            let mut bytes =
-                gen_frame(frame)(Vec::new().into()).expect("frames can be written").into_inner().0;
+            let mut bytes = gen_frame(frame)(Vec::new().into()).expect("frame is valid").into_inner().0;
             let frames_sent = connection.frames_sent;
             match take_fault(&mut connection.script, FramePosition::Sent(frames_sent)) {
                 Some(Fault::CutBetweenFrames) => {
@@ -107,7 +117,7 @@
                     let _ = connection.stream.write_all(&pending_bytes);
                     return self.drop_connection(connection_index);
                 }
-                Some(Fault::WrongFrameEnd) => *bytes.last_mut().expect("an end") = 0,
+                Some(Fault::WrongFrameEnd) => *bytes.last_mut().expect("frame has an end octet") = 0,
                 Some(Fault::HugeFrameLength) => bytes[3..7].fill(0xFF),
                 Some(fault) => self.inject_fault(connection_index, fault),
                 None => {}
@@ -120,7 +130,8 @@
         }
     }
 
-    /// Faults that are not about the frame at hand.
+    /// Applies a fault that does not alter the current frame; does nothing before the handshake is complete.
+    /// A fault that would alter a frame breaks the connection.
     pub(super) fn inject_fault(&mut self, connection_index: usize, fault: Fault) {
         let connection = &mut self.connections[connection_index];
         if !connection.open {
@@ -156,7 +167,7 @@
         }
     }
 
-    /// Sends heartbeats that are due and ends blocks whose time is over.
+    /// Sends the heartbeats and `connection.unblocked` methods that are due.
     pub(super) fn maintain_connections(&mut self, now: u64) {
         for connection_index in 0..self.connections.len() {
             let connection = &mut self.connections[connection_index];
@@ -181,6 +192,7 @@
         }
     }
 
+    /// Cancels the active consumers of a queue, or of all queues with `None`.
     pub(super) fn cancel_consumers(&mut self, queue: Option<&str>) {
         for connection_index in 0..self.connections.len() {
             let channels = &mut self.connections[connection_index].channels;
@@ -201,7 +213,8 @@
         }
     }
 
-    /// Closes the channels with a consumer, as after a permission was withdrawn.
+    /// Closes the channels of a connection that have a consumer, as a broker does after a permission was
+    /// withdrawn.
     pub fn close_channels(&mut self, connection_index: usize, code: u16, reason: &str) {
         let consuming = |(n, c): (&u16, &Channel)| c.consumer.is_some().then_some(*n);
         let channels: Vec<u16> =
@@ -209,6 +222,7 @@
         channels.into_iter().for_each(|channel| self.close_channel(connection_index, channel, code, reason));
     }
 
+    /// Closes a channel and puts its unsettled messages back into their queues.
     pub(super) fn close_channel(&mut self, connection_index: usize, channel: u16, code: u16, reason: &str) {
         if let Some(channel_state) = self.connections[connection_index].channels.remove(&channel) {
             self.requeue_all(channel_state);
@@ -218,6 +232,7 @@
     }
 }
 
+/// Removes the fault at a position from the script and returns it; `None` if there is none.
 pub(super) fn take_fault(script: &mut Script, at: FramePosition) -> Option<Fault> {
     let index = script.iter().position(|(position, _)| *position == at)?;
     Some(script.remove(index).1)
--- a/crates/hazelspur-test-doubles/src/broker/delivery.rs
+++ b/crates/hazelspur-test-doubles/src/broker/delivery.rs
@@ -1,4 +1,4 @@
-//! Delivers messages to consumers, as far as their prefetch allows, and settles them.
+//! Delivery of messages to consumers, within their prefetch limits, and settlement of deliveries.
 
 use super::message::{DeliveryRecord, MessageEnd, SettledBy, content_frames};
 use super::state::BrokerState;
@@ -8,7 +8,8 @@
 use amq_protocol::protocol::basic::{self, AMQPMethod as BasicMethod};
 
 impl BrokerState {
-    /// Delivers what consumers have room for.
+    /// Delivers ready messages until each consumer's queue is empty or its prefetch limit is reached.
+    /// Publishes the last message once more before that, if scripted.
     pub(super) fn deliver_ready(&mut self) {
         if std::mem::take(&mut self.duplicate_last_delivered)
             && let Some((queue, message)) = self.last_delivered.clone()
@@ -26,6 +27,8 @@
         }
     }
 
+    /// Delivers one message on a channel and returns whether there was one and the channel's consumer had
+    /// room for it.
     pub(super) fn deliver_one(&mut self, connection_index: usize, channel: u16) -> bool {
         let connection = &mut self.connections[connection_index];
         let frame_max = connection.frame_max;
@@ -66,6 +69,7 @@
         true
     }
 
+    /// Settles a delivery; records a protocol violation if the delivery tag is not open on the channel.
     pub(super) fn settle(&mut self, connection_index: usize, channel: u16, tag: u64, settled_by: SettledBy) {
         let channel_state = self.connections[connection_index].channels.get_mut(&channel);
         let Some((delivery, queue, message)) =
--- a/crates/hazelspur-test-doubles/src/broker/message.rs
+++ b/crates/hazelspur-test-doubles/src/broker/message.rs
@@ -8,49 +8,50 @@
 /// A message in a queue.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// Its content properties.
+    /// Content properties.
     pub properties: AMQPProperties,
-    /// Its body.
+    /// Body, in bytes.
     pub body: Vec<u8>,
-    /// Its number, given by the broker.
+    /// Number of the message in the order of publication, given by the broker from 1 on.
     pub serial: u64,
-    /// Whether it was delivered before.
+    /// Whether the message was delivered before and put back into its queue.
     pub redelivered: bool,
+    /// Time of expiration, in Unix milliseconds; `None` for no expiration.
     pub(super) expires_at_ms: Option<u64>,
 }
 
-/// Where a message ended.
+/// Way in which a message left the broker for good.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MessageEnd {
     /// Acknowledged by a consumer.
     Acked,
-    /// Rejected or expired where no other queue takes such.
+    /// Rejected or expired without a dead letter queue, or lost with a deleted queue.
     Dropped,
 }
 
 /// A queue in memory.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
-    /// Messages to deliver, first in, first out.
+    /// Messages to deliver, the next one at the front.
     pub ready: VecDeque<Message>,
-    /// Where rejected messages go, and expired ones.
+    /// Name of the queue for rejected and expired messages; `None` if they are dropped.
     pub dead_letter_queue: Option<String>,
-    /// With so many ready messages a publish is refused.
+    /// Number of ready messages from which on a publish is refused; `None` for no limit.
     pub max_ready: Option<usize>,
-    /// Whether it was deleted.
+    /// Whether the queue was deleted; a client's declaration does not restore it.
     pub deleted: bool,
 }
 
-/// How a delivery was settled.
+/// Way in which a delivery was settled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettledBy {
-    /// By `basic.ack`.
+    /// Settled by `basic.ack`.
     Ack,
-    /// By `basic.reject` or `basic.nack` without requeue.
+    /// Settled by `basic.reject` or `basic.nack` without requeue.
     Reject,
-    /// By one of them with requeue.
+    /// Settled by `basic.reject` or `basic.nack` with requeue.
     Requeue,
-    /// By the end of its channel or connection.
+    /// Settled by the end of the channel or connection, with requeue.
     ConnectionLost,
 }
 
@@ -68,20 +69,21 @@
 /// One delivery of a message to a consumer.
 #[derive(Clone, Debug)]
 pub struct DeliveryRecord {
-    /// The connection, counted from 0.
+    /// Number of the connection, counted from 0 in the order of acceptance.
     pub connection: usize,
-    /// The channel on it.
+    /// Number of the channel on the connection.
     pub channel: u16,
-    /// The delivery tag.
+    /// Delivery tag.
     pub tag: u64,
-    /// The message's serial number.
+    /// Serial number of the message.
     pub serial: u64,
-    /// When it was delivered, in Unix milliseconds.
+    /// Time of delivery, in Unix milliseconds.
     pub delivered_ms: u64,
-    /// How it was settled; `None` while it is not.
+    /// Settlement; `None` while the delivery is unsettled.
     pub settled: Option<SettledBy>,
 }
 
+/// Returns the content header and body frames of a message.
 pub(super) fn content_frames(channel: u16, message: &Message, frame_max: usize) -> Vec<AMQPFrame> {
     let header = AMQPContentHeader {
         class_id: 60,
@@ -92,7 +94,7 @@
     std::iter::once(AMQPFrame::Header(channel, header)).chain(chunks).collect()
 }
 
-/// A copy of the properties that does not expire.
+/// Returns a copy of the properties without the expiration.
 pub(super) fn without_expiration(properties: AMQPProperties) -> AMQPProperties {
     let mut copy = AMQPProperties::default();
     macro_rules! copy_properties {
--- a/crates/hazelspur-test-doubles/src/broker/methods.rs
+++ b/crates/hazelspur-test-doubles/src/broker/methods.rs
@@ -1,4 +1,5 @@
-//! Acts on the frames and methods that clients send.
+//! Handling of the frames and methods that clients send. What a client may not send is recorded as a protocol
+//! violation.
 
 use super::connection::{Channel, Consumer, take_fault};
 use super::message::SettledBy;
@@ -14,6 +15,7 @@
 use amq_protocol::types::FieldTable;
 
 impl BrokerState {
+    /// Handles a frame that was read, with the fault that the connection's script places at it.
     pub(super) fn handle_frame(&mut self, connection_index: usize, frame: AMQPFrame) {
         self.connections[connection_index].frames_read += 1;
         let frames_read = self.connections[connection_index].frames_read;
@@ -138,7 +140,7 @@
             return;
         }
         let Some(channel_state) = self.connections[connection_index].channels.get_mut(&channel) else {
-            return; // closed by us while this was on its way
+            return; // the broker closed the channel while the frame was on its way
         };
         match class {
             AMQPClass::Basic(BasicMethod::Qos(qos)) => {
--- a/crates/hazelspur-test-doubles/src/broker/publish.rs
+++ b/crates/hazelspur-test-doubles/src/broker/publish.rs
@@ -1,4 +1,4 @@
-//! Takes what clients publish, and confirms it.
+//! Acceptance of the messages that clients publish, and publisher confirms.
 
 use super::message::{Message, content_frames};
 use super::state::BrokerState;
@@ -7,6 +7,8 @@
 use amq_protocol::protocol::basic::{self, AMQPMethod as BasicMethod};
 
 impl BrokerState {
+    /// Puts the message that a client publishes into its queue once its body is complete. Returns a mandatory
+    /// message that has no queue, and sends the publisher confirm.
     pub(super) fn finish_publish(&mut self, connection_index: usize, channel: u16) {
         let connection = &mut self.connections[connection_index];
         let Some(channel_state) = connection.channels.get_mut(&channel) else { return };
--- a/crates/hazelspur-test-doubles/src/broker/state.rs
+++ b/crates/hazelspur-test-doubles/src/broker/state.rs
@@ -1,4 +1,4 @@
-//! All that the broker knows: queues, deliveries, connections, and counts for tests.
+//! State of the broker: queues, connections, and the records of messages and deliveries.
 
 use super::connection::{Channel, Connection};
 use super::message::{DeliveryRecord, Message, MessageEnd, Queue, SettledBy, without_expiration};
@@ -6,74 +6,77 @@
 use crate::script::Script;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What the broker keeps, and what it counts for tests.
+/// Queues, connections, settings, and records for tests.
 #[derive(Default)]
 pub struct BrokerState {
     /// Queues by name.
     pub queues: BTreeMap<String, Queue>,
-    /// All deliveries, in their order.
+    /// All deliveries, in order; left empty with `discards_history`.
     pub deliveries: Vec<DeliveryRecord>,
-    /// Where each message ended, by its serial number; `None` while it has not.
+    /// End of each message, by serial number; `None` while the message is ready or unsettled.
     pub ends: BTreeMap<u64, Option<MessageEnd>>,
-    /// The body of each message, by its serial number.
+    /// Body of each message, by serial number; left empty with `discards_history`.
     pub bodies: BTreeMap<u64, Vec<u8>>,
-    /// What clients did against the protocol.
+    /// Descriptions of what clients did against the protocol.
     pub protocol_violations: Vec<String>,
-    /// Connections that were accepted.
+    /// Number of connections that were accepted.
     pub connections_accepted: usize,
-    /// Connections that completed the handshake.
+    /// Number of connections that completed the handshake.
     pub connections_opened: usize,
-    /// When they did, in Unix milliseconds.
+    /// Times at which connections completed the handshake, in Unix milliseconds.
     pub connections_opened_ms: Vec<u64>,
-    /// Connections that were closed in good order by the client.
+    /// Number of connections that the client closed with reply code 200.
     pub connections_closed_cleanly: usize,
-    /// Heartbeats that were read.
+    /// Number of heartbeats that were read.
     pub heartbeats: u64,
-    /// Scripts for the connections to come; past the last one they behave.
+    /// Scripts for the next connections, one each; connections without a script have no faults.
     pub scripts: VecDeque<Script>,
-    /// User and password that are asked for; `None` accepts any.
+    /// User and password that a client must present; `None` accepts any.
     pub login: Option<(String, String)>,
-    /// Authentication mechanisms that are offered in place of the usual ones.
+    /// Authentication mechanisms that are offered; `None` for `PLAIN EXTERNAL`.
     pub mechanisms: Option<&'static str>,
-    /// The longest frame that is offered, in bytes.
+    /// Longest frame that is offered to clients, in bytes.
     pub frame_max: u32,
-    /// The heartbeat interval that is offered, in seconds.
+    /// Heartbeat interval that is offered to clients, in seconds.
     pub heartbeat_s: u16,
-    /// Keeps no history of deliveries, for long runs.
+    /// Whether records of deliveries, bodies and acked messages are left out, so that memory stays bounded in
+    /// long tests.
     pub discards_history: bool,
-    /// Messages acknowledged.
+    /// Number of messages that were acked.
     pub acks: u64,
     pub(super) last_serial: u64,
     pub(super) stopped: bool,
     pub(super) connections: Vec<Connection>,
+    /// Message that was delivered last, with its queue.
     pub(super) last_delivered: Option<(String, Message)>,
+    /// Whether the message that was delivered last is to be published once more.
     pub(super) duplicate_last_delivered: bool,
 }
 
 impl BrokerState {
-    /// Messages that are neither acked nor dropped: ready, or delivered and unsettled.
+    /// Returns the number of messages that are neither acked nor dropped.
     pub fn unfinished(&self) -> usize {
         self.ends.values().filter(|end| end.is_none()).count()
     }
 
-    /// Messages to deliver in a queue.
+    /// Returns the number of messages to deliver in a queue; 0 if there is no such queue.
     pub fn ready(&self, queue: &str) -> usize {
         self.queues.get(queue).map_or(0, |queue| queue.ready.len())
     }
 
-    /// Deliveries that are not settled.
+    /// Returns the number of unsettled deliveries.
     pub fn unsettled(&self) -> usize {
         self.connections.iter().flat_map(|c| c.channels.values()).map(|channel| channel.unsettled.len()).sum()
     }
 
-    /// Whether a queue has an active consumer.
+    /// Returns whether a queue has an active consumer.
     pub fn has_consumer(&self, queue: &str) -> bool {
         let is_active =
             |channel: &Channel| channel.consumer.as_ref().is_some_and(|c| c.active && c.queue == queue);
         self.connections.iter().filter(|c| c.alive).flat_map(|c| c.channels.values()).any(is_active)
     }
 
-    /// Deletes a queue: its consumers are cancelled, its ready messages dropped.
+    /// Deletes a queue, drops its ready messages and cancels its consumers.
     pub fn delete_queue(&mut self, name: &str) {
         if let Some(queue) = self.queues.get_mut(name) {
             queue.deleted = true;
@@ -84,7 +87,7 @@
         self.cancel_consumers(Some(name));
     }
 
-    /// Puts the unsettled messages of a channel that ended back into their queues.
+    /// Puts the unsettled messages of a channel that ended back into their queues, in order.
     pub(super) fn requeue_all(&mut self, channel: Channel) {
         for (_, (delivery, queue, message)) in channel.unsettled.into_iter().rev() {
             self.record_settlement(delivery, SettledBy::ConnectionLost);
@@ -98,6 +101,7 @@
         }
     }
 
+    /// Puts a message back at the front of its queue, or drops it if the queue was deleted.
     pub(super) fn requeue(&mut self, queue: &str, mut message: Message) {
         message.redelivered = true;
         match self.queues.get_mut(queue) {
@@ -106,7 +110,8 @@
         }
     }
 
-    /// A new message in a queue; `None` where there is none of that name, or it is full and `bounded`.
+    /// Adds a new message to a queue and returns its serial number. Returns `None` if there is no such queue,
+    /// or it is full and `refuse_if_full` is set.
     pub(super) fn enqueue(&mut self, name: &str, mut message: Message, refuse_if_full: bool) -> Option<u64> {
         let queue = self.queues.get_mut(name).filter(|queue| !queue.deleted)?;
         if refuse_if_full && queue.max_ready.is_some_and(|max| queue.ready.len() >= max) {
@@ -127,7 +132,8 @@
         Some(serial)
     }
 
-    /// Rejected or expired: on to the queue's dead letters, without its expiration, or dropped.
+    /// Moves a rejected or expired message to the dead letter queue, without its expiration, or drops it if
+    /// there is none.
     pub(super) fn dead_letter(&mut self, queue: &str, mut message: Message) {
         let target = self.queues.get(queue).and_then(|queue| queue.dead_letter_queue.clone());
         let (serial, properties) = (message.serial, message.properties.clone());
@@ -142,7 +148,7 @@
         }
     }
 
-    /// What time brings: expired messages, heartbeats, connections that are no longer blocked.
+    /// Expires messages, maintains the connections and delivers ready messages.
     pub(super) fn tick(&mut self) {
         let now = now_ms();
         self.expire_messages(now);
@@ -154,12 +160,12 @@
         let names: Vec<String> = self.queues.keys().cloned().collect();
         for name in names {
             loop {
-                let queue = self.queues.get_mut(&name).expect("named above");
+                let queue = self.queues.get_mut(&name).expect("queue exists");
                 let expired = |m: &Message| m.expires_at_ms.is_some_and(|due_ms| due_ms <= now);
                 if !queue.ready.front().is_some_and(expired) {
                     break;
                 }
-                let message = queue.ready.pop_front().expect("looked at");
+                let message = queue.ready.pop_front().expect("queue has a message at the front");
                 self.dead_letter(&name, message);
             }
         }
--- a/crates/hazelspur-test-doubles/src/checker.rs
+++ b/crates/hazelspur-test-doubles/src/checker.rs
@@ -1,20 +1,24 @@
-//! Checks the rules against what the test doubles counted, independently of the server.
+//! Checks the rules for messages against the records of the broker and the worker, independently of the
+//! server.
 
 use crate::broker::{BrokerState, MessageEnd, SettledBy};
 use crate::worker::WorkerState;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What must hold for a message that was published, known by its body.
+/// Rules for a published message, which is identified by its body.
 #[derive(Clone, Debug, Default)]
 pub struct Expected {
-    /// Whether more than one run is a breach.
+    /// Whether the message may run only once.
     pub at_most_once: bool,
-    /// A run that began after this breaks the rule, in Unix milliseconds.
+    /// Latest permitted start of a run, in Unix milliseconds; `None` for no bound.
     pub start_deadline_ms: Option<u64>,
 }
 
-/// All breaches: a settlement of a tag that was not open, messages that vanished, a run too many, a run too late,
-/// a message acked that never ran (of which `may_lose` are allowed where acks go before runs).
+/// Returns a description of each breach: a protocol violation of a client, such as a settlement of a delivery
+/// tag that is not open; messages that are neither finished, queued nor unsettled; a message settled for good
+/// twice; a run too many; a run that began too late; messages acked that never ran.
+///
+/// Up to `may_lose` messages may be acked and never run, for servers that ack before the run.
 pub fn breaches(
     state: &BrokerState,
     worker_state: &WorkerState,
@@ -58,7 +62,7 @@
     found
 }
 
-/// Bodies of which every copy was acked, though none ran.
+/// Returns the bodies of which every copy was acked, though none ran.
 fn acked_but_never_run<'a>(
     state: &BrokerState,
     worker_state: &WorkerState,
--- a/crates/hazelspur-test-doubles/src/dependency.rs
+++ b/crates/hazelspur-test-doubles/src/dependency.rs
@@ -1,6 +1,8 @@
-//! A dependency that all servers share. Up to its slots a call takes its usual time; past them the time grows with the
-//! square of concurrent calls over slots (the coherence term of Gunther's Universal Scalability Law, 1993, made
-//! steeper).
+//! A dependency that all servers share, as an HTTP server.
+//!
+//! With at most as many concurrent calls as it has slots, a call takes its usual time. Above that the time
+//! grows with the square of concurrent calls divided by slots (the coherence term of Gunther's Universal
+//! Scalability Law, 1993, made steeper). It records the concurrency and the effects of the calls.
 
 use std::collections::BTreeMap;
 use std::io::{BufReader, ErrorKind, Write};
@@ -9,35 +11,35 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// How soon the end of a caller's connection is noticed.
+/// Longest time until the end of a caller's connection is noticed.
 const DISCONNECT_POLL: Duration = Duration::from_millis(20);
-/// The longest time that a call takes.
+/// Upper bound of the time of a call.
 const MAX_CALL: Duration = Duration::from_secs(5);
-/// Recorded changes of the number of concurrent calls.
+/// Number of changes of concurrency that are recorded; later ones are left out.
 const MAX_CHANGES: usize = 100_000;
 
 /// A change of the number of concurrent calls.
 #[derive(Clone, Copy, Debug)]
 struct ConcurrencyChange {
     at: Instant,
-    /// How many there are from then on.
+    /// Number of concurrent calls from then on.
     calls: usize,
 }
 
-/// What the dependency does and has counted.
+/// Settings of the dependency, and counts of its calls.
 #[derive(Debug)]
 pub struct DependencyState {
-    /// Calls that it serves at once without slowing down.
+    /// Number of concurrent calls that are served without slowing down.
     pub slots: usize,
-    /// The usual time of a call, in milliseconds.
+    /// Usual time of a call, in milliseconds.
     pub call_ms: f64,
-    /// The factor by which all calls are slower now.
+    /// Factor on the time of calls that begin from now on; 1 stands for the usual time.
     pub slowdown: f64,
     concurrent_calls: usize,
-    /// The highest number of concurrent calls so far.
+    /// Highest number of concurrent calls so far.
     pub max_concurrent_calls: usize,
     changes: Vec<ConcurrencyChange>,
-    /// Calls that took effect, by the reference that they carried.
+    /// Number of calls that took effect, cancelled ones included, by the reference that they carried.
     pub effects: BTreeMap<String, u32>,
 }
 
@@ -50,10 +52,11 @@
         }
     }
 
-    /// The highest mean of concurrent calls over any time of this length.
+    /// Returns the highest mean number of concurrent calls over any time window of this length.
     pub fn max_mean_concurrency(&self, window: Duration) -> f64 {
         let Some(first) = self.changes.first() else { return 0.0 };
-        // Call-seconds up to each change: between two changes the number stands.
+        // Concurrent calls integrated over time, up to each change; the number is constant between two
+        // changes.
         let mut call_seconds_up_to = vec![0.0];
         for pair in self.changes.windows(2) {
             let call_seconds = (pair[1].at - pair[0].at).as_secs_f64() * pair[0].calls as f64;
@@ -64,7 +67,8 @@
             while change.at - self.changes[start].at > window {
                 start += 1;
             }
-            // The stretch may begin within the step before: that counts whole.
+            // The window may begin between two changes; the time since the earlier one counts whole, which
+            // can only raise the result.
             let before = call_seconds_up_to[start.saturating_sub(usize::from(change.at - first.at > window))];
             max_mean = max_mean.max((call_seconds_up_to[end] - before) / window.as_secs_f64());
         }
@@ -72,23 +76,24 @@
     }
 }
 
-/// A shared dependency on a loopback address.
+/// A shared dependency on a loopback address, with threads of its own.
 pub struct Dependency {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     state: Arc<Mutex<DependencyState>>,
 }
 
 impl Dependency {
-    /// Starts on this address.
+    /// Starts a dependency that listens on this address; `call_ms` is the usual time of a call, in
+    /// milliseconds.
     ///
     /// # Panics
     ///
-    /// Where the address is not a loopback address, or is taken.
+    /// Panics if the address is not a loopback address or is in use.
     pub fn start(address: &str, slots: usize, call_ms: f64) -> Self {
-        let listener = TcpListener::bind(address).expect("the address is free");
-        let address = listener.local_addr().expect("an address");
-        assert!(address.ip().is_loopback(), "test doubles stay on loopback");
+        let listener = TcpListener::bind(address).expect("address is free");
+        let address = listener.local_addr().expect("valid address");
+        assert!(address.ip().is_loopback(), "address of a test double is not a loopback address");
         let state = DependencyState {
             slots,
             call_ms,
@@ -109,13 +114,14 @@
         Self { address, state }
     }
 
-    /// Its state, locked.
+    /// Returns the state, locked until the guard is dropped.
     pub fn state(&self) -> MutexGuard<'_, DependencyState> {
-        self.state.lock().expect("no panic before")
+        self.state.lock().expect("lock is not poisoned")
     }
 }
 
-/// Waits so long; false as soon as the caller has closed its connection, which cancels its call.
+/// Waits for the duration of a call and returns true; returns false as soon as the caller has closed its
+/// connection, which cancels the call.
 fn wait_for_caller(stream: &TcpStream, duration: Duration) -> bool {
     let deadline = Instant::now() + duration;
     while let remaining = deadline.saturating_duration_since(Instant::now())
@@ -138,7 +144,7 @@
     let mut reader = BufReader::new(stream);
     while let Some((reference, _)) = crate::http::read_request(&mut reader) {
         let duration = {
-            let mut state = state.lock().expect("no panic before");
+            let mut state = state.lock().expect("lock is not poisoned");
             let calls = state.concurrent_calls + 1;
             state.record_concurrency(calls);
             let overload = (state.concurrent_calls as f64 / state.slots.max(1) as f64).max(1.0);
@@ -146,7 +152,7 @@
         };
         let cancelled = !wait_for_caller(stream, duration.min(MAX_CALL));
         {
-            let mut state = state.lock().expect("no panic before");
+            let mut state = state.lock().expect("lock is not poisoned");
             let calls = state.concurrent_calls - 1;
             state.record_concurrency(calls);
             *state.effects.entry(reference).or_default() += 1;
--- a/crates/hazelspur-test-doubles/src/gateway.rs
+++ b/crates/hazelspur-test-doubles/src/gateway.rs
@@ -1,5 +1,8 @@
-//! A gateway that sends requests to servers over JSON-RPC, retries where it is rejected, and records each attempt with
-//! all responses to it. One thread; JSON by a library, so that a mistake in the project's own parser can't cancel out.
+//! A gateway that sends requests to servers over JSON-RPC, retries rejected ones, and records each attempt
+//! with all responses to it.
+//!
+//! It runs on one thread. JSON is read and written by a library, so that a mistake in the project's own
+//! parser can't cancel out.
 
 use crate::now_ms;
 use hazelspur::pcg::Pcg;
@@ -12,36 +15,38 @@
 use std::thread::{JoinHandle, sleep, spawn};
 use std::time::Duration;
 
-/// How often the gateway reads and sends.
+/// Pause between two rounds of reading and sending.
 const TICK: Duration = Duration::from_millis(1);
-/// How long a dial may take.
+/// Longest time until a connection is established.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Unread bytes of a connection; more is no server of ours.
+/// Longest incomplete line of a connection, in bytes; no server sends longer ones, so the connection is
+/// closed.
 const MAX_UNREAD_BYTES: usize = 1 << 20;
-/// Requests open on a connection, by the protocol.
+/// Number of open requests on a connection that the protocol allows.
 const MAX_OPEN_REQUESTS: usize = 32;
 
-/// How it picks servers, and what it does with a rejection.
+/// Choice of servers, request rate, and handling of rejections.
 #[derive(Clone, Copy, Debug)]
 pub struct GatewaySettings {
-    /// Picks the server by a hash of the request, not in turn.
+    /// Whether the server is chosen by a hash of the request's name instead of in turn.
     pub by_request_hash: bool,
-    /// Attempts after the first.
+    /// Highest number of attempts after the first.
     pub retries: u32,
-    /// Retries a rejected request at the next server at once.
+    /// Whether a rejected request is retried, at a server that has not been tried if there is one.
     pub retries_elsewhere: bool,
-    /// Heeds Retry-After.
+    /// Whether a retry waits for the time that the rejection states, and is left out if the rejection forbids
+    /// it.
     pub obeys_retry_after: bool,
-    /// Requests a second.
+    /// New requests per second.
     pub requests_per_s: f64,
-    /// Age of its list of servers, in milliseconds.
+    /// Age of the list of servers that the gateway sees, in milliseconds; for the `ServerLister` to apply.
     pub list_age_ms: u64,
-    /// The timeout of an attempt, in milliseconds.
+    /// Timeout of an attempt, in milliseconds.
     pub timeout_ms: u64,
 }
 
 impl GatewaySettings {
-    /// The JSON-RPC line of one attempt.
+    /// Returns the JSON-RPC request of one attempt.
     fn request_line(
         &self,
         gateway_number: usize,
@@ -59,39 +64,40 @@
     }
 }
 
-/// A final response.
+/// Kind of a final response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Response {
     /// The request succeeded.
     Succeeded,
-    /// It was rejected and never ran.
+    /// The request was rejected and never ran.
     Rejected,
-    /// It failed.
+    /// The request failed, or the response is a second one to the same attempt.
     Failed,
 }
 
-/// One attempt at a request, with what came of it.
+/// One attempt at a request, with its responses.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The request's name, which is its body too.
+    /// Name of the request, which is its body too.
     pub request: String,
-    /// The id of this attempt on the wire.
+    /// Id of the attempt on the wire.
     pub attempt_id: String,
-    /// The request class.
+    /// Request class.
     pub request_class: &'static str,
-    /// The server, by its number.
+    /// Number of the server.
     pub server: usize,
-    /// When it was sent, in Unix milliseconds.
+    /// Time of sending, in Unix milliseconds.
     pub sent_ms: u64,
-    /// When the response is due, in Unix milliseconds.
+    /// Time at which the response is due, in Unix milliseconds.
     pub due_ms: u64,
-    /// All final responses that came, and when.
+    /// All final responses, each with its time of arrival in Unix milliseconds.
     pub responses: Vec<(Response, u64)>,
-    /// When its connection ended before a response, in Unix milliseconds.
+    /// Time at which the connection ended without a response, in Unix milliseconds; `None` while it has not.
     pub disconnected_ms: Option<u64>,
-    /// Whether it crossed the goodbye message of its connection.
+    /// Whether the connection ended without a response after a goodbye message or an error about the
+    /// connection.
     pub crossed_goodbye: bool,
-    /// Whether a response came that no run can have made.
+    /// Whether a successful response carried other data than the request's body, which every run returns.
     pub corrupted: bool,
 }
 
@@ -112,17 +118,19 @@
     }
 }
 
-/// Names of the request classes that it sends.
+/// Names of the request classes that the gateway sends.
 pub const REQUEST_CLASSES: [&str; 3] = ["view", "set-qty", "book"];
 
 struct Connection {
     stream: TcpStream,
     unread: Vec<u8>,
-    /// Number on this connection, and which try.
+    /// Attempts without a response: index into all attempts, by JSON-RPC id.
     open_attempts: BTreeMap<u64, usize>,
-    /// Those that have their answer; as many as the connection carried.
+    /// Attempts with a response, likewise; kept until the connection ends, to recognize second responses.
     answered_attempts: BTreeMap<u64, usize>,
+    /// JSON-RPC id of the last request.
     last_id: u64,
+    /// Whether the server has announced that it closes the connection; no request is sent on it any more.
     closing: bool,
 }
 
@@ -139,7 +147,7 @@
     }
 }
 
-/// Gives the numbers of the servers that are listed now.
+/// Function that returns the numbers of the servers that the gateway may choose from now.
 pub type ServerLister = Box<dyn Fn() -> Vec<usize> + Send>;
 
 /// A gateway with a thread of its own.
@@ -150,11 +158,12 @@
 }
 
 impl Gateway {
-    /// Starts sending. `servers` holds the address of each server; `list` names them by number.
+    /// Starts a gateway that sends at once. `servers` holds the address of each server, by number;
+    /// `list_servers` returns the numbers of those to choose from.
     ///
     /// # Panics
     ///
-    /// Where an address is not a loopback address.
+    /// Panics if an address is not a loopback address.
     pub fn start(
         gateway_number: usize,
         settings: GatewaySettings,
@@ -162,7 +171,10 @@
         list_servers: ServerLister,
         seed: u64,
     ) -> Self {
-        assert!(servers.iter().all(|address| address.ip().is_loopback()), "test doubles stay on loopback");
+        assert!(
+            servers.iter().all(|address| address.ip().is_loopback()),
+            "address of a test double is not a loopback address"
+        );
         let (stop, attempts) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
         let mut gateway_loop = GatewayLoop {
             gateway_number,
@@ -181,17 +193,18 @@
         Self { stop, attempts, thread: Some(thread) }
     }
 
-    /// Sends nothing new from now on, and goes on reading.
+    /// Stops creating requests; those created already are retried, and responses are still read.
     pub fn stop(&self) {
         self.stop.store(true, Ordering::Relaxed);
     }
 
-    /// All attempts so far.
+    /// Returns all attempts so far.
     pub fn attempts(&self) -> Vec<Attempt> {
-        self.attempts.lock().expect("no panic before").clone()
+        self.attempts.lock().expect("lock is not poisoned").clone()
     }
 
-    /// Waits until every attempt has its response or has timed out.
+    /// Stops creating requests, waits until no attempt is open or the wait has timed out, and returns all
+    /// attempts.
     pub fn finish(&mut self) -> Vec<Attempt> {
         self.stop();
         let _ = self.thread.take().map(JoinHandle::join);
@@ -199,16 +212,19 @@
     }
 }
 
-/// A request that is to be tried at some time.
+/// A request that waits for its next attempt or for the response to its last one.
 struct PendingRequest {
+    /// Time of the next attempt, in Unix milliseconds; `u64::MAX` while an attempt is open.
     send_at_ms: u64,
     request: String,
     request_class: &'static str,
     tried_servers: BTreeSet<usize>,
     retries_left: u32,
+    /// Index of the last attempt.
     last_attempt: Option<usize>,
 }
 
+/// State of the gateway's thread.
 struct GatewayLoop {
     gateway_number: usize,
     settings: GatewaySettings,
@@ -247,7 +263,7 @@
             };
             due.into_iter().for_each(|pending| self.send_attempt(now, pending));
             let any_open = self.connections.values().any(|connection| !connection.open_attempts.is_empty());
-            // What has no answer long after it was due has none.
+            // Responses are due within the timeout; those that are missing 6 s later are not waited for.
             let timed_out =
                 stopped_at_ms.is_some_and(|stopped_ms| now > stopped_ms + self.settings.timeout_ms + 6000);
             if stopped_at_ms.is_some() && (!any_open && self.pending.is_empty() || timed_out) {
@@ -272,7 +288,8 @@
         });
     }
 
-    /// Which server is next for this request; none where none is listed.
+    /// Returns the server for the next attempt, one that has not been tried if possible; `None` if none is
+    /// listed.
     fn pick_server(&mut self, pending: &PendingRequest) -> Option<usize> {
         let listed = (self.list_servers)();
         let untried: Vec<usize> =
@@ -293,12 +310,12 @@
     fn send_attempt(&mut self, now: u64, mut pending: PendingRequest) {
         let Some(server) = self.pick_server(&pending) else { return };
         if !self.connect(server) {
-            // A connection that never was proves that nothing ran.
+            // Without a connection nothing can have run, so a retry is safe.
             pending.tried_servers.insert(server);
             return self.schedule_retry(now, pending);
         }
         let Some(connection) = self.connections.get_mut(&server) else { return };
-        // The loop's own time may be old by now: threads of a busy machine run late.
+        // The time at the start of the round may be old by now: threads of a busy machine run late.
         let now = now_ms();
         connection.last_id += 1;
         let attempt_id = format!("{:08x}{:08x}", self.random_numbers.draw(), self.random_numbers.draw());
@@ -306,7 +323,7 @@
             self.settings.request_line(self.gateway_number, connection.last_id, now, &attempt_id, &pending);
         let written = (&connection.stream).write_all(format!("{line}\n").as_bytes());
         let attempt_index = {
-            let mut attempts = self.attempts.lock().expect("no panic before");
+            let mut attempts = self.attempts.lock().expect("lock is not poisoned");
             attempts.push(Attempt::new(&pending, attempt_id, server, now, now + self.settings.timeout_ms));
             attempts.len() - 1
         };
@@ -314,21 +331,21 @@
         pending.last_attempt = Some(attempt_index);
         connection.open_attempts.insert(connection.last_id, attempt_index);
         self.pending.push(PendingRequest { send_at_ms: u64::MAX, ..pending });
-        // Where the other end is closed, what it sent before is still to be read; only a line that went out in part
-        // breaks the connection at once.
+        // If the server has closed the connection, the bytes that it sent before are still to be read. Only a
+        // line that may have been written in part ends the connection at once.
         if written.is_err_and(|e| e.kind() == ErrorKind::WouldBlock) {
             self.connection_lost(now, server);
         }
     }
 
-    /// Whether there is a connection to this server that can carry one more request; dials where there is none.
+    /// Returns whether a connection to this server can carry one more request; connects if there is none.
     fn connect(&mut self, server: usize) -> bool {
         if self.connections.get(&server).is_some_and(|connection| {
             !connection.closing && connection.open_attempts.len() < MAX_OPEN_REQUESTS
         }) {
             return true;
         }
-        // One that is closing still has to be read to its end.
+        // A connection with open attempts still has to be read to its end.
         if self.connections.get(&server).is_some_and(|connection| !connection.open_attempts.is_empty()) {
             return false;
         }
@@ -341,7 +358,7 @@
         true
     }
 
-    /// Sets a request that never ran, or may run again, for its next try.
+    /// Schedules the next attempt at a request that never ran or may run again, if it has retries left.
     fn schedule_retry(&mut self, send_at_ms: u64, mut pending: PendingRequest) {
         if pending.retries_left > 0 {
             pending.retries_left -= 1;
@@ -355,13 +372,13 @@
         let Some(connection) = self.connections.remove(&server) else { return };
         for attempt_index in connection.open_attempts.into_values() {
             let retryable = {
-                let mut attempts = self.attempts.lock().expect("no panic before");
+                let mut attempts = self.attempts.lock().expect("lock is not poisoned");
                 (attempts[attempt_index].disconnected_ms, attempts[attempt_index].crossed_goodbye) =
                     (Some(now), connection.closing);
                 attempts[attempt_index].request_class == "view"
             };
             let pending = self.take_pending(attempt_index);
-            // Whether it ran nobody knows.
+            // The request may have run, so only a class that may run again is retried.
             pending.filter(|_| retryable).into_iter().for_each(|pending| self.schedule_retry(now, pending));
         }
     }
@@ -393,7 +410,7 @@
                 }
             }
             lines.into_iter().for_each(|line| self.handle_line(now, server, &line));
-            // Only now: answers and a farewell may have come together with the end.
+            // The lines come first: responses and a goodbye message may have arrived together with the end.
             if ended {
                 self.connection_lost(now, server);
             }
@@ -412,14 +429,15 @@
             return;
         }
         let Some(id) = message["id"].as_u64() else {
-            // An error about the connection itself: it closes, and what was not read is not answered.
+            // An error without an id is about the connection: the server closes it, and requests that it has
+            // not read get no response.
             connection.closing |= message["error"].is_object();
             return;
         };
         let Some(attempt_index) = connection.open_attempts.remove(&id) else {
             if let Some(attempt_index) = connection.answered_attempts.get(&id) {
-                // Its second answer, whatever it says.
-                self.attempts.lock().expect("no panic before")[*attempt_index]
+                // A second response is a failure, whatever it says.
+                self.attempts.lock().expect("lock is not poisoned")[*attempt_index]
                     .responses
                     .push((Response::Failed, now));
             }
@@ -433,7 +451,7 @@
             Some(_) => Response::Failed,
         };
         {
-            let mut attempts = self.attempts.lock().expect("no panic before");
+            let mut attempts = self.attempts.lock().expect("lock is not poisoned");
             let attempt = &mut attempts[attempt_index];
             attempt.responses.push((response, now));
             let expected_data = base64(attempt.request.as_bytes());
--- a/crates/hazelspur-test-doubles/src/http.rs
+++ b/crates/hazelspur-test-doubles/src/http.rs
@@ -1,4 +1,5 @@
-//! An HTTP/1.1 server that gives every call the same reply and counts the calls by reference or path.
+//! An HTTP/1.1 server that answers every call with the same response and counts the calls by reference or
+//! path.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -6,24 +7,25 @@
 use std::sync::{Arc, Mutex};
 use std::thread::spawn;
 
-/// The server.
+/// An HTTP server with a fixed response, on a loopback address.
 pub struct HttpServer {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Calls by their `X-Txn-Ref`, or path where there is none.
+    /// Number of calls by `X-Txn-Ref` header, or by path for calls without one.
     calls: Arc<Mutex<BTreeMap<String, u32>>>,
 }
 
 impl HttpServer {
-    /// Starts on this address and answers each call with this status line and body.
+    /// Starts a server on this address that answers each call with this status, such as `200 OK`, and this
+    /// body.
     ///
     /// # Panics
     ///
-    /// Where the address is not a loopback address, or is taken.
+    /// Panics if the address is not a loopback address or is in use.
     pub fn start(address: &str, status: &'static str, body: &'static str) -> Self {
-        let listener = TcpListener::bind(address).expect("the address is free");
-        let address = listener.local_addr().expect("an address");
-        assert!(address.ip().is_loopback(), "test doubles stay on loopback");
+        let listener = TcpListener::bind(address).expect("address is free");
+        let address = listener.local_addr().expect("valid address");
+        assert!(address.ip().is_loopback(), "address of a test double is not a loopback address");
         let calls = Arc::new(Mutex::new(BTreeMap::new()));
         let accept_calls = calls.clone();
         spawn(move || {
@@ -35,14 +37,14 @@
         Self { address, calls }
     }
 
-    /// How often each reference, or path, was called.
+    /// Returns the number of calls by `X-Txn-Ref` header, or by path for calls without one.
     pub fn calls(&self) -> BTreeMap<String, u32> {
-        self.calls.lock().expect("no panic before").clone()
+        self.calls.lock().expect("lock is not poisoned").clone()
     }
 }
 
-/// Reads one call: its `X-Txn-Ref`, or its path where there is none, and its body. `None` at the end, or
-/// where it is no call.
+/// Reads one HTTP request and returns its `X-Txn-Ref` header, or its path if there is none, and its body.
+/// Returns `None` if the stream ends within the header or fails.
 pub fn read_request(reader: &mut impl BufRead) -> Option<(String, Vec<u8>)> {
     let (mut request_line, mut reference, mut length) = (String::new(), None, 0);
     if reader.read_line(&mut request_line).map_or(true, |count| count == 0) {
@@ -70,7 +72,7 @@
     let _ = stream.set_nodelay(true);
     let mut reader = BufReader::new(stream);
     while let Some((reference, _)) = read_request(&mut reader) {
-        *calls.lock().expect("no panic before").entry(reference).or_default() += 1;
+        *calls.lock().expect("lock is not poisoned").entry(reference).or_default() += 1;
         let reply = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         if (&*stream).write_all(reply.as_bytes()).is_err() {
             return;
--- a/crates/hazelspur-test-doubles/src/lib.rs
+++ b/crates/hazelspur-test-doubles/src/lib.rs
@@ -1,7 +1,10 @@
-//! Test doubles on loopback for what a server talks to, written from public specifications and the platform's
-//! pages: a broker, a runtime, a ledger, a control plane and gateways. A script makes them misbehave; they
-//! count what happened, and `checker` says which rule was broken. Bounded, without privileges, never the
-//! server's own code.
+//! Test doubles on loopback for the peers of a server: an AMQP broker, a worker, a dependency, a registry and
+//! gateways.
+//!
+//! They are written from public specifications and the platform's documentation and use none of the server's
+//! own code, so that a mistake in it can't cancel out. A script makes the broker misbehave. Each double counts
+//! what happened, and `checker` reports which rules were broken. All buffers are bounded, and no privileges
+//! are needed.
 
 pub mod arrival;
 pub mod broker;
@@ -17,10 +20,10 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Milliseconds since 1970.
+/// Returns the current Unix time, in milliseconds.
 pub fn now_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// How long a test double waits for a peer that does not take what is written.
+/// Longest wait of a write to a peer that does not read.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
--- a/crates/hazelspur-test-doubles/src/registry.rs
+++ b/crates/hazelspur-test-doubles/src/registry.rs
@@ -1,4 +1,4 @@
-//! A control plane: servers report to it, gateways read the list of servers as it was some time ago.
+//! A registry: servers report to it over HTTP, and gateways read the list of servers as it was some time ago.
 
 use crate::now_ms;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -7,18 +7,19 @@
 use std::sync::{Arc, Mutex};
 use std::thread::spawn;
 
-/// How long a name stays listed after its last report, in milliseconds.
+/// Time for which a server stays listed after a report, in milliseconds.
 const LISTED_FOR_MS: u64 = 3000;
-/// Reports kept of each name.
+/// Number of recent reports that are kept for each server.
 const REPORT_CAPACITY: usize = 256;
 
-/// The reports of all servers by name, shared with the control plane's threads.
+/// Times of the recent reports of each server, in Unix milliseconds by name; shared with the registry's
+/// threads.
 #[derive(Clone, Default)]
 pub struct ServerList(Arc<Mutex<BTreeMap<String, VecDeque<u64>>>>);
 
 impl ServerList {
     fn report(&self, name: &str) {
-        let mut reports_by_name = self.0.lock().expect("no panic before");
+        let mut reports_by_name = self.0.lock().expect("lock is not poisoned");
         let reports = reports_by_name.entry(name.to_string()).or_default();
         reports.push_back(now_ms());
         if reports.len() > REPORT_CAPACITY {
@@ -26,12 +27,12 @@
         }
     }
 
-    /// The names that were listed so many milliseconds ago.
+    /// Returns the names of the servers that were listed `age_ms` milliseconds ago.
     pub fn listed(&self, age_ms: u64) -> BTreeSet<String> {
         let at = now_ms().saturating_sub(age_ms);
         let was_listed =
             |reports: &VecDeque<u64>| reports.iter().any(|ms| *ms <= at && *ms + LISTED_FOR_MS > at);
-        let reports_by_name = self.0.lock().expect("no panic before");
+        let reports_by_name = self.0.lock().expect("lock is not poisoned");
         reports_by_name
             .iter()
             .filter(|(_, reports)| was_listed(reports))
@@ -39,34 +40,35 @@
             .collect()
     }
 
-    /// The most reports of all names that came within one second so far.
+    /// Returns the highest number of reports, of all servers together, within one second of the clock. Only
+    /// the reports that are kept count.
     pub fn max_reports_in_a_second(&self) -> usize {
         let mut reports_per_second: BTreeMap<u64, usize> = BTreeMap::new();
-        for ms in self.0.lock().expect("no panic before").values().flatten() {
+        for ms in self.0.lock().expect("lock is not poisoned").values().flatten() {
             *reports_per_second.entry(ms / 1000).or_default() += 1;
         }
         reports_per_second.into_values().max().unwrap_or(0)
     }
 }
 
-/// A control plane on a loopback address.
+/// A registry on a loopback address, with threads of its own.
 pub struct Registry {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// What servers reported.
+    /// Reports of the servers.
     pub list: ServerList,
 }
 
 impl Registry {
-    /// Starts on this address.
+    /// Starts a registry that listens on this address.
     ///
     /// # Panics
     ///
-    /// Where the address is not a loopback address, or is taken.
+    /// Panics if the address is not a loopback address or is in use.
     pub fn start(address: &str) -> Self {
-        let listener = TcpListener::bind(address).expect("the address is free");
-        let address = listener.local_addr().expect("an address");
-        assert!(address.ip().is_loopback(), "test doubles stay on loopback");
+        let listener = TcpListener::bind(address).expect("address is free");
+        let address = listener.local_addr().expect("valid address");
+        assert!(address.ip().is_loopback(), "address of a test double is not a loopback address");
         let list = ServerList::default();
         let accept_list = list.clone();
         spawn(move || {
--- a/crates/hazelspur-test-doubles/src/script.rs
+++ b/crates/hazelspur-test-doubles/src/script.rs
@@ -1,49 +1,50 @@
-//! Faults of a broker, placed by the number of a frame that a connection has sent or read.
+//! Scripted faults of the broker, placed by the number of the frame that a connection has sent or read.
 
 use hazelspur::pcg::Pcg;
 
-/// When a fault strikes.
+/// Frame of a connection at which a fault occurs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FramePosition {
-    /// When the connection is about to send its nth frame, from 1 on.
+    /// The nth frame that the broker sends, counted from 1; the fault occurs just before the sending.
     Sent(u64),
-    /// When it has read its nth frame and not looked at it yet.
+    /// The nth frame that the broker reads, counted from 1; the fault occurs before the frame is acted on.
     Read(u64),
 }
 
-/// What goes wrong.
+/// A way in which the broker misbehaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The connection breaks between two frames.
+    /// Breaks the connection between two frames.
     CutBetweenFrames,
-    /// It breaks in the middle of a frame; where one was read, after it was acted on.
+    /// Breaks the connection in the middle of a frame that is sent, or after a frame that was read is acted
+    /// on.
     CutWithinFrame,
-    /// Nothing more is sent, heartbeats neither, though the connection stands.
+    /// Sends nothing more, not even heartbeats, and keeps the connection open.
     Silence,
-    /// The frame's end octet is wrong.
+    /// Sends the frame with a wrong end octet.
     WrongFrameEnd,
-    /// The frame's length says 4 GB.
+    /// Sends the frame with a stated length of 4 GB.
     HugeFrameLength,
-    /// Every consuming channel is closed by the broker.
+    /// Closes every channel of the connection that has a consumer.
     CloseChannels,
-    /// Every consumer is cancelled by the broker.
+    /// Cancels every consumer, those of other connections included.
     CancelConsumers,
-    /// `connection.blocked`, and unblocked after so many ms.
+    /// Sends `connection.blocked`, and `connection.unblocked` after this many milliseconds.
     BlockConnection(u64),
-    /// What is published next is refused.
+    /// Refuses the next message that is published on the connection.
     RefusePublish,
-    /// The next confirm is never sent.
+    /// Leaves out the next publisher confirm of the connection.
     LoseConfirm,
-    /// The message delivered last is published once more, with its message-id.
+    /// Publishes the message that was delivered last once more, with its message-id.
     DuplicateMessage,
-    /// `connection.close` from the broker.
+    /// Sends `connection.close`, and nothing after it.
     CloseConnection,
 }
 
-/// The faults of one connection.
+/// Faults of one connection; each occurs once.
 pub type Script = Vec<(FramePosition, Fault)>;
 
-/// Up to `most` faults for a connection of some hundred frames.
+/// Draws up to `max_faults` faults, at frames 6 to 65, for a connection of some hundred frames.
 pub fn random(random_numbers: &mut Pcg, max_faults: u32) -> Script {
     let faults = [
         Fault::CutBetweenFrames,
--- a/crates/hazelspur-test-doubles/src/worker.rs
+++ b/crates/hazelspur-test-doubles/src/worker.rs
@@ -1,5 +1,8 @@
-//! A worker process: reads the platform's lines, runs each request for a while on a number of cores, asks for one
-//! dependency call if configured to, keeps its notices for a link that reconnects, and counts the runs of each body.
+//! A worker that speaks the platform's line protocol with its server.
+//!
+//! It runs each request for a configured time on simulated cores, asks for one dependency call for each run
+//! if configured to, and answers with notices. Recent notices are kept and sent again when the server
+//! reconnects. It records the starts of the runs of each request body.
 
 use crate::arrival::ArrivalReader;
 use crate::{WRITE_TIMEOUT, now_ms};
@@ -10,25 +13,26 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// How often the cores are simulated.
+/// Time between two steps of the simulated cores.
 const TICK: Duration = Duration::from_millis(1);
-/// A run that no server has claimed for so long ends at its call.
+/// Time after which an orphaned run that waits for its call is cancelled.
 const ORPHAN_TIMEOUT: Duration = Duration::from_millis(300);
-/// Notices kept for a link that reconnects.
+/// Number of recent notices that are kept for a server that reconnects.
 const NOTICE_CAPACITY: usize = 4096;
 
-/// How requests run here.
+/// Time, cores, calls and failures of the runs.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerSettings {
-    /// Time of a run on a core of its own, in milliseconds.
+    /// Time that a run takes on a core of its own, in milliseconds.
     pub run_ms: u64,
     /// Whether each run makes a dependency call.
     pub makes_calls: bool,
-    /// Every nth run ends in an error; 0 stands for none.
+    /// Interval of failures: every nth run ends in an error; with 0 none does.
     pub fail_every: u64,
-    /// Cores that the runs share.
+    /// Number of cores that the runs share.
     pub cores: usize,
-    /// A run that waits for its call this long after it began ends there, in milliseconds; 0 stands for never.
+    /// Time after the start of a run, in milliseconds, from which on the run is cancelled if it waits for its
+    /// call; 0 stands for no such time.
     pub call_deadline_ms: u64,
 }
 
@@ -41,54 +45,59 @@
 struct Run {
     id: String,
     body: Vec<u8>,
+    /// Time that the run still needs on a core of its own.
     remaining_ms: f64,
     waits_for_call: bool,
+    /// Whether the call was asked for; true from the start for a run without a call.
     call_requested: bool,
-    /// Since when no server that is known to run it has a link; its requests are over.
+    /// Time at which a server connected that knows of no earlier notice, as after a restart. `None` before
+    /// that, and again once the server has sent the start of the run once more.
     orphaned_at: Option<Instant>,
     began_at: Instant,
 }
 
-/// What the worker runs and has counted.
+/// Current runs, and counts of earlier ones.
 #[derive(Default)]
 pub struct WorkerState {
-    /// How requests run now.
+    /// Settings for runs from now on.
     pub settings: WorkerSettings,
-    /// When the starts of the runs of each body can have come at the earliest, in Unix milliseconds.
+    /// Earliest possible arrival of the start command of each run, by request body, in Unix milliseconds.
     pub runs: BTreeMap<Vec<u8>, Vec<u64>>,
-    /// Runs that ended.
+    /// Number of runs that completed or failed; cancelled ones are not counted.
     pub ended: u64,
-    /// When each request's run was started, in Unix milliseconds.
+    /// Time at which the worker handled the start command of each run, by request id, in Unix milliseconds.
     pub started: BTreeMap<String, u64>,
-    /// The highest number of concurrent runs so far.
+    /// Highest number of concurrent runs so far.
     pub max_concurrent_runs: usize,
     running: Vec<Run>,
+    /// Recent notices, by number.
     notices: VecDeque<(u64, Vec<u8>)>,
     last_notice_number: u64,
+    /// Connection of the server; `None` while there is none.
     link: Option<TcpStream>,
-    /// Closes every link that is opened.
+    /// Whether each connection is closed at the next line that is read on it.
     pub refuses_links: bool,
-    /// Keeps neither runs nor ids, for long runs.
+    /// Whether `runs` and `started` are left empty, so that memory stays bounded in long tests.
     pub discards_history: bool,
 }
 
-/// A worker process on a loopback address.
+/// A worker on a loopback address, with threads of its own.
 pub struct Worker {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     worker_state: Arc<Mutex<WorkerState>>,
 }
 
 impl Worker {
-    /// Starts on this address.
+    /// Starts a worker that listens on this address.
     ///
     /// # Panics
     ///
-    /// Where the address is not a loopback address, or is taken.
+    /// Panics if the address is not a loopback address or is in use.
     pub fn start(address: &str, settings: WorkerSettings) -> Self {
-        let listener = TcpListener::bind(address).expect("the address is free");
-        let address = listener.local_addr().expect("an address");
-        assert!(address.ip().is_loopback(), "test doubles stay on loopback");
+        let listener = TcpListener::bind(address).expect("address is free");
+        let address = listener.local_addr().expect("valid address");
+        assert!(address.ip().is_loopback(), "address of a test double is not a loopback address");
         let worker_state = Arc::new(Mutex::new(WorkerState { settings, ..WorkerState::default() }));
         let accept_state = worker_state.clone();
         spawn(move || {
@@ -102,7 +111,7 @@
             let mut last_tick = Instant::now();
             while let Some(worker_state) = weak_state.upgrade() {
                 let elapsed = std::mem::replace(&mut last_tick, Instant::now()).elapsed();
-                worker_state.lock().expect("no panic before").advance(elapsed.as_secs_f64() * 1000.0);
+                worker_state.lock().expect("lock is not poisoned").advance(elapsed.as_secs_f64() * 1000.0);
                 drop(worker_state);
                 sleep(TICK);
             }
@@ -110,22 +119,22 @@
         Self { address, worker_state }
     }
 
-    /// Its state, locked.
+    /// Returns the state, locked until the guard is dropped.
     pub fn state(&self) -> MutexGuard<'_, WorkerState> {
-        self.worker_state.lock().expect("no panic before")
+        self.worker_state.lock().expect("lock is not poisoned")
     }
 }
 
 impl WorkerState {
-    /// Whether nothing runs.
+    /// Returns whether nothing runs.
     pub fn idle(&self) -> bool {
         self.running.is_empty()
     }
 
-    /// Breaks the link; its server connects again.
+    /// Breaks the connection of the server, which is expected to connect again.
     pub fn break_link(&mut self) {
         if let Some(link) = self.link.take() {
-            // The peer may have closed it.
+            // Shutdown fails if the peer has closed the connection already.
             let _ = link.shutdown(Shutdown::Both);
         }
     }
@@ -149,7 +158,7 @@
     }
 
     fn start_run(&mut self, id: &str, body: Vec<u8>, arrived_after_ms: u64) {
-        // A start that is sent once more after a break is the same run.
+        // After a reconnect the server sends the start of a run that it knows once more: it is the same run.
         if self.started.contains_key(id) {
             let run = self.running.iter_mut().find(|run| run.id == id);
             run.into_iter().for_each(|run| run.orphaned_at = None);
@@ -176,7 +185,8 @@
         }
     }
 
-    /// The cores work on what is running and not at a call, each on an equal share.
+    /// Advances the runs that don't wait for a call, each by an equal share of the cores, and ends those that
+    /// are done. `elapsed_ms` is the time since the last step.
     fn advance(&mut self, elapsed_ms: f64) {
         let computing = self.running.iter().filter(|run| !run.waits_for_call).count().max(1);
         let share = (self.settings.cores as f64 / computing as f64).min(1.0);
@@ -188,7 +198,7 @@
             if run.waits_for_call
                 && (overdue || run.orphaned_at.is_some_and(|since| since.elapsed() >= ORPHAN_TIMEOUT))
             {
-                // Its request is over: it ends at its call.
+                // The server has given the request up, so no result of the call will come.
                 let id = self.running.swap_remove(index).id;
                 self.send_notice(|number| format!("end {number} {id} cancelled 0 0\r\n\r\n").into_bytes());
                 continue;
@@ -225,13 +235,13 @@
         });
     }
 
-    /// Carries out a command that came over this link.
+    /// Carries out a command that the server sent over this connection.
     fn handle_command(&mut self, words: &[&str], body: Vec<u8>, arrived_after_ms: u64, link: &TcpStream) {
         match *words {
             ["sync", last] => {
                 let last_received: u64 = last.parse().unwrap_or(0);
                 if last_received == 0 {
-                    // A new life of the server; one that knows a run sends its start once more.
+                    // A new incarnation of the server. One that knows a run sends its start once more.
                     self.running.iter_mut().for_each(|run| run.orphaned_at = Some(Instant::now()));
                 }
                 self.link = link.try_clone().ok();
@@ -289,7 +299,7 @@
             body.truncate(body.len() - 2);
         }
         let arrived_after_ms = reader.get_ref().arrived_after_ms();
-        let mut worker_state = worker_state.lock().expect("no panic before");
+        let mut worker_state = worker_state.lock().expect("lock is not poisoned");
         if worker_state.refuses_links {
             return;
         }
--- a/crates/hazelspur-test-doubles/tests/checker.rs
+++ b/crates/hazelspur-test-doubles/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker finds what is planted, and the broker sees what a client may not do.
+//! The checker reports planted breaches, and the broker reports what a client may not do.
 
 use amq_protocol::frame::{AMQPFrame, gen_frame, parse_frame};
 use amq_protocol::protocol::basic::{self, AMQPMethod as Basic, AMQPProperties};
@@ -11,17 +11,17 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// A client as plain as can be: sends a frame, waits until some frame satisfies.
+/// A minimal AMQP client that sends frames and waits for methods by name.
 struct Client {
     stream: TcpStream,
     unread: Vec<u8>,
 }
 
 impl Client {
-    /// Consumes `orders` on channel 1.
+    /// Connects to the broker and consumes the queue `orders` on channel 1.
     fn consuming_orders(broker: &Broker) -> Self {
-        let stream = TcpStream::connect(broker.address).expect("it listens");
-        stream.set_read_timeout(Some(Duration::from_secs(5))).expect("a limit");
+        let stream = TcpStream::connect(broker.address).expect("broker listens");
+        stream.set_read_timeout(Some(Duration::from_secs(5))).expect("read timeout can be set");
         let mut client = Self { stream, unread: Vec::new() };
         client.send(AMQPFrame::ProtocolHeader(amq_protocol::frame::ProtocolVersion::amqp_0_9_1()));
         client.wait_for("Start");
@@ -43,8 +43,8 @@
     }
 
     fn send(&mut self, frame: AMQPFrame) {
-        let bytes = gen_frame(&frame)(Vec::new().into()).expect("a frame").into_inner().0;
-        self.stream.write_all(&bytes).expect("it reads");
+        let bytes = gen_frame(&frame)(Vec::new().into()).expect("frame is valid").into_inner().0;
+        self.stream.write_all(&bytes).expect("broker reads");
     }
 
     fn method(&mut self, channel: u16, class: AMQPClass) {
@@ -55,6 +55,7 @@
         self.method(1, AMQPClass::Basic(Basic::Ack(basic::Ack { delivery_tag, multiple: false })));
     }
 
+    /// Reads frames until one carries the method of this name.
     fn wait_for(&mut self, name: &str) {
         loop {
             while let Ok((rest, frame)) = parse_frame(&self.unread[..]) {
@@ -65,13 +66,14 @@
                 }
             }
             let mut chunk = [0; 4096];
-            let count = self.stream.read(&mut chunk).expect("a frame in time");
-            assert!(count > 0, "closed before {name}");
+            let count = self.stream.read(&mut chunk).expect("frame arrives within 5 s");
+            assert!(count > 0, "connection closed before {name}");
             self.unread.extend_from_slice(&chunk[..count]);
         }
     }
 }
 
+/// Returns a broker with a message of each name as its body in the queue `orders`.
 fn broker_with(names: &[&str]) -> Broker {
     let broker = Broker::start();
     broker.declare("orders", None);
@@ -81,6 +83,7 @@
     broker
 }
 
+/// Returns the breaches that the checker reports, one a line.
 fn breaches_found(broker: &Broker, worker_state: &WorkerState, names: &[(&str, Expected)]) -> String {
     let expected: BTreeMap<Vec<u8>, Expected> =
         names.iter().map(|(name, rules)| (name.as_bytes().to_vec(), rules.clone())).collect();
--- a/crates/hazelspur-test-doubles/tests/gateway.rs
+++ b/crates/hazelspur-test-doubles/tests/gateway.rs
@@ -1,5 +1,5 @@
-//! The stand-in gateway knows how its requests ended, whenever its thread comes to look: it reads what came
-//! before a connection's end, though both come at once.
+//! The gateway reads the lines that came before the end of a connection, even if it sees both at once, so
+//! that the result of an attempt does not depend on when its thread runs.
 
 use hazelspur_test_doubles::gateway::{Gateway, GatewaySettings, Response};
 use serde_json::{Value, json};
@@ -7,7 +7,8 @@
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-/// Answers the first request of each connection, or not, says farewell and closes, all at once.
+/// Reads the first request of each connection, then sends its response, if `responds`, and the closing line
+/// and closes the connection, all at once.
 fn serve(listener: TcpListener, responds: bool, closing_line: Value) {
     for stream in listener.incoming().flatten() {
         let mut line = String::new();
@@ -23,9 +24,11 @@
     }
 }
 
+/// Returns the attempts of a gateway, 50 or more if it is fast enough, at a server that closes each
+/// connection.
 fn attempts_at_server(responds: bool, closing_line: Value) -> Vec<hazelspur_test_doubles::gateway::Attempt> {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("free port");
+    let address = listener.local_addr().expect("valid address");
     std::thread::spawn(move || serve(listener, responds, closing_line));
     let settings = GatewaySettings {
         by_request_hash: false,
--- a/crates/hazelspur-test-doubles/tests/reserved_address.rs
+++ b/crates/hazelspur-test-doubles/tests/reserved_address.rs
@@ -1,13 +1,14 @@
-//! Reserved addresses: a program can listen there although another process holds a copy of the descriptor, and
-//! nobody answers before it does.
+//! Reserved addresses: a program can listen on one even if another process holds a copy of the descriptor,
+//! and connections are refused until it does.
 
 use hazelspur_test_doubles::reserved_address::ReservedAddress;
 use std::io::ErrorKind;
 use std::net::{Ipv4Addr, TcpListener, TcpStream};
 use std::os::fd::AsFd;
 
-/// Guards against `Address already in use` while a child process of another thread is between fork and exec: it
-/// holds what the copy holds here.
+/// Guards against `Address already in use` while a child process of another thread is between fork and exec
+/// and holds a copy of the descriptor, as the copy here does. A closed listener serves as the
+/// counter-example.
 #[test]
 fn copied_descriptor_does_not_keep_a_reserved_address_in_use() {
     let reserved = ReservedAddress::on(Ipv4Addr::new(127, 80, 0, 1)).expect("a free port");
@@ -19,7 +20,7 @@
     drop(copy);
 
     let listener = TcpListener::bind("127.80.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("an address");
+    let address = listener.local_addr().expect("valid address");
     let copy = listener.try_clone().expect("a descriptor");
     drop(listener);
     let error = TcpListener::bind(address).expect_err("the copy still listens");
