--- a/crates/hazelspur-test-doubles/examples/town.rs
+++ b/crates/hazelspur-test-doubles/examples/town.rs
@@ -1,23 +1,27 @@
-//! Everything a server started with examples/config.json and examples/queues.star talks to: a broker, a runtime, a
-//! ledger and a control plane. Every second an order is left in the queue; its settlement and its answer are shown.
+//! The peers of a server that is started with examples/config.json and examples/queues.star: a broker, a
+//! worker, a dependency and a registry. An order is published to the queue every second; its settlement and
+//! its answer are printed.
 
 use amq_protocol::protocol::basic::AMQPProperties;
 use amq_protocol::types::AMQPValue;
 use hazelspur_test_doubles::broker::Broker;
-use hazelspur_test_doubles::http::Http;
-use hazelspur_test_doubles::runtime::{Pace, Runtime};
+use hazelspur_test_doubles::http::HttpServer;
+use hazelspur_test_doubles::worker::{Worker, WorkerSettings};
 use std::thread::sleep;
 use std::time::Duration;
 
 fn main() {
-    let broker = Broker::at("127.0.0.1:5672".parse().expect("an address"));
+    let broker = Broker::start_at("127.0.0.1:5672".parse().expect("valid address"));
     broker.declare("orders-dead", None);
     broker.declare("orders", Some("orders-dead"));
     broker.declare("orders-later", Some("orders"));
     broker.declare("answers", None);
-    let _runtime = Runtime::start("127.0.0.1:7300", Pace { run_ms: 80, calls: true, ..Pace::default() });
-    let ledger = Http::start("127.0.0.1:9042", "200 OK", "noted");
-    let _control = Http::start("127.0.0.1:7946", "204 No Content", "");
+    let _worker = Worker::start(
+        "127.0.0.1:7300",
+        WorkerSettings { run_ms: 80, makes_calls: true, ..WorkerSettings::default() },
+    );
+    let dependency = HttpServer::start("127.0.0.1:9042", "200 OK", "noted");
+    let _registry = HttpServer::start("127.0.0.1:7946", "204 No Content", "");
     println!("town: a broker on {}; waiting for a server", broker.address);
     for number in 1u64.. {
         let name = format!("order-{number}");
@@ -31,10 +35,10 @@
             (state.ready("orders"), state.unsettled())
         };
         println!("published {name}: {ready} ready, {unsettled} unsettled");
-        let came = broker.until(Duration::from_secs(1), |state| state.ready("answers") > 0);
+        let answered = broker.wait_until(Duration::from_secs(1), |state| state.ready("answers") > 0);
         let mut state = broker.state();
         let answers = state.queues.get_mut("answers").map(|queue| std::mem::take(&mut queue.ready));
-        for answer in answers.into_iter().flatten().filter(|_| came) {
+        for answer in answers.into_iter().flatten().filter(|_| answered) {
             let headers = answer.properties.headers().clone().unwrap_or_default();
             let outcome = match headers.inner().get("x-outcome") {
                 Some(AMQPValue::LongString(outcome)) => outcome.to_string(),
@@ -43,7 +47,7 @@
             let id = answer.properties.correlation_id().as_ref().map_or("?", |id| id.as_str()).to_string();
             println!("answered {id}: {outcome}, {:?}", String::from_utf8_lossy(&answer.body));
         }
-        println!("acked {}, calls to the ledger {}", state.acks, ledger.calls().len());
+        println!("acked {}, calls to the ledger {}", state.acks, dependency.calls().len());
         drop(state);
         sleep(Duration::from_secs(1));
     }
--- a/crates/hazelspur-test-doubles/src/checker.rs
+++ b/crates/hazelspur-test-doubles/src/checker.rs
@@ -1,56 +1,60 @@
-//! Checks the rules against what the test doubles counted, independently of the server.
+//! Checks the rules for messages against the records of the broker and the worker, independently of the
+//! server.
 
-use crate::broker::{MessageEnd, SettledBy, State};
-use crate::runtime::WorkerState;
+use crate::broker::{BrokerState, MessageEnd, SettledBy};
+use crate::worker::WorkerState;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What must hold for a message that was published, known by its body.
+/// Rules for a published message, which is identified by its body.
 #[derive(Clone, Debug, Default)]
 pub struct Expected {
-    /// Whether more than one run is a breach.
-    pub once: bool,
-    /// A run that began after this breaks the rule, in Unix milliseconds.
-    pub until_ms: Option<u64>,
+    /// Whether the message may run only once.
+    pub at_most_once: bool,
+    /// Latest permitted start of a run, in Unix milliseconds; `None` for no bound.
+    pub start_deadline_ms: Option<u64>,
 }
 
-/// All breaches: a settlement of a tag that was not open, messages that vanished, a run too many, a run too late,
-/// a message acked that never ran (of which `may_lose` are allowed where acks go before runs).
+/// Returns a description of each breach: a protocol violation of a client, such as a settlement of a delivery
+/// tag that is not open; messages that are neither finished, queued nor unsettled; a message settled for good
+/// twice; a run too many; a run that began too late; messages acked that never ran.
+///
+/// Up to `may_lose` messages may be acked and never run, for servers that ack before the run.
 pub fn breaches(
-    state: &State,
+    state: &BrokerState,
     worker_state: &WorkerState,
     expected: &BTreeMap<Vec<u8>, Expected>,
     may_lose: usize,
 ) -> Vec<String> {
-    let mut found = state.faults.clone();
+    let mut found = state.protocol_violations.clone();
     let ready: BTreeSet<u64> =
         state.queues.values().flat_map(|queue| queue.ready.iter().map(|message| message.serial)).collect();
-    let there = ready.len() + state.unsettled();
-    let open = state.open();
-    if there != open {
-        found.push(format!("{open} messages have no end, {there} are in queues or unsettled"));
+    let held = ready.len() + state.unsettled();
+    let unfinished = state.unfinished();
+    if held != unfinished {
+        found.push(format!("{unfinished} messages have no end, {held} are in queues or unsettled"));
     }
-    let mut settled: BTreeMap<u64, usize> = BTreeMap::new();
-    for delivered in &state.deliveries {
-        if matches!(delivered.settled, Some(SettledBy::Ack | SettledBy::Reject)) {
-            *settled.entry(delivered.serial).or_default() += 1;
+    let mut final_settlements: BTreeMap<u64, usize> = BTreeMap::new();
+    for delivery in &state.deliveries {
+        if matches!(delivery.settled, Some(SettledBy::Ack | SettledBy::Reject)) {
+            *final_settlements.entry(delivery.serial).or_default() += 1;
         }
     }
-    for (serial, times) in settled.iter().filter(|(_, times)| **times > 1) {
+    for (serial, times) in final_settlements.iter().filter(|(_, times)| **times > 1) {
         found.push(format!("message {serial} settled for good {times} times"));
     }
-    for (body, terms) in expected {
+    for (body, rules) in expected {
         let name = String::from_utf8_lossy(body);
         let runs = worker_state.runs.get(body).map_or(&[][..], |runs| runs);
-        if terms.once && runs.len() > 1 {
+        if rules.at_most_once && runs.len() > 1 {
             found.push(format!("{name} ran {} times", runs.len()));
         }
-        if let Some(until) = terms.until_ms
-            && let Some(late) = runs.iter().find(|began| **began > until)
+        if let Some(deadline_ms) = rules.start_deadline_ms
+            && let Some(late_ms) = runs.iter().find(|start_ms| **start_ms > deadline_ms)
         {
-            found.push(format!("{name} began {} ms after its time", late - until));
+            found.push(format!("{name} began {} ms after its time", late_ms - deadline_ms));
         }
     }
-    let lost = lost(state, worker_state, expected.keys());
+    let lost = acked_but_never_run(state, worker_state, expected.keys());
     if lost.len() > may_lose {
         let names: Vec<_> = lost.iter().map(|body| String::from_utf8_lossy(body)).collect();
         found.push(format!("acked and never run: {}; {may_lose} may be lost", names.join(" ")));
@@ -58,9 +62,9 @@
     found
 }
 
-/// Bodies of which every copy was acked, though none ran.
-fn lost<'a>(
-    state: &State,
+/// Returns the bodies of which every copy was acked, though none ran.
+fn acked_but_never_run<'a>(
+    state: &BrokerState,
     worker_state: &WorkerState,
     bodies: impl Iterator<Item = &'a Vec<u8>>,
 ) -> Vec<&'a Vec<u8>> {
@@ -69,7 +73,7 @@
         ends.entry(body).or_default().insert(state.ends.get(serial).copied().flatten());
     }
     let all_acked = |body: &&Vec<u8>| {
-        ends.get(body).is_some_and(|ends| ends.iter().all(|e| *e == Some(MessageEnd::Acked)))
+        ends.get(body).is_some_and(|ends| ends.iter().all(|end| *end == Some(MessageEnd::Acked)))
     };
     bodies.filter(all_acked).filter(|body| !worker_state.runs.contains_key(*body)).collect()
 }
--- a/crates/hazelspur-test-doubles/src/script.rs
+++ b/crates/hazelspur-test-doubles/src/script.rs
@@ -1,71 +1,76 @@
-//! Faults of a broker, placed by the number of a frame that a connection has sent or read.
+//! Scripted faults of the broker, placed by the number of the frame that a connection has sent or read.
 
 use hazelspur::pcg::Pcg;
 
-/// When a fault strikes.
+/// Frame of a connection at which a fault occurs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum At {
-    /// When the connection is about to send its nth frame, from 1 on.
+pub enum FramePosition {
+    /// The nth frame that the broker sends, counted from 1; the fault occurs just before the sending.
     Sent(u64),
-    /// When it has read its nth frame and not looked at it yet.
+    /// The nth frame that the broker reads, counted from 1; the fault occurs before the frame is acted on.
     Read(u64),
 }
 
-/// What goes wrong.
+/// A way in which the broker misbehaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The connection breaks between two frames.
-    Cut,
-    /// It breaks in the middle of a frame; where one was read, after it was acted on.
-    CutWithin,
-    /// Nothing more is sent, heartbeats neither, though the connection stands.
-    Mute,
-    /// The frame's end octet is wrong.
-    WrongEnd,
-    /// The frame's length says 4 GB.
-    HugeLength,
-    /// Every consuming channel is closed by the broker.
+    /// Breaks the connection between two frames.
+    CutBetweenFrames,
+    /// Breaks the connection in the middle of a frame that is sent, or after a frame that was read is acted
+    /// on.
+    CutWithinFrame,
+    /// Sends nothing more, not even heartbeats, and keeps the connection open.
+    Silence,
+    /// Sends the frame with a wrong end octet.
+    WrongFrameEnd,
+    /// Sends the frame with a stated length of 4 GB.
+    HugeFrameLength,
+    /// Closes every channel of the connection that has a consumer.
     CloseChannels,
-    /// Every consumer is cancelled by the broker.
-    Cancel,
-    /// `connection.blocked`, and unblocked after so many ms.
-    Block(u64),
-    /// What is published next is refused.
-    Refuse,
-    /// The next confirm is never sent.
+    /// Cancels every consumer, those of other connections included.
+    CancelConsumers,
+    /// Sends `connection.blocked`, and `connection.unblocked` after this many milliseconds.
+    BlockConnection(u64),
+    /// Refuses the next message that is published on the connection.
+    RefusePublish,
+    /// Leaves out the next publisher confirm of the connection.
     LoseConfirm,
-    /// The message delivered last is published once more, with its message-id.
-    Duplicate,
-    /// `connection.close` from the broker.
-    Close,
+    /// Publishes the message that was delivered last once more, with its message-id.
+    DuplicateMessage,
+    /// Sends `connection.close`, and nothing after it.
+    CloseConnection,
 }
 
-/// The faults of one connection.
-pub type Script = Vec<(At, Fault)>;
+/// Faults of one connection; each occurs once.
+pub type Script = Vec<(FramePosition, Fault)>;
 
-/// Up to `most` faults for a connection of some hundred frames.
-pub fn random(chance: &mut Pcg, most: u32) -> Script {
+/// Draws up to `max_faults` faults, at frames 6 to 65, for a connection of some hundred frames.
+pub fn random(random_numbers: &mut Pcg, max_faults: u32) -> Script {
     let faults = [
-        Fault::Cut,
-        Fault::Cut,
-        Fault::CutWithin,
-        Fault::CutWithin,
-        Fault::WrongEnd,
-        Fault::HugeLength,
+        Fault::CutBetweenFrames,
+        Fault::CutBetweenFrames,
+        Fault::CutWithinFrame,
+        Fault::CutWithinFrame,
+        Fault::WrongFrameEnd,
+        Fault::HugeFrameLength,
         Fault::CloseChannels,
-        Fault::Cancel,
-        Fault::Block(30),
-        Fault::Refuse,
+        Fault::CancelConsumers,
+        Fault::BlockConnection(30),
+        Fault::RefusePublish,
         Fault::LoseConfirm,
-        Fault::Duplicate,
-        Fault::Duplicate,
-        Fault::Close,
+        Fault::DuplicateMessage,
+        Fault::DuplicateMessage,
+        Fault::CloseConnection,
     ];
-    (0..chance.draw() % (most + 1))
+    (0..random_numbers.draw() % (max_faults + 1))
         .map(|_| {
-            let frame = 6 + u64::from(chance.draw() % 60);
-            let at = if chance.draw().is_multiple_of(2) { At::Sent(frame) } else { At::Read(frame) };
-            (at, faults[chance.draw() as usize % faults.len()])
+            let frame = 6 + u64::from(random_numbers.draw() % 60);
+            let position = if random_numbers.draw().is_multiple_of(2) {
+                FramePosition::Sent(frame)
+            } else {
+                FramePosition::Read(frame)
+            };
+            (position, faults[random_numbers.draw() as usize % faults.len()])
         })
         .collect()
 }
