--- a/crates/hazelspur-server/src/clock.rs
+++ b/crates/hazelspur-server/src/clock.rs
@@ -42,7 +42,7 @@
 #[derive(Default)]
 struct InputWatermark {
     /// When the present turn of the event loop began.
-    turn_began: Cell<Timestamp>,
+    turn_start: Cell<Timestamp>,
     /// The beginning of the last turn whose input is reported.
     time: Cell<Timestamp>,
     /// Turns whose input is reported, which is how often the watermark was set.
@@ -78,7 +78,7 @@
 
 impl Clock {
     /// Clocks whose Unix clock is set apart from the system's by so many milliseconds.
-    pub fn apart_from_system_ms(wall_offset_ms: i64) -> Self {
+    pub fn with_wall_offset_ms(wall_offset_ms: i64) -> Self {
         Self { wall_offset_ms, ..Self::default() }
     }
 
@@ -128,23 +128,23 @@
     }
 
     /// When the present turn of the event loop began. What the turn's tasks read may have arrived later.
-    pub fn turn_began(&self) -> Timestamp {
-        self.watermark.turn_began.get()
+    pub fn turn_start(&self) -> Timestamp {
+        self.watermark.turn_start.get()
     }
 
     /// Turns of the event loop whose input is reported.
-    pub fn turns(&self) -> u64 {
+    pub fn completed_turns(&self) -> u64 {
         self.watermark.turns.get()
     }
 
     /// A turn begins: the look at input that follows finds all that has arrived by now.
     pub(crate) fn begin_turn(&self) {
-        self.watermark.turn_began.set(self.now());
+        self.watermark.turn_start.set(self.now());
     }
 
     /// Advances the watermark: what had arrived before the present turn has been read and reported.
-    pub(crate) fn input_is_reported(&self) {
-        self.watermark.time.set(self.turn_began());
+    pub(crate) fn advance_watermark(&self) {
+        self.watermark.time.set(self.turn_start());
         self.watermark.turns.set(self.watermark.turns.get().wrapping_add(1));
         self.watermark.advanced.notify_waiters();
     }
@@ -159,7 +159,7 @@
         let _waiter = WatermarkWaiter::register(&self.watermark.waiters);
         self.watermark.advanced.notified().await;
         // What was notified may run only after the next turn has begun.
-        while self.input_watermark() < self.turn_began() {
+        while self.input_watermark() < self.turn_start() {
             self.watermark.advanced.notified().await;
         }
     }
--- a/crates/hazelspur-server/src/config/reload.rs
+++ b/crates/hazelspur-server/src/config/reload.rs
@@ -186,6 +186,6 @@
             control_moved = old.registry != new.registry;
             "reload"
         );
-        self.endpoints.move_to(new);
+        self.endpoints.replace(new);
     }
 }
--- a/crates/hazelspur-server/src/event_loop.rs
+++ b/crates/hazelspur-server/src/event_loop.rs
@@ -129,7 +129,7 @@
         if let Some(output) = self.poll_until_idle(runtime) {
             return Ok(Some(output));
         }
-        self.clock.input_is_reported();
+        self.clock.advance_watermark();
         match self.poll_tasks() {
             Progress::Complete(output) => Ok(Some(output)),
             Progress::Idle | Progress::Busy => Ok(None),
--- a/crates/hazelspur-server/src/ingress/amqp/request.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/request.rs
@@ -56,7 +56,7 @@
             responder: Responder::new(responder, dispatcher.clone()),
             events,
         };
-        tokio::task::spawn_local(lifecycle.admit(&received).run());
+        tokio::task::spawn_local(lifecycle.submit(&received).run());
     }
 
     /// The earlier attempt with the same key, if any.
@@ -120,7 +120,7 @@
         self.consumer.request_finished(self.id, DeliveryOutcome::UnknownClass, &[]);
     }
 
-    fn client_gone(&mut self) {}
+    fn ended_without_response(&mut self) {}
 
     fn run_permission(&mut self) -> RunPermission {
         let (permission, permitted) = oneshot::channel();
--- a/crates/hazelspur-server/src/ingress/gateway/request.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/request.rs
@@ -125,7 +125,7 @@
             responder: Responder::new(responder, dispatcher.clone()),
             events,
         };
-        tokio::task::spawn_local(lifecycle.admit(&received).run());
+        tokio::task::spawn_local(lifecycle.submit(&received).run());
         Ok(())
     }
 
--- a/crates/hazelspur-server/src/ingress/gateway/responder.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/responder.rs
@@ -26,7 +26,7 @@
     fn respond(&mut self, write: impl FnOnce(RpcId, &mut Vec<u8>, Option<f64>)) {
         let capacity = self.connection.dispatcher.advertised_capacity.get();
         self.connection.output.append(|out| write(self.id, out, capacity));
-        self.client_gone();
+        self.ended_without_response();
     }
 }
 
@@ -61,7 +61,7 @@
         self.connection.reputation.record_known_to_worker();
     }
 
-    fn client_gone(&mut self) {
+    fn ended_without_response(&mut self) {
         self.connection.request_closed(self.id, self.request);
     }
 }
--- a/crates/hazelspur-server/src/main.rs
+++ b/crates/hazelspur-server/src/main.rs
@@ -45,7 +45,7 @@
         Signals::register()?
     };
     let inputs = read_inputs(options)?;
-    let clock = Rc::new(Clock::apart_from_system_ms(inputs.options.clock_apart_ms));
+    let clock = Rc::new(Clock::with_wall_offset_ms(inputs.options.clock_apart_ms));
     let tasks = LocalSet::new();
     let serving = tasks.run_until(process::serve(inputs, clock.clone(), signals));
     EventLoop::new(clock, serving).run(&runtime)?
--- a/crates/hazelspur-server/src/read_quota.rs
+++ b/crates/hazelspur-server/src/read_quota.rs
@@ -40,7 +40,7 @@
 
     /// What is taken in the present turn, this included.
     fn count(&self, clock: &Clock, amount: usize) -> usize {
-        if self.turn.replace(clock.turns()) != clock.turns() {
+        if self.turn.replace(clock.completed_turns()) != clock.completed_turns() {
             self.taken.set(0);
         }
         let taken = self.taken.get().saturating_add(amount);
--- a/crates/hazelspur-server/src/request/deduplication.rs
+++ b/crates/hazelspur-server/src/request/deduplication.rs
@@ -17,7 +17,7 @@
 
 /// What a key protects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Scope {
+pub enum KeyKind {
     /// An idempotency key: what may have run does not run again, whatever its outcome.
     IdempotentWithKey,
     /// The subject of a read: only a successful result is shared, while it is fresh.
@@ -33,7 +33,7 @@
     /// The request class's name.
     pub request_class: Arc<str>,
     /// What the key protects.
-    pub scope: Scope,
+    pub kind: KeyKind,
     /// The idempotency key, or the subject of a read.
     pub text: Rc<str>,
 }
@@ -46,12 +46,12 @@
         idempotency_key: Option<&str>,
         subject: Option<&str>,
     ) -> Option<Self> {
-        let (scope, text) = match class.idempotency {
-            Idempotency::IdempotentWithKey => (Scope::IdempotentWithKey, idempotency_key?),
-            Idempotency::Idempotent => (Scope::Read, subject?),
+        let (kind, text) = match class.idempotency {
+            Idempotency::IdempotentWithKey => (KeyKind::IdempotentWithKey, idempotency_key?),
+            Idempotency::Idempotent => (KeyKind::Read, subject?),
             Idempotency::NonIdempotent => return None,
         };
-        Some(Self { tenant: tenant.clone(), request_class: class.name.clone(), scope, text: text.into() })
+        Some(Self { tenant: tenant.clone(), request_class: class.name.clone(), kind, text: text.into() })
     }
 }
 
@@ -128,7 +128,7 @@
 
     /// What a new attempt with the same key is; `None` where the entry does not concern it.
     fn compare(&self, new: &ReceivedAttempt) -> Option<Lookup> {
-        let is_read = new.key.scope == Scope::Read;
+        let is_read = new.key.kind == KeyKind::Read;
         let same_request = is_read || self.body.as_ref().is_none_or(|body| *body == new.body);
         if self.owner == new.owner && same_request {
             return Some(Lookup::RetryOf(self.request));
@@ -179,7 +179,7 @@
     /// Records a received attempt; says whether it repeats the one that holds its key.
     pub fn received(&mut self, now: Timestamp, new: ReceivedAttempt) -> Lookup {
         self.remove_expired(now);
-        let is_read = new.key.scope == Scope::Read;
+        let is_read = new.key.kind == KeyKind::Read;
         if is_read && (self.read_freshness == Duration::ZERO || !new.trusted) {
             return Lookup::First;
         }
@@ -198,7 +198,7 @@
 
     fn insert(&mut self, new: ReceivedAttempt) {
         let ReceivedAttempt { request, key, owner, body, .. } = new;
-        let body = (key.scope == Scope::IdempotentWithKey).then_some(body);
+        let body = (key.kind == KeyKind::IdempotentWithKey).then_some(body);
         let entry = Entry { request, owner, body, expires_at: None, completion: None };
         self.bytes += entry.size_bytes(&key);
         self.entries.insert(key.clone(), entry);
@@ -278,12 +278,12 @@
         let receipt_delay = self.receipt_delay;
         let spare_bytes = self.max_bytes.saturating_sub(self.bytes);
         let KeyAndEntry { key, entry } = self.entry_of(request)?;
-        let remove_at = match (key.scope, completion.outcome) {
-            (Scope::IdempotentWithKey, _) => entry.expires_at? + receipt_delay,
-            (Scope::Read, Outcome::Ok) => entry.expires_at?.min(fresh_until),
-            (Scope::Read, _) => return None,
+        let remove_at = match (key.kind, completion.outcome) {
+            (KeyKind::IdempotentWithKey, _) => entry.expires_at? + receipt_delay,
+            (KeyKind::Read, Outcome::Ok) => entry.expires_at?.min(fresh_until),
+            (KeyKind::Read, _) => return None,
         };
-        if key.scope == Scope::Read {
+        if key.kind == KeyKind::Read {
             entry.expires_at = Some(remove_at);
         }
         let key = key.clone();
@@ -324,9 +324,9 @@
         let Some(entry) = self.entries.remove(key) else { return };
         self.bytes -= entry.size_bytes(key);
         if let Some(expires_at) = entry.expires_at.filter(|_| entry.completion.is_some()) {
-            let delay = match key.scope {
-                Scope::IdempotentWithKey => self.receipt_delay,
-                Scope::Read => Duration::ZERO,
+            let delay = match key.kind {
+                KeyKind::IdempotentWithKey => self.receipt_delay,
+                KeyKind::Read => Duration::ZERO,
             };
             self.removals.remove(&Removal { at: expires_at + delay, key: key.clone() });
         }
--- a/crates/hazelspur-server/src/request/dispatcher.rs
+++ b/crates/hazelspur-server/src/request/dispatcher.rs
@@ -83,7 +83,7 @@
     /// Reports an input, by the time at which this turn of the event loop began, so that the controller's time never
     /// goes back. A panic inside the controller is logged and leaves the rest of the program running.
     pub fn report(&self, input: impl FnOnce(&mut AdmissionController, Timestamp)) {
-        let now = self.clock.turn_began();
+        let now = self.clock.turn_start();
         if let Some(controller) = self.controller.borrow_mut().as_mut()
             && catch_unwind(AssertUnwindSafe(|| input(controller, now))).is_err()
         {
@@ -99,7 +99,7 @@
         catalog: &RefCell<Catalog>,
         change: &Change,
     ) -> Result<ChangeSummary, ConfigError> {
-        let now = self.clock.turn_began();
+        let now = self.clock.turn_start();
         let changed = match self.controller.borrow_mut().as_mut() {
             Some(controller) => controller.apply_change(now, change)?,
             None => {
@@ -129,7 +129,7 @@
     fn expire_leases(&self) {
         let now = self.clock.monotonic();
         let Some(expiry) = self.lease_expiry.borrow_mut().take_if(|expiry| now >= expiry.at) else { return };
-        let now = self.clock.turn_began();
+        let now = self.clock.turn_start();
         if let Some(controller) = self.controller.borrow_mut().as_mut() {
             for ValueAfterExpiry { key, value } in expiry.values {
                 controller.set_guidance(now, key, Some(value));
@@ -145,12 +145,12 @@
 
     /// The load of this server for its fleet; none before the start.
     pub fn load_report(&self) -> Option<LoadReport> {
-        self.controller.borrow().as_ref().map(|controller| controller.load_report(self.clock.turn_began()))
+        self.controller.borrow().as_ref().map(|controller| controller.load_report(self.clock.turn_start()))
     }
 
     /// The request rate of a tenant, in requests per second.
     pub fn tenant_rate(&self, tenant: TenantId) -> f64 {
-        let now = self.clock.turn_began();
+        let now = self.clock.turn_start();
         self.controller.borrow().as_ref().map_or(0.0, |controller| controller.tenant_rate(now, tenant))
     }
 
@@ -177,7 +177,7 @@
 
     /// How many more requests the controller has capacity for, beside those in progress.
     pub fn spare_capacity(&self) -> f64 {
-        let now = self.clock.turn_began();
+        let now = self.clock.turn_start();
         let capacity =
             self.controller.borrow().as_ref().map_or(0.0, |controller| controller.spare_capacity(now));
         capacity - self.requests.borrow().len() as f64
--- a/crates/hazelspur-server/src/request/lifecycle.rs
+++ b/crates/hazelspur-server/src/request/lifecycle.rs
@@ -115,7 +115,7 @@
 
 impl RequestLifecycle {
     /// Passes the request to the controller at once, so that no change of configuration comes in between.
-    pub fn admit(self, received: &ReceivedRequest) -> Self {
+    pub fn submit(self, received: &ReceivedRequest) -> Self {
         let (request, retry_of) = (self.request, self.retry_of.as_ref().map(|retry| retry.original));
         let read_at = self.services.dispatcher.clock.now();
         self.services.dispatcher.report(|controller, now| {
@@ -247,7 +247,7 @@
             controller.request_abandoned(request);
             controller.run_finished(now, request, Outcome::NeverStarted);
         });
-        self.responder.release();
+        self.responder.end_without_response();
         State::Finished
     }
 
@@ -319,7 +319,7 @@
     fn call_finished(&self, result: CallResult) {
         let (request, outcome) = (self.request, result.outcome);
         if outcome == Outcome::Ok {
-            self.services.worker.give(request, result.reply);
+            self.services.worker.send_call_reply(request, result.reply);
         }
         self.services.dispatcher.report(|controller, now| controller.call_finished(now, request, outcome));
     }
@@ -355,7 +355,7 @@
     fn abandon(&mut self) {
         let request = self.request;
         self.services.dispatcher.report(|controller, _| controller.request_abandoned(request));
-        self.responder.release();
+        self.responder.end_without_response();
     }
 
     /// Sends the response that a decision stands for.
--- a/crates/hazelspur-server/src/request/responder.rs
+++ b/crates/hazelspur-server/src/request/responder.rs
@@ -25,7 +25,7 @@
     /// The worker does not know this request; it never ran.
     fn unknown_to_worker(&mut self);
     /// The client is gone: no response is sent.
-    fn client_gone(&mut self);
+    fn ended_without_response(&mut self);
     /// Whether the run may start now.
     fn run_permission(&mut self) -> RunPermission {
         RunPermission::Granted
@@ -102,9 +102,9 @@
     }
 
     /// Ends the request without a response: its client is gone, or its ingress has withdrawn it.
-    pub fn release(&mut self) {
+    pub fn end_without_response(&mut self) {
         if self.take_pending() {
-            self.sink.client_gone();
+            self.sink.ended_without_response();
         }
     }
 
--- a/crates/hazelspur-server/src/upstream/endpoints.rs
+++ b/crates/hazelspur-server/src/upstream/endpoints.rs
@@ -33,7 +33,7 @@
     }
 
     /// Replaces the addresses.
-    pub fn move_to(&self, addresses: EndpointAddresses) {
+    pub fn replace(&self, addresses: EndpointAddresses) {
         self.addresses.set(addresses);
         self.changed.notify_waiters();
     }
--- a/crates/hazelspur-server/src/upstream/worker/link.rs
+++ b/crates/hazelspur-server/src/upstream/worker/link.rs
@@ -117,7 +117,7 @@
     }
 
     /// Gives a run the reply of its call.
-    pub fn give(&self, request: RequestId, reply: Vec<u8>) {
+    pub fn send_call_reply(&self, request: RequestId, reply: Vec<u8>) {
         self.send(|out| runtime::write_call_reply(out, &request.to_string(), &reply));
         self.state.runs.borrow_mut().give(request, reply, self.state.gauge_query.latest());
     }
--- a/crates/hazelspur-server/tests/event_loop/decisions.rs
+++ b/crates/hazelspur-server/tests/event_loop/decisions.rs
@@ -69,7 +69,7 @@
         self.respond(Response::UnknownToWorker);
     }
 
-    fn client_gone(&mut self) {
+    fn ended_without_response(&mut self) {
         self.respond(Response::ClientGone);
     }
 }
@@ -137,7 +137,7 @@
             responder: Responder::new(RecordingSink(Some(sender)), dispatcher.clone()),
             events: dispatcher.register(request).expect("a new id"),
         };
-        spawn_local(lifecycle.admit(&received).run());
+        spawn_local(lifecycle.submit(&received).run());
         response
     }
 }
--- a/crates/hazelspur-server/tests/event_loop/turns.rs
+++ b/crates/hazelspur-server/tests/event_loop/turns.rs
@@ -265,7 +265,7 @@
         let mut chunk = vec![0; 4096];
         while let Ok(count @ 1..) = stream.read(&mut chunk).await {
             quota.take(clock, count, socket2::SockRef::from(&stream)).await;
-            counted.set(clock.turns());
+            counted.set(clock.completed_turns());
         }
     });
     assert!(took < MAX_WAIT_DURING_FLOOD && turns.get() > 3, "{took:?}, {} turns", turns.get());
