--- a/crates/hazelspur-server/src/clock.rs
+++ b/crates/hazelspur-server/src/clock.rs
@@ -46,18 +46,18 @@
     /// The beginning of the last turn whose input is reported.
     time: Cell<Timestamp>,
     /// Turns whose input is reported, which is how often the watermark was set.
-    turns: Cell<u64>,
-    waiters: Cell<usize>,
-    advanced: Notify,
+    completed_turns: Cell<u64>,
+    waiter_count: Cell<usize>,
+    advance_notification: Notify,
 }
 
 /// Counts a task that waits for the watermark, for as long as it waits.
 struct WatermarkWaiter<'a>(&'a Cell<usize>);
 
 impl<'a> WatermarkWaiter<'a> {
-    fn register(waiters: &'a Cell<usize>) -> Self {
-        waiters.set(waiters.get() + 1);
-        Self(waiters)
+    fn register(waiter_count: &'a Cell<usize>) -> Self {
+        waiter_count.set(waiter_count.get() + 1);
+        Self(waiter_count)
     }
 }
 
@@ -105,9 +105,9 @@
     }
 
     fn unix(&self) -> Timestamp {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let offset_us = self.wall_offset_ms.saturating_mul(US_PER_MS);
-        let now_us = (since.as_micros() as i64).saturating_add(offset_us);
+        let now_us = (since_epoch.as_micros() as i64).saturating_add(offset_us);
         Timestamp::from_us(now_us.max(0) as u64)
     }
 
@@ -134,7 +134,7 @@
 
     /// Turns of the event loop whose input is reported.
     pub fn completed_turns(&self) -> u64 {
-        self.watermark.turns.get()
+        self.watermark.completed_turns.get()
     }
 
     /// A turn begins: the look at input that follows finds all that has arrived by now.
@@ -145,22 +145,22 @@
     /// Advances the watermark: what had arrived before the present turn has been read and reported.
     pub(crate) fn advance_watermark(&self) {
         self.watermark.time.set(self.turn_start());
-        self.watermark.turns.set(self.watermark.turns.get().wrapping_add(1));
-        self.watermark.advanced.notify_waiters();
+        self.watermark.completed_turns.set(self.watermark.completed_turns.get().wrapping_add(1));
+        self.watermark.advance_notification.notify_waiters();
     }
 
     /// Whether a task can't go on before the watermark advances.
     pub(crate) fn watermark_is_awaited(&self) -> bool {
-        self.watermark.waiters.get() > 0
+        self.watermark.waiter_count.get() > 0
     }
 
     /// Completes once what a turn of the event loop found is reported, within that turn.
     pub async fn input_reported(&self) {
-        let _waiter = WatermarkWaiter::register(&self.watermark.waiters);
-        self.watermark.advanced.notified().await;
+        let _waiter = WatermarkWaiter::register(&self.watermark.waiter_count);
+        self.watermark.advance_notification.notified().await;
         // What was notified may run only after the next turn has begun.
         while self.input_watermark() < self.turn_start() {
-            self.watermark.advanced.notified().await;
+            self.watermark.advance_notification.notified().await;
         }
     }
 
@@ -170,9 +170,9 @@
         while self.now() < at {
             pause(at - self.now()).await;
         }
-        let _waiter = WatermarkWaiter::register(&self.watermark.waiters);
+        let _waiter = WatermarkWaiter::register(&self.watermark.waiter_count);
         while self.input_watermark() < at {
-            self.watermark.advanced.notified().await;
+            self.watermark.advance_notification.notified().await;
         }
     }
 
--- a/crates/hazelspur-server/src/event_loop.rs
+++ b/crates/hazelspur-server/src/event_loop.rs
@@ -31,10 +31,10 @@
 use tokio::sync::Notify;
 
 /// Polls of the tasks in a row, each of several tasks, after which the loop looks at the processor time.
-const MAX_POLLS_IN_A_ROW: usize = 16;
+const POLLS_PER_BATCH: usize = 16;
 /// Rows of polls after which the loop looks at input although some tasks are ready, so that tasks which wake each
 /// other can't keep the process from its input. Rare, since what a look finds makes the turn longer.
-const ROWS_PER_LOOK: usize = 64;
+const BATCHES_PER_DRIVER_POLL: usize = 64;
 /// Processor time after which a turn ends although some tasks are ready. A suspension does not count.
 const MAX_TURN_CPU_TIME: Duration = Duration::from_ms(1000);
 
@@ -105,11 +105,11 @@
     /// # Errors
     /// The input marker could not be made or placed.
     pub fn run(mut self, runtime: &Runtime) -> io::Result<F::Output> {
-        let _entered = runtime.enter();
+        let _runtime_guard = runtime.enter();
         let marker = InputMarker::new()?;
         loop {
             self.clock.begin_turn();
-            if let Progress::Complete(output) = self.poll_tasks() {
+            if let Progress::Complete(output) = self.poll_batch() {
                 return Ok(output);
             }
             while self.clock.watermark_is_awaited() {
@@ -130,7 +130,7 @@
             return Ok(Some(output));
         }
         self.clock.advance_watermark();
-        match self.poll_tasks() {
+        match self.poll_batch() {
             Progress::Complete(output) => Ok(Some(output)),
             Progress::Idle | Progress::Busy => Ok(None),
         }
@@ -138,16 +138,18 @@
 
     /// Polls the tasks until none is ready, or the turn has used up its processor time.
     fn poll_until_idle(&mut self, runtime: &Runtime) -> Option<F::Output> {
-        let mut busy_since = None;
-        for row in 1.. {
-            match self.poll_tasks() {
+        let mut cpu_time_after_first_batch = None;
+        for batch in 1.. {
+            match self.poll_batch() {
                 Progress::Idle => break,
                 Progress::Complete(output) => return Some(output),
-                Progress::Busy if row % ROWS_PER_LOOK == 0 => look(runtime),
+                Progress::Busy if batch % BATCHES_PER_DRIVER_POLL == 0 => poll_driver(runtime),
                 Progress::Busy => {}
             }
-            let used = thread_cpu_time();
-            if used.saturating_sub(*busy_since.get_or_insert(used)) >= to_std(MAX_TURN_CPU_TIME) {
+            let cpu_time = thread_cpu_time();
+            if cpu_time.saturating_sub(*cpu_time_after_first_batch.get_or_insert(cpu_time))
+                >= to_std(MAX_TURN_CPU_TIME)
+            {
                 log::warn!(cpu_ms = MAX_TURN_CPU_TIME.us() / 1000; "tasks never idle, turn ended");
                 break;
             }
@@ -156,8 +158,8 @@
     }
 
     /// Polls the tasks until none is ready, or as often as may be in a row.
-    fn poll_tasks(&mut self) -> Progress<F::Output> {
-        for _ in 0..MAX_POLLS_IN_A_ROW {
+    fn poll_batch(&mut self) -> Progress<F::Output> {
+        for _ in 0..POLLS_PER_BATCH {
             self.task_waker.reset();
             let mut context = Context::from_waker(&self.waker);
             if let Poll::Ready(output) = self.work.as_mut().poll(&mut context) {
@@ -173,7 +175,7 @@
     /// Waits for input and timers until a task is ready; looks at input also if one is ready already.
     fn wait(&self, runtime: &Runtime) {
         if self.task_waker.is_woken() {
-            look(runtime);
+            poll_driver(runtime);
         } else {
             runtime.block_on(self.task_waker.woken());
         }
@@ -181,7 +183,7 @@
 }
 
 /// Lets the runtime's driver look at input once, without waiting.
-fn look(runtime: &Runtime) {
+fn poll_driver(runtime: &Runtime) {
     runtime.block_on(tokio::task::yield_now());
 }
 
--- a/crates/hazelspur-server/src/input_marker.rs
+++ b/crates/hazelspur-server/src/input_marker.rs
@@ -16,9 +16,9 @@
     /// # Errors
     /// No descriptor is left.
     pub(crate) fn new() -> io::Result<Self> {
-        let event = EventFd::from_flags(EfdFlags::EFD_CLOEXEC | EfdFlags::EFD_NONBLOCK)?;
+        let event_fd = EventFd::from_flags(EfdFlags::EFD_CLOEXEC | EfdFlags::EFD_NONBLOCK)?;
         // SAFETY: an `EventFd` owns its descriptor, which stays the same and open until the `AsyncFd` is dropped.
-        let registered = unsafe { AsyncFd::register_with_interest(event, Interest::READABLE) };
+        let registered = unsafe { AsyncFd::register_with_interest(event_fd, Interest::READABLE) };
         Ok(Self(registered?))
     }
 
--- a/crates/hazelspur-server/src/read_quota.rs
+++ b/crates/hazelspur-server/src/read_quota.rs
@@ -9,7 +9,7 @@
 use std::cell::Cell;
 
 /// Bytes up to which a reader does not ask how much its socket can hold.
-const FREE_BYTES: usize = 64 * 1024;
+const MIN_QUOTA_BYTES: usize = 64 * 1024;
 /// By this much a socket may go over its own bound: one segment.
 const MAX_SEGMENT_BYTES: usize = 64 * 1024;
 /// What is taken for the socket's bound where the system does not tell it.
@@ -25,21 +25,21 @@
 impl ReadQuota {
     /// Counts bytes read from a socket; completes at once, or with the end of the turn where the quota is used up.
     pub async fn take(&self, clock: &Clock, bytes: usize, socket: SockRef<'_>) {
-        let taken = self.count(clock, bytes);
-        if taken >= FREE_BYTES && taken >= capacity(&socket) {
+        let taken = self.add(clock, bytes);
+        if taken >= MIN_QUOTA_BYTES && taken >= capacity(&socket) {
             clock.input_reported().await;
         }
     }
 
     /// The same for input that is counted in other units, of which the system keeps at most `capacity`.
     pub async fn take_units(&self, clock: &Clock, units: usize, capacity: usize) {
-        if self.count(clock, units) >= capacity {
+        if self.add(clock, units) >= capacity {
             clock.input_reported().await;
         }
     }
 
     /// What is taken in the present turn, this included.
-    fn count(&self, clock: &Clock, amount: usize) -> usize {
+    fn add(&self, clock: &Clock, amount: usize) -> usize {
         if self.turn.replace(clock.completed_turns()) != clock.completed_turns() {
             self.taken.set(0);
         }
--- a/crates/hazelspur-server/src/request/deduplication.rs
+++ b/crates/hazelspur-server/src/request/deduplication.rs
@@ -90,7 +90,7 @@
     /// The attempt that held the key when this one was received.
     pub original: RequestId,
     /// How that attempt ended, if it was in progress then and has ended since.
-    outcome: Rc<OnceCell<Completion>>,
+    completion: Rc<OnceCell<Completion>>,
 }
 
 /// Whether a received attempt repeats another.
@@ -122,28 +122,28 @@
     }
 
     /// Whether the entry still counts; the window of an attempt in progress lasts until that has finished.
-    fn is_in_force(&self, at: Timestamp) -> bool {
+    fn is_valid_at(&self, at: Timestamp) -> bool {
         self.completion.is_none() || self.expires_at.is_some_and(|expires_at| expires_at > at)
     }
 
     /// What a new attempt with the same key is; `None` where the entry does not concern it.
-    fn compare(&self, new: &ReceivedAttempt) -> Option<Lookup> {
-        let is_read = new.key.kind == KeyKind::Read;
-        let same_request = is_read || self.body.as_ref().is_none_or(|body| *body == new.body);
-        if self.owner == new.owner && same_request {
+    fn compare(&self, attempt: &ReceivedAttempt) -> Option<Lookup> {
+        let is_read = attempt.key.kind == KeyKind::Read;
+        let same_request = is_read || self.body.as_ref().is_none_or(|body| *body == attempt.body);
+        if self.owner == attempt.owner && same_request {
             return Some(Lookup::RetryOf(self.request));
         }
         // What may have run under a tenant or class of the same name must not run again; a read may.
-        if self.owner != new.owner && is_read { None } else { Some(Lookup::Conflict) }
+        if self.owner != attempt.owner && is_read { None } else { Some(Lookup::Conflict) }
     }
 }
 
 /// An attempt in progress. Request ids are unique only among these: a finished one's may be used again.
 struct Attempt {
     key: DeduplicationKey,
-    waiting: Vec<RequestId>,
+    waiting_retries: Vec<RequestId>,
     /// Set when it ends, for the retries that were received before.
-    outcome: Rc<OnceCell<Completion>>,
+    completion: Rc<OnceCell<Completion>>,
 }
 
 /// When the entry of a finished attempt is removed; ordered by time.
@@ -162,7 +162,7 @@
     receipt_delay: Duration,
     /// What results and bodies may take in all.
     max_bytes: usize,
-    bytes: usize,
+    used_bytes: usize,
     entries: BTreeMap<DeduplicationKey, Entry>,
     attempts: BTreeMap<RequestId, Attempt>,
     /// The entries of finished attempts.
@@ -177,37 +177,37 @@
     }
 
     /// Records a received attempt; says whether it repeats the one that holds its key.
-    pub fn received(&mut self, now: Timestamp, new: ReceivedAttempt) -> Lookup {
+    pub fn received(&mut self, now: Timestamp, attempt: ReceivedAttempt) -> Lookup {
         self.remove_expired(now);
-        let is_read = new.key.kind == KeyKind::Read;
-        if is_read && (self.read_freshness == Duration::ZERO || !new.trusted) {
+        let is_read = attempt.key.kind == KeyKind::Read;
+        if is_read && (self.read_freshness == Duration::ZERO || !attempt.trusted) {
             return Lookup::First;
         }
-        if let Some(entry) = self.entries.get(&new.key) {
-            let at = if is_read { now } else { new.sent_at };
-            if entry.is_in_force(at)
-                && let Some(found) = entry.compare(&new)
+        if let Some(entry) = self.entries.get(&attempt.key) {
+            let at = if is_read { now } else { attempt.sent_at };
+            if entry.is_valid_at(at)
+                && let Some(found) = entry.compare(&attempt)
             {
                 return found;
             }
-            self.remove(&new.key);
+            self.remove(&attempt.key);
         }
-        self.insert(new);
+        self.insert(attempt);
         Lookup::First
     }
 
-    fn insert(&mut self, new: ReceivedAttempt) {
-        let ReceivedAttempt { request, key, owner, body, .. } = new;
+    fn insert(&mut self, attempt: ReceivedAttempt) {
+        let ReceivedAttempt { request, key, owner, body, .. } = attempt;
         let body = (key.kind == KeyKind::IdempotentWithKey).then_some(body);
         let entry = Entry { request, owner, body, expires_at: None, completion: None };
-        self.bytes += entry.size_bytes(&key);
+        self.used_bytes += entry.size_bytes(&key);
         self.entries.insert(key.clone(), entry);
-        let attempt = Attempt { key, waiting: Vec::new(), outcome: Rc::default() };
+        let attempt = Attempt { key, waiting_retries: Vec::new(), completion: Rc::default() };
         self.attempts.insert(request, attempt);
     }
 
     /// The key that an attempt in progress holds, and its entry.
-    fn entry_of(&mut self, request: RequestId) -> Option<KeyAndEntry<'_>> {
+    fn entry_in_progress(&mut self, request: RequestId) -> Option<KeyAndEntry<'_>> {
         let key = &self.attempts.get(&request)?.key;
         let entry = self.entries.get_mut(key)?;
         (entry.request == request && entry.completion.is_none()).then_some(KeyAndEntry { key, entry })
@@ -215,14 +215,14 @@
 
     /// Stores the key of an attempt in progress until this time.
     pub fn store_until(&mut self, request: RequestId, expires_at: Timestamp) {
-        if let Some(found) = self.entry_of(request) {
+        if let Some(found) = self.entry_in_progress(request) {
             found.entry.expires_at = Some(expires_at);
         }
     }
 
     /// Frees an attempt's key for the next one; the retries that await this one are still notified.
     pub fn release(&mut self, request: RequestId) {
-        if let Some(key) = self.entry_of(request).map(|found| found.key.clone()) {
+        if let Some(key) = self.entry_in_progress(request).map(|found| found.key.clone()) {
             self.remove(&key);
         }
     }
@@ -230,23 +230,23 @@
     /// The attempt that a request received now repeats.
     pub fn retry_of(&self, key: DeduplicationKey, original: RequestId) -> RetryOf {
         let attempt = self.attempts.get(&original).filter(|attempt| attempt.key == key);
-        let outcome = attempt.map(|attempt| attempt.outcome.clone()).unwrap_or_default();
-        RetryOf { key, original, outcome }
+        let completion = attempt.map(|attempt| attempt.completion.clone()).unwrap_or_default();
+        RetryOf { key, original, completion }
     }
 
     /// The completion of the original attempt, if that has finished; else `request` is notified of it later.
     pub fn subscribe(&mut self, retry: &RetryOf, request: RequestId) -> Option<Completion> {
-        let RetryOf { key, original, outcome } = retry;
+        let RetryOf { key, original, completion } = retry;
         let entry = self.entries.get(key).filter(|entry| entry.request == *original);
         if let Some(completion) = entry.and_then(|entry| entry.completion.clone()) {
             return Some(completion);
         }
-        if let Some(completion) = outcome.get() {
+        if let Some(completion) = completion.get() {
             return Some(completion.clone());
         }
         match self.attempts.get_mut(original).filter(|attempt| attempt.key == *key) {
             Some(attempt) => {
-                attempt.waiting.push(request);
+                attempt.waiting_retries.push(request);
                 None
             }
             None => Some(Completion::failed()),
@@ -276,8 +276,8 @@
     ) -> Option<Removal> {
         let fresh_until = now + self.read_freshness;
         let receipt_delay = self.receipt_delay;
-        let spare_bytes = self.max_bytes.saturating_sub(self.bytes);
-        let KeyAndEntry { key, entry } = self.entry_of(request)?;
+        let spare_bytes = self.max_bytes.saturating_sub(self.used_bytes);
+        let KeyAndEntry { key, entry } = self.entry_in_progress(request)?;
         let remove_at = match (key.kind, completion.outcome) {
             (KeyKind::IdempotentWithKey, _) => entry.expires_at? + receipt_delay,
             (KeyKind::Read, Outcome::Ok) => entry.expires_at?.min(fresh_until),
@@ -296,7 +296,7 @@
             entry.completion = Some(Completion::failed());
         }
         let size_after = entry.size_bytes(&key);
-        self.bytes = self.bytes - size_before + size_after;
+        self.used_bytes = self.used_bytes - size_before + size_after;
         Some(Removal { at: remove_at, key })
     }
 
@@ -309,8 +309,8 @@
     fn end_attempt(&mut self, request: RequestId, completion: &Completion) -> Vec<RequestId> {
         let Some(attempt) = self.attempts.remove(&request) else { return Vec::new() };
         // It ends once.
-        let _ = attempt.outcome.set(completion.clone());
-        attempt.waiting
+        let _ = attempt.completion.set(completion.clone());
+        attempt.waiting_retries
     }
 
     fn remove_expired(&mut self, now: Timestamp) {
@@ -322,7 +322,7 @@
 
     fn remove(&mut self, key: &DeduplicationKey) {
         let Some(entry) = self.entries.remove(key) else { return };
-        self.bytes -= entry.size_bytes(key);
+        self.used_bytes -= entry.size_bytes(key);
         if let Some(expires_at) = entry.expires_at.filter(|_| entry.completion.is_some()) {
             let delay = match key.kind {
                 KeyKind::IdempotentWithKey => self.receipt_delay,
--- a/crates/hazelspur-server/src/request/dispatcher.rs
+++ b/crates/hazelspur-server/src/request/dispatcher.rs
@@ -43,7 +43,7 @@
     /// The clock that every task goes by.
     pub clock: Rc<Clock>,
     controller: RefCell<Option<AdmissionController>>,
-    requests: RefCell<BTreeMap<RequestId, UnboundedSender<RequestEvent>>>,
+    event_senders: RefCell<BTreeMap<RequestId, UnboundedSender<RequestEvent>>>,
     /// Idempotency keys and shared reads.
     pub deduplication: RefCell<Deduplication>,
     /// Final responses since the start.
@@ -100,7 +100,7 @@
         change: &Change,
     ) -> Result<ChangeSummary, ConfigError> {
         let now = self.clock.turn_start();
-        let changed = match self.controller.borrow_mut().as_mut() {
+        let summary = match self.controller.borrow_mut().as_mut() {
             Some(controller) => controller.apply_change(now, change)?,
             None => {
                 let mut catalog = catalog.borrow_mut();
@@ -109,7 +109,7 @@
             }
         };
         self.input_notification.notify_one();
-        Ok(changed)
+        Ok(summary)
     }
 
     /// Gives the controller what has changed of the fleet's guidance, and keeps what applies once a lease expires.
@@ -180,28 +180,28 @@
         let now = self.clock.turn_start();
         let capacity =
             self.controller.borrow().as_ref().map_or(0.0, |controller| controller.spare_capacity(now));
-        capacity - self.requests.borrow().len() as f64
+        capacity - self.event_senders.borrow().len() as f64
     }
 
     /// Registers a request; its events go to the receiver. `None` where a request with this id is in progress.
     pub fn register(&self, request: RequestId) -> Option<UnboundedReceiver<RequestEvent>> {
         let (sender, receiver) = unbounded_channel();
-        let mut requests = self.requests.borrow_mut();
-        if requests.contains_key(&request) {
+        let mut event_senders = self.event_senders.borrow_mut();
+        if event_senders.contains_key(&request) {
             return None;
         }
-        requests.insert(request, sender);
+        event_senders.insert(request, sender);
         Some(receiver)
     }
 
     /// Removes a request that is finished.
     pub fn remove(&self, request: RequestId) {
-        self.requests.borrow_mut().remove(&request);
+        self.event_senders.borrow_mut().remove(&request);
     }
 
     /// Delivers an event to the request's task, if there still is one.
     pub fn deliver(&self, request: RequestId, event: RequestEvent) {
-        if let Some(sender) = self.requests.borrow().get(&request) {
+        if let Some(sender) = self.event_senders.borrow().get(&request) {
             // The task may just have ended.
             let _ = sender.send(event);
         }
@@ -209,16 +209,16 @@
 
     /// Notifies the retries that await this attempt of its completion.
     pub fn attempt_finished(&self, request: RequestId, completion: &Completion) {
-        let waiting = self.deduplication.borrow_mut().finished(self.clock.now(), request, completion);
-        for retry in waiting {
+        let waiting_retries = self.deduplication.borrow_mut().finished(self.clock.now(), request, completion);
+        for retry in waiting_retries {
             self.deliver(retry, RequestEvent::Finished(completion.clone()));
         }
     }
 
     /// Notifies the retries that await this attempt that it ended without a run; its key is free.
     pub fn attempt_never_ran(&self, request: RequestId) {
-        let waiting = self.deduplication.borrow_mut().never_ran(request);
-        for retry in waiting {
+        let waiting_retries = self.deduplication.borrow_mut().never_ran(request);
+        for retry in waiting_retries {
             self.deliver(retry, RequestEvent::Finished(Completion::never_ran()));
         }
     }
@@ -229,7 +229,7 @@
             self.input_notification.notified().await;
             self.clock.input_reported().await;
             while let Some(decision) = self.next_decision() {
-                self.carry_out(decision);
+                self.apply_decision(decision);
             }
         }
     }
@@ -245,7 +245,7 @@
         })
     }
 
-    fn carry_out(&self, decision: Decision) {
+    fn apply_decision(&self, decision: Decision) {
         log::trace!("decided {decision:?}");
         match decision {
             Decision::AdvertiseCapacity(value) => self.advertised_capacity.set(Some(value)),
--- a/crates/hazelspur-server/src/request/lifecycle.rs
+++ b/crates/hazelspur-server/src/request/lifecycle.rs
@@ -119,7 +119,7 @@
         let (request, retry_of) = (self.request, self.retry_of.as_ref().map(|retry| retry.original));
         let read_at = self.services.dispatcher.clock.now();
         self.services.dispatcher.report(|controller, now| {
-            let new = NewRequest {
+            let new_request = NewRequest {
                 id: request,
                 class: received.request_class,
                 tenant: received.tenant,
@@ -134,7 +134,7 @@
                 is_write: false,
                 retry_of,
             };
-            controller.request_received(now, new);
+            controller.request_received(now, new_request);
         });
         self
     }
@@ -177,14 +177,14 @@
         match event {
             None => State::Finished,
             Some(RequestEvent::ClientGone) => self.client_gone_while_queued(),
-            Some(RequestEvent::Decided(_)) => self.give_up_unstarted(),
+            Some(RequestEvent::Decided(_)) => self.end_unstarted(),
             Some(_) => State::AwaitingWorker,
         }
     }
 
     /// Ends a request that the controller counts as running. Unless an earlier run of it was preempted, it is
     /// known not to have run.
-    fn give_up_unstarted(&mut self) -> State {
+    fn end_unstarted(&mut self) -> State {
         self.report_run_finished(Outcome::NeverStarted);
         if self.may_have_run {
             self.responder.failed();
@@ -226,11 +226,11 @@
             return State::AwaitingWorker;
         }
         if self.services.dispatcher.clock.now() >= self.deadline {
-            return self.give_up_unstarted();
+            return self.end_unstarted();
         }
         let is_permitted = match self.responder.run_permission() {
             RunPermission::Granted => true,
-            RunPermission::Awaiting(permitted) => permitted.await.unwrap_or(false),
+            RunPermission::Awaiting(permission) => permission.await.unwrap_or(false),
         };
         if !is_permitted || !self.may_have_run && !self.responder.confirm_start() {
             return self.withdraw_unstarted();
--- a/crates/hazelspur-server/src/upstream/dependency.rs
+++ b/crates/hazelspur-server/src/upstream/dependency.rs
@@ -27,7 +27,7 @@
 const MIN_REPLY_TIMEOUT: Duration = Duration::from_ms(1);
 /// A call that was cancelled after this part of its timeout counts as unanswered: a request is failed before its
 /// deadline, which cancels its call.
-const UNANSWERED_PART_OF_TIMEOUT: f64 = 0.5;
+const UNANSWERED_SHARE_OF_TIMEOUT: f64 = 0.5;
 /// The reply header that says that the call had no effect.
 const NO_EFFECT_HEADER: &str = "X-Untouched";
 
@@ -76,37 +76,37 @@
 }
 
 /// A call that was written and not answered yet: dropped late, it counts as unanswered.
-struct UnansweredCall<'a> {
+struct PendingCall<'a> {
     client: &'a DependencyClient,
     clock: &'a Clock,
-    counts_from: Timestamp,
+    unanswered_from: Timestamp,
 }
 
-impl UnansweredCall<'_> {
+impl PendingCall<'_> {
     /// The call ended otherwise.
-    fn ended(self, reach: CallReach) {
+    fn finish(self, reach: CallReach) {
         self.client.notify(reach);
         std::mem::forget(self);
     }
 }
 
-impl Drop for UnansweredCall<'_> {
+impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
-        if self.clock.now() >= self.counts_from {
+        if self.clock.now() >= self.unanswered_from {
             self.client.notify(CallReach::Unanswered);
         }
     }
 }
 
 struct IdleConnection {
-    since: Timestamp,
+    idle_since: Timestamp,
     address: SocketAddr,
     stream: TcpStream,
 }
 
 impl IdleConnection {
     /// Whether nothing came on it; bytes or an end make it useless for a call.
-    fn is_silent(&self) -> bool {
+    fn has_no_input(&self) -> bool {
         self.stream.try_read(&mut [0]).is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
     }
 }
@@ -114,7 +114,7 @@
 struct Connection {
     address: SocketAddr,
     stream: TcpStream,
-    reused: bool,
+    is_reused: bool,
 }
 
 /// Makes the dependency calls of all runs.
@@ -129,9 +129,9 @@
 
 impl DependencyClient {
     /// A client that uses at most this many descriptors, for calls and idle connections together.
-    pub fn new(endpoints: Rc<UpstreamEndpoints>, descriptors: usize) -> Self {
-        let max_idle = (descriptors / IDLE_CONNECTIONS_DIVISOR).min(MAX_IDLE_CONNECTIONS);
-        let permits = Semaphore::new(descriptors - max_idle);
+    pub fn new(endpoints: Rc<UpstreamEndpoints>, max_descriptors: usize) -> Self {
+        let max_idle = (max_descriptors / IDLE_CONNECTIONS_DIVISOR).min(MAX_IDLE_CONNECTIONS);
+        let permits = Semaphore::new(max_descriptors - max_idle);
         Self { endpoints, observer: OnceCell::new(), idle: RefCell::default(), max_idle, permits }
     }
 
@@ -155,7 +155,7 @@
         let Some(address) = self.endpoints.current().dependency else {
             return CallResult::without_reply(Outcome::Unreachable);
         };
-        let Some(connection) = self.connection(clock, address, &call, give_up_at).await else {
+        let Some(connection) = self.obtain_connection(clock, address, &call, give_up_at).await else {
             self.notify(CallReach::Unreachable);
             return CallResult::without_reply(Outcome::Unreachable);
         };
@@ -163,7 +163,7 @@
     }
 
     /// An idle connection where one may be used, else a new one; `None` where that fails in time.
-    async fn connection(
+    async fn obtain_connection(
         &self,
         clock: &Clock,
         address: SocketAddr,
@@ -173,11 +173,11 @@
         if !call.new_connection
             && let Some(stream) = self.take_idle(clock.now(), address)
         {
-            return Some(Connection { address, stream, reused: true });
+            return Some(Connection { address, stream, is_reused: true });
         }
         let connecting = clock.timeout(give_up_at - clock.now(), TcpStream::connect(address));
         let stream = connecting.await.ok()?.ok()?;
-        Some(Connection { address, stream, reused: false })
+        Some(Connection { address, stream, is_reused: false })
     }
 
     async fn exchange(
@@ -187,25 +187,25 @@
         call: &Call<'_>,
         give_up_at: Timestamp,
     ) -> CallResult {
-        let Connection { address, mut stream, reused } = connection;
+        let Connection { address, mut stream, is_reused } = connection;
         let _ = stream.set_nodelay(true);
         let reply_timeout = (give_up_at - clock.now()).max(MIN_REPLY_TIMEOUT);
-        let message = encode(call, address, call.timeout.min(reply_timeout));
-        let counts_from = clock.now() + reply_timeout.scaled(UNANSWERED_PART_OF_TIMEOUT);
-        let unanswered = UnansweredCall { client: self, clock, counts_from };
+        let message = encode_call(call, address, call.timeout.min(reply_timeout));
+        let unanswered_from = clock.now() + reply_timeout.scaled(UNANSWERED_SHARE_OF_TIMEOUT);
+        let pending = PendingCall { client: self, clock, unanswered_from };
         let exchanging = exchange(&mut stream, &message, NO_EFFECT_HEADER);
         match clock.timeout(reply_timeout, exchanging).await {
             Ok(Ok(reply)) => {
-                unanswered.ended(CallReach::Answered);
+                pending.finish(CallReach::Answered);
                 if reply.is_reusable {
                     self.put_idle(clock.now(), address, stream);
                 }
-                CallResult { outcome: outcome(&reply), reply: reply.body }
+                CallResult { outcome: outcome_of(&reply), reply: reply.body }
             }
-            Ok(Err(why)) => {
+            Ok(Err(error)) => {
                 // A proxy in between may accept connections for a dependency that is gone.
-                unanswered.ended(CallReach::Unreachable);
-                log::debug!(op:% = call.request, reused, why:%; "dependency call broke");
+                pending.finish(CallReach::Unreachable);
+                log::debug!(op:% = call.request, reused = is_reused, why:% = error; "dependency call broke");
                 CallResult::without_reply(Outcome::ConnectionLost)
             }
             Err(_) => CallResult::without_reply(Outcome::TimedOut),
@@ -217,44 +217,46 @@
     fn take_idle(&self, now: Timestamp, address: SocketAddr) -> Option<TcpStream> {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|connection| {
-            now - connection.since < MAX_IDLE_TIME && connection.address == address && connection.is_silent()
+            now - connection.idle_since < MAX_IDLE_TIME
+                && connection.address == address
+                && connection.has_no_input()
         });
-        let usable = idle.iter().rposition(|connection| now - connection.since >= MIN_IDLE_TIME)?;
+        let usable = idle.iter().rposition(|connection| now - connection.idle_since >= MIN_IDLE_TIME)?;
         Some(idle.remove(usable).stream)
     }
 
     fn put_idle(&self, now: Timestamp, address: SocketAddr, stream: TcpStream) {
         let mut idle = self.idle.borrow_mut();
         if idle.len() < self.max_idle && Some(address) == self.endpoints.current().dependency {
-            idle.push(IdleConnection { since: now, address, stream });
+            idle.push(IdleConnection { idle_since: now, address, stream });
         }
     }
 }
 
 /// Whether the dependency answers, whatever the answer: it is called for a run that does not exist, which has no
 /// effect. `caller` is part of the name of that run, so that callers do not replace each other's calls.
-pub async fn is_answering(clock: &Clock, address: SocketAddr, caller: &str, limit: Duration) -> bool {
+pub async fn is_answering(clock: &Clock, address: SocketAddr, caller: &str, timeout: Duration) -> bool {
     // No request has such an id: those of gateways are hexadecimal, those of brokers begin otherwise.
     let Some(request) = RequestId::padded(&format!("p-{caller}")) else { return false };
-    let call = Call { request, timeout: limit, body: &[], new_connection: true };
-    let message = encode(&call, address, limit);
+    let call = Call { request, timeout, body: &[], new_connection: true };
+    let message = encode_call(&call, address, timeout);
     let calling = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
         exchange(&mut stream, &message, NO_EFFECT_HEADER).await.ok()
     };
-    matches!(clock.timeout(limit, calling).await, Ok(Some(_)))
+    matches!(clock.timeout(timeout, calling).await, Ok(Some(_)))
 }
 
-fn encode(call: &Call<'_>, address: SocketAddr, limit: Duration) -> Vec<u8> {
+fn encode_call(call: &Call<'_>, address: SocketAddr, timeout: Duration) -> Vec<u8> {
     let id = call.request.to_string();
-    let limit_ms = to_std(limit).as_millis().max(1).to_string();
+    let limit_ms = to_std(timeout).as_millis().max(1).to_string();
     let headers = [("X-Txn-Ref", id.as_str()), ("X-Limit-Ms", limit_ms.as_str())];
     let mut message = Vec::new();
     http::write_request(&mut message, "POST", "/post", &address.to_string(), &headers, call.body);
     message
 }
 
-fn outcome(reply: &Response) -> Outcome {
+fn outcome_of(reply: &Response) -> Outcome {
     let no_effect = reply.is_flagged;
     match reply.status {
         200 => Outcome::Ok,
--- a/crates/hazelspur-server/src/upstream/endpoints.rs
+++ b/crates/hazelspur-server/src/upstream/endpoints.rs
@@ -18,13 +18,13 @@
 /// The addresses in force, and a notification of their change.
 pub struct UpstreamEndpoints {
     addresses: Cell<EndpointAddresses>,
-    changed: Notify,
+    change_notification: Notify,
 }
 
 impl UpstreamEndpoints {
     /// Starts with these addresses.
     pub fn new(addresses: EndpointAddresses) -> Self {
-        Self { addresses: Cell::new(addresses), changed: Notify::new() }
+        Self { addresses: Cell::new(addresses), change_notification: Notify::new() }
     }
 
     /// The addresses in force.
@@ -35,13 +35,13 @@
     /// Replaces the addresses.
     pub fn replace(&self, addresses: EndpointAddresses) {
         self.addresses.set(addresses);
-        self.changed.notify_waiters();
+        self.change_notification.notify_waiters();
     }
 
     /// Completes once the endpoint that `select` picks is no longer at this address.
     pub async fn moved_from<T: PartialEq>(&self, select: impl Fn(EndpointAddresses) -> T, address: T) {
         while select(self.addresses.get()) == address {
-            self.changed.notified().await;
+            self.change_notification.notified().await;
         }
     }
 }
--- a/crates/hazelspur-server/src/upstream/http_exchange.rs
+++ b/crates/hazelspur-server/src/upstream/http_exchange.rs
@@ -21,12 +21,16 @@
 }
 
 /// Writes a whole call and reads its reply; `mark` names the header that `Response::is_flagged` is about.
-pub async fn exchange(stream: &mut TcpStream, call: &[u8], mark: &str) -> Result<Response, ExchangeError> {
-    stream.write_all(call).await?;
+pub async fn exchange(
+    stream: &mut TcpStream,
+    request: &[u8],
+    flag_header: &str,
+) -> Result<Response, ExchangeError> {
+    stream.write_all(request).await?;
     let mut buffer = Buffer::default();
     let mut reader = http::ResponseReader::default();
     while stream.read_buf(buffer.spare_capacity()).await? > 0 {
-        if let Some(response) = reader.read(&mut buffer, mark)? {
+        if let Some(response) = reader.read(&mut buffer, flag_header)? {
             return Ok(response);
         }
     }
--- a/crates/hazelspur-server/src/upstream/registry.rs
+++ b/crates/hazelspur-server/src/upstream/registry.rs
@@ -21,7 +21,7 @@
 }
 
 impl RandomInterval {
-    fn draw(&self, random: &mut Pcg) -> Duration {
+    fn draw_duration(&self, random: &mut Pcg) -> Duration {
         self.min + (self.max - self.min).scaled(random.draw_fraction())
     }
 }
@@ -34,16 +34,16 @@
 const RETRY_INTERVAL: RandomInterval =
     RandomInterval { min: Duration::from_ms(125), max: Duration::from_ms(375) };
 /// How long the first connection attempt of a report may take.
-const CONNECT_TIMEOUT: Duration = Duration::from_ms(10_000);
+const FIRST_CONNECT_TIMEOUT: Duration = Duration::from_ms(10_000);
 /// How often a further connection attempt starts beside the first, and how long it may take: an attempt from
 /// an outage notices only late that the outage is over.
 const FURTHER_CONNECT_TIMEOUT: Duration = Duration::from_ms(700);
 /// How long a reply may take at first; doubled after each that timed out.
-const REPLY_TIMEOUT: Duration = Duration::from_ms(700);
+const INITIAL_REPLY_TIMEOUT: Duration = Duration::from_ms(700);
 /// The longest time that a reply may take.
 const MAX_REPLY_TIMEOUT: Duration = Duration::from_ms(5600);
 /// So many failures in a row are logged: a report may count though its reply is missing.
-const FAILURES_TO_LOG: u32 = 3;
+const LOGGED_FAILURE_COUNT: u32 = 3;
 /// The status of a report that was taken.
 const STATUS_NO_CONTENT: u16 = 204;
 
@@ -67,7 +67,7 @@
     phases: Rc<Phases>,
     path: String,
     random: Pcg,
-    failures: u32,
+    consecutive_failures: u32,
     reply_timeout: Duration,
 }
 
@@ -82,7 +82,15 @@
     ) -> Self {
         let random = Pcg::new(seed ^ dispatcher.clock.now().us());
         let path = format!("/v2/endpoints/{name}");
-        Self { endpoints, dispatcher, phases, path, random, failures: 0, reply_timeout: REPLY_TIMEOUT }
+        Self {
+            endpoints,
+            dispatcher,
+            phases,
+            path,
+            random,
+            consecutive_failures: 0,
+            reply_timeout: INITIAL_REPLY_TIMEOUT,
+        }
     }
 
     /// Reports from the start of serving until the shutdown notice.
@@ -100,7 +108,7 @@
                 () = endpoints.moved_from(|at| at.registry, registry) => continue,
                 () = phases.reached(|phase| phase != Phase::Serving) => return,
             };
-            self.note(result);
+            self.record_result(result);
             let (clock, interval) = (self.dispatcher.clock.clone(), self.next_interval());
             tokio::select! {
                 () = clock.sleep(interval) => {}
@@ -110,27 +118,27 @@
     }
 
     fn next_interval(&mut self) -> Duration {
-        let interval = if self.failures == 0 { REPORT_INTERVAL } else { RETRY_INTERVAL };
-        interval.draw(&mut self.random)
+        let interval = if self.consecutive_failures == 0 { REPORT_INTERVAL } else { RETRY_INTERVAL };
+        interval.draw_duration(&mut self.random)
     }
 
     /// Adapts the timeout and logs when the registry becomes unreachable, and reachable again.
-    fn note(&mut self, result: Result<Duration, ReportError>) {
+    fn record_result(&mut self, result: Result<Duration, ReportError>) {
         match result {
-            Ok(took) => {
-                self.reply_timeout = (took + took).max(REPLY_TIMEOUT);
-                if self.failures >= FAILURES_TO_LOG {
-                    log::info!(missed = self.failures; "registry reachable again");
+            Ok(reply_time) => {
+                self.reply_timeout = (reply_time + reply_time).max(INITIAL_REPLY_TIMEOUT);
+                if self.consecutive_failures >= LOGGED_FAILURE_COUNT {
+                    log::info!(missed = self.consecutive_failures; "registry reachable again");
                 }
-                self.failures = 0;
+                self.consecutive_failures = 0;
             }
-            Err(why) => {
-                if matches!(why, ReportError::TimedOut) {
+            Err(error) => {
+                if matches!(error, ReportError::TimedOut) {
                     self.reply_timeout = (self.reply_timeout + self.reply_timeout).min(MAX_REPLY_TIMEOUT);
                 }
-                self.failures += 1;
-                if self.failures == FAILURES_TO_LOG {
-                    log::warn!(missed = self.failures, why:%; "registry unreachable");
+                self.consecutive_failures += 1;
+                if self.consecutive_failures == LOGGED_FAILURE_COUNT {
+                    log::warn!(missed = self.consecutive_failures, why:% = error; "registry unreachable");
                 }
             }
         }
@@ -148,7 +156,7 @@
         let sent_at = Instant::now();
         match clock.timeout(self.reply_timeout, exchange(&mut stream, &message, "")).await {
             Err(_) => Err(ReportError::TimedOut),
-            Ok(Err(why)) => Err(ReportError::Exchange(why)),
+            Ok(Err(error)) => Err(ReportError::Exchange(error)),
             Ok(Ok(reply)) if reply.status == STATUS_NO_CONTENT => {
                 Ok(Duration::from_us(sent_at.elapsed().as_micros() as u64))
             }
@@ -171,6 +179,6 @@
         biased;
         first = TcpStream::connect(address) => first,
         stream = further_attempts => Ok(stream),
-        () = clock.sleep(CONNECT_TIMEOUT) => Err(std::io::ErrorKind::TimedOut.into()),
+        () = clock.sleep(FIRST_CONNECT_TIMEOUT) => Err(std::io::ErrorKind::TimedOut.into()),
     }
 }
--- a/crates/hazelspur-server/src/upstream/worker/gauges.rs
+++ b/crates/hazelspur-server/src/upstream/worker/gauges.rs
@@ -6,39 +6,39 @@
 /// The latest gauge query and its answer. Queries are numbered from 1.
 #[derive(Default)]
 pub(super) struct GaugeQuery {
-    latest: Cell<u64>,
+    latest_number: Cell<u64>,
     /// The last query that was answered: whatever was sent before it has been read.
-    last_answered: Cell<u64>,
+    last_answered_number: Cell<u64>,
     values: RefCell<Option<Vec<f64>>>,
-    answered: Notify,
+    answer_notification: Notify,
 }
 
 impl GaugeQuery {
     /// The number of the latest query.
     pub(super) fn latest(&self) -> u64 {
-        self.latest.get()
+        self.latest_number.get()
     }
 
     /// The number of the last query that was answered in time.
     pub(super) fn last_answered(&self) -> u64 {
-        self.last_answered.get()
+        self.last_answered_number.get()
     }
 
     /// Begins a query; returns its number, which is its tag too.
     pub(super) fn begin(&self) -> u64 {
-        self.latest.set(self.latest.get() + 1);
+        self.latest_number.set(self.latest_number.get() + 1);
         self.values.take();
-        self.latest.get()
+        self.latest_number.get()
     }
 
     /// Takes an answer; one to another query than the latest is ignored.
     pub(super) fn answer(&self, tag: &str, values: &[f64]) {
-        if tag.parse() != Ok(self.latest.get()) {
+        if tag.parse() != Ok(self.latest_number.get()) {
             return;
         }
-        self.last_answered.set(self.latest.get());
+        self.last_answered_number.set(self.latest_number.get());
         self.values.replace(Some(values.to_vec()));
-        self.answered.notify_one();
+        self.answer_notification.notify_one();
     }
 
     /// The values of the latest query, once they are there.
@@ -47,7 +47,7 @@
             if let Some(values) = self.values.take() {
                 return values;
             }
-            self.answered.notified().await;
+            self.answer_notification.notified().await;
         }
     }
 }
--- a/crates/hazelspur-server/src/upstream/worker/link.rs
+++ b/crates/hazelspur-server/src/upstream/worker/link.rs
@@ -64,8 +64,8 @@
     /// Whether the connection's replay has ended and commands go out.
     is_synchronized: Cell<bool>,
     synchronized_notification: Notify,
-    out: RefCell<Vec<u8>>,
-    out_notification: Notify,
+    unsent_commands: RefCell<Vec<u8>>,
+    command_notification: Notify,
 }
 
 impl WorkerLink {
@@ -81,8 +81,8 @@
             gauge_names,
             is_synchronized: Cell::new(false),
             synchronized_notification: Notify::new(),
-            out: RefCell::default(),
-            out_notification: Notify::new(),
+            unsent_commands: RefCell::default(),
+            command_notification: Notify::new(),
         }
     }
 
@@ -107,19 +107,19 @@
     /// Starts a run.
     pub fn start(&self, request: RequestId, class: Arc<str>, body: Rc<[u8]>) {
         self.send(|out| runtime::write_start(out, &request.to_string(), &class, &body));
-        self.state.runs.borrow_mut().start(request, class, body, self.is_synchronized.get());
+        self.state.runs.borrow_mut().record_start(request, class, body, self.is_synchronized.get());
     }
 
     /// Stops a run.
     pub fn stop(&self, request: RequestId) {
         self.send(|out| runtime::write_stop(out, &request.to_string()));
-        self.state.runs.borrow_mut().stop(request);
+        self.state.runs.borrow_mut().record_stop(request);
     }
 
     /// Gives a run the reply of its call.
     pub fn send_call_reply(&self, request: RequestId, reply: Vec<u8>) {
         self.send(|out| runtime::write_call_reply(out, &request.to_string(), &reply));
-        self.state.runs.borrow_mut().give(request, reply, self.state.gauge_query.latest());
+        self.state.runs.borrow_mut().record_call_reply(request, reply, self.state.gauge_query.latest());
     }
 
     fn clock(&self) -> &Clock {
@@ -128,8 +128,8 @@
 
     fn send(&self, write: impl FnOnce(&mut Vec<u8>)) {
         if self.is_synchronized.get() {
-            write(&mut self.out.borrow_mut());
-            self.out_notification.notify_one();
+            write(&mut self.unsent_commands.borrow_mut());
+            self.command_notification.notify_one();
         }
     }
 
@@ -141,8 +141,8 @@
                 () = self.keep_connected(address) => {}
                 () = self.endpoints.moved_from(|at| at.worker, address) => {
                     self.is_synchronized.set(false);
-                    let to = self.endpoints.current().worker;
-                    log::info!(last = self.state.last_notice(), to:%; "worker link moves");
+                    let new_address = self.endpoints.current().worker;
+                    log::info!(last = self.state.last_notice(), to:% = new_address; "worker link moves");
                 }
             }
         }
@@ -154,12 +154,12 @@
         loop {
             match self.clock().timeout(connect_timeout, TcpStream::connect(address)).await {
                 Ok(Ok(stream)) => {
-                    let why = self.serve(stream).await;
+                    let error = self.serve(stream).await;
                     // A worker that accepts and closes at once is as good as one that refuses.
                     if self.is_synchronized.replace(false) {
                         pause = RECONNECT_PAUSE;
                     }
-                    log::warn!(last = self.state.last_notice(), why:%; "worker link broke");
+                    log::warn!(last = self.state.last_notice(), why:% = error; "worker link broke");
                 }
                 Ok(Err(_)) => log::debug!("worker link refused"),
                 Err(_) => connect_timeout = (connect_timeout + connect_timeout).min(MAX_CONNECT_TIMEOUT),
@@ -175,19 +175,19 @@
         let connection = self.state.replay.begin();
         let (read, mut write) = stream.split();
         // Drops commands for the former connection; those without an answer are in the run table.
-        let mut out = std::mem::take(&mut *self.out.borrow_mut());
+        let mut out = std::mem::take(&mut *self.unsent_commands.borrow_mut());
         out.clear();
         runtime::write_sync(&mut out, self.state.last_notice());
-        if let Err(why) = write.write_all(&out).await {
-            return why.into();
+        if let Err(error) = write.write_all(&out).await {
+            return error.into();
         }
         let result = tokio::select! {
             result = self.read_notices(read) => result,
             result = self.write_commands(write, connection) => result,
         };
         match result {
-            Ok(never) => match never {},
-            Err(why) => why,
+            Ok(infallible) => match infallible {},
+            Err(error) => error,
         }
     }
 
@@ -201,7 +201,7 @@
                 return Err(LinkError::Closed);
             }
             if self.is_synchronized.get() {
-                self.state.note_received();
+                self.state.record_received();
             }
             self.handle_notices(&mut buffer)?;
         }
@@ -237,16 +237,16 @@
             out.clear();
             // Commands of tasks that are ready already go out with the first one. None waits for the next turn, in
             // which a start could be late.
-            self.out_notification.notified().await;
-            std::mem::swap(&mut out, &mut *self.out.borrow_mut());
+            self.command_notification.notified().await;
+            std::mem::swap(&mut out, &mut *self.unsent_commands.borrow_mut());
         }
     }
 
     /// Writes the commands that the replayed notices did not answer.
     fn resend(&self, out: &mut Vec<u8>) {
         let mut runs = self.state.runs.borrow_mut();
-        let again = runs.resend(out, self.state.gauge_query.last_answered());
-        log::info!(last = self.state.last_notice(), runs = runs.len(), again; "worker link up");
+        let resent = runs.resend(out, self.state.gauge_query.last_answered());
+        log::info!(last = self.state.last_notice(), runs = runs.len(), again = resent; "worker link up");
     }
 
     /// Calls the controller's timer whenever it is due, with gauges if they come in time.
--- a/crates/hazelspur-server/src/upstream/worker/notices.rs
+++ b/crates/hazelspur-server/src/upstream/worker/notices.rs
@@ -17,20 +17,20 @@
 }
 
 impl MessageHandler for Notices<'_> {
-    fn ready(&mut self, hot: bool, since_ms: u64) {
-        self.0.worker_ready(WorkerStatus { is_warm: hot, uptime: Duration::from_ms(since_ms) });
+    fn ready(&mut self, is_warm: bool, uptime_ms: u64) {
+        self.0.worker_ready(WorkerStatus { is_warm, uptime: Duration::from_ms(uptime_ms) });
     }
 
-    fn run_ended(&mut self, number: u64, id: &str, end: &str, result: &[u8]) {
+    fn run_ended(&mut self, number: u64, id: &str, outcome: &str, result: &[u8]) {
         let Some(request) = self.request_of_new_notice(number, id) else { return };
-        let completion = Completion { outcome: outcome(end), result: result.into() };
+        let completion = Completion { outcome: parse_outcome(outcome), result: result.into() };
         self.0.runs.borrow_mut().remove(request);
         self.0.dispatcher.deliver(request, RequestEvent::Finished(completion));
     }
 
     fn call_requested(&mut self, number: u64, id: &str, body: &[u8]) {
         let Some(request) = self.request_of_new_notice(number, id) else { return };
-        self.0.runs.borrow_mut().call_requested(request);
+        self.0.runs.borrow_mut().record_call_request(request);
         self.0.dispatcher.deliver(request, RequestEvent::CallRequested(body.to_vec()));
     }
 
@@ -56,8 +56,8 @@
     }
 }
 
-fn outcome(end: &str) -> Outcome {
-    match end {
+fn parse_outcome(outcome: &str) -> Outcome {
+    match outcome {
         "complete" => Outcome::Ok,
         "cancelled" => Outcome::Preempted,
         "unknown" => Outcome::NeverStarted,
--- a/crates/hazelspur-server/src/upstream/worker/replay.rs
+++ b/crates/hazelspur-server/src/upstream/worker/replay.rs
@@ -9,16 +9,16 @@
 /// The replay of the latest connection; the answers of earlier connections do not count.
 #[derive(Default)]
 pub(super) struct Replay {
-    connections: Cell<u64>,
-    replayed: Cell<u64>,
-    ended: Notify,
+    latest_connection: Cell<u64>,
+    last_ended: Cell<u64>,
+    end_notification: Notify,
 }
 
 impl Replay {
     /// Begins the replay of a new connection; returns the connection's number.
     pub(super) fn begin(&self) -> u64 {
-        self.connections.set(self.connections.get() + 1);
-        self.connections.get()
+        self.latest_connection.set(self.latest_connection.get() + 1);
+        self.latest_connection.get()
     }
 
     /// The tag of the gauge query that ends this connection's replay.
@@ -31,15 +31,15 @@
         let Some(connection) = tag.strip_prefix(TAG_PREFIX).and_then(|number| number.parse().ok()) else {
             return false;
         };
-        self.replayed.set(connection);
-        self.ended.notify_one();
+        self.last_ended.set(connection);
+        self.end_notification.notify_one();
         true
     }
 
     /// Completes once the replay of this connection, or of a later one, has ended.
     pub(super) async fn ended(&self, connection: u64) {
-        while self.replayed.get() < connection {
-            self.ended.notified().await;
+        while self.last_ended.get() < connection {
+            self.end_notification.notified().await;
         }
     }
 }
--- a/crates/hazelspur-server/src/upstream/worker/runs.rs
+++ b/crates/hazelspur-server/src/upstream/worker/runs.rs
@@ -9,10 +9,10 @@
 use std::sync::Arc;
 
 /// The reply that a run was last given.
-struct GivenReply {
-    reply: Vec<u8>,
+struct CallReply {
+    body: Vec<u8>,
     /// The gauge query that was the latest then; its answer shows that the worker has read the reply.
-    gauge_query: u64,
+    latest_gauge_query: u64,
 }
 
 /// A run and its unanswered commands.
@@ -22,25 +22,25 @@
     start_unanswered: bool,
     /// Whether its start was sent over any connection.
     start_sent: bool,
-    given: Option<GivenReply>,
-    stopped: bool,
+    call_reply: Option<CallReply>,
+    stop_requested: bool,
 }
 
 impl Run {
     /// Writes the commands that the worker has not answered and may not have read.
-    fn resend(&mut self, out: &mut Vec<u8>, request: RequestId, answered_gauge_query: u64) {
+    fn resend(&mut self, out: &mut Vec<u8>, request: RequestId, last_answered_gauge_query: u64) {
         let id = request.to_string();
         self.start_sent = true;
         if self.start_unanswered {
             runtime::write_start(out, &id, &self.class, &self.body);
         }
         // A reply that was read must not be given again: the run may have made another call since.
-        if let Some(given) = &self.given
-            && given.gauge_query >= answered_gauge_query
+        if let Some(call_reply) = &self.call_reply
+            && call_reply.latest_gauge_query >= last_answered_gauge_query
         {
-            runtime::write_call_reply(out, &id, &given.reply);
+            runtime::write_call_reply(out, &id, &call_reply.body);
         }
-        if self.stopped {
+        if self.stop_requested {
             runtime::write_stop(out, &id);
         }
     }
@@ -59,30 +59,37 @@
     }
 
     /// Records the start of a run, and whether it was sent.
-    pub(super) fn start(&mut self, request: RequestId, class: Arc<str>, body: Rc<[u8]>, start_sent: bool) {
-        let run = Run { class, body, start_unanswered: true, start_sent, given: None, stopped: false };
+    pub(super) fn record_start(
+        &mut self,
+        request: RequestId,
+        class: Arc<str>,
+        body: Rc<[u8]>,
+        start_sent: bool,
+    ) {
+        let run =
+            Run { class, body, start_unanswered: true, start_sent, call_reply: None, stop_requested: false };
         self.runs.insert(request, run);
     }
 
     /// Records that a run was told to stop.
-    pub(super) fn stop(&mut self, request: RequestId) {
+    pub(super) fn record_stop(&mut self, request: RequestId) {
         if let Some(run) = self.runs.get_mut(&request) {
-            run.stopped = true;
+            run.stop_requested = true;
         }
     }
 
     /// Records a reply for a run, and the latest gauge query.
-    pub(super) fn give(&mut self, request: RequestId, reply: Vec<u8>, gauge_query: u64) {
+    pub(super) fn record_call_reply(&mut self, request: RequestId, body: Vec<u8>, latest_gauge_query: u64) {
         if let Some(run) = self.runs.get_mut(&request) {
-            run.given = Some(GivenReply { reply, gauge_query });
+            run.call_reply = Some(CallReply { body, latest_gauge_query });
         }
     }
 
     /// Records that a run asked for a call, which answers all commands but a stop.
-    pub(super) fn call_requested(&mut self, request: RequestId) {
+    pub(super) fn record_call_request(&mut self, request: RequestId) {
         if let Some(run) = self.runs.get_mut(&request) {
             run.start_unanswered = false;
-            run.given = None;
+            run.call_reply = None;
         }
     }
 
@@ -92,18 +99,18 @@
     }
 
     /// Removes all runs whose start was sent, and returns their ids in order.
-    pub(super) fn take_sent(&mut self) -> Vec<RequestId> {
+    pub(super) fn remove_sent(&mut self) -> Vec<RequestId> {
         let sent = self.runs.iter().filter(|(_, run)| run.start_sent).map(|(request, _)| *request).collect();
         self.runs.retain(|_, run| !run.start_sent);
         sent
     }
 
     /// Writes every unanswered command; returns of how many runs.
-    pub(super) fn resend(&mut self, out: &mut Vec<u8>, answered_gauge_query: u64) -> usize {
+    pub(super) fn resend(&mut self, out: &mut Vec<u8>, last_answered_gauge_query: u64) -> usize {
         let mut resent = 0;
         for (request, run) in &mut self.runs {
             let length_before = out.len();
-            run.resend(out, *request, answered_gauge_query);
+            run.resend(out, *request, last_answered_gauge_query);
             resent += usize::from(out.len() > length_before);
         }
         resent
--- a/crates/hazelspur-server/src/upstream/worker/state.rs
+++ b/crates/hazelspur-server/src/upstream/worker/state.rs
@@ -75,7 +75,7 @@
     }
 
     /// Records that something came over a synchronized connection.
-    pub(super) fn note_received(&self) {
+    pub(super) fn record_received(&self) {
         self.last_received.set(Some(self.dispatcher.clock.monotonic()));
     }
 
@@ -94,9 +94,9 @@
     /// The new process numbers its notices from 1, and what the former one was sent may have run.
     fn worker_restarted(&self) {
         self.last_notice.set(0);
-        let failed = self.runs.borrow_mut().take_sent();
-        log::warn!(runs = failed.len(); "worker restarted");
-        for request in failed {
+        let failed_requests = self.runs.borrow_mut().remove_sent();
+        log::warn!(runs = failed_requests.len(); "worker restarted");
+        for request in failed_requests {
             self.dispatcher.deliver(request, RequestEvent::Finished(Completion::failed()));
         }
     }
--- a/crates/hazelspur-server/tests/deduplication.rs
+++ b/crates/hazelspur-server/tests/deduplication.rs
@@ -36,22 +36,22 @@
     server.start_run(&mut gateway, &mut link, &request(9, 9, "view", ""));
     link.send(&success_notice(1, 9));
     gateway.record_next(&mut server.trace);
-    let mut ask = |n: u32| {
+    let mut send_read = |n: u32| {
         gateway.send(&format!("{}\n", request(n, n, "view", r#","subject":"s""#)));
         std::thread::sleep(Duration::from_millis(30));
     };
-    ask(1);
-    ask(2);
+    send_read(1);
+    send_read(2);
     link.record_next(&mut server.trace);
     link.send(&format!("end 2 {} error 5 0\r\n\r\n", id(1)));
     std::thread::sleep(Duration::from_millis(30));
-    ask(3);
+    send_read(3);
     link.record_next(&mut server.trace);
     link.send(&success_notice(3, 3));
     std::thread::sleep(Duration::from_millis(30));
-    ask(4);
+    send_read(4);
     std::thread::sleep(Duration::from_millis(600));
-    ask(5);
+    send_read(5);
     link.record_next(&mut server.trace);
     for _ in 0..4 {
         gateway.record_next(&mut server.trace);
@@ -75,15 +75,15 @@
 #[test]
 fn same_key_with_another_body_is_a_conflict() {
     let (mut server, mut link) = ServerHarness::new("body", "");
-    let (mut gateway, mut other) = (server.connect_gateway(), server.connect_gateway());
+    let (mut gateway, mut other_gateway) = (server.connect_gateway(), server.connect_gateway());
     server.start_run(&mut gateway, &mut link, &request(1, 1, "book", r#","opkey":"k""#));
-    let another = request(2, 2, "book", r#","opkey":"k""#).replace("aGVsbG8=", "b3RoZXI=");
-    other.send(&format!("{another}\n"));
-    other.record_next(&mut server.trace);
+    let other_body = request(2, 2, "book", r#","opkey":"k""#).replace("aGVsbG8=", "b3RoZXI=");
+    other_gateway.send(&format!("{other_body}\n"));
+    other_gateway.record_next(&mut server.trace);
     link.send(&success_notice(1, 1));
     gateway.record_next(&mut server.trace);
-    other.send(&format!("{}\n", another.replace(&id(2), &id(3))));
-    other.record_next(&mut server.trace);
+    other_gateway.send(&format!("{}\n", other_body.replace(&id(2), &id(3))));
+    other_gateway.record_next(&mut server.trace);
     gateway.send(&format!("{}\n", request(4, 4, "book", r#","opkey":"k""#)));
     gateway.record_next(&mut server.trace);
     expect_test::expect![[r#"
@@ -98,22 +98,22 @@
 }
 
 #[test]
-fn of_two_concurrent_attempts_only_one_runs() {
+fn two_concurrent_attempts_run_once() {
     let (mut server, mut link) = ServerHarness::new("pair", "");
     let mut gateway = server.connect_gateway();
-    let tries: String = (1..=2).map(|n| request(n, n, "book", r#","opkey":"k""#) + "\n").collect();
-    gateway.send(&format!("{tries}{}\n", request(3, 3, "view", "")));
+    let attempts: String = (1..=2).map(|n| request(n, n, "book", r#","opkey":"k""#) + "\n").collect();
+    gateway.send(&format!("{attempts}{}\n", request(3, 3, "view", "")));
     // Of requests read together either may start first.
-    let mut starts = String::new();
-    link.record_next(&mut starts);
-    link.record_next(&mut starts);
-    let mut starts: Vec<&str> = starts.lines().collect();
-    starts.sort_unstable();
-    let _ = writeln!(server.trace, "{}", starts.join("\n"));
+    let mut commands = String::new();
+    link.record_next(&mut commands);
+    link.record_next(&mut commands);
+    let mut commands: Vec<&str> = commands.lines().collect();
+    commands.sort_unstable();
+    let _ = writeln!(server.trace, "{}", commands.join("\n"));
     link.send(&format!("{}{}", success_notice(1, 1), success_notice(2, 3)));
-    let mut answers: Vec<String> = (0..3).map(|_| gateway.record_next(&mut String::new())).collect();
-    answers.sort();
-    let _ = writeln!(server.trace, "{}", answers.join("\n"));
+    let mut responses: Vec<String> = (0..3).map(|_| gateway.record_next(&mut String::new())).collect();
+    responses.sort();
+    let _ = writeln!(server.trace, "{}", responses.join("\n"));
     expect_test::expect![[r#"
         runtime < sync 0
         runtime < start 0000000000000001 book 5 hello
@@ -151,16 +151,16 @@
 
 /// The window is compared with the time of sending, not with that of receipt after a suspension.
 #[test]
-fn retry_sent_within_the_window_does_not_run_however_late_it_is_received() {
+fn retry_sent_within_the_window_is_not_run_when_received_late() {
     let (mut server, mut link) = ServerHarness::new_with("late", "", |config| with_tenants(config, 700));
     let mut gateway = server.connect_gateway();
-    let begun = Instant::now();
+    let start_time = Instant::now();
     server.start_run(&mut gateway, &mut link, &request(1, 1, "book", r#","opkey":"k""#));
     link.send(&success_notice(1, 1));
     gateway.record_next(&mut server.trace);
     server.signal("-STOP");
     gateway.send(&format!("{}\n", request(2, 2, "book", r#","opkey":"k""#)));
-    wait_until(begun, 1000);
+    wait_until(start_time, 1000);
     server.signal("-CONT");
     gateway.record_next(&mut server.trace);
     server.start_run(&mut gateway, &mut link, &request(3, 3, "book", r#","opkey":"k""#));
@@ -178,9 +178,9 @@
 fn window_extends_to_the_end_of_a_running_attempt() {
     let (mut server, mut link) = ServerHarness::new_with("running", "", |config| with_tenants(config, 300));
     let mut gateway = server.connect_gateway();
-    let begun = Instant::now();
+    let start_time = Instant::now();
     server.start_run(&mut gateway, &mut link, &request(1, 1, "book", r#","opkey":"k""#));
-    wait_until(begun, 400);
+    wait_until(start_time, 400);
     gateway.send(&format!("{}\n{}\n", request(2, 2, "book", r#","opkey":"k""#), request(3, 3, "view", "")));
     link.record_next(&mut server.trace);
     link.send(&success_notice(1, 1));
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn attempt_that_never_ran_frees_its_key_and_non_idempotent_requests_share_nothing() {
+fn never_started_frees_key_and_non_idempotent_shares_nothing() {
     let (mut server, mut link) = ServerHarness::new_with("unknown", "", |config| with_tenants(config, 5000));
     let mut gateway = server.connect_gateway();
     server.start_run(&mut gateway, &mut link, &request(1, 1, "book", r#","opkey":"k""#));
@@ -225,7 +225,7 @@
 
 /// Guards against a retry that is told "may have run" although neither it nor its original ran.
 #[test]
-fn retry_that_awaits_an_original_that_never_ran_is_rejected_and_the_key_is_free() {
+fn retry_of_original_that_never_ran_is_rejected_and_frees_key() {
     let (mut server, mut link) = ServerHarness::new("waiting", "");
     let mut gateway = server.connect_gateway();
     server.start_run(&mut gateway, &mut link, &request(1, 1, "book", r#","opkey":"k""#));
@@ -253,7 +253,7 @@
 
 /// Guards against a retry that is failed since its original ended between its receipt and its decision.
 #[test]
-fn retry_received_together_with_the_end_of_an_original_that_never_ran_is_rejected() {
+fn retry_received_as_its_never_run_original_ends_is_rejected() {
     let (mut server, mut link) = ServerHarness::new("together", "");
     let mut gateway = server.connect_gateway();
     server.start_run(&mut gateway, &mut link, &request(1, 1, "book", r#","opkey":"k""#));
--- a/crates/hazelspur-server/tests/dependency_calls.rs
+++ b/crates/hazelspur-server/tests/dependency_calls.rs
@@ -48,9 +48,9 @@
     std::thread::sleep(Duration::from_millis(20)); // The idle connection could be reused.
     server.start_run(&mut gateway, &mut link, &request(2, 2, "book", r#","opkey":"k""#));
     link.send(&format!("wants 3 {} 3\r\nask\r\n", id(2)));
-    let mut fresh = server.accept_dependency_call();
-    fresh.record_call(&mut server.trace);
-    drop(fresh);
+    let mut new_connection = server.accept_dependency_call();
+    new_connection.record_call(&mut server.trace);
+    drop(new_connection);
     gateway.record_next(&mut server.trace);
     expect_test::expect![[r#"
         runtime < sync 0
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn surplus_bytes_behind_a_reply_do_not_affect_other_calls() {
+fn surplus_bytes_after_a_reply_do_not_affect_other_calls() {
     let (mut server, mut link) = ServerHarness::new("noise", "");
     let mut gateway = server.connect_gateway();
     let reply = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
@@ -135,16 +135,17 @@
 #[test]
 fn run_with_an_optional_call_does_not_wait_for_it_forever() {
     let refusing = refusing_address();
-    let skips = |config: String| {
+    let add_skip_worth = |config: String| {
         let config = config.replace("\"run-factor\"", "\"class-skip-worth\":[0.5,0],\"run-factor\"");
         with_ledger(&config, &refusing)
     };
-    let (mut server, mut link) = ServerHarness::new_with("skips", "", skips);
-    let (mut gateway, asked) = (server.connect_gateway(), Instant::now());
+    let (mut server, mut link) = ServerHarness::new_with("skips", "", add_skip_worth);
+    let (mut gateway, sent_at) = (server.connect_gateway(), Instant::now());
     server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
     link.send(&format!("wants 1 {} 3\r\nask\r\n", id(1)));
     gateway.record_next(&mut server.trace);
-    let _ = writeln!(server.trace, "long before it is due {}", asked.elapsed() < Duration::from_millis(2500));
+    let _ =
+        writeln!(server.trace, "long before it is due {}", sent_at.elapsed() < Duration::from_millis(2500));
     expect_test::expect![[r#"
         runtime < sync 0
         runtime < start 0000000000000001 view 5 hello
@@ -156,7 +157,7 @@
 
 /// Guards against a timeout that ends before the reply in the socket is read, as after a suspension.
 #[test]
-fn reply_received_during_a_suspension_counts_before_the_call_timeout() {
+fn reply_received_during_a_suspension_prevents_a_call_timeout() {
     let (mut server, mut link) = ServerHarness::new("slept", "");
     let mut gateway = server.connect_gateway();
     let reply = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok";
--- a/crates/hazelspur-server/tests/dependency_hang.rs
+++ b/crates/hazelspur-server/tests/dependency_hang.rs
@@ -10,13 +10,13 @@
 
 /// The operator's file of a server that is the only one of its fleet.
 fn fleet_of_one(name: &str) -> String {
-    let reserved = listener().1;
+    let address = listener().1;
     let key = config_file(name).with_extension("key");
     std::fs::write(&key, [7; 32]).expect("a file");
     operator_file(
         name,
         &format!(
-            "fleet(installation = \"one\", site = \"east\", at = \"{reserved}\", key_file = {key:?}, most = 4, together = True)\n"
+            "fleet(installation = \"one\", site = \"east\", at = \"{address}\", key_file = {key:?}, most = 4, together = True)\n"
         ),
     )
 }
@@ -28,13 +28,13 @@
 }
 
 impl Worker {
-    fn notify(&mut self, notice: impl Fn(u32) -> String) {
+    fn notify(&mut self, encode: impl Fn(u32) -> String) {
         self.last_notice += 1;
-        self.link.send(&notice(self.last_notice));
+        self.link.send(&encode(self.last_notice));
     }
 
     /// Reads commands until a run is started, which asks for a call then. Runs that are stopped end.
-    fn start_run_that_calls(&mut self) {
+    fn start_run_with_call(&mut self) {
         loop {
             let command = self.link.record_next(&mut String::new());
             match command.split(' ').collect::<Vec<_>>()[..] {
@@ -51,12 +51,12 @@
 }
 
 /// A batch of requests whose calls get no answer: each is failed in time.
-fn play_batch_without_answers(server: &ServerHarness, worker: &mut Worker, gateway: &mut Peer, first: u32) {
-    let mut calls = Vec::new();
-    for number in first..first + BATCH {
+fn run_unanswered_batch(server: &ServerHarness, worker: &mut Worker, gateway: &mut Peer, first_number: u32) {
+    let mut open_calls = Vec::new();
+    for number in first_number..first_number + BATCH {
         gateway.send(&format!("{}\n", request(number, number, "view", "").replace(":4000,", ":1500,")));
-        worker.start_run_that_calls();
-        calls.push(accept(&server.ledger));
+        worker.start_run_with_call();
+        open_calls.push(accept(&server.ledger));
     }
     for _ in 0..BATCH {
         let response = gateway.read_line();
@@ -67,21 +67,21 @@
 /// The next call, which must be a probe for a run that does not exist.
 fn accept_probe(ledger: &TcpListener) -> Peer {
     let mut probe = Peer::new("ledger", accept(ledger));
-    let mut seen = String::new();
-    probe.record_call(&mut seen);
-    assert_eq!(seen, "ledger < POST /post HTTP/1.1 p-n1 \n");
+    let mut trace = String::new();
+    probe.record_call(&mut trace);
+    assert_eq!(trace, "ledger < POST /post HTTP/1.1 p-n1 \n");
     probe
 }
 
 /// Guards against calls that go on to a dependency which hangs, each for its whole timeout.
 #[test]
-fn a_dependency_that_accepts_and_never_answers_opens_the_breaker_until_a_probe_is_answered() {
+fn unanswered_calls_open_the_breaker_until_a_probe_is_answered() {
     let (mut server, link) = ServerHarness::new("hang", &fleet_of_one("hang"));
     let lines = LogLines::of(&mut server.server);
     let mut worker = Worker { link, last_notice: 0 };
     let mut gateway = server.connect_gateway();
-    for first in [1, 1 + BATCH] {
-        play_batch_without_answers(&server, &mut worker, &mut gateway, first);
+    for first_number in [1, 1 + BATCH] {
+        run_unanswered_batch(&server, &mut worker, &mut gateway, first_number);
     }
     let opened = lines.next(&["circuit breaker"]);
     assert!(opened.contains("shared dependency does not answer, circuit breaker open"), "{opened}");
--- a/crates/hazelspur-server/tests/event_loop/decisions.rs
+++ b/crates/hazelspur-server/tests/event_loop/decisions.rs
@@ -21,7 +21,7 @@
 /// How long the client of the request waits.
 const REQUEST_TIMEOUT: Duration = Duration::from_ms(1500);
 /// How long past the deadline the process stands still.
-const PAST_DEADLINE: Duration = Duration::from_ms(200);
+const TIME_PAST_DEADLINE: Duration = Duration::from_ms(200);
 /// The descriptors that calls may use.
 const CALL_DESCRIPTORS: usize = 16;
 const SETTINGS: &str = r#"{"family-info":{"n-cores":2,"mem-limit-kb":100000,"run-factor":8,"stop-mode":"drop",
@@ -31,7 +31,7 @@
  "limits":{"retry-after":true,"max-retry-after-us":1000000},"servers":1}"#;
 
 /// Files of this process so far: tests run side by side.
-static FILES: AtomicU32 = AtomicU32::new(0);
+static CREATED_FILES: AtomicU32 = AtomicU32::new(0);
 
 /// The final response of the request.
 #[derive(Debug, PartialEq)]
@@ -40,7 +40,7 @@
     Rejected,
     Failed,
     UnknownToWorker,
-    ClientGone,
+    EndedWithoutResponse,
 }
 
 /// Passes the one final response to the test.
@@ -70,15 +70,15 @@
     }
 
     fn ended_without_response(&mut self) {
-        self.respond(Response::ClientGone);
+        self.respond(Response::EndedWithoutResponse);
     }
 }
 
-fn load(worker: &TcpListener) -> Loaded {
+fn load_config(worker: &TcpListener) -> Loaded {
     let worker = worker.local_addr().expect("an address");
     let text =
         format!(r#"{{"name":"n1","listen":"127.0.0.1:1","runtime":"{worker}","settings":{SETTINGS}}}"#);
-    let number = FILES.fetch_add(1, Ordering::Relaxed);
+    let number = CREATED_FILES.fetch_add(1, Ordering::Relaxed);
     let file =
         std::env::temp_dir().join(format!("hazelspur-{}-event-loop-{number}.json", std::process::id()));
     std::fs::write(&file, text).expect("a file");
@@ -96,7 +96,7 @@
 
 impl TestServer {
     fn start(clock: &Rc<Clock>, worker: &TcpListener) -> Self {
-        let Loaded { config, catalog } = load(worker);
+        let Loaded { config, catalog } = load_config(worker);
         let dispatcher = Rc::new(Dispatcher::new(clock.clone()));
         let endpoints = Rc::new(UpstreamEndpoints::new(config.addresses));
         let worker = Rc::new(WorkerLink::new(dispatcher.clone(), endpoints.clone(), config.gauge_names));
@@ -153,15 +153,15 @@
             link.write_all(b"ready hot 1000\r\n").await.expect("written");
         }
         if let Some(tag) = line.strip_prefix("gauges ") {
-            let load = format!("load {} 0 0\r\n", tag.trim());
-            link.write_all(load.as_bytes()).await.expect("written");
+            let gauges = format!("load {} 0 0\r\n", tag.trim());
+            link.write_all(gauges.as_bytes()).await.expect("written");
         }
     }
     link
 }
 
 #[test]
-fn no_decision_goes_by_a_later_time_than_the_last_look_at_input() {
+fn run_end_in_the_socket_at_the_deadline_counts_as_success() {
     let response = run_in_event_loop(async |clock: Rc<Clock>| {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let server = TestServer::start(&clock, &listener);
@@ -171,7 +171,7 @@
         // Wakes the dispatcher, as any input does, in the turn in which the process then stands still.
         dispatcher.report(|_, _| {});
         link.get_ref().try_write(b"end 1 1 complete 5 4\r\ndone\r\n").expect("written");
-        std::thread::sleep(to_std(REQUEST_TIMEOUT + PAST_DEADLINE));
+        std::thread::sleep(to_std(REQUEST_TIMEOUT + TIME_PAST_DEADLINE));
         response.await.expect("a response")
     });
     assert_eq!(response, Response::Success(b"done".to_vec()));
@@ -179,7 +179,7 @@
 
 /// Guards against a run whose request is past its deadline, since the process stood still after the decision's time.
 #[test]
-fn a_request_whose_deadline_passed_before_its_start_is_rejected_and_never_starts() {
+fn request_past_its_deadline_is_rejected_and_never_starts() {
     let (response, commands) = run_in_event_loop(async |clock: Rc<Clock>| {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let server = TestServer::start(&clock, &listener);
@@ -187,7 +187,7 @@
         link.write_all(b"ready hot 1000\r\nload link1 0 0\r\n").await.expect("written");
         server.services.worker.synchronized().await;
         let response = server.submit(clock.now());
-        std::thread::sleep(to_std(REQUEST_TIMEOUT + PAST_DEADLINE));
+        std::thread::sleep(to_std(REQUEST_TIMEOUT + TIME_PAST_DEADLINE));
         let response = response.await.expect("a response");
         clock.sleep(Duration::from_ms(20)).await;
         let mut commands = vec![0; 4096];
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_run_that_ends_after_the_deadline_is_late() {
+fn request_whose_run_outlasts_the_deadline_fails() {
     let response = run_in_event_loop(async |clock: Rc<Clock>| {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let server = TestServer::start(&clock, &listener);
--- a/crates/hazelspur-server/tests/event_loop/timeouts.rs
+++ b/crates/hazelspur-server/tests/event_loop/timeouts.rs
@@ -12,7 +12,7 @@
 use tokio::task::spawn_local;
 
 /// Tasks between the one that reads a byte and the one that awaits it.
-const TASKS_ON_THE_WAY: usize = 8;
+const RELAY_TASKS: usize = 8;
 
 /// The byte that the peer sends, passed on from task to task.
 fn relayed_byte(mut stream: TcpStream) -> UnboundedReceiver<u8> {
@@ -21,7 +21,7 @@
         let byte = stream.read_u8().await.expect("a byte");
         let _ = sender.send(byte);
     });
-    for _ in 0..TASKS_ON_THE_WAY {
+    for _ in 0..RELAY_TASKS {
         let (next_sender, next_receiver) = unbounded_channel();
         let mut previous = std::mem::replace(&mut receiver, next_receiver);
         spawn_local(async move {
@@ -33,13 +33,13 @@
 }
 
 #[test]
-fn input_that_came_before_the_end_of_a_timeout_counts_through_any_number_of_tasks() {
+fn input_before_a_timeout_counts_through_any_number_of_tasks() {
     let received = run_in_event_loop(async |clock: Rc<Clock>| {
         let (stream, mut peer) = connected_pair();
         let mut relayed = relayed_byte(stream);
-        let blocking = clock.clone();
+        let blocking_clock = clock.clone();
         spawn_local(async move {
-            blocking.sleep(Duration::from_ms(10)).await;
+            blocking_clock.sleep(Duration::from_ms(10)).await;
             block_thread_while_peer_writes(&mut peer, b"x", 100);
         });
         clock.timeout(Duration::from_ms(40), relayed.recv()).await
@@ -48,13 +48,13 @@
 }
 
 #[test]
-fn input_that_comes_after_the_end_of_a_timeout_is_late() {
+fn input_after_a_timeout_is_late() {
     let received = run_in_event_loop(async |clock: Rc<Clock>| {
         let (stream, mut peer) = connected_pair();
         let mut relayed = relayed_byte(stream);
-        let writing = clock.clone();
+        let writing_clock = clock.clone();
         spawn_local(async move {
-            writing.sleep(Duration::from_ms(80)).await;
+            writing_clock.sleep(Duration::from_ms(80)).await;
             peer.write_all(b"x").expect("written");
         });
         clock.timeout(Duration::from_ms(20), relayed.recv()).await
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn sleep_ends_only_after_all_input_up_to_its_end_was_read() {
+fn sleep_ends_after_all_earlier_input_was_read() {
     let was_read = run_in_event_loop(async |clock: Rc<Clock>| {
         let (stream, mut peer) = connected_pair();
         let mut relayed = relayed_byte(stream);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn watermark_is_never_ahead_of_a_look_at_input() {
+fn watermark_never_passes_unread_input() {
     run_in_event_loop(async |clock: Rc<Clock>| {
         let (mut stream, mut peer) = connected_pair();
         for round in 0..500 {
@@ -92,28 +92,30 @@
             while clock.input_watermark() < written_at {
                 clock.input_reported().await;
             }
-            let ready = tokio::select! {
+            let is_ready = tokio::select! {
                 biased;
                 byte = stream.read_u8() => byte.is_ok(),
                 () = std::future::ready(()) => false,
             };
-            assert!(ready, "round {round}: the watermark passed unread input");
+            assert!(is_ready, "round {round}: the watermark passed unread input");
         }
     });
 }
 
 #[test]
-fn tasks_that_wake_each_other_without_end_do_not_keep_the_loop_from_input() {
+fn tasks_that_wake_each_other_endlessly_do_not_block_input() {
     let byte = run_in_event_loop(async |clock: Rc<Clock>| {
         let (mut stream, mut peer) = connected_pair();
-        let (there, mut here) = unbounded_channel();
-        let (back, mut there_again) = unbounded_channel();
-        spawn_local(async move { while here.recv().await.is_some_and(|()| back.send(()).is_ok()) {} });
-        let sending = there.clone();
-        spawn_local(
-            async move { while there_again.recv().await.is_some_and(|()| sending.send(()).is_ok()) {} },
-        );
-        there.send(()).expect("it is received");
+        let (first_sender, mut first_receiver) = unbounded_channel();
+        let (second_sender, mut second_receiver) = unbounded_channel();
+        spawn_local(async move {
+            while first_receiver.recv().await.is_some_and(|()| second_sender.send(()).is_ok()) {}
+        });
+        let resender = first_sender.clone();
+        spawn_local(async move {
+            while second_receiver.recv().await.is_some_and(|()| resender.send(()).is_ok()) {}
+        });
+        first_sender.send(()).expect("it is received");
         peer.write_all(b"x").expect("written");
         let _ = clock;
         stream.read_u8().await.expect("a byte")
--- a/crates/hazelspur-server/tests/event_loop/turns.rs
+++ b/crates/hazelspur-server/tests/event_loop/turns.rs
@@ -17,24 +17,24 @@
 use tokio::task::{JoinHandle, spawn_local};
 
 /// Several times what one look of the runtime's driver brings, and a task's budget of operations.
-const MANY: usize = 10_000;
+const MANY_OPERATIONS: usize = 10_000;
 /// The same where a connection takes two descriptors of a process that may have 20,000.
 const MANY_CONNECTIONS: usize = 7000;
 /// The same beside another test's connections.
 const SEVERAL_CONNECTIONS: usize = 2100;
 /// How long what is awaited may take.
-const LIMIT: Duration = Duration::from_ms(300);
+const WAIT_TIMEOUT: Duration = Duration::from_ms(300);
 /// For how long the thread is kept, past the limit.
-const BLOCKED: Duration = Duration::from_ms(400);
+const BLOCKING_TIME: Duration = Duration::from_ms(400);
 /// Within this time a wait of `LIMIT` ends, whatever input there is.
 const MAX_WAIT_DURING_FLOOD: std::time::Duration = std::time::Duration::from_secs(10);
 
 /// Both ends of a connection: the event loop's, and a blocking one. It takes no port, of which the system has not as
 /// many as these tests open connections.
 fn connected_pair() -> (UnixStream, StdUnixStream) {
-    let (own, peer) = StdUnixStream::pair().expect("two descriptors");
-    own.set_nonblocking(true).expect("a mode");
-    (UnixStream::from_std(own).expect("a stream"), peer)
+    let (local, peer) = StdUnixStream::pair().expect("two descriptors");
+    local.set_nonblocking(true).expect("a mode");
+    (UnixStream::from_std(local).expect("a stream"), peer)
 }
 
 /// Connections whose own ends are awaited, a byte each, by tasks that wait for `LIMIT`.
@@ -45,15 +45,15 @@
 
 impl AwaitedConnections {
     /// Opens the connections; the limit of each begins with the signal.
-    fn open(clock: &Rc<Clock>, count: usize, begin: &Rc<tokio::sync::Notify>) -> Self {
+    fn open(clock: &Rc<Clock>, count: usize, start_signal: &Rc<tokio::sync::Notify>) -> Self {
         let (mut peers, mut waiting) = (Vec::new(), Vec::new());
         for _ in 0..count {
             let (mut stream, peer) = connected_pair();
             peers.push(peer);
-            let (clock, begin) = (clock.clone(), begin.clone());
+            let (clock, start_signal) = (clock.clone(), start_signal.clone());
             waiting.push(spawn_local(async move {
-                begin.notified().await;
-                clock.timeout(LIMIT, stream.read_u8()).await.is_ok()
+                start_signal.notified().await;
+                clock.timeout(WAIT_TIMEOUT, stream.read_u8()).await.is_ok()
             }));
         }
         Self { peers, waiting }
@@ -73,11 +73,7 @@
 }
 
 /// Reads so many bytes one by one, sends a message for each to a task, which tells a third after the last.
-fn relayed_one_by_one(
-    mut stream: UnixStream,
-    count: usize,
-    messages_per_byte: usize,
-) -> oneshot::Receiver<()> {
+fn relay_one_by_one(mut stream: UnixStream, count: usize, messages_per_byte: usize) -> oneshot::Receiver<()> {
     let (sender, mut receiver) = unbounded_channel();
     let (done, all_received) = oneshot::channel();
     spawn_local(async move {
@@ -97,94 +93,94 @@
 }
 
 /// Lets every task that is ready go on until it waits.
-async fn let_others_wait(clock: &Clock) {
+async fn let_tasks_wait(clock: &Clock) {
     clock.sleep(Duration::from_ms(1)).await;
 }
 
 /// How many of so many connections timed out though a byte had come on each, while the thread was kept.
-fn timed_out_of(count: usize) -> usize {
+fn count_timeouts(count: usize) -> usize {
     run_in_event_loop(async |clock: Rc<Clock>| {
-        let begin = Rc::new(tokio::sync::Notify::new());
-        let mut connections = AwaitedConnections::open(&clock, count, &begin);
-        let_others_wait(&clock).await;
-        begin.notify_waiters();
-        let_others_wait(&clock).await;
-        let began = Instant::now();
+        let start_signal = Rc::new(tokio::sync::Notify::new());
+        let mut connections = AwaitedConnections::open(&clock, count, &start_signal);
+        let_tasks_wait(&clock).await;
+        start_signal.notify_waiters();
+        let_tasks_wait(&clock).await;
+        let start_time = Instant::now();
         connections.write_to_each();
-        std::thread::sleep(to_std(BLOCKED).saturating_sub(began.elapsed()));
+        std::thread::sleep(to_std(BLOCKING_TIME).saturating_sub(start_time.elapsed()));
         connections.timed_out().await
     })
 }
 
 #[test]
-fn input_on_more_connections_than_one_look_brings_counts_before_the_end_of_a_timeout() {
-    assert_eq!(timed_out_of(MANY_CONNECTIONS), 0);
+fn input_on_many_connections_counts_before_a_timeout() {
+    assert_eq!(count_timeouts(MANY_CONNECTIONS), 0);
 }
 
 /// Whether bytes that are read one by one are relayed in time; a third task awaits the last message.
-fn relayed_in_time(bytes: usize, messages_per_byte: usize) -> Result<(), TimedOut> {
+fn relay_within_timeout(bytes: usize, messages_per_byte: usize) -> Result<(), TimedOut> {
     run_in_event_loop(async |clock: Rc<Clock>| {
         let (stream, mut peer) = connected_pair();
-        let relayed = relayed_one_by_one(stream, bytes, messages_per_byte);
-        let_others_wait(&clock).await;
+        let relayed = relay_one_by_one(stream, bytes, messages_per_byte);
+        let_tasks_wait(&clock).await;
         let waiting = clock.clone();
-        let waiting = spawn_local(async move { waiting.timeout(LIMIT, relayed).await });
-        let_others_wait(&clock).await;
+        let waiting = spawn_local(async move { waiting.timeout(WAIT_TIMEOUT, relayed).await });
+        let_tasks_wait(&clock).await;
         peer.write_all(&vec![1; bytes]).expect("written");
-        std::thread::sleep(to_std(BLOCKED));
+        std::thread::sleep(to_std(BLOCKING_TIME));
         waiting.await.expect("no panic").map(|received| received.expect("all were received"))
     })
 }
 
 #[test]
-fn a_task_that_uses_up_its_budget_of_reads_counts_before_the_end_of_a_timeout() {
-    assert_eq!([300, MANY].map(|bytes| relayed_in_time(bytes, 1)), [Ok(()); 2]);
+fn reads_beyond_the_task_budget_count_before_a_timeout() {
+    assert_eq!([300, MANY_OPERATIONS].map(|bytes| relay_within_timeout(bytes, 1)), [Ok(()); 2]);
 }
 
 #[test]
-fn a_task_that_uses_up_its_budget_of_messages_counts_before_the_end_of_a_timeout() {
-    assert_eq!([300, MANY].map(|messages| relayed_in_time(1, messages)), [Ok(()); 2]);
+fn messages_beyond_the_task_budget_count_before_a_timeout() {
+    assert_eq!([300, MANY_OPERATIONS].map(|messages| relay_within_timeout(1, messages)), [Ok(()); 2]);
 }
 
 #[test]
-fn a_task_that_yields_counts_before_the_end_of_a_timeout() {
+fn work_of_a_yielding_task_counts_before_a_timeout() {
     let result = run_in_event_loop(async |clock: Rc<Clock>| {
         let (mut stream, mut peer) = connected_pair();
         let reading = spawn_local(async move {
             stream.read_u8().await.expect("a byte");
-            for _ in 0..MANY {
+            for _ in 0..MANY_OPERATIONS {
                 tokio::task::yield_now().await;
             }
         });
         let waiting = clock.clone();
         let waiting =
-            spawn_local(async move { waiting.timeout(LIMIT, reading).await.map(|read| read.is_ok()) });
-        let_others_wait(&clock).await;
+            spawn_local(async move { waiting.timeout(WAIT_TIMEOUT, reading).await.map(|read| read.is_ok()) });
+        let_tasks_wait(&clock).await;
         peer.write_all(b"x").expect("written");
-        std::thread::sleep(to_std(BLOCKED));
+        std::thread::sleep(to_std(BLOCKING_TIME));
         waiting.await.expect("no panic")
     });
     assert_eq!(result, Ok(true));
 }
 
 #[test]
-fn many_connections_and_many_messages_together_count_before_the_end_of_a_timeout() {
+fn many_connections_and_messages_count_before_a_timeout() {
     let (timed_out, relayed) = run_in_event_loop(async |clock: Rc<Clock>| {
-        let begin = Rc::new(tokio::sync::Notify::new());
+        let start_signal = Rc::new(tokio::sync::Notify::new());
         let (stream, mut peer) = connected_pair();
-        let relayed = relayed_one_by_one(stream, MANY, 1);
-        let (waiting, begun) = (clock.clone(), begin.clone());
+        let relayed = relay_one_by_one(stream, MANY_OPERATIONS, 1);
+        let (waiting, begin_wait) = (clock.clone(), start_signal.clone());
         let relayed = spawn_local(async move {
-            begun.notified().await;
-            waiting.timeout(LIMIT, relayed).await.is_ok()
+            begin_wait.notified().await;
+            waiting.timeout(WAIT_TIMEOUT, relayed).await.is_ok()
         });
-        let mut connections = AwaitedConnections::open(&clock, SEVERAL_CONNECTIONS, &begin);
-        let_others_wait(&clock).await;
-        begin.notify_waiters();
-        let_others_wait(&clock).await;
+        let mut connections = AwaitedConnections::open(&clock, SEVERAL_CONNECTIONS, &start_signal);
+        let_tasks_wait(&clock).await;
+        start_signal.notify_waiters();
+        let_tasks_wait(&clock).await;
         connections.write_to_each();
-        peer.write_all(&[1; MANY]).expect("written");
-        std::thread::sleep(to_std(BLOCKED));
+        peer.write_all(&[1; MANY_OPERATIONS]).expect("written");
+        std::thread::sleep(to_std(BLOCKING_TIME));
         (connections.timed_out().await, relayed.await.expect("no panic"))
     });
     assert_eq!((timed_out, relayed), (0, true));
@@ -216,57 +212,61 @@
 }
 
 /// How long a wait of `LIMIT` takes while a task reads a flood.
-fn wait_beside_flood(read: impl AsyncFn(&Clock, UnixStream) + 'static) -> std::time::Duration {
+fn measure_wait_during_flood(read: impl AsyncFn(&Clock, UnixStream) + 'static) -> std::time::Duration {
     run_in_event_loop(async |clock: Rc<Clock>| {
         let (stream, peer) = connected_pair();
-        let flooded = clock.clone();
-        let reader = spawn_local(async move { read(&flooded, stream).await });
+        let reader_clock = clock.clone();
+        let reader = spawn_local(async move { read(&reader_clock, stream).await });
         let _flood = Flood::start(peer);
-        let began = Instant::now();
-        clock.sleep(LIMIT).await;
-        let took = began.elapsed();
+        let start_time = Instant::now();
+        clock.sleep(WAIT_TIMEOUT).await;
+        let elapsed = start_time.elapsed();
         // Closes the connection, which ends the flood.
         reader.abort();
         let _ = reader.await;
-        took
+        elapsed
     })
 }
 
 #[test]
-fn a_flood_that_a_task_reads_byte_by_byte_does_not_keep_timeouts_from_their_end() {
-    let took = wait_beside_flood(async |_, mut stream| while stream.read_u8().await.is_ok() {});
-    assert!(took >= to_std(LIMIT) && took < MAX_WAIT_DURING_FLOOD, "{took:?}");
+fn timeout_ends_while_a_task_reads_a_flood_byte_by_byte() {
+    let elapsed = measure_wait_during_flood(async |_, mut stream| while stream.read_u8().await.is_ok() {});
+    assert!(elapsed >= to_std(WAIT_TIMEOUT) && elapsed < MAX_WAIT_DURING_FLOOD, "{elapsed:?}");
 }
 
 #[test]
-fn tasks_that_wake_each_other_without_end_do_not_keep_timeouts_from_their_end() {
-    let took = run_in_event_loop(async |clock: Rc<Clock>| {
-        let (there, here) = unbounded_channel();
-        let (back, there_again) = unbounded_channel();
+fn timeout_ends_while_tasks_wake_each_other_endlessly() {
+    let elapsed = run_in_event_loop(async |clock: Rc<Clock>| {
+        let (first_sender, first_receiver) = unbounded_channel();
+        let (second_sender, second_receiver) = unbounded_channel();
         let forward = |mut from: UnboundedReceiver<()>, to: tokio::sync::mpsc::UnboundedSender<()>| async move {
             while from.recv().await.is_some_and(|()| to.send(()).is_ok()) {}
         };
-        there.send(()).expect("it is received");
-        spawn_local(forward(here, back));
-        spawn_local(forward(there_again, there));
-        let began = Instant::now();
-        clock.sleep(LIMIT).await;
-        began.elapsed()
+        first_sender.send(()).expect("it is received");
+        spawn_local(forward(first_receiver, second_sender));
+        spawn_local(forward(second_receiver, first_sender));
+        let start_time = Instant::now();
+        clock.sleep(WAIT_TIMEOUT).await;
+        start_time.elapsed()
     });
-    assert!(took < MAX_WAIT_DURING_FLOOD, "{took:?}");
+    assert!(elapsed < MAX_WAIT_DURING_FLOOD, "{elapsed:?}");
 }
 
 #[test]
-fn a_reader_takes_in_a_turn_what_its_socket_can_hold_and_goes_on_in_the_next() {
-    let turns = Rc::new(Cell::new(0));
-    let counted = turns.clone();
-    let took = wait_beside_flood(async move |clock, mut stream| {
+fn reader_of_a_flood_is_limited_to_its_quota_in_each_turn() {
+    let turn_count = Rc::new(Cell::new(0));
+    let last_turn = turn_count.clone();
+    let elapsed = measure_wait_during_flood(async move |clock, mut stream| {
         let quota = hazelspur_server::read_quota::ReadQuota::default();
         let mut chunk = vec![0; 4096];
         while let Ok(count @ 1..) = stream.read(&mut chunk).await {
             quota.take(clock, count, socket2::SockRef::from(&stream)).await;
-            counted.set(clock.completed_turns());
+            last_turn.set(clock.completed_turns());
         }
     });
-    assert!(took < MAX_WAIT_DURING_FLOOD && turns.get() > 3, "{took:?}, {} turns", turns.get());
+    assert!(
+        elapsed < MAX_WAIT_DURING_FLOOD && turn_count.get() > 3,
+        "{elapsed:?}, {} turns",
+        turn_count.get()
+    );
 }
--- a/crates/hazelspur-server/tests/lifecycle.rs
+++ b/crates/hazelspur-server/tests/lifecycle.rs
@@ -59,15 +59,15 @@
 }
 
 #[test]
-fn endless_run_is_failed_in_time_without_gauges() {
+fn request_of_an_endless_run_fails_in_time_without_gauges() {
     let (mut server, mut link) = ServerHarness::new("mute", "");
     let mut gateway = server.connect_gateway();
     gateway.send(&format!("{}\n", request(1, 1, "view", "").replace(":4000,", ":1500,")));
-    let read = Instant::now();
+    let sent_at = Instant::now();
     link.record_next(&mut server.trace);
     // Meanwhile the worker answers nothing, gauge queries included.
     gateway.record_next(&mut server.trace);
-    let _ = writeln!(server.trace, "in time {}", (1000..1630).contains(&read.elapsed().as_millis()));
+    let _ = writeln!(server.trace, "in time {}", (1000..1630).contains(&sent_at.elapsed().as_millis()));
     link.record_next(&mut server.trace);
     expect_test::expect![[r#"
         runtime < sync 0
@@ -80,19 +80,19 @@
 }
 
 #[test]
-fn interrupted_request_is_stopped_and_half_closed_gateway_is_answered() {
+fn interrupt_stops_a_run_and_a_half_closed_gateway_is_answered() {
     let (mut server, mut link) = ServerHarness::new("gone", "");
-    let (mut gateway, mut half) = (server.connect_gateway(), server.connect_gateway());
+    let (mut gateway, mut half_closed) = (server.connect_gateway(), server.connect_gateway());
     server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
     gateway.send("{\"jsonrpc\":\"2.0\",\"method\":\"interrupt\",\"params\":{\"id\":1}}\n");
     link.record_next(&mut server.trace);
     link.send(&format!("end 1 {} cancelled 5 0\r\n\r\n", id(1)));
-    server.start_run(&mut half, &mut link, &request(2, 2, "view", ""));
-    half.stream.get_ref().shutdown(std::net::Shutdown::Write).expect("half a close");
+    server.start_run(&mut half_closed, &mut link, &request(2, 2, "view", ""));
+    half_closed.stream.get_ref().shutdown(std::net::Shutdown::Write).expect("half a close");
     std::thread::sleep(Duration::from_millis(30));
     link.send(&success_notice(2, 2));
-    half.record_next(&mut server.trace);
-    half.record_next(&mut server.trace);
+    half_closed.record_next(&mut server.trace);
+    half_closed.record_next(&mut server.trace);
     expect_test::expect![[r#"
         runtime < sync 0
         runtime < start 0000000000000001 view 5 hello
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn result_received_during_a_suspension_counts_before_the_deadline() {
+fn result_received_during_a_suspension_meets_the_deadline() {
     let (mut server, mut link) = ServerHarness::new("pause", "");
     let mut gateway = server.connect_gateway();
     gateway.send(&format!("{}\n", request(1, 1, "view", "").replace(":4000,", ":1500,")));
--- a/crates/hazelspur-server/tests/standstill.rs
+++ b/crates/hazelspur-server/tests/standstill.rs
@@ -8,7 +8,7 @@
 }
 
 /// A detector that has observed the loop at these times, in milliseconds.
-fn observed(times_ms: &[u64]) -> StandstillDetector {
+fn detector_after(times_ms: &[u64]) -> StandstillDetector {
     let detector = StandstillDetector::new(ms(times_ms[0]));
     for time in &times_ms[1..] {
         detector.observe(ms(*time));
@@ -17,36 +17,36 @@
 }
 
 #[test]
-fn signal_without_a_standstill_counts_from_the_observation_before() {
-    assert_eq!(observed(&[1000, 1020, 1040]).earliest_signal(ms(1050)), ms(1040));
+fn signal_without_standstill_counts_from_previous_observation() {
+    assert_eq!(detector_after(&[1000, 1020, 1040]).earliest_signal(ms(1050)), ms(1040));
 }
 
 #[test]
-fn signal_handled_right_after_a_standstill_counts_from_its_beginning() {
-    assert_eq!(observed(&[1000, 1020]).earliest_signal(ms(1500)), ms(1020));
+fn signal_handled_at_the_end_of_a_standstill_counts_from_its_start() {
+    assert_eq!(detector_after(&[1000, 1020]).earliest_signal(ms(1500)), ms(1020));
 }
 
 /// The timer of the next observation is due before the signal is read.
 #[test]
-fn signal_handled_after_the_observation_that_ends_a_standstill_counts_from_its_beginning() {
-    assert_eq!(observed(&[1000, 1020, 1500]).earliest_signal(ms(1501)), ms(1020));
-    assert_eq!(observed(&[1000, 1020, 1500, 1520, 1540]).earliest_signal(ms(1560)), ms(1020));
+fn signal_handled_after_the_next_observation_counts_from_the_start() {
+    assert_eq!(detector_after(&[1000, 1020, 1500]).earliest_signal(ms(1501)), ms(1020));
+    assert_eq!(detector_after(&[1000, 1020, 1500, 1520, 1540]).earliest_signal(ms(1560)), ms(1020));
 }
 
 #[test]
-fn signal_long_after_a_standstill_counts_from_the_observation_before() {
-    let detector = observed(&[1000, 1500, 1520, 1540, 1560, 1580, 1600, 1620, 1640, 1660, 1680, 1700]);
+fn signal_long_after_a_standstill_counts_from_last_observation() {
+    let detector = detector_after(&[1000, 1500, 1520, 1540, 1560, 1580, 1600, 1620, 1640, 1660, 1680, 1700]);
     assert_eq!(detector.earliest_signal(ms(1701)), ms(1700));
 }
 
 #[test]
-fn second_of_two_standstills_counts() {
-    assert_eq!(observed(&[1000, 1500, 1520, 1900]).earliest_signal(ms(1901)), ms(1520));
+fn signal_after_two_standstills_counts_from_the_second() {
+    assert_eq!(detector_after(&[1000, 1500, 1520, 1900]).earliest_signal(ms(1901)), ms(1520));
 }
 
 #[test]
 fn standstill_is_reported_once_with_both_ends() {
-    let detector = observed(&[1000, 1059]);
+    let detector = detector_after(&[1000, 1059]);
     let standstill = detector.observe(ms(1119)).expect("60 ms");
     assert_eq!((standstill.began, standstill.ended), (ms(1059), ms(1119)));
     assert_eq!(detector.observe(ms(1139)), None);
--- a/crates/hazelspur-server/tests/suspension.rs
+++ b/crates/hazelspur-server/tests/suspension.rs
@@ -12,13 +12,13 @@
 const REPLY_TIMEOUT_MS: u64 = 700;
 /// The longest time between a failed report and the next.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(375);
-const CHECK: &str = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n";
+const HEALTH_CHECK: &str = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n";
 
 /// Gateways whose health checks are answered, so that the server keeps them.
 fn connect_gateways(server: &ServerHarness) -> Vec<Peer> {
     let connect = |_| {
         let mut gateway = server.connect_gateway();
-        gateway.send(CHECK);
+        gateway.send(HEALTH_CHECK);
         assert!(gateway.read_line().contains("result"));
         gateway
     };
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_reply_of_the_registry_behind_the_input_of_many_gateways_counts_before_its_timeout() {
+fn registry_reply_queued_behind_many_gateways_is_not_timed_out() {
     let (registry, address) = listener();
     let mut server = ServerHarness::started_with("reply", "", |config| {
         let limits = "\"limits\":{\"sockets\":4000},\"settings\"";
@@ -52,12 +52,16 @@
     link.send("ready hot 1000\r\n");
     let mut report = accept_report(&registry);
     server.signal("-STOP");
-    let stopped = Instant::now();
-    gateways.iter_mut().for_each(|gateway| gateway.send(CHECK));
+    let stopped_at = Instant::now();
+    gateways.iter_mut().for_each(|gateway| gateway.send(HEALTH_CHECK));
     report.send("HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n");
-    wait_until(stopped, REPLY_TIMEOUT_MS + 200);
+    wait_until(stopped_at, REPLY_TIMEOUT_MS + 200);
     server.signal("-CONT");
-    let resumed = Instant::now();
+    let resumed_at = Instant::now();
     accept_report(&registry);
-    assert!(resumed.elapsed() > MAX_RETRY_INTERVAL, "the next report came after {:?}", resumed.elapsed());
+    assert!(
+        resumed_at.elapsed() > MAX_RETRY_INTERVAL,
+        "the next report came after {:?}",
+        resumed_at.elapsed()
+    );
 }
--- a/crates/hazelspur-server/tests/worker_link.rs
+++ b/crates/hazelspur-server/tests/worker_link.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn read_reply_is_not_resent_and_silent_link_is_replaced() {
+fn read_call_reply_is_not_resent_and_silent_link_is_replaced() {
     let (mut server, mut link) = ServerHarness::new("given", "");
     let mut gateway = server.connect_gateway();
     server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
@@ -121,7 +121,7 @@
 
 /// Guards against a run after its request was failed, since its start waited for the link: one of each kind.
 #[test]
-fn request_that_expires_while_the_link_is_down_is_rejected_and_never_starts() {
+fn request_that_expires_while_the_link_is_down_never_starts() {
     let edit = |config| with_tenants(config, 5000);
     let (mut server, link) = ServerHarness::new_with("down", "", edit);
     let mut gateway = server.connect_gateway();
@@ -131,10 +131,10 @@
         let expiring = request(id, id, class, ",\"owner\":\"a\",\"opkey\":\"k\"");
         gateway.send(&format!("{}\n", expiring.replace("\"timeout\":4000", "\"timeout\":2000")));
     }
-    let mut answers: Vec<String> = (0..3).map(|_| gateway.record_next(&mut String::new())).collect();
-    answers.sort();
-    for answer in answers {
-        let _ = writeln!(server.trace, "{}", &answer[..answer.len().min(46)]);
+    let mut responses: Vec<String> = (0..3).map(|_| gateway.record_next(&mut String::new())).collect();
+    responses.sort();
+    for response in responses {
+        let _ = writeln!(server.trace, "{}", &response[..response.len().min(46)]);
     }
     link.send("ready hot 2000\r\n");
     link.record_next(&mut server.trace);
@@ -154,23 +154,23 @@
 
 /// Guards against a dial and a log line every 25 ms while the worker closes each link.
 #[test]
-fn link_that_is_closed_at_once_is_made_anew_after_growing_pauses() {
+fn link_that_is_closed_at_once_is_reopened_with_backoff() {
     let (server, link) = ServerHarness::new("closing", "");
     drop(link);
-    let since = Instant::now();
-    let mut links = 0;
-    while since.elapsed() < Duration::from_millis(1500) {
+    let start_time = Instant::now();
+    let mut link_count = 0;
+    while start_time.elapsed() < Duration::from_millis(1500) {
         drop(accept(&server.runtime));
-        links += 1;
+        link_count += 1;
     }
     // 20 ms, doubled up to 500.
-    assert!((3..=8).contains(&links), "{links} links in 1.5 s");
+    assert!((3..=8).contains(&link_count), "{link_count} links in 1.5 s");
 }
 
 #[test]
 fn link_that_is_silent_before_ready_is_replaced() {
     let mut server = ServerHarness::started("quiet", "");
-    let _quiet = server.accept_worker_link();
+    let _silent_link = server.accept_worker_link();
     let mut link = server.accept_worker_link();
     link.send("ready hot 100\r\n");
     link.record_next(&mut server.trace);
