--- a/crates/hazelspur-server/src/event_loop.rs
+++ b/crates/hazelspur-server/src/event_loop.rs
@@ -1,20 +1,21 @@
-//! The event loop: polls the process's tasks in turns, and advances the clock's input watermark.
+//! Event loop that polls the process's tasks in turns and advances the clock's input watermark.
 //!
-//! A turn takes the time, looks at input until the runtime's driver has reported all that had arrived by then, and
-//! polls the tasks until none is ready any more. By then all that input is read and handled, through however many
-//! tasks it passes, and the watermark advances to the time at which the turn began. Only after that do the tasks go
-//! on that wait for a time or for a decision.
+//! A turn records the time, polls the runtime's I/O driver until it has reported all input that had arrived
+//! by then, and polls the tasks until none is ready. All that input is then read and handled, through however
+//! many tasks it passes, and the watermark advances to the start of the turn. Tasks that wait for a time or
+//! for a decision continue only after that.
 //!
-//! A look is complete once it has reported the turn's `InputMarker`, however many events come before it. The tasks
-//! are polled outside the runtime's scheduler, where a task that yields or has used up its budget is woken at once:
-//! so the loop knows of it, and it is not put off to a later turn.
+//! The driver has reported all earlier input once it reports the turn's `InputMarker`, however many events
+//! come before. The tasks are polled outside the runtime's scheduler, where a task that yields or has used up
+//! its budget is woken at once, so that the loop polls it again in the same turn.
 //!
-//! Input without end does not keep a turn from its end: each reader takes in a turn no more than its socket can hold
-//! (`ReadQuota`), and that is all that it held when the turn began. A turn whose tasks still never become idle, since
-//! they wake each other for example, ends once it has used `MAX_TURN_CPU_TIME`; this is logged.
+//! Endless input does not prolong a turn forever. Each reader takes at most as much as its socket can hold in
+//! a turn (`ReadQuota`), which covers all that it held at the start of the turn. If tasks still never become
+//! idle, for example since they wake each other, the turn ends after `MAX_TURN_CPU_TIME`, and this is logged.
 //!
-//! Guarded against: a process that is suspended between its look at input and a decision would decide by the time
-//! of its resumption, and a wait for input that a signal interrupts returns nothing although input has come.
+//! The watermark guards against two faults. A process that is suspended between reading input and a decision
+//! would decide with the time of its resumption, and a wait for input that a signal interrupts returns
+//! without events although input has arrived.
 
 use crate::clock::{Clock, to_std};
 use crate::input_marker::InputMarker;
@@ -30,15 +31,16 @@
 use tokio::runtime::Runtime;
 use tokio::sync::Notify;
 
-/// Polls of the tasks in a row, each of several tasks, after which the loop looks at the processor time.
+/// Number of polls of all tasks in a batch. The loop checks the processor time after each batch.
 const POLLS_PER_BATCH: usize = 16;
-/// Rows of polls after which the loop looks at input although some tasks are ready, so that tasks which wake each
-/// other can't keep the process from its input. Rare, since what a look finds makes the turn longer.
+/// Number of batches after which the loop polls the I/O driver although some tasks are ready, so that tasks
+/// that wake each other cannot block input. The number is large, since input that is found prolongs the turn.
 const BATCHES_PER_DRIVER_POLL: usize = 64;
-/// Processor time after which a turn ends although some tasks are ready. A suspension does not count.
+/// Processor time after which a turn ends although some tasks are ready. The time of a suspension does not
+/// count.
 const MAX_TURN_CPU_TIME: Duration = Duration::from_ms(1000);
 
-/// Notes that a task was woken, and wakes the loop.
+/// Waker of the tasks, which records that a task was woken and wakes the loop.
 #[derive(Default)]
 struct TaskWaker {
     is_woken: AtomicBool,
@@ -54,7 +56,7 @@
         self.is_woken.store(false, Ordering::Release);
     }
 
-    /// Completes once a task is woken.
+    /// Waits until a task is woken.
     async fn woken(&self) {
         while !self.is_woken() {
             self.notification.notified().await;
@@ -73,37 +75,38 @@
     }
 }
 
-/// What the tasks came to when they were polled.
+/// Progress of the tasks in a batch of polls.
 enum Progress<T> {
-    /// None is ready.
+    /// No task is ready.
     Idle,
-    /// Some are still ready after the most polls in a row.
+    /// Some tasks are still ready after the last poll of the batch.
     Busy,
-    /// The process's work is complete.
+    /// The work of the process is complete.
     Complete(T),
 }
 
-/// All work of the process.
+/// Event loop that runs all work of the process.
 pub struct EventLoop<F: Future> {
     clock: Rc<Clock>,
     work: Pin<Box<F>>,
     task_waker: Arc<TaskWaker>,
-    /// The same as a waker, always one and the same.
+    /// `task_waker` as a waker, created once so that all polls use the same.
     waker: Waker,
 }
 
 impl<F: Future> EventLoop<F> {
-    /// A loop that polls this work, a `LocalSet` with all tasks for example, and advances this clock's watermark.
+    /// Creates a loop that polls `work`, for example a `LocalSet` with all tasks, and advances the watermark
+    /// of `clock`.
     pub fn new(clock: Rc<Clock>, work: F) -> Self {
         let task_waker = Arc::new(TaskWaker::default());
         let waker = Waker::from(task_waker.clone());
         Self { clock, work: Box::pin(work), task_waker, waker }
     }
 
-    /// Runs the work to its end on a current-thread runtime.
+    /// Runs the work to its end on a current-thread runtime, and returns its output.
     ///
     /// # Errors
-    /// The input marker could not be made or placed.
+    /// Returns an error if the input marker cannot be created or placed.
     pub fn run(mut self, runtime: &Runtime) -> io::Result<F::Output> {
         let _runtime_guard = runtime.enter();
         let marker = InputMarker::new()?;
@@ -121,7 +124,8 @@
         }
     }
 
-    /// Reports all input that had arrived when the turn began, then lets those go on that wait for that.
+    /// Polls the tasks until all input that had arrived at the start of the turn is reported, then advances
+    /// the watermark and polls the tasks that wait for it.
     fn run_turn(&mut self, runtime: &Runtime, marker: &InputMarker) -> io::Result<Option<F::Output>> {
         self.clock.begin_turn();
         marker.place()?;
@@ -136,7 +140,7 @@
         }
     }
 
-    /// Polls the tasks until none is ready, or the turn has used up its processor time.
+    /// Polls the tasks until none is ready or the turn has used up its processor time.
     fn poll_until_idle(&mut self, runtime: &Runtime) -> Option<F::Output> {
         let mut cpu_time_after_first_batch = None;
         for batch in 1.. {
@@ -150,14 +154,14 @@
             if cpu_time.saturating_sub(*cpu_time_after_first_batch.get_or_insert(cpu_time))
                 >= to_std(MAX_TURN_CPU_TIME)
             {
-                log::warn!(cpu_ms = MAX_TURN_CPU_TIME.us() / 1000; "tasks never idle, turn ended");
+                log::warn!(cpu_ms = MAX_TURN_CPU_TIME.us() / 1000; "event loop turn ended with busy tasks");
                 break;
             }
         }
         None
     }
 
-    /// Polls the tasks until none is ready, or as often as may be in a row.
+    /// Polls the tasks until none is ready, at most `POLLS_PER_BATCH` times.
     fn poll_batch(&mut self) -> Progress<F::Output> {
         for _ in 0..POLLS_PER_BATCH {
             self.task_waker.reset();
@@ -172,7 +176,7 @@
         Progress::Busy
     }
 
-    /// Waits for input and timers until a task is ready; looks at input also if one is ready already.
+    /// Waits for input and timers until a task is ready. Polls the driver once if a task is ready already.
     fn wait(&self, runtime: &Runtime) {
         if self.task_waker.is_woken() {
             poll_driver(runtime);
@@ -182,12 +186,12 @@
     }
 }
 
-/// Lets the runtime's driver look at input once, without waiting.
+/// Polls the runtime's I/O driver once without waiting.
 fn poll_driver(runtime: &Runtime) {
     runtime.block_on(tokio::task::yield_now());
 }
 
-/// The processor time that this thread has used.
+/// Returns the processor time that this thread has used.
 fn thread_cpu_time() -> StdDuration {
     clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).map(StdDuration::from).unwrap_or_default()
 }
--- a/crates/hazelspur-server/src/request/deduplication.rs
+++ b/crates/hazelspur-server/src/request/deduplication.rs
@@ -1,7 +1,7 @@
-//! Deduplication of requests with an idempotency key and coalescing of reads: which attempt holds a key, what
-//! came of it, and which retries await its completion.
+//! Deduplication of requests with an idempotency key, and coalescing of reads of the same subject.
 //!
-//! An attempt holds its key from its receipt on, so that of two attempts received together only one runs.
+//! Stores for each key the attempt that holds it, the completion of that attempt, and the retries that await
+//! it. An attempt holds its key from its receipt on, so that only one of two attempts received together runs.
 
 use crate::request::event::Completion;
 use hazelspur::{
@@ -12,34 +12,38 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// What an entry takes beside its texts, in bytes.
+/// Memory of an entry without its key text, body and result, in bytes.
 const ENTRY_OVERHEAD_BYTES: usize = 256;
 
-/// What a key protects.
+/// Kind of a deduplication key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum KeyKind {
-    /// An idempotency key: what may have run does not run again, whatever its outcome.
+    /// Idempotency key: a request that may have run does not run again, whatever its outcome.
     IdempotentWithKey,
-    /// The subject of a read: only a successful result is shared, while it is fresh.
+    /// Subject of a read: only a successful result is shared, and only while it is fresh.
     Read,
 }
 
-/// What makes two requests attempts at the same thing. Texts are compared whole, since a hash collision would
-/// return another request's result; names, so that a retry is recognized after its class was removed and added.
+/// Key that all attempts at the same request share.
+///
+/// Key texts are compared whole, since a hash collision would return the result of another request. The
+/// tenant and the class are compared by name, so that a retry is recognized after its class was removed and
+/// added again.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DeduplicationKey {
-    /// The tenant's name; tenants share nothing.
+    /// Name of the tenant; attempts of different tenants never share a key.
     pub tenant: Arc<str>,
-    /// The request class's name.
+    /// Name of the request class.
     pub request_class: Arc<str>,
-    /// What the key protects.
+    /// Kind of the key.
     pub kind: KeyKind,
-    /// The idempotency key, or the subject of a read.
+    /// Idempotency key, or subject of a read.
     pub text: Rc<str>,
 }
 
 impl DeduplicationKey {
-    /// The key of a request of this class: its idempotency key, or for a read its subject.
+    /// Returns the key of a request of this class; `None` if its class is not idempotent, or if it carries no
+    /// idempotency key or, for a read, no subject.
     pub fn of(
         class: &RequestClass,
         tenant: &Arc<str>,
@@ -55,62 +59,65 @@
     }
 }
 
-/// The tenant and request class of a request. One that was removed and added again under its name has another
-/// id, and gets no result of the one before.
+/// Tenant and request class of a request, by id. A tenant or class that was removed and added again under its
+/// name has a new id, and gets no results of the former one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Owner {
-    /// The tenant.
+    /// Tenant of the request.
     pub tenant: TenantId,
-    /// The request class.
+    /// Class of the request.
     pub request_class: RequestClassId,
 }
 
-/// A received request, as far as its deduplication goes.
+/// Properties of a received request that its deduplication needs.
 pub struct ReceivedAttempt {
-    /// Its id.
+    /// Id of the request.
     pub request: RequestId,
-    /// Its key.
+    /// Deduplication key.
     pub key: DeduplicationKey,
-    /// Its tenant and class.
+    /// Tenant and class.
     pub owner: Owner,
-    /// When its client sent it.
+    /// Time at which the client sent the request.
     pub sent_at: Timestamp,
-    /// Its body.
+    /// Body, in which a retry must equal its original.
     pub body: Rc<[u8]>,
-    /// Whether the worker has known a request of its connection. Only such clients share reads: anybody may
-    /// name a subject.
+    /// Whether the worker has already accepted a request of the same connection. Only such connections share
+    /// reads, since any client can name a subject.
     pub trusted: bool,
 }
 
-/// The earlier attempt that a request repeats.
+/// Reference of a retry to the original attempt that it repeats.
 #[derive(Clone)]
 pub struct RetryOf {
-    /// The key that both attempts have.
+    /// Key of both attempts.
     pub key: DeduplicationKey,
-    /// The attempt that held the key when this one was received.
+    /// Attempt that held the key when the retry was received.
     pub original: RequestId,
-    /// How that attempt ended, if it was in progress then and has ended since.
+    /// Completion of the original, set when it ends; stays empty if it had ended before the retry was
+    /// received.
     completion: Rc<OnceCell<Completion>>,
 }
 
-/// Whether a received attempt repeats another.
+/// Relation of a received attempt to the attempt that holds its key.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Lookup {
-    /// It is the first with its key, or shares nothing.
+    /// First attempt with its key, or a read that must not be shared.
     First,
-    /// It repeats this one.
+    /// Retry of this attempt.
     RetryOf(RequestId),
-    /// Its key belongs to a request that asks for something else.
+    /// Attempt whose key is held by a different request: its body, tenant or class differs.
     Conflict,
 }
 
-/// The attempt that holds a key.
+/// Attempt that holds a key.
 struct Entry {
     request: RequestId,
     owner: Owner,
-    /// What a retry must ask for too; dropped when its result could not be stored.
+    /// Body that a retry must equal. `None` for reads, and if the result was too large to be stored.
     body: Option<Rc<[u8]>>,
+    /// End of the deduplication window or of the freshness of a read; `None` until `store_until` sets it.
     expires_at: Option<Timestamp>,
+    /// Completion; `None` while the attempt is in progress.
     completion: Option<Completion>,
 }
 
@@ -121,62 +128,64 @@
         ENTRY_OVERHEAD_BYTES + key.text.len() + body + result
     }
 
-    /// Whether the entry still counts; the window of an attempt in progress lasts until that has finished.
+    /// Returns whether the entry is valid at a time. The entry of an attempt in progress is always valid.
     fn is_valid_at(&self, at: Timestamp) -> bool {
         self.completion.is_none() || self.expires_at.is_some_and(|expires_at| expires_at > at)
     }
 
-    /// What a new attempt with the same key is; `None` where the entry does not concern it.
+    /// Relates a new attempt with the same key to the holder; `None` if the new one may take over the key.
     fn compare(&self, attempt: &ReceivedAttempt) -> Option<Lookup> {
         let is_read = attempt.key.kind == KeyKind::Read;
         let same_request = is_read || self.body.as_ref().is_none_or(|body| *body == attempt.body);
         if self.owner == attempt.owner && same_request {
             return Some(Lookup::RetryOf(self.request));
         }
-        // What may have run under a tenant or class of the same name must not run again; a read may.
+        // A request that may have run for a tenant or class of the same name must not run again; a read may.
         if self.owner != attempt.owner && is_read { None } else { Some(Lookup::Conflict) }
     }
 }
 
-/// An attempt in progress. Request ids are unique only among these: a finished one's may be used again.
+/// Attempt in progress. Request ids are unique only among these; the id of a finished attempt may be reused.
 struct Attempt {
     key: DeduplicationKey,
     waiting_retries: Vec<RequestId>,
-    /// Set when it ends, for the retries that were received before.
+    /// Completion, set when the attempt ends, for the retries that were received before.
     completion: Rc<OnceCell<Completion>>,
 }
 
-/// When the entry of a finished attempt is removed; ordered by time.
+/// Scheduled removal of the entry of a finished attempt, ordered by time.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct Removal {
     at: Timestamp,
     key: DeduplicationKey,
 }
 
-/// All keys in force, within a bound of memory.
+/// Table of all valid keys, with a bound on the memory of their results and bodies.
 #[derive(Default)]
 pub struct Deduplication {
-    /// How long the result of a read is fresh.
+    /// Time for which the result of a read is fresh; zero disables the sharing of reads.
     read_freshness: Duration,
-    /// How long after its window a retry that was sent within it may still be received.
+    /// Maximum delay between the sending and the receipt of a retry. A key is kept for this long after its
+    /// window, since a retry that was sent within the window counts whenever it is received.
     receipt_delay: Duration,
-    /// What results and bodies may take in all.
+    /// Limit of the memory of all entries, in bytes. A result that would exceed it is not stored.
     max_bytes: usize,
     used_bytes: usize,
     entries: BTreeMap<DeduplicationKey, Entry>,
     attempts: BTreeMap<RequestId, Attempt>,
-    /// The entries of finished attempts.
+    /// Scheduled removals of the entries of finished attempts.
     removals: BTreeSet<Removal>,
 }
 
 impl Deduplication {
-    /// Shares reads for `read_freshness`, stores keys for `receipt_delay` past their window, results and bodies
-    /// up to `max_bytes`.
+    /// Creates an empty table that shares reads for `read_freshness`, keeps keys for `receipt_delay` after
+    /// their window, and stores results as long as all entries take at most `max_bytes`.
     pub fn new(read_freshness: Duration, receipt_delay: Duration, max_bytes: usize) -> Self {
         Self { read_freshness, receipt_delay, max_bytes, ..Self::default() }
     }
 
-    /// Records a received attempt; says whether it repeats the one that holds its key.
+    /// Records a received attempt, which holds its key if the key is free. Returns its relation to the
+    /// holder.
     pub fn received(&mut self, now: Timestamp, attempt: ReceivedAttempt) -> Lookup {
         self.remove_expired(now);
         let is_read = attempt.key.kind == KeyKind::Read;
@@ -206,35 +215,37 @@
         self.attempts.insert(request, attempt);
     }
 
-    /// The key that an attempt in progress holds, and its entry.
+    /// Returns the key that an attempt in progress holds, and its entry; `None` if it holds none.
     fn entry_in_progress(&mut self, request: RequestId) -> Option<KeyAndEntry<'_>> {
         let key = &self.attempts.get(&request)?.key;
         let entry = self.entries.get_mut(key)?;
         (entry.request == request && entry.completion.is_none()).then_some(KeyAndEntry { key, entry })
     }
 
-    /// Stores the key of an attempt in progress until this time.
+    /// Sets the time at which the key of an attempt in progress expires.
     pub fn store_until(&mut self, request: RequestId, expires_at: Timestamp) {
         if let Some(found) = self.entry_in_progress(request) {
             found.entry.expires_at = Some(expires_at);
         }
     }
 
-    /// Frees an attempt's key for the next one; the retries that await this one are still notified.
+    /// Frees the key of an attempt in progress for the next attempt. The retries that await this one are
+    /// still notified when it ends.
     pub fn release(&mut self, request: RequestId) {
         if let Some(key) = self.entry_in_progress(request).map(|found| found.key.clone()) {
             self.remove(&key);
         }
     }
 
-    /// The attempt that a request received now repeats.
+    /// Returns the reference of a request that is received now to the original attempt that it repeats.
     pub fn retry_of(&self, key: DeduplicationKey, original: RequestId) -> RetryOf {
         let attempt = self.attempts.get(&original).filter(|attempt| attempt.key == key);
         let completion = attempt.map(|attempt| attempt.completion.clone()).unwrap_or_default();
         RetryOf { key, original, completion }
     }
 
-    /// The completion of the original attempt, if that has finished; else `request` is notified of it later.
+    /// Returns the completion of the original attempt if it has finished. Otherwise registers `request` among
+    /// the retries that are notified when it does. An original that is no longer known counts as failed.
     pub fn subscribe(&mut self, retry: &RetryOf, request: RequestId) -> Option<Completion> {
         let RetryOf { key, original, completion } = retry;
         let entry = self.entries.get(key).filter(|entry| entry.request == *original);
@@ -253,7 +264,7 @@
         }
     }
 
-    /// Ends an attempt; returns the retries to notify. Only the first call for an attempt counts.
+    /// Ends an attempt and returns the retries to notify. Only the first call for an attempt has an effect.
     pub fn finished(
         &mut self,
         now: Timestamp,
@@ -267,7 +278,7 @@
         self.end_attempt(request, completion)
     }
 
-    /// Stores a completion for later retries; `None` where nothing is stored.
+    /// Stores a completion for later retries. Returns the removal to schedule; `None` if nothing is stored.
     fn store_completion(
         &mut self,
         now: Timestamp,
@@ -291,7 +302,7 @@
         if completion.result.len() <= spare_bytes {
             entry.completion = Some(completion.clone());
         } else {
-            // That it ran must stay known: its retries fail.
+            // The key stays held, since the request ran: retries fail instead of running it again.
             entry.body = None;
             entry.completion = Some(Completion::failed());
         }
@@ -300,7 +311,7 @@
         Some(Removal { at: remove_at, key })
     }
 
-    /// Ends an attempt that never ran, so that the next may; returns the retries to notify.
+    /// Ends an attempt that never ran and frees its key. Returns the retries to notify.
     pub fn never_ran(&mut self, request: RequestId) -> Vec<RequestId> {
         self.release(request);
         self.end_attempt(request, &Completion::never_ran())
@@ -308,7 +319,7 @@
 
     fn end_attempt(&mut self, request: RequestId, completion: &Completion) -> Vec<RequestId> {
         let Some(attempt) = self.attempts.remove(&request) else { return Vec::new() };
-        // It ends once.
+        // Cannot fail: the attempt was just removed, so its completion is set only here.
         let _ = attempt.completion.set(completion.clone());
         attempt.waiting_retries
     }
@@ -333,7 +344,7 @@
     }
 }
 
-/// The key that an attempt in progress holds, and its entry.
+/// Key that an attempt in progress holds, and its entry.
 struct KeyAndEntry<'a> {
     key: &'a DeduplicationKey,
     entry: &'a mut Entry,
--- a/crates/hazelspur-server/src/request/dispatcher.rs
+++ b/crates/hazelspur-server/src/request/dispatcher.rs
@@ -1,8 +1,9 @@
-//! Host of the `AdmissionController`: tasks report inputs, the dispatcher pulls decisions and carries them out.
+//! Owner of the `AdmissionController`: tasks report inputs here, and the dispatcher requests decisions and
+//! applies them.
 //!
-//! Decisions are pulled only once all input up to the clock's watermark is reported, and by the time of that
-//! watermark. Each decision about a request goes to the request's task; the others are stored here for the tasks
-//! that read them.
+//! Decisions are requested only once all input up to the clock's watermark is reported, and with the time of
+//! that watermark. A decision about a request goes to the task of the request; the others are stored here for
+//! the tasks that read them.
 
 use crate::clock::Clock;
 use crate::request::deduplication::Deduplication;
@@ -19,69 +20,73 @@
 use tokio::sync::Notify;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// A final response that is counted.
+/// Kind of a final response that is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// The request ran to its end.
+    /// Response to a request that succeeded.
     Success,
-    /// The request never ran.
+    /// Response to a request that never ran.
     Rejected,
 }
 
-/// Final responses since the start, over every ingress; the counts wrap.
+/// Numbers of final responses of every ingress since the start of the process; they wrap around.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResponseCounts {
-    /// Requests that succeeded.
+    /// Number of requests that succeeded.
     pub succeeded: u32,
-    /// Requests that were rejected.
+    /// Number of requests that were rejected.
     pub rejected: u32,
 }
 
-/// Owns the controller, the table of requests in progress and what the controller decided for the whole server.
+/// Owner of the controller, of the table of requests in progress, and of the decisions for the whole server.
 #[derive(Default)]
 pub struct Dispatcher {
-    /// The clock that every task goes by.
+    /// Clock that all tasks use.
     pub clock: Rc<Clock>,
+    /// Controller; `None` before `start`.
     controller: RefCell<Option<AdmissionController>>,
+    /// Senders of events to the tasks of the requests in progress.
     event_senders: RefCell<BTreeMap<RequestId, UnboundedSender<RequestEvent>>>,
-    /// Idempotency keys and shared reads.
+    /// Table of idempotency keys and shared reads.
     pub deduplication: RefCell<Deduplication>,
-    /// Final responses since the start.
+    /// Numbers of final responses since the start of the process.
     pub response_counts: Cell<ResponseCounts>,
+    /// Notified when an input was reported.
     input_notification: Notify,
     /// Whether the controller last reported the server as healthy.
     pub healthy: Cell<bool>,
-    /// The capacity figure that goes out with every response, if any.
+    /// Capacity that every response advertises; `None` until the controller decides it.
     pub advertised_capacity: Cell<Option<f64>>,
-    /// After how long idle connections are closed, if the controller decided it.
+    /// Time after which idle connections are closed; `None` until the controller decides it.
     pub idle_timeout: Cell<Option<Duration>>,
-    /// When the controller's timer is due; taken by the task that waits for it.
+    /// Time at which the controller's timer is due; taken by the task that waits for it.
     pub timer: Cell<Option<Timestamp>>,
     /// Notified whenever `timer` is set.
     pub timer_set: Notify,
+    /// Values that apply once the current leases of the fleet expire; `None` without leases.
     lease_expiry: RefCell<Option<LeaseExpiry>>,
     leases_expired: Cell<bool>,
 }
 
 impl Dispatcher {
-    /// A dispatcher without a controller, whose tasks go by this clock.
+    /// Creates a dispatcher without a controller, whose tasks use this clock.
     pub fn new(clock: Rc<Clock>) -> Self {
         Self { clock, ..Self::default() }
     }
 
-    /// From now on this controller decides.
+    /// Sets the controller, which decides from now on.
     pub fn start(&self, controller: AdmissionController) {
         *self.controller.borrow_mut() = Some(controller);
         self.input_notification.notify_one();
     }
 
-    /// Whether there is a controller yet.
+    /// Returns whether the controller is set.
     pub fn is_started(&self) -> bool {
         self.controller.borrow().is_some()
     }
 
-    /// Reports an input, by the time at which this turn of the event loop began, so that the controller's time never
-    /// goes back. A panic inside the controller is logged and leaves the rest of the program running.
+    /// Reports an input with the start time of the current turn of the event loop, so that the controller's
+    /// time never goes back. A panic inside the controller is logged, and the rest of the program goes on.
     pub fn report(&self, input: impl FnOnce(&mut AdmissionController, Timestamp)) {
         let now = self.clock.turn_start();
         if let Some(controller) = self.controller.borrow_mut().as_mut()
@@ -92,8 +97,10 @@
         self.input_notification.notify_one();
     }
 
-    /// Applies a change of the settings whole, also before the start. The error names the key at fault, and
-    /// nothing is changed then.
+    /// Applies a change of the settings, also before the controller is set, and returns a summary of it.
+    ///
+    /// # Errors
+    /// Returns an error that names the invalid key; nothing is changed then.
     pub fn apply_change(
         &self,
         catalog: &RefCell<Catalog>,
@@ -112,7 +119,8 @@
         Ok(summary)
     }
 
-    /// Gives the controller what has changed of the fleet's guidance, and keeps what applies once a lease expires.
+    /// Passes the changes of the fleet's guidance to the controller, and stores the values that apply once
+    /// the leases expire.
     pub fn set_guidance(&self, update: GuidanceUpdate) {
         *self.lease_expiry.borrow_mut() = update.expiry;
         if update.changes.is_empty() {
@@ -125,7 +133,8 @@
         });
     }
 
-    /// Applies the expiry of a lease before any decision that would rely on the lease, as after a suspension.
+    /// Applies the expiry of the leases if they have expired. Called before each decision, so that none
+    /// relies on a lease that expired while the process was suspended.
     fn expire_leases(&self) {
         let now = self.clock.monotonic();
         let Some(expiry) = self.lease_expiry.borrow_mut().take_if(|expiry| now >= expiry.at) else { return };
@@ -138,23 +147,23 @@
         self.leases_expired.set(true);
     }
 
-    /// Whether leases expired here since the last call.
+    /// Returns whether leases were expired here since the last call.
     pub fn take_leases_expired(&self) -> bool {
         self.leases_expired.take()
     }
 
-    /// The load of this server for its fleet; none before the start.
+    /// Returns the load report of this server for its fleet; `None` before the controller is set.
     pub fn load_report(&self) -> Option<LoadReport> {
         self.controller.borrow().as_ref().map(|controller| controller.load_report(self.clock.turn_start()))
     }
 
-    /// The request rate of a tenant, in requests per second.
+    /// Returns the request rate of a tenant, in requests per second.
     pub fn tenant_rate(&self, tenant: TenantId) -> f64 {
         let now = self.clock.turn_start();
         self.controller.borrow().as_ref().map_or(0.0, |controller| controller.tenant_rate(now, tenant))
     }
 
-    /// Logs how many requests each rule of the controller has rejected or failed, if any has.
+    /// Logs the number of requests that each rule of the controller has rejected or failed, if there are any.
     pub fn log_rejections(&self) {
         let controller = self.controller.borrow();
         let Some(counts) = controller.as_ref().map(AdmissionController::rejection_counts) else { return };
@@ -175,7 +184,7 @@
         self.response_counts.set(counts);
     }
 
-    /// How many more requests the controller has capacity for, beside those in progress.
+    /// Returns the number of requests for which there is capacity beside those in progress; may be negative.
     pub fn spare_capacity(&self) -> f64 {
         let now = self.clock.turn_start();
         let capacity =
@@ -183,7 +192,8 @@
         capacity - self.event_senders.borrow().len() as f64
     }
 
-    /// Registers a request; its events go to the receiver. `None` where a request with this id is in progress.
+    /// Registers a request and returns the receiver of its events; `None` if a request with this id is in
+    /// progress.
     pub fn register(&self, request: RequestId) -> Option<UnboundedReceiver<RequestEvent>> {
         let (sender, receiver) = unbounded_channel();
         let mut event_senders = self.event_senders.borrow_mut();
@@ -194,20 +204,20 @@
         Some(receiver)
     }
 
-    /// Removes a request that is finished.
+    /// Removes a finished request.
     pub fn remove(&self, request: RequestId) {
         self.event_senders.borrow_mut().remove(&request);
     }
 
-    /// Delivers an event to the request's task, if there still is one.
+    /// Delivers an event to the task of a request, if the request is in progress.
     pub fn deliver(&self, request: RequestId, event: RequestEvent) {
         if let Some(sender) = self.event_senders.borrow().get(&request) {
-            // The task may just have ended.
+            // Fails if the task has just ended, which needs no event any more.
             let _ = sender.send(event);
         }
     }
 
-    /// Notifies the retries that await this attempt of its completion.
+    /// Stores the completion of an attempt and notifies the retries that await it.
     pub fn attempt_finished(&self, request: RequestId, completion: &Completion) {
         let waiting_retries = self.deduplication.borrow_mut().finished(self.clock.now(), request, completion);
         for retry in waiting_retries {
@@ -215,7 +225,7 @@
         }
     }
 
-    /// Notifies the retries that await this attempt that it ended without a run; its key is free.
+    /// Frees the key of an attempt that never ran and notifies the retries that await it.
     pub fn attempt_never_ran(&self, request: RequestId) {
         let waiting_retries = self.deduplication.borrow_mut().never_ran(request);
         for retry in waiting_retries {
@@ -223,7 +233,8 @@
         }
     }
 
-    /// Pulls decisions whenever something was reported, after all that arrived with it is reported too.
+    /// Requests and applies decisions whenever an input was reported, once all input that arrived with it is
+    /// reported too.
     pub async fn run(self: Rc<Self>) {
         loop {
             self.input_notification.notified().await;
--- a/crates/hazelspur-server/src/request/event.rs
+++ b/crates/hazelspur-server/src/request/event.rs
@@ -3,37 +3,37 @@
 use hazelspur::{Decision, Outcome};
 use std::rc::Rc;
 
-/// How an attempt ended, with the result that its client gets on success.
+/// Outcome of an attempt, with the result that its client gets on success.
 #[derive(Clone, Debug)]
 pub struct Completion {
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// The result's bytes; empty unless the outcome is `Outcome::Ok`.
+    /// Result, empty unless the outcome is `Outcome::Ok`.
     pub result: Rc<[u8]>,
 }
 
 impl Completion {
-    /// An attempt that failed, or that has no result to show.
+    /// Returns the completion of an attempt that failed or whose result is not available.
     pub fn failed() -> Self {
         Self { outcome: Outcome::Error, result: Rc::from([]) }
     }
 
-    /// An attempt that ended without a run.
+    /// Returns the completion of an attempt that ended without a run.
     pub fn never_ran() -> Self {
         Self { outcome: Outcome::NeverStarted, result: Rc::from([]) }
     }
 }
 
-/// An input of one request's lifecycle.
+/// Input of the lifecycle of one request.
 pub enum RequestEvent {
-    /// The controller decided something about the request.
+    /// Decision of the controller about the request.
     Decided(Decision),
-    /// The request's run asks for a dependency call with this body.
+    /// Request of the run for a dependency call with this body.
     CallRequested(Vec<u8>),
-    /// The run of this request, or the original whose response it awaits, finished.
+    /// Completion of the run of this request, or of the original attempt whose response it awaits.
     Finished(Completion),
-    /// The worker process knows no such request.
+    /// Rejection of the start command by the worker: the request never ran.
     UnknownToWorker,
-    /// Nobody waits for the response any more.
+    /// Loss of the client: nothing awaits the response any more.
     ClientGone,
 }
--- a/crates/hazelspur-server/src/request/lifecycle.rs
+++ b/crates/hazelspur-server/src/request/lifecycle.rs
@@ -1,7 +1,9 @@
 //! The lifecycle of one request: queued, running with its dependency calls, finished.
 //!
-//! Inputs are `RequestEvent`s, outputs are commands to the worker, dependency calls and the final response.
-//! Whatever happens, the client gets at most one response and the controller is notified of the end.
+//! Inputs are `RequestEvent`s; outputs are commands to the worker, dependency calls and the final response.
+//!
+//! Invariant: the client gets at most one response, and the controller is notified of the end of each
+//! request.
 
 use crate::request::deduplication::RetryOf;
 use crate::request::dispatcher::Dispatcher;
@@ -18,88 +20,91 @@
 use std::rc::Rc;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// The largest body of a request, in bytes.
+/// Maximum length of the body of a request, in bytes.
 pub const MAX_BODY_LENGTH: usize = 2048;
 
-/// What the task of a request works with.
+/// Shared objects that the tasks of requests use.
 pub struct Services {
-    /// Host of the controller.
+    /// Owner of the controller.
     pub dispatcher: Rc<Dispatcher>,
-    /// The link to the worker process.
+    /// Link to the worker process.
     pub worker: Rc<WorkerLink>,
-    /// The client of the shared dependency.
+    /// Client of the shared dependency.
     pub dependency: Rc<DependencyClient>,
 }
 
-/// What a received request states, besides its body.
+/// Properties of a received request, without its body.
 pub struct ReceivedRequest {
-    /// The request class that it names.
+    /// Request class.
     pub request_class: RequestClassId,
-    /// The tenant that it is from.
+    /// Tenant.
     pub tenant: TenantId,
-    /// The session that it belongs to, if any.
+    /// Session; `None` if the request belongs to none.
     pub session: Option<SessionKey>,
-    /// The client that sent it.
+    /// Client that sent the request.
     pub client: ClientId,
-    /// When its response is due; without it the class's request timeout applies.
+    /// Deadline; `None` if the request timeout of its class applies.
     pub deadline: Option<Timestamp>,
-    /// Memory that it takes while queued, in kB.
+    /// Memory that the request takes, in kB.
     pub size_kb: f64,
-    /// When the client sent it.
+    /// Time at which the client sent the request.
     pub sent_at: Timestamp,
 }
 
 impl ReceivedRequest {
-    /// When its response is due.
+    /// Returns the deadline of the request: its own, or the request timeout of its class after the time of
+    /// sending.
     pub fn response_due(&self, class: &RequestClass) -> Timestamp {
         self.deadline.unwrap_or(self.sent_at + class.request_timeout)
     }
 }
 
-/// One request from its receipt to its final response.
+/// State of one request from its receipt to its final response.
 pub struct RequestLifecycle {
-    /// What its task works with.
+    /// Shared objects that the request's task uses.
     pub services: Rc<Services>,
-    /// Its id.
+    /// Id.
     pub request: RequestId,
-    /// Its class as configured when it was received, whatever changed since.
+    /// Class as it was configured when the request was received.
     pub class: Rc<RequestClass>,
-    /// The body that the worker gets.
+    /// Body, which is sent to the worker.
     pub body: Rc<[u8]>,
-    /// When its response is due; it does not start later.
+    /// Deadline of the response, after which the request is not started.
     pub deadline: Timestamp,
-    /// The attempt that it repeats, if any.
+    /// Reference to the original attempt; `None` if the request is not a retry.
     pub retry_of: Option<RetryOf>,
-    /// Whether it may have run; if so, no other attempt with its key may run.
+    /// Whether the request may have run; if so, no other attempt with its key may run.
     pub may_have_run: bool,
-    /// Sends its final response.
+    /// Sender of the final response.
     pub responder: Responder,
-    /// Its inputs.
+    /// Receiver of the request's events.
     pub events: UnboundedReceiver<RequestEvent>,
 }
 
-/// How far a request has come.
+/// Stage of a request.
 enum State {
-    /// The controller has not decided yet, or preempted the run.
+    /// Waits for the controller's decision, the first one or the one after a preemption.
     Queued,
-    /// The response of the original attempt will be this request's too.
+    /// Waits for the completion of the original attempt, whose response this request gets too.
     AwaitingOriginal,
-    /// The controller has chosen it to run, and the worker link is down: nothing is promised to the ingress and
-    /// nothing sent, so that it can still be rejected or expire.
+    /// Waits for the worker link, after the controller decided the run. The ingress has not been asked for
+    /// its permission and nothing was sent, so that the request can still be rejected or expire.
     AwaitingWorker,
-    /// The worker runs it.
+    /// Runs in the worker.
     Running(Run),
-    /// Nothing is left to do.
+    /// Is finished.
     Finished,
 }
 
 type CallInProgress = Pin<Box<dyn Future<Output = CallResult>>>;
 
-/// A run in the worker and its dependency call.
+/// Run in the worker and its dependency call.
 struct Run {
+    /// Body of the last call that the run requested.
     call_body: Rc<[u8]>,
+    /// Whether that call was attempted before.
     call_was_attempted: bool,
-    /// Never completes while no call is made.
+    /// Call in progress; never completes if there is none.
     call: CallInProgress,
 }
 
@@ -114,7 +119,8 @@
 }
 
 impl RequestLifecycle {
-    /// Passes the request to the controller at once, so that no change of configuration comes in between.
+    /// Submits the request to the controller at once, so that no change of the configuration comes between
+    /// its receipt and its submission.
     pub fn submit(self, received: &ReceivedRequest) -> Self {
         let (request, retry_of) = (self.request, self.retry_of.as_ref().map(|retry| retry.original));
         let read_at = self.services.dispatcher.clock.now();
@@ -130,7 +136,7 @@
                 size_kb: received.size_kb,
                 age: now - received.sent_at,
                 read_offset: read_at - now,
-                // Neither ingress states it; the class's idempotency decides.
+                // No ingress provides this flag; the idempotency of the class decides.
                 is_write: false,
                 retry_of,
             };
@@ -182,8 +188,8 @@
         }
     }
 
-    /// Ends a request that the controller counts as running. Unless an earlier run of it was preempted, it is
-    /// known not to have run.
+    /// Ends a request whose run was decided and not started. It is rejected, or failed if an earlier run of
+    /// it was preempted.
     fn end_unstarted(&mut self) -> State {
         self.report_run_finished(Outcome::NeverStarted);
         if self.may_have_run {
@@ -211,7 +217,7 @@
             Some(RequestEvent::CallRequested(body)) => self.call_requested(&mut run, body),
             Some(RequestEvent::Decided(decision)) => self.decided_while_running(&mut run, &decision),
             Some(RequestEvent::ClientGone) => {
-                // The run goes on, its call does not.
+                // The run goes on, while its call is cancelled.
                 self.abandon();
                 run.cancel_call();
             }
@@ -219,8 +225,9 @@
         State::Running(run)
     }
 
-    /// Starts the run once the ingress permits it; without permission it never runs. The process may have stood
-    /// still since the decision and since the permission, so that the time is looked at again after each.
+    /// Starts the run once the ingress permits it; without permission the request never runs. The deadline is
+    /// checked here after the decision, and by the ingress after its permission, since the process may have
+    /// been suspended in between.
     async fn start_if_permitted(&mut self) -> State {
         if !self.services.worker.is_synchronized() {
             return State::AwaitingWorker;
@@ -240,7 +247,7 @@
         State::Running(Run::new())
     }
 
-    /// Ends a request that its ingress has settled otherwise.
+    /// Ends a request that its ingress did not permit to run and has settled itself.
     fn withdraw_unstarted(&mut self) -> State {
         let request = self.request;
         self.services.dispatcher.report(|controller, now| {
@@ -270,7 +277,7 @@
 
     fn client_gone_while_queued(&mut self) -> State {
         self.abandon();
-        // Guards against a run that was just decided and would count as running for ever.
+        // A run that was decided just before would otherwise count as running forever.
         self.report_run_finished(Outcome::NeverStarted);
         State::Finished
     }
@@ -298,7 +305,7 @@
             Decision::StartCall { timeout, .. } => self.start_call(run, *timeout),
             Decision::Preempt(_) => self.services.worker.stop(self.request),
             _ => {
-                // The run goes on after its response, its call does not.
+                // The run goes on after its response, while its call is cancelled.
                 self.respond_as_decided(decision);
                 run.cancel_call();
             }
@@ -307,7 +314,7 @@
 
     fn start_call(&self, run: &mut Run, timeout: Duration) {
         let (services, request, body) = (self.services.clone(), self.request, run.call_body.clone());
-        // A reused connection may break after the call ran: only idempotent requests may use one.
+        // A reused connection may break after the call took effect, so only idempotent requests may use one.
         let new_connection = run.call_was_attempted || self.class.idempotency != Idempotency::Idempotent;
         run.call = Box::pin(async move {
             let call = Call { request, timeout, body: &body, new_connection };
@@ -358,7 +365,7 @@
         self.responder.end_without_response();
     }
 
-    /// Sends the response that a decision stands for.
+    /// Sends the response that a decision requires.
     fn respond_as_decided(&mut self, decision: &Decision) {
         match decision {
             Decision::Reject { retry_after, do_not_retry_elsewhere, .. } => {
--- a/crates/hazelspur-server/src/request/mod.rs
+++ b/crates/hazelspur-server/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! A request between its receipt and its final response.
+//! Handling of a request from its receipt to its final response.
 
 pub mod deduplication;
 pub mod dispatcher;
--- a/crates/hazelspur-server/src/request/responder.rs
+++ b/crates/hazelspur-server/src/request/responder.rs
@@ -1,44 +1,49 @@
-//! The final response of a request: one, whichever ingress received the request; none only where the client is known to
-//! be gone or the ingress has withdrawn the request.
+//! Delivery of the final response of a request to the ingress that received it.
+//!
+//! Invariant: each request gets exactly one final response, or none if its client is gone or its ingress has
+//! withdrawn it.
 
 use crate::request::dispatcher::{Dispatcher, Response};
 use hazelspur::Duration;
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// Whether a request whose run was decided may start.
+/// Permission of the ingress to start a run that the controller has decided.
 pub enum RunPermission {
-    /// It may start at once.
+    /// The run may start at once.
     Granted,
-    /// It may start once the channel yields `true`; `false` or a closed channel denies it for good.
+    /// The run may start once the channel yields `true`; `false` or a closed channel denies it for good.
     Awaiting(oneshot::Receiver<bool>),
 }
 
-/// The ingress that received a request, as its lifecycle sees it. It gets at most one final response.
+/// Ingress that received a request, which gets at most one final response for it.
 pub trait ResponseSink {
-    /// The request succeeded with this result.
+    /// Sends the result of a request that succeeded.
     fn success(&mut self, result: &[u8]);
-    /// It never ran: when the client may retry, and whether it must not retry at another server.
+    /// Rejects a request that never ran. The client may retry after `retry_after`, with
+    /// `do_not_retry_elsewhere` only at this server.
     fn rejected(&mut self, retry_after: Duration, do_not_retry_elsewhere: bool);
-    /// It failed and may have run.
+    /// Fails a request that may have run.
     fn failed(&mut self);
-    /// The worker does not know this request; it never ran.
+    /// Ends a request that the worker did not accept; it never ran.
     fn unknown_to_worker(&mut self);
-    /// The client is gone: no response is sent.
+    /// Ends a request without a response, since its client is gone or the ingress has withdrawn it.
     fn ended_without_response(&mut self);
-    /// Whether the run may start now.
+    /// Returns whether the run may start now.
     fn run_permission(&mut self) -> RunPermission {
         RunPermission::Granted
     }
-    /// The run starts at once if it still may; otherwise the ingress settles the request and it never runs.
+    /// Returns whether a permitted run may still start; if so, it starts at once. Otherwise the ingress
+    /// settles the request, and it never runs.
     fn confirm_start(&mut self) -> bool {
         true
     }
-    /// The worker knows this request, so its client sends genuine requests.
+    /// Records that the worker has accepted this request, so that its client is trusted.
     fn known_to_worker(&mut self) {}
 }
 
-/// Sends one response and no second; dropped without one it fails the request.
+/// Sender of the final response, which ignores any further response. Fails the request if it is dropped
+/// before.
 pub struct Responder {
     sink: Box<dyn ResponseSink>,
     dispatcher: Rc<Dispatcher>,
@@ -46,32 +51,32 @@
 }
 
 impl Responder {
-    /// A responder that sends to `sink` and counts responses at `dispatcher`.
+    /// Creates a responder that sends to `sink` and counts responses in `dispatcher`.
     pub fn new(sink: impl ResponseSink + 'static, dispatcher: Rc<Dispatcher>) -> Self {
         Self { sink: Box::new(sink), dispatcher, pending: true }
     }
 
-    /// Whether no response was sent yet.
+    /// Returns whether the request has not been ended yet, with a response or without one.
     pub fn is_pending(&self) -> bool {
         self.pending
     }
 
-    /// Asks the ingress whether the run may start.
+    /// Returns the ingress's permission to start the run.
     pub fn run_permission(&mut self) -> RunPermission {
         self.sink.run_permission()
     }
 
-    /// Asks the ingress, just before the start, whether a permitted run may still start.
+    /// Returns, just before the start, whether the ingress still permits the run.
     pub fn confirm_start(&mut self) -> bool {
         self.sink.confirm_start()
     }
 
-    /// Notifies the ingress that the worker knows the request.
+    /// Notifies the ingress that the worker has accepted the request.
     pub fn known_to_worker(&mut self) {
         self.sink.known_to_worker();
     }
 
-    /// Responds with the result of a request that succeeded.
+    /// Sends the result of a request that succeeded.
     pub fn success(&mut self, result: &[u8]) {
         if self.take_pending() {
             self.dispatcher.count_response(Response::Success);
@@ -94,14 +99,14 @@
         }
     }
 
-    /// Responds to a request that the worker does not know.
+    /// Ends a request that the worker did not accept; it never ran.
     pub fn unknown_to_worker(&mut self) {
         if self.take_pending() {
             self.sink.unknown_to_worker();
         }
     }
 
-    /// Ends the request without a response: its client is gone, or its ingress has withdrawn it.
+    /// Ends a request without a response, since its client is gone or its ingress has withdrawn it.
     pub fn end_without_response(&mut self) {
         if self.take_pending() {
             self.sink.ended_without_response();
--- a/crates/hazelspur-server/src/upstream/dependency.rs
+++ b/crates/hazelspur-server/src/upstream/dependency.rs
@@ -1,5 +1,7 @@
-//! Client of the shared dependency (the configuration's `ledger`): one call at a time on a connection, with a
-//! bounded pool of idle connections. Closing a connection cancels its call.
+//! Client of the shared dependency, which the configuration calls `ledger`.
+//!
+//! A connection carries one call at a time, and a bounded number of idle connections is kept for reuse.
+//! Closing a connection cancels its call.
 
 use crate::clock::{Clock, to_std};
 use crate::upstream::endpoints::UpstreamEndpoints;
@@ -13,59 +15,63 @@
 use tokio::net::TcpStream;
 use tokio::sync::Semaphore;
 
-/// An older idle connection is not reused: the dependency closes connections that were idle for 10 s.
+/// Idle time from which a connection is not reused. The dependency closes connections after 10 s without a
+/// call.
 const MAX_IDLE_TIME: Duration = Duration::from_ms(5000);
-/// One part in this many of the connections may be idle.
+/// Divisor of the number of connections that gives the maximum number of idle ones.
 const IDLE_CONNECTIONS_DIVISOR: usize = 4;
-/// The most idle connections.
+/// Maximum number of idle connections.
 const MAX_IDLE_CONNECTIONS: usize = 16;
-/// A connection is reused only after this time, within which surplus bytes behind its last reply arrive.
+/// Minimum idle time before a connection is reused. Surplus bytes after its last reply arrive within this
+/// time and show that the connection is unusable.
 const MIN_IDLE_TIME: Duration = Duration::from_ms(5);
-/// How long past its timeout a call is left to the dependency, which ends calls in time by itself.
+/// Time beyond its timeout for which a call is awaited, since the dependency itself ends calls at their
+/// timeout.
 const TIMEOUT_SLACK: Duration = Duration::from_ms(15);
-/// The shortest time that a call gets for its reply.
+/// Minimum time for the reply to a call.
 const MIN_REPLY_TIMEOUT: Duration = Duration::from_ms(1);
-/// A call that was cancelled after this part of its timeout counts as unanswered: a request is failed before its
-/// deadline, which cancels its call.
+/// Share of its reply timeout after which a cancelled call counts as unanswered. A request is failed before
+/// its deadline, which cancels its call before the timeout.
 const UNANSWERED_SHARE_OF_TIMEOUT: f64 = 0.5;
-/// The reply header that says that the call had no effect.
+/// Header of a reply that says that the call had no effect.
 const NO_EFFECT_HEADER: &str = "X-Untouched";
 
-/// How far a call came.
+/// Result of a call that shows whether the dependency can be reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallReach {
-    /// It was answered.
+    /// The call was answered.
     Answered,
-    /// No connection was made, or the connection broke.
+    /// The connection could not be opened, or broke.
     Unreachable,
-    /// It was accepted, and not answered in time.
+    /// The call was sent and not answered in time.
     Unanswered,
 }
 
-/// Is notified whether calls reach the dependency.
+/// Observer that is notified whether calls reach the dependency.
 pub trait ReachabilityObserver {
-    /// A call ended.
+    /// Handles the end of a call.
     fn call_finished(&self, reach: CallReach);
 }
 
-/// One dependency call of a run.
+/// Dependency call of a run.
 pub struct Call<'a> {
-    /// The request whose run asks for it.
+    /// Request whose run makes the call.
     pub request: RequestId,
-    /// How long it may take.
+    /// Timeout, from the wait for a connection to the reply.
     pub timeout: Duration,
-    /// Its body.
+    /// Body.
     pub body: &'a [u8],
-    /// Whether it needs a new connection. The reset of a stale idle connection looks like that of a call that
-    /// ran, so a call that must not run twice needs one, and so does a repeated attempt.
+    /// Whether the call needs a new connection. The reset of a stale idle connection cannot be told from a
+    /// reset after the call took effect, so calls that must not run twice need a new one, and so do repeated
+    /// attempts.
     pub new_connection: bool,
 }
 
-/// How a call ended, with its reply if it succeeded.
+/// Result of a call.
 pub struct CallResult {
-    /// How it ended.
+    /// Outcome of the call.
     pub outcome: Outcome,
-    /// The reply's body; empty where none came.
+    /// Body of the reply; empty if there was no reply.
     pub reply: Vec<u8>,
 }
 
@@ -75,7 +81,8 @@
     }
 }
 
-/// A call that was written and not answered yet: dropped late, it counts as unanswered.
+/// Call that was sent and has not ended. If it is dropped at `unanswered_from` or later, it counts as
+/// unanswered.
 struct PendingCall<'a> {
     client: &'a DependencyClient,
     clock: &'a Clock,
@@ -83,7 +90,7 @@
 }
 
 impl PendingCall<'_> {
-    /// The call ended otherwise.
+    /// Notifies the observer of the end of the call.
     fn finish(self, reach: CallReach) {
         self.client.notify(reach);
         std::mem::forget(self);
@@ -105,7 +112,7 @@
 }
 
 impl IdleConnection {
-    /// Whether nothing came on it; bytes or an end make it useless for a call.
+    /// Returns whether the connection is open and has no unread bytes; otherwise it is unusable for a call.
     fn has_no_input(&self) -> bool {
         self.stream.try_read(&mut [0]).is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
     }
@@ -117,25 +124,26 @@
     is_reused: bool,
 }
 
-/// Makes the dependency calls of all runs.
+/// Client that makes the dependency calls of all runs.
 pub struct DependencyClient {
     endpoints: Rc<UpstreamEndpoints>,
     observer: OnceCell<Rc<dyn ReachabilityObserver>>,
     idle: RefCell<Vec<IdleConnection>>,
     max_idle: usize,
-    /// One permit for each call in progress.
+    /// Permits for calls in progress, one for each call.
     permits: Semaphore,
 }
 
 impl DependencyClient {
-    /// A client that uses at most this many descriptors, for calls and idle connections together.
+    /// Creates a client that uses at most `max_descriptors` descriptors for calls and idle connections
+    /// together.
     pub fn new(endpoints: Rc<UpstreamEndpoints>, max_descriptors: usize) -> Self {
         let max_idle = (max_descriptors / IDLE_CONNECTIONS_DIVISOR).min(MAX_IDLE_CONNECTIONS);
         let permits = Semaphore::new(max_descriptors - max_idle);
         Self { endpoints, observer: OnceCell::new(), idle: RefCell::default(), max_idle, permits }
     }
 
-    /// Sets the observer; only the first call counts.
+    /// Sets the observer; only the first call has an effect.
     pub fn observe(&self, observer: Rc<dyn ReachabilityObserver>) {
         let _ = self.observer.set(observer);
     }
@@ -146,7 +154,7 @@
         }
     }
 
-    /// Makes a call; dropping the future cancels it.
+    /// Makes a call and returns its result. Dropping the future cancels the call.
     pub async fn call(&self, clock: &Clock, call: Call<'_>) -> CallResult {
         let give_up_at = clock.now() + call.timeout + TIMEOUT_SLACK;
         let Ok(Ok(_permit)) = clock.timeout(call.timeout, self.permits.acquire()).await else {
@@ -162,7 +170,8 @@
         self.exchange(clock, connection, &call, give_up_at).await
     }
 
-    /// An idle connection where one may be used, else a new one; `None` where that fails in time.
+    /// Returns an idle connection if the call may use one, or a new one; `None` if connecting fails or times
+    /// out.
     async fn obtain_connection(
         &self,
         clock: &Clock,
@@ -203,17 +212,17 @@
                 CallResult { outcome: outcome_of(&reply), reply: reply.body }
             }
             Ok(Err(error)) => {
-                // A proxy in between may accept connections for a dependency that is gone.
+                // Counts as unreachable, since a proxy may accept connections for a dependency that is down.
                 pending.finish(CallReach::Unreachable);
-                log::debug!(op:% = call.request, reused = is_reused, why:% = error; "dependency call broke");
+                log::debug!(op:% = call.request, reused = is_reused, why:% = error; "dependency call failed");
                 CallResult::without_reply(Outcome::ConnectionLost)
             }
             Err(_) => CallResult::without_reply(Outcome::TimedOut),
         }
     }
 
-    /// Takes an idle connection that is usable now, and closes those that are old, not silent or lead to a
-    /// former address.
+    /// Returns an idle connection that is usable now, if any. Closes those that are too old, have unread
+    /// bytes, are closed by the peer or lead to a former address.
     fn take_idle(&self, now: Timestamp, address: SocketAddr) -> Option<TcpStream> {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|connection| {
@@ -233,10 +242,12 @@
     }
 }
 
-/// Whether the dependency answers, whatever the answer: it is called for a run that does not exist, which has no
-/// effect. `caller` is part of the name of that run, so that callers do not replace each other's calls.
+/// Returns whether the dependency answers a probe, with any reply. The probe is a call for a run that does
+/// not exist, which has no effect. `caller` is part of the id of that run, so that callers do not replace
+/// each other's calls.
 pub async fn is_answering(clock: &Clock, address: SocketAddr, caller: &str, timeout: Duration) -> bool {
-    // No request has such an id: those of gateways are hexadecimal, those of brokers begin otherwise.
+    // No request has this id: ids from gateways are hexadecimal, and ids from brokers start with another
+    // prefix.
     let Some(request) = RequestId::padded(&format!("p-{caller}")) else { return false };
     let call = Call { request, timeout, body: &[], new_connection: true };
     let message = encode_call(&call, address, timeout);
--- a/crates/hazelspur-server/src/upstream/http_exchange.rs
+++ b/crates/hazelspur-server/src/upstream/http_exchange.rs
@@ -1,4 +1,4 @@
-//! One HTTP call on an open connection, and its reply.
+//! Exchange of one HTTP request and its response on an open connection.
 
 use hazelspur_parsers::Buffer;
 use hazelspur_parsers::http::{self, Response};
@@ -6,21 +6,25 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Why a call got no reply.
+/// Error of an exchange that got no response.
 #[derive(Debug, Error)]
 pub enum ExchangeError {
-    /// The connection broke.
+    /// Reading from or writing to the connection failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// The reply is not valid HTTP, or exceeds a bound.
+    /// The response is not valid HTTP, or exceeds a bound.
     #[error(transparent)]
     InvalidReply(#[from] http::HttpError),
-    /// The connection ended before the reply did.
-    #[error("closed")]
+    /// The connection was closed before the end of the response.
+    #[error("connection closed before the end of the response")]
     Closed,
 }
 
-/// Writes a whole call and reads its reply; `mark` names the header that `Response::is_flagged` is about.
+/// Writes an encoded request and reads its response. `flag_header` is the name of the header that sets
+/// `Response::is_flagged`.
+///
+/// # Errors
+/// Returns an error if the connection fails or is closed, or if the response is invalid.
 pub async fn exchange(
     stream: &mut TcpStream,
     request: &[u8],
--- a/crates/hazelspur-server/src/upstream/mod.rs
+++ b/crates/hazelspur-server/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Connections that the server makes: the worker process, the shared dependency, the registry.
+//! Outgoing connections of the server: to the worker process, the shared dependency and the registry.
 
 pub mod dependency;
 pub mod endpoints;
--- a/crates/hazelspur-server/src/upstream/registry.rs
+++ b/crates/hazelspur-server/src/upstream/registry.rs
@@ -1,4 +1,5 @@
-//! Health reports to the registry (the configuration's `control`), whose list of servers the gateways use.
+//! Health reports to the registry, which the configuration calls `control`. Gateways read the list of servers
+//! there.
 
 use crate::clock::Clock;
 use crate::process::phases::{Phase, Phases};
@@ -14,7 +15,7 @@
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// A time between two bounds, drawn at random.
+/// Random interval between two bounds.
 struct RandomInterval {
     min: Duration,
     max: Duration,
@@ -26,41 +27,44 @@
     }
 }
 
-/// Between reports; an entry expires 3 s after the last. Random, so that servers which a restart of the
-/// registry has synchronized do not stay so.
+/// Interval between reports. The registry removes the entry of a server 3 s after its last report. The
+/// interval is random, so that the reports of servers do not stay synchronized after a restart of the
+/// registry.
 const REPORT_INTERVAL: RandomInterval =
     RandomInterval { min: Duration::from_ms(640), max: Duration::from_ms(960) };
-/// Between attempts while reports fail.
+/// Interval between reports while they fail.
 const RETRY_INTERVAL: RandomInterval =
     RandomInterval { min: Duration::from_ms(125), max: Duration::from_ms(375) };
-/// How long the first connection attempt of a report may take.
+/// Timeout of the first connection attempt of a report.
 const FIRST_CONNECT_TIMEOUT: Duration = Duration::from_ms(10_000);
-/// How often a further connection attempt starts beside the first, and how long it may take: an attempt from
-/// an outage notices only late that the outage is over.
+/// Timeout of each further connection attempt, which starts this long after the previous one and runs beside
+/// the first. An attempt that was started during an outage notices the end of the outage only late.
 const FURTHER_CONNECT_TIMEOUT: Duration = Duration::from_ms(700);
-/// How long a reply may take at first; doubled after each that timed out.
+/// Initial timeout of the reply, doubled after each timeout.
 const INITIAL_REPLY_TIMEOUT: Duration = Duration::from_ms(700);
-/// The longest time that a reply may take.
+/// Maximum timeout of the reply.
 const MAX_REPLY_TIMEOUT: Duration = Duration::from_ms(5600);
-/// So many failures in a row are logged: a report may count though its reply is missing.
+/// Number of consecutive failures that is logged. Fewer are not, since a report may count although its reply
+/// is missing.
 const LOGGED_FAILURE_COUNT: u32 = 3;
-/// The status of a report that was taken.
+/// Status of the reply to an accepted report.
 const STATUS_NO_CONTENT: u16 = 204;
 
-/// Why a report failed.
+/// Error of a failed report.
 #[derive(Debug, Error)]
 enum ReportError {
-    #[error("no answer in time")]
+    #[error("reply timed out")]
     TimedOut,
     #[error(transparent)]
     Connect(std::io::Error),
     #[error(transparent)]
     Exchange(ExchangeError),
-    #[error("status {0}")]
+    #[error("status {0}, expected 204")]
     Status(u16),
 }
 
-/// Reports this server's health for as long as it serves, so that its entry expires in a shutdown.
+/// Reporter of the health of this server. It reports only while the server serves, so that the entry expires
+/// during a shutdown.
 pub struct HealthReporter {
     endpoints: Rc<UpstreamEndpoints>,
     dispatcher: Rc<Dispatcher>,
@@ -72,7 +76,7 @@
 }
 
 impl HealthReporter {
-    /// A reporter for the server of this name.
+    /// Creates a reporter for the server with this name; `seed` varies its random intervals.
     pub fn new(
         name: &str,
         seed: u64,
@@ -93,7 +97,7 @@
         }
     }
 
-    /// Reports from the start of serving until the shutdown notice.
+    /// Reports from the start of serving until the shutdown begins.
     pub async fn run(mut self) {
         let (endpoints, phases) = (self.endpoints.clone(), self.phases.clone());
         phases.reached(|phase| phase != Phase::Waiting).await;
@@ -122,7 +126,7 @@
         interval.draw_duration(&mut self.random)
     }
 
-    /// Adapts the timeout and logs when the registry becomes unreachable, and reachable again.
+    /// Adapts the reply timeout, and logs when the registry becomes unreachable or reachable again.
     fn record_result(&mut self, result: Result<Duration, ReportError>) {
         match result {
             Ok(reply_time) => {
@@ -144,8 +148,8 @@
         }
     }
 
-    /// Sends one report on a new connection, so that nothing left over from another spoils it. Returns how
-    /// long the reply took.
+    /// Sends one report on a new connection, so that no data of an earlier report can be taken for its reply.
+    /// Returns the time until the reply.
     async fn report(&self, address: SocketAddr) -> Result<Duration, ReportError> {
         let condition = if self.dispatcher.healthy.get() { "Ready" } else { "NotReady" };
         let body = format!("{{\"condition\":\"{condition}\"}}");
@@ -165,6 +169,7 @@
     }
 }
 
+/// Connects to the registry, with further attempts beside the first one while that is pending.
 async fn connect(clock: &Clock, address: SocketAddr) -> std::io::Result<TcpStream> {
     let further_attempts = async {
         loop {
--- a/crates/hazelspur-server/src/upstream/worker/link.rs
+++ b/crates/hazelspur-server/src/upstream/worker/link.rs
@@ -1,7 +1,10 @@
-//! Keeps one connection to the worker process: connects, waits for the replay of notices, re-sends unanswered
-//! commands, and does so again after each break or move.
+//! Connection to the worker process.
 //!
-//! Invariant: commands go out only while the connection is synchronized; until then they wait in the run table.
+//! The link connects, waits for the replay of notices and sends unanswered commands again. It repeats this
+//! whenever the connection breaks or the configured address changes.
+//!
+//! Invariant: commands are sent only while the connection is synchronized, which it is after the replay.
+//! Until then they wait in the run table.
 
 use super::notices::Notices;
 use super::replay::Replay;
@@ -23,53 +26,55 @@
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 use tokio::sync::Notify;
 
-/// The first pause before a reconnect; doubled after each.
+/// First pause before a reconnect, doubled after each.
 const RECONNECT_PAUSE: Duration = Duration::from_ms(20);
-/// The longest pause before a reconnect.
+/// Maximum pause before a reconnect.
 const MAX_RECONNECT_PAUSE: Duration = Duration::from_ms(500);
-/// How long a connection attempt may take at first; doubled after each that timed out. There is one attempt at
-/// a time, since the worker closes its connection when another arrives.
+/// Initial timeout of a connection attempt, doubled after each timeout. Only one attempt is made at a time,
+/// since the worker closes its connection when another arrives.
 const CONNECT_TIMEOUT: Duration = Duration::from_ms(3000);
-/// The longest time that a connection attempt may take.
+/// Maximum timeout of a connection attempt.
 const MAX_CONNECT_TIMEOUT: Duration = Duration::from_ms(12_000);
-/// How long a replay may take.
+/// Timeout of a replay.
 const REPLAY_TIMEOUT: Duration = Duration::from_ms(2000);
-/// How long a synchronized connection may be silent; gauges are queried more often than that.
+/// Maximum time without data on a synchronized connection. Gauges are queried more often than that.
 const IDLE_TIMEOUT: Duration = Duration::from_ms(2500);
-/// How long a connection may be silent before the worker is up, to find out whether it still leads anywhere.
+/// Maximum time without data on a connection that is not synchronized yet, after which it counts as dead.
 const UNREADY_IDLE_TIMEOUT: Duration = Duration::from_ms(4000);
-/// How long the controller's timer waits for gauges.
+/// Time for which the controller's timer waits for gauges.
 const GAUGES_TIMEOUT: Duration = Duration::from_ms(2);
-/// The name under which the worker sends the number of requests on its cores.
+/// Name of the gauge for the number of requests on the worker's cores.
 const REQUESTS_ON_CORES_GAUGE: &str = "on_cores";
 
-/// Why a connection ended.
+/// Error that ended a connection.
 #[derive(Debug, Error)]
 enum LinkError {
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    #[error("closed")]
+    #[error("connection closed by the worker")]
     Closed,
     #[error(transparent)]
     InvalidNotice(#[from] runtime::RuntimeProtocolError),
-    #[error("no end of the replay")]
+    #[error("replay timed out")]
     ReplayTimedOut,
 }
 
-/// The link to the worker process.
+/// Link to the worker process.
 pub struct WorkerLink {
     state: LinkState,
     endpoints: Rc<UpstreamEndpoints>,
+    /// Names of the gauges, in the order of the worker's values.
     gauge_names: Vec<String>,
-    /// Whether the connection's replay has ended and commands go out.
+    /// Whether the replay of the connection has ended, so that commands are sent at once.
     is_synchronized: Cell<bool>,
     synchronized_notification: Notify,
+    /// Encoded commands that are to be written to the connection.
     unsent_commands: RefCell<Vec<u8>>,
     command_notification: Notify,
 }
 
 impl WorkerLink {
-    /// A link that asks for these gauges, which the worker sends in this order.
+    /// Creates a link; `gauge_names` are the gauges in the order in which the worker sends their values.
     pub fn new(
         dispatcher: Rc<Dispatcher>,
         endpoints: Rc<UpstreamEndpoints>,
@@ -86,37 +91,37 @@
         }
     }
 
-    /// The worker's status, once it is up.
+    /// Waits until the worker is ready and returns its status.
     pub async fn ready(&self) -> WorkerStatus {
         self.state.ready().await
     }
 
-    /// Whether a command that is sent now goes out at once.
+    /// Returns whether a command that is issued now is sent at once.
     pub fn is_synchronized(&self) -> bool {
         self.is_synchronized.get()
     }
 
-    /// Completes once commands go out at once.
+    /// Waits until commands are sent at once.
     pub async fn synchronized(&self) {
-        // Single-threaded: the link can't be synchronized between the check and the wait.
+        // All tasks run on one thread, so the link cannot be synchronized between the check and the wait.
         while !self.is_synchronized.get() {
             self.synchronized_notification.notified().await;
         }
     }
 
-    /// Starts a run.
+    /// Commands the worker to start the run of a request.
     pub fn start(&self, request: RequestId, class: Arc<str>, body: Rc<[u8]>) {
         self.send(|out| runtime::write_start(out, &request.to_string(), &class, &body));
         self.state.runs.borrow_mut().record_start(request, class, body, self.is_synchronized.get());
     }
 
-    /// Stops a run.
+    /// Commands the worker to stop the run of a request.
     pub fn stop(&self, request: RequestId) {
         self.send(|out| runtime::write_stop(out, &request.to_string()));
         self.state.runs.borrow_mut().record_stop(request);
     }
 
-    /// Gives a run the reply of its call.
+    /// Sends the reply of a dependency call to the run that requested it.
     pub fn send_call_reply(&self, request: RequestId, reply: Vec<u8>) {
         self.send(|out| runtime::write_call_reply(out, &request.to_string(), &reply));
         self.state.runs.borrow_mut().record_call_reply(request, reply, self.state.gauge_query.latest());
@@ -133,7 +138,8 @@
         }
     }
 
-    /// Keeps the link up for ever; follows the worker's address at once when a new configuration moves it.
+    /// Keeps the link connected forever, and reconnects at once if the configured address of the worker
+    /// changes.
     pub async fn run(self: Rc<Self>) {
         loop {
             let address = self.endpoints.current().worker;
@@ -142,7 +148,7 @@
                 () = self.endpoints.moved_from(|at| at.worker, address) => {
                     self.is_synchronized.set(false);
                     let new_address = self.endpoints.current().worker;
-                    log::info!(last = self.state.last_notice(), to:% = new_address; "worker link moves");
+                    log::info!(last = self.state.last_notice(), to:% = new_address; "worker address changed");
                 }
             }
         }
@@ -155,13 +161,14 @@
             match self.clock().timeout(connect_timeout, TcpStream::connect(address)).await {
                 Ok(Ok(stream)) => {
                     let error = self.serve(stream).await;
-                    // A worker that accepts and closes at once is as good as one that refuses.
+                    // The pause keeps growing if the connection was never synchronized: a worker that accepts
+                    // and closes at once is handled like one that refuses.
                     if self.is_synchronized.replace(false) {
                         pause = RECONNECT_PAUSE;
                     }
                     log::warn!(last = self.state.last_notice(), why:% = error; "worker link broke");
                 }
-                Ok(Err(_)) => log::debug!("worker link refused"),
+                Ok(Err(_)) => log::debug!("worker connection attempt failed"),
                 Err(_) => connect_timeout = (connect_timeout + connect_timeout).min(MAX_CONNECT_TIMEOUT),
             }
             self.clock().sleep(pause).await;
@@ -169,12 +176,12 @@
         }
     }
 
-    /// Serves one connection until it ends.
+    /// Serves one connection until it ends, and returns the error that ended it.
     async fn serve(&self, mut stream: TcpStream) -> LinkError {
         let _ = stream.set_nodelay(true);
         let connection = self.state.replay.begin();
         let (read, mut write) = stream.split();
-        // Drops commands for the former connection; those without an answer are in the run table.
+        // Discards commands for the former connection; unanswered ones are in the run table.
         let mut out = std::mem::take(&mut *self.unsent_commands.borrow_mut());
         out.clear();
         runtime::write_sync(&mut out, self.state.last_notice());
@@ -235,21 +242,21 @@
         loop {
             write.write_all(&out).await?;
             out.clear();
-            // Commands of tasks that are ready already go out with the first one. None waits for the next turn, in
-            // which a start could be late.
+            // Commands of other tasks that are ready are written together with the first. None waits for the
+            // next turn of the event loop, in which a start could be too late.
             self.command_notification.notified().await;
             std::mem::swap(&mut out, &mut *self.unsent_commands.borrow_mut());
         }
     }
 
-    /// Writes the commands that the replayed notices did not answer.
+    /// Writes the commands that the replayed notices have not answered.
     fn resend(&self, out: &mut Vec<u8>) {
         let mut runs = self.state.runs.borrow_mut();
         let resent = runs.resend(out, self.state.gauge_query.last_answered());
         log::info!(last = self.state.last_notice(), runs = runs.len(), again = resent; "worker link up");
     }
 
-    /// Calls the controller's timer whenever it is due, with gauges if they come in time.
+    /// Reports each due timer to the controller, with the worker's gauges if they arrive in time.
     pub async fn run_timer(self: Rc<Self>) {
         loop {
             let Some(at) = self.state.dispatcher.timer.take() else {
--- a/crates/hazelspur-server/src/upstream/worker/mod.rs
+++ b/crates/hazelspur-server/src/upstream/worker/mod.rs
@@ -1,5 +1,6 @@
-//! The link to the worker process (the configuration's `runtime`): commands out, notices in, and what goes out
-//! again after the connection broke.
+//! Link to the worker process, which the configuration calls `runtime`.
+//!
+//! Sends commands, receives notices, and sends unanswered commands again after the connection broke.
 
 mod gauges;
 mod link;
--- a/crates/hazelspur-server/src/upstream/worker/notices.rs
+++ b/crates/hazelspur-server/src/upstream/worker/notices.rs
@@ -1,15 +1,17 @@
-//! Handles the worker's notices as they are decoded.
+//! Handling of the worker's notices: updates the state of the link and delivers events to the tasks of
+//! requests.
 
 use super::state::{LinkState, WorkerStatus};
 use crate::request::event::{Completion, RequestEvent};
 use hazelspur::{Duration, Outcome, RequestId};
 use hazelspur_parsers::runtime::MessageHandler;
 
-/// The notices of one connection.
+/// Handler of the notices that are decoded from one connection.
 pub(super) struct Notices<'a>(pub(super) &'a LinkState);
 
 impl Notices<'_> {
-    /// The request of a notice; `None` if the notice was received before, over this connection or another.
+    /// Returns the request of a notice; `None` if its id is invalid, or if the notice was received before
+    /// over this or an earlier connection.
     fn request_of_new_notice(&self, number: u64, id: &str) -> Option<RequestId> {
         let request = RequestId::padded(id)?;
         self.0.is_new_notice(number).then_some(request)
@@ -41,7 +43,7 @@
     }
 
     fn command_rejected(&mut self, command: &str, id: &str) {
-        // At debug level only: anybody may send requests that the worker does not know.
+        // Logged at debug level only, since any client can send requests that the worker rejects.
         log::debug!(command, id; "worker rejected a command");
         let Some(request) = RequestId::padded(id) else { return };
         if command == "start" && self.0.runs.borrow_mut().remove(request) {
--- a/crates/hazelspur-server/src/upstream/worker/runs.rs
+++ b/crates/hazelspur-server/src/upstream/worker/runs.rs
@@ -1,6 +1,8 @@
-//! The runs that were started and have not ended, with the commands that no notice has answered yet.
+//! Table of the runs that were started and have not ended, with their commands that no notice has answered
+//! yet.
 //!
-//! Invariant: after a new connection has replayed its notices, exactly these commands go out again.
+//! Invariant: after the replay of a new connection, exactly the commands that are unanswered and that the
+//! worker may not have read are sent again.
 
 use hazelspur::RequestId;
 use hazelspur_parsers::runtime;
@@ -8,20 +10,23 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The reply that a run was last given.
+/// Reply to the last dependency call of a run.
 struct CallReply {
     body: Vec<u8>,
-    /// The gauge query that was the latest then; its answer shows that the worker has read the reply.
+    /// Number of the latest gauge query when the reply was recorded. The answer to a later query shows that
+    /// the worker has read the reply.
     latest_gauge_query: u64,
 }
 
-/// A run and its unanswered commands.
+/// Run and its unanswered commands.
 struct Run {
     class: Arc<str>,
     body: Rc<[u8]>,
+    /// Whether no notice has shown yet that the worker has read the start.
     start_unanswered: bool,
-    /// Whether its start was sent over any connection.
+    /// Whether the start was sent over any connection.
     start_sent: bool,
+    /// Reply to the last dependency call; `None` once the run requests another.
     call_reply: Option<CallReply>,
     stop_requested: bool,
 }
@@ -34,7 +39,7 @@
         if self.start_unanswered {
             runtime::write_start(out, &id, &self.class, &self.body);
         }
-        // A reply that was read must not be given again: the run may have made another call since.
+        // A reply that was read must not be sent again, since the run may have requested another call since.
         if let Some(call_reply) = &self.call_reply
             && call_reply.latest_gauge_query >= last_answered_gauge_query
         {
@@ -46,19 +51,19 @@
     }
 }
 
-/// All runs that have not ended.
+/// Table of all runs that have not ended.
 #[derive(Default)]
 pub(super) struct RunTable {
     runs: BTreeMap<RequestId, Run>,
 }
 
 impl RunTable {
-    /// How many runs there are.
+    /// Returns the number of runs.
     pub(super) fn len(&self) -> usize {
         self.runs.len()
     }
 
-    /// Records the start of a run, and whether it was sent.
+    /// Records the start of a run; `start_sent` tells whether the command was sent.
     pub(super) fn record_start(
         &mut self,
         request: RequestId,
@@ -71,21 +76,21 @@
         self.runs.insert(request, run);
     }
 
-    /// Records that a run was told to stop.
+    /// Records the command to stop a run.
     pub(super) fn record_stop(&mut self, request: RequestId) {
         if let Some(run) = self.runs.get_mut(&request) {
             run.stop_requested = true;
         }
     }
 
-    /// Records a reply for a run, and the latest gauge query.
+    /// Records the reply to a dependency call of a run, with the number of the latest gauge query.
     pub(super) fn record_call_reply(&mut self, request: RequestId, body: Vec<u8>, latest_gauge_query: u64) {
         if let Some(run) = self.runs.get_mut(&request) {
             run.call_reply = Some(CallReply { body, latest_gauge_query });
         }
     }
 
-    /// Records that a run asked for a call, which answers all commands but a stop.
+    /// Records that a run requested a dependency call, which answers all its commands but a stop.
     pub(super) fn record_call_request(&mut self, request: RequestId) {
         if let Some(run) = self.runs.get_mut(&request) {
             run.start_unanswered = false;
@@ -93,19 +98,19 @@
         }
     }
 
-    /// Removes a run that ended; says whether it was there.
+    /// Removes a run that ended. Returns whether it was in the table.
     pub(super) fn remove(&mut self, request: RequestId) -> bool {
         self.runs.remove(&request).is_some()
     }
 
-    /// Removes all runs whose start was sent, and returns their ids in order.
+    /// Removes all runs whose start was sent. Returns the ids of their requests in ascending order.
     pub(super) fn remove_sent(&mut self) -> Vec<RequestId> {
         let sent = self.runs.iter().filter(|(_, run)| run.start_sent).map(|(request, _)| *request).collect();
         self.runs.retain(|_, run| !run.start_sent);
         sent
     }
 
-    /// Writes every unanswered command; returns of how many runs.
+    /// Writes the commands to be sent again after a replay. Returns the number of runs that they are for.
     pub(super) fn resend(&mut self, out: &mut Vec<u8>, last_answered_gauge_query: u64) -> usize {
         let mut resent = 0;
         for (request, run) in &mut self.runs {
--- a/crates/hazelspur-server/src/upstream/worker/state.rs
+++ b/crates/hazelspur-server/src/upstream/worker/state.rs
@@ -1,4 +1,4 @@
-//! What is known of the worker process, its runs and its notices, whichever connection brought it.
+//! State of the worker process, its runs and its notices, which outlasts the single connections of the link.
 
 use super::gauges::GaugeQuery;
 use super::replay::Replay;
@@ -11,34 +11,37 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// What the worker last stated about itself.
+/// Status that the worker last sent.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerStatus {
-    /// Whether it started warm.
+    /// Whether the worker has warmed up.
     pub is_warm: bool,
-    /// How long it was up then.
+    /// Time since the start of the worker when it sent the status.
     pub uptime: Duration,
 }
 
-/// The state of the link that outlasts its connections.
+/// State of the link that outlasts its connections.
 pub(super) struct LinkState {
-    /// Host of the controller; gets what notices say of requests.
+    /// Dispatcher, to which events of requests are delivered.
     pub(super) dispatcher: Rc<Dispatcher>,
-    /// Runs that have not ended.
+    /// Table of the runs that have not ended.
     pub(super) runs: RefCell<RunTable>,
-    /// The latest gauge query.
+    /// Latest gauge query.
     pub(super) gauge_query: GaugeQuery,
-    /// The replay of the latest connection.
+    /// Replay of the latest connection.
     pub(super) replay: Replay,
+    /// Number of the last notice that was received; zero before the first.
     last_notice: Cell<u64>,
-    /// When something last came over a synchronized connection: a worker that started later is another one.
+    /// Time of the last receipt of data over a synchronized connection; `None` before the first. A worker
+    /// that was started later is a new process.
     last_received: Cell<Option<Timestamp>>,
+    /// Last status of the worker; `None` until it is ready for the first time.
     status: Cell<Option<WorkerStatus>>,
     status_notification: Notify,
 }
 
 impl LinkState {
-    /// The state before the first connection.
+    /// Creates the state before the first connection.
     pub(super) fn new(dispatcher: Rc<Dispatcher>) -> Self {
         Self {
             dispatcher,
@@ -52,7 +55,7 @@
         }
     }
 
-    /// The worker's status, once it is up.
+    /// Waits until the worker is ready and returns its status.
     pub(super) async fn ready(&self) -> WorkerStatus {
         loop {
             if let Some(status) = self.status.get() {
@@ -62,24 +65,26 @@
         }
     }
 
-    /// The number of the last notice that was received.
+    /// Returns the number of the last notice that was received.
     pub(super) fn last_notice(&self) -> u64 {
         self.last_notice.get()
     }
 
-    /// Whether a notice is new; one that a replay repeats is not.
+    /// Returns whether a notice is new, and records it as received. Notices that a replay repeats are not
+    /// new.
     pub(super) fn is_new_notice(&self, number: u64) -> bool {
         let is_new = number > self.last_notice.get();
         self.last_notice.set(number.max(self.last_notice.get()));
         is_new
     }
 
-    /// Records that something came over a synchronized connection.
+    /// Records the receipt of data over a synchronized connection.
     pub(super) fn record_received(&self) {
         self.last_received.set(Some(self.dispatcher.clock.monotonic()));
     }
 
-    /// Takes the worker's status; one that started after the last notice is another process.
+    /// Stores the status of the worker. If the worker was started after the last receipt of data, it is a new
+    /// process and the runs of the former one fail.
     pub(super) fn worker_ready(&self, status: WorkerStatus) {
         let started = self.dispatcher.clock.monotonic().saturating_sub(status.uptime);
         if self.last_received.get().is_some_and(|last_received| started > last_received) {
@@ -91,7 +96,8 @@
         self.status_notification.notify_waiters();
     }
 
-    /// The new process numbers its notices from 1, and what the former one was sent may have run.
+    /// Expects notices of a new process, which numbers them from 1, and fails the runs that were sent to the
+    /// former process, since they may have run.
     fn worker_restarted(&self) {
         self.last_notice.set(0);
         let failed_requests = self.runs.borrow_mut().remove_sent();
