--- a/crates/hazelspur-server/src/request/lifecycle.rs
+++ b/crates/hazelspur-server/src/request/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of one request: queued, running with its dependency calls, finished.
+//! Lifecycle of one request: queued, running with its dependency calls, finished.
 //!
 //! Inputs are `RequestEvent`s; outputs are commands to the worker, dependency calls and the final response.
 //!
@@ -45,7 +45,7 @@
     pub client: ClientId,
     /// Deadline; `None` if the request timeout of its class applies.
     pub deadline: Option<Timestamp>,
-    /// Memory that the request takes, in kB.
+    /// Memory that the request takes while queued, in kB.
     pub size_kb: f64,
     /// Time at which the client sent the request.
     pub sent_at: Timestamp,
@@ -83,16 +83,16 @@
 
 /// Stage of a request.
 enum State {
-    /// Waits for the controller's decision, the first one or the one after a preemption.
+    /// Wait for the controller's decision, the first one or the one after a preemption.
     Queued,
-    /// Waits for the completion of the original attempt, whose response this request gets too.
+    /// Wait for the completion of the original attempt, whose response this request gets too.
     AwaitingOriginal,
-    /// Waits for the worker link, after the controller decided the run. The ingress has not been asked for
+    /// Wait for the worker link, after the controller decided the run. The ingress has not been asked for
     /// its permission and nothing was sent, so that the request can still be rejected or expire.
     AwaitingWorker,
-    /// Runs in the worker.
+    /// Run in the worker.
     Running(Run),
-    /// Is finished.
+    /// End of the request.
     Finished,
 }
 
--- a/crates/hazelspur-server/tests/deduplication.rs
+++ b/crates/hazelspur-server/tests/deduplication.rs
@@ -1,4 +1,4 @@
-//! Retries of requests with an idempotency key, and reads that share a result.
+//! Tests of retries of requests with an idempotency key, and of reads that share a result.
 
 mod harness;
 
@@ -32,7 +32,7 @@
 fn read_result_is_shared_while_fresh() {
     let (mut server, mut link) = ServerHarness::new("share", "");
     let mut gateway = server.connect_gateway();
-    // A connection that is not trusted shares nothing.
+    // Makes the connection trusted, since others share no reads.
     server.start_run(&mut gateway, &mut link, &request(9, 9, "view", ""));
     link.send(&success_notice(1, 9));
     gateway.record_next(&mut server.trace);
@@ -71,7 +71,7 @@
     .assert_eq(&server.trace);
 }
 
-/// Guards against returning a result to somebody who only knows its key.
+/// Guards against returning a result to a client that only knows its key.
 #[test]
 fn same_key_with_another_body_is_a_conflict() {
     let (mut server, mut link) = ServerHarness::new("body", "");
@@ -103,7 +103,7 @@
     let mut gateway = server.connect_gateway();
     let attempts: String = (1..=2).map(|n| request(n, n, "book", r#","opkey":"k""#) + "\n").collect();
     gateway.send(&format!("{attempts}{}\n", request(3, 3, "view", "")));
-    // Of requests read together either may start first.
+    // Requests that are read together may start in any order.
     let mut commands = String::new();
     link.record_next(&mut commands);
     link.record_next(&mut commands);
@@ -149,7 +149,7 @@
     .assert_eq(&server.trace);
 }
 
-/// The window is compared with the time of sending, not with that of receipt after a suspension.
+/// The window applies to the time of sending, not to the time of receipt, which a suspension delays.
 #[test]
 fn retry_sent_within_the_window_is_not_run_when_received_late() {
     let (mut server, mut link) = ServerHarness::new_with("late", "", |config| with_tenants(config, 700));
@@ -223,14 +223,15 @@
     .assert_eq(&server.trace);
 }
 
-/// Guards against a retry that is told "may have run" although neither it nor its original ran.
+/// Guards against failing a retry, which means that it may have run, although neither it nor its original
+/// ran.
 #[test]
 fn retry_of_original_that_never_ran_is_rejected_and_frees_key() {
     let (mut server, mut link) = ServerHarness::new("waiting", "");
     let mut gateway = server.connect_gateway();
     server.start_run(&mut gateway, &mut link, &request(1, 1, "book", r#","opkey":"k""#));
     gateway.send(&format!("{}\n", request(2, 2, "book", r#","opkey":"k""#)));
-    // The answer to a health check shows that the retry was read.
+    // The answer to the health check shows that the retry was read.
     gateway.send("{\"jsonrpc\":\"2.0\",\"id\":9,\"method\":\"check\"}\n");
     gateway.record_next(&mut server.trace);
     link.send(&format!("nack start {}\r\n", id(1)));
@@ -251,7 +252,7 @@
     .assert_eq(&server.trace);
 }
 
-/// Guards against a retry that is failed since its original ended between its receipt and its decision.
+/// Guards against failing a retry because its original ended between its receipt and its decision.
 #[test]
 fn retry_received_as_its_never_run_original_ends_is_rejected() {
     let (mut server, mut link) = ServerHarness::new("together", "");
@@ -272,7 +273,7 @@
     );
 }
 
-/// Request ids may be used again after their request is finished.
+/// Request ids may be reused once their request is finished.
 #[test]
 fn reused_request_id_does_not_mix_up_keys() {
     let (mut server, mut link) = ServerHarness::new("twice", "");
--- a/crates/hazelspur-server/tests/dependency_calls.rs
+++ b/crates/hazelspur-server/tests/dependency_calls.rs
@@ -1,4 +1,4 @@
-//! Dependency calls that are refused, break, or get surplus bytes.
+//! Tests of dependency calls that are refused, break, get surplus bytes or are answered during a suspension.
 
 mod harness;
 
@@ -45,7 +45,7 @@
     link.record_next(&mut server.trace);
     link.send(&format!("end 2 {} error 5 0\r\n\r\n", id(1)));
     gateway.record_next(&mut server.trace);
-    std::thread::sleep(Duration::from_millis(20)); // The idle connection could be reused.
+    std::thread::sleep(Duration::from_millis(20)); // From now on the idle connection may be reused.
     server.start_run(&mut gateway, &mut link, &request(2, 2, "book", r#","opkey":"k""#));
     link.send(&format!("wants 3 {} 3\r\nask\r\n", id(2)));
     let mut new_connection = server.accept_dependency_call();
@@ -104,7 +104,7 @@
     .assert_eq(&server.trace);
 }
 
-/// Not every installation has a dependency or a registry.
+/// The configuration may lack a dependency and a registry.
 #[test]
 fn requests_are_served_without_dependency_and_registry() {
     let edit = |config: String| {
@@ -117,7 +117,7 @@
     server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
     link.send(&success_notice(1, 1));
     gateway.record_next(&mut server.trace);
-    // A run that calls all the same gets no reply.
+    // A run that calls nevertheless gets no reply.
     server.start_run(&mut gateway, &mut link, &request(2, 2, "view", ""));
     link.send(&format!("wants 2 {} 3\r\nask\r\n", id(2)));
     gateway.record_next(&mut server.trace);
@@ -131,7 +131,8 @@
     .assert_eq(&server.trace);
 }
 
-/// A response without the call may have some value, but the worker's protocol has no command for it.
+/// The class gives a response without its call some value, but the worker's protocol has no command to skip a
+/// call.
 #[test]
 fn run_with_an_optional_call_does_not_wait_for_it_forever() {
     let refusing = refusing_address();
@@ -144,18 +145,21 @@
     server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
     link.send(&format!("wants 1 {} 3\r\nask\r\n", id(1)));
     gateway.record_next(&mut server.trace);
-    let _ =
-        writeln!(server.trace, "long before it is due {}", sent_at.elapsed() < Duration::from_millis(2500));
+    let _ = writeln!(
+        server.trace,
+        "answered long before the deadline: {}",
+        sent_at.elapsed() < Duration::from_millis(2500)
+    );
     expect_test::expect![[r#"
         runtime < sync 0
         runtime < start 0000000000000001 view 5 hello
         gateway < {"jsonrpc":"2.0","id":1,"error":{"code":-32000,"message":"failed"}}
-        long before it is due true
+        answered long before the deadline: true
     "#]]
     .assert_eq(&server.trace);
 }
 
-/// Guards against a timeout that ends before the reply in the socket is read, as after a suspension.
+/// Guards against a timeout that ends before the reply in the socket is read, for example after a suspension.
 #[test]
 fn reply_received_during_a_suspension_prevents_a_call_timeout() {
     let (mut server, mut link) = ServerHarness::new("slept", "");
@@ -165,7 +169,7 @@
     link.send(&format!("wants 1 {} 3\r\nask\r\n", id(1)));
     let mut ledger = server.accept_dependency_call();
     ledger.record_call(&mut server.trace);
-    ledger.send(reply); // The next call gets a few times as long as this one took.
+    ledger.send(reply); // The timeout of the next call is a multiple of the duration of this one.
     link.record_next(&mut server.trace);
     link.send(&success_notice(2, 1));
     gateway.record_next(&mut server.trace);
--- a/crates/hazelspur-server/tests/dependency_hang.rs
+++ b/crates/hazelspur-server/tests/dependency_hang.rs
@@ -1,14 +1,14 @@
-//! A dependency that accepts calls and never answers.
+//! Test of a dependency that accepts calls and never answers.
 
 mod harness;
 
 use harness::*;
 use std::net::TcpListener;
 
-/// Requests of a batch: as many as open the circuit breaker together with the next batch.
+/// Number of requests in a batch; two batches of unanswered calls open the circuit breaker.
 const BATCH: u32 = 6;
 
-/// The operator's file of a server that is the only one of its fleet.
+/// Returns the operator's file of a server that is the only one of its fleet.
 fn fleet_of_one(name: &str) -> String {
     let address = listener().1;
     let key = config_file(name).with_extension("key");
@@ -21,7 +21,7 @@
     )
 }
 
-/// The worker's end of the link, with the number of its last notice.
+/// Worker's end of the link, with the number of the last notice that it sent.
 struct Worker {
     link: Peer,
     last_notice: u32,
@@ -33,7 +33,7 @@
         self.link.send(&encode(self.last_notice));
     }
 
-    /// Reads commands until a run is started, which asks for a call then. Runs that are stopped end.
+    /// Reads commands until a run is started, then requests a call for it. Ends the runs that are stopped.
     fn start_run_with_call(&mut self) {
         loop {
             let command = self.link.record_next(&mut String::new());
@@ -50,7 +50,7 @@
     }
 }
 
-/// A batch of requests whose calls get no answer: each is failed in time.
+/// Sends a batch of requests whose calls get no answer, and checks that each request fails.
 fn run_unanswered_batch(server: &ServerHarness, worker: &mut Worker, gateway: &mut Peer, first_number: u32) {
     let mut open_calls = Vec::new();
     for number in first_number..first_number + BATCH {
@@ -64,7 +64,7 @@
     }
 }
 
-/// The next call, which must be a probe for a run that does not exist.
+/// Accepts the next call, which must be a probe for a run that does not exist.
 fn accept_probe(ledger: &TcpListener) -> Peer {
     let mut probe = Peer::new("ledger", accept(ledger));
     let mut trace = String::new();
@@ -73,7 +73,7 @@
     probe
 }
 
-/// Guards against calls that go on to a dependency which hangs, each for its whole timeout.
+/// Guards against sending further calls to a dependency that hangs, where each waits for its whole timeout.
 #[test]
 fn unanswered_calls_open_the_breaker_until_a_probe_is_answered() {
     let (mut server, link) = ServerHarness::new("hang", &fleet_of_one("hang"));
--- a/crates/hazelspur-server/tests/event_loop/decisions.rs
+++ b/crates/hazelspur-server/tests/event_loop/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions about a request whose run ends while the process stands still.
+//! Tests of decisions about requests whose deadline passes during a standstill of the process.
 
 use super::run_in_event_loop;
 use hazelspur::{AdmissionController, Catalog, ClientId, Duration, RequestId, Timestamp};
@@ -18,11 +18,11 @@
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 
-/// How long the client of the request waits.
+/// Time from the sending of the request to its deadline.
 const REQUEST_TIMEOUT: Duration = Duration::from_ms(1500);
-/// How long past the deadline the process stands still.
+/// Time past the deadline for which the process stands still.
 const TIME_PAST_DEADLINE: Duration = Duration::from_ms(200);
-/// The descriptors that calls may use.
+/// Maximum number of descriptors for dependency calls.
 const CALL_DESCRIPTORS: usize = 16;
 const SETTINGS: &str = r#"{"family-info":{"n-cores":2,"mem-limit-kb":100000,"run-factor":8,"stop-mode":"drop",
  "meters":["core_use","on_cores"],"calls-out":50,"calls-over-us":5000000,"passes-deadline":true},
@@ -30,10 +30,10 @@
  "rules":{"fall-multiple":8,"cold-share":0.2,"cold-us":10000000,"drain-grace-us":300000},
  "limits":{"retry-after":true,"max-retry-after-us":1000000},"servers":1}"#;
 
-/// Files of this process so far: tests run side by side.
+/// Number of configuration files that this process has created, since tests run concurrently.
 static CREATED_FILES: AtomicU32 = AtomicU32::new(0);
 
-/// The final response of the request.
+/// Final response of the request.
 #[derive(Debug, PartialEq)]
 enum Response {
     Success(Vec<u8>),
@@ -43,7 +43,7 @@
     EndedWithoutResponse,
 }
 
-/// Passes the one final response to the test.
+/// Sink that passes the final response to the test.
 struct RecordingSink(Option<oneshot::Sender<Response>>);
 
 impl RecordingSink {
@@ -88,7 +88,7 @@
     loaded.expect("a valid configuration")
 }
 
-/// A server without ingress, its tasks started.
+/// Server without ingress, whose tasks are started.
 struct TestServer {
     services: Rc<Services>,
     catalog: Rc<RefCell<Catalog>>,
@@ -109,7 +109,7 @@
         Self { services: Rc::new(Services { dispatcher, worker, dependency }), catalog }
     }
 
-    /// Submits a request whose deadline is `REQUEST_TIMEOUT` from now.
+    /// Submits a request whose deadline is `REQUEST_TIMEOUT` after `now`.
     fn submit(&self, now: Timestamp) -> oneshot::Receiver<Response> {
         let dispatcher = &self.services.dispatcher;
         let (sender, response) = oneshot::channel();
@@ -142,7 +142,7 @@
     }
 }
 
-/// The worker's end of the link, synchronized; returns once the request's run was started.
+/// Accepts and synchronizes the link to the worker, and returns it once the run of the request was started.
 async fn started_run(listener: &TcpListener) -> BufReader<TcpStream> {
     let mut link = BufReader::new(listener.accept().await.expect("the link").0);
     let mut line = String::new();
@@ -160,6 +160,7 @@
     link
 }
 
+/// Guards against a decision for a later time than that up to which input was read.
 #[test]
 fn run_end_in_the_socket_at_the_deadline_counts_as_success() {
     let response = run_in_event_loop(async |clock: Rc<Clock>| {
@@ -168,7 +169,7 @@
         let response = server.submit(clock.now());
         let link = started_run(&listener).await;
         let dispatcher = server.services.dispatcher.clone();
-        // Wakes the dispatcher, as any input does, in the turn in which the process then stands still.
+        // Wakes the dispatcher, as any input does, in the turn in which the process stands still.
         dispatcher.report(|_, _| {});
         link.get_ref().try_write(b"end 1 1 complete 5 4\r\ndone\r\n").expect("written");
         std::thread::sleep(to_std(REQUEST_TIMEOUT + TIME_PAST_DEADLINE));
@@ -177,7 +178,8 @@
     assert_eq!(response, Response::Success(b"done".to_vec()));
 }
 
-/// Guards against a run whose request is past its deadline, since the process stood still after the decision's time.
+/// Guards against starting a request past its deadline, when the process stood still after the time of the
+/// decision.
 #[test]
 fn request_past_its_deadline_is_rejected_and_never_starts() {
     let (response, commands) = run_in_event_loop(async |clock: Rc<Clock>| {
--- a/crates/hazelspur-server/tests/event_loop/main.rs
+++ b/crates/hazelspur-server/tests/event_loop/main.rs
@@ -1,5 +1,6 @@
-//! The event loop and the clock's input watermark: what had arrived before a time is reported before anything
-//! that goes by that time. A task that keeps the thread stands for a suspension of the process at that point.
+//! Tests of the event loop and the clock's input watermark: input that arrived before a time is reported
+//! before any timeout or decision for that time. A task that blocks the thread simulates a suspension of the
+//! process.
 
 mod decisions;
 mod timeouts;
@@ -15,7 +16,7 @@
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 
-/// Runs a test's future as the process runs its own.
+/// Runs the future of a test in an event loop, like the process runs its work.
 fn run_in_event_loop<F: Future>(test: impl FnOnce(Rc<Clock>) -> F) -> F::Output {
     let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
     let clock = Rc::new(Clock::default());
@@ -24,16 +25,16 @@
     EventLoop::new(clock, work).run(&runtime).expect("a descriptor")
 }
 
-/// Both ends of a connection: the event loop's, and a blocking one.
+/// Returns both ends of a TCP connection: one for the event loop, and a blocking one.
 fn connected_pair() -> (TcpStream, StdTcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let peer = StdTcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
     let (accepted, _) = listener.accept().expect("a connection");
-    accepted.set_nonblocking(true).expect("a mode");
+    accepted.set_nonblocking(true).expect("non-blocking mode");
     (TcpStream::from_std(accepted).expect("a stream"), peer)
 }
 
-/// Keeps the thread; the peer writes meanwhile.
+/// Writes bytes as the peer, then blocks the thread.
 fn block_thread_while_peer_writes(peer: &mut StdTcpStream, bytes: &[u8], blocked_ms: u64) {
     peer.write_all(bytes).expect("written");
     std::thread::sleep(StdDuration::from_millis(blocked_ms));
--- a/crates/hazelspur-server/tests/event_loop/timeouts.rs
+++ b/crates/hazelspur-server/tests/event_loop/timeouts.rs
@@ -1,4 +1,4 @@
-//! Timeouts and sleeps.
+//! Tests of timeouts and sleeps.
 
 use super::{block_thread_while_peer_writes, connected_pair, run_in_event_loop};
 use hazelspur::Duration;
@@ -11,10 +11,10 @@
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use tokio::task::spawn_local;
 
-/// Tasks between the one that reads a byte and the one that awaits it.
+/// Number of tasks between the one that reads a byte and the one that awaits it.
 const RELAY_TASKS: usize = 8;
 
-/// The byte that the peer sends, passed on from task to task.
+/// Returns a receiver of the byte that the peer sends, which is passed from task to task.
 fn relayed_byte(mut stream: TcpStream) -> UnboundedReceiver<u8> {
     let (sender, mut receiver) = unbounded_channel();
     spawn_local(async move {
@@ -115,7 +115,7 @@
         spawn_local(async move {
             while second_receiver.recv().await.is_some_and(|()| resender.send(()).is_ok()) {}
         });
-        first_sender.send(()).expect("it is received");
+        first_sender.send(()).expect("the receiver is open");
         peer.write_all(b"x").expect("written");
         let _ = clock;
         stream.read_u8().await.expect("a byte")
--- a/crates/hazelspur-server/tests/event_loop/turns.rs
+++ b/crates/hazelspur-server/tests/event_loop/turns.rs
@@ -1,4 +1,4 @@
-//! What belongs to a turn: all input that had come, however much it is, and all that the tasks do with it.
+//! Tests of turns of the event loop: a turn handles all input that had arrived, however much, in all tasks.
 
 use super::run_in_event_loop;
 use hazelspur::Duration;
@@ -16,35 +16,36 @@
 use tokio::sync::oneshot;
 use tokio::task::{JoinHandle, spawn_local};
 
-/// Several times what one look of the runtime's driver brings, and a task's budget of operations.
+/// Number of operations, a multiple of the events that one poll of the I/O driver returns and of a task's
+/// budget.
 const MANY_OPERATIONS: usize = 10_000;
-/// The same where a connection takes two descriptors of a process that may have 20,000.
+/// Number of connections, of two descriptors each, within the 20,000 descriptors that a process may have.
 const MANY_CONNECTIONS: usize = 7000;
-/// The same beside another test's connections.
+/// Number of connections that fit beside those of another test.
 const SEVERAL_CONNECTIONS: usize = 2100;
-/// How long what is awaited may take.
+/// Timeout of the waits under test.
 const WAIT_TIMEOUT: Duration = Duration::from_ms(300);
-/// For how long the thread is kept, past the limit.
+/// Time for which the thread is blocked, longer than the timeout.
 const BLOCKING_TIME: Duration = Duration::from_ms(400);
-/// Within this time a wait of `LIMIT` ends, whatever input there is.
+/// Maximum duration of a wait of `WAIT_TIMEOUT` during a flood of input.
 const MAX_WAIT_DURING_FLOOD: std::time::Duration = std::time::Duration::from_secs(10);
 
-/// Both ends of a connection: the event loop's, and a blocking one. It takes no port, of which the system has not as
-/// many as these tests open connections.
+/// Returns both ends of a connection: one for the event loop, and a blocking one. It is a Unix socket, since
+/// the system has fewer ports than these tests open connections.
 fn connected_pair() -> (UnixStream, StdUnixStream) {
     let (local, peer) = StdUnixStream::pair().expect("two descriptors");
-    local.set_nonblocking(true).expect("a mode");
+    local.set_nonblocking(true).expect("non-blocking mode");
     (UnixStream::from_std(local).expect("a stream"), peer)
 }
 
-/// Connections whose own ends are awaited, a byte each, by tasks that wait for `LIMIT`.
+/// Connections on each of which a task awaits a byte for at most `WAIT_TIMEOUT`.
 struct AwaitedConnections {
     peers: Vec<StdUnixStream>,
     waiting: Vec<JoinHandle<bool>>,
 }
 
 impl AwaitedConnections {
-    /// Opens the connections; the limit of each begins with the signal.
+    /// Opens the connections; the timeout of each task starts with the signal.
     fn open(clock: &Rc<Clock>, count: usize, start_signal: &Rc<tokio::sync::Notify>) -> Self {
         let (mut peers, mut waiting) = (Vec::new(), Vec::new());
         for _ in 0..count {
@@ -72,14 +73,15 @@
     }
 }
 
-/// Reads so many bytes one by one, sends a message for each to a task, which tells a third after the last.
+/// Starts a task that reads bytes one by one and sends messages for each to a second task, which completes
+/// the receiver after the last.
 fn relay_one_by_one(mut stream: UnixStream, count: usize, messages_per_byte: usize) -> oneshot::Receiver<()> {
     let (sender, mut receiver) = unbounded_channel();
     let (done, all_received) = oneshot::channel();
     spawn_local(async move {
         for _ in 0..count {
             stream.read_u8().await.expect("a byte");
-            (0..messages_per_byte).for_each(|_| sender.send(()).expect("it is received"));
+            (0..messages_per_byte).for_each(|_| sender.send(()).expect("the receiver is open"));
         }
         stream
     });
@@ -87,17 +89,18 @@
         for _ in 0..count * messages_per_byte {
             receiver.recv().await.expect("a message");
         }
-        done.send(()).expect("it is awaited");
+        done.send(()).expect("the receiver is open");
     });
     all_received
 }
 
-/// Lets every task that is ready go on until it waits.
+/// Lets every task that is ready continue until it waits.
 async fn let_tasks_wait(clock: &Clock) {
     clock.sleep(Duration::from_ms(1)).await;
 }
 
-/// How many of so many connections timed out though a byte had come on each, while the thread was kept.
+/// Returns the number of connections that timed out although a byte had arrived on each while the thread was
+/// blocked.
 fn count_timeouts(count: usize) -> usize {
     run_in_event_loop(async |clock: Rc<Clock>| {
         let start_signal = Rc::new(tokio::sync::Notify::new());
@@ -117,7 +120,7 @@
     assert_eq!(count_timeouts(MANY_CONNECTIONS), 0);
 }
 
-/// Whether bytes that are read one by one are relayed in time; a third task awaits the last message.
+/// Returns whether bytes that are read one by one are relayed in time to a task that awaits the last message.
 fn relay_within_timeout(bytes: usize, messages_per_byte: usize) -> Result<(), TimedOut> {
     run_in_event_loop(async |clock: Rc<Clock>| {
         let (stream, mut peer) = connected_pair();
@@ -186,7 +189,7 @@
     assert_eq!((timed_out, relayed), (0, true));
 }
 
-/// A peer that writes without end to a connection until it is dropped.
+/// Peer that writes endlessly to a connection until it is dropped.
 struct Flood {
     ended: Arc<AtomicBool>,
     thread: Option<std::thread::JoinHandle<()>>,
@@ -211,7 +214,7 @@
     }
 }
 
-/// How long a wait of `LIMIT` takes while a task reads a flood.
+/// Returns the duration of a wait of `WAIT_TIMEOUT` while a task reads a flood.
 fn measure_wait_during_flood(read: impl AsyncFn(&Clock, UnixStream) + 'static) -> std::time::Duration {
     run_in_event_loop(async |clock: Rc<Clock>| {
         let (stream, peer) = connected_pair();
@@ -221,7 +224,7 @@
         let start_time = Instant::now();
         clock.sleep(WAIT_TIMEOUT).await;
         let elapsed = start_time.elapsed();
-        // Closes the connection, which ends the flood.
+        // Closes the connection, so that the flooding thread ends.
         reader.abort();
         let _ = reader.await;
         elapsed
@@ -242,7 +245,7 @@
         let forward = |mut from: UnboundedReceiver<()>, to: tokio::sync::mpsc::UnboundedSender<()>| async move {
             while from.recv().await.is_some_and(|()| to.send(()).is_ok()) {}
         };
-        first_sender.send(()).expect("it is received");
+        first_sender.send(()).expect("the receiver is open");
         spawn_local(forward(first_receiver, second_sender));
         spawn_local(forward(second_receiver, first_sender));
         let start_time = Instant::now();
--- a/crates/hazelspur-server/tests/lifecycle.rs
+++ b/crates/hazelspur-server/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of one request through the built server, step by step.
+//! Tests of the lifecycle of one request in the built server, step by step.
 
 mod harness;
 
@@ -65,15 +65,16 @@
     gateway.send(&format!("{}\n", request(1, 1, "view", "").replace(":4000,", ":1500,")));
     let sent_at = Instant::now();
     link.record_next(&mut server.trace);
-    // Meanwhile the worker answers nothing, gauge queries included.
+    // The worker answers nothing meanwhile, not even gauge queries.
     gateway.record_next(&mut server.trace);
-    let _ = writeln!(server.trace, "in time {}", (1000..1630).contains(&sent_at.elapsed().as_millis()));
+    let _ =
+        writeln!(server.trace, "failed in time: {}", (1000..1630).contains(&sent_at.elapsed().as_millis()));
     link.record_next(&mut server.trace);
     expect_test::expect![[r#"
         runtime < sync 0
         runtime < start 0000000000000001 view 5 hello
         gateway < {"jsonrpc":"2.0","id":1,"error":{"code":-32000,"message":"failed"}}
-        in time true
+        failed in time: true
         runtime < stop 0000000000000001
     "#]]
     .assert_eq(&server.trace);
@@ -88,7 +89,7 @@
     link.record_next(&mut server.trace);
     link.send(&format!("end 1 {} cancelled 5 0\r\n\r\n", id(1)));
     server.start_run(&mut half_closed, &mut link, &request(2, 2, "view", ""));
-    half_closed.stream.get_ref().shutdown(std::net::Shutdown::Write).expect("half a close");
+    half_closed.stream.get_ref().shutdown(std::net::Shutdown::Write).expect("the write half closes");
     std::thread::sleep(Duration::from_millis(30));
     link.send(&success_notice(2, 2));
     half_closed.record_next(&mut server.trace);
--- a/crates/hazelspur-server/tests/standstill.rs
+++ b/crates/hazelspur-server/tests/standstill.rs
@@ -1,4 +1,5 @@
-//! Standstills of the process, and the time from which a signal counts that is handled after one.
+//! Tests of the detection of standstills of the process, and of the earliest time at which a signal that is
+//! handled after one can have been sent.
 
 use hazelspur::Timestamp;
 use hazelspur_server::process::standstill::StandstillDetector;
@@ -7,7 +8,7 @@
     Timestamp::from_us(ms * 1000)
 }
 
-/// A detector that has observed the loop at these times, in milliseconds.
+/// Returns a detector that has observed the event loop at these times, in milliseconds.
 fn detector_after(times_ms: &[u64]) -> StandstillDetector {
     let detector = StandstillDetector::new(ms(times_ms[0]));
     for time in &times_ms[1..] {
@@ -26,7 +27,7 @@
     assert_eq!(detector_after(&[1000, 1020]).earliest_signal(ms(1500)), ms(1020));
 }
 
-/// The timer of the next observation is due before the signal is read.
+/// After a standstill the timer of the next observation fires before the signal is read.
 #[test]
 fn signal_handled_after_the_next_observation_counts_from_the_start() {
     assert_eq!(detector_after(&[1000, 1020, 1500]).earliest_signal(ms(1501)), ms(1020));
--- a/crates/hazelspur-server/tests/suspension.rs
+++ b/crates/hazelspur-server/tests/suspension.rs
@@ -1,4 +1,4 @@
-//! A suspended server whose peers have written more than two looks at input bring.
+//! Test of a suspended server whose peers write more input than two polls of the I/O driver return.
 
 mod harness;
 
@@ -6,15 +6,15 @@
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-/// Gateways that have sent something before the registry; two looks bring 2,048 events.
+/// Number of gateways that send input before the registry; two polls of the I/O driver return 2,048 events.
 const GATEWAYS: usize = 2500;
-/// The registry has so long for its reply, in milliseconds.
+/// Timeout of the registry's reply, in milliseconds.
 const REPLY_TIMEOUT_MS: u64 = 700;
-/// The longest time between a failed report and the next.
+/// Maximum time between a failed report and the next.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(375);
 const HEALTH_CHECK: &str = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n";
 
-/// Gateways whose health checks are answered, so that the server keeps them.
+/// Connects the gateways and waits for an answered health check on each, after which the server keeps them.
 fn connect_gateways(server: &ServerHarness) -> Vec<Peer> {
     let connect = |_| {
         let mut gateway = server.connect_gateway();
@@ -25,7 +25,7 @@
     (0..GATEWAYS).map(connect).collect()
 }
 
-/// The next report to the registry, read to its end.
+/// Accepts the next report to the registry and reads it to its end.
 fn accept_report(registry: &TcpListener) -> Peer {
     let mut report = Peer::new("registry", accept(registry));
     let mut length = String::new();
@@ -58,6 +58,7 @@
     wait_until(stopped_at, REPLY_TIMEOUT_MS + 200);
     server.signal("-CONT");
     let resumed_at = Instant::now();
+    // After a failed report the next one would come sooner.
     accept_report(&registry);
     assert!(
         resumed_at.elapsed() > MAX_RETRY_INTERVAL,
--- a/crates/hazelspur-server/tests/worker_link.rs
+++ b/crates/hazelspur-server/tests/worker_link.rs
@@ -1,4 +1,4 @@
-//! The link to the worker: commands that are sent again after a break, and silent links.
+//! Tests of the link to the worker: commands that are sent again after a break, and silent connections.
 
 mod harness;
 
@@ -10,13 +10,13 @@
 fn reconnect_resends_only_unanswered_commands() {
     let (mut server, mut link) = ServerHarness::new("link", "");
     let mut gateway = server.connect_gateway();
-    // One after the other: of two requests read together either may start first.
+    // Sent one by one, since requests that are read together may start in any order.
     gateway.send(&format!("{}\n", request(1, 1, "view", "")));
     link.record_next(&mut server.trace);
     gateway.send(&format!("{}\n", request(2, 2, "view", "")));
     link.record_next(&mut server.trace);
     drop(link);
-    server.accept_worker_link(); // this one breaks before its replay
+    server.accept_worker_link(); // Breaks before its replay.
     let mut link = server.accept_worker_link();
     link.send(&format!("ready hot 2000\r\nend 1 {} complete 5 3\r\none\r\n", id(1)));
     gateway.record_next(&mut server.trace);
@@ -69,7 +69,7 @@
     server.start_run(&mut gateway, &mut link, &request(2, 2, "view", ""));
     link.send(&format!("end 2 {} complete 5 3\r\none\r\n", id(1)));
     gateway.record_next(&mut server.trace);
-    server.accept_worker_link(); // the former one is open and silent
+    server.accept_worker_link(); // Replaces the former one, which is open and silent.
     expect_test::expect![[r#"
         runtime < sync 0
         runtime < start 0000000000000001 view 5 hello
@@ -83,7 +83,7 @@
     .assert_eq(&server.trace);
 }
 
-/// Guards against ignoring a restarted worker, which numbers its notices from 1 again.
+/// Guards against ignoring the notices of a restarted worker, which numbers them from 1 again.
 #[test]
 fn restarted_worker_is_accepted_and_its_former_runs_fail() {
     let (mut server, mut link) = ServerHarness::new("restarted", "");
@@ -119,7 +119,8 @@
     .assert_eq(&server.trace);
 }
 
-/// Guards against a run after its request was failed, since its start waited for the link: one of each kind.
+/// Guards against running a request whose deadline passed while its start waited for the link.
+/// Covers a request class of each idempotency.
 #[test]
 fn request_that_expires_while_the_link_is_down_never_starts() {
     let edit = |config| with_tenants(config, 5000);
@@ -138,7 +139,7 @@
     }
     link.send("ready hot 2000\r\n");
     link.record_next(&mut server.trace);
-    // Its key is free: the retry runs.
+    // The key is free, so that the retry runs.
     let retry = request(4, 4, "book", ",\"owner\":\"a\",\"opkey\":\"k\"");
     server.start_run(&mut gateway, &mut link, &retry);
     expect_test::expect![[r#"
@@ -152,7 +153,7 @@
     .assert_eq(&server.trace);
 }
 
-/// Guards against a dial and a log line every 25 ms while the worker closes each link.
+/// Guards against a connection attempt and a log line every 25 ms while the worker closes each connection.
 #[test]
 fn link_that_is_closed_at_once_is_reopened_with_backoff() {
     let (server, link) = ServerHarness::new("closing", "");
@@ -163,7 +164,7 @@
         drop(accept(&server.runtime));
         link_count += 1;
     }
-    // 20 ms, doubled up to 500.
+    // The pause is 20 ms at first and doubles up to 500 ms.
     assert!((3..=8).contains(&link_count), "{link_count} links in 1.5 s");
 }
 
