--- a/crates/hazelspur-server/tests/event_loop/decisions.rs
+++ b/crates/hazelspur-server/tests/event_loop/decisions.rs
@@ -40,7 +40,7 @@
     Rejected,
     Failed,
     UnknownToWorker,
-    EndedWithoutResponse,
+    Unanswered,
 }
 
 /// Sink that passes the final response to the test.
@@ -70,7 +70,7 @@
     }
 
     fn ended_without_response(&mut self) {
-        self.respond(Response::EndedWithoutResponse);
+        self.respond(Response::Unanswered);
     }
 }
 
--- a/crates/hazelspur-server/tests/event_loop/turns.rs
+++ b/crates/hazelspur-server/tests/event_loop/turns.rs
@@ -41,32 +41,32 @@
 /// Connections on each of which a task awaits a byte for at most `WAIT_TIMEOUT`.
 struct AwaitedConnections {
     peers: Vec<StdUnixStream>,
-    waiting: Vec<JoinHandle<bool>>,
+    waiting_tasks: Vec<JoinHandle<bool>>,
 }
 
 impl AwaitedConnections {
     /// Opens the connections; the timeout of each task starts with the signal.
     fn open(clock: &Rc<Clock>, count: usize, start_signal: &Rc<tokio::sync::Notify>) -> Self {
-        let (mut peers, mut waiting) = (Vec::new(), Vec::new());
+        let (mut peers, mut waiting_tasks) = (Vec::new(), Vec::new());
         for _ in 0..count {
             let (mut stream, peer) = connected_pair();
             peers.push(peer);
             let (clock, start_signal) = (clock.clone(), start_signal.clone());
-            waiting.push(spawn_local(async move {
+            waiting_tasks.push(spawn_local(async move {
                 start_signal.notified().await;
                 clock.timeout(WAIT_TIMEOUT, stream.read_u8()).await.is_ok()
             }));
         }
-        Self { peers, waiting }
+        Self { peers, waiting_tasks }
     }
 
     fn write_to_each(&mut self) {
         self.peers.iter_mut().for_each(|peer| peer.write_all(b"x").expect("written"));
     }
 
-    async fn timed_out(self) -> usize {
+    async fn count_timed_out(self) -> usize {
         let mut count = 0;
-        for task in self.waiting {
+        for task in self.waiting_tasks {
             count += usize::from(!task.await.expect("no panic"));
         }
         count
@@ -111,7 +111,7 @@
         let start_time = Instant::now();
         connections.write_to_each();
         std::thread::sleep(to_std(BLOCKING_TIME).saturating_sub(start_time.elapsed()));
-        connections.timed_out().await
+        connections.count_timed_out().await
     })
 }
 
@@ -126,8 +126,8 @@
         let (stream, mut peer) = connected_pair();
         let relayed = relay_one_by_one(stream, bytes, messages_per_byte);
         let_tasks_wait(&clock).await;
-        let waiting = clock.clone();
-        let waiting = spawn_local(async move { waiting.timeout(WAIT_TIMEOUT, relayed).await });
+        let waiting_clock = clock.clone();
+        let waiting = spawn_local(async move { waiting_clock.timeout(WAIT_TIMEOUT, relayed).await });
         let_tasks_wait(&clock).await;
         peer.write_all(&vec![1; bytes]).expect("written");
         std::thread::sleep(to_std(BLOCKING_TIME));
@@ -155,9 +155,10 @@
                 tokio::task::yield_now().await;
             }
         });
-        let waiting = clock.clone();
-        let waiting =
-            spawn_local(async move { waiting.timeout(WAIT_TIMEOUT, reading).await.map(|read| read.is_ok()) });
+        let waiting_clock = clock.clone();
+        let waiting = spawn_local(async move {
+            waiting_clock.timeout(WAIT_TIMEOUT, reading).await.map(|read| read.is_ok())
+        });
         let_tasks_wait(&clock).await;
         peer.write_all(b"x").expect("written");
         std::thread::sleep(to_std(BLOCKING_TIME));
@@ -172,10 +173,10 @@
         let start_signal = Rc::new(tokio::sync::Notify::new());
         let (stream, mut peer) = connected_pair();
         let relayed = relay_one_by_one(stream, MANY_OPERATIONS, 1);
-        let (waiting, begin_wait) = (clock.clone(), start_signal.clone());
+        let (waiting_clock, wait_signal) = (clock.clone(), start_signal.clone());
         let relayed = spawn_local(async move {
-            begin_wait.notified().await;
-            waiting.timeout(WAIT_TIMEOUT, relayed).await.is_ok()
+            wait_signal.notified().await;
+            waiting_clock.timeout(WAIT_TIMEOUT, relayed).await.is_ok()
         });
         let mut connections = AwaitedConnections::open(&clock, SEVERAL_CONNECTIONS, &start_signal);
         let_tasks_wait(&clock).await;
@@ -184,31 +185,31 @@
         connections.write_to_each();
         peer.write_all(&[1; MANY_OPERATIONS]).expect("written");
         std::thread::sleep(to_std(BLOCKING_TIME));
-        (connections.timed_out().await, relayed.await.expect("no panic"))
+        (connections.count_timed_out().await, relayed.await.expect("no panic"))
     });
     assert_eq!((timed_out, relayed), (0, true));
 }
 
 /// Peer that writes endlessly to a connection until it is dropped.
 struct Flood {
-    ended: Arc<AtomicBool>,
+    is_ended: Arc<AtomicBool>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl Flood {
     fn start(mut peer: StdUnixStream) -> Self {
-        let ended = Arc::new(AtomicBool::new(false));
-        let is_over = ended.clone();
+        let is_ended = Arc::new(AtomicBool::new(false));
+        let thread_is_ended = is_ended.clone();
         let thread = std::thread::spawn(move || {
-            while !is_over.load(Ordering::Relaxed) && peer.write_all(&[1; 4096]).is_ok() {}
+            while !thread_is_ended.load(Ordering::Relaxed) && peer.write_all(&[1; 4096]).is_ok() {}
         });
-        Self { ended, thread: Some(thread) }
+        Self { is_ended, thread: Some(thread) }
     }
 }
 
 impl Drop for Flood {
     fn drop(&mut self) {
-        self.ended.store(true, Ordering::Relaxed);
+        self.is_ended.store(true, Ordering::Relaxed);
         let thread = self.thread.take().expect("dropped once");
         thread.join().expect("no panic");
     }
