--- a/crates/hazelspur-server/src/upstream/worker/link.rs
+++ b/crates/hazelspur-server/src/upstream/worker/link.rs
@@ -103,7 +103,7 @@
 
     /// Waits until commands are sent at once.
     pub async fn synchronized(&self) {
-        // All tasks run on one thread, so the link cannot be synchronized between the check and the wait.
+        // All tasks run on one thread, so that the link cannot become synchronized between check and wait.
         while !self.is_synchronized.get() {
             self.synchronized_notification.notified().await;
         }
--- a/crates/hazelspur-server/tests/event_loop/decisions.rs
+++ b/crates/hazelspur-server/tests/event_loop/decisions.rs
@@ -33,7 +33,7 @@
 /// Number of configuration files that this process has created, since tests run concurrently.
 static CREATED_FILES: AtomicU32 = AtomicU32::new(0);
 
-/// Final response of the request.
+/// Final response of the request; `Unanswered` if it ended without one.
 #[derive(Debug, PartialEq)]
 enum Response {
     Success(Vec<u8>),
--- a/crates/hazelspur-server/tests/event_loop/turns.rs
+++ b/crates/hazelspur-server/tests/event_loop/turns.rs
@@ -19,9 +19,11 @@
 /// Number of operations, a multiple of the events that one poll of the I/O driver returns and of a task's
 /// budget.
 const MANY_OPERATIONS: usize = 10_000;
-/// Number of connections, of two descriptors each, within the 20,000 descriptors that a process may have.
+/// Number of connections, also a multiple of the events that one poll of the I/O driver returns. Each takes
+/// two descriptors of a process that may have 20,000.
 const MANY_CONNECTIONS: usize = 7000;
-/// Number of connections that fit beside those of another test.
+/// Number of connections, more than the events of two polls, that fits into the descriptors beside
+/// `MANY_CONNECTIONS` of a concurrent test.
 const SEVERAL_CONNECTIONS: usize = 2100;
 /// Timeout of the waits under test.
 const WAIT_TIMEOUT: Duration = Duration::from_ms(300);
@@ -115,12 +117,14 @@
     })
 }
 
+/// More connections have input than one poll of the I/O driver returns.
 #[test]
 fn input_on_many_connections_counts_before_a_timeout() {
     assert_eq!(count_timeouts(MANY_CONNECTIONS), 0);
 }
 
-/// Returns whether bytes that are read one by one are relayed in time to a task that awaits the last message.
+/// Relays bytes that are read one by one, and returns `Ok` if a third task is notified of the last message
+/// before its timeout. The thread is blocked past the timeout once all bytes were written.
 fn relay_within_timeout(bytes: usize, messages_per_byte: usize) -> Result<(), TimedOut> {
     run_in_event_loop(async |clock: Rc<Clock>| {
         let (stream, mut peer) = connected_pair();
@@ -135,11 +139,13 @@
     })
 }
 
+/// A task that uses up its budget of operations yields before it has read all input.
 #[test]
 fn reads_beyond_the_task_budget_count_before_a_timeout() {
     assert_eq!([300, MANY_OPERATIONS].map(|bytes| relay_within_timeout(bytes, 1)), [Ok(()); 2]);
 }
 
+/// The budget is used up by messages to another task.
 #[test]
 fn messages_beyond_the_task_budget_count_before_a_timeout() {
     assert_eq!([300, MANY_OPERATIONS].map(|messages| relay_within_timeout(1, messages)), [Ok(()); 2]);
@@ -256,6 +262,7 @@
     assert!(elapsed < MAX_WAIT_DURING_FLOOD, "{elapsed:?}");
 }
 
+/// A reader takes what its socket can hold in one turn and continues in the next, so that turns end.
 #[test]
 fn reader_of_a_flood_is_limited_to_its_quota_in_each_turn() {
     let turn_count = Rc::new(Cell::new(0));
