--- a/crates/hazelspur-server/tests/standstill.rs
+++ b/crates/hazelspur-server/tests/standstill.rs
@@ -23,13 +23,13 @@
 }
 
 #[test]
-fn signal_handled_at_the_end_of_a_standstill_counts_from_its_start() {
+fn signal_handled_as_a_standstill_ends_counts_from_its_start() {
     assert_eq!(detector_after(&[1000, 1020]).earliest_signal(ms(1500)), ms(1020));
 }
 
 /// After a standstill, the timer of the next observation fires before the signal is read.
 #[test]
-fn signal_handled_after_the_next_observation_counts_from_the_start() {
+fn signal_handled_after_an_observation_counts_from_the_start() {
     assert_eq!(detector_after(&[1000, 1020, 1500]).earliest_signal(ms(1501)), ms(1020));
     assert_eq!(detector_after(&[1000, 1020, 1500, 1520, 1540]).earliest_signal(ms(1560)), ms(1020));
 }
