--- a/crates/hazelspur-server/src/upstream/registry.rs
+++ b/crates/hazelspur-server/src/upstream/registry.rs
@@ -1,4 +1,5 @@
-//! Health reports to the registry (the configuration's `control`), whose list of servers the gateways use.
+//! Health reports to the registry, which the configuration calls `control`. Gateways read the list of servers
+//! there.
 
 use crate::clock::Clock;
 use crate::process::phases::{Phase, Phases};
@@ -14,65 +15,68 @@
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// A time between two bounds, drawn at random.
+/// Random interval between two bounds.
 struct RandomInterval {
     min: Duration,
     max: Duration,
 }
 
 impl RandomInterval {
-    fn draw(&self, random: &mut Pcg) -> Duration {
+    fn draw_duration(&self, random: &mut Pcg) -> Duration {
         self.min + (self.max - self.min).scaled(random.draw_fraction())
     }
 }
 
-/// Between reports; an entry expires 3 s after the last. Random, so that servers which a restart of the
-/// registry has synchronized do not stay so.
+/// Interval between reports. The registry removes the entry of a server 3 s after its last report. The
+/// interval is random, so that the reports of servers do not stay synchronized after a restart of the
+/// registry.
 const REPORT_INTERVAL: RandomInterval =
     RandomInterval { min: Duration::from_ms(640), max: Duration::from_ms(960) };
-/// Between attempts while reports fail.
+/// Interval between reports while they fail.
 const RETRY_INTERVAL: RandomInterval =
     RandomInterval { min: Duration::from_ms(125), max: Duration::from_ms(375) };
-/// How long the first connection attempt of a report may take.
-const CONNECT_TIMEOUT: Duration = Duration::from_ms(10_000);
-/// How often a further connection attempt starts beside the first, and how long it may take: an attempt from
-/// an outage notices only late that the outage is over.
+/// Timeout of the first connection attempt of a report.
+const FIRST_CONNECT_TIMEOUT: Duration = Duration::from_ms(10_000);
+/// Timeout of each further connection attempt, which starts this long after the previous one and runs beside
+/// the first. An attempt that was started during an outage notices the end of the outage only late.
 const FURTHER_CONNECT_TIMEOUT: Duration = Duration::from_ms(700);
-/// How long a reply may take at first; doubled after each that timed out.
-const REPLY_TIMEOUT: Duration = Duration::from_ms(700);
-/// The longest time that a reply may take.
+/// Initial timeout of the reply, doubled after each timeout.
+const INITIAL_REPLY_TIMEOUT: Duration = Duration::from_ms(700);
+/// Maximum timeout of the reply.
 const MAX_REPLY_TIMEOUT: Duration = Duration::from_ms(5600);
-/// So many failures in a row are logged: a report may count though its reply is missing.
-const FAILURES_TO_LOG: u32 = 3;
-/// The status of a report that was taken.
+/// Number of consecutive failures that is logged. Fewer are not, since a report may count although its reply
+/// is missing.
+const LOGGED_FAILURE_COUNT: u32 = 3;
+/// Status of the reply to an accepted report.
 const STATUS_NO_CONTENT: u16 = 204;
 
-/// Why a report failed.
+/// Error of a failed report.
 #[derive(Debug, Error)]
 enum ReportError {
-    #[error("no answer in time")]
+    #[error("reply timed out")]
     TimedOut,
     #[error(transparent)]
     Connect(std::io::Error),
     #[error(transparent)]
     Exchange(ExchangeError),
-    #[error("status {0}")]
+    #[error("status {0}, expected 204")]
     Status(u16),
 }
 
-/// Reports this server's health for as long as it serves, so that its entry expires in a shutdown.
+/// Reporter of the health of this server. It reports only while the server serves, so that the entry expires
+/// during a shutdown.
 pub struct HealthReporter {
     endpoints: Rc<UpstreamEndpoints>,
     dispatcher: Rc<Dispatcher>,
     phases: Rc<Phases>,
     path: String,
     random: Pcg,
-    failures: u32,
+    consecutive_failures: u32,
     reply_timeout: Duration,
 }
 
 impl HealthReporter {
-    /// A reporter for the server of this name.
+    /// Creates a reporter for the server with this name; `seed` varies its random intervals.
     pub fn new(
         name: &str,
         seed: u64,
@@ -82,10 +86,18 @@
     ) -> Self {
         let random = Pcg::new(seed ^ dispatcher.clock.now().us());
         let path = format!("/v2/endpoints/{name}");
-        Self { endpoints, dispatcher, phases, path, random, failures: 0, reply_timeout: REPLY_TIMEOUT }
+        Self {
+            endpoints,
+            dispatcher,
+            phases,
+            path,
+            random,
+            consecutive_failures: 0,
+            reply_timeout: INITIAL_REPLY_TIMEOUT,
+        }
     }
 
-    /// Reports from the start of serving until the shutdown notice.
+    /// Reports from the start of serving until the shutdown begins.
     pub async fn run(mut self) {
         let (endpoints, phases) = (self.endpoints.clone(), self.phases.clone());
         phases.reached(|phase| phase != Phase::Waiting).await;
@@ -100,7 +112,7 @@
                 () = endpoints.moved_from(|at| at.registry, registry) => continue,
                 () = phases.reached(|phase| phase != Phase::Serving) => return,
             };
-            self.note(result);
+            self.record_result(result);
             let (clock, interval) = (self.dispatcher.clock.clone(), self.next_interval());
             tokio::select! {
                 () = clock.sleep(interval) => {}
@@ -110,34 +122,34 @@
     }
 
     fn next_interval(&mut self) -> Duration {
-        let interval = if self.failures == 0 { REPORT_INTERVAL } else { RETRY_INTERVAL };
-        interval.draw(&mut self.random)
+        let interval = if self.consecutive_failures == 0 { REPORT_INTERVAL } else { RETRY_INTERVAL };
+        interval.draw_duration(&mut self.random)
     }
 
-    /// Adapts the timeout and logs when the registry becomes unreachable, and reachable again.
-    fn note(&mut self, result: Result<Duration, ReportError>) {
+    /// Adapts the reply timeout, and logs when the registry becomes unreachable or reachable again.
+    fn record_result(&mut self, result: Result<Duration, ReportError>) {
         match result {
-            Ok(took) => {
-                self.reply_timeout = (took + took).max(REPLY_TIMEOUT);
-                if self.failures >= FAILURES_TO_LOG {
-                    log::info!(missed = self.failures; "registry reachable again");
+            Ok(reply_time) => {
+                self.reply_timeout = (reply_time + reply_time).max(INITIAL_REPLY_TIMEOUT);
+                if self.consecutive_failures >= LOGGED_FAILURE_COUNT {
+                    log::info!(missed = self.consecutive_failures; "registry reachable again");
                 }
-                self.failures = 0;
+                self.consecutive_failures = 0;
             }
-            Err(why) => {
-                if matches!(why, ReportError::TimedOut) {
+            Err(error) => {
+                if matches!(error, ReportError::TimedOut) {
                     self.reply_timeout = (self.reply_timeout + self.reply_timeout).min(MAX_REPLY_TIMEOUT);
                 }
-                self.failures += 1;
-                if self.failures == FAILURES_TO_LOG {
-                    log::warn!(missed = self.failures, why:%; "registry unreachable");
+                self.consecutive_failures += 1;
+                if self.consecutive_failures == LOGGED_FAILURE_COUNT {
+                    log::warn!(missed = self.consecutive_failures, why:% = error; "registry unreachable");
                 }
             }
         }
     }
 
-    /// Sends one report on a new connection, so that nothing left over from another spoils it. Returns how
-    /// long the reply took.
+    /// Sends one report on a new connection, so that no data of an earlier report can be taken for its reply.
+    /// Returns the time until the reply.
     async fn report(&self, address: SocketAddr) -> Result<Duration, ReportError> {
         let condition = if self.dispatcher.healthy.get() { "Ready" } else { "NotReady" };
         let body = format!("{{\"condition\":\"{condition}\"}}");
@@ -148,7 +160,7 @@
         let sent_at = Instant::now();
         match clock.timeout(self.reply_timeout, exchange(&mut stream, &message, "")).await {
             Err(_) => Err(ReportError::TimedOut),
-            Ok(Err(why)) => Err(ReportError::Exchange(why)),
+            Ok(Err(error)) => Err(ReportError::Exchange(error)),
             Ok(Ok(reply)) if reply.status == STATUS_NO_CONTENT => {
                 Ok(Duration::from_us(sent_at.elapsed().as_micros() as u64))
             }
@@ -157,6 +169,7 @@
     }
 }
 
+/// Connects to the registry, with further attempts beside the first one while that is pending.
 async fn connect(clock: &Clock, address: SocketAddr) -> std::io::Result<TcpStream> {
     let further_attempts = async {
         loop {
@@ -171,6 +184,6 @@
         biased;
         first = TcpStream::connect(address) => first,
         stream = further_attempts => Ok(stream),
-        () = clock.sleep(CONNECT_TIMEOUT) => Err(std::io::ErrorKind::TimedOut.into()),
+        () = clock.sleep(FIRST_CONNECT_TIMEOUT) => Err(std::io::ErrorKind::TimedOut.into()),
     }
 }
--- a/crates/hazelspur-server/tests/event_loop/decisions.rs
+++ b/crates/hazelspur-server/tests/event_loop/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions about a request whose run ends while the process stands still.
+//! Tests of decisions about requests whose deadline passes during a standstill of the process.
 
 use super::run_in_event_loop;
 use hazelspur::{AdmissionController, Catalog, ClientId, Duration, RequestId, Timestamp};
@@ -18,11 +18,11 @@
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 
-/// How long the client of the request waits.
+/// Time from the sending of the request to its deadline.
 const REQUEST_TIMEOUT: Duration = Duration::from_ms(1500);
-/// How long past the deadline the process stands still.
-const PAST_DEADLINE: Duration = Duration::from_ms(200);
-/// The descriptors that calls may use.
+/// Time past the deadline for which the process stands still.
+const TIME_PAST_DEADLINE: Duration = Duration::from_ms(200);
+/// Maximum number of descriptors for dependency calls.
 const CALL_DESCRIPTORS: usize = 16;
 const SETTINGS: &str = r#"{"family-info":{"n-cores":2,"mem-limit-kb":100000,"run-factor":8,"stop-mode":"drop",
  "meters":["core_use","on_cores"],"calls-out":50,"calls-over-us":5000000,"passes-deadline":true},
@@ -30,20 +30,20 @@
  "rules":{"fall-multiple":8,"cold-share":0.2,"cold-us":10000000,"drain-grace-us":300000},
  "limits":{"retry-after":true,"max-retry-after-us":1000000},"servers":1}"#;
 
-/// Files of this process so far: tests run side by side.
-static FILES: AtomicU32 = AtomicU32::new(0);
+/// Number of configuration files that this process has created, since tests run concurrently.
+static CREATED_FILES: AtomicU32 = AtomicU32::new(0);
 
-/// The final response of the request.
+/// Final response of the request; `Unanswered` if it ended without one.
 #[derive(Debug, PartialEq)]
 enum Response {
     Success(Vec<u8>),
     Rejected,
     Failed,
     UnknownToWorker,
-    ClientGone,
+    Unanswered,
 }
 
-/// Passes the one final response to the test.
+/// Sink that passes the final response to the test.
 struct RecordingSink(Option<oneshot::Sender<Response>>);
 
 impl RecordingSink {
@@ -69,16 +69,16 @@
         self.respond(Response::UnknownToWorker);
     }
 
-    fn client_gone(&mut self) {
-        self.respond(Response::ClientGone);
+    fn ended_without_response(&mut self) {
+        self.respond(Response::Unanswered);
     }
 }
 
-fn load(worker: &TcpListener) -> Loaded {
+fn load_config(worker: &TcpListener) -> Loaded {
     let worker = worker.local_addr().expect("an address");
     let text =
         format!(r#"{{"name":"n1","listen":"127.0.0.1:1","runtime":"{worker}","settings":{SETTINGS}}}"#);
-    let number = FILES.fetch_add(1, Ordering::Relaxed);
+    let number = CREATED_FILES.fetch_add(1, Ordering::Relaxed);
     let file =
         std::env::temp_dir().join(format!("hazelspur-{}-event-loop-{number}.json", std::process::id()));
     std::fs::write(&file, text).expect("a file");
@@ -88,7 +88,7 @@
     loaded.expect("a valid configuration")
 }
 
-/// A server without ingress, its tasks started.
+/// Server without ingress, whose tasks are started.
 struct TestServer {
     services: Rc<Services>,
     catalog: Rc<RefCell<Catalog>>,
@@ -96,7 +96,7 @@
 
 impl TestServer {
     fn start(clock: &Rc<Clock>, worker: &TcpListener) -> Self {
-        let Loaded { config, catalog } = load(worker);
+        let Loaded { config, catalog } = load_config(worker);
         let dispatcher = Rc::new(Dispatcher::new(clock.clone()));
         let endpoints = Rc::new(UpstreamEndpoints::new(config.addresses));
         let worker = Rc::new(WorkerLink::new(dispatcher.clone(), endpoints.clone(), config.gauge_names));
@@ -109,7 +109,7 @@
         Self { services: Rc::new(Services { dispatcher, worker, dependency }), catalog }
     }
 
-    /// Submits a request whose deadline is `REQUEST_TIMEOUT` from now.
+    /// Submits a request whose deadline is `REQUEST_TIMEOUT` after `now`.
     fn submit(&self, now: Timestamp) -> oneshot::Receiver<Response> {
         let dispatcher = &self.services.dispatcher;
         let (sender, response) = oneshot::channel();
@@ -137,12 +137,12 @@
             responder: Responder::new(RecordingSink(Some(sender)), dispatcher.clone()),
             events: dispatcher.register(request).expect("a new id"),
         };
-        spawn_local(lifecycle.admit(&received).run());
+        spawn_local(lifecycle.submit(&received).run());
         response
     }
 }
 
-/// The worker's end of the link, synchronized; returns once the request's run was started.
+/// Accepts and synchronizes the link to the worker, and returns it once the run of the request was started.
 async fn started_run(listener: &TcpListener) -> BufReader<TcpStream> {
     let mut link = BufReader::new(listener.accept().await.expect("the link").0);
     let mut line = String::new();
@@ -153,33 +153,35 @@
             link.write_all(b"ready hot 1000\r\n").await.expect("written");
         }
         if let Some(tag) = line.strip_prefix("gauges ") {
-            let load = format!("load {} 0 0\r\n", tag.trim());
-            link.write_all(load.as_bytes()).await.expect("written");
+            let gauges = format!("load {} 0 0\r\n", tag.trim());
+            link.write_all(gauges.as_bytes()).await.expect("written");
         }
     }
     link
 }
 
+/// Guards against a decision for a later time than that up to which input was read.
 #[test]
-fn no_decision_goes_by_a_later_time_than_the_last_look_at_input() {
+fn run_end_in_the_socket_at_the_deadline_counts_as_success() {
     let response = run_in_event_loop(async |clock: Rc<Clock>| {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let server = TestServer::start(&clock, &listener);
         let response = server.submit(clock.now());
         let link = started_run(&listener).await;
         let dispatcher = server.services.dispatcher.clone();
-        // Wakes the dispatcher, as any input does, in the turn in which the process then stands still.
+        // Wakes the dispatcher, as any input does, in the turn in which the process stands still.
         dispatcher.report(|_, _| {});
         link.get_ref().try_write(b"end 1 1 complete 5 4\r\ndone\r\n").expect("written");
-        std::thread::sleep(to_std(REQUEST_TIMEOUT + PAST_DEADLINE));
+        std::thread::sleep(to_std(REQUEST_TIMEOUT + TIME_PAST_DEADLINE));
         response.await.expect("a response")
     });
     assert_eq!(response, Response::Success(b"done".to_vec()));
 }
 
-/// Guards against a run whose request is past its deadline, since the process stood still after the decision's time.
+/// Guards against starting a request past its deadline, when the process stood still after the time of the
+/// decision.
 #[test]
-fn a_request_whose_deadline_passed_before_its_start_is_rejected_and_never_starts() {
+fn request_past_its_deadline_is_rejected_and_never_starts() {
     let (response, commands) = run_in_event_loop(async |clock: Rc<Clock>| {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let server = TestServer::start(&clock, &listener);
@@ -187,7 +189,7 @@
         link.write_all(b"ready hot 1000\r\nload link1 0 0\r\n").await.expect("written");
         server.services.worker.synchronized().await;
         let response = server.submit(clock.now());
-        std::thread::sleep(to_std(REQUEST_TIMEOUT + PAST_DEADLINE));
+        std::thread::sleep(to_std(REQUEST_TIMEOUT + TIME_PAST_DEADLINE));
         let response = response.await.expect("a response");
         clock.sleep(Duration::from_ms(20)).await;
         let mut commands = vec![0; 4096];
@@ -199,7 +201,7 @@
 }
 
 #[test]
-fn a_run_that_ends_after_the_deadline_is_late() {
+fn request_whose_run_outlasts_the_deadline_fails() {
     let response = run_in_event_loop(async |clock: Rc<Clock>| {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let server = TestServer::start(&clock, &listener);
--- a/crates/hazelspur-server/tests/worker_link.rs
+++ b/crates/hazelspur-server/tests/worker_link.rs
@@ -1,4 +1,4 @@
-//! The link to the worker: commands that are sent again after a break, and silent links.
+//! Tests of the link to the worker: commands that are sent again after a break, and silent connections.
 
 mod harness;
 
@@ -10,13 +10,13 @@
 fn reconnect_resends_only_unanswered_commands() {
     let (mut server, mut link) = ServerHarness::new("link", "");
     let mut gateway = server.connect_gateway();
-    // One after the other: of two requests read together either may start first.
+    // Sent one by one, since requests that are read together may start in any order.
     gateway.send(&format!("{}\n", request(1, 1, "view", "")));
     link.record_next(&mut server.trace);
     gateway.send(&format!("{}\n", request(2, 2, "view", "")));
     link.record_next(&mut server.trace);
     drop(link);
-    server.accept_worker_link(); // this one breaks before its replay
+    server.accept_worker_link(); // Breaks before its replay.
     let mut link = server.accept_worker_link();
     link.send(&format!("ready hot 2000\r\nend 1 {} complete 5 3\r\none\r\n", id(1)));
     gateway.record_next(&mut server.trace);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn read_reply_is_not_resent_and_silent_link_is_replaced() {
+fn read_call_reply_is_not_resent_and_silent_link_is_replaced() {
     let (mut server, mut link) = ServerHarness::new("given", "");
     let mut gateway = server.connect_gateway();
     server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
@@ -69,7 +69,7 @@
     server.start_run(&mut gateway, &mut link, &request(2, 2, "view", ""));
     link.send(&format!("end 2 {} complete 5 3\r\none\r\n", id(1)));
     gateway.record_next(&mut server.trace);
-    server.accept_worker_link(); // the former one is open and silent
+    server.accept_worker_link(); // Replaces the former one, which is open and silent.
     expect_test::expect![[r#"
         runtime < sync 0
         runtime < start 0000000000000001 view 5 hello
@@ -83,7 +83,7 @@
     .assert_eq(&server.trace);
 }
 
-/// Guards against ignoring a restarted worker, which numbers its notices from 1 again.
+/// Guards against ignoring the notices of a restarted worker, which numbers them from 1 again.
 #[test]
 fn restarted_worker_is_accepted_and_its_former_runs_fail() {
     let (mut server, mut link) = ServerHarness::new("restarted", "");
@@ -119,9 +119,10 @@
     .assert_eq(&server.trace);
 }
 
-/// Guards against a run after its request was failed, since its start waited for the link: one of each kind.
+/// Guards against running a request whose deadline passed while its start waited for the link.
+/// Covers a request class of each idempotency.
 #[test]
-fn request_that_expires_while_the_link_is_down_is_rejected_and_never_starts() {
+fn request_that_expires_while_the_link_is_down_never_starts() {
     let edit = |config| with_tenants(config, 5000);
     let (mut server, link) = ServerHarness::new_with("down", "", edit);
     let mut gateway = server.connect_gateway();
@@ -131,14 +132,14 @@
         let expiring = request(id, id, class, ",\"owner\":\"a\",\"opkey\":\"k\"");
         gateway.send(&format!("{}\n", expiring.replace("\"timeout\":4000", "\"timeout\":2000")));
     }
-    let mut answers: Vec<String> = (0..3).map(|_| gateway.record_next(&mut String::new())).collect();
-    answers.sort();
-    for answer in answers {
-        let _ = writeln!(server.trace, "{}", &answer[..answer.len().min(46)]);
+    let mut responses: Vec<String> = (0..3).map(|_| gateway.record_next(&mut String::new())).collect();
+    responses.sort();
+    for response in responses {
+        let _ = writeln!(server.trace, "{}", &response[..response.len().min(46)]);
     }
     link.send("ready hot 2000\r\n");
     link.record_next(&mut server.trace);
-    // Its key is free: the retry runs.
+    // The key is free, so that the retry runs.
     let retry = request(4, 4, "book", ",\"owner\":\"a\",\"opkey\":\"k\"");
     server.start_run(&mut gateway, &mut link, &retry);
     expect_test::expect![[r#"
@@ -152,25 +153,25 @@
     .assert_eq(&server.trace);
 }
 
-/// Guards against a dial and a log line every 25 ms while the worker closes each link.
+/// Guards against a connection attempt and a log line every 25 ms while the worker closes each connection.
 #[test]
-fn link_that_is_closed_at_once_is_made_anew_after_growing_pauses() {
+fn link_that_is_closed_at_once_is_reopened_with_backoff() {
     let (server, link) = ServerHarness::new("closing", "");
     drop(link);
-    let since = Instant::now();
-    let mut links = 0;
-    while since.elapsed() < Duration::from_millis(1500) {
+    let start_time = Instant::now();
+    let mut link_count = 0;
+    while start_time.elapsed() < Duration::from_millis(1500) {
         drop(accept(&server.runtime));
-        links += 1;
+        link_count += 1;
     }
-    // 20 ms, doubled up to 500.
-    assert!((3..=8).contains(&links), "{links} links in 1.5 s");
+    // The pause is 20 ms at first and doubles up to 500 ms.
+    assert!((3..=8).contains(&link_count), "{link_count} links in 1.5 s");
 }
 
 #[test]
 fn link_that_is_silent_before_ready_is_replaced() {
     let mut server = ServerHarness::started("quiet", "");
-    let _quiet = server.accept_worker_link();
+    let _silent_link = server.accept_worker_link();
     let mut link = server.accept_worker_link();
     link.send("ready hot 100\r\n");
     link.record_next(&mut server.trace);
