--- a/crates/hazelspur-server/benches/queues.rs
+++ b/crates/hazelspur-server/benches/queues.rs
@@ -7,7 +7,7 @@
 
 use hazelspur_test_doubles::now_ms;
 use hazelspur_test_doubles::runtime::Pace;
-use helpers::{Sent, Shop};
+use helpers::{MessageOptions, Testbed};
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -36,24 +36,24 @@
 const OPEN_LOOP_DURATION: Duration = Duration::from_secs(10);
 
 fn main() {
-    let part = std::env::args().skip(1).find(|word| !word.starts_with('-')).unwrap_or_default();
-    let wanted = |name: &str| part.is_empty() || part == name;
-    if wanted("cost") {
+    let selected = std::env::args().skip(1).find(|argument| !argument.starts_with('-')).unwrap_or_default();
+    let is_selected = |name: &str| selected.is_empty() || selected == name;
+    if is_selected("cost") {
         processor_time();
     }
-    if wanted("million") {
-        memory_of_a_million();
+    if is_selected("million") {
+        memory_over_a_million_deliveries();
     }
-    if wanted("service") {
-        service_beside_a_backlog();
+    if is_selected("service") {
+        gateway_service_with_backlog();
     }
-    if wanted("return") {
+    if is_selected("return") {
         time_to_reconnect();
     }
 }
 
 /// A queue whose prefetch window does not limit the measurement.
-const FREE: &str = "queue(name = \"orders\", window = \"fixed\", most = 32)\n";
+const WIDE_WINDOW_QUEUE: &str = "queue(name = \"orders\", window = \"fixed\", most = 32)\n";
 
 fn request(id: u64, request_class: &str) -> String {
     let now = now_ms();
@@ -68,8 +68,8 @@
     resident_mb: f64,
 }
 
-fn usage(shop: &Shop) -> Usage {
-    let path = |name: &str| format!("/proc/{}/{name}", shop.process());
+fn usage(testbed: &Testbed) -> Usage {
+    let path = |name: &str| format!("/proc/{}/{name}", testbed.process_id());
     let read = |name: &str| std::fs::read_to_string(path(name)).unwrap_or_default();
     let stat = read("stat");
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
@@ -84,49 +84,54 @@
     }
 }
 
-fn free_shop() -> Shop {
-    let shop = Shop::consuming(FREE, Pace { cores: 64, ..Pace::default() }, "orders");
-    shop.broker.state().forgetful = true;
-    shop.runtime.state().forgetful = true;
-    shop
+fn cost_testbed() -> Testbed {
+    let testbed =
+        Testbed::start_consuming(WIDE_WINDOW_QUEUE, Pace { cores: 64, ..Pace::default() }, "orders");
+    testbed.broker.state().forgetful = true;
+    testbed.worker.state().forgetful = true;
+    testbed
 }
 
-fn fill(shop: &Shop, count: usize, request_class: &str) {
+fn publish_messages(testbed: &Testbed, count: usize, request_class: &str) {
     // A message-id for each: a known one would be answered from the cache.
-    static LAST: AtomicU32 = AtomicU32::new(0);
+    static NEXT_MESSAGE_ID: AtomicU32 = AtomicU32::new(0);
     for _ in 0..count {
-        let name = LAST.fetch_add(1, Ordering::Relaxed).to_string();
-        shop.broker.publish("orders", Sent::default().properties(request_class, &name), b"hello");
+        let message_id = NEXT_MESSAGE_ID.fetch_add(1, Ordering::Relaxed).to_string();
+        testbed.broker.publish(
+            "orders",
+            MessageOptions::default().properties(request_class, &message_id),
+            b"hello",
+        );
     }
 }
 
 /// Processor time of a delivery and of a JSON-RPC request, in turns on one process.
 fn processor_time() {
-    let shop = free_shop();
+    let testbed = cost_testbed();
     let mut figures = Vec::new();
     for turn in 0..4 {
         for request_class in ["view", "book"] {
-            figures.push(format!("turn {turn} {}", cost_of_deliveries(&shop, request_class)));
+            figures.push(format!("turn {turn} {}", cost_of_deliveries(&testbed, request_class)));
         }
-        figures.push(format!("turn {turn} {}", cost_of_requests(&shop, turn * COST_REQUESTS * 2)));
+        figures.push(format!("turn {turn} {}", cost_of_requests(&testbed, turn * COST_REQUESTS * 2)));
     }
     println!("{}", figures.join("\n"));
 }
 
 /// Runs `batch`, which processes `count` requests; returns processor time and rate of each.
-fn measured(shop: &Shop, count: u64, batch: impl FnOnce()) -> String {
-    let (before_s, begun) = (usage(shop).processor_s, Instant::now());
+fn measure_cost(testbed: &Testbed, count: u64, batch: impl FnOnce()) -> String {
+    let (used_before_s, started_at) = (usage(testbed).processor_s, Instant::now());
     batch();
-    let elapsed_s = begun.elapsed().as_secs_f64();
-    let processor_us = (usage(shop).processor_s - before_s) / count as f64 * 1e6;
+    let elapsed_s = started_at.elapsed().as_secs_f64();
+    let processor_us = (usage(testbed).processor_s - used_before_s) / count as f64 * 1e6;
     format!("{processor_us:.1} us CPU, {:.0}/s", count as f64 / elapsed_s)
 }
 
-fn cost_of_deliveries(shop: &Shop, request_class: &str) -> String {
-    let acks = shop.broker.state().acks;
-    let cost = measured(shop, COST_REQUESTS, || {
-        fill(shop, COST_REQUESTS as usize, request_class);
-        let all_acked = shop.broker.until(BATCH_TIMEOUT, |state| state.acks >= acks + COST_REQUESTS);
+fn cost_of_deliveries(testbed: &Testbed, request_class: &str) -> String {
+    let acks = testbed.broker.state().acks;
+    let cost = measure_cost(testbed, COST_REQUESTS, || {
+        publish_messages(testbed, COST_REQUESTS as usize, request_class);
+        let all_acked = testbed.broker.until(BATCH_TIMEOUT, |state| state.acks >= acks + COST_REQUESTS);
         assert!(all_acked, "not all were acked");
     });
     format!("delivery of {request_class}: {cost}")
@@ -139,8 +144,8 @@
 }
 
 impl Gateway {
-    fn connect(shop: &Shop) -> Self {
-        let stream = TcpStream::connect(&shop.listen).expect("it listens");
+    fn connect(testbed: &Testbed) -> Self {
+        let stream = TcpStream::connect(&testbed.listen).expect("it listens");
         stream.set_nodelay(true).expect("a mode");
         Self { writer: stream.try_clone().expect("a handle"), reader: BufReader::new(stream) }
     }
@@ -164,9 +169,9 @@
     }
 }
 
-fn cost_of_requests(shop: &Shop, id_offset: u64) -> String {
-    let mut gateways: Vec<Gateway> = (0..COST_CONNECTIONS).map(|_| Gateway::connect(shop)).collect();
-    let cost = measured(shop, COST_REQUESTS, || {
+fn cost_of_requests(testbed: &Testbed, id_offset: u64) -> String {
+    let mut gateways: Vec<Gateway> = (0..COST_CONNECTIONS).map(|_| Gateway::connect(testbed)).collect();
+    let cost = measure_cost(testbed, COST_REQUESTS, || {
         let mut sent = 0;
         while sent < COST_REQUESTS {
             for gateway in &mut gateways {
@@ -180,37 +185,37 @@
 }
 
 /// Resident memory over a million deliveries.
-fn memory_of_a_million() {
-    let shop = free_shop();
+fn memory_over_a_million_deliveries() {
+    let testbed = cost_testbed();
     let step = 50_000;
     for n in 1..=20u64 {
-        fill(&shop, step as usize, "view");
-        let all_acked = shop.broker.until(BATCH_TIMEOUT, |state| state.acks >= n * step);
+        publish_messages(&testbed, step as usize, "view");
+        let all_acked = testbed.broker.until(BATCH_TIMEOUT, |state| state.acks >= n * step);
         assert!(all_acked, "not all were acked");
         if n == 1 || n % 5 == 0 {
-            println!("after {} deliveries: {:.1} MB resident", n * step, usage(&shop).resident_mb);
+            println!("after {} deliveries: {:.1} MB resident", n * step, usage(&testbed).resident_mb);
         }
     }
 }
 
 /// Gateways' service with and without a backlog of 10,000 messages: the fraction of requests that succeed within
 /// their objective, sent at fixed times whatever the responses.
-fn service_beside_a_backlog() {
+fn gateway_service_with_backlog() {
     // Two cores, 20 ms a run: 100 requests a second.
     let pace = Pace { run_ms: 20, cores: 2, ..Pace::default() };
     for rate in [60.0, 95.0, 130.0] {
         for rule in ["none", "fixed", "room", "step"] {
             let window = if rule == "none" { "step" } else { rule };
             let queue = format!("queue(name = \"orders\", window = {window:?}, most = 64)\n");
-            let shop = Shop::consuming(&queue, pace, "orders");
+            let testbed = Testbed::start_consuming(&queue, pace, "orders");
             if rule != "none" {
-                fill(&shop, 10_000, "view");
+                publish_messages(&testbed, 10_000, "view");
             }
             // Until the controller has learned the run time, nothing counts.
             sleep(Duration::from_secs(2));
-            let acks = shop.broker.state().acks;
-            let counts = open_loop(&shop.listen, rate, OPEN_LOOP_DURATION);
-            let acked = shop.broker.state().acks - acks;
+            let acks = testbed.broker.state().acks;
+            let counts = open_loop(&testbed.listen, rate, OPEN_LOOP_DURATION);
+            let acked = testbed.broker.state().acks - acks;
             println!(
                 "gateways {rate:.0}/s, queue window {rule}: acked in time {:.3}, nacked {:.3}, deliveries acked {:.1}/s",
                 counts.fraction(counts.in_time),
@@ -244,7 +249,7 @@
 /// Requests of one connection at fixed times.
 #[derive(Clone, Copy)]
 struct Schedule {
-    begun: Instant,
+    starts_at: Instant,
     interval: Duration,
     requests: u32,
 }
@@ -262,10 +267,10 @@
                 stream.set_read_timeout(Some(Duration::from_secs(5))).expect("a limit");
                 let reader = BufReader::new(stream.try_clone().expect("a handle"));
                 let offset = interval.mul_f64(f64::from(connection) / f64::from(OPEN_LOOP_CONNECTIONS));
-                let schedule = Schedule { begun: Instant::now() + offset, interval, requests };
+                let schedule = Schedule { starts_at: Instant::now() + offset, interval, requests };
                 scope.spawn(move || count_responses(reader, schedule, counts));
                 for n in 0..requests {
-                    let at = schedule.begun + interval * n;
+                    let at = schedule.starts_at + interval * n;
                     sleep(at.saturating_duration_since(Instant::now()));
                     let id = (u64::from(connection) + 1) * IDS_PER_CONNECTION + u64::from(n);
                     stream.write_all(request(id, "view").as_bytes()).expect("it reads");
@@ -284,7 +289,7 @@
     let (mut line, mut responses) = (String::new(), 0);
     while responses < schedule.requests && reader.read_line(&mut line).is_ok_and(|n| n > 0) {
         if let Some(id) = response_id(&line) {
-            let sent_at = schedule.begun + schedule.interval.mul_f64((id % IDS_PER_CONNECTION) as f64);
+            let sent_at = schedule.starts_at + schedule.interval.mul_f64((id % IDS_PER_CONNECTION) as f64);
             if line.contains("\"result\"") && sent_at.elapsed() < LATENCY_OBJECTIVE {
                 counts.in_time.fetch_add(1, Ordering::Relaxed);
             } else if line.contains("-32011") {
@@ -305,18 +310,18 @@
     for (spread_s, attempts) in [(0.03, 5), (8.0, 3)] {
         let mut elapsed_ms = Vec::new();
         for _ in 0..attempts {
-            let mut shop = Shop::new(FREE, Pace::default());
-            shop.spread_s = spread_s;
-            shop.broker.declare("dead", None);
-            shop.broker.declare("orders", None);
-            shop.start();
-            shop.broker.until(BATCH_TIMEOUT, |state| state.consumed("orders"));
-            shop.broker.stop();
+            let mut testbed = Testbed::new(WIDE_WINDOW_QUEUE, Pace::default());
+            testbed.reconnect_spread_s = spread_s;
+            testbed.broker.declare("dead", None);
+            testbed.broker.declare("orders", None);
+            testbed.start();
+            testbed.broker.until(BATCH_TIMEOUT, |state| state.consumed("orders"));
+            testbed.broker.stop();
             sleep(Duration::from_millis(500));
-            shop.broker.restart();
-            shop.publish("orders", "view", "first", Sent::default());
+            testbed.broker.restart();
+            testbed.publish("orders", "view", "first", MessageOptions::default());
             let returned_at = Instant::now();
-            shop.broker.until(BATCH_TIMEOUT, |state| state.acks >= 1);
+            testbed.broker.until(BATCH_TIMEOUT, |state| state.acks >= 1);
             elapsed_ms.push(returned_at.elapsed().as_millis());
         }
         elapsed_ms.sort_unstable();
