--- a/crates/hazelspur-server/src/ingress/amqp/channels.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/channels.rs
@@ -22,7 +22,7 @@
     delay: Duration,
 }
 
-fn increased(delay: Duration) -> Duration {
+fn next_delay(delay: Duration) -> Duration {
     (delay + delay).clamp(MIN_REOPEN_DELAY, MAX_REOPEN_DELAY)
 }
 
@@ -44,7 +44,7 @@
     /// Schedules an attempt after a loss; returns its delay.
     pub(super) fn channel_lost(&mut self, channel: u16, now: Timestamp) -> Duration {
         let previous = self.0.get(&channel).map_or(Duration::ZERO, |attempt| attempt.delay);
-        let delay = increased(previous);
+        let delay = next_delay(previous);
         self.0.insert(channel, ChannelAttempt { at: now + delay, delay });
         delay
     }
@@ -53,7 +53,7 @@
     fn take_due(&mut self, now: Timestamp) -> Vec<u16> {
         let due = self.0.iter_mut().filter(|(_, attempt)| attempt.at <= now);
         let attempted = due.map(|(channel, attempt)| {
-            attempt.at = now + increased(attempt.delay);
+            attempt.at = now + next_delay(attempt.delay);
             *channel
         });
         attempted.collect()
@@ -80,7 +80,7 @@
 
     /// Carries out what is decided, opens channels that are due, and updates the windows.
     pub(super) fn advance(&self, connection: &mut BrokerConnection) {
-        self.note_shutdown();
+        self.detect_shutdown();
         self.carry_out_actions(Some(connection));
         if connection.protocol.state() != ConnectionState::Open {
             return;
--- a/crates/hazelspur-server/src/ingress/amqp/consumer.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/consumer.rs
@@ -72,10 +72,10 @@
     pub(super) broker_removed: Cell<bool>,
     pub(super) shutting_down: Cell<bool>,
     finished: Cell<bool>,
-    this: Weak<Self>,
+    weak_reference: Weak<Self>,
 }
 
-fn tracker(config: &AmqpConfig, queues: &[QueueConfig]) -> DeliveryTracker {
+fn new_tracker(config: &AmqpConfig, queues: &[QueueConfig]) -> DeliveryTracker {
     let settings = queues.iter().map(|queue| QueueSettings {
         settlements: queue.table(),
         settle_before_run: queue.settle == SettleOrder::Before,
@@ -97,13 +97,13 @@
         // Servers that start together must not draw the same random delays.
         let seed = context.seed ^ now.us();
         let window = |queue: &QueueConfig| PrefetchWindow::new(queue.rule(), queue.max_unsettled, now);
-        Rc::new_cyclic(|this| Self {
+        Rc::new_cyclic(|weak_reference| Self {
             services: context.services,
             phases: context.phases,
             catalog: context.catalog,
             config: config.clone(),
             server_name: context.server_name,
-            tracker: RefCell::new(tracker(config, &queues)),
+            tracker: RefCell::new(new_tracker(config, &queues)),
             brokers: RefCell::new(BrokerSelector::new(&config.brokers, spread, seed, now)),
             windows: RefCell::new(queues.iter().map(window).collect()),
             windows_sampled_at: Cell::new(now),
@@ -118,7 +118,7 @@
             broker_removed: Cell::new(false),
             shutting_down: Cell::new(false),
             finished: Cell::new(false),
-            this: this.clone(),
+            weak_reference: weak_reference.clone(),
         })
     }
 
@@ -157,7 +157,7 @@
         self.phases.reached(|phase| phase != Phase::Waiting).await;
         // A task before this one may have failed while it was connected.
         self.disconnected();
-        while self.until_next_attempt().await {
+        while self.wait_for_next_attempt().await {
             let address = self.brokers.borrow().address();
             let connecting = self.clock().timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
             let failure = match connecting.await {
@@ -195,9 +195,9 @@
     }
 
     /// Waits for the time of the next attempt; returns false once nothing is left to do with any broker.
-    async fn until_next_attempt(&self) -> bool {
+    async fn wait_for_next_attempt(&self) -> bool {
         loop {
-            self.note_shutdown();
+            self.detect_shutdown();
             self.carry_out_actions(None);
             let shutting_down = self.shutting_down.get();
             if shutting_down && self.tracker.borrow().active() == 0 {
@@ -220,7 +220,7 @@
         }
     }
 
-    pub(super) fn note_shutdown(&self) {
+    pub(super) fn detect_shutdown(&self) {
         if is_shutting_down(self.phases.now()) && !self.shutting_down.replace(true) {
             self.tracker.borrow_mut().shutdown_notice();
         }
@@ -233,8 +233,8 @@
     }
 
     /// A reference for a task that outlives the present call.
-    pub(super) fn this(&self) -> Rc<Self> {
-        self.this.upgrade().expect("it is alive: this is its method")
+    pub(super) fn strong_reference(&self) -> Rc<Self> {
+        self.weak_reference.upgrade().expect("it is alive: this is its method")
     }
 
     /// A request id that is unique among all servers: start time and number.
--- a/crates/hazelspur-server/src/ingress/amqp/message.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/message.rs
@@ -60,22 +60,22 @@
     deadline: Option<Timestamp>,
 }
 
-fn duration_ms(ms: u64) -> Duration {
+fn duration_from_ms(ms: u64) -> Duration {
     Duration::from_us(ms.saturating_mul(US_PER_MS))
 }
 
 /// A count in a header, at most `u32::MAX`; zero where there is none.
-fn count(properties: &Properties<'_>, name: &str) -> u32 {
+fn count_header(properties: &Properties<'_>, name: &str) -> u32 {
     let count = properties.header(name).and_then(FieldValue::unsigned).unwrap_or(0);
     u32::try_from(count).unwrap_or(u32::MAX)
 }
 
 fn previous_attempts(properties: &Properties<'_>) -> u32 {
-    count(properties, ATTEMPTS_HEADER).max(count(properties, DELIVERY_COUNT_HEADER))
+    count_header(properties, ATTEMPTS_HEADER).max(count_header(properties, DELIVERY_COUNT_HEADER))
 }
 
 /// A header that has to be text.
-fn text<'a>(properties: &Properties<'a>, name: &str) -> Result<Option<&'a str>, DeliveryOutcome> {
+fn text_header<'a>(properties: &Properties<'a>, name: &str) -> Result<Option<&'a str>, DeliveryOutcome> {
     match properties.header(name) {
         None => Ok(None),
         Some(value) => value.text().map(Some).ok_or(DeliveryOutcome::Malformed),
@@ -101,10 +101,10 @@
         delivery: &IncomingDelivery<'_>,
     ) {
         let config = &self.queues[queue.0];
-        let fits = delivery.properties.len() <= MAX_PROPERTIES_BYTES;
-        let decoded = Properties::read(delivery.properties).ok().filter(|_| fits);
+        let properties_fit = delivery.properties.len() <= MAX_PROPERTIES_BYTES;
+        let decoded = Properties::read(delivery.properties).ok().filter(|_| properties_fit);
         let properties = decoded.unwrap_or_default();
-        let times = self.times(now, config, &properties);
+        let times = self.message_times(now, config, &properties);
         let request = match (decoded, delivery.body) {
             (Some(properties), Some(body)) => self.decode_request(config, &properties, body),
             _ => Err(DeliveryOutcome::Malformed),
@@ -139,10 +139,15 @@
         self.messages.borrow_mut().insert(id, message);
     }
 
-    fn times(&self, now: Timestamp, queue: &QueueConfig, properties: &Properties<'_>) -> MessageTimes {
+    fn message_times(
+        &self,
+        now: Timestamp,
+        queue: &QueueConfig,
+        properties: &Properties<'_>,
+    ) -> MessageTimes {
         let clock = &self.services.dispatcher.clock;
         let header_ms = |name: &str| properties.header(name).and_then(FieldValue::unsigned);
-        let stated = match queue.sent_time {
+        let stated_sent_at = match queue.sent_time {
             SentTimeSource::Receipt => None,
             SentTimeSource::Publisher => {
                 let sent_ms = header_ms(SENT_HEADER).map(|ms| ms.saturating_mul(US_PER_MS));
@@ -152,11 +157,11 @@
             }
         };
         let is_credible = |sent_at: &Timestamp| clock.local_time_of(*sent_at) <= now + MAX_CLOCK_LEAD;
-        let sent_at = stated.filter(is_credible).unwrap_or(clock.wall());
+        let sent_at = stated_sent_at.filter(is_credible).unwrap_or(clock.wall());
         let expiration_ms = properties.expiration.and_then(|ms| ms.parse::<u32>().ok());
         let max_wait = header_ms(MAX_WAIT_HEADER)
             .or(expiration_ms.map(u64::from))
-            .map(duration_ms)
+            .map(duration_from_ms)
             .or(queue.max_wait_s.map(Duration::from_secs));
         let deadline = max_wait.map(|max_wait| clock.local_time_of(sent_at) + max_wait);
         MessageTimes { sent_at, deadline }
@@ -173,13 +178,13 @@
         let catalog = self.catalog.borrow();
         let class = catalog.find_request_class(class_name);
         let (class_id, class) = class.ok_or(DeliveryOutcome::UnknownClass)?;
-        let tenant = catalog.find_tenant(text(properties, TENANT_HEADER)?);
+        let tenant = catalog.find_tenant(text_header(properties, TENANT_HEADER)?);
         let (tenant, tenant_name) = tenant.ok_or(DeliveryOutcome::Malformed)?;
         let size_kb = size_kb(queue, properties)?;
         if body.len() > MAX_BODY_LENGTH {
             return Err(DeliveryOutcome::Malformed);
         }
-        let subject = text(properties, SUBJECT_HEADER)?;
+        let subject = text_header(properties, SUBJECT_HEADER)?;
         let message_id = properties.message_id;
         let key = DeduplicationKey::of(&class, &tenant_name, message_id, message_id.or(subject));
         Ok(QueuedRequest { class_id, class, tenant, session: subject.map(SessionKey::of), key, size_kb })
--- a/crates/hazelspur-server/src/ingress/amqp/publishing.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/publishing.rs
@@ -73,10 +73,10 @@
 }
 
 /// The headers of a copy: all but those named, with the time of sending and the longest wait of the original.
-fn headers_of_copy(message: &StoredMessage, original: &Properties<'_>, without: &[&str]) -> TableWriter {
-    let without = [&[SENT_HEADER], without].concat();
+fn headers_of_copy(message: &StoredMessage, original: &Properties<'_>, excluded: &[&str]) -> TableWriter {
+    let excluded = [&[SENT_HEADER], excluded].concat();
     let headers = TableWriter::default()
-        .fields_except(original.headers.unwrap_or_default(), &without)
+        .fields_except(original.headers.unwrap_or_default(), &excluded)
         .integer(SENT_HEADER, (message.sent_at.us() / US_PER_MS) as i64);
     let expiration_ms = original.expiration.and_then(|ms| ms.parse().ok());
     match expiration_ms.filter(|_| original.header(MAX_WAIT_HEADER).is_none()) {
--- a/crates/hazelspur-server/src/ingress/amqp/request.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/request.rs
@@ -35,12 +35,12 @@
             log::warn!(queue; "message-id belongs to another request");
             return self.request_finished(id, DeliveryOutcome::Failed, &[]);
         };
-        let responder = DeliveryResponder { consumer: self.this(), id };
+        let responder = DeliveryResponder { consumer: self.strong_reference(), id };
         let received = ReceivedRequest {
             request_class: queued.class_id,
             tenant: queued.tenant,
             session: queued.session,
-            client: client_of(message),
+            client: client_id_of_queue(message),
             deadline: None,
             size_kb: queued.size_kb,
             sent_at: now,
@@ -91,7 +91,7 @@
 }
 
 /// A client id per queue, from the highest down: gateways use the low ones.
-fn client_of(message: &StoredMessage) -> ClientId {
+fn client_id_of_queue(message: &StoredMessage) -> ClientId {
     ClientId(u64::MAX - message.queue.0 as u64)
 }
 
--- a/crates/hazelspur-server/src/ingress/gateway/eviction.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/eviction.rs
@@ -25,17 +25,17 @@
         let exhausted = reason == EvictionReason::DescriptorsExhausted;
         let (max_open, max_closing) = (self.budget.gateways, self.budget.closing);
         let closing = connections.values().filter(|connection| !connection.is_open());
-        let mut hurried = 0;
+        let mut closing_sooner = 0;
         if exhausted || connections.len() >= max_open + max_closing {
             let idle = closing.clone().filter(|connection| !connection.has_open_requests());
-            hurried = idle.inspect(|connection| connection.close_requested.notify_one()).count();
+            closing_sooner = idle.inspect(|connection| connection.close_requested.notify_one()).count();
         }
         // Those that are closing free enough descriptors.
-        let enough = match reason {
-            EvictionReason::DescriptorsExhausted => hurried > 0,
+        let enough_places_free = match reason {
+            EvictionReason::DescriptorsExhausted => closing_sooner > 0,
             EvictionReason::TableFull => connections.len() < max_open + closing.count(),
         };
-        if !enough {
+        if !enough_places_free {
             evict_idle(connections.values());
         }
     }
--- a/crates/hazelspur-server/src/ingress/gateway/lines.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/lines.rs
@@ -55,7 +55,7 @@
         while !connection.reputation.is_blocked() {
             let length = input.line_length();
             if length.unwrap_or(input.unread().len()) > MAX_LINE_BYTES {
-                return refuse_long_line(connection, input);
+                return reject_long_line(connection, input);
             }
             let Some(length) = length else { break };
             self.process_line(connection, input.unread()[..length].trim_ascii_end());
@@ -128,7 +128,7 @@
 }
 
 /// The rest of the line may have any length, so nothing more is read.
-fn refuse_long_line(connection: &GatewayConnection, input: &mut Buffer) {
+fn reject_long_line(connection: &GatewayConnection, input: &mut Buffer) {
     connection.dismiss(ProtocolError::LineTooLong);
     connection.reputation.record_framing_lost();
     connection.partial_line_since.set(None);
--- a/crates/hazelspur-server/src/ingress/gateway/maintenance.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/maintenance.rs
@@ -25,7 +25,7 @@
 const KNOWN_PARTIAL_LINE_TIMEOUT: Duration = Duration::from_ms(30_000);
 
 /// What holds for all connections in one round.
-struct Round {
+struct MaintenanceRound {
     /// The input watermark: a line or a close that had arrived by then has been read.
     now: Timestamp,
     phase: Phase,
@@ -33,7 +33,7 @@
     idle_timeout: Option<Duration>,
 }
 
-impl Round {
+impl MaintenanceRound {
     fn is_closing(&self) -> bool {
         matches!(self.phase, Phase::Closing | Phase::Ending)
     }
@@ -100,7 +100,7 @@
     pub async fn maintain_connections(self: Rc<Self>) {
         loop {
             let dispatcher = &self.services.dispatcher;
-            let round = Round {
+            let round = MaintenanceRound {
                 now: dispatcher.clock.input_watermark(),
                 phase: self.phases.now(),
                 idle_timeout: dispatcher.idle_timeout.get(),
--- a/crates/hazelspur-server/src/ingress/gateway/request.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/request.rs
@@ -73,11 +73,15 @@
         let class = catalog.find_request_class(incoming.class);
         let (class_id, class) = class.ok_or(ProtocolError::UnknownMethod)?;
         let params = RequestParams::decode(incoming.params, &catalog)?;
-        let times = self.times(&params, &class)?;
+        let times = self.request_times(&params, &class)?;
         Ok(DecodedRequest { id: incoming.id, class_id, class, params, times })
     }
 
-    fn times(&self, params: &RequestParams<'_>, class: &RequestClass) -> Result<RequestTimes, ProtocolError> {
+    fn request_times(
+        &self,
+        params: &RequestParams<'_>,
+        class: &RequestClass,
+    ) -> Result<RequestTimes, ProtocolError> {
         let clock = &self.services.dispatcher.clock;
         let now = clock.now();
         let sent_at = Timestamp::from_us(params.sent_unix_ms.saturating_mul(US_PER_MS));
--- a/crates/hazelspur-server/src/ingress/gateway/request_params.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/request_params.rs
@@ -69,21 +69,21 @@
             level_is_valid,
             tenant,
             tenant_name,
-            timeout_ms: timeout_ms(&params)?,
+            timeout_ms: decode_timeout_ms(&params)?,
             subject: optional_text(&params, "subject", ProtocolError::SubjectNotString)?,
             idempotency_key: optional_text(&params, "opkey", ProtocolError::IdempotencyKeyNotString)?,
-            body: body(&params)?,
+            body: decode_body(&params)?,
         })
     }
 }
 
-fn timeout_ms(params: &json::Table<'_>) -> Result<Option<f64>, ProtocolError> {
+fn decode_timeout_ms(params: &json::Table<'_>) -> Result<Option<f64>, ProtocolError> {
     let Some(timeout) = params.get("timeout") else { return Ok(None) };
     let timeout_ms = timeout.number().filter(|ms| *ms >= 0.0);
     timeout_ms.map(Some).ok_or(ProtocolError::InvalidTimeout)
 }
 
-fn body(params: &json::Table<'_>) -> Result<Rc<[u8]>, ProtocolError> {
+fn decode_body(params: &json::Table<'_>) -> Result<Rc<[u8]>, ProtocolError> {
     let Some(data) = params.get("data") else { return Ok([].into()) };
     let body = data.text().and_then(|text| rpc::decode_body(&text));
     let body = body.filter(|body| body.len() <= MAX_BODY_LENGTH);
--- a/crates/hazelspur-server/tests/gateway_input.rs
+++ b/crates/hazelspur-server/tests/gateway_input.rs
@@ -14,48 +14,49 @@
     let (mut server, mut link) = ServerHarness::new("input", "");
     let mut other = server.connect_gateway();
     server.start_run(&mut other, &mut link, &request(1, 1, "view", ""));
-    let good = request(9, 9, "view", "");
+    let valid = request(9, 9, "view", "");
     let lines = [
         "{".into(),
         "[]".into(),
         "\u{7f}\0".into(),
         r#"{"jsonrpc":"2.0","id":1}"#.into(),
         r#"{"jsonrpc":"2.0","id":2,"method":"view"}"#.into(),
-        good.replace("\"2.0\"", "2"),
-        good.replace("\"id\":9,", ""),
-        good.replace("\"id\":9,", "\"id\":-9,"),
+        valid.replace("\"2.0\"", "2"),
+        valid.replace("\"id\":9,", ""),
+        valid.replace("\"id\":9,", "\"id\":-9,"),
         request(3, 3, "nothing", ""),
         request(4, 4, "view", r#","owner":7"#),
         request(5, 1, "view", ""),
-        good.replace("aGVsbG8=", "a*"),
-        good.replace("aGVsbG8=", &"QUJD".repeat(683)),
-        good.replace("20.5", "2000"),
-        good.replace("20.5", "1e999"),
-        good.replace(":0.5,", ":1.5,"),
-        good.replace(":4000,", ":-1,"),
-        good.replace(":4000,", ":4000000,"),
-        good.replace("\"ts\":1", "\"ts\":9"),
-        good.replace("\"ts\":1", "\"ts\":"),
-        good.replace(&id(9), ""),
+        valid.replace("aGVsbG8=", "a*"),
+        valid.replace("aGVsbG8=", &"QUJD".repeat(683)),
+        valid.replace("20.5", "2000"),
+        valid.replace("20.5", "1e999"),
+        valid.replace(":0.5,", ":1.5,"),
+        valid.replace(":4000,", ":-1,"),
+        valid.replace(":4000,", ":4000000,"),
+        valid.replace("\"ts\":1", "\"ts\":9"),
+        valid.replace("\"ts\":1", "\"ts\":"),
+        valid.replace(&id(9), ""),
         format!("\"{}", "x".repeat(20_000)),
         "x".repeat(3_000_000),
     ];
     for line in &lines {
-        let mut bad = server.connect_gateway();
-        let _ = bad.stream.get_mut().write_all(format!("{line}\r\n").as_bytes()); // the server may close early
-        bad.record_next(&mut server.trace);
+        let mut gateway = server.connect_gateway();
+        let _ = gateway.stream.get_mut().write_all(format!("{line}\r\n").as_bytes()); // the server may close early
+        gateway.record_next(&mut server.trace);
     }
-    let mut bad = server.connect_gateway();
-    server.start_run(&mut bad, &mut link, &request(50, 50, "view", ""));
+    let mut gateway = server.connect_gateway();
+    server.start_run(&mut gateway, &mut link, &request(50, 50, "view", ""));
     link.send(&format!("nack start {}\r\n", id(50)));
-    bad.record_next(&mut server.trace);
+    gateway.record_next(&mut server.trace);
     other.send(&format!("{}\n", request(1, 2, "view", "")));
     other.record_next(&mut server.trace);
     link.send(&success_notice(1, 1));
     other.record_next(&mut server.trace);
-    bad.send(&(1..=60).map(|n| format!("{}\n", request(100 + n, 100 + n, "view", ""))).collect::<String>());
-    let answers = (0..60).map(|_| bad.read_line()).take_while(|line| line != "(closed)").count();
-    let _ = writeln!(server.trace, "of 60 at once {answers} answered, then closed");
+    gateway
+        .send(&(1..=60).map(|n| format!("{}\n", request(100 + n, 100 + n, "view", ""))).collect::<String>());
+    let answered = (0..60).map(|_| gateway.read_line()).take_while(|line| line != "(closed)").count();
+    let _ = writeln!(server.trace, "of 60 at once {answered} answered, then closed");
     expect_test::expect![[r#"
         runtime < sync 0
         runtime < start 0000000000000001 view 5 hello
@@ -91,41 +92,41 @@
 }
 
 #[test]
-fn connections_without_valid_input_get_an_error_and_are_closed_in_time() {
+fn connections_without_valid_input_are_closed_with_an_error() {
     let (mut server, mut link) = ServerHarness::new("silent", "");
-    let mut good = server.connect_gateway();
-    let mut silent: Vec<Peer> = (0..3).map(|_| server.connect_gateway()).collect();
-    let begun = Instant::now();
-    silent[1].send("{\"jsonrpc\":");
-    silent[2].send(&format!("{}\n", request(9, 9, "nothing", "")));
-    silent[2].record_next(&mut server.trace);
-    server.start_run(&mut good, &mut link, &request(1, 1, "view", ""));
+    let mut valid = server.connect_gateway();
+    let mut invalid: Vec<Peer> = (0..3).map(|_| server.connect_gateway()).collect();
+    let connected_at = Instant::now();
+    invalid[1].send("{\"jsonrpc\":");
+    invalid[2].send(&format!("{}\n", request(9, 9, "nothing", "")));
+    invalid[2].record_next(&mut server.trace);
+    server.start_run(&mut valid, &mut link, &request(1, 1, "view", ""));
     link.send(&success_notice(1, 1));
-    good.record_next(&mut server.trace);
-    for end in &mut silent {
-        end.record_next(&mut server.trace);
-        end.record_next(&mut server.trace);
+    valid.record_next(&mut server.trace);
+    for peer in &mut invalid {
+        peer.record_next(&mut server.trace);
+        peer.record_next(&mut server.trace);
     }
-    let _ = writeln!(server.trace, "in time {}", begun.elapsed() < Duration::from_millis(2900));
-    server.start_run(&mut good, &mut link, &request(2, 2, "view", ""));
+    let _ = writeln!(server.trace, "in time {}", connected_at.elapsed() < Duration::from_millis(2900));
+    server.start_run(&mut valid, &mut link, &request(2, 2, "view", ""));
     link.send(&success_notice(2, 2));
-    good.record_next(&mut server.trace);
+    valid.record_next(&mut server.trace);
     // Half a line, on a connection for health checks and on one whose network path may be cut.
     let mut checked = server.connect_gateway();
-    checked.send(CHECK);
+    checked.send(HEALTH_CHECK);
     checked.record_next(&mut server.trace);
     checked.send("{\"jsonrpc\":");
     let line = request(3, 3, "view", "");
-    good.send(&line[..40]);
+    valid.send(&line[..40]);
     checked.record_next(&mut server.trace);
     checked.record_next(&mut server.trace);
     // Meanwhile the link was silent and is replaced.
     let mut link = server.accept_worker_link();
     link.send("ready hot 9000\r\n");
     link.record_next(&mut server.trace);
-    server.start_run(&mut good, &mut link, &line[40..]);
+    server.start_run(&mut valid, &mut link, &line[40..]);
     link.send(&success_notice(3, 3));
-    good.record_next(&mut server.trace);
+    valid.record_next(&mut server.trace);
     expect_test::expect![[r#"
         runtime < sync 0
         gateway < {"jsonrpc":"2.0","id":9,"error":{"code":-32601,"message":"no such method"}}
@@ -156,8 +157,9 @@
     let slow = server.connect_gateway();
     slow.stream.get_ref().set_write_timeout(Some(Duration::from_millis(300))).expect("a time limit");
     let checks = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n".repeat(20_000);
-    let taken = (0..60).take_while(|_| slow.stream.get_ref().write_all(checks.as_bytes()).is_ok()).count();
-    let _ = writeln!(server.trace, "all taken {}", taken == 60);
+    let batches_accepted =
+        (0..60).take_while(|_| slow.stream.get_ref().write_all(checks.as_bytes()).is_ok()).count();
+    let _ = writeln!(server.trace, "all taken {}", batches_accepted == 60);
     let mut gateway = server.connect_gateway();
     server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
     link.send(&success_notice(1, 1));
@@ -172,18 +174,18 @@
 }
 
 #[test]
-fn unproven_connections_are_closed_first_when_descriptors_run_short() {
+fn connections_without_valid_input_are_evicted_first() {
     let (mut server, mut link) = ServerHarness::new("descriptors", "ulimit -n 48;");
     let (mut first, mut gateway) = (server.connect_gateway(), server.connect_gateway());
     let check = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n";
-    for end in [&mut first, &mut gateway] {
-        end.send(check);
-        while !end.record_next(&mut String::new()).contains("true") {
-            end.send(check);
+    for peer in [&mut first, &mut gateway] {
+        peer.send(check);
+        while !peer.record_next(&mut String::new()).contains("true") {
+            peer.send(check);
         }
     }
-    let mut crowd: Vec<Peer> = (0..80).map(|_| server.connect_gateway()).collect();
-    crowd[0].record_next(&mut server.trace);
+    let mut idle: Vec<Peer> = (0..80).map(|_| server.connect_gateway()).collect();
+    idle[0].record_next(&mut server.trace);
     server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
     link.send(&success_notice(1, 1));
     gateway.record_next(&mut server.trace);
@@ -200,14 +202,14 @@
 }
 
 /// A health check: it proves a connection, which stays idle.
-const CHECK: &str = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n";
+const HEALTH_CHECK: &str = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n";
 
 /// The processor time that a process has used, in seconds.
 fn cpu_s(server: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{server}/stat")).expect("it runs");
-    let after = stat.rsplit_once(')').expect("a name").1;
+    let fields = stat.rsplit_once(')').expect("a name").1;
     let ticks =
-        |n: usize| after.split_whitespace().nth(n).and_then(|t| t.parse::<f64>().ok()).expect("ticks");
+        |n: usize| fields.split_whitespace().nth(n).and_then(|t| t.parse::<f64>().ok()).expect("ticks");
     (ticks(11) + ticks(12)) / 100.0
 }
 
@@ -220,20 +222,20 @@
     ledger.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok");
     link.record_next(&mut String::new());
     link.send(&success_notice(2 * n, n));
-    let answer = gateway.record_next(&mut String::new());
-    assert!(answer.contains("result"), "{answer}");
+    let response = gateway.record_next(&mut String::new());
+    assert!(response.contains("result"), "{response}");
 }
 
 /// Guards against clients that use up the descriptors of the worker link, calls and reports.
 #[test]
-fn idle_clients_leave_the_descriptors_that_serving_needs() {
+fn idle_clients_leave_descriptors_for_serving() {
     let mut seen = String::new();
     for limit in [64usize, 96, 128, 256, 512] {
         // Reports are refused until a listener is there.
         let reserved = ReservedAddress::on(Ipv4Addr::LOCALHOST).expect("a free port");
-        let at = reserved.address().to_string();
-        let silent = format!("limits\":{{\"sockets\":{limit}}},\"settings");
-        let edit = |config: String| with_registry(&config, &at).replace("settings", &silent);
+        let registry_address = reserved.address().to_string();
+        let settings = format!("limits\":{{\"sockets\":{limit}}},\"settings");
+        let edit = |config: String| with_registry(&config, &registry_address).replace("settings", &settings);
         let (mut server, mut link) =
             ServerHarness::new_with(&format!("filled{limit}"), &format!("ulimit -n {limit};"), edit);
         let mut gateway = server.connect_gateway();
@@ -247,25 +249,25 @@
             idle.push(server.connect_gateway());
             // Two of three are proven; which of them are closed by now does not matter.
             if n % 3 > 0 {
-                let _ = idle[n].stream.get_mut().write_all(CHECK.as_bytes());
+                let _ = idle[n].stream.get_mut().write_all(HEALTH_CHECK.as_bytes());
             }
         }
         assert_served_with_call(&mut server, &mut link, &mut gateway, requests + 1);
-        let (cpu, since) = (cpu_s(server.server.id()), Instant::now());
-        let control = TcpListener::bind(&at).expect("its address is free");
-        let mut report = Peer::new("control", accept(&control));
-        let reported = report.read_line();
-        wait_until(since, 1000);
-        let busy = (cpu_s(server.server.id()) - cpu) / since.elapsed().as_secs_f64();
+        let (cpu_before_s, started_at) = (cpu_s(server.server.id()), Instant::now());
+        let registry = TcpListener::bind(&registry_address).expect("its address is free");
+        let mut report_connection = Peer::new("control", accept(&registry));
+        let reported = report_connection.read_line();
+        wait_until(started_at, 1000);
+        let cpu_share = (cpu_s(server.server.id()) - cpu_before_s) / started_at.elapsed().as_secs_f64();
         server.signal("-TERM");
         server.wait_for_exit();
         let mut log = String::new();
         let _ = server.server.stderr.take().expect("a pipe").read_to_string(&mut log);
-        let failed = log.matches("accept failed").count();
+        let failed_accepts = log.matches("accept failed").count();
         let _ = writeln!(
             seen,
-            "{limit}: {reported}, accepts failed {failed}, at rest below half a core {}",
-            busy < 0.5
+            "{limit}: {reported}, accepts failed {failed_accepts}, at rest below half a core {}",
+            cpu_share < 0.5
         );
     }
     expect_test::expect![[r#"
@@ -279,15 +281,15 @@
 }
 
 /// Repeats one kind of abuse, each time on a new connection.
-fn flood(at: &str, kind: usize, until: Instant) -> usize {
-    let mut turns = 0;
+fn flood(address: &str, kind: usize, until: Instant) -> usize {
+    let mut connections = 0;
     while Instant::now() < until {
-        let Ok(mut stream) = TcpStream::connect(at) else { continue };
+        let Ok(mut stream) = TcpStream::connect(address) else { continue };
         let _ = stream.set_write_timeout(Some(Duration::from_millis(200)));
         let interrupt = "{\"jsonrpc\":\"2.0\",\"method\":\"interrupt\",\"params\":{\"id\":9}}\n";
         let text: String = match kind {
             0 => String::new(), // connections alone
-            1 => CHECK.repeat(200),
+            1 => HEALTH_CHECK.repeat(200),
             2 => interrupt.repeat(200),
             3 => "{\"jsonrpc\":".into(), // half a line
             4 => "x".repeat(40_000),     // one that does not end
@@ -295,13 +297,13 @@
             _ => (0..40).map(|_| request(7, 7, "view", "") + "\n").collect(), // ids used twice
         };
         let _ = stream.write_all(text.as_bytes());
-        turns += 1;
+        connections += 1;
     }
-    turns
+    connections
 }
 
 #[test]
-fn floods_close_their_own_connections_while_known_gateways_are_served() {
+fn known_gateways_are_served_during_floods() {
     let mut seen = String::new();
     let names =
         ["connections", "checks", "interrupts", "half lines", "endless lines", "garbage", "ids used twice"];
@@ -312,18 +314,18 @@
         link.send(&success_notice(1, 1));
         gateway.record_next(&mut String::new());
         let until = Instant::now() + Duration::from_millis(1200);
-        let at = server.listen.clone();
+        let address = server.listen.clone();
         let floods: Vec<_> = (0..2)
             .map(|_| {
-                let at = at.clone();
-                std::thread::spawn(move || flood(&at, kind, until))
+                let address = address.clone();
+                std::thread::spawn(move || flood(&address, kind, until))
             })
             .collect();
-        let (mut served, mut asked, mut longest) = (0, 0, Duration::ZERO);
+        let (mut served, mut sent, mut longest) = (0, 0, Duration::ZERO);
         let mut notices = 1;
         while Instant::now() < until {
-            asked += 1;
-            let (n, began) = (asked + 1, Instant::now());
+            sent += 1;
+            let (n, sent_at) = (sent + 1, Instant::now());
             gateway.send(&format!("{}\n", request(n, 1000 + n, "view", "")));
             loop {
                 let started = link.record_next(&mut String::new());
@@ -336,21 +338,23 @@
                 link.send(&format!("nack start {}\r\n", started.split(' ').nth(1).unwrap_or_default()));
                 notices -= 1;
             }
-            let answer = gateway.record_next(&mut String::new());
-            served += u32::from(answer.contains("result"));
-            longest = longest.max(began.elapsed());
+            let response = gateway.record_next(&mut String::new());
+            served += u32::from(response.contains("result"));
+            longest = longest.max(sent_at.elapsed());
         }
-        let turns: usize = floods.into_iter().map(|flood| flood.join().expect("no panic")).sum();
+        let connections: usize = floods.into_iter().map(|flood| flood.join().expect("no panic")).sum();
         server.signal("-TERM");
         server.wait_for_exit();
         let mut log = String::new();
         let _ = server.server.stderr.take().expect("a pipe").read_to_string(&mut log);
-        println!("{name}: {turns} turns, {served} of {asked} ops served, the longest took {longest:?}");
+        println!(
+            "{name}: {connections} connections, {served} of {sent} ops served, the longest took {longest:?}"
+        );
         let lines = log.lines().count();
-        let all = served == asked && asked >= 5;
+        let all_served = served == sent && sent >= 5;
         let _ = writeln!(
             seen,
-            "{name}: all ops served {all}, few lines {}, {}",
+            "{name}: all ops served {all_served}, few lines {}, {}",
             lines < 450,
             log.contains("task failed")
         );
@@ -370,18 +374,18 @@
 /// Requests that were delayed on a cut link: their deadline may have passed when they are received, which is no
 /// protocol error of their connection.
 #[test]
-fn requests_delayed_in_transit_are_answered_and_their_connection_stays_open() {
+fn requests_delayed_in_transit_keep_their_connection_open() {
     let (mut server, mut link) = ServerHarness::new("overdue", "");
     let mut gateway = server.connect_gateway();
     // None where the millisecond changed between the two readings of the clock, so that nothing was replaced.
-    let late = |n: u32| {
+    let delayed_request = |n: u32| {
         let line = request(n, n, "view", "").replace(":4000,", ":8000,");
         let ts = now_ms();
-        let late = line.replace(&format!("\"ts\":{ts}"), &format!("\"ts\":{}", ts - 8000));
-        (late != line).then_some(late)
+        let delayed = line.replace(&format!("\"ts\":{ts}"), &format!("\"ts\":{}", ts - 8000));
+        (delayed != line).then_some(delayed)
     };
     for n in 1..7 {
-        let line = std::iter::repeat_with(|| late(n)).find_map(|line| line);
+        let line = std::iter::repeat_with(|| delayed_request(n)).find_map(|line| line);
         gateway.send(&format!("{}\n", line.expect("one")));
         gateway.record_next(&mut server.trace);
     }
--- a/crates/hazelspur-server/tests/harness/mod.rs
+++ b/crates/hazelspur-server/tests/harness/mod.rs
@@ -59,7 +59,7 @@
 
 /// The next connection, or a failed test.
 pub(crate) fn accept(listener: &TcpListener) -> TcpStream {
-    let until = Instant::now() + TIMEOUT;
+    let deadline = Instant::now() + TIMEOUT;
     listener.set_nonblocking(true).expect("a mode");
     loop {
         match listener.accept() {
@@ -67,7 +67,7 @@
                 stream.set_nonblocking(false).expect("a mode");
                 return stream;
             }
-            Err(e) => assert!(Instant::now() < until, "no connection came: {e}"),
+            Err(e) => assert!(Instant::now() < deadline, "no connection came: {e}"),
         }
         std::thread::sleep(Duration::from_millis(1));
     }
@@ -77,9 +77,9 @@
     SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis()
 }
 
-pub(crate) fn request(id: u32, req: u32, class: &str, more: &str) -> String {
+pub(crate) fn request(id: u32, req: u32, class: &str, extra_params: &str) -> String {
     format!(
-        r#"{{"jsonrpc":"2.0","id":{id},"method":"{class}","params":{{"req":"{req:016x}","ts":{},"via":1,"timeout":4000,"need":20.5,"level":0.5,"data":"aGVsbG8="{more}}}}}"#,
+        r#"{{"jsonrpc":"2.0","id":{id},"method":"{class}","params":{{"req":"{req:016x}","ts":{},"via":1,"timeout":4000,"need":20.5,"level":0.5,"data":"aGVsbG8="{extra_params}}}}}"#,
         now_ms()
     )
 }
@@ -89,37 +89,37 @@
 }
 
 /// Starts the program with this configuration, through a shell that may set limits first.
-pub(crate) fn start(name: &str, config: &str, first: &str) -> Child {
+pub(crate) fn start(name: &str, config: &str, shell_prefix: &str) -> Child {
     let file = config_file(name);
     std::fs::write(&file, config).expect("a file");
     let program = env!("CARGO_BIN_EXE_hazelspur-server");
     let mut shell = Command::new("/bin/sh");
-    shell.args(["-c", &format!("{first} exec {program}")]).env("ROUTER_CONFIG", &file);
+    shell.args(["-c", &format!("{shell_prefix} exec {program}")]).env("ROUTER_CONFIG", &file);
     shell.stderr(Stdio::piped()).spawn().expect("the server starts")
 }
 
 impl ServerHarness {
     /// Starts a server, with a worker that is up.
-    pub(crate) fn new(name: &str, first: &str) -> (Self, Peer) {
-        Self::new_with(name, first, |config| config)
+    pub(crate) fn new(name: &str, shell_prefix: &str) -> (Self, Peer) {
+        Self::new_with(name, shell_prefix, |config| config)
     }
 
     /// The same with an edited configuration.
-    pub(crate) fn new_with(name: &str, first: &str, edit: impl Fn(String) -> String) -> (Self, Peer) {
-        let mut server = Self::started_with(name, first, edit);
+    pub(crate) fn new_with(name: &str, shell_prefix: &str, edit: impl Fn(String) -> String) -> (Self, Peer) {
+        let mut server = Self::started_with(name, shell_prefix, edit);
         let mut link = server.accept_worker_link();
         link.send("ready hot 1000\r\n");
         link.record_next(&mut server.trace);
         (server, link)
     }
 
-    pub(crate) fn started(name: &str, first: &str) -> Self {
-        Self::started_with(name, first, |config| config)
+    pub(crate) fn started(name: &str, shell_prefix: &str) -> Self {
+        Self::started_with(name, shell_prefix, |config| config)
     }
 
-    pub(crate) fn started_with(name: &str, first: &str, edit: impl Fn(String) -> String) -> Self {
+    pub(crate) fn started_with(name: &str, shell_prefix: &str, edit: impl Fn(String) -> String) -> Self {
         let (listen, runtime, ledger, config) = Self::prepare();
-        let server = start(name, &edit(config), first);
+        let server = start(name, &edit(config), shell_prefix);
         Self { server, listen, runtime, ledger, file: config_file(name), trace: String::new() }
     }
 
@@ -132,8 +132,8 @@
 
     /// New upstream endpoints, and the configuration that names them.
     pub(crate) fn listen_for_peers(listen: &str) -> (TcpListener, TcpListener, String) {
-        let ((runtime, at_runtime), (ledger, at_ledger)) = (listener(), listener());
-        let (control, at_control) = listener();
+        let ((runtime, runtime_address), (ledger, ledger_address)) = (listener(), listener());
+        let (control, control_address) = listener();
         std::thread::spawn(move || {
             for stream in control.incoming().flatten() {
                 std::thread::spawn(move || {
@@ -145,7 +145,7 @@
             }
         });
         let config = format!(
-            r#"{{"name":"n1","listen":"{listen}","runtime":"{at_runtime}","ledger":"{at_ledger}","control":"{at_control}","seed":"000000000000002a","stop_ms":1500,"settings":{SETTINGS}}}"#
+            r#"{{"name":"n1","listen":"{listen}","runtime":"{runtime_address}","ledger":"{ledger_address}","control":"{control_address}","seed":"000000000000002a","stop_ms":1500,"settings":{SETTINGS}}}"#
         );
         (runtime, ledger, config)
     }
@@ -158,9 +158,9 @@
 
     /// Replaces the configuration file and sends SIGHUP.
     pub(crate) fn reload(&mut self, config: &str) {
-        let aside = self.file.with_extension("new");
-        std::fs::write(&aside, config).expect("a file");
-        std::fs::rename(&aside, &self.file).expect("one file system");
+        let new_file = self.file.with_extension("new");
+        std::fs::write(&new_file, config).expect("a file");
+        std::fs::rename(&new_file, &self.file).expect("one file system");
         self.signal("-HUP");
     }
 
@@ -226,7 +226,7 @@
         }
     }
 
-    pub(crate) fn body(&mut self, length: &str) -> String {
+    pub(crate) fn read_body(&mut self, length: &str) -> String {
         let mut body = vec![0; length.trim().parse().expect("a length")];
         self.stream.read_exact(&mut body).expect("a body");
         String::from_utf8(body).expect("text")
@@ -234,9 +234,9 @@
 
     /// Records the next message. Gauge queries are answered and not recorded; one that ends a replay is returned.
     pub(crate) fn record_next(&mut self, trace: &mut String) -> String {
-        let until = Instant::now() + TIMEOUT;
+        let deadline = Instant::now() + TIMEOUT;
         loop {
-            let mut line = if Instant::now() < until { self.read_line() } else { "(nothing)".into() };
+            let mut line = if Instant::now() < deadline { self.read_line() } else { "(nothing)".into() };
             if let Some(tag) = line.strip_prefix("gauges ") {
                 self.send(&format!("load {tag} 0.5 1\r\n"));
                 if tag.starts_with("link") {
@@ -245,7 +245,7 @@
                 continue;
             }
             if let ["start" | "give", .., length] = line.split(' ').collect::<Vec<_>>()[..] {
-                let body = self.body(length);
+                let body = self.read_body(length);
                 line = format!("{line} {body}");
                 self.read_line();
             }
@@ -256,28 +256,30 @@
 
     /// Records a dependency call, without what differs between runs.
     pub(crate) fn record_call(&mut self, trace: &mut String) {
-        let mut seen = self.read_line();
+        let mut recorded = self.read_line();
         let mut length = String::new();
         loop {
             let line = self.read_line();
             match line.split_once(": ") {
-                Some(("X-Txn-Ref", id)) => seen += &format!(" {id}"),
+                Some(("X-Txn-Ref", id)) => recorded += &format!(" {id}"),
                 Some(("Content-Length", n)) => length = n.into(),
                 Some(_) => {}
                 None => break,
             }
         }
-        let body = self.body(&length);
-        let _ = writeln!(trace, "{} < {seen} {body}", self.name);
+        let body = self.read_body(&length);
+        let _ = writeln!(trace, "{} < {recorded} {body}", self.name);
     }
 }
 
 /// Settings with a non-idempotent request class, tenants, and a deduplication window of this length.
 pub(crate) fn with_tenants(config: String, window_ms: u32) -> String {
-    let lane = r#"{"name":"pay","aim-us":3000000,"deadline-us":4000000,"semantics":"unsafe"}],"orgs":
+    let extra_classes = r#"{"name":"pay","aim-us":3000000,"deadline-us":4000000,"semantics":"unsafe"}],"orgs":
         [{"name":"a","quota-rps":50},{"name":"b","quota-rps":50}],"rules""#;
-    let window = format!("\"memory-span-us\":{}", window_ms * 1000);
-    config.replace("],\n \"rules\"", &format!(",{lane}")).replace("\"memory-span-us\":5000000", &window)
+    let window_setting = format!("\"memory-span-us\":{}", window_ms * 1000);
+    config
+        .replace("],\n \"rules\"", &format!(",{extra_classes}"))
+        .replace("\"memory-span-us\":5000000", &window_setting)
 }
 
 /// The same endpoints but for the registry.
@@ -324,19 +326,19 @@
 
 impl LogLines {
     pub(crate) fn of(server: &mut Child) -> Self {
-        let (to, from) = channel();
+        let (sender, receiver) = channel();
         let stderr = server.stderr.take().expect("piped");
         std::thread::spawn(move || {
-            BufReader::new(stderr).lines().map_while(Result::ok).for_each(|line| drop(to.send(line)));
+            BufReader::new(stderr).lines().map_while(Result::ok).for_each(|line| drop(sender.send(line)));
         });
-        Self(from)
+        Self(receiver)
     }
 
     /// The next line that contains one of these texts, without its time.
-    pub(crate) fn next(&self, words: &[&str]) -> String {
+    pub(crate) fn next(&self, texts: &[&str]) -> String {
         loop {
-            let line = self.0.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("no line with {words:?}"));
-            if words.iter().any(|word| line.contains(word)) {
+            let line = self.0.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("no log line with {texts:?}"));
+            if texts.iter().any(|text| line.contains(text)) {
                 return line.split_once(' ').map_or("", |(_, text)| text).to_string();
             }
         }
--- a/crates/hazelspur-server/tests/suspension.rs
+++ b/crates/hazelspur-server/tests/suspension.rs
@@ -36,7 +36,7 @@
         }
         length = line.strip_prefix("Content-Length: ").map_or(length, str::to_owned);
     }
-    report.body(&length);
+    report.read_body(&length);
     report
 }
 
