--- a/crates/hazelspur-server/src/ingress/amqp/actions.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/actions.rs
@@ -1,4 +1,5 @@
-//! Carries out the tracker's actions.
+//! Carries out the actions of the delivery tracker: submits and abandons requests, settles deliveries and
+//! publishes messages.
 
 use super::connection::BrokerConnection;
 use super::consumer::AmqpConsumer;
@@ -8,10 +9,12 @@
 use hazelspur_deliveries::{DeliveryAction, DeliveryId, DeliveryOutcome, DeliveryTag};
 
 impl AmqpConsumer {
-    /// Carries out all actions that are due; without a connection nothing can be settled.
+    /// Carries out all actions that are due. Without a connection, settlements are dropped and messages to
+    /// publish count as refused.
     pub(super) fn carry_out_actions(&self, mut connection: Option<&mut BrokerConnection>) {
         loop {
-            // What the tracker's timers end, a confirm or a fence that has arrived may have ended before.
+            // The watermark and not the present time: a confirm or a fence's answer may have arrived in time
+            // but not been read yet, and must take effect before the tracker's timeout for it.
             let watermark = self.clock().input_watermark();
             let Some(action) = self.tracker.borrow_mut().next_action(watermark) else { return };
             log::trace!("delivery action {action:?}");
@@ -55,6 +58,7 @@
         }
     }
 
+    /// Notifies the lifecycle of a delivery's request that its client is gone.
     fn abandon(&self, id: DeliveryId) {
         let request = self.messages.borrow().get(&id).map(|message| message.request_id);
         if let Some(request) = request {
@@ -64,12 +68,13 @@
 
     fn resolve_run(&self, id: DeliveryId, permitted: bool) {
         if let Some(permission) = self.awaiting_permission.borrow_mut().remove(&id) {
-            // The request's task may have ended meanwhile.
+            // An error means that the request's task has ended meanwhile.
             let _ = permission.send(permitted);
         }
     }
 
-    /// A message that cannot be published counts as refused.
+    /// Publishes a message; without a connection, or if it cannot be sent, it counts as refused by the
+    /// broker.
     fn publish(
         &self,
         now: Timestamp,
@@ -83,6 +88,7 @@
         }
     }
 
+    /// Removes the stored message of a delivery that has ended.
     fn release(&self, id: DeliveryId, outcome: DeliveryOutcome) {
         let message = self.messages.borrow_mut().remove(&id);
         if let Some(message) = message {
@@ -91,6 +97,7 @@
     }
 }
 
+/// Settles a delivery; returns false if there is no connection or the tag is not open on it.
 fn settle(
     connection: Option<&mut BrokerConnection>,
     tag: DeliveryTag,
--- a/crates/hazelspur-server/src/ingress/amqp/channels.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/channels.rs
@@ -1,5 +1,8 @@
-//! Channels of a connection: one per queue, and one to publish on. Opens them, again after a loss with growing
-//! delays, and cancels the consumers before the connection is closed.
+//! Channels of a broker connection: one per queue, and one for publishing. Opens them, reopens them after a
+//! loss with increasing delays, and cancels their consumers before the connection is closed.
+//!
+//! The channel of a queue has the queue's index plus 1 as its number; the publishing channel has the highest
+//! number.
 
 use super::connection::BrokerConnection;
 use super::consumer::AmqpConsumer;
@@ -9,16 +12,17 @@
 
 /// Delay after the first loss of a channel; doubled after each further one.
 const MIN_REOPEN_DELAY: Duration = Duration::from_ms(1000);
-/// Longest delay after the loss of a channel.
+/// Maximum delay after the loss of a channel.
 const MAX_REOPEN_DELAY: Duration = Duration::from_ms(30_000);
-/// Time within which deliveries are settled before a removed broker's connection is closed.
+/// Time after the cancellation of the consumers at which the connection to a removed broker is closed,
+/// although deliveries are unsettled.
 const BROKER_REMOVAL_TIMEOUT: Duration = Duration::from_ms(5000);
 
-/// The next attempt to open a channel.
+/// Next attempt to open a channel.
 #[derive(Clone, Copy)]
 struct ChannelAttempt {
     at: Timestamp,
-    /// Delay that led to this attempt.
+    /// Delay before this attempt; the next delay is computed from it.
     delay: Duration,
 }
 
@@ -26,12 +30,12 @@
     (delay + delay).clamp(MIN_REOPEN_DELAY, MAX_REOPEN_DELAY)
 }
 
-/// Channels that are not ready, with their next attempts.
+/// Next attempts to open the channels that are not ready, by channel.
 #[derive(Default)]
 pub(super) struct ChannelAttempts(BTreeMap<u16, ChannelAttempt>);
 
 impl ChannelAttempts {
-    /// Attempts to open all channels now.
+    /// Schedules attempts to open all channels now.
     pub(super) fn schedule_all(&mut self, channels: impl Iterator<Item = u16>, now: Timestamp) {
         let attempt = ChannelAttempt { at: now, delay: Duration::ZERO };
         self.0 = channels.map(|channel| (channel, attempt)).collect();
@@ -41,7 +45,7 @@
         self.0.remove(&channel);
     }
 
-    /// Schedules an attempt after a loss; returns its delay.
+    /// Schedules an attempt to open a lost channel; returns its delay.
     pub(super) fn channel_lost(&mut self, channel: u16, now: Timestamp) -> Duration {
         let previous = self.0.get(&channel).map_or(Duration::ZERO, |attempt| attempt.delay);
         let delay = next_delay(previous);
@@ -49,7 +53,8 @@
         delay
     }
 
-    /// The channels whose attempt is due. Each is attempted again later unless it is ready or lost by then.
+    /// Returns the channels whose attempt is due, and schedules another attempt for each in case it is
+    /// neither ready nor lost by then.
     fn take_due(&mut self, now: Timestamp) -> Vec<u16> {
         let due = self.0.iter_mut().filter(|(_, attempt)| attempt.at <= now);
         let attempted = due.map(|(channel, attempt)| {
@@ -59,26 +64,30 @@
         attempted.collect()
     }
 
+    /// Removes the attempts of all other channels.
     fn retain_only(&mut self, channel: u16) {
         self.0.retain(|other, _| *other == channel);
     }
 
+    /// Returns the time of the earliest attempt.
     pub(super) fn next(&self) -> Option<Timestamp> {
         self.0.values().map(|attempt| attempt.at).min()
     }
 }
 
 impl AmqpConsumer {
+    /// Returns the number of the publishing channel.
     pub(super) fn publishing_channel(&self) -> u16 {
         self.queues.len() as u16 + 1
     }
 
-    /// Index of the queue that a channel consumes; the publishing channel has none.
+    /// Returns the index of the queue that a channel consumes; `None` for the publishing channel.
     pub(super) fn queue_index(&self, channel: u16) -> Option<usize> {
         usize::from(channel).checked_sub(1).filter(|index| *index < self.queues.len())
     }
 
-    /// Carries out what is decided, opens channels that are due, and updates the windows.
+    /// Carries out the tracker's actions, opens the channels that are due and updates the prefetch windows.
+    /// Called after each event.
     pub(super) fn advance(&self, connection: &mut BrokerConnection) {
         self.detect_shutdown();
         self.carry_out_actions(Some(connection));
@@ -95,7 +104,8 @@
         self.update_windows(connection, now);
     }
 
-    /// Cancels the consumers, and closes the connection once all deliveries are settled.
+    /// Cancels the consumers, and closes the connection once no delivery is in progress, or after
+    /// `BROKER_REMOVAL_TIMEOUT` if its broker was removed.
     fn wind_down(&self, connection: &mut BrokerConnection, now: Timestamp) {
         let cancelled_at = *connection.cancelled_at.get_or_insert_with(|| {
             (1..self.publishing_channel()).for_each(|channel| connection.protocol.cancel_consumer(channel));
--- a/crates/hazelspur-server/src/ingress/amqp/connection.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/connection.rs
@@ -1,4 +1,5 @@
-//! One connection to a broker: moves bytes between the socket and the protocol's state machine.
+//! One connection to a broker: transfers bytes between the socket and the protocol's state machine, and waits
+//! for the next event.
 
 use super::channels::ChannelAttempts;
 use super::consumer::{AmqpConsumer, ConnectionFailure, MAX_WAIT, is_shutting_down};
@@ -10,17 +11,17 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 
-/// Unwritten bytes at which the broker is no longer read.
+/// Number of unwritten output bytes from which on no input is read from the broker.
 const MAX_UNWRITTEN_BYTES: usize = 256 * 1024;
-/// Shortest wait for an event.
+/// Minimum wait for an event.
 const MIN_WAIT: Duration = Duration::from_ms(1);
 
-/// A connection with what the consumer keeps for it.
+/// State of one connection.
 pub(super) struct BrokerConnection {
     pub(super) protocol: Connection,
     pub(super) number: ConnectionNumber,
     pub(super) channel_attempts: ChannelAttempts,
-    /// Since when the consumers are cancelled, before the connection is closed.
+    /// Time at which the consumers were cancelled; `None` while they consume.
     pub(super) cancelled_at: Option<Timestamp>,
 }
 
@@ -29,20 +30,20 @@
         self.protocol.state() == ConnectionState::Over
     }
 
-    /// Settles on the connection that the tag is of; on any other it is invalid.
+    /// Settles a delivery; returns false if its tag belongs to another connection or is not open.
     pub(super) fn settle(&mut self, tag: DeliveryTag, settle: impl FnOnce(&mut Connection) -> bool) -> bool {
         if tag.connection != self.number {
             return false;
         }
         let settled = settle(&mut self.protocol);
         if !settled {
-            log::debug!("tag is not open: {tag:?}");
+            log::debug!("delivery tag not open: {tag:?}");
         }
         settled
     }
 }
 
-/// Output that is partly written.
+/// Output taken from the protocol, of which the first `written` bytes are written to the socket.
 #[derive(Default)]
 struct Output {
     bytes: Vec<u8>,
@@ -64,7 +65,7 @@
 }
 
 impl AmqpConsumer {
-    /// Serves a connection until it is over; returns why.
+    /// Serves a connection until it is over and its output is written; returns the reason for its end.
     pub(super) async fn serve_connection(&self, mut stream: TcpStream) -> ConnectionFailure {
         let _ = stream.set_nodelay(true);
         let mut connection = self.new_connection();
@@ -111,7 +112,8 @@
         }
     }
 
-    /// Waits for one event and handles it; returns false where the last output could not be written in time.
+    /// Waits for one event and handles it. Returns false if the connection is over and its last output was
+    /// not written in time.
     async fn next_event(
         &self,
         connection: &mut BrokerConnection,
@@ -134,7 +136,7 @@
                     output.discard();
                 }
             },
-            // What else is ready to end goes out with it.
+            // Yields once, so that settlements of requests that are about to end are sent in the same write.
             () = self.input_notification.notified(), if !over => tokio::task::yield_now().await,
             () = self.phases.reached(is_shutting_down), if !over && !self.shutting_down.get() => {}
             () = self.clock().sleep(wait.max(MIN_WAIT)) => {
@@ -149,12 +151,13 @@
 
     fn received(&self, connection: &mut BrokerConnection, received: io::Result<usize>) {
         match received {
-            Ok(0) => connection.protocol.transport_closed("closed without a word"),
+            Ok(0) => connection.protocol.transport_closed("closed by the peer without connection.close"),
             Ok(_) => self.process_input(connection),
             Err(error) => connection.protocol.transport_closed(&error.to_string()),
         }
     }
 
+    /// Returns the time of the next timeout or attempt, at most `MAX_WAIT` from now.
     fn next_deadline(&self, connection: &BrokerConnection) -> Timestamp {
         let channel_attempt = connection.channel_attempts.next();
         let delivery = self.tracker.borrow().next_deadline();
@@ -163,10 +166,11 @@
         deadlines.into_iter().flatten().min().map_or(latest, |deadline| deadline.min(latest))
     }
 
+    /// Notifies the tracker of a connection that is over; returns the reason for its end.
     fn connection_over(&self, connection: &BrokerConnection, was_open: bool) -> ConnectionFailure {
         let stale = connection.protocol.stale_settlements();
         if stale > 0 {
-            log::error!(count = stale; "settlements of tags that were not open were dropped");
+            log::error!(count = stale; "settlements of tags that were not open dropped");
         }
         self.disconnected();
         self.carry_out_actions(None);
--- a/crates/hazelspur-server/src/ingress/amqp/consumer.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/consumer.rs
@@ -1,4 +1,4 @@
-//! The consumer: its state, its reconnects and its shutdown.
+//! State of the AMQP consumer, its connection attempts, the reload of its brokers and its shutdown.
 
 use super::message::StoredMessage;
 use crate::clock::Clock;
@@ -18,35 +18,36 @@
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, oneshot};
 
-/// Time within which a broker accepts a connection.
+/// Maximum time for establishing a TCP connection to a broker.
 const CONNECT_TIMEOUT: Duration = Duration::from_ms(2000);
-/// Longest wait until timeouts and windows are checked again.
+/// Maximum time between two checks of the timeouts and of the prefetch windows.
 pub(super) const MAX_WAIT: Duration = Duration::from_ms(250);
-/// Microseconds of a millisecond.
+/// Microseconds per millisecond.
 pub(super) const US_PER_MS: u64 = 1000;
 
-/// What a consumer shares with the rest of the server.
+/// Parts of the server that a consumer uses.
 pub struct ConsumerContext {
-    /// Dispatcher and upstreams.
+    /// Dispatcher, worker link and client of the dependency.
     pub services: Rc<Services>,
-    /// Phases of the process.
+    /// Phase of the process.
     pub phases: Rc<Phases>,
-    /// Request classes and tenants.
+    /// Request classes and tenants of the configuration in force.
     pub catalog: Rc<RefCell<Catalog>>,
-    /// Name of the server, shown by the broker.
+    /// Name of the server, sent to the broker as the connection's name.
     pub server_name: String,
-    /// Seed of the random delays.
+    /// Seed of the random delays of connection attempts.
     pub seed: u64,
 }
 
-/// Why a connection to a broker ended, or was not established.
+/// Failure to establish a connection to a broker, or the end of an established one.
 pub(super) struct ConnectionFailure {
+    /// Reason, for the log.
     pub(super) reason: String,
-    /// Whether the broker refused the login, the virtual host or the settings.
+    /// Whether the broker refused the credentials, the virtual host or the connection settings.
     pub(super) refused: bool,
 }
 
-/// Consumes the queues of the operator's file.
+/// Consumer of the queues that the operator's file names.
 pub struct AmqpConsumer {
     pub(super) services: Rc<Services>,
     pub(super) phases: Rc<Phases>,
@@ -58,17 +59,18 @@
     pub(super) brokers: RefCell<BrokerSelector>,
     pub(super) windows: RefCell<Vec<PrefetchWindow>>,
     pub(super) windows_sampled_at: Cell<Timestamp>,
-    /// Responses of all ingresses at the last sample of the windows.
+    /// Counts of the responses of all ingresses at the last sample for the windows.
     pub(super) sampled_counts: Cell<ResponseCounts>,
     pub(super) messages: RefCell<BTreeMap<DeliveryId, StoredMessage>>,
-    /// Requests that were chosen to run and wait for the permission.
+    /// Requests that the controller has decided to run and whose permission the tracker has not yet resolved.
     pub(super) awaiting_permission: RefCell<BTreeMap<DeliveryId, oneshot::Sender<bool>>>,
-    /// The tracker may have actions.
+    /// Notified when the tracker may have new actions.
     pub(super) input_notification: Notify,
+    /// Number of the latest connection.
     pub(super) connection_number: Cell<ConnectionNumber>,
     last_request_number: Cell<u64>,
     started_at: Timestamp,
-    /// Whether the broker in use is no longer in the operator's file.
+    /// Whether a reload has removed the broker in use from the operator's file.
     pub(super) broker_removed: Cell<bool>,
     pub(super) shutting_down: Cell<bool>,
     finished: Cell<bool>,
@@ -89,12 +91,12 @@
 }
 
 impl AmqpConsumer {
-    /// Creates a consumer; `run` is its task.
+    /// Creates a consumer. The caller runs `run` as its task.
     pub fn new(context: ConsumerContext, config: &AmqpConfig, operator: &OperatorConfig) -> Rc<Self> {
         let now = context.services.dispatcher.clock.now();
         let queues = operator.queues.clone();
         let spread = Duration::from_secs(config.reconnect_spread_s);
-        // Servers that start together must not draw the same random delays.
+        // The start time is mixed in: servers that start together must not draw the same random delays.
         let seed = context.seed ^ now.us();
         let window = |queue: &QueueConfig| PrefetchWindow::new(queue.rule(), queue.max_unsettled, now);
         Rc::new_cyclic(|weak_reference| Self {
@@ -122,20 +124,21 @@
         })
     }
 
-    /// Whether nothing is in progress any more and the last connection is closed.
+    /// Returns whether `run` is complete: no delivery is in progress and the last connection is closed.
     pub fn is_finished(&self) -> bool {
         self.finished.get()
     }
 
-    /// Takes over the brokers of a changed operator's file. Deliveries in progress are settled with the old
-    /// broker if that is quick.
+    /// Applies the broker list of a changed operator's file; other changes apply at the next start. If the
+    /// broker in use was removed, its deliveries in progress are settled with it for up to
+    /// `BROKER_REMOVAL_TIMEOUT`.
     pub fn reload(&self, operator: &OperatorConfig) {
         let Some(config) = &operator.amqp else {
-            return log::warn!("consumer unchanged until the next start: no amqp(...) in the file");
+            return log::warn!("operator's file without amqp(...): consumer unchanged until the next start");
         };
         let without_brokers = |config: &AmqpConfig| AmqpConfig { brokers: Vec::new(), ..config.clone() };
         if without_brokers(config) != without_brokers(&self.config) || operator.queues != self.queues {
-            log::warn!("changes of amqp and queues other than amqp.brokers apply at the next start");
+            log::warn!("changes of queues and of amqp except its brokers apply at the next start");
         }
         let moved = self.brokers.borrow_mut().replace_addresses(self.now(), &config.brokers);
         self.broker_removed.set(self.broker_removed.get() || moved);
@@ -151,11 +154,11 @@
         &self.services.dispatcher.clock
     }
 
-    /// Keeps a connection to a broker while the server serves, and then while deliveries are unsettled or replies
-    /// are to be published.
+    /// Keeps a connection to a broker from the phase `Serving` until the shutdown, and then while deliveries
+    /// are in progress or replies are to be published.
     pub async fn run(self: Rc<Self>) {
         self.phases.reached(|phase| phase != Phase::Waiting).await;
-        // A task before this one may have failed while it was connected.
+        // A previous task of this consumer may have failed while it was connected.
         self.disconnected();
         while self.wait_for_next_attempt().await {
             let address = self.brokers.borrow().address();
@@ -163,7 +166,7 @@
             let failure = match connecting.await {
                 Ok(Ok(stream)) => self.serve_connection(stream).await,
                 Ok(Err(error)) => ConnectionFailure { reason: error.to_string(), refused: false },
-                Err(_) => ConnectionFailure { reason: "no connection in time".into(), refused: false },
+                Err(_) => ConnectionFailure { reason: "connect timed out".into(), refused: false },
             };
             if self.shutting_down.get() && self.tracker.borrow().active() == 0 {
                 break;
@@ -173,6 +176,7 @@
         self.finished.set(true);
     }
 
+    /// Schedules the next connection attempt, possibly to another broker, and logs it.
     fn connection_failed(&self, address: SocketAddr, failure: &ConnectionFailure) {
         let (in_hand, counters) = (self.tracker.borrow().active(), self.tracker.borrow().counters());
         let mut brokers = self.brokers.borrow_mut();
@@ -181,20 +185,22 @@
         let wait_ms = (brokers.next_attempt() - self.now()).us() / US_PER_MS;
         let next = brokers.address();
         log::warn!(address:%, why:% = failure.reason, in_hand, read = counters.received, next:%, moved_on, wait_ms;
-            "broker connection lost");
+            "broker connection failed or lost");
     }
 
-    /// Logs the counters of all deliveries. What still awaits its fence never runs and is counted as such.
+    /// Logs the counters of all deliveries, at the end of the process. Requests that still wait for the
+    /// answer to their fence never run and are counted as acknowledged without a run.
     pub fn log_counters(&self) {
         self.disconnected();
         let (counters, in_hand) = (self.tracker.borrow().counters(), self.tracker.borrow().active());
         log::info!(in_hand, read = counters.received, acked = counters.acked, rejected = counters.rejected,
             requeued = counters.requeued, retried = counters.retried, replies_lost = counters.replies_lost,
             unproven = counters.acked_without_run;
-            "deliveries at the end");
+            "delivery counts at shutdown");
     }
 
-    /// Waits for the time of the next attempt; returns false once nothing is left to do with any broker.
+    /// Waits for the time of the next connection attempt. Returns false once the server is shutting down and
+    /// no delivery is in progress.
     async fn wait_for_next_attempt(&self) -> bool {
         loop {
             self.detect_shutdown();
@@ -220,28 +226,30 @@
         }
     }
 
+    /// Notifies the tracker of the shutdown, once.
     pub(super) fn detect_shutdown(&self) {
         if is_shutting_down(self.phases.now()) && !self.shutting_down.replace(true) {
             self.tracker.borrow_mut().shutdown_notice();
         }
     }
 
+    /// Notifies the tracker that the latest connection and its publishing channel are lost.
     pub(super) fn disconnected(&self) {
         let mut tracker = self.tracker.borrow_mut();
         tracker.connection_lost(self.connection_number.get());
         tracker.set_publishing_ready(false);
     }
 
-    /// A reference for a task that outlives the present call.
+    /// Returns a reference for a task that may outlive the borrow of `self`.
     pub(super) fn strong_reference(&self) -> Rc<Self> {
-        self.weak_reference.upgrade().expect("it is alive: this is its method")
+        self.weak_reference.upgrade().expect("the consumer is borrowed, so it exists")
     }
 
-    /// A request id that is unique among all servers: start time and number.
+    /// Returns a request id that is unique among all servers: the consumer's start time and a counter.
     pub(super) fn next_request_id(&self) -> RequestId {
         self.last_request_number.set(self.last_request_number.get() + 1);
         let text = format!("q{:x}-{:x}", self.started_at.us(), self.last_request_number.get());
-        RequestId::padded(&text).expect("under 36 characters")
+        RequestId::padded(&text).expect("at most 36 characters")
     }
 }
 
--- a/crates/hazelspur-server/src/ingress/amqp/events.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/events.rs
@@ -1,4 +1,5 @@
-//! Events of a connection: passes them to the tracker, and handles the loss of channels.
+//! Events of a broker connection: passes them to the delivery tracker, and schedules the reopening of lost
+//! channels.
 
 use super::connection::BrokerConnection;
 use super::consumer::{AmqpConsumer, US_PER_MS};
@@ -6,18 +7,21 @@
 use hazelspur_amqp::{ConnectionHandler, IncomingDelivery};
 use hazelspur_deliveries::{ConnectionNumber, DeliveryId, DeliveryTag, QueueId};
 
-/// Queue name that logs show for the publishing channel.
+/// Name of the publishing channel in the log field `queue`.
 const PUBLISHING_CHANNEL_NAME: &str = "(publishing)";
 
-/// A channel that can no longer be used.
+/// Loss of a channel or of its consumer.
 struct ChannelLoss {
     channel: u16,
-    /// Whether the channel is closed; otherwise its consumer is cancelled and its deliveries can be settled.
+    /// Whether the channel is closed. Otherwise only its consumer is cancelled, and its deliveries can still
+    /// be settled.
     closed: bool,
+    /// Reason, for the log.
     reason: String,
 }
 
-/// Collects the events of one input that the connection's channels have to be changed for.
+/// Handler of the events in one piece of input. Passes deliveries and confirms to the tracker at once, and
+/// collects events of the connection and its channels, which are handled once the input is processed.
 struct EventHandler<'a> {
     consumer: &'a AmqpConsumer,
     connection: ConnectionNumber,
@@ -28,7 +32,7 @@
 }
 
 impl AmqpConsumer {
-    /// Processes the input of a connection.
+    /// Processes the received bytes of a connection.
     pub(super) fn process_input(&self, connection: &mut BrokerConnection) {
         let now = self.now();
         let mut handler = EventHandler {
@@ -50,23 +54,25 @@
         lost_channels.iter().for_each(|loss| self.channel_lost(connection, loss, now));
     }
 
+    /// Handles a channel that has become ready to consume or to publish.
     fn channel_ready(&self, connection: &mut BrokerConnection, channel: u16) {
         match self.queue_index(channel) {
             Some(index) => {
-                log::info!(queue = self.queues[index].name.as_str(); "queue consumed");
+                log::info!(queue = self.queues[index].name.as_str(); "consuming queue");
             }
             None => self.tracker.borrow_mut().set_publishing_ready(true),
         }
         connection.channel_attempts.channel_ready(channel);
     }
 
+    /// Schedules the reopening of a lost channel and, if it is closed, notifies the tracker.
     fn channel_lost(&self, connection: &mut BrokerConnection, loss: &ChannelLoss, now: Timestamp) {
         let ChannelLoss { channel, closed, reason } = loss;
         let delay = connection.channel_attempts.channel_lost(*channel, now);
         let index = self.queue_index(*channel);
         let queue = index.map_or(PUBLISHING_CHANNEL_NAME, |index| &self.queues[index].name);
         let again_ms = delay.us() / US_PER_MS;
-        log::warn!(queue, closed = *closed, why:% = reason, again_ms; "queue taken away");
+        log::warn!(queue, closed = *closed, why:% = reason, again_ms; "channel closed or consumer cancelled");
         if !closed {
             return;
         }
--- a/crates/hazelspur-server/src/ingress/amqp/message.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/message.rs
@@ -1,4 +1,5 @@
-//! Decodes deliveries: as a request, or why a message is not one, and by when the request has to begin.
+//! Decodes deliveries. The result is a request, or the outcome of a message that is not a valid request, and
+//! the deadline by which the request has to start.
 
 use super::consumer::{AmqpConsumer, US_PER_MS};
 use crate::config::operator::{QueueConfig, SentTimeSource};
@@ -10,53 +11,57 @@
 use hazelspur_deliveries::{DeliveryOutcome, DeliveryTag, QueueId, ReceivedDelivery};
 use std::rc::Rc;
 
-/// Longest properties that are stored, in bytes; a message with longer ones is malformed.
+/// Maximum length of a message's encoded properties, in bytes. A message with longer ones is malformed.
 const MAX_PROPERTIES_BYTES: usize = 8 * 1024;
-/// Microseconds of a second.
+/// Microseconds per second.
 const US_PER_S: u64 = 1_000_000;
-/// Header: attempts so far, written to retry copies.
+/// Header with the number of attempts so far. Written to the copies in the retry queue.
 pub(super) const ATTEMPTS_HEADER: &str = "x-hazelspur-tries";
-/// Header: when the message was sent first, in milliseconds since 1970.
+/// Header with the time at which the message was first sent, in milliseconds since the Unix epoch.
 pub(super) const SENT_HEADER: &str = "x-sent-ms";
-/// Header: longest wait from the sending, in milliseconds.
+/// Header with the maximum time from the first sending to the start of the request, in milliseconds.
 pub(super) const MAX_WAIT_HEADER: &str = "x-waits-ms";
-/// Header: deliveries so far, written by brokers with quorum queues.
+/// Header with the number of deliveries so far. Written by brokers with quorum queues.
 const DELIVERY_COUNT_HEADER: &str = "x-delivery-count";
-/// Header: name of the tenant.
+/// Header with the name of the tenant.
 const TENANT_HEADER: &str = "x-owner";
-/// Header: memory that the request takes while queued, in kB.
+/// Header with the memory that the request takes while it is queued, in kB.
 const SIZE_HEADER: &str = "x-need-kb";
-/// Header: subject of the request, which names its session.
+/// Header with the subject of the request, which identifies its session.
 const SUBJECT_HEADER: &str = "x-subject";
 
-/// What is stored of a delivery until it is over.
+/// Parts of a delivery that are kept until the delivery has ended.
 pub(super) struct StoredMessage {
     pub(super) request_id: RequestId,
     pub(super) queue: QueueId,
-    /// `None` for a message that is not a request.
+    /// `None` for a message that is not a valid request.
     pub(super) request: Option<QueuedRequest>,
-    /// The encoded properties, empty where they cannot be decoded.
+    /// Encoded properties; empty if they cannot be decoded or are too long.
     pub(super) properties: Vec<u8>,
-    /// When the message was sent, by the publisher's clock.
+    /// Time of the first sending by the publisher's clock; the time of receipt by this server's wall clock if
+    /// the message does not state it, it is not credible or the queue's settings ignore it.
     pub(super) sent_at: Timestamp,
+    /// Body; empty if it is missing or too long.
     pub(super) body: Rc<[u8]>,
 }
 
-/// A message that can be run as a request.
+/// Request decoded from a message.
 pub(super) struct QueuedRequest {
     pub(super) class_id: RequestClassId,
     pub(super) class: Rc<RequestClass>,
     pub(super) tenant: TenantId,
     pub(super) session: Option<SessionKey>,
+    /// `None` for a request that is not deduplicated.
     pub(super) key: Option<DeduplicationKey>,
+    /// Memory that the request takes while it is queued, in kB.
     pub(super) size_kb: f64,
 }
 
-/// When a message was sent and by when its request has to begin.
+/// Send time of a message and deadline of its request.
 struct MessageTimes {
-    /// By the publisher's clock.
+    /// Same as `StoredMessage::sent_at`.
     sent_at: Timestamp,
-    /// By this server's clock.
+    /// Time by which the request has to start, by this server's clock; `None` if it may wait without limit.
     deadline: Option<Timestamp>,
 }
 
@@ -64,17 +69,22 @@
     Duration::from_us(ms.saturating_mul(US_PER_MS))
 }
 
-/// A count in a header, at most `u32::MAX`; zero where there is none.
+/// Returns a count from a header, capped at `u32::MAX`; zero if the header is missing or not a count.
 fn count_header(properties: &Properties<'_>, name: &str) -> u32 {
     let count = properties.header(name).and_then(FieldValue::unsigned).unwrap_or(0);
     u32::try_from(count).unwrap_or(u32::MAX)
 }
 
+/// Returns the number of earlier attempts: by the header of a retry copy or by the broker's delivery count,
+/// whichever is higher.
 fn previous_attempts(properties: &Properties<'_>) -> u32 {
     count_header(properties, ATTEMPTS_HEADER).max(count_header(properties, DELIVERY_COUNT_HEADER))
 }
 
-/// A header that has to be text.
+/// Returns an optional text header.
+///
+/// # Errors
+/// Returns `Malformed` if the header is not text.
 fn text_header<'a>(properties: &Properties<'a>, name: &str) -> Result<Option<&'a str>, DeliveryOutcome> {
     match properties.header(name) {
         None => Ok(None),
@@ -82,6 +92,10 @@
     }
 }
 
+/// Returns the memory size that the request states, or the queue's default.
+///
+/// # Errors
+/// Returns `Malformed` if the size is not a number in the valid range.
 fn size_kb(queue: &QueueConfig, properties: &Properties<'_>) -> Result<f64, DeliveryOutcome> {
     let size_kb = match properties.header(SIZE_HEADER) {
         None => queue.need_kb,
@@ -92,7 +106,8 @@
 }
 
 impl AmqpConsumer {
-    /// Decodes a delivery, passes it to the tracker and stores its message.
+    /// Decodes a delivery, passes it to the tracker and stores its message. A delivery that is not a valid
+    /// request goes to the tracker with its outcome.
     pub(super) fn delivery_received(
         &self,
         now: Timestamp,
@@ -139,6 +154,7 @@
         self.messages.borrow_mut().insert(id, message);
     }
 
+    /// Returns the send time and the deadline of a message.
     fn message_times(
         &self,
         now: Timestamp,
@@ -151,11 +167,13 @@
             SentTimeSource::Receipt => None,
             SentTimeSource::Publisher => {
                 let sent_ms = header_ms(SENT_HEADER).map(|ms| ms.saturating_mul(US_PER_MS));
-                // The property has whole seconds: the earliest time that it can stand for.
+                // The `timestamp` property has whole seconds; this is the earliest time that it can stand
+                // for.
                 let timestamp = properties.timestamp.map(|s| s.saturating_mul(US_PER_S));
                 sent_ms.or(timestamp).map(Timestamp::from_us)
             }
         };
+        // A send time too far ahead of this server's clock is replaced by the time of receipt.
         let is_credible = |sent_at: &Timestamp| clock.local_time_of(*sent_at) <= now + MAX_CLOCK_LEAD;
         let sent_at = stated_sent_at.filter(is_credible).unwrap_or(clock.wall());
         let expiration_ms = properties.expiration.and_then(|ms| ms.parse::<u32>().ok());
@@ -167,6 +185,11 @@
         MessageTimes { sent_at, deadline }
     }
 
+    /// Decodes the request of a message.
+    ///
+    /// # Errors
+    /// Returns `UnknownClass` if no request class is named or the named one is not configured, `Malformed` if
+    /// another part of the message is invalid.
     fn decode_request(
         &self,
         queue: &QueueConfig,
--- a/crates/hazelspur-server/src/ingress/amqp/mod.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/mod.rs
@@ -1,7 +1,8 @@
-//! Consumer of a broker's queues over AMQP 0-9-1: one connection, a channel per queue and one to publish on.
+//! Consumer of a broker's queues over AMQP 0-9-1. It uses one connection, with one channel per queue and one
+//! for publishing.
 //!
-//! `DeliveryTracker` decides how each delivery is settled, and `AdmissionController` whether and when its request
-//! runs. The modules here decode messages, carry out those decisions and own the socket.
+//! `DeliveryTracker` decides how each delivery is settled; `AdmissionController` decides whether and when its
+//! request runs. The modules here decode messages, carry out these decisions and own the socket.
 
 mod actions;
 mod channels;
--- a/crates/hazelspur-server/src/ingress/amqp/prefetch.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/prefetch.rs
@@ -1,15 +1,16 @@
-//! Updates the prefetch windows of all queues from the outcomes of all ingresses.
+//! Updates the prefetch windows of all queues from the responses of all ingresses, the unsettled deliveries
+//! and the spare capacity of the server.
 
 use super::connection::BrokerConnection;
 use super::consumer::AmqpConsumer;
 use hazelspur::{Duration, Timestamp};
 use hazelspur_deliveries::QueueId;
 
-/// Time between two samples of the outcomes and of the unsettled deliveries.
+/// Time between two samples of the response counts and of the unsettled deliveries.
 const SAMPLE_INTERVAL: Duration = Duration::from_ms(20);
 
 impl AmqpConsumer {
-    /// Samples the windows if it is time, and sends those that changed.
+    /// Takes a sample if it is due, updates the windows and sends the changed ones to the broker.
     pub(super) fn update_windows(&self, connection: &mut BrokerConnection, now: Timestamp) {
         if now - self.windows_sampled_at.get() < SAMPLE_INTERVAL {
             return;
--- a/crates/hazelspur-server/src/ingress/amqp/publishing.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/publishing.rs
@@ -1,4 +1,4 @@
-//! Messages that the consumer publishes: replies, and copies to the retry queue.
+//! Messages that the consumer publishes: replies, copies to the retry queue, and copies of expired messages.
 
 use super::consumer::{AmqpConsumer, US_PER_MS};
 use super::message::{ATTEMPTS_HEADER, MAX_WAIT_HEADER, SENT_HEADER, StoredMessage};
@@ -6,13 +6,13 @@
 use hazelspur_amqp::{Connection, OutgoingMessage, Properties, TableWriter};
 use hazelspur_deliveries::{DeliveryId, DeliveryOutcome};
 
-/// Header of a reply: the name of the request's outcome.
+/// Header of a reply with the name of the request's outcome.
 const OUTCOME_HEADER: &str = "x-outcome";
 /// Delivery mode of messages that the broker stores on disk.
 const PERSISTENT: u8 = 2;
 
 impl AmqpConsumer {
-    /// Publishes the reply to the queue that the message names; returns whether it was sent.
+    /// Publishes the reply to the queue that the message's `reply_to` names; returns whether it was sent.
     pub(super) fn publish_reply(
         &self,
         protocol: &mut Connection,
@@ -37,8 +37,8 @@
         protocol.publish(self.publishing_channel(), &reply)
     }
 
-    /// Publishes a copy to the retry queue, which expires after the delay; returns whether it was sent. Headers
-    /// keep the time of sending and the longest wait of the original.
+    /// Publishes a copy to the retry queue, where it expires after `delay`; returns whether it was sent.
+    /// Headers preserve the send time and the maximum wait of the original.
     pub(super) fn publish_retry(
         &self,
         protocol: &mut Connection,
@@ -59,7 +59,8 @@
         protocol.publish(self.publishing_channel(), &copy)
     }
 
-    /// Publishes a copy to the message's own queue, where it is expired already; returns whether it was sent.
+    /// Publishes a copy of an expired message to the message's own queue, where it is expired from the start;
+    /// returns whether it was sent.
     pub(super) fn publish_expired(&self, protocol: &mut Connection, id: DeliveryId) -> bool {
         let messages = self.messages.borrow();
         let Some(message) = messages.get(&id) else { return false };
@@ -72,7 +73,8 @@
     }
 }
 
-/// The headers of a copy: all but those named, with the time of sending and the longest wait of the original.
+/// Returns the headers of a copy: those of the original except `excluded`, with the send time and the maximum
+/// wait of the original.
 fn headers_of_copy(message: &StoredMessage, original: &Properties<'_>, excluded: &[&str]) -> TableWriter {
     let excluded = [&[SENT_HEADER], excluded].concat();
     let headers = TableWriter::default()
--- a/crates/hazelspur-server/src/ingress/amqp/request.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/request.rs
@@ -1,4 +1,4 @@
-//! The request of a delivery: its submission, and its response.
+//! The request of a delivery: submits it to the dispatcher and passes its response to the delivery tracker.
 
 use super::consumer::AmqpConsumer;
 use super::message::{QueuedRequest, StoredMessage};
@@ -10,19 +10,20 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// Shortest time until a rejected delivery is requeued, whatever the admission controller decides.
+/// Minimum time until a rejected delivery is requeued, also if the admission controller decides on a shorter
+/// one.
 const MIN_RETRY_AFTER: Duration = Duration::from_ms(200);
 
-/// A key that belongs to a request with another content.
+/// Error: the deduplication key belongs to a request with different content.
 struct KeyConflict;
 
 impl AmqpConsumer {
-    /// Starts the lifecycle of a delivery's request.
+    /// Registers the request of a delivery and spawns its lifecycle.
     pub(super) fn submit(&self, now: Timestamp, id: DeliveryId) {
         let messages = self.messages.borrow();
         let stored = messages.get(&id).and_then(|message| Some((message, message.request.as_ref()?)));
         let Some((message, queued)) = stored else {
-            return log::error!("delivery without its stored message");
+            return log::error!("no stored message for a delivery");
         };
         let dispatcher = &self.services.dispatcher;
         let request = message.request_id;
@@ -32,7 +33,7 @@
         let Ok(retry_of) = self.lookup_retry(now, message, queued) else {
             dispatcher.remove(request);
             let queue = self.queues[message.queue.0].name.as_str();
-            log::warn!(queue; "message-id belongs to another request");
+            log::warn!(queue; "message-id belongs to a request with different content");
             return self.request_finished(id, DeliveryOutcome::Failed, &[]);
         };
         let responder = DeliveryResponder { consumer: self.strong_reference(), id };
@@ -59,7 +60,10 @@
         tokio::task::spawn_local(lifecycle.admit(&received).run());
     }
 
-    /// The earlier attempt with the same key, if any.
+    /// Returns the earlier attempt with the same deduplication key, if any.
+    ///
+    /// # Errors
+    /// Returns `KeyConflict` if the key belongs to a request with different content.
     fn lookup_retry(
         &self,
         now: Timestamp,
@@ -83,6 +87,7 @@
         }
     }
 
+    /// Passes the outcome of a request to the tracker.
     fn request_finished(&self, id: DeliveryId, outcome: DeliveryOutcome, result: &[u8]) {
         self.awaiting_permission.borrow_mut().remove(&id);
         self.tracker.borrow_mut().request_finished(self.now(), id, outcome, &result.into());
@@ -90,12 +95,13 @@
     }
 }
 
-/// A client id per queue, from the highest down: gateways use the low ones.
+/// Returns the client id of a message's queue. Each queue has its own, from the highest down, because
+/// gateways use the low ones.
 fn client_id_of_queue(message: &StoredMessage) -> ClientId {
     ClientId(u64::MAX - message.queue.0 as u64)
 }
 
-/// Passes the response to the tracker.
+/// Passes the response to the request of one delivery to the tracker.
 struct DeliveryResponder {
     consumer: Rc<AmqpConsumer>,
     id: DeliveryId,
@@ -106,7 +112,8 @@
         self.consumer.request_finished(self.id, DeliveryOutcome::Succeeded, result);
     }
 
-    /// The broker chooses the server of the next attempt, so only its time matters.
+    /// Ignores `do_not_retry_elsewhere`: the broker chooses the server of the next attempt, so only the time
+    /// matters.
     fn rejected(&mut self, retry_after: Duration, _do_not_retry_elsewhere: bool) {
         let outcome = DeliveryOutcome::Rejected(retry_after.max(MIN_RETRY_AFTER));
         self.consumer.request_finished(self.id, outcome, &[]);
--- a/crates/hazelspur-server/src/ingress/gateway/connection.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/connection.rs
@@ -1,4 +1,4 @@
-//! State of one gateway's connection: its stage, its open requests, its output and its client's reputation.
+//! State of one gateway's connection: stage, open requests, queued output and reputation of the client.
 
 use super::error::ProtocolError;
 use super::reputation::ClientReputation;
@@ -11,14 +11,15 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Stage of a connection. It only advances.
+/// Stage of a connection. Stages only advance, in this order.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Stage {
     /// Requests are accepted.
     Open,
-    /// The goodbye message was sent then; requests that cross it are still accepted.
+    /// The goodbye message was sent at this time. Requests are still accepted, because the gateway may have
+    /// sent them before it received the message.
     GoodbyeSent(Timestamp),
-    /// What the final reads find is answered, then the write side is shut down.
+    /// Requests that have already arrived are read and answered, then the write side is shut down.
     Closing,
     /// The write side is shut down; input is discarded.
     ShutDown,
@@ -27,22 +28,24 @@
 /// One gateway's connection.
 pub(super) struct GatewayConnection {
     pub(super) dispatcher: Rc<Dispatcher>,
-    /// Requests without a response, by their id on the connection.
+    /// Requests without a response, by JSON-RPC id.
     pub(super) open_requests: RefCell<BTreeMap<RpcId, RequestId>>,
     pub(super) connected_at: Timestamp,
-    /// Since when no request is open.
+    /// Time of the accept, of the last health check or of the last end of a request, whichever is latest. The
+    /// idle time counts from here while no request is open.
     pub(super) idle_since: Cell<Timestamp>,
-    /// Since when a line is incomplete.
+    /// Time since which the last line received is incomplete; `None` if it is complete.
     pub(super) partial_line_since: Cell<Option<Timestamp>>,
-    /// Whether the previous maintenance round found the input overdue: one round alone may have followed a
-    /// suspension of the process.
+    /// Whether the previous maintenance round found the input overdue. Only the second such round in a row
+    /// counts: the first may follow a suspension of the process.
     pub(super) was_overdue: Cell<bool>,
     pub(super) stage: Cell<Stage>,
-    /// Whether health checks came on it.
+    /// Whether a health check has been received.
     pub(super) checks_health: Cell<bool>,
     pub(super) reputation: ClientReputation,
     pub(super) output: ResponseQueue,
-    /// Ends what the connection's task waits for: input before the close, then the peer's end.
+    /// Notified to make the connection's task stop waiting: for input, or after the shutdown for the peer's
+    /// close.
     pub(super) close_requested: Notify,
 }
 
@@ -76,6 +79,7 @@
         matches!(self.stage.get(), Stage::Closing | Stage::ShutDown)
     }
 
+    /// Restarts the idle time.
     pub(super) fn mark_idle(&self) {
         self.idle_since.set(self.dispatcher.clock.now());
     }
@@ -84,7 +88,8 @@
         self.open_requests.borrow_mut().insert(id, request);
     }
 
-    /// Removes a request that is answered or abandoned, unless its id belongs to another one by now.
+    /// Removes a request that was answered or abandoned, unless its JSON-RPC id belongs to another request by
+    /// now.
     pub(super) fn request_closed(&self, id: RpcId, request: RequestId) {
         let mut open_requests = self.open_requests.borrow_mut();
         if open_requests.get(&id) == Some(&request) {
@@ -95,16 +100,17 @@
         self.output.notify_progress();
     }
 
-    /// Completes once no request is open and everything is written, or cannot be written for this long.
+    /// Completes once no request is open and all output is written. If writing takes longer than
+    /// `write_timeout`, completes without the rest.
     pub(super) async fn drained(&self, write_timeout: Duration) {
         while self.has_open_requests() {
             self.output.progressed().await;
         }
-        // After the timeout the rest is given up.
+        // A timeout is not an error: the unwritten rest is discarded.
         let _ = self.dispatcher.clock.timeout(write_timeout, self.output.flushed()).await;
     }
 
-    /// Answers invalid input with an error and records it.
+    /// Sends the error response to invalid input and records the error in the client's reputation.
     pub(super) fn reject_input(&self, id: Option<RpcId>, error: ProtocolError) {
         self.reputation.record(error);
         let message = error.to_string();
@@ -112,7 +118,7 @@
             .append(|out| rpc::write_error(out, id, error.code(), &message, rpc::ErrorData::default()));
     }
 
-    /// Answers with an error and closes; open requests are answered first.
+    /// Sends an error response without an id and closes the connection; open requests are still answered.
     pub(super) fn dismiss(&self, error: ProtocolError) {
         if !self.is_closing() {
             self.reject_input(None, error);
@@ -120,7 +126,8 @@
         }
     }
 
-    /// Lets the connection's task read what is there, answer it and shut down.
+    /// Starts the close: the connection's task reads the requests that have arrived, answers them and shuts
+    /// down.
     pub(super) fn close(&self) {
         if !self.is_closing() {
             self.stage.set(Stage::Closing);
@@ -128,7 +135,7 @@
         }
     }
 
-    /// Asks the gateway to close the connection.
+    /// Sends the goodbye message, which asks the gateway to close the connection.
     pub(super) fn send_goodbye(&self) {
         self.stage.set(Stage::GoodbyeSent(self.dispatcher.clock.now()));
         self.output.append(rpc::write_goodbye);
--- a/crates/hazelspur-server/src/ingress/gateway/connection_task.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/connection_task.rs
@@ -1,6 +1,8 @@
-//! The task of one gateway's connection, from its accept to its close:
-//! `Open`, `GoodbyeSent`, `Closing` (final reads, then everything is answered), `ShutDown` (input is discarded
-//! until the peer's end or a limit).
+//! The task of one gateway's connection, from accept to close.
+//!
+//! In the stages `Open` and `GoodbyeSent` it reads and submits requests. In `Closing` it answers all open
+//! requests, then reads once more without waiting and answers what has arrived (a final read). In `ShutDown`
+//! the write side is shut down and input is discarded until the peer closes or a limit is reached.
 
 use super::connection::{GatewayConnection, Stage};
 use super::server::{ConnectionId, GatewayServer};
@@ -15,35 +17,36 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 
-/// Unwritten bytes at which a connection is no longer read.
+/// Number of queued output bytes from which on a connection is not read.
 const MAX_QUEUED_BYTES: usize = 64 * 1024;
-/// Pause of reading after a protocol error, so that errors at full speed do not use up the processor.
+/// Pause of reading after a protocol error, so that a flood of errors does not use up the processor.
 const PROTOCOL_ERROR_PAUSE: Duration = Duration::from_ms(50);
-/// Time after which a client that does not read its last responses is given up.
+/// Maximum time for writing the last responses to a client that does not read them.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_ms(1000);
-/// Maximum number of final reads from a client that goes on sending requests.
+/// Maximum number of final reads, for a client that keeps sending requests.
 const MAX_FINAL_READS: usize = 8;
-/// Maximum number of bytes of a final read.
+/// Number of bytes after which a final read ends.
 const MAX_FINAL_READ_BYTES: usize = 64 * 1024;
-/// Bytes of one read from the socket's buffer.
+/// Maximum number of bytes per read call of a final read.
 const READ_CHUNK_BYTES: usize = 4096;
-/// Bytes that are discarded after the shutdown, so that a reset does not destroy the last response.
+/// Number of bytes after which input is no longer discarded. Input is discarded after the shutdown because
+/// closing a socket with unread input resets the connection, which may destroy the last response.
 const MAX_DISCARDED_BYTES: usize = 256 * 1024;
-/// Time for which input is discarded after the shutdown.
+/// Maximum time for which input is discarded after the shutdown.
 const DISCARD_TIMEOUT: Duration = Duration::from_ms(300);
 
-/// Why a connection is no longer read.
+/// Reason for which a connection is no longer read.
 #[derive(Clone, Copy, PartialEq)]
 enum ReadEnd {
-    /// The peer has shut down its write side and may still read.
+    /// The peer has shut down its write side; it may still read responses.
     PeerFinished,
-    /// This server closes the connection.
+    /// This server closes the connection, or the client is blocked for its errors.
     CloseRequested,
-    /// Reading or writing failed.
+    /// A read or write failed.
     Broken,
 }
 
-/// Removes the connection and abandons its requests however its task ends, a panic included.
+/// Guard that removes the connection and abandons its open requests when the task ends, also by a panic.
 struct ConnectionGuard {
     server: Rc<GatewayServer>,
     id: ConnectionId,
@@ -63,7 +66,7 @@
 }
 
 impl GatewayServer {
-    /// Serves one connection until its end.
+    /// Serves one connection until it is closed.
     pub(super) async fn serve(
         self: Rc<Self>,
         id: ConnectionId,
@@ -79,7 +82,8 @@
             return;
         }
         self.log_protocol_errors(&connection);
-        // No await since the final read: what comes from here on has crossed the close.
+        // There is no await since the final read: input from here on was sent before the peer noticed the
+        // close.
         connection.stage.set(Stage::ShutDown);
         let is_shut_down = writer.shutdown().await.is_ok();
         if is_shut_down && end == ReadEnd::CloseRequested {
@@ -91,7 +95,8 @@
         }
     }
 
-    /// Reads and answers requests until the end, then answers what the final reads find.
+    /// Reads and answers requests until reading ends, then makes the final reads and answers their requests.
+    /// Returns the reason for which reading ended.
     async fn serve_requests(
         &self,
         connection: &Rc<GatewayConnection>,
@@ -122,6 +127,7 @@
         end
     }
 
+    /// Reads and submits requests until the peer is finished, a read fails or the client is blocked.
     async fn read_requests(
         &self,
         reader: &mut ReadHalf<'_>,
@@ -149,8 +155,8 @@
         }
     }
 
-    /// Processes what the socket's buffer contains now, without waiting for the runtime's readiness event;
-    /// returns whether there was a complete line.
+    /// Processes the input that the socket holds now, without waiting for the readiness event of the async
+    /// runtime. Returns whether it contained a complete line.
     fn final_read(
         &self,
         reader: &ReadHalf<'_>,
@@ -170,7 +176,7 @@
     }
 }
 
-/// Reads and drops input up to a limit.
+/// Reads and discards input until the peer closes, a read fails or the limit is reached.
 async fn discard_input(reader: &mut ReadHalf<'_>, input: &mut Buffer) {
     let mut bytes_left = MAX_DISCARDED_BYTES;
     while let Ok(count @ 1..) = reader.read_buf(input.spare_capacity()).await
--- a/crates/hazelspur-server/src/ingress/gateway/eviction.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/eviction.rs
@@ -1,25 +1,26 @@
-//! Eviction of idle connections when descriptors run short: first those without valid input, then those that are
-//! idle for longest.
+//! Eviction of idle connections when file descriptors run short: first those without valid input, then those
+//! that have been idle longest.
 
 use super::connection::GatewayConnection;
 use super::error::ProtocolError;
 use super::server::GatewayServer;
 use std::rc::Rc;
 
-/// Maximum number of connections evicted at a time.
+/// Maximum number of connections evicted per call.
 const MAX_EVICTED: usize = 16;
 
-/// Why places are needed.
+/// Reason for an eviction.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum EvictionReason {
-    /// The table of connections may be full.
+    /// A connection was accepted or waits for a place: the number of connections may be at its maximum.
     TableFull,
-    /// The system refuses an accept.
+    /// An accept failed.
     DescriptorsExhausted,
 }
 
 impl GatewayServer {
-    /// Closes connections where too many are open.
+    /// Frees places for connections. If no place is left, idle connections that have got the goodbye message or
+    /// are closing are closed at once; if that does not suffice, open idle connections are evicted.
     pub(super) fn evict(&self, reason: EvictionReason) {
         let connections = self.connections.borrow();
         let exhausted = reason == EvictionReason::DescriptorsExhausted;
@@ -30,7 +31,7 @@
             let idle = closing.clone().filter(|connection| !connection.has_open_requests());
             closing_sooner = idle.inspect(|connection| connection.close_requested.notify_one()).count();
         }
-        // Those that are closing free enough descriptors.
+        // If connections that are already closing free enough descriptors, none is evicted.
         let enough_places_free = match reason {
             EvictionReason::DescriptorsExhausted => closing_sooner > 0,
             EvictionReason::TableFull => connections.len() < max_open + closing.count(),
@@ -41,6 +42,7 @@
     }
 }
 
+/// Evicts idle connections: with the goodbye message if they have sent valid input, otherwise with an error.
 fn evict_idle<'a>(connections: impl Iterator<Item = &'a Rc<GatewayConnection>>) {
     let is_idle = |c: &&Rc<GatewayConnection>| c.is_open() && !c.has_open_requests();
     let mut idle: Vec<&Rc<GatewayConnection>> = connections.filter(is_idle).collect();
--- a/crates/hazelspur-server/src/ingress/gateway/lines.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/lines.rs
@@ -1,4 +1,5 @@
-//! Lines of a connection: health checks, interrupts and requests.
+//! Processing of the lines that a connection receives. A line is a health check, an interrupt (which abandons
+//! a request) or a request; invalid lines are answered with an error and counted.
 
 use super::connection::GatewayConnection;
 use super::error::{ProtocolError, RequestError};
@@ -11,24 +12,25 @@
 use std::borrow::Cow;
 use std::rc::Rc;
 
-/// Longest line, in bytes.
+/// Maximum length of a line, in bytes.
 const MAX_LINE_BYTES: usize = 16 * 1024;
-/// Protocol version that each message names.
+/// Value of `jsonrpc` in each message.
 const JSON_RPC_VERSION: &str = "2.0";
-/// Method of a health check.
+/// `method` of a health check.
 const CHECK_METHOD: &str = "check";
-/// Method that abandons a request.
+/// `method` of an interrupt, with which the client abandons a request.
 const INTERRUPT_METHOD: &str = "interrupt";
 
-/// A message of a gateway.
+/// A decoded line.
 struct Message<'a> {
     method: Cow<'a, str>,
     id: Option<RpcId>,
     params: Option<Json<'a>>,
 }
 
-/// What a line contains that is not a message, and the id to answer under.
+/// Error in a line that is not a valid message.
 struct InvalidMessage {
+    /// Id of the error response; `None` if the line has no valid id.
     id: Option<RpcId>,
     error: ProtocolError,
 }
@@ -50,7 +52,8 @@
 }
 
 impl GatewayServer {
-    /// Processes all complete lines of the input.
+    /// Processes all complete lines in the input buffer, until the client is blocked. An incomplete line
+    /// stays in the buffer; the time of its first part is kept.
     pub(super) fn process_lines(&self, connection: &Rc<GatewayConnection>, input: &mut Buffer) {
         while !connection.reputation.is_blocked() {
             let length = input.line_length();
@@ -95,7 +98,7 @@
     }
 
     fn process_request(&self, connection: &Rc<GatewayConnection>, request: &IncomingRequest<'_>) {
-        // An error is not sent under the id of an open request, which gets its own response.
+        // An open request gets its own response, so an error never carries its id.
         let id_is_open = connection.open_requests.borrow().contains_key(&request.id);
         let id = (!id_is_open).then_some(request.id);
         match self.submit(connection, request) {
@@ -110,7 +113,8 @@
         }
     }
 
-    /// Abandons the request that is named by its request id or by its id on the connection.
+    /// Abandons an open request of this connection. `params` names it by request id (`req`) or by JSON-RPC id
+    /// (`id`); without `params.id` the message's own id applies.
     fn interrupt(&self, connection: &GatewayConnection, id: Option<RpcId>, params: Option<Json<'_>>) {
         let field = |name: &str| params.and_then(|params| params.get(name));
         let mut open_requests = connection.open_requests.borrow_mut();
@@ -119,7 +123,7 @@
         let rpc_id = field("id").and_then(Json::unsigned).map(RpcId).or(id);
         let by_rpc_id = rpc_id.and_then(|id| open_requests.get(&id).copied());
         let Some(request) = by_request_id.or(by_rpc_id) else { return };
-        // Its id is free for the next line already.
+        // The id is released at once because the next line may use it again.
         open_requests.retain(|_, open| *open != request);
         drop(open_requests);
         connection.mark_idle();
@@ -127,7 +131,7 @@
     }
 }
 
-/// The rest of the line may have any length, so nothing more is read.
+/// Dismisses the connection. The end of the line is unknown, so no later input can be decoded.
 fn reject_long_line(connection: &GatewayConnection, input: &mut Buffer) {
     connection.dismiss(ProtocolError::LineTooLong);
     connection.reputation.record_framing_lost();
--- a/crates/hazelspur-server/src/ingress/gateway/maintenance.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/maintenance.rs
@@ -1,4 +1,5 @@
-//! Periodic check of all connections: input that is overdue, idle connections, the end of the process.
+//! Periodic check of all connections. Dismisses connections whose input is overdue, sends goodbye messages to
+//! idle ones, and closes connections when the process ends.
 
 use super::connection::{GatewayConnection, Stage};
 use super::error::ProtocolError;
@@ -11,25 +12,26 @@
 const ROUND_INTERVAL: Duration = Duration::from_ms(100);
 /// Time between two rounds while the process closes.
 const CLOSING_ROUND_INTERVAL: Duration = Duration::from_ms(10);
-/// Time that a gateway has to close a connection after the goodbye message.
+/// Time within which a gateway has to close a connection after the goodbye message.
 const GOODBYE_TIMEOUT: Duration = Duration::from_ms(1500);
-/// The same while the process closes.
+/// Value of `GOODBYE_TIMEOUT` while the process closes.
 const CLOSING_GOODBYE_TIMEOUT: Duration = Duration::from_ms(400);
-/// Time after which a connection for health checks is idle.
+/// Idle time after which a connection that has sent health checks gets the goodbye message.
 const HEALTH_CHECK_IDLE_TIMEOUT: Duration = Duration::from_ms(60_000);
-/// Time within which a connection has to send valid input.
+/// Time within which a new connection has to send valid input.
 const FIRST_INPUT_TIMEOUT: Duration = Duration::from_ms(1800);
-/// Time within which a line has to be complete.
+/// Time within which a line has to be complete, counted from its first part.
 const PARTIAL_LINE_TIMEOUT: Duration = Duration::from_ms(2500);
-/// The same for a gateway that the worker knows: its path may be cut in the middle of a request.
+/// Value of `PARTIAL_LINE_TIMEOUT` for a gateway that has sent requests known to the worker. It is longer
+/// because such a gateway's network path may be interrupted in the middle of a request.
 const KNOWN_PARTIAL_LINE_TIMEOUT: Duration = Duration::from_ms(30_000);
 
-/// What holds for all connections in one round.
+/// Values of one maintenance round, the same for all connections.
 struct MaintenanceRound {
-    /// The input watermark: a line or a close that had arrived by then has been read.
+    /// Input watermark: every line and close that arrived before this time has been read.
     now: Timestamp,
     phase: Phase,
-    /// Idle timeout decided by the admission controller, if any.
+    /// Idle timeout set by the admission controller; `None` if connections may be idle without limit.
     idle_timeout: Option<Duration>,
 }
 
@@ -46,6 +48,7 @@
         if self.is_closing() { CLOSING_GOODBYE_TIMEOUT } else { GOODBYE_TIMEOUT }
     }
 
+    /// Checks one connection.
     fn maintain(&self, connection: &GatewayConnection) {
         let overdue = self.is_overdue(connection);
         if connection.was_overdue.replace(overdue) && overdue {
@@ -65,6 +68,7 @@
         }
     }
 
+    /// Returns whether the first valid input or the rest of a line is overdue.
     fn is_overdue(&self, connection: &GatewayConnection) -> bool {
         let reputation = &connection.reputation;
         let known = reputation.is_known_to_worker();
@@ -75,6 +79,7 @@
         line_overdue || needs_input && self.now - connection.connected_at >= FIRST_INPUT_TIMEOUT
     }
 
+    /// Sends the goodbye message on an idle connection, or closes it if the gateway has not done so in time.
     fn close_if_idle(&self, connection: &GatewayConnection) {
         let idle_for = self.now - connection.idle_since.get();
         let checks_health = connection.checks_health.get();
@@ -96,7 +101,7 @@
 }
 
 impl GatewayServer {
-    /// Checks all connections in rounds; never completes.
+    /// Runs maintenance rounds; never completes.
     pub async fn maintain_connections(self: Rc<Self>) {
         loop {
             let dispatcher = &self.services.dispatcher;
@@ -111,6 +116,7 @@
         }
     }
 
+    /// Logs how many connections with protocol errors ended in this round without a log line of their own.
     fn log_unreported_errors(&self) {
         let unreported = self.ended_with_errors.take().saturating_sub(MAX_ERROR_LINES_PER_ROUND);
         if unreported > 0 {
--- a/crates/hazelspur-server/src/ingress/gateway/mod.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/mod.rs
@@ -1,8 +1,8 @@
 //! Connections of gateways: JSON-RPC 2.0 over TCP, one message per line.
 //!
-//! `GatewayServer` accepts, supervises and closes connections; a task per connection reads lines, and responses
-//! go out through the connection's `ResponseQueue`. A client that sends invalid input loses its
-//! `ClientReputation` and then its connection.
+//! `GatewayServer` accepts, checks and closes connections. One task per connection reads lines and submits
+//! requests; responses are written through the connection's `ResponseQueue`. `ClientReputation` counts the
+//! protocol errors of a connection's client: after too many of them the connection is closed.
 
 mod connection;
 mod connection_task;
--- a/crates/hazelspur-server/src/ingress/gateway/reputation.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/reputation.rs
@@ -1,11 +1,12 @@
-//! What a connection's client has shown of itself. Connections without a reputation are closed first when
-//! descriptors run short, and a client that repeats protocol errors is no longer read.
+//! Reputation of a connection's client: valid input so far and protocol errors so far. Connections without
+//! valid input are evicted first when file descriptors run short, and a client with too many protocol errors
+//! is blocked: its input is no longer processed.
 
 use super::error::ProtocolError;
 use std::cell::Cell;
 
-/// Protocol errors after which input is no longer read, unless the worker knows requests of this connection: the
-/// other requests of such a gateway are to be answered.
+/// Number of protocol errors from which on a client is blocked. Does not apply once the worker knows a
+/// request of this connection, because the other requests of such a gateway must be answered.
 const MAX_PROTOCOL_ERRORS: u32 = 4;
 
 /// Reputation of the client of one connection.
@@ -19,7 +20,8 @@
 }
 
 impl ClientReputation {
-    /// Whether a valid request or a health check came.
+    /// Returns whether a valid request or a health check has been received. Reset when the worker does not
+    /// know a request of the connection.
     pub(super) fn has_sent_valid_input(&self) -> bool {
         self.sent_valid_input.get()
     }
@@ -28,7 +30,7 @@
         self.sent_valid_input.set(true);
     }
 
-    /// Whether the worker knows a request that came on the connection.
+    /// Returns whether the worker has known a request of the connection.
     pub(super) fn is_known_to_worker(&self) -> bool {
         self.known_to_worker.get()
     }
@@ -37,17 +39,19 @@
         self.known_to_worker.set(true);
     }
 
-    /// The worker does not know a request of the connection: its input was not valid after all.
+    /// Records that the worker does not know a request of the connection: a protocol error, and earlier input
+    /// no longer counts as valid.
     pub(super) fn record_unknown_to_worker(&self) {
         self.sent_valid_input.set(false);
         self.record(ProtocolError::UnknownToWorker);
     }
 
-    /// The end of a line is unknown, so nothing that follows can be read.
+    /// Records that the end of a line is unknown, so that later input cannot be decoded.
     pub(super) fn record_framing_lost(&self) {
         self.framing_lost.set(true);
     }
 
+    /// Records a protocol error.
     pub(super) fn record(&self, error: ProtocolError) {
         self.protocol_errors.set(self.protocol_errors.get() + 1);
         self.last_protocol_error.set(Some(error));
@@ -61,7 +65,7 @@
         self.last_protocol_error.get()
     }
 
-    /// Whether input is no longer read as requests.
+    /// Returns whether the client is blocked: its input is no longer processed.
     pub(super) fn is_blocked(&self) -> bool {
         let too_many_errors = self.protocol_errors.get() >= MAX_PROTOCOL_ERRORS;
         self.framing_lost.get() || too_many_errors && !self.known_to_worker.get()
--- a/crates/hazelspur-server/src/ingress/gateway/request.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/request.rs
@@ -1,4 +1,5 @@
-//! Submission of a gateway's request: checks its times and the connection's limits, then starts its lifecycle.
+//! Submits a gateway's request: decodes and checks it, checks the limits of its connection, then starts the
+//! task of its lifecycle.
 
 use super::connection::GatewayConnection;
 use super::error::{EarlyRejection, ProtocolError, RequestError};
@@ -14,33 +15,35 @@
 use hazelspur_parsers::rpc::RpcId;
 use std::rc::Rc;
 
-/// Maximum number of open requests on a connection.
+/// Maximum number of open requests of a connection.
 const MAX_OPEN_REQUESTS: usize = 32;
-/// Longest timeout that a request may name, as a multiple of its class's request timeout.
+/// Maximum time from receipt to deadline, as a multiple of the request timeout of the class.
 pub const MAX_TIMEOUT_FACTOR: f64 = 1.5;
-/// A request is not run for a deadline that passed longer ago.
+/// Time since the deadline after which a received request is rejected without being submitted.
 pub const MAX_OVERDUE: Duration = Duration::from_ms(1000);
-/// Milliseconds of a second.
+/// Milliseconds per second.
 const MS_PER_S: f64 = 1000.0;
-/// Microseconds of a millisecond.
+/// Microseconds per millisecond.
 const US_PER_MS: u64 = 1000;
 
-/// A request as a line contains it.
+/// A request as it was received, with parameters not decoded yet.
 pub(super) struct IncomingRequest<'a> {
     pub(super) id: RpcId,
-    /// Name of its request class: the message's method.
+    /// Name of the request class, from the message's `method`.
     pub(super) class: &'a str,
     pub(super) params: Option<Json<'a>>,
 }
 
-/// A request's times by this server's clock.
+/// Times of a request by this server's clock.
 struct RequestTimes {
+    /// Time of receipt.
     now: Timestamp,
     sent_at: Timestamp,
+    /// `None` if the request states no timeout.
     deadline: Option<Timestamp>,
 }
 
-/// A decoded request with its class as configured now.
+/// A decoded request, with its class in the configuration in force at receipt.
 struct DecodedRequest<'a> {
     id: RpcId,
     class_id: RequestClassId,
@@ -50,7 +53,10 @@
 }
 
 impl GatewayServer {
-    /// Decodes a request, checks it and starts its lifecycle.
+    /// Decodes and checks a request, and starts its lifecycle.
+    ///
+    /// # Errors
+    /// Returns the reason for which the request is not submitted.
     pub(super) fn submit(
         &self,
         connection: &Rc<GatewayConnection>,
@@ -87,7 +93,8 @@
         let sent_at = Timestamp::from_us(params.sent_unix_ms.saturating_mul(US_PER_MS));
         let sent_at = clock.local_time_of(sent_at);
         let deadline = params.timeout_ms.map(|ms| sent_at + Duration::from_secs(ms / MS_PER_S));
-        // From now on: a request that was long on its way may name a timeout that is long from its sending.
+        // The maximum counts from receipt, not from the send time: a request that was long in transit may
+        // state a timeout that is long from its send time.
         let latest_deadline = now + class.request_timeout.scaled(MAX_TIMEOUT_FACTOR);
         let is_ahead = sent_at > now + MAX_CLOCK_LEAD;
         let is_too_long = deadline.is_some_and(|deadline| deadline > latest_deadline);
@@ -97,7 +104,7 @@
         Ok(RequestTimes { now, sent_at, deadline })
     }
 
-    /// Registers the request, looks up its key and spawns its lifecycle.
+    /// Registers the request, looks up its deduplication key and spawns its lifecycle.
     fn start(
         &self,
         connection: &Rc<GatewayConnection>,
@@ -133,7 +140,10 @@
         Ok(())
     }
 
-    /// The earlier attempt with the same key, if any.
+    /// Returns the earlier attempt with the same deduplication key, if any.
+    ///
+    /// # Errors
+    /// Returns `IdempotencyKeyConflict` if the key belongs to a request with different content.
     fn lookup_retry(
         &self,
         connection: &GatewayConnection,
@@ -161,8 +171,12 @@
     }
 }
 
-/// A gateway that the worker knows may have many open requests that it has given up without an interrupt, so for
-/// it this is a rejection and no protocol error.
+/// Checks that the connection may open another request under this id.
+///
+/// # Errors
+/// Returns a protocol error if too many requests or this id are open. A gateway that has sent requests known
+/// to the worker may have given up many of them without an interrupt, so too many requests are a rejection
+/// for it.
 fn check_open_requests(connection: &GatewayConnection, id: RpcId) -> Result<(), RequestError> {
     let open_requests = connection.open_requests.borrow();
     let (is_full, id_is_open) = (open_requests.len() >= MAX_OPEN_REQUESTS, open_requests.contains_key(&id));
@@ -175,6 +189,7 @@
     Ok(())
 }
 
+/// Rejects a request whose deadline passed longer ago than `MAX_OVERDUE`.
 fn check_overdue(request: &DecodedRequest<'_>) -> Result<(), EarlyRejection> {
     let RequestTimes { now, sent_at, deadline } = request.times;
     let deadline = deadline.unwrap_or(sent_at + request.class.request_timeout);
--- a/crates/hazelspur-server/src/ingress/gateway/request_params.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/request_params.rs
@@ -1,4 +1,5 @@
-//! Parameters of a request, decoded strictly.
+//! Decodes the `params` of a request. A parameter of the wrong type or out of range is an error; unknown
+//! parameters are ignored.
 
 use super::error::ProtocolError;
 use crate::ingress::limits::is_valid_size_kb;
@@ -10,27 +11,34 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Valid values of `level`, which the protocol has and this server does not use.
+/// Valid range of `level`. The protocol defines this parameter, but the server only validates it.
 const LEVEL_RANGE: RangeInclusive<f64> = 0.0..=1.0;
 
-/// The parameters of a request.
+/// Decoded parameters of a request.
 pub(super) struct RequestParams<'a> {
     pub(super) request: RequestId,
-    /// When the gateway sent it, in milliseconds since 1970 by the gateway's clock.
+    /// Send time by the gateway's clock, in milliseconds since the Unix epoch.
     pub(super) sent_unix_ms: u64,
     pub(super) client: ClientId,
+    /// Memory that the request takes while it is queued, in kB.
     pub(super) size_kb: f64,
+    /// Whether `level` is absent or in `LEVEL_RANGE`.
     pub(super) level_is_valid: bool,
     pub(super) tenant: TenantId,
     pub(super) tenant_name: Arc<str>,
-    /// Time that the client waits from the sending, in milliseconds.
+    /// Time for which the client waits for the response, counted from the send time, in milliseconds. `None`
+    /// stands for the request timeout of the class.
     pub(super) timeout_ms: Option<f64>,
+    /// Subject, which identifies the session of the request.
     pub(super) subject: Option<Cow<'a, str>>,
     pub(super) idempotency_key: Option<Cow<'a, str>>,
     pub(super) body: Rc<[u8]>,
 }
 
-/// A string that may be absent.
+/// Returns an optional string parameter.
+///
+/// # Errors
+/// Returns `error` if the parameter is not a string.
 fn optional_text<'a>(
     params: &json::Table<'a>,
     name: &str,
@@ -43,7 +51,7 @@
     /// Decodes the parameters.
     ///
     /// # Errors
-    /// Returns the first parameter that is not valid.
+    /// Returns the error of the first invalid parameter. `level` is not checked here: see `level_is_valid`.
     pub(super) fn decode(params: Option<Json<'a>>, catalog: &Catalog) -> Result<Self, ProtocolError> {
         let params = params.filter(|params| params.is_object()).ok_or(ProtocolError::ParamsNotObject)?;
         let params = params.table();
--- a/crates/hazelspur-server/src/ingress/gateway/responder.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/responder.rs
@@ -1,4 +1,5 @@
-//! Responses to requests that came on a gateway's connection.
+//! Responses to the requests of a gateway's connection, each with the advertised capacity of the server if
+//! there is one.
 
 use super::connection::GatewayConnection;
 use crate::request::responder::ResponseSink;
@@ -6,18 +7,19 @@
 use hazelspur_parsers::rpc::{self, ErrorData, RpcId};
 use std::rc::Rc;
 
-/// Microseconds of a millisecond.
+/// Microseconds per millisecond.
 const US_PER_MS: u64 = 1000;
 
-/// Writes the response to one request on its connection.
+/// Writes the response to one request to its connection.
 pub(super) struct GatewayResponder {
     connection: Rc<GatewayConnection>,
+    /// JSON-RPC id of the request.
     id: RpcId,
     request: RequestId,
 }
 
 impl GatewayResponder {
-    /// Opens the request on its connection.
+    /// Creates the responder of a request and adds the request to the open requests of its connection.
     pub(super) fn new(connection: Rc<GatewayConnection>, id: RpcId, request: RequestId) -> Self {
         connection.request_opened(id, request);
         Self { connection, id, request }
--- a/crates/hazelspur-server/src/ingress/gateway/server.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/server.rs
@@ -1,4 +1,5 @@
-//! Accepts gateways' connections within the budget of descriptors.
+//! Accepts connections of gateways within the budget of file descriptors, and holds all that are open or
+//! closing.
 
 use super::connection::GatewayConnection;
 use super::eviction::EvictionReason;
@@ -15,36 +16,37 @@
 use std::task::Poll;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Time between two checks for a free place in a full table.
+/// Time between two checks for a free place while the number of connections is at its maximum.
 const TABLE_FULL_PAUSE: Duration = Duration::from_ms(5);
 /// Pause after the first failed accept; doubled after each further one.
 const MIN_ACCEPT_PAUSE: Duration = Duration::from_ms(10);
-/// Longest pause after a failed accept.
+/// Maximum pause after a failed accept.
 const MAX_ACCEPT_PAUSE: Duration = Duration::from_ms(160);
-/// The most connections that the system keeps for a listener until they are accepted.
+/// Maximum number of connections that the operating system queues for the listener.
 const MAX_PENDING_CONNECTIONS: usize = 1025;
-/// Log lines on protocol errors per maintenance round; further ones are counted.
+/// Maximum number of log lines about protocol errors per maintenance round. Further connections are only
+/// counted.
 pub(super) const MAX_ERROR_LINES_PER_ROUND: u32 = 4;
 
-/// The listener and all connections of gateways.
+/// Server for gateways: the listener and all connections.
 pub struct GatewayServer {
     pub(super) services: Rc<Services>,
     pub(super) catalog: Rc<RefCell<Catalog>>,
     pub(super) phases: Rc<Phases>,
-    /// `None` once no connection is accepted any more.
+    /// `None` once no more connections are accepted.
     listener: RefCell<Option<TcpListener>>,
     pub(super) budget: Descriptors,
     pub(super) connections: RefCell<BTreeMap<ConnectionId, Rc<GatewayConnection>>>,
     last_id: Cell<ConnectionId>,
-    /// Connections with protocol errors that ended in this maintenance round.
+    /// Number of connections with protocol errors that ended in the present maintenance round.
     pub(super) ended_with_errors: Cell<u32>,
 }
 
-/// Process-wide number of a connection.
+/// Number of a connection, unique within the process.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ConnectionId(u64);
 
-/// Failed accepts in a row.
+/// Consecutive failed accepts.
 struct AcceptFailures {
     count: u32,
     next_pause: Duration,
@@ -57,7 +59,8 @@
 }
 
 impl GatewayServer {
-    /// Creates the server of a listener; `accept_connections` and `maintain_connections` are its tasks.
+    /// Creates a server on a listener. The caller runs `accept_connections` and `maintain_connections` as
+    /// tasks.
     pub fn new(
         services: Rc<Services>,
         phases: Rc<Phases>,
@@ -77,7 +80,7 @@
         }
     }
 
-    /// Numbers of open requests and of connections.
+    /// Returns the numbers of open requests and of connections.
     pub fn counts(&self) -> OpenCounts {
         let connections = self.connections.borrow();
         let requests = connections.values().map(|connection| connection.open_requests.borrow().len()).sum();
@@ -88,7 +91,7 @@
         self.connections.borrow().len()
     }
 
-    /// Whether no connection is accepted any more and the last one has ended.
+    /// Returns whether no more connections are accepted and all have ended.
     pub fn is_closed(&self) -> bool {
         self.listener.borrow().is_none() && self.connection_count() == 0
     }
@@ -97,7 +100,8 @@
         self.connections.borrow_mut().remove(&id);
     }
 
-    /// Logs the protocol errors of a connection that ends, up to a number of lines per round.
+    /// Logs the protocol errors of a connection that ends, at most `MAX_ERROR_LINES_PER_ROUND` lines per
+    /// maintenance round.
     pub(super) fn log_protocol_errors(&self, connection: &GatewayConnection) {
         let Some(last) = connection.reputation.last_protocol_error() else { return };
         self.ended_with_errors.set(self.ended_with_errors.get() + 1);
@@ -107,7 +111,8 @@
         }
     }
 
-    /// Accepts connections until the process closes, and then those that the system has accepted already.
+    /// Accepts connections until the phase `Closing`, and finally those that are still in the listener's
+    /// queue.
     pub async fn accept_connections(self: Rc<Self>) {
         let closing = |phase| !matches!(phase, Phase::Waiting | Phase::Serving | Phase::Draining);
         let (mut failures, quota) = (AcceptFailures::default(), ReadQuota::default());
@@ -119,7 +124,7 @@
             match accepted {
                 Ok(stream) => {
                     if failures.count > 0 {
-                        log::info!(failed = failures.count; "accepting again");
+                        log::info!(failed = failures.count; "accept succeeded again");
                     }
                     failures = AcceptFailures::default();
                     self.clone().add_connection(stream);
@@ -131,6 +136,7 @@
         self.accept_rest();
     }
 
+    /// Makes room for connections after a failed accept, then waits before the next one.
     async fn accept_failed(&self, failures: &mut AcceptFailures, error: &io::Error) {
         failures.count += 1;
         if failures.count == 1 {
@@ -145,7 +151,8 @@
         self.budget.gateways + self.budget.closing
     }
 
-    /// Accepts a connection once there is a place for it; one that waits in the system's queue loses nothing.
+    /// Accepts a connection once there is a place for it. Until then it waits in the listener's queue, where
+    /// none of its input is lost.
     async fn accept_next(&self) -> io::Result<TcpStream> {
         while self.connection_count() >= self.max_connections() {
             self.evict(EvictionReason::TableFull);
@@ -158,7 +165,7 @@
         Ok(accepted.await?.0)
     }
 
-    /// Takes the connections that the system has accepted and closes the listener, without an await in between.
+    /// Accepts all connections in the listener's queue and closes the listener, without an await in between.
     fn accept_rest(self: Rc<Self>) {
         let Some(Ok(listener)) = self.listener.take().map(TcpListener::into_std) else { return };
         for _ in 0..self.max_connections() {
@@ -168,7 +175,8 @@
         }
     }
 
-    /// Counts a connection from its accept on: many may be accepted before the first of their tasks runs.
+    /// Adds a connection and spawns its task. The connection is counted here and not in its task: many may be
+    /// accepted before the first task runs.
     fn add_connection(self: Rc<Self>, stream: TcpStream) {
         self.evict(EvictionReason::TableFull);
         let connection = Rc::new(GatewayConnection::new(self.services.dispatcher.clone()));
--- a/crates/hazelspur-server/src/ingress/mod.rs
+++ b/crates/hazelspur-server/src/ingress/mod.rs
@@ -1,5 +1,6 @@
-//! Where requests come from: gateways' connections and a broker's queues. Both decode requests, submit them to
-//! the dispatcher and carry their responses back; neither decides.
+//! Ingresses of the server: connections of gateways (`gateway`) and queues of a broker (`amqp`). Both decode
+//! requests, submit them to the dispatcher and return the responses; the admission controller makes all
+//! decisions.
 
 pub mod amqp;
 pub mod gateway;
--- a/crates/hazelspur-server/tests/queues.rs
+++ b/crates/hazelspur-server/tests/queues.rs
@@ -386,7 +386,7 @@
     assert!(testbed.wait_until_settled(&["orders"]));
     let exit = testbed.terminate();
     assert_eq!((testbed.run_counts().as_str(), testbed.broker.state().opened), ("after 1", 1));
-    assert!(exit.log.contains("queue taken away queue=orders"), "{}", exit.log);
+    assert!(exit.log.contains("channel closed or consumer cancelled queue=orders"), "{}", exit.log);
 }
 
 #[test]
