--- a/crates/hazelspur-server/benches/queues.rs
+++ b/crates/hazelspur-server/benches/queues.rs
@@ -1,5 +1,6 @@
-//! Measures the built server on loopback: `cargo bench -p hazelspur-server --bench queues [-- PART]`. Bounded in
-//! count and time, and not part of CI. Compare figures within one run only.
+//! Measures the built server on loopback: `cargo bench -p hazelspur-server --bench queues [-- PART]`, where
+//! PART is `cost`, `million`, `service` or `return`; without it all parts run. The parts are bounded in count
+//! and time and not part of CI. Compare results within one run only.
 
 #[path = "../tests/helpers/mod.rs"]
 #[allow(dead_code)]
@@ -14,23 +15,24 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Time within which the server has to process a batch.
+/// Maximum time for the server to process a batch.
 const BATCH_TIMEOUT: Duration = Duration::from_secs(240);
-/// Deliveries, or requests, of one measurement of the processor time.
+/// Number of deliveries, or of JSON-RPC requests, in one measurement of the processor time.
 const COST_REQUESTS: u64 = 20_000;
-/// Requests that a gateway sends at a time: on four connections as many as the prefetch window allows deliveries.
+/// Number of requests that a gateway sends at a time; it waits for their responses before the next burst. With
+/// four connections at most 64 requests are open, while the prefetch window allows 32 deliveries.
 const BURST_REQUESTS: u64 = 16;
-/// Connections of the processor time measurement.
+/// Number of connections in the measurement of the processor time.
 const COST_CONNECTIONS: usize = 4;
-/// Clock ticks of `/proc` in a second.
+/// Clock ticks per second in `/proc`.
 const TICKS_PER_S: f64 = 100.0;
-/// KiB of a MiB.
+/// KiB per MiB.
 const KB_PER_MB: f64 = 1024.0;
-/// Connections of an open-loop measurement.
+/// Number of connections in an open-loop measurement.
 const OPEN_LOOP_CONNECTIONS: u32 = 8;
-/// First request id of each connection, as a multiple of its number.
+/// Distance between the first request ids of two connections.
 const IDS_PER_CONNECTION: u64 = 1_000_000;
-/// Time within which a request of the open loop has to succeed.
+/// Time within which a request of an open-loop measurement has to succeed.
 const LATENCY_OBJECTIVE: Duration = Duration::from_secs(3);
 /// Duration of an open-loop measurement.
 const OPEN_LOOP_DURATION: Duration = Duration::from_secs(10);
@@ -52,9 +54,10 @@
     }
 }
 
-/// A queue whose prefetch window does not limit the measurement.
+/// Operator's file with a queue whose prefetch window is wide enough not to limit the measurement.
 const WIDE_WINDOW_QUEUE: &str = "queue(name = \"orders\", window = \"fixed\", most = 32)\n";
 
+/// Returns the JSON-RPC line of a request, sent now.
 fn request(id: u64, request_class: &str) -> String {
     let now = now_ms();
     format!(
@@ -62,7 +65,7 @@
     )
 }
 
-/// What the server has used so far.
+/// Processor time and memory used by the server since its start.
 struct Usage {
     processor_s: f64,
     resident_mb: f64,
@@ -84,6 +87,7 @@
     }
 }
 
+/// Returns a testbed whose test doubles keep no history, so that they do not slow down in a long measurement.
 fn cost_testbed() -> Testbed {
     let testbed =
         Testbed::start_consuming(WIDE_WINDOW_QUEUE, Pace { cores: 64, ..Pace::default() }, "orders");
@@ -92,8 +96,9 @@
     testbed
 }
 
+/// Publishes `count` requests of a class to the queue `orders`.
 fn publish_messages(testbed: &Testbed, count: usize, request_class: &str) {
-    // A message-id for each: a known one would be answered from the cache.
+    // Each message needs an id of its own: a known id would be answered from the message cache.
     static NEXT_MESSAGE_ID: AtomicU32 = AtomicU32::new(0);
     for _ in 0..count {
         let message_id = NEXT_MESSAGE_ID.fetch_add(1, Ordering::Relaxed).to_string();
@@ -105,7 +110,8 @@
     }
 }
 
-/// Processor time of a delivery and of a JSON-RPC request, in turns on one process.
+/// Prints the processor time of a delivery and of a JSON-RPC request, measured alternately on one server
+/// process.
 fn processor_time() {
     let testbed = cost_testbed();
     let mut figures = Vec::new();
@@ -118,7 +124,8 @@
     println!("{}", figures.join("\n"));
 }
 
-/// Runs `batch`, which processes `count` requests; returns processor time and rate of each.
+/// Runs `batch`, in which the server processes `count` requests; returns the processor time per request and
+/// the rate.
 fn measure_cost(testbed: &Testbed, count: u64, batch: impl FnOnce()) -> String {
     let (used_before_s, started_at) = (usage(testbed).processor_s, Instant::now());
     batch();
@@ -132,12 +139,12 @@
     let cost = measure_cost(testbed, COST_REQUESTS, || {
         publish_messages(testbed, COST_REQUESTS as usize, request_class);
         let all_acked = testbed.broker.until(BATCH_TIMEOUT, |state| state.acks >= acks + COST_REQUESTS);
-        assert!(all_acked, "not all were acked");
+        assert!(all_acked, "not all deliveries were acked");
     });
     format!("delivery of {request_class}: {cost}")
 }
 
-/// One gateway's connection.
+/// Connection of a gateway.
 struct Gateway {
     writer: TcpStream,
     reader: BufReader<TcpStream>,
@@ -145,24 +152,24 @@
 
 impl Gateway {
     fn connect(testbed: &Testbed) -> Self {
-        let stream = TcpStream::connect(&testbed.listen).expect("it listens");
-        stream.set_nodelay(true).expect("a mode");
-        Self { writer: stream.try_clone().expect("a handle"), reader: BufReader::new(stream) }
+        let stream = TcpStream::connect(&testbed.listen).expect("server listens");
+        stream.set_nodelay(true).expect("socket mode is set");
+        Self { writer: stream.try_clone().expect("socket is cloned"), reader: BufReader::new(stream) }
     }
 
     fn send_burst(&mut self, first_id: u64) {
         let lines: String = (first_id..first_id + BURST_REQUESTS).map(|id| request(id, "view")).collect();
-        self.writer.write_all(lines.as_bytes()).expect("it reads");
+        self.writer.write_all(lines.as_bytes()).expect("server reads");
     }
 
     fn read_burst(&mut self) {
         for _ in 0..BURST_REQUESTS {
             let mut line = String::new();
-            self.reader.read_line(&mut line).expect("a response");
-            // Between two bursts no request is open, which these settings take for idle.
+            self.reader.read_line(&mut line).expect("response is received");
+            // No request is open between two bursts, so the connection may be idle and get a goodbye message.
             while line.contains("farewell") {
                 line.clear();
-                self.reader.read_line(&mut line).expect("a response");
+                self.reader.read_line(&mut line).expect("response is received");
             }
             assert!(line.contains("result"), "{line}");
         }
@@ -184,24 +191,25 @@
     format!("JSON-RPC op of view: {cost}")
 }
 
-/// Resident memory over a million deliveries.
+/// Prints the resident memory after increasing numbers of deliveries, up to a million.
 fn memory_over_a_million_deliveries() {
     let testbed = cost_testbed();
     let step = 50_000;
     for n in 1..=20u64 {
         publish_messages(&testbed, step as usize, "view");
         let all_acked = testbed.broker.until(BATCH_TIMEOUT, |state| state.acks >= n * step);
-        assert!(all_acked, "not all were acked");
+        assert!(all_acked, "not all deliveries were acked");
         if n == 1 || n % 5 == 0 {
             println!("after {} deliveries: {:.1} MB resident", n * step, usage(&testbed).resident_mb);
         }
     }
 }
 
-/// Gateways' service with and without a backlog of 10,000 messages: the fraction of requests that succeed within
-/// their objective, sent at fixed times whatever the responses.
+/// Prints the fraction of gateways' requests that succeed within the latency objective, with and without a
+/// backlog of 10,000 messages in a queue. The requests are sent at fixed times, independently of the
+/// responses.
 fn gateway_service_with_backlog() {
-    // Two cores, 20 ms a run: 100 requests a second.
+    // Two cores and 20 ms per run: the capacity is 100 requests per second.
     let pace = Pace { run_ms: 20, cores: 2, ..Pace::default() };
     for rate in [60.0, 95.0, 130.0] {
         for rule in ["none", "fixed", "room", "step"] {
@@ -211,7 +219,7 @@
             if rule != "none" {
                 publish_messages(&testbed, 10_000, "view");
             }
-            // Until the controller has learned the run time, nothing counts.
+            // Not measured: the time in which the controller learns the run time.
             sleep(Duration::from_secs(2));
             let acks = testbed.broker.state().acks;
             let counts = open_loop(&testbed.listen, rate, OPEN_LOOP_DURATION);
@@ -226,7 +234,7 @@
     }
 }
 
-/// Requests of an open-loop measurement.
+/// Results of an open-loop measurement, in numbers of requests.
 struct OpenLoopCounts {
     in_time: u32,
     rejected: u32,
@@ -239,14 +247,14 @@
     }
 }
 
-/// Counters that the readers of all connections share.
+/// Counters shared by the readers of all connections.
 #[derive(Default)]
 struct SharedCounts {
     in_time: AtomicU32,
     rejected: AtomicU32,
 }
 
-/// Requests of one connection at fixed times.
+/// Times at which one connection sends its requests.
 #[derive(Clone, Copy)]
 struct Schedule {
     starts_at: Instant,
@@ -254,6 +262,7 @@
     requests: u32,
 }
 
+/// Sends requests to `listen` at `rate` per second, whatever the responses; returns the results.
 fn open_loop(listen: &str, rate: f64, duration: Duration) -> OpenLoopCounts {
     let counts = SharedCounts::default();
     let requests = (rate * duration.as_secs_f64() / f64::from(OPEN_LOOP_CONNECTIONS)) as u32;
@@ -262,10 +271,10 @@
         for connection in 0..OPEN_LOOP_CONNECTIONS {
             let counts = &counts;
             scope.spawn(move || {
-                let mut stream = TcpStream::connect(listen).expect("it listens");
-                stream.set_nodelay(true).expect("a mode");
-                stream.set_read_timeout(Some(Duration::from_secs(5))).expect("a limit");
-                let reader = BufReader::new(stream.try_clone().expect("a handle"));
+                let mut stream = TcpStream::connect(listen).expect("server listens");
+                stream.set_nodelay(true).expect("socket mode is set");
+                stream.set_read_timeout(Some(Duration::from_secs(5))).expect("time limit is set");
+                let reader = BufReader::new(stream.try_clone().expect("socket is cloned"));
                 let offset = interval.mul_f64(f64::from(connection) / f64::from(OPEN_LOOP_CONNECTIONS));
                 let schedule = Schedule { starts_at: Instant::now() + offset, interval, requests };
                 scope.spawn(move || count_responses(reader, schedule, counts));
@@ -273,7 +282,7 @@
                     let at = schedule.starts_at + interval * n;
                     sleep(at.saturating_duration_since(Instant::now()));
                     let id = (u64::from(connection) + 1) * IDS_PER_CONNECTION + u64::from(n);
-                    stream.write_all(request(id, "view").as_bytes()).expect("it reads");
+                    stream.write_all(request(id, "view").as_bytes()).expect("server reads");
                 }
             });
         }
@@ -285,6 +294,7 @@
     }
 }
 
+/// Reads the responses to all requests of one connection and counts them.
 fn count_responses(mut reader: BufReader<TcpStream>, schedule: Schedule, counts: &SharedCounts) {
     let (mut line, mut responses) = (String::new(), 0);
     while responses < schedule.requests && reader.read_line(&mut line).is_ok_and(|n| n > 0) {
@@ -305,7 +315,8 @@
     line.split("\"id\":").nth(1)?.split(',').next()?.parse().ok()
 }
 
-/// Time from the broker's return to the first ack, at a reconnect spread of 30 ms and at the default of 8 s.
+/// Prints the time from the restart of the broker to the first ack, with a reconnect spread of 30 ms and with
+/// the default of 8 s.
 fn time_to_reconnect() {
     for (spread_s, attempts) in [(0.03, 5), (8.0, 3)] {
         let mut elapsed_ms = Vec::new();
--- a/crates/hazelspur-server/tests/gateway_input.rs
+++ b/crates/hazelspur-server/tests/gateway_input.rs
@@ -1,4 +1,4 @@
-//! Invalid input and overload on the gateways' side.
+//! Invalid input, floods and idle connections on the gateways' side of the server.
 
 mod harness;
 
@@ -9,6 +9,8 @@
 use std::net::{Ipv4Addr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
+/// Each invalid line is sent on its own connection, because a connection with too many protocol errors is
+/// closed.
 #[test]
 fn invalid_input_gets_an_error_and_other_connections_continue() {
     let (mut server, mut link) = ServerHarness::new("input", "");
@@ -91,6 +93,8 @@
     "#]].assert_eq(&server.trace);
 }
 
+/// A silent connection, one with half a line and one with an unknown method are closed within 2.9 s. Half a
+/// line on the connection of a gateway known to the worker may take longer and is completed.
 #[test]
 fn connections_without_valid_input_are_closed_with_an_error() {
     let (mut server, mut link) = ServerHarness::new("silent", "");
@@ -111,7 +115,8 @@
     server.start_run(&mut valid, &mut link, &request(2, 2, "view", ""));
     link.send(&success_notice(2, 2));
     valid.record_next(&mut server.trace);
-    // Half a line, on a connection for health checks and on one whose network path may be cut.
+    // Half a line on a connection for health checks, and on the known gateway's, whose network path may be
+    // cut.
     let mut checked = server.connect_gateway();
     checked.send(HEALTH_CHECK);
     checked.record_next(&mut server.trace);
@@ -120,7 +125,7 @@
     valid.send(&line[..40]);
     checked.record_next(&mut server.trace);
     checked.record_next(&mut server.trace);
-    // Meanwhile the link was silent and is replaced.
+    // Meanwhile the worker link was silent for so long that the server replaces it.
     let mut link = server.accept_worker_link();
     link.send("ready hot 9000\r\n");
     link.record_next(&mut server.trace);
@@ -155,18 +160,18 @@
 fn gateway_that_does_not_read_blocks_only_itself() {
     let (mut server, mut link) = ServerHarness::new("slow", "");
     let slow = server.connect_gateway();
-    slow.stream.get_ref().set_write_timeout(Some(Duration::from_millis(300))).expect("a time limit");
+    slow.stream.get_ref().set_write_timeout(Some(Duration::from_millis(300))).expect("time limit is set");
     let checks = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n".repeat(20_000);
     let batches_accepted =
         (0..60).take_while(|_| slow.stream.get_ref().write_all(checks.as_bytes()).is_ok()).count();
-    let _ = writeln!(server.trace, "all taken {}", batches_accepted == 60);
+    let _ = writeln!(server.trace, "all health checks accepted {}", batches_accepted == 60);
     let mut gateway = server.connect_gateway();
     server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
     link.send(&success_notice(1, 1));
     gateway.record_next(&mut server.trace);
     expect_test::expect![[r#"
         runtime < sync 0
-        all taken false
+        all health checks accepted false
         runtime < start 0000000000000001 view 5 hello
         gateway < {"jsonrpc":"2.0","id":1,"result":{"data":"ZG9uZQ=="}}
     "#]]
@@ -201,15 +206,16 @@
     .assert_eq(&server.trace);
 }
 
-/// A health check: it proves a connection, which stays idle.
+/// A health check. It counts as valid input and opens no request, so the connection stays idle.
 const HEALTH_CHECK: &str = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n";
 
-/// The processor time that a process has used, in seconds.
+/// Returns the processor time that a process has used, in seconds.
 fn cpu_s(server: u32) -> f64 {
-    let stat = std::fs::read_to_string(format!("/proc/{server}/stat")).expect("it runs");
-    let fields = stat.rsplit_once(')').expect("a name").1;
-    let ticks =
-        |n: usize| fields.split_whitespace().nth(n).and_then(|t| t.parse::<f64>().ok()).expect("ticks");
+    let stat = std::fs::read_to_string(format!("/proc/{server}/stat")).expect("server is running");
+    let fields = stat.rsplit_once(')').expect("stat has a process name").1;
+    let ticks = |n: usize| {
+        fields.split_whitespace().nth(n).and_then(|t| t.parse::<f64>().ok()).expect("stat has clock ticks")
+    };
     (ticks(11) + ticks(12)) / 100.0
 }
 
@@ -226,13 +232,14 @@
     assert!(response.contains("result"), "{response}");
 }
 
-/// Guards against clients that use up the descriptors of the worker link, calls and reports.
+/// Guards against idle clients that use up the file descriptors needed for the worker link, dependency calls
+/// and reports to the registry. No accept may fail, and idle connections may not cost half a core or more.
 #[test]
 fn idle_clients_leave_descriptors_for_serving() {
     let mut seen = String::new();
     for limit in [64usize, 96, 128, 256, 512] {
-        // Reports are refused until a listener is there.
-        let reserved = ReservedAddress::on(Ipv4Addr::LOCALHOST).expect("a free port");
+        // Connections to the registry are refused until a listener is bound to this address.
+        let reserved = ReservedAddress::on(Ipv4Addr::LOCALHOST).expect("a port is free");
         let registry_address = reserved.address().to_string();
         let settings = format!("limits\":{{\"sockets\":{limit}}},\"settings");
         let edit = |config: String| with_registry(&config, &registry_address).replace("settings", &settings);
@@ -247,14 +254,14 @@
                 assert_served_with_call(&mut server, &mut link, &mut gateway, requests);
             }
             idle.push(server.connect_gateway());
-            // Two of three are proven; which of them are closed by now does not matter.
+            // Two of three send valid input. Connections that the server has closed by now do not matter.
             if n % 3 > 0 {
                 let _ = idle[n].stream.get_mut().write_all(HEALTH_CHECK.as_bytes());
             }
         }
         assert_served_with_call(&mut server, &mut link, &mut gateway, requests + 1);
         let (cpu_before_s, started_at) = (cpu_s(server.server.id()), Instant::now());
-        let registry = TcpListener::bind(&registry_address).expect("its address is free");
+        let registry = TcpListener::bind(&registry_address).expect("reserved address is free");
         let mut report_connection = Peer::new("control", accept(&registry));
         let reported = report_connection.read_line();
         wait_until(started_at, 1000);
@@ -262,7 +269,7 @@
         server.signal("-TERM");
         server.wait_for_exit();
         let mut log = String::new();
-        let _ = server.server.stderr.take().expect("a pipe").read_to_string(&mut log);
+        let _ = server.server.stderr.take().expect("stderr is piped").read_to_string(&mut log);
         let failed_accepts = log.matches("accept failed").count();
         let _ = writeln!(
             seen,
@@ -280,7 +287,8 @@
     .assert_eq(&seen);
 }
 
-/// Repeats one kind of abuse, each time on a new connection.
+/// Sends one kind of invalid or excessive input until `until`, each time on a new connection; returns the
+/// number of connections.
 fn flood(address: &str, kind: usize, until: Instant) -> usize {
     let mut connections = 0;
     while Instant::now() < until {
@@ -288,11 +296,11 @@
         let _ = stream.set_write_timeout(Some(Duration::from_millis(200)));
         let interrupt = "{\"jsonrpc\":\"2.0\",\"method\":\"interrupt\",\"params\":{\"id\":9}}\n";
         let text: String = match kind {
-            0 => String::new(), // connections alone
+            0 => String::new(), // connections without input
             1 => HEALTH_CHECK.repeat(200),
             2 => interrupt.repeat(200),
-            3 => "{\"jsonrpc\":".into(), // half a line
-            4 => "x".repeat(40_000),     // one that does not end
+            3 => "{\"jsonrpc\":".into(), // an incomplete line
+            4 => "x".repeat(40_000),     // a line without an end
             5 => "\u{7f}\0garbage\n".repeat(100),
             _ => (0..40).map(|_| request(7, 7, "view", "") + "\n").collect(), // ids used twice
         };
@@ -302,6 +310,8 @@
     connections
 }
 
+/// The flooding connections may be answered or closed; the requests of a gateway known to the worker must all
+/// succeed, without a flood of log lines or a failed task.
 #[test]
 fn known_gateways_are_served_during_floods() {
     let mut seen = String::new();
@@ -334,7 +344,7 @@
                     link.send(&success_notice(notices, 1000 + n));
                     break;
                 }
-                // A request of the flood, which the worker does not know.
+                // A request of the flood: the worker answers that it does not know it.
                 link.send(&format!("nack start {}\r\n", started.split(' ').nth(1).unwrap_or_default()));
                 notices -= 1;
             }
@@ -342,42 +352,44 @@
             served += u32::from(response.contains("result"));
             longest = longest.max(sent_at.elapsed());
         }
-        let connections: usize = floods.into_iter().map(|flood| flood.join().expect("no panic")).sum();
+        let connections: usize =
+            floods.into_iter().map(|flood| flood.join().expect("flood thread does not panic")).sum();
         server.signal("-TERM");
         server.wait_for_exit();
         let mut log = String::new();
-        let _ = server.server.stderr.take().expect("a pipe").read_to_string(&mut log);
+        let _ = server.server.stderr.take().expect("stderr is piped").read_to_string(&mut log);
         println!(
-            "{name}: {connections} connections, {served} of {sent} ops served, the longest took {longest:?}"
+            "{name}: {connections} connections, {served} of {sent} requests served, slowest {longest:?}"
         );
         let lines = log.lines().count();
         let all_served = served == sent && sent >= 5;
         let _ = writeln!(
             seen,
-            "{name}: all ops served {all_served}, few lines {}, {}",
+            "{name}: all requests served {all_served}, few log lines {}, task failed {}",
             lines < 450,
             log.contains("task failed")
         );
     }
     expect_test::expect![[r#"
-        connections: all ops served true, few lines true, false
-        checks: all ops served true, few lines true, false
-        interrupts: all ops served true, few lines true, false
-        half lines: all ops served true, few lines true, false
-        endless lines: all ops served true, few lines true, false
-        garbage: all ops served true, few lines true, false
-        ids used twice: all ops served true, few lines true, false
+        connections: all requests served true, few log lines true, task failed false
+        checks: all requests served true, few log lines true, task failed false
+        interrupts: all requests served true, few log lines true, task failed false
+        half lines: all requests served true, few log lines true, task failed false
+        endless lines: all requests served true, few log lines true, task failed false
+        garbage: all requests served true, few log lines true, task failed false
+        ids used twice: all requests served true, few log lines true, task failed false
     "#]]
     .assert_eq(&seen);
 }
 
-/// Requests that were delayed on a cut link: their deadline may have passed when they are received, which is no
-/// protocol error of their connection.
+/// Requests that were delayed by an interrupted network path: their deadline has passed when they are
+/// received. They are rejected, and this does not count as a protocol error of their connection.
 #[test]
 fn requests_delayed_in_transit_keep_their_connection_open() {
     let (mut server, mut link) = ServerHarness::new("overdue", "");
     let mut gateway = server.connect_gateway();
-    // None where the millisecond changed between the two readings of the clock, so that nothing was replaced.
+    // `None` if the millisecond changed between the two readings of the clock, so that no timestamp was
+    // replaced.
     let delayed_request = |n: u32| {
         let line = request(n, n, "view", "").replace(":4000,", ":8000,");
         let ts = now_ms();
@@ -386,7 +398,7 @@
     };
     for n in 1..7 {
         let line = std::iter::repeat_with(|| delayed_request(n)).find_map(|line| line);
-        gateway.send(&format!("{}\n", line.expect("one")));
+        gateway.send(&format!("{}\n", line.expect("request is built within one millisecond")));
         gateway.record_next(&mut server.trace);
     }
     server.start_run(&mut gateway, &mut link, &request(8, 8, "view", ""));
--- a/crates/hazelspur-server/tests/harness/mod.rs
+++ b/crates/hazelspur-server/tests/harness/mod.rs
@@ -1,6 +1,7 @@
-//! The built server between scripted peers (gateway, worker, dependency, registry) that a test drives step by
-//! step; what they receive is recorded in a trace.
-#![allow(dead_code)] // each test file uses its part
+//! Harness for tests that run the built server between scripted peers: gateways, the worker, the dependency
+//! and the registry. A test sends the peers' messages step by step; the messages that they receive are
+//! recorded in a trace.
+#![allow(dead_code)] // no test file uses all of it
 
 use hazelspur_test_doubles::process::send_signal;
 use hazelspur_test_doubles::reserved_address::ReservedAddress;
@@ -14,6 +15,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// Settings of the server under test: request class `view` is idempotent, `book` is deduplicated by key.
 pub(crate) const SETTINGS: &str = r#"{"family-info":{"n-cores":2,"mem-limit-kb":100000,"run-factor":8,"stop-mode":"drop",
  "meters":["core_use","on_cores"],"calls-out":50,"calls-over-us":5000000,"passes-deadline":true,"share-for-us":500000},
  "lanes":[{"name":"view","aim-us":3000000,"deadline-us":4000000,"semantics":"safe","importance":1},
@@ -21,62 +23,75 @@
  "rules":{"fall-multiple":8,"cold-share":0.2,"cold-us":10000000,"drain-grace-us":300000},
  "limits":{"retry-after":true,"max-retry-after-us":1000000},"servers":1}"#;
 
+/// Number of addresses reserved so far.
 static NEXT_ADDRESS: AtomicUsize = AtomicUsize::new(0);
-/// Held until the test binary ends: a server may come back to its address.
+/// Reserved addresses. They are held until the test binary ends because a test may start a server again at
+/// its address.
 static RESERVED: Mutex<Vec<ReservedAddress>> = Mutex::new(Vec::new());
+/// Maximum time for one expected event, such as a connection, a message or a log line.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The test's end of a connection to the server.
 pub(crate) struct Peer {
+    /// Role of the test's end, as the trace shows it.
     pub name: &'static str,
     pub stream: BufReader<TcpStream>,
 }
 
+/// A running server and the listeners of its scripted peers. Kills the server when dropped.
 pub(crate) struct ServerHarness {
     pub server: Child,
+    /// Address at which the server listens for gateways.
     pub listen: String,
+    /// Listener of the worker, which the configuration calls `runtime`.
     pub runtime: TcpListener,
+    /// Listener of the dependency, which the configuration calls `ledger`.
     pub ledger: TcpListener,
+    /// Configuration file.
     pub file: PathBuf,
+    /// Messages that the peers received, one a line.
     pub trace: String,
 }
 
+/// Returns a listener on a free loopback port, and its address.
 pub(crate) fn listener() -> (TcpListener, String) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = listener.local_addr().expect("an address").to_string();
     (listener, address)
 }
 
-/// An IP address and port that no other test of this process gets.
+/// Returns an IP address and port that no other test of this process gets.
 fn reserve_address() -> String {
     let number = NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed);
     let ip = Ipv4Addr::new(127, 77, (std::process::id() % 250) as u8, 1 + number as u8);
-    let reserved = ReservedAddress::on(ip).expect("a free port");
+    let reserved = ReservedAddress::on(ip).expect("a port is free");
     let address = reserved.address().to_string();
-    RESERVED.lock().expect("no panic before").push(reserved);
+    RESERVED.lock().expect("lock is not poisoned").push(reserved);
     address
 }
 
-/// The next connection, or a failed test.
+/// Returns the next connection; panics if none comes within `TIMEOUT`.
 pub(crate) fn accept(listener: &TcpListener) -> TcpStream {
     let deadline = Instant::now() + TIMEOUT;
-    listener.set_nonblocking(true).expect("a mode");
+    listener.set_nonblocking(true).expect("socket mode is set");
     loop {
         match listener.accept() {
             Ok((stream, _)) => {
-                stream.set_nonblocking(false).expect("a mode");
+                stream.set_nonblocking(false).expect("socket mode is set");
                 return stream;
             }
-            Err(e) => assert!(Instant::now() < deadline, "no connection came: {e}"),
+            Err(e) => assert!(Instant::now() < deadline, "no connection within {TIMEOUT:?}: {e}"),
         }
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
 pub(crate) fn now_ms() -> u128 {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis()
+    SystemTime::now().duration_since(UNIX_EPOCH).expect("clock is after 1970").as_millis()
 }
 
+/// Returns the JSON-RPC line of a request, sent now, with JSON-RPC id `id` and the number `req` as its
+/// request id. `extra_params` is JSON text that is appended to the parameters.
 pub(crate) fn request(id: u32, req: u32, class: &str, extra_params: &str) -> String {
     format!(
         r#"{{"jsonrpc":"2.0","id":{id},"method":"{class}","params":{{"req":"{req:016x}","ts":{},"via":1,"timeout":4000,"need":20.5,"level":0.5,"data":"aGVsbG8="{extra_params}}}}}"#,
@@ -84,27 +99,29 @@
     )
 }
 
+/// Returns the path of the configuration file of a test.
 pub(crate) fn config_file(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("hazelspur-{}-{name}.json", std::process::id()))
 }
 
-/// Starts the program with this configuration, through a shell that may set limits first.
+/// Starts the server with this configuration. `shell_prefix` is run by the shell before it, for example to
+/// set limits.
 pub(crate) fn start(name: &str, config: &str, shell_prefix: &str) -> Child {
     let file = config_file(name);
-    std::fs::write(&file, config).expect("a file");
+    std::fs::write(&file, config).expect("file is written");
     let program = env!("CARGO_BIN_EXE_hazelspur-server");
     let mut shell = Command::new("/bin/sh");
     shell.args(["-c", &format!("{shell_prefix} exec {program}")]).env("ROUTER_CONFIG", &file);
-    shell.stderr(Stdio::piped()).spawn().expect("the server starts")
+    shell.stderr(Stdio::piped()).spawn().expect("server starts")
 }
 
 impl ServerHarness {
-    /// Starts a server, with a worker that is up.
+    /// Starts a server and connects a worker that is ready; returns the worker's link.
     pub(crate) fn new(name: &str, shell_prefix: &str) -> (Self, Peer) {
         Self::new_with(name, shell_prefix, |config| config)
     }
 
-    /// The same with an edited configuration.
+    /// Does the same as `new` with the configuration changed by `edit`.
     pub(crate) fn new_with(name: &str, shell_prefix: &str, edit: impl Fn(String) -> String) -> (Self, Peer) {
         let mut server = Self::started_with(name, shell_prefix, edit);
         let mut link = server.accept_worker_link();
@@ -113,24 +130,28 @@
         (server, link)
     }
 
+    /// Starts a server without a worker.
     pub(crate) fn started(name: &str, shell_prefix: &str) -> Self {
         Self::started_with(name, shell_prefix, |config| config)
     }
 
+    /// Starts a server without a worker, with the configuration changed by `edit`.
     pub(crate) fn started_with(name: &str, shell_prefix: &str, edit: impl Fn(String) -> String) -> Self {
         let (listen, runtime, ledger, config) = Self::prepare();
         let server = start(name, &edit(config), shell_prefix);
         Self { server, listen, runtime, ledger, file: config_file(name), trace: String::new() }
     }
 
-    /// An address for a server, its upstream endpoints, and the configuration that names them.
+    /// Returns an address for a server, the listeners of its worker and its dependency, and its
+    /// configuration.
     pub(crate) fn prepare() -> (String, TcpListener, TcpListener, String) {
         let listen = reserve_address();
         let (runtime, ledger, config) = Self::listen_for_peers(&listen);
         (listen, runtime, ledger, config)
     }
 
-    /// New upstream endpoints, and the configuration that names them.
+    /// Returns new listeners of a worker and a dependency, and the configuration of the server at `listen`
+    /// that names them. The registry accepts all reports.
     pub(crate) fn listen_for_peers(listen: &str) -> (TcpListener, TcpListener, String) {
         let ((runtime, runtime_address), (ledger, ledger_address)) = (listener(), listener());
         let (control, control_address) = listener();
@@ -150,21 +171,21 @@
         (runtime, ledger, config)
     }
 
-    /// Sends a request and records the command that it causes.
+    /// Sends a request and records the command that the worker receives for it.
     pub(crate) fn start_run(&mut self, gateway: &mut Peer, link: &mut Peer, request: &str) {
         gateway.send(&format!("{request}\n"));
         link.record_next(&mut self.trace);
     }
 
-    /// Replaces the configuration file and sends SIGHUP.
+    /// Replaces the configuration file and sends SIGHUP to the server.
     pub(crate) fn reload(&mut self, config: &str) {
         let new_file = self.file.with_extension("new");
-        std::fs::write(&new_file, config).expect("a file");
-        std::fs::rename(&new_file, &self.file).expect("one file system");
+        std::fs::write(&new_file, config).expect("file is written");
+        std::fs::rename(&new_file, &self.file).expect("both paths are on one file system");
         self.signal("-HUP");
     }
 
-    /// Accepts the server's next link to the worker.
+    /// Accepts the server's next worker link and records the first message on it.
     pub(crate) fn accept_worker_link(&mut self) -> Peer {
         let mut link = Peer::new("runtime", accept(&self.runtime));
         link.record_next(&mut self.trace);
@@ -172,9 +193,10 @@
     }
 
     pub(crate) fn connect_gateway(&self) -> Peer {
-        Peer::new("gateway", TcpStream::connect(&self.listen).expect("the server listens"))
+        Peer::new("gateway", TcpStream::connect(&self.listen).expect("server listens"))
     }
 
+    /// Accepts the connection of the server's next dependency call.
     pub(crate) fn accept_dependency_call(&self) -> Peer {
         Peer::new("ledger", accept(&self.ledger))
     }
@@ -183,7 +205,7 @@
         send_signal(self.server.id(), name);
     }
 
-    /// Shows what the server logged, once it has ended.
+    /// Prints the server's log; the server must have exited.
     fn print_log(&mut self) {
         let mut log = String::new();
         if let Some(stderr) = &mut self.server.stderr {
@@ -192,8 +214,9 @@
         eprintln!("log of the server at {}:\n{log}", self.listen);
     }
 
+    /// Waits until the server exits and records its exit code.
     pub(crate) fn wait_for_exit(&mut self) {
-        let status = self.server.wait().expect("the server ends");
+        let status = self.server.wait().expect("server exits");
         let _ = writeln!(self.trace, "exit {:?}", status.code());
     }
 }
@@ -210,14 +233,15 @@
 
 impl Peer {
     pub(crate) fn new(name: &'static str, stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(TIMEOUT)).expect("a time limit");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("time limit is set");
         Self { name, stream: BufReader::new(stream) }
     }
 
     pub(crate) fn send(&mut self, text: &str) {
-        self.stream.get_mut().write_all(text.as_bytes()).expect("the server reads");
+        self.stream.get_mut().write_all(text.as_bytes()).expect("server reads");
     }
 
+    /// Returns the next line; `(closed)` if the connection is closed or no line comes within `TIMEOUT`.
     pub(crate) fn read_line(&mut self) -> String {
         let mut line = String::new();
         match self.stream.read_line(&mut line) {
@@ -226,13 +250,15 @@
         }
     }
 
+    /// Reads a body; `length` is its length in bytes as decimal text.
     pub(crate) fn read_body(&mut self, length: &str) -> String {
-        let mut body = vec![0; length.trim().parse().expect("a length")];
-        self.stream.read_exact(&mut body).expect("a body");
-        String::from_utf8(body).expect("text")
+        let mut body = vec![0; length.trim().parse().expect("length is a number")];
+        self.stream.read_exact(&mut body).expect("body has the stated length");
+        String::from_utf8(body).expect("text is UTF-8")
     }
 
-    /// Records the next message. Gauge queries are answered and not recorded; one that ends a replay is returned.
+    /// Records and returns the next message. Gauge queries are answered and not recorded; the query that ends
+    /// the replay of notices on a new link is returned.
     pub(crate) fn record_next(&mut self, trace: &mut String) -> String {
         let deadline = Instant::now() + TIMEOUT;
         loop {
@@ -254,7 +280,7 @@
         }
     }
 
-    /// Records a dependency call, without what differs between runs.
+    /// Records a dependency call: request line, request id and body. Other headers may differ between runs.
     pub(crate) fn record_call(&mut self, trace: &mut String) {
         let mut recorded = self.read_line();
         let mut length = String::new();
@@ -272,7 +298,8 @@
     }
 }
 
-/// Settings with a non-idempotent request class, tenants, and a deduplication window of this length.
+/// Returns the configuration with a non-idempotent request class `pay`, tenants `a` and `b`, and a
+/// deduplication window of this length.
 pub(crate) fn with_tenants(config: String, window_ms: u32) -> String {
     let extra_classes = r#"{"name":"pay","aim-us":3000000,"deadline-us":4000000,"semantics":"unsafe"}],"orgs":
         [{"name":"a","quota-rps":50},{"name":"b","quota-rps":50}],"rules""#;
@@ -282,59 +309,61 @@
         .replace("\"memory-span-us\":5000000", &window_setting)
 }
 
-/// The same endpoints but for the registry.
+/// Returns the configuration with another address of the registry.
 pub(crate) fn with_registry(config: &str, control: &str) -> String {
     with_endpoint(config, "control", control)
 }
 
-/// The same endpoints but for the dependency.
+/// Returns the configuration with another address of the dependency.
 pub(crate) fn with_ledger(config: &str, ledger: &str) -> String {
     with_endpoint(config, "ledger", ledger)
 }
 
 fn with_endpoint(config: &str, key: &str, address: &str) -> String {
     let key = format!("\"{key}\":\"");
-    let (before, rest) = config.split_once(&key).expect("the key");
+    let (before, rest) = config.split_once(&key).expect("endpoint is in the configuration");
     let (_, after) = rest.split_once('"').expect("an address");
     format!("{before}{key}{address}\"{after}")
 }
 
-/// An address that refuses connections until the test binary ends. A port of a listener that was closed may get
-/// another listener at any time.
+/// Returns an address that refuses connections until the test binary ends. The port of a closed listener
+/// would not do, because another process may listen on it at any time.
 pub(crate) fn refusing_address() -> String {
     reserve_address()
 }
 
-/// Waits until this long after a moment.
+/// Waits until `ms` milliseconds after `since`.
 pub(crate) fn wait_until(since: Instant, ms: u64) {
     while since.elapsed() < Duration::from_millis(ms) {
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// The worker's notice that a run succeeded.
+/// Returns the worker's notice that a run succeeded; `number` is the number of the notice.
 pub(crate) fn success_notice(number: u32, req: u32) -> String {
     format!("end {number} {} complete 5 4\r\ndone\r\n", id(req))
 }
 
+/// Returns the request id with this number.
 pub(crate) fn id(req: u32) -> String {
     format!("{req:016x}")
 }
 
-/// The server's log lines as they arrive.
+/// Log lines of a server, in the order in which they arrive.
 pub(crate) struct LogLines(Receiver<String>);
 
 impl LogLines {
+    /// Starts reading the log of a server.
     pub(crate) fn of(server: &mut Child) -> Self {
         let (sender, receiver) = channel();
-        let stderr = server.stderr.take().expect("piped");
+        let stderr = server.stderr.take().expect("stderr is piped");
         std::thread::spawn(move || {
             BufReader::new(stderr).lines().map_while(Result::ok).for_each(|line| drop(sender.send(line)));
         });
         Self(receiver)
     }
 
-    /// The next line that contains one of these texts, without its time.
+    /// Returns the next line that contains one of these texts, without its timestamp; skips other lines.
     pub(crate) fn next(&self, texts: &[&str]) -> String {
         loop {
             let line = self.0.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("no log line with {texts:?}"));
@@ -345,9 +374,9 @@
     }
 }
 
-/// Writes an operator's file; returns the shell command that names it to the server.
+/// Writes an operator's file; returns the shell command that passes its path to the server.
 pub(crate) fn operator_file(name: &str, text: &str) -> String {
     let path = config_file(name).with_extension("star");
-    std::fs::write(&path, text).expect("a file");
+    std::fs::write(&path, text).expect("file is written");
     format!("export HAZELSPUR_FILE={};", path.display())
 }
--- a/crates/hazelspur-server/tests/helpers/mod.rs
+++ b/crates/hazelspur-server/tests/helpers/mod.rs
@@ -1,5 +1,5 @@
-//! A testbed: the built server with an operator's file between a stand-in broker, runtime, ledger and control
-//! plane.
+//! Testbed for queues: the built server with an operator's file, between test doubles of a broker, a worker,
+//! a dependency and a registry.
 
 use amq_protocol::protocol::basic::AMQPProperties;
 use amq_protocol::types::{AMQPValue, FieldTable};
@@ -19,8 +19,9 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Longer than several confirms that never come, one after the other.
+/// Maximum time for an expected state. Longer than the timeouts of several lost confirms in a row.
 pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
+/// Settings of the server: `view` is idempotent, `set-qty` is deduplicated by key, `book` is not idempotent.
 const SETTINGS: &str = r#"{"family-info":{"n-cores":2,"mem-limit-kb":100000,"run-factor":8,"stop-mode":"drop",
  "meters":["core_use","on_cores"],"calls-out":50,"calls-over-us":5000000,"passes-deadline":true},
  "lanes":[{"name":"view","aim-us":3000000,"deadline-us":4000000,"semantics":"safe","importance":1},
@@ -28,48 +29,60 @@
  {"name":"book","aim-us":3000000,"deadline-us":4000000,"semantics":"unsafe"}],
  "rules":{"fall-multiple":8,"cold-share":0.2,"cold-us":10000000,"drain-grace-us":300000},
  "limits":{"retry-after":true,"max-retry-after-us":1000000},"servers":1}"#;
-/// The longest time between two suspensions, in milliseconds.
+/// Upper bound, exclusive, of the time between two suspensions, in milliseconds.
 const MAX_PAUSE_MS: u32 = 30;
-/// The longest suspension, in milliseconds.
+/// Maximum duration of a suspension, in milliseconds.
 const MAX_SUSPENSION_MS: u32 = 150;
+/// Number of testbeds so far.
 static NEXT_TESTBED: AtomicUsize = AtomicUsize::new(0);
 
+/// The server and the test doubles that it is connected to. Kills the server and removes its files when
+/// dropped.
 pub(crate) struct Testbed {
     pub broker: Broker,
     pub worker: Runtime,
     pub dependency: Http,
     registry: Http,
+    /// Rules for the published messages, by body.
     pub expected: BTreeMap<Vec<u8>, Expected>,
+    /// `None` while no server runs.
     server: Option<Child>,
+    /// Address at which the server listens for gateways.
     pub listen: String,
+    /// Configuration file and operator's file.
     config_files: [PathBuf; 2],
+    /// Keeps the address in `listen` reserved.
     _reserved: ReservedAddress,
+    /// Part of the operator's file that describes the queues.
     queues: String,
+    /// Spread of the server's connection attempts to brokers, in seconds.
     pub reconnect_spread_s: f64,
     broker_addresses: Vec<String>,
 }
 
-/// What the server said until its end.
+/// Exit of a server.
 pub(crate) struct ServerExit {
+    /// Exit code; `None` after a signal.
     pub status: Option<i32>,
+    /// Complete log.
     pub log: String,
 }
 
 impl ServerExit {
-    /// Of a process that ends by itself or has ended.
+    /// Reads the log of a server until its end and waits for its exit. Does not end the server.
     pub(crate) fn wait_for(mut server: Child) -> Self {
         let mut log = String::new();
-        server.stderr.take().expect("piped").read_to_string(&mut log).expect("text");
-        let status = server.wait().expect("it ends").code();
+        server.stderr.take().expect("stderr is piped").read_to_string(&mut log).expect("text is UTF-8");
+        let status = server.wait().expect("server exits").code();
         Self { status, log }
     }
 
-    /// Lines that tell of a fault of the server's own.
+    /// Returns the number of log lines at level `error`, which report faults of the server itself.
     pub(crate) fn error_lines(&self) -> usize {
         self.log.lines().filter(|line| line.split(' ').nth(1) == Some("error")).count()
     }
 
-    /// The sum of this figure over all lines.
+    /// Returns the sum of a log field over all lines.
     pub(crate) fn sum_of_field(&self, key: &str) -> usize {
         let key = format!(" {key}=");
         let values = self.log.split(&key).skip(1);
@@ -78,12 +91,13 @@
 }
 
 impl Testbed {
-    /// With the queues that this part of an operator's file names, declared at the broker beforehand.
+    /// Creates a testbed without a running server. `queues` is the part of the operator's file that describes
+    /// the queues; the test declares them at the broker before it starts the server.
     pub(crate) fn new(queues: &str, pace: Pace) -> Self {
         let number = NEXT_TESTBED.fetch_add(1, Ordering::Relaxed);
         let ip = Ipv4Addr::new(127, 78, (std::process::id() % 250) as u8, 1 + (number % 250) as u8);
         let broker = Broker::at((ip, 0).into());
-        let reserved = ReservedAddress::on(ip).expect("a free port");
+        let reserved = ReservedAddress::on(ip).expect("a port is free");
         let listen = reserved.address().to_string();
         let file = |extension: &str| {
             std::env::temp_dir()
@@ -106,47 +120,51 @@
         }
     }
 
+    /// Writes the server's configuration and operator's file.
     pub(crate) fn write_files(&self, stop_ms: u64) {
         let (listen, worker, dependency) = (&self.listen, self.worker.address, self.dependency.address);
         let config = format!(
             r#"{{"name":"n1","listen":"{listen}","runtime":"{worker}","ledger":"{dependency}","control":"{}","seed":"000000000000002a","stop_ms":{stop_ms},"settings":{SETTINGS}}}"#,
             self.registry.address
         );
-        std::fs::write(&self.config_files[0], config).expect("a file");
+        std::fs::write(&self.config_files[0], config).expect("file is written");
         let brokers = format!("{:?}", self.broker_addresses);
         let operator_file = format!(
             "amqp(brokers = {brokers}, user = \"u\", password = \"p\", spread_s = {})\n{}",
             self.reconnect_spread_s, self.queues
         );
-        std::fs::write(&self.config_files[1], operator_file).expect("a file");
+        std::fs::write(&self.config_files[1], operator_file).expect("file is written");
     }
 
     pub(crate) fn start(&mut self) {
         self.start_with_stop_ms(1500);
     }
 
+    /// Starts the server with `stop_ms` as the time that it has from the shutdown notice to its exit.
     pub(crate) fn start_with_stop_ms(&mut self, stop_ms: u64) {
         self.write_files(stop_ms);
         let mut server = Command::new(env!("CARGO_BIN_EXE_hazelspur-server"));
         server.env("ROUTER_CONFIG", &self.config_files[0]).arg("--file").arg(&self.config_files[1]);
-        self.server = Some(server.stderr(Stdio::piped()).spawn().expect("the server starts"));
+        self.server = Some(server.stderr(Stdio::piped()).spawn().expect("server starts"));
     }
 
-    /// Started, and the broker sees its consumer on this queue.
+    /// Creates a testbed, declares `queue` and its dead-letter queue `dead`, starts the server and waits
+    /// until it consumes the queue.
     pub(crate) fn start_consuming(queues: &str, pace: Pace, queue: &str) -> Self {
         let mut testbed = Self::new(queues, pace);
         testbed.broker.declare("dead", None);
         testbed.broker.declare(queue, Some("dead"));
         testbed.start();
-        assert!(testbed.broker.until(WAIT_TIMEOUT, |state| state.consumed(queue)), "no consumer came");
+        assert!(testbed.broker.until(WAIT_TIMEOUT, |state| state.consumed(queue)), "queue is not consumed");
         testbed
     }
 
+    /// Sets the brokers that the operator's file names from the next `write_files` on.
     pub(crate) fn set_brokers(&mut self, brokers: &[&Broker]) {
         self.broker_addresses = brokers.iter().map(|broker| broker.address.to_string()).collect();
     }
 
-    /// Publishes a request of this type under a message-id that is its body too.
+    /// Publishes a request of this class with `message_id` as both its message-id and its body.
     pub(crate) fn publish(
         &mut self,
         queue: &str,
@@ -159,7 +177,8 @@
         self.broker.publish(queue, options.properties(request_class, message_id), message_id.as_bytes());
     }
 
-    /// Nothing is left for the server to do at the broker.
+    /// Waits until these queues are empty and no delivery is unsettled; returns whether that happened in
+    /// time.
     pub(crate) fn wait_until_settled(&self, queues: &[&str]) -> bool {
         let queues: Vec<String> = queues.iter().map(|name| name.to_string()).collect();
         self.broker.until(WAIT_TIMEOUT, |state| {
@@ -167,7 +186,8 @@
         })
     }
 
-    /// The same while the server, the broker and the worker are suspended in turn, at random.
+    /// Does the same as `wait_until_settled` while one of server, broker and worker after another, chosen at
+    /// random, is suspended for a random time.
     pub(crate) fn wait_until_settled_with_suspensions(&self, queues: &[&str], random: &mut Pcg) -> bool {
         let finished = AtomicBool::new(false);
         std::thread::scope(|scope| {
@@ -183,6 +203,7 @@
         })
     }
 
+    /// Suspends the server, the broker or the worker once. The test doubles stop while their state is locked.
     fn suspend_one(&self, random: &mut Pcg) {
         let duration = Duration::from_millis(u64::from(1 + random.draw() % MAX_SUSPENSION_MS));
         match random.draw() % 3 {
@@ -203,33 +224,37 @@
     }
 
     pub(crate) fn process_id(&self) -> u32 {
-        self.server.as_ref().expect("it runs").id()
+        self.server.as_ref().expect("server is running").id()
     }
 
     pub(crate) fn signal(&self, name: &str) {
         send_signal(self.process_id(), name);
     }
 
-    /// The server's process, which the caller ends.
+    /// Returns the server's process; the caller has to end it.
     pub(crate) fn take_server(&mut self) -> Child {
-        self.server.take().expect("it runs")
+        self.server.take().expect("server is running")
     }
 
-    /// Waits for its end.
+    /// Waits until the server exits.
     pub(crate) fn wait_for_exit(&mut self) -> ServerExit {
         ServerExit::wait_for(self.take_server())
     }
 
+    /// Sends SIGTERM to the server and waits until it exits.
     pub(crate) fn terminate(&mut self) -> ServerExit {
         self.signal("-TERM");
         self.wait_for_exit()
     }
 
+    /// Sends SIGKILL to the server and waits until it exits.
     pub(crate) fn kill(&mut self) -> ServerExit {
         self.signal("-KILL");
         self.wait_for_exit()
     }
 
+    /// Returns all violations of the rules for the published messages. Up to `max_lost` messages may have
+    /// been acknowledged without a run.
     pub(crate) fn breaches(&self, max_lost: usize) -> Vec<String> {
         hazelspur_test_doubles::checker::breaches(
             &self.broker.state(),
@@ -239,7 +264,7 @@
         )
     }
 
-    /// How often each body was run, in order of the bodies.
+    /// Returns each body with the number of its runs, in order of the bodies.
     pub(crate) fn run_counts(&self) -> String {
         let worker_state = self.worker.state();
         let runs = worker_state
@@ -249,7 +274,8 @@
         runs.collect::<Vec<_>>().join(", ")
     }
 
-    /// What is in a queue: bodies, and the outcome that a reply names.
+    /// Returns the bodies of the messages in a queue, sorted, each with the outcome if the message is a
+    /// reply.
     pub(crate) fn queue_contents(&self, queue: &str) -> String {
         let state = self.broker.state();
         let Some(queue) = state.queues.get(queue) else { return String::new() };
@@ -277,11 +303,14 @@
     }
 }
 
-/// What a message says beside its request class and name.
+/// Optional properties of a published message.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct MessageOptions {
+    /// Header `x-sent-ms`: send time in milliseconds since the Unix epoch.
     pub sent_ms: Option<u64>,
+    /// Header `x-waits-ms`: maximum wait from the send time, in milliseconds.
     pub max_wait_ms: Option<u64>,
+    /// Whether the reply is requested in the queue `answers`.
     pub wants_reply: bool,
     pub without_message_id: bool,
 }
--- a/crates/hazelspur-server/tests/queues.rs
+++ b/crates/hazelspur-server/tests/queues.rs
@@ -1,4 +1,4 @@
-//! Queues consumed by the built server, against a test broker with scripted faults.
+//! Consumption of queues by the built server, from a test double of a broker with scripted faults.
 
 mod helpers;
 
@@ -10,8 +10,10 @@
 use hazelspur_test_doubles::script::{self, At, Fault};
 use helpers::{MessageOptions, ServerExit, Testbed, WAIT_TIMEOUT};
 
+/// Operator's file of a server that consumes the queue `orders`.
 const ORDERS: &str = "queue(name = \"orders\", window = \"fixed\", most = 16)\n";
 
+/// One delivery for each idempotency of a request class, and `brew`, which is not a configured class.
 #[test]
 fn a_delivery_runs_with_its_calls_is_settled_and_replied_to() {
     let mut testbed = Testbed::start_consuming(ORDERS, Pace { calls: true, ..Pace::default() }, "orders");
@@ -47,9 +49,10 @@
     .assert_eq(&seen);
 }
 
-/// What a seeded run did that it must not.
+/// Failure of the run of one seed.
 struct SeedFailure {
     seed: u64,
+    /// Violations of the rules for the published messages.
     breaches: Vec<String>,
     server_log: String,
 }
@@ -60,14 +63,18 @@
     }
 }
 
-/// Whether the parties of a seeded run are suspended at random moments.
+/// Suspensions of server, broker and worker during the run of a seed.
 #[derive(Clone, Copy, PartialEq)]
 enum Suspensions {
     None,
     Random,
 }
 
-/// Plays a seed: random faults on each of the first connections, and messages of all kinds.
+/// Runs one seed: random faults on each of the first four connections, and 30 messages of all request
+/// classes.
+///
+/// # Errors
+/// Returns the violations and the server's log if a rule was broken.
 fn run_seed(seed: u64, suspensions: Suspensions) -> Result<(), SeedFailure> {
     let mut random = Pcg::new(seed);
     let settle = if random.draw().is_multiple_of(2) { "before" } else { "after" };
@@ -106,22 +113,23 @@
     let exit = testbed.terminate();
     let mut breaches = testbed.breaches(exit.sum_of_field("unproven"));
     if !settled {
-        breaches.push("not settled in time".into());
+        breaches.push("deliveries not settled in time".into());
     }
     if std::env::var("HAZELSPUR_LEAKS").is_ok() && !exit.log.contains("mode draining in_hand=0") {
-        breaches.push("the controller still has requests".into());
+        breaches.push("requests left in the admission controller".into());
     }
     if exit.status != Some(0) || exit.error_lines() > 0 {
-        breaches.push(format!("ended with {:?}", exit.status));
+        breaches.push(format!("exit code {:?} or errors in the log", exit.status));
     }
     if breaches.is_empty() { Ok(()) } else { Err(SeedFailure { seed, breaches, server_log: exit.log }) }
 }
 
+/// Returns the number of seeds: `HAZELSPUR_SEEDS`, or 160.
 fn seeds() -> u64 {
     std::env::var("HAZELSPUR_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(160)
 }
 
-/// Plays all seeds, eight at a time. Failures are kept in a file with the server's log.
+/// Runs all seeds, eight at a time. Each failure is saved to a file with the server's log.
 fn run_all_seeds(seeds: u64, suspensions: Suspensions) {
     let next = std::sync::atomic::AtomicU64::new(0);
     let failures = std::sync::Mutex::new(Vec::new());
@@ -135,30 +143,33 @@
                     }
                     if let Err(failure) = run_seed(seed, suspensions) {
                         save_failure(&failure);
-                        failures.lock().expect("no panic before").push(failure);
+                        failures.lock().expect("lock is not poisoned").push(failure);
                     }
                 }
             });
         }
     });
-    let failures = failures.into_inner().expect("no panic before");
+    let failures = failures.into_inner().expect("lock is not poisoned");
     assert!(failures.is_empty(), "{} seeds failed\n{}", failures.len(), failures[0]);
 }
 
-/// Writes a failure to a file that stays.
+/// Writes a failure to a file that is not removed.
 fn save_failure(failure: &SeedFailure) {
     let name = format!("hazelspur-queues-seed-{}-{}.txt", failure.seed, std::process::id());
     let file = std::env::temp_dir().join(name);
     eprintln!("seed {} failed: {}", failure.seed, file.display());
-    std::fs::write(file, failure.to_string()).expect("a file");
+    std::fs::write(file, failure.to_string()).expect("file is written");
 }
 
+/// Guards against lost deliveries, deliveries that are settled twice and non-idempotent requests that run
+/// twice.
 #[test]
 fn random_broker_faults_settle_each_delivery_once() {
     run_all_seeds(seeds(), Suspensions::None);
 }
 
-/// Guards against deliveries that are lost, repeated or late when the machine suspends one of the parties.
+/// Guards against lost, repeated and late runs when the machine suspends the server, the broker or the
+/// worker.
 #[test]
 fn random_faults_and_suspensions_settle_each_delivery_once() {
     run_all_seeds(seeds() / 4, Suspensions::Random);
@@ -181,7 +192,7 @@
         ..MessageOptions::default()
     };
     testbed.publish("orders", "view", "a clock minutes ahead", ahead);
-    // Ten runs of 400 ms on two cores: the last of these expire while they are queued.
+    // Ten runs of 400 ms, more than fit into 900 ms: the last of these expire while they are queued.
     let short =
         MessageOptions { sent_ms: Some(now_ms()), max_wait_ms: Some(900), ..MessageOptions::default() };
     (0..10).for_each(|n| testbed.publish("orders", "book", &format!("short{n}"), short));
@@ -192,15 +203,15 @@
     let (old, short) = (dead.matches("old").count(), dead.matches("short").count());
     assert!(
         short > 0 && !testbed.run_counts().contains("old"),
-        "{short} short ones expired, ran: {}",
+        "{short} of the short messages expired, ran: {}",
         testbed.run_counts()
     );
     assert!(testbed.run_counts().contains("a clock minutes ahead 1"));
     assert_eq!((old, exit.status, testbed.breaches(0)), (100, Some(0), Vec::new()));
-    assert!(!exit.log.contains("mode rate_limited"), "expired messages were taken for load:\n{}", exit.log);
+    assert!(!exit.log.contains("mode rate_limited"), "expired messages counted as load:\n{}", exit.log);
 }
 
-/// Guards against a run that begins after its time because its start waited for the worker link.
+/// Guards against a run that starts after its deadline because its start command waited for the worker link.
 #[test]
 fn message_expired_during_link_outage_is_dead_lettered() {
     for settle in ["before", "after"] {
@@ -228,7 +239,7 @@
         assert!(testbed.wait_until_settled(&["orders"]));
         assert!(
             testbed.broker.until(WAIT_TIMEOUT, |_| !testbed.worker.state().runs.is_empty()),
-            "nothing ran"
+            "no request ran"
         );
         let exit = testbed.terminate();
         assert_eq!(testbed.breaches(0), Vec::<String>::new(), "{settle}\n{}", exit.log);
@@ -242,7 +253,7 @@
     }
 }
 
-/// Guards against a message that is acknowledged and neither runs nor is dead-lettered.
+/// Guards against a message that is acknowledged but neither runs nor is dead-lettered.
 #[test]
 fn message_expired_between_ack_and_fence_is_dead_lettered() {
     let mut testbed = Testbed::start_consuming(ORDERS, Pace::default(), "orders");
@@ -255,11 +266,15 @@
     };
     testbed.publish("orders", "book", "short", sent);
     {
-        // The broker stands still: it has delivered the message and does not read the ack.
+        // While its state is locked the broker is suspended: it has delivered the message but does not read
+        // the ack.
         let _state = testbed.broker.state();
         std::thread::sleep(std::time::Duration::from_millis(600));
     }
-    assert!(testbed.broker.until(WAIT_TIMEOUT, |state| state.ready("dead") == 1), "it is not dead-lettered");
+    assert!(
+        testbed.broker.until(WAIT_TIMEOUT, |state| state.ready("dead") == 1),
+        "expired message is not dead-lettered"
+    );
     assert!(testbed.wait_until_settled(&["orders"]));
     let exit = testbed.terminate();
     let seen = (
@@ -273,7 +288,8 @@
     assert_eq!(seen, expected, "{}", exit.log);
 }
 
-/// Guards against a loss that no log line tells of: the process ends between the ack and the fence.
+/// Guards against a loss without a log line: the process exits after the ack is sent and before the broker
+/// answers the fence, so the request never runs.
 #[test]
 fn message_with_unanswered_fence_at_exit_is_counted() {
     let mut testbed = Testbed::start_consuming(ORDERS, Pace::default(), "orders");
@@ -281,10 +297,10 @@
     let mut server = testbed.take_server();
     {
         let _state = testbed.broker.state();
-        // The broker stands still until the process has ended.
+        // While its state is locked the broker is suspended: until the server has exited.
         std::thread::sleep(std::time::Duration::from_millis(100));
         send_signal(server.id(), "-TERM");
-        server.wait().expect("it ends");
+        server.wait().expect("server exits");
     }
     let exit = ServerExit::wait_for(server);
     assert!(testbed.broker.until(WAIT_TIMEOUT, |state| state.acks == 1), "the ack was not sent");
@@ -292,6 +308,8 @@
     assert_eq!(testbed.breaches(exit.sum_of_field("unproven")), Vec::<String>::new());
 }
 
+/// Guards against lost replies and repeated runs: while the server is draining, the broker cuts the
+/// connection with requests running.
 #[test]
 fn connection_lost_while_draining_loses_and_repeats_nothing() {
     let mut testbed = Testbed::new(ORDERS, Pace { run_ms: 300, cores: 4, ..Pace::default() });
@@ -311,7 +329,7 @@
     testbed.signal("-TERM");
     assert!(
         testbed.broker.until(WAIT_TIMEOUT, |state| !state.consumed("orders")),
-        "its consumer is not cancelled"
+        "consumer is not cancelled"
     );
     testbed.broker.cut();
     let exit = testbed.wait_for_exit();
@@ -321,7 +339,7 @@
     assert!(started >= 2 && answered == runs, "{runs} ran, {answered} answered\n{}", exit.log);
     assert_eq!(testbed.breaches(exit.sum_of_field("unproven")), Vec::<String>::new());
     assert_eq!(exit.error_lines(), 0, "{}", exit.log);
-    // What did not run, and what ran without an ack, is back in the queue.
+    // Messages that did not run or were not acknowledged are in the queue again.
     let state = testbed.broker.state();
     assert_eq!((state.unsettled(), state.ready("orders") + state.ready("answers") >= 4), (0, true));
 }
@@ -343,10 +361,10 @@
         assert!(testbed.wait_until_settled(&["orders"]));
         let dead = testbed.broker.state().ready("dead");
         let exit = testbed.terminate();
-        // Acked and fenced but not started at the kill: at most the prefetch window.
+        // Messages acked and fenced but not started at the kill are lost: at most the prefetch window of 8.
         assert_eq!(testbed.breaches(8), Vec::<String>::new(), "{}", exit.log);
-        assert!(settle == "after" || dead == 0, "{dead} possible duplicates though settled before the run");
-        assert!(settle == "before" || dead > 0, "no possible duplicate was found");
+        assert!(settle == "after" || dead == 0, "{dead} possible duplicates although settled before the run");
+        assert!(settle == "before" || dead > 0, "no possible duplicate was dead-lettered");
     }
 }
 
@@ -381,7 +399,10 @@
     testbed.broker.state().delete("orders");
     assert!(testbed.broker.until(WAIT_TIMEOUT, |state| !state.consumed("orders")));
     testbed.broker.declare("orders", Some("dead"));
-    assert!(testbed.broker.until(WAIT_TIMEOUT, |state| state.consumed("orders")), "it is not consumed again");
+    assert!(
+        testbed.broker.until(WAIT_TIMEOUT, |state| state.consumed("orders")),
+        "queue is not consumed again"
+    );
     testbed.publish("orders", "view", "after", MessageOptions::default());
     assert!(testbed.wait_until_settled(&["orders"]));
     let exit = testbed.terminate();
@@ -425,6 +446,7 @@
     );
 }
 
+/// Guards against endless retries: a copy that the full retry queue refuses must not start the count anew.
 #[test]
 fn a_full_retry_queue_does_not_reset_the_attempt_count() {
     let queue = "queue(name = \"orders\", retry_queue = \"retry\", outcomes = {\"failed\": \"retry\"},\n      failed_pause_s = 0.02, most_tries = 3)\n";
@@ -433,11 +455,11 @@
         testbed.broker.declare("dead", None);
         testbed.broker.declare("orders", Some("dead"));
         testbed.broker.declare("retry", Some("orders"));
-        testbed.broker.state().queues.get_mut("retry").expect("declared").most = most;
+        testbed.broker.state().queues.get_mut("retry").expect("queue is declared").most = most;
         testbed.start();
         testbed.publish("orders", "view", "fails", MessageOptions::default());
         testbed.publish("orders", "book", "fails once", MessageOptions::default());
-        // The second was acked before its run: it can no longer be dead-lettered.
+        // `book` is acked before its run, so its message can no longer be dead-lettered.
         assert!(
             testbed.broker.until(WAIT_TIMEOUT, |state| state.ready("dead") == 1 && state.acks >= 1),
             "{most:?}"
@@ -447,7 +469,7 @@
     }
 }
 
-/// Each fault on its own, at a critical point.
+/// Each case is one fault, placed where a message can be lost or repeated.
 #[test]
 fn single_broker_fault_leaves_each_message_one_outcome() {
     let cases = [
