--- a/crates/hazelspur-server/src/ingress/gateway/eviction.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/eviction.rs
@@ -26,14 +26,14 @@
         let exhausted = reason == EvictionReason::DescriptorsExhausted;
         let (max_open, max_closing) = (self.budget.gateways, self.budget.closing);
         let closing = connections.values().filter(|connection| !connection.is_open());
-        let mut closing_sooner = 0;
+        let mut closed_at_once = 0;
         if exhausted || connections.len() >= max_open + max_closing {
             let idle = closing.clone().filter(|connection| !connection.has_open_requests());
-            closing_sooner = idle.inspect(|connection| connection.close_requested.notify_one()).count();
+            closed_at_once = idle.inspect(|connection| connection.close_requested.notify_one()).count();
         }
         // If connections that are already closing free enough descriptors, none is evicted.
         let enough_places_free = match reason {
-            EvictionReason::DescriptorsExhausted => closing_sooner > 0,
+            EvictionReason::DescriptorsExhausted => closed_at_once > 0,
             EvictionReason::TableFull => connections.len() < max_open + closing.count(),
         };
         if !enough_places_free {
