--- a/crates/hazelspur-server/src/commands.rs
+++ b/crates/hazelspur-server/src/commands.rs
@@ -1,6 +1,6 @@
 //! The commands that do not serve: checking an operator's file, showing the fleet.
 
-use crate::config::command::Shape;
+use crate::config::command::OutputFormat;
 use crate::config::operator::{self, OperatorConfig, OperatorError};
 use crate::fleet;
 use crate::process::error;
@@ -25,7 +25,7 @@
 }
 
 /// Prints the view of the fleet of the server that this operator's file sets up.
-pub fn show_fleet(file: &str, shape: Shape) -> ExitCode {
+pub fn show_fleet(file: &str, format: OutputFormat) -> ExitCode {
     let config = operator::read(file, None);
     let fleet =
         config.and_then(|config| config.fleet.ok_or(OperatorError::NoFleet { path: file.to_string() }));
@@ -35,7 +35,7 @@
     };
     match fleet::query::query(&fleet) {
         Ok(shown) => {
-            print!("{}", shown.render(shape));
+            print!("{}", shown.render(format));
             ExitCode::SUCCESS
         }
         Err(why) => refuse(why),
@@ -44,5 +44,5 @@
 
 fn refuse(why: impl Display) -> ExitCode {
     eprintln!("{why}");
-    error::refused()
+    error::refused_exit_code()
 }
--- a/crates/hazelspur-server/src/config/command.rs
+++ b/crates/hazelspur-server/src/config/command.rs
@@ -33,8 +33,8 @@
         /// The file with `fleet(...)`.
         file: String,
         /// How the picture is printed.
-        #[arg(long, default_value = "table")]
-        shape: Shape,
+        #[arg(long = "shape", value_name = "SHAPE", default_value = "table")]
+        format: OutputFormat,
     },
 }
 
@@ -42,14 +42,20 @@
 #[derive(Args, Clone, Default)]
 pub struct ServeOptions {
     /// The operator's file; without it only gateways are served.
-    #[arg(long, env = "HAZELSPUR_FILE", value_name = "FILE")]
-    pub file: Option<String>,
+    #[arg(long = "file", env = "HAZELSPUR_FILE", value_name = "FILE")]
+    pub operator_file: Option<String>,
     /// How log lines are printed.
     #[arg(long, env = "HAZELSPUR_LOG_FORMAT", value_name = "FORMAT", default_value = "text")]
     pub log_format: LogFormat,
     /// For rehearsals: this server's wall clock is so many milliseconds apart from the machine's.
-    #[arg(long, value_name = "MS", default_value_t = 0, hide = true, allow_negative_numbers = true)]
-    pub clock_apart_ms: i64,
+    #[arg(
+        long = "clock-apart-ms",
+        value_name = "MS",
+        default_value_t = 0,
+        hide = true,
+        allow_negative_numbers = true
+    )]
+    pub clock_offset_ms: i64,
 }
 
 /// How log lines are printed.
@@ -64,7 +70,7 @@
 
 /// How the view of the fleet is printed.
 #[derive(Clone, Copy, Default, PartialEq)]
-pub enum Shape {
+pub enum OutputFormat {
     /// A table.
     #[default]
     Table,
@@ -87,7 +93,7 @@
     }
 }
 
-impl ValueEnum for Shape {
+impl ValueEnum for OutputFormat {
     fn value_variants<'a>() -> &'a [Self] {
         &[Self::Table, Self::Json]
     }
--- a/crates/hazelspur-server/src/config/fleet_keys.rs
+++ b/crates/hazelspur-server/src/config/fleet_keys.rs
@@ -26,9 +26,9 @@
 /// Bounds of `linger_s`, in seconds.
 const RESIDUAL_SECS: RangeInclusive<f64> = 0.0..=60.0;
 /// The shared limit of concurrent calls to the dependency.
-pub const CALLS: &str = "calls";
+pub const CALLS_LIMIT: &str = "calls";
 /// Prefix of a tenant's shared limit of requests a second.
-pub const TENANT_PREFIX: &str = "tenant.";
+pub const TENANT_LIMIT_PREFIX: &str = "tenant.";
 
 /// The keys of `fleet(...)`.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
@@ -41,8 +41,9 @@
     #[garde(skip)]
     pub site: SiteName,
     /// Where others reach it, by UDP.
+    #[serde(rename = "at")]
     #[garde(custom(reachable))]
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Where it listens, if that differs.
     #[garde(skip)]
     pub listen: Option<SocketAddr>,
@@ -57,30 +58,30 @@
     #[garde(range(min = 1, max = 4096))]
     pub most: usize,
     /// Time between two probes, in seconds.
-    #[serde(default = "period")]
+    #[serde(rename = "period_s", default = "period")]
     #[garde(range(min = 0.1, max = 60.0))]
-    pub period_s: f64,
+    pub probe_period_s: f64,
     /// How long members that are gone are remembered, in seconds.
-    #[serde(default = "remember")]
+    #[serde(rename = "remember_s", default = "remember")]
     #[garde(range(min = 30.0, max = 86_400.0))]
-    pub remember_s: f64,
+    pub retention_s: f64,
     /// Whether servers go by the reports of each other: who probes a dependency that nobody reaches, and
     /// whether a rejected request may succeed elsewhere.
-    #[serde(default)]
+    #[serde(rename = "together", default)]
     #[garde(skip)]
-    pub together: bool,
+    pub coordinated: bool,
     /// Servers that vote on the allocator of shared limits: an odd number, best in three sites.
-    #[serde(default)]
+    #[serde(rename = "keepers", default)]
     #[garde(skip)]
-    pub keepers: Vec<MemberName>,
+    pub voters: Vec<MemberName>,
     /// How long a vote lasts, in seconds.
-    #[serde(default = "lease")]
+    #[serde(rename = "lease_s", default = "lease")]
     #[garde(range(min = 1.0, max = 600.0))]
-    pub lease_s: f64,
+    pub vote_duration_s: f64,
     /// The shared limits.
-    #[serde(default)]
+    #[serde(rename = "shares", default)]
     #[garde(skip)]
-    pub shares: Vec<ShareKey>,
+    pub shared_limits: Vec<SharedLimitConfig>,
     /// The installation's key, once its file was read.
     #[serde(skip)]
     #[garde(skip)]
@@ -90,18 +91,18 @@
 /// One entry of `shares`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ShareKey {
+pub struct SharedLimitConfig {
     /// `calls`: concurrent calls to the dependency; `tenant.NAME`: requests a second of a tenant of the
     /// settings.
     pub limit: LimitName,
     /// What all servers together may use.
     pub total: f64,
     /// The part that is divided by `most` as guaranteed minimums.
-    #[serde(default = "floor")]
-    pub floor: f64,
+    #[serde(rename = "floor", default = "floor")]
+    pub guaranteed_fraction: f64,
     /// How long work that began under a lease may go on after it, in seconds.
-    #[serde(default = "linger")]
-    pub linger_s: f64,
+    #[serde(rename = "linger_s", default = "linger")]
+    pub residual_s: f64,
 }
 
 fn lease() -> f64 {
@@ -164,7 +165,7 @@
     #[error("there are no shares to keep")]
     NoShares,
     /// The name of a limit is neither `calls` nor that of a tenant.
-    #[error("{0}: neither {CALLS} nor {TENANT_PREFIX}NAME")]
+    #[error("{0}: neither {CALLS_LIMIT} nor {TENANT_LIMIT_PREFIX}NAME")]
     UnknownLimit(LimitName),
     /// The residual duration of a limit is outside its bounds.
     #[error("{0}: linger_s is not from {min} to {max}", min = RESIDUAL_SECS.start(), max = RESIDUAL_SECS.end())]
@@ -210,22 +211,22 @@
     /// # Errors
     /// `QuotaKeysError`, which names the key at fault.
     pub fn quota_config(&self) -> Result<Option<QuotaConfig>, QuotaKeysError> {
-        if self.shares.is_empty() {
-            return if self.keepers.is_empty() { Ok(None) } else { Err(QuotaKeysError::NoShares) };
+        if self.shared_limits.is_empty() {
+            return if self.voters.is_empty() { Ok(None) } else { Err(QuotaKeysError::NoShares) };
         }
-        self.shares.iter().try_for_each(ShareKey::check)?;
+        self.shared_limits.iter().try_for_each(SharedLimitConfig::check)?;
         let config = QuotaConfig {
-            voters: self.keepers.clone(),
+            voters: self.voters.clone(),
             max_servers: self.most,
-            vote_duration: Duration::from_secs(self.lease_s),
-            limits: self.shares.iter().map(ShareKey::shared_limit).collect(),
+            vote_duration: Duration::from_secs(self.vote_duration_s),
+            limits: self.shared_limits.iter().map(SharedLimitConfig::shared_limit).collect(),
         };
         let voters = config.voters.len();
         if voters.is_multiple_of(2) && voters > 0 {
             return Err(QuotaKeysError::EvenVoters(voters));
         }
         config.check()?;
-        if voters == 0 && self.shares.iter().any(|share| share.floor < 1.0) {
+        if voters == 0 && self.shared_limits.iter().any(|share| share.guaranteed_fraction < 1.0) {
             return Err(QuotaKeysError::NoVoters);
         }
         Ok(Some(config))
@@ -237,22 +238,22 @@
             installation: self.installation,
             name,
             site: self.site,
-            address: self.at,
+            address: self.address,
             seeds: self.contacts.clone(),
             max_servers: self.most,
-            probe_period: Duration::from_secs(self.period_s),
-            retention: Duration::from_secs(self.remember_s),
+            probe_period: Duration::from_secs(self.probe_period_s),
+            retention: Duration::from_secs(self.retention_s),
         }
     }
 }
 
-impl ShareKey {
+impl SharedLimitConfig {
     fn check(&self) -> Result<(), QuotaKeysError> {
         let name = self.limit.as_str();
-        if name != CALLS && !name.starts_with(TENANT_PREFIX) {
+        if name != CALLS_LIMIT && !name.starts_with(TENANT_LIMIT_PREFIX) {
             return Err(QuotaKeysError::UnknownLimit(self.limit));
         }
-        if !RESIDUAL_SECS.contains(&self.linger_s) {
+        if !RESIDUAL_SECS.contains(&self.residual_s) {
             return Err(QuotaKeysError::ResidualOutOfRange(self.limit));
         }
         Ok(())
@@ -262,8 +263,8 @@
         SharedLimit {
             name: self.limit,
             total: self.total,
-            guaranteed_fraction: self.floor,
-            residual_duration: Duration::from_secs(self.linger_s),
+            guaranteed_fraction: self.guaranteed_fraction,
+            residual_duration: Duration::from_secs(self.residual_s),
             max_turn: None,
         }
     }
--- a/crates/hazelspur-server/src/config/operator/amqp.rs
+++ b/crates/hazelspur-server/src/config/operator/amqp.rs
@@ -39,17 +39,17 @@
     #[garde(range(min = 0.0, max = 600.0))]
     pub reconnect_spread_s: f64,
     /// How long message ids and results are stored, in seconds.
-    #[serde(default = "defaults::memory_s")]
+    #[serde(rename = "memory_s", default = "defaults::deduplication_window_s")]
     #[garde(range(min = 1.0, max = 604_800.0))]
-    pub memory_s: f64,
+    pub deduplication_window_s: f64,
     /// How many message ids are stored.
-    #[serde(default = "defaults::memory_entries")]
+    #[serde(rename = "memory_entries", default = "defaults::max_deduplication_entries")]
     #[garde(range(min = 1, max = 1_000_000))]
-    pub memory_entries: usize,
+    pub max_deduplication_entries: usize,
     /// How many bytes message ids and results may take.
-    #[serde(default = "defaults::memory_bytes")]
+    #[serde(rename = "memory_bytes", default = "defaults::max_deduplication_bytes")]
     #[garde(range(min = 1024, max = 1_073_741_824))]
-    pub memory_bytes: usize,
+    pub max_deduplication_bytes: usize,
 }
 
 impl AmqpConfig {
@@ -76,13 +76,13 @@
     pub(super) fn reconnect_spread_s() -> f64 {
         8.0
     }
-    pub(super) fn memory_s() -> f64 {
+    pub(super) fn deduplication_window_s() -> f64 {
         3600.0
     }
-    pub(super) fn memory_entries() -> usize {
+    pub(super) fn max_deduplication_entries() -> usize {
         20_000
     }
-    pub(super) fn memory_bytes() -> usize {
+    pub(super) fn max_deduplication_bytes() -> usize {
         8 * 1024 * 1024
     }
 }
--- a/crates/hazelspur-server/src/config/operator/checks.rs
+++ b/crates/hazelspur-server/src/config/operator/checks.rs
@@ -47,10 +47,17 @@
     match field {
         "max_frame_bytes" => "longest_frame",
         "reconnect_spread_s" => "spread_s",
+        "deduplication_window_s" => "memory_s",
+        "max_deduplication_entries" => "memory_entries",
+        "max_deduplication_bytes" => "memory_bytes",
         "max_unsettled" => "most",
         "max_wait_s" => "waits_s",
         "max_attempts" => "most_tries",
         "retry_pause_s" => "failed_pause_s",
+        "address" => "at",
+        "probe_period_s" => "period_s",
+        "retention_s" => "remember_s",
+        "vote_duration_s" => "lease_s",
         other => other,
     }
 }
@@ -94,7 +101,7 @@
     {
         return Err(QueueError { key: "op_type".into(), fault: KeyFault::UnknownRequestClass });
     }
-    queue.table().check(queue.retry_queue.is_some()).map_err(|error| QueueError {
+    queue.settlement_table().check(queue.retry_queue.is_some()).map_err(|error| QueueError {
         key: format!("outcomes.{}", error.key()),
         fault: KeyFault::UnsuitableAction(error),
     })
--- a/crates/hazelspur-server/src/config/operator/queue.rs
+++ b/crates/hazelspur-server/src/config/operator/queue.rs
@@ -132,7 +132,7 @@
 
 impl QueueConfig {
     /// How the prefetch window is set.
-    pub fn rule(&self) -> PrefetchRule {
+    pub fn prefetch_rule(&self) -> PrefetchRule {
         match self.window {
             WindowRule::Fixed => PrefetchRule::Fixed,
             WindowRule::SpareCapacity => PrefetchRule::SpareCapacity,
@@ -141,7 +141,7 @@
     }
 
     /// How deliveries are settled by their outcome.
-    pub fn table(&self) -> SettlementTable {
+    pub fn settlement_table(&self) -> SettlementTable {
         let mut table = SettlementTable {
             max_attempts: self.max_attempts,
             failed_delay: Duration::from_secs(self.retry_pause_s),
--- a/crates/hazelspur-server/src/config/reload.rs
+++ b/crates/hazelspur-server/src/config/reload.rs
@@ -4,7 +4,7 @@
 //! changed settings where the operator's file has `reload(settings = True)`; all other keys apply at the next start.
 
 use crate::config::error::ConfigError;
-use crate::config::fleet_keys::TENANT_PREFIX;
+use crate::config::fleet_keys::TENANT_LIMIT_PREFIX;
 use crate::config::operator::{self, OperatorConfig};
 use crate::config::server_config::{self, ReloadedChanges, ServerConfig};
 use crate::ingress::amqp::AmqpConsumer;
@@ -54,11 +54,11 @@
 impl References {
     /// What this file refers to.
     pub fn of(operator: &OperatorConfig) -> Self {
-        let shares = operator.fleet.iter().flat_map(|fleet| &fleet.shares);
+        let shares = operator.fleet.iter().flat_map(|fleet| &fleet.shared_limits);
         Self {
             request_classes: operator.queues.iter().filter_map(|queue| queue.request_class.clone()).collect(),
             tenants: shares
-                .filter_map(|key| Some(key.limit.as_str().strip_prefix(TENANT_PREFIX)?.into()))
+                .filter_map(|key| Some(key.limit.as_str().strip_prefix(TENANT_LIMIT_PREFIX)?.into()))
                 .collect(),
         }
     }
@@ -148,7 +148,7 @@
     }
 
     fn apply(&self, new: &ServerConfig, change: &Change) -> Result<(), ReloadError> {
-        let mut foreign_keys = self.running.foreign_keys(new);
+        let mut foreign_keys = self.running.changed_identity_keys(new);
         if !self.settings_may_change && !change.is_empty() {
             foreign_keys.push("settings");
         }
@@ -160,7 +160,7 @@
         if !change.is_empty() {
             self.apply_settings(change)?;
         }
-        let waiting_keys = self.running.changed_fixed_keys(new);
+        let waiting_keys = self.running.changed_restart_keys(new);
         if !waiting_keys.is_empty() {
             log::warn!(keys = waiting_keys.join(" "); "reload leaves to the next start");
         }
--- a/crates/hazelspur-server/src/config/server_config.rs
+++ b/crates/hazelspur-server/src/config/server_config.rs
@@ -61,7 +61,7 @@
     /// Seeds whatever is drawn at random.
     pub seed: u64,
     /// Time from the shutdown notice to the end of the process.
-    pub stop: Duration,
+    pub shutdown_timeout: Duration,
     /// How many sockets the process may use.
     pub max_sockets: usize,
     /// How much memory the process may use, in bytes.
@@ -76,17 +76,17 @@
 
 impl ServerConfig {
     /// The keys of `new` that differ and take effect at the next start only.
-    pub fn changed_fixed_keys(&self, new: &Self) -> Vec<&'static str> {
+    pub fn changed_restart_keys(&self, new: &Self) -> Vec<&'static str> {
         differing_keys([
             KeyComparison { key: "seed", differs: self.seed != new.seed },
-            KeyComparison { key: "stop_ms", differs: self.stop != new.stop },
+            KeyComparison { key: "stop_ms", differs: self.shutdown_timeout != new.shutdown_timeout },
             KeyComparison { key: "limits.sockets", differs: self.max_sockets != new.max_sockets },
             KeyComparison { key: "limits.memory_mb", differs: self.max_memory_bytes != new.max_memory_bytes },
         ])
     }
 
     /// The keys of `new` that differ because the file belongs to another server.
-    pub fn foreign_keys(&self, new: &Self) -> Vec<&'static str> {
+    pub fn changed_identity_keys(&self, new: &Self) -> Vec<&'static str> {
         differing_keys([
             KeyComparison { key: "name", differs: self.name != new.name },
             KeyComparison { key: "listen", differs: self.listen != new.listen },
@@ -105,7 +105,7 @@
 
 /// The configuration at the start.
 #[derive(Debug)]
-pub struct Loaded {
+pub struct LoadedConfig {
     /// What it states about this server.
     pub config: ServerConfig,
     /// Its settings.
@@ -113,7 +113,7 @@
 }
 
 /// Reads the file that `ROUTER_CONFIG` names; `ROUTER_NAME` and `ROUTER_LISTEN` stand in for absent keys.
-pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Loaded, ConfigError> {
+pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<LoadedConfig, ConfigError> {
     let text = read_file(&variable)?;
     let mut catalog = Catalog::default();
     let Parsed { config, flat } = parse(&text, variable, &mut catalog)?;
@@ -122,11 +122,11 @@
         return Err(ConfigError::NoRequestClasses);
     }
     let catalog = catalog.complete(flat).map_err(ConfigError::setting)?;
-    Ok(Loaded { config, catalog })
+    Ok(LoadedConfig { config, catalog })
 }
 
 /// A configuration that was read again, possibly on another thread.
-pub struct Reloaded {
+pub struct ReloadedConfig {
     config: ServerConfig,
     entries: GatheredEntries,
     flat: FlatSettings,
@@ -141,14 +141,14 @@
 }
 
 /// Reads the file again, without comparing it with what is in force.
-pub fn reload(variable: impl Fn(&str) -> Option<String>) -> Result<Reloaded, ConfigError> {
+pub fn reload(variable: impl Fn(&str) -> Option<String>) -> Result<ReloadedConfig, ConfigError> {
     let text = read_file(&variable)?;
     let mut entries = GatheredEntries::default();
     let Parsed { config, flat } = parse(&text, variable, &mut entries)?;
-    Ok(Reloaded { config, entries, flat })
+    Ok(ReloadedConfig { config, entries, flat })
 }
 
-impl Reloaded {
+impl ReloadedConfig {
     /// Compares the settings with those in force.
     pub fn compare(self, in_force: &Catalog) -> Result<ReloadedChanges, ConfigError> {
         let change =
@@ -196,7 +196,7 @@
         listen: file.address("listen", variable("ROUTER_LISTEN"))?,
         addresses: file.addresses()?,
         seed,
-        stop: Duration::from_secs(STOP_MS.read(object.get("stop_ms"))? / MS_PER_SECOND),
+        shutdown_timeout: Duration::from_secs(STOP_MS.read(object.get("stop_ms"))? / MS_PER_SECOND),
         max_sockets: SOCKETS.read(file.limit("sockets"))? as usize,
         max_memory_bytes: (memory_mb * BYTES_PER_MB) as usize,
         gauge_names: settings.gauge_names,
--- a/crates/hazelspur-server/src/fleet/coordinator.rs
+++ b/crates/hazelspur-server/src/fleet/coordinator.rs
@@ -1,7 +1,7 @@
 //! Between `hazelspur_fleet` and the admission controller: reports this server's load and demand to
 //! `FleetNode`, and gives the controller what follows where it has changed.
 
-use crate::config::fleet_keys::{CALLS, TENANT_PREFIX};
+use crate::config::fleet_keys::{CALLS_LIMIT, TENANT_LIMIT_PREFIX};
 use crate::request::dispatcher::Dispatcher;
 use hazelspur::{Catalog, Duration, GuidanceKey, TenantId, Timestamp};
 use hazelspur_fleet::circuit_breaker::BreakerChange;
@@ -125,8 +125,8 @@
 
 impl LimitTarget {
     fn find(limit: LimitName, catalog: &Catalog) -> Result<Self, UnknownLimitError> {
-        match limit.as_str().strip_prefix(TENANT_PREFIX) {
-            None if limit.as_str() == CALLS => Ok(Self::Calls),
+        match limit.as_str().strip_prefix(TENANT_LIMIT_PREFIX) {
+            None if limit.as_str() == CALLS_LIMIT => Ok(Self::Calls),
             None => Err(UnknownLimitError::Unused(limit)),
             Some(tenant) => {
                 let found = catalog.find_tenant(Some(tenant));
--- a/crates/hazelspur-server/src/fleet/query.rs
+++ b/crates/hazelspur-server/src/fleet/query.rs
@@ -106,7 +106,7 @@
 impl<'a> QueryClient<'a> {
     fn new(fleet: &'a Fleet) -> Result<Self, FleetQueryError> {
         let key = fleet.key.as_ref().ok_or(FleetQueryError::NoKey)?;
-        let server = fleet.listen.unwrap_or(fleet.at);
+        let server = fleet.listen.unwrap_or(fleet.address);
         // On the server's own address, which the answer is certain to reach.
         let bind_error = |source| FleetQueryError::Bind { address: server.ip(), source };
         let socket = UdpSocket::bind((server.ip(), 0)).map_err(bind_error)?;
--- a/crates/hazelspur-server/src/fleet/query_output.rs
+++ b/crates/hazelspur-server/src/fleet/query_output.rs
@@ -1,7 +1,7 @@
 //! What `hazelspur-server fleet FILE` prints, as a table or as JSON. Operators' scripts read the JSON: its
 //! names and the words of the table are mapped here and stay as they are.
 
-use crate::config::command::Shape;
+use crate::config::command::OutputFormat;
 use comfy_table::{Table, presets};
 use hazelspur_fleet::datagram::{CoordinationState, MemberRow, ShareSummary, SiteSize};
 use hazelspur_fleet::load_reports::AggregatedLoad;
@@ -158,10 +158,10 @@
     }
 
     /// The text to print.
-    pub fn render(&self, shape: Shape) -> String {
-        match shape {
-            Shape::Json => serde_json::to_string_pretty(self).unwrap_or_default() + "\n",
-            Shape::Table => {
+    pub fn render(&self, format: OutputFormat) -> String {
+        match format {
+            OutputFormat::Json => serde_json::to_string_pretty(self).unwrap_or_default() + "\n",
+            OutputFormat::Table => {
                 let table = self.member_table().to_string();
                 [self.summary(), self.coordination.summary(), table, "\n".into()].concat()
             }
--- a/crates/hazelspur-server/src/fleet/transport.rs
+++ b/crates/hazelspur-server/src/fleet/transport.rs
@@ -107,8 +107,8 @@
         let name = MemberName::new(name).ok_or(TransportError::InvalidName)?;
         let key = fleet.key.clone().ok_or(TransportError::NoKey)?;
         let quota = fleet.quota_config()?;
-        let coordinator = Coordinator::new(fleet.together, quota.as_ref(), &catalog.borrow())?;
-        let address = fleet.listen.unwrap_or(fleet.at);
+        let coordinator = Coordinator::new(fleet.coordinated, quota.as_ref(), &catalog.borrow())?;
+        let address = fleet.listen.unwrap_or(fleet.address);
         let socket = UdpSocket::bind(address).await;
         let socket = socket.map_err(|source| TransportError::Listen { address, source })?;
         let now = clocks(&dispatcher.clock);
@@ -124,7 +124,7 @@
             node: RefCell::new(FleetNode::new(fleet.node_config(name), quota, generation, seed, now)),
             event_log: RefCell::default(),
             coordinator: RefCell::new(coordinator),
-            coordinated: fleet.together,
+            coordinated: fleet.coordinated,
             dispatcher,
             endpoints,
             phases,
@@ -284,7 +284,7 @@
 }
 
 fn log_start(fleet: &Fleet) {
-    log::info!(site:% = fleet.site, at:% = fleet.at, contacts = fleet.contacts.len(), most = fleet.most,
-        together = fleet.together, shares = fleet.shares.len(), keepers = fleet.keepers.len();
+    log::info!(site:% = fleet.site, at:% = fleet.address, contacts = fleet.contacts.len(), most = fleet.most,
+        together = fleet.coordinated, shares = fleet.shared_limits.len(), keepers = fleet.voters.len();
         "fleet gossip started");
 }
--- a/crates/hazelspur-server/src/ingress/amqp/consumer.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/consumer.rs
@@ -77,13 +77,13 @@
 
 fn tracker(config: &AmqpConfig, queues: &[QueueConfig]) -> DeliveryTracker {
     let settings = queues.iter().map(|queue| QueueSettings {
-        settlements: queue.table(),
+        settlements: queue.settlement_table(),
         settle_before_run: queue.settle == SettleOrder::Before,
     });
     let limits = MessageCacheLimits {
-        retention: Duration::from_secs(config.memory_s),
-        max_entries: config.memory_entries,
-        max_bytes: config.memory_bytes,
+        retention: Duration::from_secs(config.deduplication_window_s),
+        max_entries: config.max_deduplication_entries,
+        max_bytes: config.max_deduplication_bytes,
     };
     DeliveryTracker::new(settings.collect(), MessageCache::new(limits))
 }
@@ -96,7 +96,8 @@
         let spread = Duration::from_secs(config.reconnect_spread_s);
         // Servers that start together must not draw the same random delays.
         let seed = context.seed ^ now.us();
-        let window = |queue: &QueueConfig| PrefetchWindow::new(queue.rule(), queue.max_unsettled, now);
+        let window =
+            |queue: &QueueConfig| PrefetchWindow::new(queue.prefetch_rule(), queue.max_unsettled, now);
         Rc::new_cyclic(|this| Self {
             services: context.services,
             phases: context.phases,
@@ -221,7 +222,7 @@
     }
 
     pub(super) fn note_shutdown(&self) {
-        if is_shutting_down(self.phases.now()) && !self.shutting_down.replace(true) {
+        if is_shutting_down(self.phases.current()) && !self.shutting_down.replace(true) {
             self.tracker.borrow_mut().shutdown_notice();
         }
     }
--- a/crates/hazelspur-server/src/ingress/gateway/maintenance.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/maintenance.rs
@@ -102,7 +102,7 @@
             let dispatcher = &self.services.dispatcher;
             let round = Round {
                 now: dispatcher.clock.input_watermark(),
-                phase: self.phases.now(),
+                phase: self.phases.current(),
                 idle_timeout: dispatcher.idle_timeout.get(),
             };
             self.connections.borrow().values().for_each(|connection| round.maintain(connection));
--- a/crates/hazelspur-server/src/main.rs
+++ b/crates/hazelspur-server/src/main.rs
@@ -20,7 +20,7 @@
     let command_line = CommandLine::parse();
     match command_line.command {
         Some(Command::Check { file }) => commands::check(&file),
-        Some(Command::Fleet { file, shape }) => commands::show_fleet(&file, shape),
+        Some(Command::Fleet { file, format }) => commands::show_fleet(&file, format),
         Some(Command::Serve(options)) => serve(options),
         None => serve(command_line.serve),
     }
@@ -45,7 +45,7 @@
         Signals::register()?
     };
     let inputs = read_inputs(options)?;
-    let clock = Rc::new(Clock::apart_from_system_ms(inputs.options.clock_apart_ms));
+    let clock = Rc::new(Clock::apart_from_system_ms(inputs.options.clock_offset_ms));
     let tasks = LocalSet::new();
     let serving = tasks.run_until(process::serve(inputs, clock.clone(), signals));
     EventLoop::new(clock, serving).run(&runtime)?
@@ -53,7 +53,7 @@
 
 fn read_inputs(options: ServeOptions) -> Result<StartInputs, StartError> {
     let loaded = server_config::load(|name| std::env::var(name).ok())?;
-    let operator = read_operator(options.file.as_deref(), &loaded.catalog)?;
+    let operator = read_operator(options.operator_file.as_deref(), &loaded.catalog)?;
     Ok(StartInputs { loaded, operator, options })
 }
 
--- a/crates/hazelspur-server/src/process/error.rs
+++ b/crates/hazelspur-server/src/process/error.rs
@@ -46,13 +46,13 @@
     /// The exit status of a process that ends with it.
     pub fn exit_code(&self) -> ExitCode {
         match self {
-            Self::Refused(_) => refused(),
+            Self::Refused(_) => refused_exit_code(),
             Self::System(_) => ExitCode::FAILURE,
         }
     }
 }
 
 /// The exit status of a fault in the command line, the configuration or the operator's file.
-pub fn refused() -> ExitCode {
+pub fn refused_exit_code() -> ExitCode {
     ExitCode::from(STATUS_REFUSED)
 }
--- a/crates/hazelspur-server/src/process/phases.rs
+++ b/crates/hazelspur-server/src/process/phases.rs
@@ -56,7 +56,7 @@
 
 impl Phases {
     /// The phase in force.
-    pub fn now(&self) -> Phase {
+    pub fn current(&self) -> Phase {
         self.phase.get()
     }
 
--- a/crates/hazelspur-server/src/process/serve.rs
+++ b/crates/hazelspur-server/src/process/serve.rs
@@ -8,7 +8,7 @@
 use crate::clock::Clock;
 use crate::config::command::ServeOptions;
 use crate::config::operator::OperatorConfig;
-use crate::config::server_config::Loaded;
+use crate::config::server_config::LoadedConfig;
 use std::rc::Rc;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
@@ -30,7 +30,7 @@
 /// What a process starts with.
 pub struct StartInputs {
     /// The platform's configuration.
-    pub loaded: Loaded,
+    pub loaded: LoadedConfig,
     /// What the operator's file sets.
     pub operator: OperatorConfig,
     /// The command line's options.
@@ -48,7 +48,7 @@
     };
     let gateways = server.gateways(listener);
     server.log_start(&operator);
-    let reloader = server.reloader(&operator, options.file);
+    let reloader = server.reloader(&operator, options.operator_file);
     server.spawn_tasks(&gateways, signals.hangup, reloader);
     let serves = tokio::select! {
         // A notice that comes with the worker's status finds a server that serves.
--- a/crates/hazelspur-server/src/process/server.rs
+++ b/crates/hazelspur-server/src/process/server.rs
@@ -8,7 +8,7 @@
 use crate::clock::Clock;
 use crate::config::operator::OperatorConfig;
 use crate::config::reload::{self, References, Reloader};
-use crate::config::server_config::{Loaded, ServerConfig};
+use crate::config::server_config::{LoadedConfig, ServerConfig};
 use crate::fleet::transport::{self, GossipTransport, TransportContext};
 use crate::ingress::amqp::{AmqpConsumer, ConsumerContext};
 use crate::ingress::gateway::GatewayServer;
@@ -44,11 +44,11 @@
 
 impl Server {
     pub(super) async fn new(
-        loaded: Loaded,
+        loaded: LoadedConfig,
         operator: &OperatorConfig,
         clock: Rc<Clock>,
     ) -> Result<Self, StartError> {
-        let Loaded { config, catalog } = loaded;
+        let LoadedConfig { config, catalog } = loaded;
         let descriptors = Descriptors::allowed(config.max_sockets);
         let phases = Rc::new(Phases::default());
         let dispatcher = Rc::new(Dispatcher::new(clock));
@@ -122,10 +122,10 @@
     }
 
     pub(super) fn log_start(&self, operator: &OperatorConfig) {
-        let ServerConfig { name, listen, stop, .. } = &*self.config;
+        let ServerConfig { name, listen, shutdown_timeout, .. } = &*self.config;
         let request_classes = self.catalog.borrow().request_class_count();
         let tenants = self.catalog.borrow().tenant_count();
-        log::info!(name = name.as_str(), listen:%, stop_ms = stop.us() / 1000, op_types = request_classes,
+        log::info!(name = name.as_str(), listen:%, stop_ms = shutdown_timeout.us() / 1000, op_types = request_classes,
             tenants, queues = operator.queues.len(), connections = self.descriptors.gateways,
             calls = self.descriptors.calls; "start");
     }
--- a/crates/hazelspur-server/src/process/shutdown.rs
+++ b/crates/hazelspur-server/src/process/shutdown.rs
@@ -29,7 +29,7 @@
     if delayed_ms >= LOGGED_DELAY_MS {
         log::warn!(delayed_ms; "shutdown notice handled late, its times count from its sending");
     }
-    let stop_at = noticed_at + server.config.stop;
+    let stop_at = noticed_at + server.config.shutdown_timeout;
     let end_at = stop_at.saturating_sub(ENDING_MARGIN);
     if serves {
         dispatcher.report(|controller, _| controller.shutdown_notice(noticed_at, stop_at));
--- a/crates/hazelspur-server/src/upstream/registry.rs
+++ b/crates/hazelspur-server/src/upstream/registry.rs
@@ -89,7 +89,7 @@
     pub async fn run(mut self) {
         let (endpoints, phases) = (self.endpoints.clone(), self.phases.clone());
         phases.reached(|phase| phase != Phase::Waiting).await;
-        while phases.now() == Phase::Serving {
+        while phases.current() == Phase::Serving {
             let registry = endpoints.current().registry;
             let Some(address) = registry else {
                 endpoints.moved_from(|at| at.registry, registry).await;
--- a/crates/hazelspur-server/tests/event_loop/decisions.rs
+++ b/crates/hazelspur-server/tests/event_loop/decisions.rs
@@ -3,7 +3,7 @@
 use super::run_in_event_loop;
 use hazelspur::{AdmissionController, Catalog, ClientId, Duration, RequestId, Timestamp};
 use hazelspur_server::clock::{Clock, to_std};
-use hazelspur_server::config::server_config::{self, Loaded};
+use hazelspur_server::config::server_config::{self, LoadedConfig};
 use hazelspur_server::request::dispatcher::Dispatcher;
 use hazelspur_server::request::lifecycle::{ReceivedRequest, RequestLifecycle, Services};
 use hazelspur_server::request::responder::{Responder, ResponseSink};
@@ -74,7 +74,7 @@
     }
 }
 
-fn load(worker: &TcpListener) -> Loaded {
+fn load(worker: &TcpListener) -> LoadedConfig {
     let worker = worker.local_addr().expect("an address");
     let text =
         format!(r#"{{"name":"n1","listen":"127.0.0.1:1","runtime":"{worker}","settings":{SETTINGS}}}"#);
@@ -96,7 +96,7 @@
 
 impl TestServer {
     fn start(clock: &Rc<Clock>, worker: &TcpListener) -> Self {
-        let Loaded { config, catalog } = load(worker);
+        let LoadedConfig { config, catalog } = load(worker);
         let dispatcher = Rc::new(Dispatcher::new(clock.clone()));
         let endpoints = Rc::new(UpstreamEndpoints::new(config.addresses));
         let worker = Rc::new(WorkerLink::new(dispatcher.clone(), endpoints.clone(), config.gauge_names));
--- a/crates/hazelspur-server/tests/every_key.rs
+++ b/crates/hazelspur-server/tests/every_key.rs
@@ -1,7 +1,7 @@
 //! Every key of the operator's file and of the platform's configuration, read into the types that the server uses.
 
 use hazelspur_server::config::operator;
-use hazelspur_server::config::server_config::{self, Loaded};
+use hazelspur_server::config::server_config::{self, LoadedConfig};
 use std::fmt::{Debug, Write as _};
 
 const EVERY_OPERATOR_KEY: &str = r#"
@@ -96,9 +96,9 @@
                 heartbeat_s: 11.5,
                 max_frame_bytes: 8192,
                 reconnect_spread_s: 2.5,
-                memory_s: 60.0,
-                memory_entries: 7,
-                memory_bytes: 4096,
+                deduplication_window_s: 60.0,
+                max_deduplication_entries: 7,
+                max_deduplication_bytes: 4096,
             },
         )
         [
@@ -161,7 +161,7 @@
         ]
         ReloadConfig { settings: true }"#]]
     .assert_eq(&format!("{amqp:#?}\n{queues:#?}\n{reload:?}"));
-    expect_test::expect![[r#"Some( Fleet { bread, east, 10.0.0.4:7946, Some( 0.0.0.0:7946, ), [ 10.0.0.5:7946, 10.0.1.4:7946, ], "/run/secrets/fleet", 400, 0.5, 600.0, true, [ n1, n2, n3, ], 6.5, [ ShareKey { calls, 1200.0, 0.25, 2.5, }, ShareKey { tenant.a, 50.0, 0.2, 1.0, }, ], None, }, )"#]].assert_eq(&values(&operator.fleet));
+    expect_test::expect![[r#"Some( Fleet { bread, east, 10.0.0.4:7946, Some( 0.0.0.0:7946, ), [ 10.0.0.5:7946, 10.0.1.4:7946, ], "/run/secrets/fleet", 400, 0.5, 600.0, true, [ n1, n2, n3, ], 6.5, [ SharedLimitConfig { calls, 1200.0, 0.25, 2.5, }, SharedLimitConfig { tenant.a, 50.0, 0.2, 1.0, }, ], None, }, )"#]].assert_eq(&values(&operator.fleet));
 }
 
 #[test]
@@ -186,9 +186,9 @@
                 heartbeat_s: 20.0,
                 max_frame_bytes: 131072,
                 reconnect_spread_s: 8.0,
-                memory_s: 3600.0,
-                memory_entries: 20000,
-                memory_bytes: 8388608,
+                deduplication_window_s: 3600.0,
+                max_deduplication_entries: 20000,
+                max_deduplication_bytes: 8388608,
             },
         )
         [
@@ -234,10 +234,18 @@
         "most_tries = 0",
         "failed_pause_s = 0",
     ];
+    let faults_of_fleet =
+        ["contacts = [\"0.0.0.0:1\"]", "period_s = 0", "remember_s = 0", "lease_s = 0", "most = 0"];
     let amqp = faults_of_amqp.map(|fault| format!("amqp({broker},\n{fault})"));
     let queue = faults_of_queue.map(|fault| format!("amqp({broker})\nqueue(name = \"orders\",\n{fault})"));
+    let fleet = faults_of_fleet.map(|fault| {
+        let most = if fault.starts_with("most") { "" } else { "most = 4, " };
+        let keys =
+            "installation = \"bread\", site = \"east\", at = \"10.0.0.4:7946\", key_file = \"fleet.key\"";
+        format!("fleet({keys}, {most}\n{fault})")
+    });
     let mut seen = String::new();
-    for text in amqp.into_iter().chain(queue) {
+    for text in amqp.into_iter().chain(queue).chain(fleet) {
         let error = operator::parse("FILE", &text, None).expect_err("a fault");
         let _ = writeln!(seen, "{error}");
     }
@@ -256,6 +264,11 @@
         FILE:3: queues[0].retry_queue: length is lower than 1
         FILE:3: queues[0].most_tries: lower than 1
         FILE:3: queues[0].failed_pause_s: lower than 0.01
+        FILE:2: fleet.contacts[0]: no address that others can reach
+        FILE:2: fleet.period_s: lower than 0.1
+        FILE:2: fleet.remember_s: lower than 30
+        FILE:2: fleet.lease_s: lower than 1
+        FILE:2: fleet.most: lower than 1
     "#]]
     .assert_eq(&seen);
 }
@@ -267,7 +280,7 @@
  "rules":{"drain-grace-us":300000}}"#;
 
 /// Loads a configuration file with this text, with both variables that stand in for absent keys.
-fn load(name: &str, text: &str) -> Loaded {
+fn load(name: &str, text: &str) -> LoadedConfig {
     let file = std::env::temp_dir().join(format!("hazelspur-{}-{name}.json", std::process::id()));
     std::fs::write(&file, text).expect("a file");
     let loaded = server_config::load(|variable| match variable {
@@ -300,7 +313,7 @@
                 ),
             },
             seed: 42,
-            stop: Duration(
+            shutdown_timeout: Duration(
                 900000,
             ),
             max_sockets: 128,
@@ -338,7 +351,7 @@
                 registry: None,
             },
             seed: 0,
-            stop: Duration(
+            shutdown_timeout: Duration(
                 3000000,
             ),
             max_sockets: 1024,
