--- a/crates/hazelspur-server/src/commands.rs
+++ b/crates/hazelspur-server/src/commands.rs
@@ -3,7 +3,7 @@
 use crate::config::command::OutputFormat;
 use crate::config::operator::{self, OperatorConfig, OperatorError};
 use crate::fleet;
-use crate::process::error;
+use crate::process::error::refused_exit_code;
 use std::fmt::Display;
 use std::process::ExitCode;
 
@@ -14,7 +14,7 @@
             print_summary(file, &operator);
             ExitCode::SUCCESS
         }
-        Err(why) => refuse(why),
+        Err(error) => report_error(error),
     }
 }
 
@@ -31,18 +31,18 @@
         config.and_then(|config| config.fleet.ok_or(OperatorError::NoFleet { path: file.to_string() }));
     let fleet = match fleet {
         Ok(fleet) => fleet,
-        Err(why) => return refuse(why),
+        Err(error) => return report_error(error),
     };
     match fleet::query::query(&fleet) {
-        Ok(shown) => {
-            print!("{}", shown.render(format));
+        Ok(output) => {
+            print!("{}", output.render(format));
             ExitCode::SUCCESS
         }
-        Err(why) => refuse(why),
+        Err(error) => report_error(error),
     }
 }
 
-fn refuse(why: impl Display) -> ExitCode {
-    eprintln!("{why}");
-    error::refused_exit_code()
+fn report_error(error: impl Display) -> ExitCode {
+    eprintln!("{error}");
+    refused_exit_code()
 }
--- a/crates/hazelspur-server/src/config/fleet_keys.rs
+++ b/crates/hazelspur-server/src/config/fleet_keys.rs
@@ -42,14 +42,14 @@
     pub site: SiteName,
     /// Where others reach it, by UDP.
     #[serde(rename = "at")]
-    #[garde(custom(reachable))]
+    #[garde(custom(check_reachable))]
     pub address: SocketAddr,
     /// Where it listens, if that differs.
     #[garde(skip)]
     pub listen: Option<SocketAddr>,
     /// Seed members, which the server contacts first.
     #[serde(default)]
-    #[garde(length(max = 16), inner(custom(reachable)))]
+    #[garde(length(max = 16), inner(custom(check_reachable)))]
     pub contacts: Vec<SocketAddr>,
     /// File whose text is the installation's key.
     #[garde(length(min = 1, max = 4096))]
@@ -58,11 +58,11 @@
     #[garde(range(min = 1, max = 4096))]
     pub most: usize,
     /// Time between two probes, in seconds.
-    #[serde(rename = "period_s", default = "period")]
+    #[serde(rename = "period_s", default = "default_probe_period_s")]
     #[garde(range(min = 0.1, max = 60.0))]
     pub probe_period_s: f64,
     /// How long members that are gone are remembered, in seconds.
-    #[serde(rename = "remember_s", default = "remember")]
+    #[serde(rename = "remember_s", default = "default_retention_s")]
     #[garde(range(min = 30.0, max = 86_400.0))]
     pub retention_s: f64,
     /// Whether servers go by the reports of each other: who probes a dependency that nobody reaches, and
@@ -75,7 +75,7 @@
     #[garde(skip)]
     pub voters: Vec<MemberName>,
     /// How long a vote lasts, in seconds.
-    #[serde(rename = "lease_s", default = "lease")]
+    #[serde(rename = "lease_s", default = "default_vote_duration_s")]
     #[garde(range(min = 1.0, max = 600.0))]
     pub vote_duration_s: f64,
     /// The shared limits.
@@ -98,34 +98,34 @@
     /// What all servers together may use.
     pub total: f64,
     /// The part that is divided by `most` as guaranteed minimums.
-    #[serde(rename = "floor", default = "floor")]
+    #[serde(rename = "floor", default = "default_guaranteed_fraction")]
     pub guaranteed_fraction: f64,
     /// How long work that began under a lease may go on after it, in seconds.
-    #[serde(rename = "linger_s", default = "linger")]
+    #[serde(rename = "linger_s", default = "default_residual_s")]
     pub residual_s: f64,
 }
 
-fn lease() -> f64 {
+fn default_vote_duration_s() -> f64 {
     DEFAULT_VOTE_SECS
 }
 
-fn floor() -> f64 {
+fn default_guaranteed_fraction() -> f64 {
     DEFAULT_GUARANTEED_FRACTION
 }
 
-fn linger() -> f64 {
+fn default_residual_s() -> f64 {
     DEFAULT_RESIDUAL_SECS
 }
 
-fn period() -> f64 {
+fn default_probe_period_s() -> f64 {
     DEFAULT_PERIOD_SECS
 }
 
-fn remember() -> f64 {
+fn default_retention_s() -> f64 {
     DEFAULT_RETENTION_SECS
 }
 
-fn reachable(address: &SocketAddr, _: &()) -> garde::Result {
+fn check_reachable(address: &SocketAddr, _: &()) -> garde::Result {
     let ip = address.ip();
     let is_reachable = address.port() != 0 && !ip.is_unspecified() && !ip.is_multicast();
     if is_reachable { Ok(()) } else { Err(garde::Error::new("no address that others can reach")) }
@@ -226,7 +226,7 @@
             return Err(QuotaKeysError::EvenVoters(voters));
         }
         config.check()?;
-        if voters == 0 && self.shared_limits.iter().any(|share| share.guaranteed_fraction < 1.0) {
+        if voters == 0 && self.shared_limits.iter().any(|limit| limit.guaranteed_fraction < 1.0) {
             return Err(QuotaKeysError::NoVoters);
         }
         Ok(Some(config))
--- a/crates/hazelspur-server/src/config/reload.rs
+++ b/crates/hazelspur-server/src/config/reload.rs
@@ -148,21 +148,21 @@
     }
 
     fn apply(&self, new: &ServerConfig, change: &Change) -> Result<(), ReloadError> {
-        let mut foreign_keys = self.running.changed_identity_keys(new);
+        let mut refused_keys = self.running.changed_identity_keys(new);
         if !self.settings_may_change && !change.is_empty() {
-            foreign_keys.push("settings");
+            refused_keys.push("settings");
         }
-        if !foreign_keys.is_empty() {
+        if !refused_keys.is_empty() {
             // Refused whole: the addresses lead to another server's endpoints.
-            log::error!(keys = foreign_keys.join(" "); "reload refused, the file is not this server's");
+            log::error!(keys = refused_keys.join(" "); "reload refused, the file is not this server's");
             return Ok(());
         }
         if !change.is_empty() {
             self.apply_settings(change)?;
         }
-        let waiting_keys = self.running.changed_restart_keys(new);
-        if !waiting_keys.is_empty() {
-            log::warn!(keys = waiting_keys.join(" "); "reload leaves to the next start");
+        let restart_keys = self.running.changed_restart_keys(new);
+        if !restart_keys.is_empty() {
+            log::warn!(keys = restart_keys.join(" "); "reload leaves to the next start");
         }
         self.move_endpoints(new);
         Ok(())
@@ -172,7 +172,7 @@
         self.references.borrow().check(change)?;
         let ChangeSummary { request_classes, tenants, settings } =
             self.dispatcher.apply_change(&self.catalog, change)?;
-        let counts = |n: EditCounts| format!("+{} ~{} -{}", n.added, n.replaced, n.removed);
+        let counts = |edits: EditCounts| format!("+{} ~{} -{}", edits.added, edits.replaced, edits.removed);
         log::info!(op_types = counts(request_classes), tenants = counts(tenants), figures = settings;
             "settings changed");
         Ok(())
--- a/crates/hazelspur-server/src/config/server_config.rs
+++ b/crates/hazelspur-server/src/config/server_config.rs
@@ -116,7 +116,7 @@
 pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<LoadedConfig, ConfigError> {
     let text = read_file(&variable)?;
     let mut catalog = Catalog::default();
-    let Parsed { config, flat } = parse(&text, variable, &mut catalog)?;
+    let ParsedConfig { config, flat } = parse(&text, variable, &mut catalog)?;
     let request_classes = catalog.request_class_count();
     if request_classes == 0 {
         return Err(ConfigError::NoRequestClasses);
@@ -144,7 +144,7 @@
 pub fn reload(variable: impl Fn(&str) -> Option<String>) -> Result<ReloadedConfig, ConfigError> {
     let text = read_file(&variable)?;
     let mut entries = GatheredEntries::default();
-    let Parsed { config, flat } = parse(&text, variable, &mut entries)?;
+    let ParsedConfig { config, flat } = parse(&text, variable, &mut entries)?;
     Ok(ReloadedConfig { config, entries, flat })
 }
 
@@ -173,7 +173,7 @@
 }
 
 /// The file's content, but for the entries of its tables.
-struct Parsed {
+struct ParsedConfig {
     config: ServerConfig,
     flat: FlatSettings,
 }
@@ -183,7 +183,7 @@
     text: &[u8],
     variable: impl Fn(&str) -> Option<String>,
     entries: &mut impl EntryVisitor,
-) -> Result<Parsed, ConfigError> {
+) -> Result<ParsedConfig, ConfigError> {
     let object = Json::parse(text).filter(|all| all.is_object()).ok_or(ConfigError::NotAnObject)?;
     let file = ConfigFile { object };
     CORES.read(file.limit("cores"))?;
@@ -203,7 +203,7 @@
         grace_period: settings.drain_grace_period,
         read_freshness: settings.read_sharing_window,
     };
-    Ok(Parsed { config, flat })
+    Ok(ParsedConfig { config, flat })
 }
 
 /// The file's JSON object.
--- a/crates/hazelspur-server/src/fleet/coordinator.rs
+++ b/crates/hazelspur-server/src/fleet/coordinator.rs
@@ -63,10 +63,11 @@
         catalog: &Catalog,
     ) -> Result<Self, UnknownLimitError> {
         let shared_limits = quota.map_or(&[][..], |quota| &quota.limits);
-        let find_target = |limit: &SharedLimit| {
+        let demanded_limit = |limit: &SharedLimit| {
             Ok(DemandedLimit { name: limit.name, target: LimitTarget::find(limit.name, catalog)? })
         };
-        let limits: Vec<DemandedLimit> = shared_limits.iter().map(find_target).collect::<Result<_, _>>()?;
+        let limits: Vec<DemandedLimit> =
+            shared_limits.iter().map(demanded_limit).collect::<Result<_, _>>()?;
         let guided = limits.iter().enumerate();
         let guided =
             guided.map(|(index, limit)| GuidedLimit { limit: LimitId(index), key: limit.target.key() });
--- a/crates/hazelspur-server/src/fleet/query.rs
+++ b/crates/hazelspur-server/src/fleet/query.rs
@@ -153,7 +153,7 @@
             let (length, _) = self.socket.recv_from(&mut buffer).ok()?;
             let opened = datagram::open(self.key, &self.fleet.installation, now(), &buffer[..length]);
             if let Ok(Datagram { sender, body, .. }) = opened
-                && answers(&body, self.last_number)
+                && is_answer_to(&body, self.last_number)
             {
                 return Some(Answer { server: sender, body });
             }
@@ -162,7 +162,7 @@
     }
 }
 
-fn answers(body: &Body, question: u32) -> bool {
+fn is_answer_to(body: &Body, question: u32) -> bool {
     matches!(body, Body::FleetReply { number, .. } | Body::CoordinationReply { number, .. } if *number == question)
 }
 
--- a/crates/hazelspur-server/src/logging.rs
+++ b/crates/hazelspur-server/src/logging.rs
@@ -25,7 +25,7 @@
     printer: Box<dyn Log>,
     interval: AtomicU64,
     lines_in_interval: AtomicU64,
-    unread_lines: AtomicU64,
+    unwritten_lines: AtomicU64,
 }
 
 /// Starts logging; `level` is one of the `log` crate's names, anything else stands for `info`.
@@ -36,7 +36,7 @@
         printer: printer(level, format),
         interval: AtomicU64::new(0),
         lines_in_interval: AtomicU64::new(0),
-        unread_lines: AtomicU64::new(0),
+        unwritten_lines: AtomicU64::new(0),
     };
     log::set_boxed_logger(Box::new(logger)).expect("the only logger");
     // The default hook would wait for the reader of standard error.
@@ -71,9 +71,9 @@
 }
 
 /// The text of key-values: ` key=value`, quoted where needed.
-struct KeyValueText(String);
+struct KeyValueFormatter(String);
 
-impl<'kvs> VisitSource<'kvs> for KeyValueText {
+impl<'kvs> VisitSource<'kvs> for KeyValueFormatter {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         let value = value.to_string();
         let needs_quotes = value.contains([' ', '"']) || value.is_empty();
@@ -84,7 +84,7 @@
 
 /// Writes `seconds level message key=value ...`, without control characters and of a bounded length.
 fn write_line(out: &mut env_logger::fmt::Formatter, record: &Record) -> std::io::Result<()> {
-    let mut pairs = KeyValueText(String::new());
+    let mut pairs = KeyValueFormatter(String::new());
     let _ = record.key_values().visit(&mut pairs);
     let text = format!("{}{}", record.args(), pairs.0);
     let text: String =
@@ -102,7 +102,7 @@
         }
         let over_bound =
             self.lines_in_interval.swap(0, Ordering::Relaxed).saturating_sub(MAX_LINES_PER_INTERVAL);
-        let dropped = over_bound + self.unread_lines.swap(0, Ordering::Relaxed);
+        let dropped = over_bound + self.unwritten_lines.swap(0, Ordering::Relaxed);
         if dropped > 0 {
             let text = format_args!("logger lines_left_out={dropped}");
             self.printer.log(&Record::builder().level(log::Level::Warn).args(text).build());
@@ -121,7 +121,7 @@
 
     fn log(&self, record: &Record) {
         if !stderr_is_writable() {
-            self.unread_lines.fetch_add(1, Ordering::Relaxed);
+            self.unwritten_lines.fetch_add(1, Ordering::Relaxed);
             return;
         }
         self.advance_interval();
--- a/crates/hazelspur-server/src/process/descriptors.rs
+++ b/crates/hazelspur-server/src/process/descriptors.rs
@@ -11,9 +11,9 @@
 /// The most connections of gateways that are being closed.
 const MAX_CLOSING: usize = 64;
 /// One part in this many of the limit is for calls, and as much for closing connections.
-const PART_DIVISOR: usize = 8;
+const SHARE_DIVISOR: usize = 8;
 /// The fewest descriptors of any part.
-const MIN_PART: usize = 4;
+const MIN_SHARE: usize = 4;
 
 /// How many descriptors each part may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,9 +29,9 @@
 impl Descriptors {
     /// Divides a limit.
     pub fn divide(limit: usize) -> Self {
-        let part = |max: usize| (limit / PART_DIVISOR).clamp(MIN_PART, max);
-        let (closing, calls) = (part(MAX_CLOSING), part(MAX_CALLS));
-        let gateways = limit.saturating_sub(RESERVED + closing + calls).max(MIN_PART);
+        let share = |max: usize| (limit / SHARE_DIVISOR).clamp(MIN_SHARE, max);
+        let (closing, calls) = (share(MAX_CLOSING), share(MAX_CALLS));
+        let gateways = limit.saturating_sub(RESERVED + closing + calls).max(MIN_SHARE);
         Self { gateways, closing, calls }
     }
 
--- a/crates/hazelspur-server/src/process/serve.rs
+++ b/crates/hazelspur-server/src/process/serve.rs
@@ -50,7 +50,7 @@
     server.log_start(&operator);
     let reloader = server.reloader(&operator, options.operator_file);
     server.spawn_tasks(&gateways, signals.hangup, reloader);
-    let serves = tokio::select! {
+    let is_serving = tokio::select! {
         // A notice that comes with the worker's status finds a server that serves.
         biased;
         worker = server.services.worker.ready() => {
@@ -59,10 +59,10 @@
         }
         _ = signals.terminate.recv() => false,
     };
-    if serves {
+    if is_serving {
         server.phases.enter(Phase::Serving, gateways.counts());
         signals.terminate.recv().await;
     }
-    shutdown::shut_down(&server, &gateways, serves).await;
+    shutdown::shut_down(&server, &gateways, is_serving).await;
     Ok(())
 }
--- a/crates/hazelspur-server/src/process/shutdown.rs
+++ b/crates/hazelspur-server/src/process/shutdown.rs
@@ -20,7 +20,7 @@
 const CHECK_INTERVAL: Duration = Duration::from_ms(5);
 
 /// Drains, closes and ends; a server that never served has nothing to drain.
-pub(super) async fn shut_down(server: &Server, gateways: &GatewayServer, serves: bool) {
+pub(super) async fn shut_down(server: &Server, gateways: &GatewayServer, was_serving: bool) {
     let dispatcher = &server.services.dispatcher;
     let handled_at = dispatcher.clock.now();
     // The platform counts from the sending of the signal.
@@ -31,7 +31,7 @@
     }
     let stop_at = noticed_at + server.config.shutdown_timeout;
     let end_at = stop_at.saturating_sub(ENDING_MARGIN);
-    if serves {
+    if was_serving {
         dispatcher.report(|controller, _| controller.shutdown_notice(noticed_at, stop_at));
         server.phases.enter(Phase::Draining, gateways.counts());
         let grace_ends_at = noticed_at + server.config.grace_period;
--- a/crates/hazelspur-server/src/process/standstill.rs
+++ b/crates/hazelspur-server/src/process/standstill.rs
@@ -47,11 +47,11 @@
     pub fn observe(&self, now: Timestamp) -> Option<Standstill> {
         let began = self.last.replace(now);
         self.previous.set(began);
-        let ended = (now - began >= MIN_STANDSTILL).then_some(Standstill { began, ended: now });
-        if ended.is_some() {
-            self.standstill.set(ended);
+        let standstill = (now - began >= MIN_STANDSTILL).then_some(Standstill { began, ended: now });
+        if standstill.is_some() {
+            self.standstill.set(standstill);
         }
-        ended
+        standstill
     }
 
     /// The earliest time at which a signal that is handled now can have been sent.
--- a/crates/hazelspur-server/tests/choices.rs
+++ b/crates/hazelspur-server/tests/choices.rs
@@ -24,24 +24,24 @@
 }
 
 /// Number of servers that have logged a line with this text.
-fn servers_that_logged(verdict: &Verdict, what: &str) -> usize {
-    verdict.logs.iter().filter(|log| log.contains(what)).count()
+fn servers_that_logged(verdict: &Verdict, text: &str) -> usize {
+    verdict.logs.iter().filter(|log| log.contains(text)).count()
 }
 
 #[test]
-fn a_dependency_that_fails_and_recovers_is_probed_and_then_called_by_all_again() {
+fn failed_dependency_is_called_by_all_after_recovery() {
     let verdict = run_case("3+6 cut servers ledger; 0+0 apart:1500 n4; 0+0 apart:-1500 n9");
     let opened = servers_that_logged(&verdict, "circuit breaker open");
     assert!(opened >= 12, "{opened} of 24 opened their circuit breakers");
-    for (of, log) in verdict.logs.iter().enumerate() {
-        let times = |what: &str| log.lines().filter(|line| line.contains(what)).count();
-        let (opened, closed) = (times("circuit breaker open"), times("circuit breaker closed"));
-        assert_eq!(opened, closed, "n{of} did not close its circuit breaker\n{log}");
+    for (server, log) in verdict.logs.iter().enumerate() {
+        let count = |text: &str| log.lines().filter(|line| line.contains(text)).count();
+        let (opened, closed) = (count("circuit breaker open"), count("circuit breaker closed"));
+        assert_eq!(opened, closed, "n{server} did not close its circuit breaker\n{log}");
     }
 }
 
 #[test]
-fn a_partition_and_servers_that_resume_with_expired_leases_stay_within_the_limit() {
+fn call_limit_holds_through_partition_and_expired_leases() {
     let verdict = run_case(
         "12+12 cut east west; 12+12 cut east north; 13+10 stop n7; 13+10 stop n10; 14+9 stop n0; 0+0 apart:1500 n3",
     );
@@ -50,18 +50,18 @@
 }
 
 #[test]
-fn two_in_five_servers_are_replaced_in_seven_seconds() {
-    let gone: Vec<String> =
+fn call_limit_holds_while_ten_of_24_servers_restart() {
+    let restarts: Vec<String> =
         (0..10).map(|i| format!("{:.1}+4 term n{}", 2.0 + 0.7 * i as f64, i * 2 + 1)).collect();
-    let verdict = run_case(&gone.join("; "));
+    let verdict = run_case(&restarts.join("; "));
     assert_eq!(verdict.evidence.lives.len(), 34);
     assert!(servers_that_logged(&verdict, "quota lease acquired") >= 12);
 }
 
 #[test]
-fn slow_replies_of_a_fifth_and_links_cut_between_a_tenth_of_the_pairs() {
-    let slow = [3, 8, 13, 18, 23].map(|of| format!("1+12 delay:300 n{of} gateways"));
-    let cut = (0..24).map(|of| format!("2+11 cut n{of} n{}", (of * 7 + 5) % 24));
+fn call_limit_holds_with_slow_servers_and_cut_links() {
+    let slow = [3, 8, 13, 18, 23].map(|server| format!("1+12 delay:300 n{server} gateways"));
+    let cut = (0..24).map(|server| format!("2+11 cut n{server} n{}", (server * 7 + 5) % 24));
     let script: Vec<String> = slow.into_iter().chain(cut).collect();
     let verdict = run_case(&format!("{}; 4+6 slower:3 ledger", script.join("; ")));
     assert!(servers_that_logged(&verdict, "quota lease acquired") >= 12);
--- a/crates/hazelspur-server/tests/configuration.rs
+++ b/crates/hazelspur-server/tests/configuration.rs
@@ -7,7 +7,7 @@
 use std::io::Write as _;
 
 #[test]
-fn reload_moves_upstream_endpoints_and_keeps_requests_in_progress() {
+fn reload_moves_endpoints_and_keeps_requests_in_progress() {
     let (mut server, mut link) = ServerHarness::new("reload", "");
     let mut gateway = server.connect_gateway();
     server.start_run(&mut gateway, &mut link, &request(1, 1, "view", ""));
@@ -80,12 +80,13 @@
 
 /// Guards against serving with another customer's worker and dependency.
 #[test]
-fn configuration_of_another_server_is_refused_whole() {
+fn configuration_of_another_server_changes_nothing() {
     let (mut server, mut link) = ServerHarness::new("others", "");
     let mut gateway = server.connect_gateway();
     let (runtime, ledger, config) = ServerHarness::listen_for_peers(&server.listen);
-    let others = [config.replace("\"n1\"", "\"n2\""), config.replace("\"n-cores\":2", "\"n-cores\":4")];
-    for (n, other) in (1..).zip(others) {
+    let other_servers =
+        [config.replace("\"n1\"", "\"n2\""), config.replace("\"n-cores\":2", "\"n-cores\":4")];
+    for (n, other) in (1..).zip(other_servers) {
         server.reload(&other);
         server.start_run(&mut gateway, &mut link, &request(n, n, "view", ""));
         link.send(&success_notice(n, n));
@@ -110,22 +111,24 @@
 }
 
 /// The capacity of a pipe, in bytes.
-const PIPE: usize = 64 * 1024;
+const PIPE_CAPACITY: usize = 64 * 1024;
 
 /// A pipe that is full because nobody reads it, and one whose reader is gone, with both log formats.
 #[test]
 fn unread_standard_error_does_not_block_the_server() {
     let mut seen = String::new();
-    for (name, line) in [("full-text", ""), ("full-json", "--log-format json")] {
-        for stays in [true, false] {
+    for (name, flags) in [("full-text", ""), ("full-json", "--log-format json")] {
+        for is_full in [true, false] {
             let (reader, writer) = std::io::pipe().expect("a pipe");
             let (listen, runtime, ledger, config) = ServerHarness::prepare();
             std::fs::write(config_file(name), config).expect("a file");
             let program = env!("CARGO_BIN_EXE_hazelspur-server");
             // filled to the brim first
-            (&writer).write_all(&vec![b'-'; if stays { PIPE } else { 0 }]).expect("a pipe takes so much");
-            let command = format!("exec {program} {line}");
-            let reader = stays.then_some(reader);
+            (&writer)
+                .write_all(&vec![b'-'; if is_full { PIPE_CAPACITY } else { 0 }])
+                .expect("a pipe takes so much");
+            let command = format!("exec {program} {flags}");
+            let reader = is_full.then_some(reader);
             let mut shell = std::process::Command::new("/bin/sh");
             shell.args(["-c", &command]).env("ROUTER_CONFIG", config_file(name)).stderr(writer);
             let server = shell.spawn().expect("the server starts");
--- a/crates/hazelspur-server/tests/endings.rs
+++ b/crates/hazelspur-server/tests/endings.rs
@@ -8,17 +8,17 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
 /// Seeds of the soak in CI, and runs at a time.
-const SEEDS: u64 = 40;
-const JOBS: usize = 4;
+const SEED_COUNT: u64 = 40;
+const PARALLEL_RUNS: usize = 4;
 
 /// What a run came to.
-struct Played {
+struct RunResult {
     instants: Instants,
     /// What it broke, with the server's log; `None` where all rules hold.
     failure: Option<String>,
 }
 
-fn played(seed: u64) -> Played {
+fn run_seed(seed: u64) -> RunResult {
     let plan = Plan::drawn(seed);
     let program = Path::new(env!("CARGO_BIN_EXE_hazelspur-server"));
     let evidence =
@@ -27,25 +27,25 @@
     let holds = breaches.is_empty() && evidence.ready_after.is_some();
     let failure = (!holds)
         .then(|| format!("{plan}\n{breaches:#?}\nready after {:?}\n{}", evidence.ready_after, evidence.log));
-    Played { instants: Instants::of(&plan, &evidence), failure }
+    RunResult { instants: Instants::of(&plan, &evidence), failure }
 }
 
 #[test]
-fn drains_under_drawn_signals_faults_and_crowds_keep_the_rules() {
+fn shutdown_rules_hold_under_drawn_signals_and_faults() {
     let next = AtomicU64::new(1);
     let failures = Mutex::new(Vec::new());
     let instants = Mutex::new(Instants::default());
     std::thread::scope(|scope| {
-        for _ in 0..JOBS {
+        for _ in 0..PARALLEL_RUNS {
             scope.spawn(|| {
                 loop {
                     let seed = next.fetch_add(1, Ordering::Relaxed);
-                    if seed > SEEDS {
+                    if seed > SEED_COUNT {
                         break;
                     }
-                    let played = played(seed);
-                    instants.lock().expect("no panic before").add(played.instants);
-                    failures.lock().expect("no panic before").extend(played.failure);
+                    let result = run_seed(seed);
+                    instants.lock().expect("no panic before").add(result.instants);
+                    failures.lock().expect("no panic before").extend(result.failure);
                 }
             });
         }
--- a/crates/hazelspur-server/tests/every_key.rs
+++ b/crates/hazelspur-server/tests/every_key.rs
@@ -64,14 +64,14 @@
 "#;
 
 /// The values of a `Debug` text without the names of fields, which are not part of the file.
-fn values(shown: &impl Debug) -> String {
-    let shown = format!("{shown:#?}");
+fn debug_values(value: &impl Debug) -> String {
+    let text = format!("{value:#?}");
     let is_name = |text: &str| text.chars().all(|c| c.is_alphanumeric() || c == '_');
     let value = |line: &str| match line.trim().split_once(": ") {
         Some((name, value)) if is_name(name) => value.to_string(),
         _ => line.trim().to_string(),
     };
-    shown.lines().map(value).collect::<Vec<_>>().join(" ")
+    text.lines().map(value).collect::<Vec<_>>().join(" ")
 }
 
 #[test]
@@ -161,11 +161,11 @@
         ]
         ReloadConfig { settings: true }"#]]
     .assert_eq(&format!("{amqp:#?}\n{queues:#?}\n{reload:?}"));
-    expect_test::expect![[r#"Some( Fleet { bread, east, 10.0.0.4:7946, Some( 0.0.0.0:7946, ), [ 10.0.0.5:7946, 10.0.1.4:7946, ], "/run/secrets/fleet", 400, 0.5, 600.0, true, [ n1, n2, n3, ], 6.5, [ SharedLimitConfig { calls, 1200.0, 0.25, 2.5, }, SharedLimitConfig { tenant.a, 50.0, 0.2, 1.0, }, ], None, }, )"#]].assert_eq(&values(&operator.fleet));
+    expect_test::expect![[r#"Some( Fleet { bread, east, 10.0.0.4:7946, Some( 0.0.0.0:7946, ), [ 10.0.0.5:7946, 10.0.1.4:7946, ], "/run/secrets/fleet", 400, 0.5, 600.0, true, [ n1, n2, n3, ], 6.5, [ SharedLimitConfig { calls, 1200.0, 0.25, 2.5, }, SharedLimitConfig { tenant.a, 50.0, 0.2, 1.0, }, ], None, }, )"#]].assert_eq(&debug_values(&operator.fleet));
 }
 
 #[test]
-fn the_defaults_of_the_operators_file_are_read() {
+fn absent_keys_of_the_operators_file_have_defaults() {
     let text = r#"
 amqp(brokers = ["127.0.0.1:5672"])
 queue(name = "orders")
@@ -209,12 +209,12 @@
         ]
         ReloadConfig { settings: false }"#]]
     .assert_eq(&format!("{amqp:#?}\n{queues:#?}\n{reload:?}"));
-    expect_test::expect![[r#"Some( Fleet { bread, east, 10.0.0.4:7946, None, [], "fleet.key", 4, 1.0, 900.0, false, [], 4.0, [], None, }, )"#]].assert_eq(&values(&operator.fleet));
+    expect_test::expect![[r#"Some( Fleet { bread, east, 10.0.0.4:7946, None, [], "fleet.key", 4, 1.0, 900.0, false, [], 4.0, [], None, }, )"#]].assert_eq(&debug_values(&operator.fleet));
 }
 
 /// Guards against an error that names a field of the code where the file has another key.
 #[test]
-fn errors_of_bounds_name_the_keys_of_the_operators_file() {
+fn bound_errors_name_the_keys_of_the_operators_file() {
     let broker = r#"brokers = ["127.0.0.1:5672"]"#;
     let faults_of_amqp = [
         "user = \"\"",
@@ -338,7 +338,7 @@
 }
 
 #[test]
-fn the_defaults_of_the_configuration_are_read() {
+fn absent_keys_of_the_configuration_have_defaults() {
     let text = format!(r#"{{"runtime":"127.0.0.1:2","ledger":null,"settings":{SETTINGS}}}"#);
     let loaded = load("defaults", &text);
     expect_test::expect![[r#"
--- a/crates/hazelspur-server/tests/fleet.rs
+++ b/crates/hazelspur-server/tests/fleet.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_third_of_a_site_is_suspended_while_as_many_of_another_are_killed() {
+fn membership_rules_hold_under_suspensions_and_kills() {
     // n0, n3, n6 of east are suspended; n1, n4, n7 of west are killed and restarted.
     let verdict =
         run_case(24, "1+10 stop n0; 1+10 stop n3; 1+10 stop n6; 1+9 kill n1; 1+9 kill n4; 1+9 kill n7");
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn links_that_are_silent_one_way_and_processes_that_run_late() {
+fn membership_rules_hold_under_one_way_loss_and_late_runs() {
     run_case(
         12,
         "1+12 mute n3 n4; 2+10 mute n7 east; 1+3 stop n5; 4.2+3 stop n5; 7.4+3 stop n5; 10.6+3 stop n5",
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_partition_with_starts_and_ends_on_both_sides() {
+fn membership_rules_hold_under_partition_with_restarts() {
     run_case(
         12,
         "1+22 cut east west; 1+22 cut east north; 6+8 kill n3; 7+8 kill n4; 9+4 term n5; 16+3 kill n0",
@@ -54,17 +54,17 @@
 }
 
 #[test]
-fn a_restart_at_the_same_address_before_detection_with_delayed_datagrams() {
+fn membership_rules_hold_when_restarts_precede_detection() {
     run_case(12, "0.5+3 delay:2500 n5 servers; 1+0.1 kill n5; 6+0.1 kill n5; 6+4 double:60 servers servers");
 }
 
 #[test]
-fn a_start_while_all_seeds_are_down() {
+fn membership_rules_hold_while_all_seeds_are_down() {
     run_case(12, "1+9 kill n0; 1+9 kill n1; 1+9 kill n2; 2+1 kill n9; 4+2 kill n7; 3+4 cut servers list");
 }
 
 #[test]
-fn a_site_without_the_dependency_and_a_slow_dependency_under_clock_skew() {
+fn membership_rules_hold_under_dependency_faults_and_skew() {
     run_case(
         12,
         "1+5 cut north ledger; 2+6 slower:4 ledger; 0+0 apart:1500 n1; 0+0 apart:-1500 n2; 3+3 swallow n6 ledger",
@@ -73,7 +73,7 @@
 
 /// Asks as an operator does: with the server's file, and with another key.
 #[test]
-fn an_operator_sees_the_view_and_a_stranger_gets_no_answer() {
+fn operator_sees_the_view_and_other_key_gets_no_answer() {
     let plan = Plan {
         server_binary: env!("CARGO_BIN_EXE_hazelspur-server").into(),
         servers: 9,
@@ -85,15 +85,15 @@
         calls: hazelspur_fault_harness::test_fleet::CALLS,
         joint: false,
     };
-    let mut bed = TestFleet::new(plan).expect("a bed");
+    let mut fleet = TestFleet::new(plan).expect("a test fleet");
     let mut observer = FleetObserver::new(KEY, INSTALLATION).expect("a socket");
-    come_up(&mut bed, &mut observer).expect("one picture");
+    come_up(&mut fleet, &mut observer).expect("all members agree");
     let query = |file: &std::path::Path, shape: &str| {
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_hazelspur-server"));
-        let out = command.arg("fleet").arg(file).args(["--shape", shape]).output().expect("it runs");
+        let out = command.arg("fleet").arg(file).args(["--shape", shape]).output().expect("the command runs");
         (out.status.code(), String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned())
     };
-    let (status, text) = query(&bed.file(4), "json");
+    let (status, text) = query(&fleet.file(4), "json");
     let shown: serde_json::Value = serde_json::from_str(&text).unwrap_or_default();
     assert_eq!((status, &shown["condition"]), (Some(0), &"Whole".into()), "{text}");
     let alive =
@@ -101,24 +101,24 @@
     let sites: Vec<String> = ["east", "west", "north"].map(|site| shown["sites"][site].to_string()).into();
     assert_eq!((shown["name"].as_str(), alive), (Some("n4"), 8), "{shown:#}");
     assert_eq!(sites, [r#"{"least":3,"most":3}"#; 3]);
-    let (status, table) = query(&bed.file(4), "table");
+    let (status, table) = query(&fleet.file(4), "table");
     assert!(status == Some(0) && table.contains("n4 at") && table.matches("alive").count() == 8, "{table}");
 
-    let text = std::fs::read_to_string(bed.file(4)).expect("its file");
-    let foreign_file = bed.file(4).with_file_name("strange.star");
-    let foreign_key = bed.file(4).with_file_name("other-key");
+    let text = std::fs::read_to_string(fleet.file(4)).expect("its file");
+    let foreign_file = fleet.file(4).with_file_name("strange.star");
+    let foreign_key = fleet.file(4).with_file_name("other-key");
     std::fs::write(&foreign_key, "another key of sixteen characters").expect("a file");
     let key = text.lines().find(|line| line.contains("key_file")).expect("it names a key");
     std::fs::write(&foreign_file, text.replace(key, &format!("    key_file = {foreign_key:?},")))
         .expect("a file");
     let (status, text) = query(&foreign_file, "json");
     assert!(status == Some(2) && text.contains("no answer"), "{text}");
-    bed.end();
-    assert!(bed.lives.iter().all(|life| life.status == Some(0)), "{:?}", bed.lives);
+    fleet.end();
+    assert!(fleet.lives.iter().all(|life| life.status == Some(0)), "{:?}", fleet.lives);
 }
 
 #[test]
-fn scripts_drawn_from_seeds() {
+fn membership_rules_hold_under_drawn_scripts() {
     let seeds: u64 = std::env::var("HAZELSPUR_FLEET_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(4);
     for seed in 1..=seeds {
         run_script(9, &Script::drawn(seed, 9, 3, 10_000), seed);
--- a/crates/hazelspur-server/tests/operator_file.rs
+++ b/crates/hazelspur-server/tests/operator_file.rs
@@ -21,7 +21,7 @@
 }
 
 /// A `fleet(...)` in which this key replaces the one of its name or is added; unchanged for an empty text.
-fn fleet(key_file: &Path, changed: &str) -> String {
+fn fleet(key_file: &Path, replacement: &str) -> String {
     let mut keys = vec![
         "installation = \"bread\"".to_string(),
         "site = \"east\"".into(),
@@ -29,25 +29,25 @@
         "most = 12".into(),
         format!("key_file = {key_file:?}"),
     ];
-    let name = changed.split(' ').next().unwrap_or_default();
+    let name = replacement.split(' ').next().unwrap_or_default();
     keys.retain(|key| name.is_empty() || !key.starts_with(name));
-    keys.extend((!changed.is_empty()).then(|| changed.to_string()));
+    keys.extend((!replacement.is_empty()).then(|| replacement.to_string()));
     format!("fleet(\n{},\n)\n", keys.join(",\n"))
 }
 
-fn texts(key_file: &Path) -> Vec<String> {
-    let fleet = |changed: &str| fleet(key_file, changed);
-    let good = "amqp(\n  brokers = [\"127.0.0.1:1\"],\n)\n";
+fn operator_files(key_file: &Path) -> Vec<String> {
+    let fleet = |replacement: &str| fleet(key_file, replacement);
+    let brokers = "amqp(\n  brokers = [\"127.0.0.1:1\"],\n)\n";
     let long = format!("x = {:?}\n", "y".repeat(70_000));
     vec![
         format!(
-            "{good}queue(name = \"a\")\nqueue(\n  name = \"b\",\n  outcomes = {{\n    \"poison\": \"later\",\n  }},\n)"
+            "{brokers}queue(name = \"a\")\nqueue(\n  name = \"b\",\n  outcomes = {{\n    \"poison\": \"later\",\n  }},\n)"
         ),
-        format!("{good}queue(name = \"a\", most = 0)"),
-        format!("{good}queue(\n  name = \"a\",\n  most = \"many\")"),
-        format!("{good}queue(name = \"a\", mots = 3)"),
-        format!("{good}queue(name = \"a\")\nqueue(name = \"a\")"),
-        format!("{good}{good}"),
+        format!("{brokers}queue(name = \"a\", most = 0)"),
+        format!("{brokers}queue(\n  name = \"a\",\n  most = \"many\")"),
+        format!("{brokers}queue(name = \"a\", mots = 3)"),
+        format!("{brokers}queue(name = \"a\")\nqueue(name = \"a\")"),
+        format!("{brokers}{brokers}"),
         "amqp(brokers = [])".into(),
         "amqp(brokers = [\"bread\"])".into(),
         "queue(name = \"a\")".into(),
@@ -57,7 +57,7 @@
         "def f():\n  for i in range(1000000000):\n    pass\nf()".into(),
         "def f(n):\n  return f(n + 1)\nf(0)".into(),
         long,
-        good.into(),
+        brokers.into(),
         fleet(""),
         fleet("most = 5000"),
         fleet("at = \"0.0.0.0:1\""),
@@ -83,7 +83,7 @@
 /// The first line of the report on a file, without its path, and the exit status.
 fn check(file: &Path) -> String {
     let server = env!("CARGO_BIN_EXE_hazelspur-server");
-    let out = Command::new(server).arg("check").arg(file).output().expect("it runs");
+    let out = Command::new(server).arg("check").arg(file).output().expect("the command runs");
     let report = String::from_utf8([out.stdout, out.stderr].concat()).expect("text");
     let first = report.lines().next().unwrap_or_default().replace(&file.display().to_string(), "FILE");
     let first = first.replace("(os error 2)", "").trim_end().to_string();
@@ -95,7 +95,7 @@
     let (key, file) = (TempFile::new("key", ""), TempFile::new("check", ".star"));
     std::fs::write(&key.0, "sixteen characters and more").expect("a file");
     let mut seen = String::new();
-    for text in texts(&key.0) {
+    for text in operator_files(&key.0) {
         std::fs::write(&file.0, text).expect("a file");
         seen += &check(&file.0);
     }
--- a/crates/hazelspur-server/tests/settings_reload.rs
+++ b/crates/hazelspur-server/tests/settings_reload.rs
@@ -24,19 +24,20 @@
     std::fs::read_to_string(&server.file).expect("the file")
 }
 
-const PAY: &str = r#",{"name":"pay","aim-us":3000000,"deadline-us":4000000,"semantics":"unsafe"}"#;
-const BOOK: &str =
+const PAY_CLASS: &str = r#",{"name":"pay","aim-us":3000000,"deadline-us":4000000,"semantics":"unsafe"}"#;
+const BOOK_CLASS: &str =
     r#"{"name":"book","aim-us":3000000,"deadline-us":4000000,"semantics":"keyed","memory-span-us":5000000}"#;
-const STATS: &str = r#",{"name":"stats","aim-us":3000000,"deadline-us":4000000,"semantics":"safe"}"#;
+const STATS_CLASS: &str = r#",{"name":"stats","aim-us":3000000,"deadline-us":4000000,"semantics":"safe"}"#;
 
 #[test]
-fn added_classes_are_served_at_once_and_requests_in_progress_continue() {
+fn added_classes_are_served_and_requests_continue() {
     let (mut server, mut link, lines) = start_with_operator_file("changes", SETTINGS_MAY_CHANGE);
     let mut gateway = server.connect_gateway();
     server.start_run(&mut gateway, &mut link, &request(1, 1, "pay", ",\"owner\":\"b\""));
     let old = read_config(&server);
-    let new =
-        old.replace(PAY, STATS).replace(r#"{"name":"b","quota-rps":50}"#, r#"{"name":"c","quota-rps":9}"#);
+    let new = old
+        .replace(PAY_CLASS, STATS_CLASS)
+        .replace(r#"{"name":"b","quota-rps":50}"#, r#"{"name":"c","quota-rps":9}"#);
     server.reload(&new);
     let _ = writeln!(server.trace, "{}", next_reload_result(&lines));
     for (n, class, owner) in [(2, "pay", "a"), (3, "view", "b")] {
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn key_of_a_removed_and_added_class_or_tenant_neither_runs_again_nor_returns_the_old_result() {
+fn keys_of_a_removed_and_readded_class_or_tenant_are_refused() {
     let (mut server, mut link, lines) = start_with_operator_file("back", SETTINGS_MAY_CHANGE);
     let mut gateway = server.connect_gateway();
     let old = read_config(&server);
@@ -80,21 +81,21 @@
         gateway.record_next(&mut server.trace);
     }
     let without =
-        [old.replace(&format!(",\n {BOOK}"), ""), old.replace(r#",{"name":"b","quota-rps":50}"#, "")];
-    for (which, without) in without.iter().enumerate() {
+        [old.replace(&format!(",\n {BOOK_CLASS}"), ""), old.replace(r#",{"name":"b","quota-rps":50}"#, "")];
+    for (round, without) in without.iter().enumerate() {
         for config in [without, &old] {
             server.reload(config);
             let _ = writeln!(server.trace, "{}", next_reload_result(&lines));
         }
         // In the first round both belong to the removed class, in the second those of tenant b to the removed tenant.
         for (n, owner) in [(3, "a"), (4, "b")] {
-            let n = n + 4 * which as u32;
+            let n = n + 4 * round as u32;
             gateway.send(&format!("{}\n", keyed(n, owner, "k")));
             gateway.record_next(&mut server.trace);
         }
-        let n = 5 + 4 * which as u32;
-        server.start_run(&mut gateway, &mut link, &keyed(n, "b", &format!("new{which}")));
-        link.send(&success_notice(3 + which as u32, n));
+        let n = 5 + 4 * round as u32;
+        server.start_run(&mut gateway, &mut link, &keyed(n, "b", &format!("new{round}")));
+        link.send(&success_notice(3 + round as u32, n));
         gateway.record_next(&mut server.trace);
     }
     expect_test::expect![[r#"
@@ -127,7 +128,7 @@
     let mut gateway = server.connect_gateway();
     let old = read_config(&server);
     let (_runtime, _ledger, other) = ServerHarness::listen_for_peers(&server.listen);
-    let moved = |text: String| {
+    let with_other_worker = |text: String| {
         // Its addresses do not take effect either.
         let at = other.split("\"runtime\":\"").nth(1).and_then(|rest| rest.split('"').next()).expect("one");
         let (before, rest) = text.split_once("\"runtime\":\"").expect("one");
@@ -146,7 +147,7 @@
         old.replace("\"rules\":{", &format!("\"rules\":{{\"new\":[{}1],", "1,".repeat(5000))),
     ];
     for (n, edit) in (1..).zip(edits) {
-        server.reload(&moved(edit));
+        server.reload(&with_other_worker(edit));
         let line = next_reload_result(&lines);
         let line = line.split_once("ROUTER_CONFIG: ").map_or(line.clone(), |(before, rest)| {
             format!("{before}ROUTER_CONFIG: FILE{}", &rest[rest.find(": ").expect("a reason")..])
@@ -193,7 +194,7 @@
     let (mut server, mut link, lines) = start_with_operator_file("unsaid", "");
     let mut gateway = server.connect_gateway();
     let old = read_config(&server);
-    for new in [old.replace(PAY, STATS), old.replace("\"importance\":1", "\"importance\":2")] {
+    for new in [old.replace(PAY_CLASS, STATS_CLASS), old.replace("\"importance\":1", "\"importance\":2")] {
         server.reload(&new);
         let _ = writeln!(server.trace, "{}", next_reload_result(&lines));
     }
@@ -217,7 +218,7 @@
     let lines = LogLines::of(&mut server.server);
     let mut link = server.accept_worker_link();
     let old = read_config(&server);
-    server.reload(&old.replace(PAY, STATS));
+    server.reload(&old.replace(PAY_CLASS, STATS_CLASS));
     let _ = writeln!(server.trace, "{}", next_reload_result(&lines));
     link.send("ready hot 1000\r\n");
     link.record_next(&mut server.trace);
@@ -261,7 +262,7 @@
 }
 
 #[test]
-fn every_class_and_tenant_of_the_planned_size_is_served_within_memory() {
+fn largest_planned_settings_are_served_within_memory() {
     let (mut server, mut link) =
         ServerHarness::new_with("large", "", |config| with_classes_and_tenants(&config, 8_700, 42_000));
     let mut gateway = server.connect_gateway();
@@ -290,7 +291,7 @@
 }
 
 #[test]
-fn exceeded_bounds_are_refused_at_start_with_both_numbers() {
+fn settings_over_a_bound_are_refused_with_both_numbers() {
     let mut seen = String::new();
     let edits: [&dyn Fn(String) -> String; 4] = [
         &|config| with_classes_and_tenants(&config, 17_401, 2),
--- a/crates/hazelspur-server/tests/shutdown.rs
+++ b/crates/hazelspur-server/tests/shutdown.rs
@@ -45,10 +45,10 @@
 }
 
 /// Suspends the process for this long, with an action meanwhile.
-fn while_suspended(server: &ServerHarness, ms: u64, done: impl FnOnce()) {
+fn while_suspended(server: &ServerHarness, ms: u64, action: impl FnOnce()) {
     let since = Instant::now();
     server.signal("-STOP");
-    done();
+    action();
     wait_until(since, ms);
     server.signal("-CONT");
 }
@@ -57,24 +57,24 @@
 #[test]
 fn request_received_at_the_instant_of_close_is_answered() {
     let (mut server, _link) = ServerHarness::new("instant", "");
-    let mut resting: Vec<Peer> = (0..10).map(|_| server.connect_gateway()).collect();
+    let mut idle_gateways: Vec<Peer> = (0..10).map(|_| server.connect_gateway()).collect();
     let check = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n";
-    for end in &mut resting {
-        end.send(check);
-        end.record_next(&mut String::new());
+    for gateway in &mut idle_gateways {
+        gateway.send(check);
+        gateway.record_next(&mut String::new());
     }
     server.signal("-TERM");
-    for end in &mut resting {
-        end.record_next(&mut String::new()); // goodbye
+    for gateway in &mut idle_gateways {
+        gateway.record_next(&mut String::new()); // goodbye
     }
     while_suspended(&server, 450, || {
-        for (n, end) in resting.iter_mut().enumerate() {
-            end.send(&format!("{}\n", request(2, n as u32 + 2, "view", "")));
+        for (n, gateway) in idle_gateways.iter_mut().enumerate() {
+            gateway.send(&format!("{}\n", request(2, n as u32 + 2, "view", "")));
         }
     });
-    for end in &mut resting {
-        let answer = end.record_next(&mut String::new());
-        let _ = writeln!(server.trace, "{}, {}", &answer[..answer.len().min(46)], end.read_line());
+    for gateway in &mut idle_gateways {
+        let answer = gateway.record_next(&mut String::new());
+        let _ = writeln!(server.trace, "{}, {}", &answer[..answer.len().min(46)], gateway.read_line());
     }
     server.wait_for_exit();
     expect_test::expect![[r#"
@@ -120,7 +120,7 @@
 
 /// Guards against a run past the grace period: its client stamped the request before, its last byte came after.
 #[test]
-fn request_completed_after_the_grace_period_is_rejected_whenever_it_was_stamped() {
+fn request_completed_after_the_grace_period_is_rejected() {
     let (mut server, mut link) = ServerHarness::new("stamped", "");
     let mut gateway = server.connect_gateway();
     let begun = Instant::now();
@@ -155,7 +155,7 @@
 }
 
 /// What became of a drain's request, whether the worker got it, and the end of the process.
-fn play_suspended_drain(name: &str, drain: &SuspendedDrain) -> String {
+fn run_suspended_drain(name: &str, drain: &SuspendedDrain) -> String {
     let (mut server, mut link) = ServerHarness::new(name, "");
     let mut gateway = server.connect_gateway();
     gateway.send("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n");
@@ -192,16 +192,16 @@
 /// Guards against a notice that counts from its handling: what arrives past the grace period as its sender counts it
 /// does not run, and the process has ended when its kill comes.
 #[test]
-fn notice_handled_late_counts_from_its_sending() {
+fn late_handled_shutdown_notice_counts_from_its_sending() {
     let drains = [(450, 0, 350), (450, 0, 440), (1200, 0, 900), (600, 20, 500), (400, 150, 340)];
     let seen: Vec<String> = std::thread::scope(|scope| {
-        let playing = drains.map(|(suspended_ms, from_ms, request_ms)| {
+        let runs = drains.map(|(suspended_ms, from_ms, request_ms)| {
             scope.spawn(move || {
                 let name = format!("late-{suspended_ms}-{from_ms}-{request_ms}");
-                play_suspended_drain(&name, &SuspendedDrain { suspended_ms, from_ms, request_ms })
+                run_suspended_drain(&name, &SuspendedDrain { suspended_ms, from_ms, request_ms })
             })
         });
-        playing.into_iter().map(|playing| playing.join().expect("it is played")).collect()
+        runs.into_iter().map(|run| run.join().expect("the drain runs")).collect()
     });
     for (drain, seen) in drains.iter().zip(&seen) {
         let expected = r#"{"jsonrpc":"2.0","id":2,"error":{"code":-32011, worker (closed), exit Some(0), before the kill true"#;
@@ -239,7 +239,7 @@
 
 /// Connections that wait in the system's accept queue when the listener closes.
 #[test]
-fn connections_not_yet_accepted_at_the_end_of_the_grace_period_are_answered() {
+fn connections_in_the_accept_queue_at_close_are_answered() {
     let (mut server, _link) = ServerHarness::new("queue", "");
     let mut waiting = Vec::new();
     let begun = Instant::now();
@@ -252,11 +252,11 @@
             waiting[n].send(&format!("{}\n", request(1, n as u32 + 1, "view", "")));
         }
     });
-    let nacked = |end: &mut Peer| {
-        let said = [end.read_line(), end.read_line()];
-        said.iter().any(|line| line.contains("\"id\":1,\"error\":{\"code\":-32011"))
+    let is_rejected = |gateway: &mut Peer| {
+        let lines = [gateway.read_line(), gateway.read_line()];
+        lines.iter().any(|line| line.contains("\"id\":1,\"error\":{\"code\":-32011"))
     };
-    let answered = waiting.iter_mut().map(nacked).filter(|nacked| *nacked).count();
+    let answered = waiting.iter_mut().map(is_rejected).filter(|rejected| *rejected).count();
     let _ = writeln!(server.trace, "answered {answered}");
     server.wait_for_exit();
     expect_test::expect![[r#"
@@ -296,13 +296,13 @@
 #[test]
 fn start_waits_for_an_address_still_in_use() {
     let (listen, runtime, ledger, config) = ServerHarness::prepare();
-    let before = std::net::TcpListener::bind(&listen).expect("a free port");
+    let previous = std::net::TcpListener::bind(&listen).expect("a free port");
     let server = start("held", &config, "");
     let mut server =
         ServerHarness { server, listen, runtime, ledger, file: config_file("held"), trace: String::new() };
     wait_until(Instant::now(), 200);
     let _ = writeln!(server.trace, "running {}", server.server.try_wait().is_ok_and(|ended| ended.is_none()));
-    drop(before);
+    drop(previous);
     let mut link = server.accept_worker_link();
     link.send("ready hot 1000\r\n");
     link.record_next(&mut server.trace);
