--- a/crates/hazelspur-server/src/commands.rs
+++ b/crates/hazelspur-server/src/commands.rs
@@ -1,4 +1,6 @@
-//! The commands that do not serve: checking an operator's file, showing the fleet.
+//! The commands that do not serve: `check` validates an operator's file, `fleet` prints a server's view of
+//! the fleet. Results go to standard output, errors to standard error with the exit status of a refused
+//! start.
 
 use crate::config::command::OutputFormat;
 use crate::config::operator::{self, OperatorConfig, OperatorError};
@@ -7,7 +9,7 @@
 use std::fmt::Display;
 use std::process::ExitCode;
 
-/// Prints what an operator's file sets, or what is wrong with it.
+/// Checks an operator's file and prints a summary of its settings, or the first error.
 pub fn check(file: &str) -> ExitCode {
     match operator::read(file, None) {
         Ok(operator) => {
@@ -24,7 +26,7 @@
     println!("{file}: good: brokers={brokers} queues={} fleet={fleet}", operator.queues.len());
 }
 
-/// Prints the view of the fleet of the server that this operator's file sets up.
+/// Asks the server that this operator's file configures for its view of the fleet, and prints it.
 pub fn show_fleet(file: &str, format: OutputFormat) -> ExitCode {
     let config = operator::read(file, None);
     let fleet =
--- a/crates/hazelspur-server/src/config/command.rs
+++ b/crates/hazelspur-server/src/config/command.rs
@@ -1,38 +1,45 @@
-//! The command line. Exit statuses: 0 served and shut down in order, or a file checked and found good; 1 the
-//! server failed; 2 a fault in the command line, the configuration or the operator's file.
+//! The command line.
+//!
+//! Exit statuses: 0 after an orderly shutdown or a successful command; 1 when the server failed; 2 for a
+//! fault in the command line, the configuration or the operator's file, and for a `fleet` command without an
+//! answer.
 
 use clap::builder::PossibleValue;
 use clap::{Args, Parser, Subcommand, ValueEnum};
 
 /// The command line.
 #[derive(Parser)]
-#[command(name = "hazelspur-server", version, about = "Admission and scheduling behind others' balancers")]
+#[command(
+    name = "hazelspur-server",
+    version,
+    about = "Admission control and scheduling of requests behind external load balancers"
+)]
 pub struct CommandLine {
     /// The options of `serve`, which is the default command.
     #[command(flatten)]
     pub serve: ServeOptions,
-    /// The command.
+    /// The command; without one the server serves.
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
 // The `///` comments of clap's items below are the program's help text.
 
-/// A command.
+/// A command of the program.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Serve; the same as no word at all. The platform's JSON is named by ROUTER_CONFIG.
+    /// Serve requests (the default command); ROUTER_CONFIG names the platform's JSON configuration.
     Serve(ServeOptions),
-    /// Check an operator's file and say what it sets.
+    /// Check an operator's file and print a summary of its settings.
     Check {
-        /// The file, such as deploy/hazelspur.star.
+        /// The operator's file, such as deploy/hazelspur.star.
         file: String,
     },
-    /// Ask the server that this operator's file sets up for its picture of the fleet.
+    /// Print the view of the fleet of the server that an operator's file configures.
     Fleet {
-        /// The file with `fleet(...)`.
+        /// The operator's file; it must call `fleet(...)`.
         file: String,
-        /// How the picture is printed.
+        /// Format of the output.
         #[arg(long = "shape", value_name = "SHAPE", default_value = "table")]
         format: OutputFormat,
     },
@@ -41,13 +48,13 @@
 /// The options of `serve`.
 #[derive(Args, Clone, Default)]
 pub struct ServeOptions {
-    /// The operator's file; without it only gateways are served.
+    /// The operator's file; without it only gateways are served, not queues.
     #[arg(long = "file", env = "HAZELSPUR_FILE", value_name = "FILE")]
     pub operator_file: Option<String>,
-    /// How log lines are printed.
+    /// Format of log lines.
     #[arg(long, env = "HAZELSPUR_LOG_FORMAT", value_name = "FORMAT", default_value = "text")]
     pub log_format: LogFormat,
-    /// For rehearsals: this server's wall clock is so many milliseconds apart from the machine's.
+    /// Offset of this server's wall clock from the machine's, in milliseconds, for tests of clock skew.
     #[arg(
         long = "clock-apart-ms",
         value_name = "MS",
@@ -58,27 +65,27 @@
     pub clock_offset_ms: i64,
 }
 
-/// How log lines are printed.
+/// A format of log lines.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub enum LogFormat {
-    /// `seconds level message key=value ...`
+    /// One line of text: `seconds level message key=value ...`.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// How the view of the fleet is printed.
+/// A format of the view of the fleet.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub enum OutputFormat {
-    /// A table.
+    /// A summary and a table of members.
     #[default]
     Table,
     /// One JSON object.
     Json,
 }
 
-// Not derived: `clap` would print the variants' doc comments in the program's help.
+// `ValueEnum` is implemented by hand, because a derived one prints the variants' doc comments in the help.
 
 impl ValueEnum for LogFormat {
     fn value_variants<'a>() -> &'a [Self] {
--- a/crates/hazelspur-server/src/config/error.rs
+++ b/crates/hazelspur-server/src/config/error.rs
@@ -3,10 +3,10 @@
 use std::fmt::Display;
 use thiserror::Error;
 
-/// What makes a configuration unusable.
+/// A fault of the platform's configuration.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The variable that names the file is absent.
+    /// The environment variable that names the file is not set.
     #[error("ROUTER_CONFIG is not set")]
     VariableNotSet,
     /// The file can't be read.
@@ -14,21 +14,21 @@
     Unreadable {
         /// The file's path.
         path: String,
-        /// What the system reported.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The file is too long.
-    #[error("ROUTER_CONFIG: {path}: {length} bytes, {max} at most")]
+    /// The file is longer than the limit.
+    #[error("ROUTER_CONFIG: {path}: {length} bytes, at most {max} allowed")]
     TooLong {
         /// The file's path.
         path: String,
-        /// Its length, in bytes.
+        /// The file's length, in bytes.
         length: u64,
-        /// The longest allowed, in bytes.
+        /// The longest allowed length, in bytes.
         max: u64,
     },
     /// The file is not a JSON object.
-    #[error("the configuration is no JSON object")]
+    #[error("the configuration is not a JSON object")]
     NotAnObject,
     /// A required key is absent.
     #[error("{key}: missing")]
@@ -47,10 +47,10 @@
     NotAnAddress {
         /// The key at fault.
         key: &'static str,
-        /// Its value.
+        /// The value that was found.
         text: String,
     },
-    /// A value is not a number, or outside its bounds.
+    /// A value is not a number, or is outside its bounds.
     #[error("{key}: not a number from {min} to {max}")]
     OutOfRange {
         /// The key at fault.
@@ -60,22 +60,22 @@
         /// The greatest value allowed.
         max: f64,
     },
-    /// The seed is not a hexadecimal number.
-    #[error("seed: not 16 hexadecimal digits")]
+    /// The seed is not a hexadecimal number of 64 bits.
+    #[error("seed: not a hexadecimal number of at most 16 digits")]
     InvalidSeed,
     /// The settings are absent or not an object.
-    #[error("settings: missing or no object")]
+    #[error("settings: missing or not an object")]
     NoSettings,
     /// The settings have no request class.
     #[error("settings.lanes: missing or empty")]
     NoRequestClasses,
-    /// A setting is at fault; the text names it.
+    /// A setting is at fault; the text names it and the reason.
     #[error("{0}")]
     Setting(String),
 }
 
 impl ConfigError {
-    /// An error of the settings, whose text names the setting at fault.
+    /// Wraps an error of the settings; the text starts with `settings`.
     pub fn setting(why: impl Display) -> Self {
         let why = why.to_string();
         Self::Setting(if why.starts_with("settings") { why } else { format!("settings: {why}") })
--- a/crates/hazelspur-server/src/config/fleet_keys.rs
+++ b/crates/hazelspur-server/src/config/fleet_keys.rs
@@ -1,5 +1,8 @@
-//! `fleet(...)` of the operator's file: which servers belong together, where others are found, and what all
-//! of them share. The fields are the file's keys.
+//! `fleet(...)` of the operator's file: the installation that the server belongs to, the addresses of other
+//! servers, and the limits that all servers share.
+//!
+//! A field's key in the file is its name or its `serde(rename)`. Checks across several keys produce the
+//! `QuotaConfig` of `hazelspur_fleet`.
 
 use garde::Validate;
 use hazelspur::Duration;
@@ -11,7 +14,7 @@
 use std::ops::RangeInclusive;
 use thiserror::Error;
 
-/// Length of the longest key file that is read, in bytes.
+/// The longest key file that is read, in bytes.
 const MAX_KEY_FILE_BYTES: u64 = 4096;
 /// Default of `lease_s`, in seconds.
 const DEFAULT_VOTE_SECS: f64 = 4.0;
@@ -25,82 +28,84 @@
 const DEFAULT_RETENTION_SECS: f64 = 900.0;
 /// Bounds of `linger_s`, in seconds.
 const RESIDUAL_SECS: RangeInclusive<f64> = 0.0..=60.0;
-/// The shared limit of concurrent calls to the dependency.
+/// Name of the shared limit of concurrent calls to the dependency.
 pub const CALLS_LIMIT: &str = "calls";
-/// Prefix of a tenant's shared limit of requests a second.
+/// Prefix of the names of tenants' shared limits; the rest is the tenant's name. Such a limit is in requests
+/// per second.
 pub const TENANT_LIMIT_PREFIX: &str = "tenant.";
 
-/// The keys of `fleet(...)`.
+/// The arguments of `fleet(...)`.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// The installation, alike on all servers that belong together.
+    /// The installation's name, the same on all servers of the fleet.
     #[garde(skip)]
     pub installation: Installation,
     /// The failure domain in which this server runs.
     #[garde(skip)]
     pub site: SiteName,
-    /// Where others reach it, by UDP.
+    /// The UDP address at which other servers reach this one.
     #[serde(rename = "at")]
     #[garde(custom(check_reachable))]
     pub address: SocketAddr,
-    /// Where it listens, if that differs.
+    /// The UDP address to bind; `address` if absent.
     #[garde(skip)]
     pub listen: Option<SocketAddr>,
-    /// Seed members, which the server contacts first.
+    /// Addresses of seed members, which the server contacts first.
     #[serde(default)]
     #[garde(length(max = 16), inner(custom(check_reachable)))]
     pub contacts: Vec<SocketAddr>,
-    /// File whose text is the installation's key.
+    /// Path of the file with the installation's key, which seals all datagrams.
     #[garde(length(min = 1, max = 4096))]
     pub key_file: String,
-    /// Largest number of servers that exist at once.
+    /// Largest number of servers in the fleet at any time.
     #[garde(range(min = 1, max = 4096))]
     pub most: usize,
     /// Time between two probes, in seconds.
     #[serde(rename = "period_s", default = "default_probe_period_s")]
     #[garde(range(min = 0.1, max = 60.0))]
     pub probe_period_s: f64,
-    /// How long members that are gone are remembered, in seconds.
+    /// Time for which members that died or left stay in the member list, in seconds.
     #[serde(rename = "remember_s", default = "default_retention_s")]
     #[garde(range(min = 30.0, max = 86_400.0))]
     pub retention_s: f64,
-    /// Whether servers go by the reports of each other: who probes a dependency that nobody reaches, and
-    /// whether a rejected request may succeed elsewhere.
+    /// Whether the load reports of other servers and the circuit breaker take effect: they decide which
+    /// servers probe an unreachable dependency, and whether a rejected request may succeed on another server.
     #[serde(rename = "together", default)]
     #[garde(skip)]
     pub coordinated: bool,
-    /// Servers that vote on the allocator of shared limits: an odd number, best in three sites.
+    /// Servers that vote on the allocator of shared limits: none, or an odd number, ideally spread over three
+    /// sites.
     #[serde(rename = "keepers", default)]
     #[garde(skip)]
     pub voters: Vec<MemberName>,
-    /// How long a vote lasts, in seconds.
+    /// Time for which a vote binds the voter, in seconds.
     #[serde(rename = "lease_s", default = "default_vote_duration_s")]
     #[garde(range(min = 1.0, max = 600.0))]
     pub vote_duration_s: f64,
-    /// The shared limits.
+    /// Limits that hold for all servers together.
     #[serde(rename = "shares", default)]
     #[garde(skip)]
     pub shared_limits: Vec<SharedLimitConfig>,
-    /// The installation's key, once its file was read.
+    /// The installation's key; `None` until `read_key` has read its file.
     #[serde(skip)]
     #[garde(skip)]
     pub key: Option<Key>,
 }
 
-/// One entry of `shares`.
+/// One entry of the key `shares`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SharedLimitConfig {
-    /// `calls`: concurrent calls to the dependency; `tenant.NAME`: requests a second of a tenant of the
-    /// settings.
+    /// Name of the limit: `calls` for concurrent calls to the dependency, `tenant.NAME` for a tenant's
+    /// requests per second.
     pub limit: LimitName,
-    /// What all servers together may use.
+    /// Amount that all servers together may use.
     pub total: f64,
-    /// The part that is divided by `most` as guaranteed minimums.
+    /// Fraction of `total` that is guaranteed: each server always has this fraction divided by `most`.
     #[serde(rename = "floor", default = "default_guaranteed_fraction")]
     pub guaranteed_fraction: f64,
-    /// How long work that began under a lease may go on after it, in seconds.
+    /// Time for which work started under a lease may continue after the lease has ended, in seconds.
     #[serde(rename = "linger_s", default = "default_residual_s")]
     pub residual_s: f64,
 }
@@ -128,61 +133,61 @@
 fn check_reachable(address: &SocketAddr, _: &()) -> garde::Result {
     let ip = address.ip();
     let is_reachable = address.port() != 0 && !ip.is_unspecified() && !ip.is_multicast();
-    if is_reachable { Ok(()) } else { Err(garde::Error::new("no address that others can reach")) }
+    if is_reachable { Ok(()) } else { Err(garde::Error::new("not an address that other servers can reach")) }
 }
 
-/// Why a key file is refused.
+/// A fault of the key file.
 #[derive(Debug, Error)]
 pub enum KeyFileError {
     /// The file cannot be read.
     #[error("fleet.key_file: {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// The file's path.
         path: String,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The file is longer than the maximum.
     #[error("fleet.key_file: {path}: longer than {MAX_KEY_FILE_BYTES} bytes")]
     TooLong {
-        /// The file.
+        /// The file's path.
         path: String,
     },
-    /// The text is no key.
+    /// The text is not a valid key.
     #[error("fleet.key_file: {path}: {source}")]
     Invalid {
-        /// The file.
+        /// The file's path.
         path: String,
-        /// Why not.
+        /// The fault of the key.
         source: KeyError,
     },
 }
 
-/// Why `keepers` and `shares` are refused.
+/// A fault of the keys `keepers` and `shares`.
 #[derive(Clone, Copy, Debug, Error)]
 pub enum QuotaKeysError {
-    /// There are voters and no shared limits.
-    #[error("there are no shares to keep")]
+    /// There are voters but no shared limits.
+    #[error("set without any shares")]
     NoShares,
-    /// The name of a limit is neither `calls` nor that of a tenant.
-    #[error("{0}: neither {CALLS_LIMIT} nor {TENANT_LIMIT_PREFIX}NAME")]
+    /// The name of a limit is neither `calls` nor starts with `tenant.`.
+    #[error("unknown limit {0}, expected {CALLS_LIMIT} or {TENANT_LIMIT_PREFIX}NAME")]
     UnknownLimit(LimitName),
     /// The residual duration of a limit is outside its bounds.
-    #[error("{0}: linger_s is not from {min} to {max}", min = RESIDUAL_SECS.start(), max = RESIDUAL_SECS.end())]
+    #[error("{0}: linger_s is not a number from {min} to {max}", min = RESIDUAL_SECS.start(), max = RESIDUAL_SECS.end())]
     ResidualOutOfRange(LimitName),
-    /// The number of voters is even.
-    #[error("{0}: an odd number can lose as many as one more")]
+    /// The number of voters is even. One voter fewer tolerates the loss of just as many.
+    #[error("{0} servers, but the number must be odd")]
     EvenVoters(usize),
     /// The quota configuration is refused.
     #[error(transparent)]
     Invalid(#[from] QuotaConfigError),
-    /// There are no voters, and a limit is not divided by `most` as a whole.
-    #[error("without keepers nobody gives out what is beyond the floors: floor = 1")]
+    /// There are no voters, and a limit is not guaranteed as a whole: nobody would allocate the rest of it.
+    #[error("floor must be 1 for every limit if there are no keepers")]
     NoVoters,
 }
 
 impl QuotaKeysError {
-    /// The key at fault, within `fleet`.
+    /// Returns the key of `fleet(...)` at fault.
     pub fn key(&self) -> &'static str {
         match self {
             Self::NoShares | Self::EvenVoters(_) => "keepers",
@@ -194,10 +199,10 @@
 }
 
 impl Fleet {
-    /// Reads the key file.
+    /// Reads the key file and stores its key.
     ///
     /// # Errors
-    /// `KeyFileError`, which names the key and the file.
+    /// Returns a `KeyFileError` if the file cannot be read, is too long or contains no valid key.
     pub fn read_key(&mut self) -> Result<(), KeyFileError> {
         let path = self.key_file.clone();
         let text = read_key_file(&path)?;
@@ -206,10 +211,10 @@
         Ok(())
     }
 
-    /// The quota configuration; `None` where nothing is shared.
+    /// Returns the configuration of quota leases, or `None` if there are no shared limits.
     ///
     /// # Errors
-    /// `QuotaKeysError`, which names the key at fault.
+    /// Returns a `QuotaKeysError` if `keepers` and `shares` are invalid or do not fit together.
     pub fn quota_config(&self) -> Result<Option<QuotaConfig>, QuotaKeysError> {
         if self.shared_limits.is_empty() {
             return if self.voters.is_empty() { Ok(None) } else { Err(QuotaKeysError::NoShares) };
@@ -232,7 +237,7 @@
         Ok(Some(config))
     }
 
-    /// The configuration of the server with this name.
+    /// Returns the fleet configuration of the server with this name.
     pub fn node_config(&self, name: MemberName) -> NodeConfig {
         NodeConfig {
             installation: self.installation,
--- a/crates/hazelspur-server/src/config/mod.rs
+++ b/crates/hazelspur-server/src/config/mod.rs
@@ -1,4 +1,5 @@
-//! The command line, the platform's configuration, the operator's file and their reload.
+//! The command line (`command`), the platform's configuration (`server_config`), the operator's file
+//! (`operator`, `fleet_keys`) and the reload of both files (`reload`).
 
 pub mod command;
 pub mod error;
--- a/crates/hazelspur-server/src/config/operator/checks.rs
+++ b/crates/hazelspur-server/src/config/operator/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of the operator's file as a whole: bounds of single keys, and what concerns several.
+//! Checks of the decoded operator's file: bounds of single keys, and rules across several keys.
 
 use super::error::{KeyFault, OperatorError};
 use super::operator_config::OperatorConfig;
@@ -7,10 +7,10 @@
 use garde::Validate;
 use hazelspur::Catalog;
 
-/// The most unsettled deliveries of all queues: with 10 KiB stored of each they take 80 MiB at most.
+/// The most unsettled deliveries of all queues together. With 10 KiB stored for each they take 80 MiB.
 const MAX_UNSETTLED: usize = 8192;
 
-/// Checks what was decoded; the error is that of the first fault.
+/// Checks the decoded file and returns the first fault. Request classes are checked if there is a catalog.
 pub(super) fn check(
     operator: &OperatorConfig,
     source: &Source<'_>,
@@ -34,7 +34,7 @@
     Err(source.error(&key_of_path(&key), KeyFault::OutOfBounds(why)))
 }
 
-/// The key of the file that a path of fields stands for, as `queues[0].most` for `queues[0].max_unsettled`.
+/// Translates a path of fields to the path of keys, such as `queues[0].max_unsettled` to `queues[0].most`.
 fn key_of_path(path: &str) -> String {
     match path.rsplit_once('.') {
         Some((parents, field)) => format!("{parents}.{}", key_of_field(field)),
@@ -42,7 +42,8 @@
     }
 }
 
-/// The key of a field that has another name in the file, by its `serde(rename)`; `garde` reports fields.
+/// Returns the key of a field: `garde` reports the field's name, and the file has that of its
+/// `serde(rename)`.
 fn key_of_field(field: &str) -> &str {
     match field {
         "max_frame_bytes" => "longest_frame",
@@ -85,8 +86,9 @@
     Ok(())
 }
 
-/// A fault of one queue's key.
+/// A fault of one queue.
 struct QueueError {
+    /// The key at fault, within the queue.
     key: String,
     fault: KeyFault,
 }
--- a/crates/hazelspur-server/src/config/operator/error.rs
+++ b/crates/hazelspur-server/src/config/operator/error.rs
@@ -1,9 +1,10 @@
-//! Errors of the operator's file. Each message names the file, the line and the key, as far as they are known.
+//! Errors of the operator's file. Each message names the file, the line and the key, as far as they are
+//! known.
 
 use crate::config::fleet_keys::{KeyFileError, QuotaKeysError};
 use thiserror::Error;
 
-/// What makes an operator's file unusable.
+/// A fault of the operator's file.
 #[derive(Debug, Error)]
 pub enum OperatorError {
     /// The file can't be read.
@@ -11,25 +12,25 @@
     Unreadable {
         /// The file's path.
         path: String,
-        /// What the system reported.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The file is too long.
+    /// The file is longer than the limit.
     #[error("{path}: longer than {max} bytes")]
     TooLong {
         /// The file's path.
         path: String,
-        /// The longest allowed, in bytes.
+        /// The longest allowed length, in bytes.
         max: u64,
     },
-    /// The script can't be parsed, or failed.
+    /// The script can't be parsed, or its evaluation failed.
     #[error("{path}:{} {why}", line.map_or(String::new(), |line| format!("{line}:")))]
     Script {
         /// The file's path.
         path: String,
-        /// The line, from 1, if it is known.
+        /// The line of the fault, from 1; `None` if it is not known.
         line: Option<usize>,
-        /// What the interpreter reported.
+        /// The error of the interpreter.
         why: String,
     },
     /// The interpreter can't be set up.
@@ -40,9 +41,9 @@
     CalledTwice {
         /// The file's path.
         path: String,
-        /// The second call's line, from 1.
+        /// The line of the second call, from 1.
         line: usize,
-        /// The function.
+        /// The function's name.
         function: &'static str,
     },
     /// A key is at fault.
@@ -50,58 +51,58 @@
     Key {
         /// The file's path.
         path: String,
-        /// The key's line, from 1.
+        /// The line of the key, from 1.
         line: usize,
-        /// The key, such as `queues[1].name`.
+        /// The path of the key, such as `queues[1].name`.
         key: String,
-        /// What is wrong with it.
+        /// The fault.
         fault: KeyFault,
     },
     /// The password's file can't be read.
     #[error("amqp.password_file: {file}: {source}")]
     PasswordFile {
-        /// The file that the key names.
+        /// The path of the password's file.
         file: String,
-        /// What the system reported.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The fleet's key can't be read.
     #[error(transparent)]
     FleetKey(KeyFileError),
-    /// The file has no fleet though one is asked for.
-    #[error("{path}: there is no fleet(...)")]
+    /// The file does not call `fleet(...)`, which the command `fleet` needs.
+    #[error("{path}: no call of fleet(...)")]
     NoFleet {
         /// The file's path.
         path: String,
     },
 }
 
-/// What is wrong with a key.
+/// A fault of one key.
 #[derive(Debug, Error)]
 pub enum KeyFault {
-    /// Its value has another type, or the key is unknown.
+    /// The value has the wrong type, or the key is unknown.
     #[error("{0}")]
     Undecodable(String),
-    /// Its value is outside its bounds.
+    /// The value is outside its bounds.
     #[error("{0}")]
     OutOfBounds(String),
-    /// The quota leases of the fleet do not fit together.
+    /// The keys `keepers` and `shares` of the fleet are invalid.
     #[error(transparent)]
     Quota(QuotaKeysError),
-    /// There are queues and no brokers.
-    #[error("there is no amqp(...)")]
+    /// There are queues but no brokers.
+    #[error("queue(...) requires amqp(...)")]
     NoBrokers,
-    /// All queues together may have too many unsettled deliveries.
-    #[error("all queues together: over {max}")]
+    /// The bounds of unsettled deliveries of all queues add up to too many.
+    #[error("more than {max} for all queues together")]
     TooManyUnsettled {
-        /// The most allowed.
+        /// The highest allowed sum.
         max: usize,
     },
     /// Two queues have the same name.
-    #[error("named twice")]
+    #[error("duplicate queue name")]
     DuplicateQueue,
     /// The settings have no such request class.
-    #[error("no such op type in the settings")]
+    #[error("no such request class in the settings")]
     UnknownRequestClass,
     /// The action does not fit the outcome.
     #[error("{0}")]
--- a/crates/hazelspur-server/src/config/operator/mod.rs
+++ b/crates/hazelspur-server/src/config/operator/mod.rs
@@ -1,8 +1,8 @@
-//! The operator's file: a Starlark script that calls `amqp(...)`, `fleet(...)` and `reload(...)` at most once and
-//! `queue(...)` for each queue.
+//! The operator's file: a Starlark script that calls `amqp(...)`, `fleet(...)` and `reload(...)` at most once
+//! and `queue(...)` for each queue.
 //!
-//! Input is the file's path, output an `OperatorConfig` that was decoded and checked as a whole. The script has
-//! no files and no network, and bounded steps and memory. Every error names the key and the line.
+//! Input is the file's path, output a decoded and checked `OperatorConfig`. The script can reach neither
+//! files nor the network, and its steps and memory are bounded. Errors of keys name the key and its line.
 
 mod amqp;
 mod checks;
@@ -25,8 +25,12 @@
 
 /// The longest file that is read, in bytes.
 const MAX_FILE_BYTES: u64 = 64 * 1024;
-/// Reads and checks the file and the key files that it names. Request classes are checked against the catalog,
-/// if there is one.
+
+/// Reads and checks the operator's file, and reads the files of the broker password and the fleet key that it
+/// names. Request classes are checked against the catalog, if there is one.
+///
+/// # Errors
+/// Returns an `OperatorError` for the first fault.
 pub fn read(path: &str, catalog: Option<&Catalog>) -> Result<OperatorConfig, OperatorError> {
     let unreadable = |source| OperatorError::Unreadable { path: path.into(), source };
     let length = std::fs::metadata(path).map_err(unreadable)?.len();
@@ -44,7 +48,10 @@
     Ok(operator)
 }
 
-/// Evaluates the text, then decodes and checks what it sets.
+/// Evaluates the text of an operator's file, and decodes and checks the result. `path` is named in errors.
+///
+/// # Errors
+/// Returns an `OperatorError` for the first fault.
 pub fn parse(path: &str, text: &str, catalog: Option<&Catalog>) -> Result<OperatorConfig, OperatorError> {
     let calls = script::evaluate(path, text)?;
     let source = Source { path, text, calls: &calls };
@@ -59,7 +66,8 @@
         .map_err(|e| source.error(&e.path().to_string(), KeyFault::Undecodable(e.inner().to_string())))
 }
 
-/// One object of all calls: `queue(...)` makes a list, any other function may be called once.
+/// Merges all calls into one object, with a list of the calls of `queue(...)`. Any other function may be
+/// called once.
 fn merge(source: &Source<'_>) -> Result<Map<String, Value>, OperatorError> {
     let mut all = Map::new();
     let mut queues = Vec::new();
--- a/crates/hazelspur-server/src/config/operator/queue.rs
+++ b/crates/hazelspur-server/src/config/operator/queue.rs
@@ -6,73 +6,74 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// How one queue is consumed.
+/// The arguments of one `queue(...)`.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct QueueConfig {
     /// The queue's name at the broker.
     #[garde(length(min = 1, max = 255))]
     pub name: String,
-    /// The request class of all its messages; without it each message's `type` property names it.
+    /// The request class of all messages; if absent, each message's `type` property names its class.
     #[serde(rename = "op_type")]
     #[garde(skip)]
     pub request_class: Option<String>,
-    /// Memory that a request takes, in KiB, where the message does not state it (`x-need-kb`).
+    /// Memory that a request takes, in KiB, if the message does not state it in the header `x-need-kb`.
     #[serde(default = "defaults::need_kb")]
     #[garde(range(min = 0.001, max = 2000.0))]
     pub need_kb: f64,
-    /// How many deliveries are fetched ahead of their settlement.
+    /// The rule that sets the prefetch window.
     #[serde(default)]
     #[garde(skip)]
     pub window: WindowRule,
-    /// The most unsettled deliveries.
+    /// The most unsettled deliveries, which bounds the prefetch window.
     #[serde(rename = "most", default = "defaults::max_unsettled")]
     #[garde(range(min = 1, max = 4096))]
     pub max_unsettled: u16,
-    /// What states when a message was sent.
+    /// The source of the time at which a message was sent.
     #[serde(rename = "clock", default)]
     #[garde(skip)]
     pub sent_time: SentTimeSource,
-    /// How long a message may wait, in seconds, where it does not state it; none for ever.
+    /// Longest wait of a message, in seconds, if the message does not state one. Without it, messages wait
+    /// without a limit.
     #[serde(rename = "waits_s")]
     #[garde(inner(range(min = 0.001, max = 2_592_000.0)))]
     pub max_wait_s: Option<f64>,
-    /// Whether what must not run twice is settled before its run or after it.
+    /// Whether deliveries that must not run twice are settled before their run or after it.
     #[serde(default)]
     #[garde(skip)]
     pub settle: SettleOrder,
-    /// The queue that failed deliveries are published to for a later attempt.
+    /// The queue to which deliveries are published for a later attempt.
     #[garde(inner(length(min = 1, max = 255)))]
     pub retry_queue: Option<String>,
-    /// What is done with a delivery by its outcome, where that differs from the default.
+    /// Actions on deliveries by their outcome, where they differ from the default.
     #[serde(default)]
     #[garde(skip)]
     pub outcomes: BTreeMap<DeliveryOutcome, OutcomeAction>,
-    /// The most attempts at one message.
+    /// The most attempts to run one message.
     #[serde(rename = "most_tries", default = "defaults::max_attempts")]
     #[garde(range(min = 1, max = 1000))]
     pub max_attempts: u32,
-    /// The pause before a failed delivery's next attempt, in seconds.
+    /// The pause before the next attempt of a failed delivery, in seconds.
     #[serde(rename = "failed_pause_s", default = "defaults::retry_pause_s")]
     #[garde(range(min = 0.01, max = 3600.0))]
     pub retry_pause_s: f64,
 }
 
-/// How the prefetch window is set.
+/// A rule that sets the prefetch window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WindowRule {
-    /// Always the most.
+    /// Always the maximum.
     Fixed,
-    /// By the spare capacity of the controller.
+    /// Follows the spare capacity that the controller reports.
     #[serde(rename = "room")]
     SpareCapacity,
-    /// Increased step by step, reduced by the share of rejected requests.
+    /// Grows step by step and shrinks with the share of rejected requests.
     #[default]
     Step,
 }
 
-/// What states when a message was sent.
+/// The source of the time at which a message was sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum SentTimeSource {
@@ -84,7 +85,7 @@
     Receipt,
 }
 
-/// When a delivery is settled that must not run twice.
+/// The time at which a delivery that must not run twice is settled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum SettleOrder {
@@ -95,43 +96,43 @@
     After,
 }
 
-/// How a delivery ended, as a key of `outcomes`.
+/// An outcome of a delivery, as a key of `outcomes`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DeliveryOutcome {
-    /// Rejected by the controller; it never ran.
+    /// The controller rejected the request, which never ran.
     #[serde(rename = "nacked")]
     Rejected,
-    /// It ran, or may have, without a result.
+    /// The request ran, or may have run, without a result.
     Failed,
-    /// It waited too long.
+    /// The message waited longer than allowed.
     Expired,
-    /// Its request class is not in the settings.
+    /// The request class is not in the settings.
     Unknown,
-    /// It can't be decoded.
+    /// The message can't be decoded.
     Poison,
-    /// It may have run before and must not run twice.
+    /// The request may have run before and must not run twice.
     Doubtful,
-    /// It was attempted as often as allowed.
+    /// The message was attempted as often as allowed.
     Exhausted,
 }
 
-/// What is done with a delivery.
+/// An action on a delivery.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OutcomeAction {
-    /// Acknowledge it.
+    /// Acknowledge the delivery.
     Ack,
-    /// Reject it, to the queue's dead letters if it has such.
+    /// Reject the delivery; the broker drops it or moves it to the queue's dead letters.
     Reject,
-    /// Requeue it after a pause.
+    /// Requeue the delivery after a pause.
     Later,
-    /// Publish it to the retry queue.
+    /// Publish the message to the retry queue.
     Retry,
 }
 
 impl QueueConfig {
-    /// How the prefetch window is set.
+    /// Returns the rule that sets the prefetch window.
     pub fn prefetch_rule(&self) -> PrefetchRule {
         match self.window {
             WindowRule::Fixed => PrefetchRule::Fixed,
@@ -140,7 +141,7 @@
         }
     }
 
-    /// How deliveries are settled by their outcome.
+    /// Returns the settlement of each outcome: the default, or the action that the file states.
     pub fn settlement_table(&self) -> SettlementTable {
         let mut table = SettlementTable {
             max_attempts: self.max_attempts,
--- a/crates/hazelspur-server/src/config/operator/script.rs
+++ b/crates/hazelspur-server/src/config/operator/script.rs
@@ -1,4 +1,5 @@
-//! Evaluates the Starlark script within bounds and records its calls.
+//! Evaluates the Starlark script of the operator's file and records its calls. Call depth, steps and memory
+//! of the interpreter are bounded.
 
 use super::error::OperatorError;
 use super::operator_config::MAX_QUEUES;
@@ -14,9 +15,9 @@
 use std::cell::RefCell;
 use thiserror::Error;
 
-/// The deepest nesting of calls.
+/// The deepest nesting of function calls.
 const MAX_CALL_DEPTH: usize = 32;
-/// The most steps of the interpreter, which counts loops and calls.
+/// The most steps of the interpreter, which counts loop iterations and calls.
 const MAX_STEPS: u64 = 1_000_000;
 /// The most memory of the interpreter, in bytes.
 const MAX_MEMORY_BYTES: usize = 16 * 1024 * 1024;
@@ -35,7 +36,7 @@
 }
 
 impl Function {
-    /// Its name in the script.
+    /// Returns the function's name in the script.
     pub(super) fn name(self) -> &'static str {
         match self {
             Self::Amqp => "amqp",
@@ -60,13 +61,13 @@
 pub(super) struct Call {
     /// The function that was called.
     pub(super) function: Function,
-    /// The call's lines.
+    /// The lines of the call.
     pub(super) lines: LineRange,
-    /// Its named arguments.
+    /// The named arguments.
     pub(super) keys: Map<String, Json>,
 }
 
-/// Why a call was refused.
+/// A fault of a call.
 #[derive(Debug, Error)]
 enum CallError {
     #[error("called outside the operator's file")]
@@ -136,6 +137,9 @@
 }
 
 /// Evaluates the script and returns its calls, in order.
+///
+/// # Errors
+/// Returns an `OperatorError` if the script can't be parsed, fails or exceeds a bound.
 pub(super) fn evaluate(path: &str, text: &str) -> Result<Vec<Call>, OperatorError> {
     let failed = |e: starlark::Error| OperatorError::Script {
         path: path.into(),
--- a/crates/hazelspur-server/src/config/operator/source.rs
+++ b/crates/hazelspur-server/src/config/operator/source.rs
@@ -3,23 +3,24 @@
 use super::error::{KeyFault, OperatorError};
 use super::script::{Call, Function};
 
-/// The file's text and the calls that it made.
+/// The text of the operator's file and the calls that its evaluation recorded.
 pub(super) struct Source<'a> {
     /// The file's path.
     pub(super) path: &'a str,
-    /// Its text.
+    /// The file's text.
     pub(super) text: &'a str,
-    /// Its calls, in order.
+    /// The recorded calls, in order.
     pub(super) calls: &'a [Call],
 }
 
 impl Source<'_> {
-    /// An error of this key, such as `queues[1].outcomes.failed`.
+    /// Returns the error of a key, such as `queues[1].outcomes.failed`, with the key's line.
     pub(super) fn error(&self, key: &str, fault: KeyFault) -> OperatorError {
         OperatorError::Key { path: self.path.into(), line: self.line_of(key), key: key.into(), fault }
     }
 
-    /// The line of a key, from 1: within its call, that of the last of its names that is found.
+    /// Returns the line of a key, from 1. The names of the key's path are searched one after the other within
+    /// the lines of the call; the line is that of the last name found, or else the first line of the call.
     fn line_of(&self, key: &str) -> usize {
         let Some(call) = self.call_of(key) else { return 1 };
         let lines: Vec<&str> = self.text.lines().collect();
--- a/crates/hazelspur-server/src/config/reload.rs
+++ b/crates/hazelspur-server/src/config/reload.rs
@@ -1,7 +1,9 @@
-//! Reload on SIGHUP: the platform's configuration and the operator's file are read and checked as at the start.
+//! Reload on SIGHUP: reads and checks the platform's configuration and the operator's file again.
 //!
-//! A refused file changes nothing. Of an accepted one, new addresses of upstream endpoints apply at once, and so do
-//! changed settings where the operator's file has `reload(settings = True)`; all other keys apply at the next start.
+//! A refused file changes nothing. Of the platform's configuration, new addresses of upstream endpoints apply
+//! at once, and so do changed settings if the operator's file had `reload(settings = True)` at the start. A
+//! configuration with another server's name or address, or with settings that may not change, is refused. Of
+//! the operator's file, new addresses of brokers apply at once. All other changes apply at the next start.
 
 use crate::config::error::ConfigError;
 use crate::config::fleet_keys::TENANT_LIMIT_PREFIX;
@@ -19,24 +21,24 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::oneshot;
 
-/// Why a configuration did not take effect.
+/// An error that keeps a reloaded configuration from taking effect.
 #[derive(Debug, Error)]
 pub enum ReloadError {
-    /// The file can't be read, or is at fault.
+    /// The file can't be read, or is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The thread that reads the file can't start.
-    #[error("no thread to read it: {0}")]
+    #[error("cannot start the thread that reads the configuration: {0}")]
     NoThread(std::io::Error),
     /// The thread that reads the file panicked.
-    #[error("reading it failed")]
+    #[error("the thread that reads the configuration panicked")]
     ReaderPanicked,
-    /// The change removes what the operator's file refers to.
-    #[error("{table}: {name}: the operator's file names it")]
+    /// The change removes a request class or tenant that the operator's file refers to.
+    #[error("{table}: {name}: in use by the operator's file")]
     Referenced {
-        /// The table of the settings.
+        /// The settings' table of the entry.
         table: &'static str,
-        /// The entry's name.
+        /// The name of the entry.
         name: String,
     },
     /// The change does not fit the settings in force.
@@ -52,7 +54,7 @@
 }
 
 impl References {
-    /// What this file refers to.
+    /// Returns the request classes and tenants that this operator's file refers to.
     pub fn of(operator: &OperatorConfig) -> Self {
         let shares = operator.fleet.iter().flat_map(|fleet| &fleet.shared_limits);
         Self {
@@ -82,36 +84,36 @@
     }
 }
 
-/// What a reload compares with and changes.
+/// The parts of the process that a reload compares with and changes.
 pub struct Reloader {
     /// The addresses of upstream endpoints.
     pub endpoints: Rc<UpstreamEndpoints>,
     /// The configuration that the process started with.
     pub running: Rc<ServerConfig>,
-    /// Host of the controller.
+    /// Applies changed settings to the controller.
     pub dispatcher: Rc<Dispatcher>,
     /// The settings in force.
     pub catalog: Rc<RefCell<Catalog>>,
-    /// The operator's file, if there is one.
+    /// The path of the operator's file, if there is one.
     pub operator_file: Option<String>,
-    /// The consumer that the operator's file configures.
+    /// The consumer of the queues in the operator's file, if it has brokers.
     pub queues: Option<Rc<AmqpConsumer>>,
-    /// Whether settings change in place.
+    /// Whether settings may change without a restart.
     pub settings_may_change: bool,
-    /// What the operator's file refers to.
+    /// Request classes and tenants that must not be removed.
     pub references: RefCell<References>,
 }
 
-/// Reloads at each SIGHUP.
+/// Reloads both files at each SIGHUP, for as long as the process runs.
 pub async fn on_hangup(hangup: Rc<RefCell<Signal>>, reloader: Rc<Reloader>) {
-    // Nobody else borrows the signal: one task listens, or its successor after it panicked.
+    // Nobody else borrows the signal: only this task does, or its successor after a panic.
     while std::future::poll_fn(|context| hangup.borrow_mut().poll_recv(context)).await.is_some() {
         reloader.reload_platform().await;
         reloader.reload_operator();
     }
 }
 
-/// Reads the configuration on a thread of its own, for which the end of the process does not wait.
+/// Reads the configuration on a separate thread. The process may end while the thread still runs.
 async fn read_on_thread<T: Send + 'static>(
     read: impl FnOnce() -> Result<T, ConfigError> + Send + 'static,
 ) -> Result<T, ReloadError> {
@@ -124,13 +126,13 @@
 impl Reloader {
     async fn reload_platform(&self) {
         if let Err(why) = self.apply_platform().await {
-            log::error!(why:%; "reload refused, the old configuration stays");
+            log::error!(why:%; "reload refused, configuration unchanged");
         }
     }
 
     async fn apply_platform(&self) -> Result<(), ReloadError> {
         let read = || server_config::reload(|name| std::env::var(name).ok());
-        // Settings may be large: requests are served while they are read.
+        // Settings may be large; reading them on a thread keeps the server serving meanwhile.
         let reloaded = if self.settings_may_change { read_on_thread(read).await? } else { read()? };
         let ReloadedChanges { config, change } = reloaded.compare(&self.catalog.borrow())?;
         self.apply(&config, &change)
@@ -143,7 +145,7 @@
                 queues.reload(&new);
                 self.references.borrow_mut().request_classes = References::of(&new).request_classes;
             }
-            Err(why) => log::error!(why:%; "reload refused, the old operator's file stays"),
+            Err(why) => log::error!(why:%; "reload refused, operator's file unchanged"),
         }
     }
 
@@ -153,8 +155,8 @@
             refused_keys.push("settings");
         }
         if !refused_keys.is_empty() {
-            // Refused whole: the addresses lead to another server's endpoints.
-            log::error!(keys = refused_keys.join(" "); "reload refused, the file is not this server's");
+            // Nothing of the file applies, because it may be another server's, with that server's endpoints.
+            log::error!(keys = refused_keys.join(" "); "reload refused, keys may not change");
             return Ok(());
         }
         if !change.is_empty() {
@@ -162,7 +164,7 @@
         }
         let restart_keys = self.running.changed_restart_keys(new);
         if !restart_keys.is_empty() {
-            log::warn!(keys = restart_keys.join(" "); "reload leaves to the next start");
+            log::warn!(keys = restart_keys.join(" "); "changed keys apply at the next start");
         }
         self.move_endpoints(new);
         Ok(())
@@ -184,7 +186,7 @@
             runtime_moved = old.worker != new.worker,
             ledger_moved = old.dependency != new.dependency,
             control_moved = old.registry != new.registry;
-            "reload"
+            "endpoints reloaded"
         );
         self.endpoints.move_to(new);
     }
--- a/crates/hazelspur-server/src/config/server_config.rs
+++ b/crates/hazelspur-server/src/config/server_config.rs
@@ -1,6 +1,7 @@
 //! The platform's configuration: one JSON file, read at the start and again on SIGHUP.
 //!
-//! This is the one place where it is read, checked and given defaults; every error names the key at fault.
+//! All reading, checks and defaults are here; every error names the key at fault. The output is a
+//! `ServerConfig` and the settings: a `Catalog` at the start, a `Change` of the catalog on a reload.
 
 use crate::config::error::ConfigError;
 use crate::upstream::endpoints::EndpointAddresses;
@@ -12,16 +13,16 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// The longest configuration that is read, in bytes: 8,700 request classes and 42,000 tenants take 4 MB.
+/// The longest configuration that is read, in bytes. 8,700 request classes and 42,000 tenants take 4 MB.
 const MAX_FILE_BYTES: u64 = 8 * 1024 * 1024;
 /// Bytes in the unit of `limits.memory_mb`.
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 /// Milliseconds in a second.
 const MS_PER_SECOND: f64 = 1e3;
-/// The base of the seed's digits.
+/// The seed's number base.
 const SEED_RADIX: u32 = 16;
 
-/// A number of the configuration.
+/// A key with a number as its value, its default and its bounds.
 struct NumberKey {
     key: &'static str,
     default: f64,
@@ -30,11 +31,11 @@
 
 /// Time from the shutdown notice to the end of the process, in milliseconds.
 const STOP_MS: NumberKey = NumberKey { key: "stop_ms", default: 3000.0, range: 1.0..=600_000.0 };
-/// Cores of the machine; checked and otherwise unused.
+/// Cores of the machine. The value is checked but not used.
 const CORES: NumberKey = NumberKey { key: "limits.cores", default: 1.0, range: 0.01..=1e4 };
-/// Memory of the process.
+/// Memory that the process may use, in MiB.
 const MEMORY_MB: NumberKey = NumberKey { key: "limits.memory_mb", default: 192.0, range: 1.0..=1e7 };
-/// Sockets of the process.
+/// Sockets that the process may use.
 const SOCKETS: NumberKey = NumberKey { key: "limits.sockets", default: 1024.0, range: 32.0..=1e7 };
 
 impl NumberKey {
@@ -49,33 +50,33 @@
     }
 }
 
-/// What the configuration states about this server, besides its settings.
+/// The configuration of this server, apart from the settings.
 #[derive(Debug)]
 pub struct ServerConfig {
     /// The server's name.
     pub name: String,
-    /// Where it listens for gateways.
+    /// The address to listen on for gateways.
     pub listen: SocketAddr,
-    /// The upstream endpoints; a reload may change them.
+    /// The addresses of the upstream endpoints; a reload may change them.
     pub addresses: EndpointAddresses,
-    /// Seeds whatever is drawn at random.
+    /// The seed of random numbers.
     pub seed: u64,
     /// Time from the shutdown notice to the end of the process.
     pub shutdown_timeout: Duration,
-    /// How many sockets the process may use.
+    /// The most sockets that the process may use.
     pub max_sockets: usize,
-    /// How much memory the process may use, in bytes.
+    /// The most memory that the process may use, in bytes.
     pub max_memory_bytes: usize,
-    /// The worker's gauges, in the order in which it sends them.
+    /// The names of the worker's gauges, in the order in which it sends their values.
     pub gauge_names: Vec<String>,
-    /// How long after the shutdown notice a new request may still run.
+    /// Time after the shutdown notice within which a new request may still run.
     pub grace_period: Duration,
-    /// How long the result of a read may be shared.
+    /// Longest age of a read's result that may be shared with other reads.
     pub read_freshness: Duration,
 }
 
 impl ServerConfig {
-    /// The keys of `new` that differ and take effect at the next start only.
+    /// Returns the keys that differ in `new` and take effect at the next start only.
     pub fn changed_restart_keys(&self, new: &Self) -> Vec<&'static str> {
         differing_keys([
             KeyComparison { key: "seed", differs: self.seed != new.seed },
@@ -85,7 +86,8 @@
         ])
     }
 
-    /// The keys of `new` that differ because the file belongs to another server.
+    /// Returns the keys that identify a server and differ in `new`: if there are any, the file is another
+    /// server's.
     pub fn changed_identity_keys(&self, new: &Self) -> Vec<&'static str> {
         differing_keys([
             KeyComparison { key: "name", differs: self.name != new.name },
@@ -103,16 +105,20 @@
     comparisons.into_iter().filter(|comparison| comparison.differs).map(|comparison| comparison.key).collect()
 }
 
-/// The configuration at the start.
+/// The complete configuration at the start.
 #[derive(Debug)]
 pub struct LoadedConfig {
-    /// What it states about this server.
+    /// The configuration of this server.
     pub config: ServerConfig,
-    /// Its settings.
+    /// The settings.
     pub catalog: Catalog,
 }
 
-/// Reads the file that `ROUTER_CONFIG` names; `ROUTER_NAME` and `ROUTER_LISTEN` stand in for absent keys.
+/// Reads the file that the variable `ROUTER_CONFIG` names. `ROUTER_NAME` and `ROUTER_LISTEN` replace the keys
+/// `name` and `listen` where they are absent.
+///
+/// # Errors
+/// Returns a `ConfigError` if the file can't be read or is invalid, or if it has no request class.
 pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<LoadedConfig, ConfigError> {
     let text = read_file(&variable)?;
     let mut catalog = Catalog::default();
@@ -125,22 +131,26 @@
     Ok(LoadedConfig { config, catalog })
 }
 
-/// A configuration that was read again, possibly on another thread.
+/// A configuration that was read again, not yet compared with the settings in force; it may pass between
+/// threads.
 pub struct ReloadedConfig {
     config: ServerConfig,
     entries: GatheredEntries,
     flat: FlatSettings,
 }
 
-/// What a configuration that was read again changes.
+/// A configuration that was read again, as a change of the settings in force.
 pub struct ReloadedChanges {
-    /// What it states about this server.
+    /// The new configuration of this server.
     pub config: ServerConfig,
-    /// What it changes of the settings in force.
+    /// The change of the settings in force.
     pub change: Change,
 }
 
-/// Reads the file again, without comparing it with what is in force.
+/// Reads the file again, like `load`, without comparing it with the settings in force.
+///
+/// # Errors
+/// Returns a `ConfigError` if the file can't be read or is invalid.
 pub fn reload(variable: impl Fn(&str) -> Option<String>) -> Result<ReloadedConfig, ConfigError> {
     let text = read_file(&variable)?;
     let mut entries = GatheredEntries::default();
@@ -150,6 +160,9 @@
 
 impl ReloadedConfig {
     /// Compares the settings with those in force.
+    ///
+    /// # Errors
+    /// Returns a `ConfigError` if the settings cannot replace those in force.
     pub fn compare(self, in_force: &Catalog) -> Result<ReloadedChanges, ConfigError> {
         let change =
             Difference::compare_gathered(in_force, self.entries, &self.flat).map_err(ConfigError::setting)?;
@@ -157,7 +170,7 @@
     }
 }
 
-/// Reads the whole file, or nothing of one that is too long.
+/// Reads the whole file; one that is longer than `MAX_FILE_BYTES` is refused.
 fn read_file(variable: impl Fn(&str) -> Option<String>) -> Result<Vec<u8>, ConfigError> {
     let path = variable("ROUTER_CONFIG").ok_or(ConfigError::VariableNotSet)?;
     let unreadable = |source| ConfigError::Unreadable { path: path.clone(), source };
@@ -172,13 +185,13 @@
     Ok(text)
 }
 
-/// The file's content, but for the entries of its tables.
+/// The file's content without its request classes and tenants.
 struct ParsedConfig {
     config: ServerConfig,
     flat: FlatSettings,
 }
 
-/// Parses the file; request classes and tenants go to `entries`.
+/// Parses the file's text and passes its request classes and tenants to `entries`.
 fn parse(
     text: &[u8],
     variable: impl Fn(&str) -> Option<String>,
@@ -225,7 +238,7 @@
         text.parse().map_err(|_| ConfigError::NotAnAddress { key, text })
     }
 
-    /// An address that may be absent or null.
+    /// Returns an address, or `None` if the key is absent or null.
     fn optional_address(&self, key: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
         match self.object.get(key) {
             Some(value) if !value.is_null() => self.address(key, None).map(Some),
@@ -255,7 +268,8 @@
         let object =
             self.object.get("settings").filter(|value| value.is_object()).ok_or(ConfigError::NoSettings)?;
         let mut flat = settings::read(object, entries).map_err(ConfigError::setting)?;
-        // The protocol has no command that lets a run go on without its call.
+        // Degraded values need a run that continues without its dependency call, for which the protocol has
+        // no command.
         flat.remove_degraded_values();
         Ok(flat)
     }
--- a/crates/hazelspur-server/src/fleet/coordinator.rs
+++ b/crates/hazelspur-server/src/fleet/coordinator.rs
@@ -1,5 +1,5 @@
-//! Between `hazelspur_fleet` and the admission controller: reports this server's load and demand to
-//! `FleetNode`, and gives the controller what follows where it has changed.
+//! Connects `hazelspur_fleet` and the admission controller: passes this server's load and demand to
+//! `FleetNode`, and the resulting guidance to the controller, whenever it has changed.
 
 use crate::config::fleet_keys::{CALLS_LIMIT, TENANT_LIMIT_PREFIX};
 use crate::request::dispatcher::Dispatcher;
@@ -14,49 +14,52 @@
 
 /// Time between two load reports.
 const REPORT_INTERVAL: Duration = Duration::from_ms(200);
-/// A tenant's demand over its recent rate, so that the rate can grow.
+/// Ratio of a tenant's demand to its recent rate. It is above 1 so that the rate can grow.
 const TENANT_DEMAND_OVER_RATE: f64 = 1.25;
-/// Demand of calls before the first call, when nothing is known.
+/// Demand of concurrent calls until the controller knows the demand.
 const INITIAL_CALL_DEMAND: f64 = 1.0;
 
-/// What a shared limit governs.
+/// The quantity that a shared limit bounds.
 #[derive(Clone, Copy, PartialEq)]
 enum LimitTarget {
     Calls,
     Tenant(TenantId),
 }
 
+/// A shared limit for which this server reports its demand.
 struct DemandedLimit {
     name: LimitName,
     target: LimitTarget,
 }
 
-/// A shared limit that governs nothing on this server.
+/// A shared limit that bounds nothing on this server.
 #[derive(Clone, Copy, Debug, Error)]
 pub enum UnknownLimitError {
-    /// The name is neither that of calls nor of a tenant.
-    #[error("fleet.shares: {0}: nothing goes by it")]
+    /// The name is neither `calls` nor that of a tenant.
+    #[error("fleet.shares: unknown limit {0}, expected {CALLS_LIMIT} or {TENANT_LIMIT_PREFIX}NAME")]
     Unused(LimitName),
     /// The settings have no such tenant.
-    #[error("fleet.shares: {0}: no such tenant")]
+    #[error("fleet.shares: {0}: no such tenant in the settings")]
     NoTenant(LimitName),
 }
 
 /// Passes load and demand to the fleet, and guidance to the admission controller.
 pub struct Coordinator {
-    /// Whether the circuit breaker and the load reports of others count.
+    /// Whether the circuit breaker and the load reports of other servers take effect.
     coordinated: bool,
     limits: Vec<DemandedLimit>,
     guidance: Guidance,
+    /// Time of the last load report.
     reported_at: Timestamp,
+    /// The fault scope at the last check for a change.
     logged_scope: Option<FaultScope>,
 }
 
 impl Coordinator {
-    /// A coordinator for the limits of a quota configuration.
+    /// Creates a coordinator for the limits of a quota configuration.
     ///
     /// # Errors
-    /// `UnknownLimitError` for a limit that governs nothing.
+    /// Returns an `UnknownLimitError` if a limit bounds neither calls nor a tenant of the catalog.
     pub fn new(
         coordinated: bool,
         quota: Option<&QuotaConfig>,
@@ -75,7 +78,7 @@
         Ok(Self { coordinated, limits, guidance, reported_at: Timestamp::default(), logged_scope: None })
     }
 
-    /// Reports what this server did lately, and what it would use of each limit.
+    /// Reports this server's recent load, and the demand for each limit, once per report interval.
     pub fn report(&mut self, now: Clocks, dispatcher: &Dispatcher, node: &mut FleetNode) {
         if now.monotonic - self.reported_at < REPORT_INTERVAL {
             return;
@@ -95,7 +98,11 @@
         }
     }
 
-    /// Gives the controller what has changed, and the dispatcher what applies when a lease expires.
+    /// Passes changed guidance to the controller through the dispatcher, and logs changes of the circuit
+    /// breaker, the fault scope and quota leases.
+    ///
+    /// The dispatcher also gets the guidance that applies once leases have expired. After that has taken
+    /// effect, the whole guidance is sent again.
     pub fn guide(&mut self, now: Clocks, dispatcher: &Dispatcher, node: &mut FleetNode) {
         if dispatcher.is_started() {
             if dispatcher.take_leases_expired() {
--- a/crates/hazelspur-server/src/fleet/event_log.rs
+++ b/crates/hazelspur-server/src/fleet/event_log.rs
@@ -1,18 +1,18 @@
-//! Log lines about the membership: one for each change of this server's own status, one a second at most for
-//! each kind of change of others, one a minute at most for dropped datagrams.
+//! Log lines about the membership: one for each change of this server's own status, at most one per second
+//! for each kind of change of other members, and at most one per minute for dropped datagrams.
 
 use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::{DatagramError, FleetSize, LocalStatus, MemberStatus, Membership, MembershipEvent};
 use std::collections::BTreeMap;
 
-/// Shortest time between two lines about changes of others.
+/// Shortest time between two lines about the same kind of change of other members.
 const EVENT_LOG_INTERVAL: Duration = Duration::from_ms(1000);
 /// Shortest time between two lines about dropped datagrams.
 const DROP_LOG_INTERVAL: Duration = Duration::from_ms(60_000);
-/// Names in one line.
+/// The most names in one line.
 const MAX_NAMES: usize = 4;
 
-/// What a line about other members says. The order is that of lines of one second.
+/// A kind of change that gets its own line. Lines that are written together have the order of the variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum EventKind {
     Recovered,
@@ -26,20 +26,21 @@
     DuplicateName,
 }
 
-/// Changes of one kind since the last line.
+/// The changes of one kind since the last line.
 #[derive(Default)]
 struct EventCount {
     count: usize,
-    /// The first of their names.
+    /// The names of the first members that changed, at most `MAX_NAMES`.
     names: Vec<String>,
 }
 
+/// A change of this server's own status.
 struct StatusChange {
     from: LocalStatus,
     to: LocalStatus,
 }
 
-/// Collects what is to be logged.
+/// Collects changes of the membership and dropped datagrams until their lines are due.
 #[derive(Default)]
 pub struct EventLog {
     events: BTreeMap<EventKind, EventCount>,
@@ -50,7 +51,7 @@
 }
 
 impl EventLog {
-    /// Notes a change of the membership.
+    /// Records a change of the membership.
     pub fn record(&mut self, event: MembershipEvent) {
         let (kind, name) = match event {
             MembershipEvent::LocalStatusChanged { from, to } => {
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Notes a dropped datagram.
+    /// Records a dropped datagram and the reason.
     pub fn record_drop(&mut self, reason: DatagramError) {
         *self.dropped.entry(reason).or_default() += 1;
     }
@@ -101,7 +102,7 @@
     let count = |status| membership.statuses().filter(|(_, other)| *other == status).count();
     log::info!(from = change.from.name(), to = change.to.name(), least = size.min, most = size.max,
         alive = count(MemberStatus::Alive), suspected = count(MemberStatus::Suspected),
-        lost = count(MemberStatus::Dead); "fleet: status of this server changed");
+        lost = count(MemberStatus::Dead); "fleet: own status changed");
 }
 
 fn log_events(kind: EventKind, events: &EventCount, size: FleetSize) {
--- a/crates/hazelspur-server/src/fleet/query.rs
+++ b/crates/hazelspur-server/src/fleet/query.rs
@@ -1,5 +1,5 @@
-//! `hazelspur-server fleet FILE`: asks the server that the file sets up for its view of the fleet. The
-//! question is sealed with the installation's key, so a server does not answer strangers.
+//! `hazelspur-server fleet FILE`: asks the server that the file configures for its view of the fleet. Queries
+//! are sealed with the installation's key, and a server answers no others.
 
 use crate::config::fleet_keys::Fleet;
 use crate::fleet::query_output::FleetOutput;
@@ -10,52 +10,52 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use thiserror::Error;
 
-/// Time for which an answer is awaited.
+/// Time to wait for an answer to one attempt.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
-/// How often a question is sent.
+/// The most attempts to send a query.
 const MAX_ATTEMPTS: u32 = 5;
-/// Members that are taken; no server's table is larger.
+/// The most members that are accepted; no server's member list is longer.
 const MAX_MEMBERS: usize = 8192;
-/// The name under which the command asks.
+/// The sender's name in queries.
 const OPERATOR_NAME: &str = "operator";
 
-/// Why there is no answer.
+/// An error of a query.
 #[derive(Debug, Error)]
 pub enum FleetQueryError {
     /// The key file was not read.
     #[error("fleet.key_file: not read")]
     NoKey,
-    /// No socket on the server's own address.
-    #[error("{address}: {source}")]
+    /// No socket can be bound to the server's own address.
+    #[error("cannot bind {address}: {source}")]
     Bind {
-        /// The address.
+        /// The address to bind.
         address: IpAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The socket cannot be set up.
     #[error(transparent)]
     Socket(std::io::Error),
-    /// The question cannot be sent.
-    #[error("{address}: {source}")]
+    /// The query cannot be sent.
+    #[error("cannot send to {address}: {source}")]
     Send {
         /// The server's address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// No attempt was answered.
-    #[error("{0}: no answer; does a server run there, with this key and installation?")]
+    #[error("{0}: no answer; check that a server with this key and installation runs there")]
     NoAnswer(SocketAddr),
-    /// No answer contained a view.
-    #[error("nothing was shown")]
+    /// No answer contained a view of the fleet.
+    #[error("the server sent no view of the fleet")]
     Empty,
 }
 
-/// Asks for the members, page by page, then for the coordination state.
+/// Queries the members, page by page, and then the coordination state.
 ///
 /// # Errors
-/// `FleetQueryError`, which says what was tried.
+/// Returns a `FleetQueryError` if the socket fails, the server does not answer or it sends no view.
 pub fn query(fleet: &Fleet) -> Result<FleetOutput, FleetQueryError> {
     let mut client = QueryClient::new(fleet)?;
     let mut output = query_members(&mut client)?;
@@ -107,7 +107,7 @@
     fn new(fleet: &'a Fleet) -> Result<Self, FleetQueryError> {
         let key = fleet.key.as_ref().ok_or(FleetQueryError::NoKey)?;
         let server = fleet.listen.unwrap_or(fleet.address);
-        // On the server's own address, which the answer is certain to reach.
+        // Bound to the server's own address, so that the answer has a route back.
         let bind_error = |source| FleetQueryError::Bind { address: server.ip(), source };
         let socket = UdpSocket::bind((server.ip(), 0)).map_err(bind_error)?;
         let address = socket.local_addr().map_err(FleetQueryError::Socket)?;
@@ -123,7 +123,7 @@
         Ok(Self { fleet, key, socket, server, sender, last_number: std::process::id() })
     }
 
-    /// Sends a question, again if there is no answer, and returns the answer.
+    /// Sends a query and returns the answer; repeats the query while there is none.
     fn ask(&mut self, question: impl FnOnce(u32) -> Body) -> Result<Answer, FleetQueryError> {
         self.last_number = self.last_number.wrapping_add(1);
         let question = Datagram {
--- a/crates/hazelspur-server/src/fleet/query_output.rs
+++ b/crates/hazelspur-server/src/fleet/query_output.rs
@@ -1,5 +1,5 @@
-//! What `hazelspur-server fleet FILE` prints, as a table or as JSON. Operators' scripts read the JSON: its
-//! names and the words of the table are mapped here and stay as they are.
+//! The output of `hazelspur-server fleet FILE`, as a table or as JSON. Operators' scripts read the JSON, so
+//! the `serde(rename)` attributes keep its field names; the words of the table are fixed as well.
 
 use crate::config::command::OutputFormat;
 use comfy_table::{Table, presets};
@@ -31,7 +31,8 @@
     coordination: CoordinationOutput,
 }
 
-/// What the server decided together with others.
+/// The server's coordination state: the allocator, its shares of the limits, the circuit breaker and the load
+/// reports.
 #[derive(Serialize, Default)]
 struct CoordinationOutput {
     #[serde(rename = "divider")]
@@ -127,7 +128,7 @@
 }
 
 impl FleetOutput {
-    /// The output of a server, without members and coordination state.
+    /// Creates the output for a server, without members and coordination state.
     pub fn new(server: &MemberUpdate, status: LocalStatus, fleet: FleetSize, sites: &[SiteSize]) -> Self {
         Self {
             name: server.name,
@@ -147,7 +148,7 @@
         self.members.extend(members.into_iter().map(MemberOutput::from));
     }
 
-    /// Number of members.
+    /// Returns the number of members.
     pub fn members(&self) -> usize {
         self.members.len()
     }
@@ -157,7 +158,7 @@
         self.coordination = state.into();
     }
 
-    /// The text to print.
+    /// Returns the text to print.
     pub fn render(&self, format: OutputFormat) -> String {
         match format {
             OutputFormat::Json => serde_json::to_string_pretty(self).unwrap_or_default() + "\n",
--- a/crates/hazelspur-server/src/fleet/transport.rs
+++ b/crates/hazelspur-server/src/fleet/transport.rs
@@ -1,5 +1,5 @@
-//! The gossip transport: one UDP socket whose datagrams go to `FleetNode` and from it, and a task that probes
-//! the shared dependency while the circuit breaker is open.
+//! The gossip transport: one UDP socket that carries the datagrams of `FleetNode`, and a task that probes the
+//! shared dependency while the circuit breaker is open.
 
 use crate::clock::Clock;
 use crate::config::fleet_keys::{Fleet, QuotaKeysError};
@@ -22,60 +22,61 @@
 use thiserror::Error;
 use tokio::net::{TcpStream, UdpSocket};
 
-/// Datagrams that are read before the timers, and other tasks, have their turn.
+/// The most datagrams that are read before timers and other tasks run.
 const MAX_READS_PER_STEP: usize = 64;
-/// What even an empty datagram takes of the socket's buffer, in bytes; in truth more.
+/// Lower bound of a datagram's share of the socket's buffer, in bytes, as an empty one also takes space
+/// there.
 const MIN_DATAGRAM_CHARGE: usize = 256;
-/// Longest time between two looks at this server's load and at due log lines.
+/// Longest time between two steps, so that load reports and log lines are not late.
 const MAX_IDLE: Duration = Duration::from_ms(250);
 /// Timeout for the connection of a probe.
 const PROBE_CONNECT_TIMEOUT: Duration = Duration::from_ms(500);
-/// Time for which a probe's connection must stay open: a proxy may accept connections for a dependency that
-/// is gone.
+/// Time for which a probe's connection must stay open, because a proxy may accept connections for a
+/// dependency that is down and then close them.
 const PROBE_OPEN_TIME: Duration = Duration::from_ms(50);
 /// Timeout for the answer to a probe.
 const PROBE_ANSWER_TIMEOUT: Duration = Duration::from_ms(500);
-/// Longest wait for the next probe, so that a recovery hint brings it forward.
+/// Longest wait before the time of the next probe is read again, as a recovery hint may bring it forward.
 const MAX_PROBE_WAIT: Duration = Duration::from_ms(20);
 
-/// Why the transport cannot start.
+/// An error that keeps the transport from starting.
 #[derive(Debug, Error)]
 pub enum TransportError {
-    /// The server's name is no member name.
-    #[error("name: longer than 31 characters, or not visible ones")]
+    /// The server's name is not a valid member name.
+    #[error("name: not 1 to 31 visible ASCII characters")]
     InvalidName,
     /// The key file was not read.
     #[error("fleet.key_file: not read")]
     NoKey,
-    /// The quota configuration is refused.
+    /// The quota configuration is invalid.
     #[error("fleet.{key}: {0}", key = .0.key())]
     Quota(#[from] QuotaKeysError),
-    /// A shared limit governs nothing.
+    /// A shared limit bounds nothing on this server.
     #[error(transparent)]
     UnknownLimit(#[from] UnknownLimitError),
     /// The socket cannot be bound.
     #[error("fleet.listen: {address}: {source}")]
     Listen {
-        /// The address.
+        /// The address to bind.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
 
 /// The parts of the server that the transport uses.
 pub struct TransportContext {
-    /// Reaches the admission controller.
+    /// The dispatcher, through which the admission controller is reached.
     pub dispatcher: Rc<Dispatcher>,
-    /// Addresses of the shared dependency.
+    /// The addresses of upstream endpoints, with that of the shared dependency.
     pub endpoints: Rc<UpstreamEndpoints>,
-    /// Phases of the process.
+    /// The phases of the process.
     pub phases: Rc<Phases>,
-    /// Settings, by which limits are found.
+    /// The settings, in which the tenants of shared limits are found.
     pub catalog: Rc<RefCell<Catalog>>,
 }
 
-/// The socket and the state machines behind it.
+/// The UDP socket of the fleet and the state machines that it serves.
 pub struct GossipTransport {
     name: MemberName,
     socket: UdpSocket,
@@ -84,7 +85,7 @@
     node: RefCell<FleetNode>,
     event_log: RefCell<EventLog>,
     coordinator: RefCell<Coordinator>,
-    /// Whether calls and probes go by the circuit breaker.
+    /// Whether the circuit breaker is in use: calls are reported to it and probes are sent for it.
     coordinated: bool,
     dispatcher: Rc<Dispatcher>,
     endpoints: Rc<UpstreamEndpoints>,
@@ -93,10 +94,10 @@
 }
 
 impl GossipTransport {
-    /// Binds the socket and starts a new run of this server in the fleet.
+    /// Binds the socket and starts a new generation of this server in the fleet.
     ///
     /// # Errors
-    /// `TransportError`, which names the key at fault.
+    /// Returns a `TransportError`, which names the key at fault.
     pub async fn bind(
         fleet: &Fleet,
         name: &str,
@@ -136,13 +137,15 @@
         clocks(&self.dispatcher.clock)
     }
 
-    /// The clocks that timers go by. A suspicion ends by the input watermark, since a datagram that refutes it may
-    /// have arrived; a lease ends by the present time, since it must not be relied on any longer.
+    /// Returns the clocks for timers. A suspicion expires by the input watermark, since a datagram that
+    /// refutes it may have arrived and wait to be read. A lease expires by the present time, since it must
+    /// not be used any longer.
     fn timer_clocks(&self, now: Clocks) -> Clocks {
         Clocks { wall: self.dispatcher.clock.wall_at_watermark(), monotonic: now.monotonic }
     }
 
-    /// Sends and receives datagrams and acts on timers, for as long as the process runs.
+    /// Sends and receives datagrams and runs timers, for as long as the process runs. Leaves the fleet when
+    /// the process starts to shut down.
     pub async fn run(self: Rc<Self>) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         let quota = ReadQuota::default();
@@ -167,8 +170,8 @@
         }
     }
 
-    /// Takes the datagram in the buffer and those that have arrived meanwhile, up to a number; returns what they
-    /// took of the socket's buffer.
+    /// Handles the datagram in the buffer and those that have arrived meanwhile, at most `MAX_READS_PER_STEP`
+    /// in all; returns their estimated size in the socket's buffer, in bytes.
     fn receive_all(&self, length: Option<usize>, buffer: &mut [u8]) -> usize {
         let mut charge = MIN_DATAGRAM_CHARGE;
         if let Some(length) = length {
@@ -193,14 +196,15 @@
         }
     }
 
-    /// Reports load, acts on timers, sends what waits, writes due log lines, and guides the controller.
+    /// Reports load, runs timers, sends queued datagrams, writes due log lines, and passes guidance to the
+    /// controller.
     fn step(&self) {
         let now = self.now();
         let (mut node, mut event_log) = (self.node.borrow_mut(), self.event_log.borrow_mut());
         self.coordinator.borrow_mut().report(now, &self.dispatcher, &mut node);
         node.tick(self.timer_clocks(now));
         while let Some(OutgoingDatagram { address, datagram }) = node.next_datagram(now) {
-            // A datagram that cannot be sent now is lost, as on any network.
+            // A datagram that cannot be sent at once is dropped; the protocol tolerates lost datagrams.
             let _ = self.socket.try_send_to(&datagram::seal(&self.key, &datagram), address);
         }
         while let Some(event) = node.membership.next_event() {
@@ -210,7 +214,8 @@
         self.coordinator.borrow_mut().guide(now, &self.dispatcher, &mut node);
     }
 
-    /// Probes the shared dependency when the circuit breaker says so, for as long as the process runs.
+    /// Probes the shared dependency at the times that the circuit breaker sets, for as long as the process
+    /// runs.
     pub async fn run_probes(self: Rc<Self>) {
         loop {
             let next_probe = self.node.borrow().breaker.next_probe().filter(|_| self.coordinated);
@@ -237,7 +242,7 @@
         }
     }
 
-    /// Announces that this server has ended; sent at once, because nothing runs after it.
+    /// Announces that this server has left. The datagrams are sent at once, because no task runs after this.
     pub fn announce_left(&self) {
         self.node.borrow_mut().membership.announce_left(self.now().wall);
         self.step();
@@ -258,19 +263,19 @@
             CallReach::Unanswered => node.call_unanswered(now),
         }
         if node.breaker.is_closed() != was_closed {
-            // The controller must know before its next decision.
+            // The controller must know of the change before its next decision.
             self.coordinator.borrow_mut().guide(now, &self.dispatcher, &mut node);
         }
     }
 }
 
-/// Starts the tasks of the socket and of the probes, and restarts them if they fail.
+/// Starts the supervised tasks of the socket and of the probes.
 pub fn start(transport: &Rc<GossipTransport>) {
     crate::process::supervise::supervise("fleet", transport, GossipTransport::run);
     crate::process::supervise::supervise("tries", transport, GossipTransport::run_probes);
 }
 
-/// Whether a connection can be made that is not closed at once.
+/// Returns whether a connection can be made that stays open for `PROBE_OPEN_TIME`.
 async fn is_reachable(clock: &Clock, address: SocketAddr) -> bool {
     let connecting = clock.timeout(PROBE_CONNECT_TIMEOUT, TcpStream::connect(address));
     match connecting.await {
--- a/crates/hazelspur-server/src/lib.rs
+++ b/crates/hazelspur-server/src/lib.rs
@@ -1,7 +1,9 @@
-//! The hazelspur server: gateways and queues on one side, the worker process, the shared dependency and the
-//! registry on the other. `hazelspur::AdmissionController` makes every decision in between.
+//! The hazelspur server. It receives requests from gateways and message queues (`ingress`), runs them on a
+//! worker process, and talks to the shared dependency and the registry (`upstream`).
+//! `hazelspur::AdmissionController` decides which requests run and when; `request` carries its decisions out.
 //!
-//! `request` and `process` use `upstream`, `ingress` and `fleet` use `request`; `config` is read first.
+//! `config` reads the configuration before anything else starts. `process` wires the parts together and
+//! `fleet` connects the server to the other servers of its installation.
 
 pub mod clock;
 pub mod commands;
--- a/crates/hazelspur-server/src/logging.rs
+++ b/crates/hazelspur-server/src/logging.rs
@@ -1,6 +1,7 @@
 //! Log lines on standard error, as text or JSON, with a bound on lines per interval.
 //!
-//! Invariant: writing a line never waits for the reader of standard error and never ends the process.
+//! Invariant: writing a line never waits for the reader of standard error and never ends the process. Lines
+//! that would break it are dropped and counted.
 
 use crate::config::command::LogFormat;
 use log::kv::{Error, Key, Value, VisitSource};
@@ -11,24 +12,32 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The interval that the bound on lines is about, in milliseconds.
+/// The interval for which lines are counted, in milliseconds.
 const INTERVAL_MS: u64 = 10_000;
-/// The most lines in an interval; those below the level `info` are not bounded.
+/// The most lines in an interval. Lines below the level `info` are written beyond it.
 const MAX_LINES_PER_INTERVAL: u64 = 400;
-/// The longest line, in characters.
+/// The longest message with its key-values, in characters, in the text format.
 const MAX_LINE_LENGTH: usize = 1000;
 /// Milliseconds in a second.
 const MS_PER_SECOND: u64 = 1000;
 
-/// A logger that drops lines past the bound, or that nobody reads, and reports their number.
+/// A logger that drops lines over the bound and lines that standard error cannot take, and logs their number.
 struct BoundedLogger {
     printer: Box<dyn Log>,
+    /// The number of the current interval, counted from the Unix epoch.
     interval: AtomicU64,
+    /// Lines in the current interval, with those over the bound.
     lines_in_interval: AtomicU64,
+    /// Lines dropped since the last report because standard error was not writable.
     unwritten_lines: AtomicU64,
 }
 
-/// Starts logging; `level` is one of the `log` crate's names, anything else stands for `info`.
+/// Installs the logger and a panic hook that logs.
+///
+/// `level` is a level name of the `log` crate; any other text stands for `info`.
+///
+/// # Panics
+/// Panics if a logger is installed already.
 pub fn init(level: &str, format: LogFormat) {
     let level = level.parse().unwrap_or(LevelFilter::Info);
     log::set_max_level(level);
@@ -39,7 +48,7 @@
         unwritten_lines: AtomicU64::new(0),
     };
     log::set_boxed_logger(Box::new(logger)).expect("the only logger");
-    // The default hook would wait for the reader of standard error.
+    // The default panic hook would block until standard error is read.
     std::panic::set_hook(Box::new(|panic| log::error!(what:% = panic; "panic")));
 }
 
@@ -58,7 +67,7 @@
     }
 }
 
-/// Whether a line can be written without waiting: a pipe that is writable takes a page.
+/// Returns whether a line can be written without blocking: a writable pipe has room for at least one page.
 fn stderr_is_writable() -> bool {
     let stderr = std::io::stderr();
     let mut stderr = [PollFd::new(stderr.as_fd(), PollFlags::POLLOUT)];
@@ -70,7 +79,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// The text of key-values: ` key=value`, quoted where needed.
+/// Formats key-values as ` key=value`, with quotes around values that are empty or contain blanks or quotes.
 struct KeyValueFormatter(String);
 
 impl<'kvs> VisitSource<'kvs> for KeyValueFormatter {
@@ -82,7 +91,7 @@
     }
 }
 
-/// Writes `seconds level message key=value ...`, without control characters and of a bounded length.
+/// Writes `seconds level message key=value ...`, cut to a bounded length and with control characters blanked.
 fn write_line(out: &mut env_logger::fmt::Formatter, record: &Record) -> std::io::Result<()> {
     let mut pairs = KeyValueFormatter(String::new());
     let _ = record.key_values().visit(&mut pairs);
@@ -94,7 +103,7 @@
 }
 
 impl BoundedLogger {
-    /// Begins an interval if its time has come; reports the lines that the former one dropped.
+    /// Starts a new interval if the current one is over, and logs how many lines were dropped in it.
     fn advance_interval(&self) {
         let interval = now_ms() / INTERVAL_MS;
         if self.interval.swap(interval, Ordering::Relaxed) == interval {
@@ -104,7 +113,7 @@
             self.lines_in_interval.swap(0, Ordering::Relaxed).saturating_sub(MAX_LINES_PER_INTERVAL);
         let dropped = over_bound + self.unwritten_lines.swap(0, Ordering::Relaxed);
         if dropped > 0 {
-            let text = format_args!("logger lines_left_out={dropped}");
+            let text = format_args!("log lines dropped lines_left_out={dropped}");
             self.printer.log(&Record::builder().level(log::Level::Warn).args(text).build());
         }
     }
--- a/crates/hazelspur-server/src/main.rs
+++ b/crates/hazelspur-server/src/main.rs
@@ -1,4 +1,4 @@
-//! The `hazelspur-server` program: its commands and exit statuses.
+//! The `hazelspur-server` program: runs the command that the command line names and returns its exit status.
 
 use clap::Parser;
 use hazelspur::Catalog;
@@ -39,7 +39,7 @@
 
 fn run(options: ServeOptions) -> Result<(), ProcessError> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
-    // Before anything else: without a handler a signal would end the process.
+    // First of all, because a signal without a handler would end the process.
     let signals = {
         let _entered = runtime.enter();
         Signals::register()?
--- a/crates/hazelspur-server/src/process/error.rs
+++ b/crates/hazelspur-server/src/process/error.rs
@@ -1,4 +1,4 @@
-//! Why the process ends with a failure, and its exit status.
+//! The errors that end the process, and their exit statuses.
 
 use crate::config::error::ConfigError;
 use crate::config::operator::OperatorError;
@@ -9,7 +9,7 @@
 /// The exit status of a fault in the command line, the configuration or the operator's file.
 const STATUS_REFUSED: u8 = 2;
 
-/// What makes a start impossible.
+/// An error that keeps the server from starting.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The platform's configuration is at fault.
@@ -23,13 +23,13 @@
     Fleet(#[from] TransportError),
 }
 
-/// Why the process ends with a failure.
+/// An error that ends the process.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// It was not started.
+    /// The server could not start, because of the configuration.
     #[error(transparent)]
     Refused(#[from] StartError),
-    /// The system failed.
+    /// A call of the operating system failed.
     #[error(transparent)]
     System(#[from] std::io::Error),
 }
@@ -39,11 +39,11 @@
     pub fn log(&self) {
         match self {
             Self::Refused(why) => log::error!(why:%; "start refused"),
-            Self::System(why) => log::error!(why:%; "server ended"),
+            Self::System(why) => log::error!(why:%; "server failed"),
         }
     }
 
-    /// The exit status of a process that ends with it.
+    /// Returns the exit status of a process that ends with this error.
     pub fn exit_code(&self) -> ExitCode {
         match self {
             Self::Refused(_) => refused_exit_code(),
@@ -52,7 +52,7 @@
     }
 }
 
-/// The exit status of a fault in the command line, the configuration or the operator's file.
+/// Returns the exit status of a fault in the command line, the configuration or the operator's file.
 pub fn refused_exit_code() -> ExitCode {
     ExitCode::from(STATUS_REFUSED)
 }
--- a/crates/hazelspur-server/src/process/listener.rs
+++ b/crates/hazelspur-server/src/process/listener.rs
@@ -1,4 +1,4 @@
-//! Binds the gateways' listener, waiting for a former process to release the address.
+//! Binds the listener for gateways, and waits if a previous process still holds the address.
 
 use crate::clock::{pause, to_std};
 use hazelspur::Duration;
@@ -7,12 +7,15 @@
 use std::time::Instant;
 use tokio::net::TcpListener;
 
-/// How long an address that is in use is tried again: a start may take 30 s.
+/// Time for which binding an address in use is retried. It is below the 30 s that a start may take.
 const BIND_TIMEOUT: Duration = Duration::from_ms(20_000);
 /// The pause between two attempts.
 const BIND_RETRY_PAUSE: Duration = Duration::from_ms(20);
 
-/// Binds the address; one that is in use is tried again until a timeout.
+/// Binds the address, and retries for up to `BIND_TIMEOUT` while it is in use.
+///
+/// # Errors
+/// Returns the error of the last attempt.
 pub(super) async fn bind(listen: SocketAddr) -> std::io::Result<TcpListener> {
     let give_up_at = Instant::now() + to_std(BIND_TIMEOUT);
     let mut is_logged = false;
@@ -20,7 +23,7 @@
         match TcpListener::bind(listen).await {
             Err(e) if e.kind() == ErrorKind::AddrInUse && Instant::now() < give_up_at => {
                 if !std::mem::replace(&mut is_logged, true) {
-                    log::warn!(listen:%, why:% = e; "address in use, tried again");
+                    log::warn!(listen:%, why:% = e; "address in use, retrying");
                 }
                 pause(BIND_RETRY_PAUSE).await;
             }
--- a/crates/hazelspur-server/src/process/mod.rs
+++ b/crates/hazelspur-server/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! The process: its phases, its tasks and its descriptors.
+//! The process: its start, phases, tasks, descriptor budget and shutdown.
 
 pub mod descriptors;
 pub mod error;
--- a/crates/hazelspur-server/src/process/phases.rs
+++ b/crates/hazelspur-server/src/process/phases.rs
@@ -3,20 +3,21 @@
 use std::cell::Cell;
 use tokio::sync::Notify;
 
-/// A phase of the process. `Waiting` comes first; each next one is entered in this order.
+/// A phase of the process. `Waiting` is the first; the others follow in this order. A shutdown notice that
+/// comes before the worker is up skips `Serving` and `Draining`.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Phase {
-    /// Listening; the worker is not up yet and no request can run.
+    /// The server listens, but the worker is not up yet and no request can run.
     Waiting,
     /// Requests run.
     Serving,
-    /// The shutdown notice came; requests that arrive within the grace period still run.
+    /// The shutdown notice has come; requests that arrive within the grace period still run.
     Draining,
-    /// No new connections; goodbye messages go out and received requests are answered.
+    /// No new connections are accepted; goodbye messages are sent and received requests are answered.
     Closing,
-    /// The end is near: every connection is closed once its received requests are answered.
+    /// Every connection is closed as soon as its received requests are answered.
     Ending,
-    /// Nothing is open any more.
+    /// All connections are closed or given up; the process exits.
     Over,
 }
 
@@ -33,7 +34,7 @@
     }
 }
 
-/// What is open on the gateways' side when a phase is entered.
+/// Numbers of open requests and connections of gateways, logged when a phase is entered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenCounts {
     /// Requests without a final response.
@@ -42,7 +43,7 @@
     pub connections: usize,
 }
 
-/// The phase in force, and a notification of its change.
+/// The current phase, and a notification of its change.
 pub struct Phases {
     phase: Cell<Phase>,
     changed: Notify,
@@ -55,12 +56,12 @@
 }
 
 impl Phases {
-    /// The phase in force.
+    /// Returns the current phase.
     pub fn current(&self) -> Phase {
         self.phase.get()
     }
 
-    /// Enters a phase and logs it with what is open.
+    /// Enters a phase, logs it with the counts, and wakes the tasks that wait for a change.
     pub fn enter(&self, phase: Phase, counts: OpenCounts) {
         let OpenCounts { requests, connections } = counts;
         log::info!(open = requests, connections; "phase {}", phase.name());
@@ -68,9 +69,9 @@
         self.changed.notify_waiters();
     }
 
-    /// Completes once the phase fulfils the condition.
+    /// Waits until the phase fulfils a condition.
     pub async fn reached(&self, condition: impl Fn(Phase) -> bool) {
-        // Single-threaded: the phase can't change between the check and the wait.
+        // All tasks share one thread, so the phase can't change between the check and the wait.
         while !condition(self.phase.get()) {
             self.changed.notified().await;
         }
--- a/crates/hazelspur-server/src/process/serve.rs
+++ b/crates/hazelspur-server/src/process/serve.rs
@@ -1,4 +1,4 @@
-//! Takes the process from its start through its phases to its exit.
+//! Runs the server from its start to its exit, through all phases.
 
 use super::error::ProcessError;
 use super::listener::bind;
@@ -19,7 +19,13 @@
 }
 
 impl Signals {
-    /// Handles SIGHUP and SIGTERM from now on; without a handler either would end the process.
+    /// Installs the handlers of SIGHUP and SIGTERM; without a handler either signal would end the process.
+    ///
+    /// # Errors
+    /// Returns the error of the operating system.
+    ///
+    /// # Panics
+    /// Panics outside a Tokio runtime.
     pub fn register() -> std::io::Result<Self> {
         let hangup = signal(SignalKind::hangup())?;
         let terminate = signal(SignalKind::terminate())?;
@@ -27,21 +33,24 @@
     }
 }
 
-/// What a process starts with.
+/// The inputs of a start: both files and the command line.
 pub struct StartInputs {
     /// The platform's configuration.
     pub loaded: LoadedConfig,
-    /// What the operator's file sets.
+    /// The content of the operator's file; the default without one.
     pub operator: OperatorConfig,
-    /// The command line's options.
+    /// The options of the command line.
     pub options: ServeOptions,
 }
 
-/// Serves until the shutdown notice and its end, by the clock that the event loop advances.
+/// Serves until the shutdown notice, and then shuts down. `clock` is the one that the event loop advances.
+///
+/// # Errors
+/// Returns a `ProcessError` if the fleet cannot be joined or the listener cannot be bound.
 pub async fn serve(inputs: StartInputs, clock: Rc<Clock>, mut signals: Signals) -> Result<(), ProcessError> {
     let StartInputs { loaded, operator, options } = inputs;
     let server = Server::new(loaded, &operator, clock).await?;
-    // From here on connections may be accepted: whatever ends the process ends them first.
+    // Once the listener is bound, clients may connect, so from here on every exit goes through the shutdown.
     let listener = tokio::select! {
         bound = bind(server.config.listen) => bound?,
         _ = signals.terminate.recv() => return Ok(()),
@@ -51,7 +60,7 @@
     let reloader = server.reloader(&operator, options.operator_file);
     server.spawn_tasks(&gateways, signals.hangup, reloader);
     let is_serving = tokio::select! {
-        // A notice that comes with the worker's status finds a server that serves.
+        // If a notice arrives together with the worker's status, the server counts as serving and is drained.
         biased;
         worker = server.services.worker.ready() => {
             server.start_controller(worker);
--- a/crates/hazelspur-server/src/process/server.rs
+++ b/crates/hazelspur-server/src/process/server.rs
@@ -1,4 +1,4 @@
-//! Wires the parts of the process together and spawns its tasks.
+//! Creates the parts of the process, connects them and spawns their tasks.
 
 use super::descriptors::Descriptors;
 use super::error::StartError;
@@ -26,7 +26,7 @@
 use tokio::net::TcpListener;
 use tokio::signal::unix::Signal;
 
-/// One part in this many of the process's memory may store results for retries.
+/// Divisor of the process's memory that gives the bound on stored results for retries.
 const RESULT_MEMORY_DIVISOR: usize = 8;
 
 /// The parts of the process.
@@ -125,8 +125,8 @@
         let ServerConfig { name, listen, shutdown_timeout, .. } = &*self.config;
         let request_classes = self.catalog.borrow().request_class_count();
         let tenants = self.catalog.borrow().tenant_count();
-        log::info!(name = name.as_str(), listen:%, stop_ms = shutdown_timeout.us() / 1000, op_types = request_classes,
-            tenants, queues = operator.queues.len(), connections = self.descriptors.gateways,
+        log::info!(name = name.as_str(), listen:%, stop_ms = shutdown_timeout.us() / 1000,
+            op_types = request_classes, tenants, queues = operator.queues.len(), connections = self.descriptors.gateways,
             calls = self.descriptors.calls; "start");
     }
 
@@ -173,11 +173,12 @@
             self.config.seed,
             started_at,
         ));
-        log::info!(cold = !is_warm, up_ms = uptime.us() / 1000; "worker known, requests are admitted");
+        log::info!(cold = !is_warm, up_ms = uptime.us() / 1000; "worker ready, requests admitted");
     }
 }
 
-/// The store of idempotency keys and shared reads; it covers the longest time that any client waits.
+/// Creates the store of idempotency keys and shared reads. It keeps entries for the longest time that a
+/// client may wait for a response.
 fn deduplication(config: &ServerConfig, catalog: &Catalog) -> Deduplication {
     let receipt_delay = catalog.max_request_timeout().scaled(MAX_TIMEOUT_FACTOR) + MAX_OVERDUE;
     let max_bytes = config.max_memory_bytes / RESULT_MEMORY_DIVISOR;
--- a/crates/hazelspur-server/src/process/shutdown.rs
+++ b/crates/hazelspur-server/src/process/shutdown.rs
@@ -1,33 +1,34 @@
-//! The phases from the shutdown notice to the exit. All of them end within the configured stop time.
+//! The phases from the shutdown notice to the exit. All of them end within the configured `stop_ms`, counted
+//! from the sending of the notice.
 
 use super::phases::Phase;
 use super::server::Server;
 use crate::ingress::gateway::GatewayServer;
 use hazelspur::{Duration, Timestamp};
 
-/// How long before the stop every connection is closed.
+/// Time before the stop at which the server starts to close every connection.
 const ENDING_MARGIN: Duration = Duration::from_ms(180);
-/// How long before the stop the process exits, whatever is open.
+/// Time before the stop at which the process exits, even if connections are open.
 const STOP_MARGIN: Duration = Duration::from_ms(40);
-/// How long connections are closed at least, where the notice was handled so late that the stop is past or near:
-/// what was received is answered although the process may be killed meanwhile.
+/// Shortest time for closing connections. It applies if the notice was handled so late that the stop is near
+/// or past: received requests are then still answered, although the process may be killed meanwhile.
 const MIN_ENDING_TIME: Duration = Duration::from_ms(100);
-/// A notice handled this late is logged, in milliseconds.
+/// Delay between the sending and the handling of a notice from which on it is logged, in milliseconds.
 const LOGGED_DELAY_MS: u64 = 60;
-/// Microseconds of a millisecond.
+/// Microseconds in a millisecond.
 const US_PER_MS: u64 = 1000;
-/// How often it is checked whether everything is closed.
+/// Time between two checks whether everything is closed.
 const CHECK_INTERVAL: Duration = Duration::from_ms(5);
 
-/// Drains, closes and ends; a server that never served has nothing to drain.
+/// Runs the phases of the shutdown. A server that was not serving has nothing to drain.
 pub(super) async fn shut_down(server: &Server, gateways: &GatewayServer, was_serving: bool) {
     let dispatcher = &server.services.dispatcher;
     let handled_at = dispatcher.clock.now();
-    // The platform counts from the sending of the signal.
+    // The platform kills the process at a fixed time after it has sent the signal.
     let noticed_at = server.standstills.earliest_signal(handled_at);
     let delayed_ms = (handled_at - noticed_at).us() / US_PER_MS;
     if delayed_ms >= LOGGED_DELAY_MS {
-        log::warn!(delayed_ms; "shutdown notice handled late, its times count from its sending");
+        log::warn!(delayed_ms; "shutdown notice handled late");
     }
     let stop_at = noticed_at + server.config.shutdown_timeout;
     let end_at = stop_at.saturating_sub(ENDING_MARGIN);
@@ -50,7 +51,7 @@
     server.phases.enter(Phase::Over, gateways.counts());
 }
 
-/// Stays in a phase until its end, or until everything is closed.
+/// Enters a phase and stays in it until the given time, or until everything is closed.
 async fn run_phase(server: &Server, gateways: &GatewayServer, phase: Phase, until: Timestamp) {
     server.phases.enter(phase, gateways.counts());
     let all_closed =
--- a/crates/hazelspur-server/src/process/standstill.rs
+++ b/crates/hazelspur-server/src/process/standstill.rs
@@ -1,49 +1,51 @@
-//! Notices when the process did not run: it was suspended, starved, or one task kept the thread.
+//! Detects standstills, in which the event loop did not run: the process was suspended, it got no processor
+//! time, or one task blocked the thread.
 //!
-//! Input: the times at which the event loop ran. Output: the length of each standstill, and the earliest time at
-//! which a signal that is handled now can have been sent. A signal carries no time, and the platform counts from
-//! its sending: whatever the loop handled before that time was handled without the signal.
+//! Input: the times at which the event loop ran. Output: the length of each standstill, and the earliest time
+//! at which a signal that is handled now can have been sent. That time is needed because a signal carries no
+//! time and the platform counts from its sending.
 
 use crate::clock::pause;
 use hazelspur::{Duration, Timestamp};
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The time between two observations.
+/// Time between two observations of the event loop.
 const OBSERVATION_INTERVAL: Duration = Duration::from_ms(20);
-/// Two observations this far apart have a standstill between them.
+/// Shortest time between two observations that counts as a standstill.
 const MIN_STANDSTILL: Duration = Duration::from_ms(60);
-/// A signal is handled within this time after a standstill in which it came.
+/// Longest time between the end of a standstill and the handling of a signal that was sent during it.
 const MAX_HANDLING_DELAY: Duration = Duration::from_ms(200);
-/// A standstill of this length is logged.
+/// Shortest standstill that is logged.
 const LOGGED_STANDSTILL: Duration = Duration::from_ms(1000);
 
-/// A time in which the process did not run.
+/// A period in which the event loop did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Standstill {
-    /// When it ran last.
+    /// Time of the last observation before the standstill.
     pub began: Timestamp,
-    /// When it ran again.
+    /// Time of the first observation after the standstill.
     pub ended: Timestamp,
 }
 
 /// The last observations of the event loop.
 #[derive(Debug)]
 pub struct StandstillDetector {
-    /// The last observation, and the one before it.
+    /// The last observation.
     last: Cell<Timestamp>,
+    /// The observation before the last one.
     previous: Cell<Timestamp>,
-    /// The last standstill.
+    /// The most recent standstill, if there was one.
     standstill: Cell<Option<Standstill>>,
 }
 
 impl StandstillDetector {
-    /// A detector of a process that runs now.
+    /// Creates a detector whose first observation is `now`.
     pub fn new(now: Timestamp) -> Self {
         Self { last: Cell::new(now), previous: Cell::new(now), standstill: Cell::new(None) }
     }
 
-    /// The process runs now; returns the standstill that has just ended, if there was one.
+    /// Records that the event loop runs now; returns the standstill that this ends, if there was one.
     pub fn observe(&self, now: Timestamp) -> Option<Standstill> {
         let began = self.last.replace(now);
         self.previous.set(began);
@@ -54,20 +56,21 @@
         standstill
     }
 
-    /// The earliest time at which a signal that is handled now can have been sent.
+    /// Returns the earliest time at which a signal that is handled now can have been sent: the start of a
+    /// recent standstill, or the previous observation.
     pub fn earliest_signal(&self, now: Timestamp) -> Timestamp {
         self.observe(now);
         let recent = self.standstill.get().filter(|standstill| now - standstill.ended <= MAX_HANDLING_DELAY);
         recent.map_or(self.previous.get(), |standstill| standstill.began.min(self.previous.get()))
     }
 
-    /// Observes the event loop for ever.
+    /// Observes the event loop for as long as the process runs, and logs long standstills.
     pub async fn run(self: Rc<Self>, now: impl Fn() -> Timestamp) {
         loop {
             if let Some(Standstill { began, ended }) = self.observe(now())
                 && ended - began >= LOGGED_STANDSTILL
             {
-                log::warn!(ms = (ended - began).us() / 1000; "process stood still");
+                log::warn!(ms = (ended - began).us() / 1000; "process stalled");
             }
             pause(OBSERVATION_INTERVAL).await;
         }
--- a/crates/hazelspur-server/src/process/supervise.rs
+++ b/crates/hazelspur-server/src/process/supervise.rs
@@ -1,5 +1,5 @@
-//! Supervision of the tasks that serve all requests: a task that panics is started again, after a pause that
-//! doubles while it goes on failing.
+//! Supervision of the tasks that the whole server depends on: a task that panics is restarted after a pause,
+//! which doubles with each further panic.
 
 use crate::clock;
 use hazelspur::Duration;
@@ -11,10 +11,11 @@
 const RESTART_PAUSE: Duration = Duration::from_ms(10);
 /// The longest pause before a restart.
 const MAX_RESTART_PAUSE: Duration = Duration::from_ms(1000);
-/// A task that ran for this long before it failed is restarted after the first pause again.
+/// Run time after which a task counts as stable: its next restart has the first pause again.
 const STABLE_RUN_TIME: StdDuration = StdDuration::from_secs(10);
 
-/// Runs a task on the state that it shares with its successors, until it returns. `name` appears in the log.
+/// Spawns a task and restarts it whenever it panics, until it returns. Each run gets the same `state`; `name`
+/// appears in the log.
 pub fn supervise<T: 'static, F: Future<Output = ()> + 'static>(
     name: &'static str,
     state: &Rc<T>,
--- a/crates/hazelspur-server/tests/choices.rs
+++ b/crates/hazelspur-server/tests/choices.rs
@@ -1,5 +1,5 @@
-//! Servers that coordinate, as processes with faults between them: concurrent calls to the dependency stay
-//! within its limit at all times, the four rules hold for the whole fleet, and every open circuit breaker
+//! 24 server processes that coordinate, with faults between them. Concurrent calls to the dependency stay
+//! within its limit at all times, no rule of the fault harness is broken, and every open circuit breaker
 //! closes again.
 
 use hazelspur_fault_harness::run::{Verdict, play};
@@ -23,7 +23,7 @@
     verdict
 }
 
-/// Number of servers that have logged a line with this text.
+/// Returns the number of servers that have logged a line with this text.
 fn servers_that_logged(verdict: &Verdict, text: &str) -> usize {
     verdict.logs.iter().filter(|log| log.contains(text)).count()
 }
@@ -40,6 +40,7 @@
     }
 }
 
+/// Three servers are suspended for longer than their leases last, while one site is cut off from the others.
 #[test]
 fn call_limit_holds_through_partition_and_expired_leases() {
     let verdict = run_case(
@@ -49,6 +50,8 @@
     assert!(servers_that_logged(&verdict, "quota lease acquired") >= 12);
 }
 
+/// Every 0.7 s a server ends and its successor starts 4 s later, so that leases of ended servers must be
+/// reassigned.
 #[test]
 fn call_limit_holds_while_ten_of_24_servers_restart() {
     let restarts: Vec<String> =
@@ -58,6 +61,7 @@
     assert!(servers_that_logged(&verdict, "quota lease acquired") >= 12);
 }
 
+/// A fifth of the servers answers gateways late, and the links of a tenth of all pairs of servers are cut.
 #[test]
 fn call_limit_holds_with_slow_servers_and_cut_links() {
     let slow = [3, 8, 13, 18, 23].map(|server| format!("1+12 delay:300 n{server} gateways"));
--- a/crates/hazelspur-server/tests/configuration.rs
+++ b/crates/hazelspur-server/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration at the start and on SIGHUP.
+//! The platform's configuration at the start and on SIGHUP, and a server whose log output nobody reads.
 
 mod harness;
 
@@ -68,17 +68,17 @@
     expect_test::expect![[r#"
         error start refused why="listen: not an address and port: here", exit Some(2)
         error start refused why="runtime: missing", exit Some(2)
-        error start refused why="seed: not 16 hexadecimal digits", exit Some(2)
+        error start refused why="seed: not a hexadecimal number of at most 16 digits", exit Some(2)
         error start refused why="stop_ms: not a number from 1 to 600000", exit Some(2)
         error start refused why="limits.sockets: not a number from 32 to 10000000", exit Some(2)
         error start refused why="settings: setting server.cores is out of range: 0", exit Some(2)
         error start refused why="settings.lanes: missing or empty", exit Some(2)
-        error start refused why="the configuration is no JSON object", exit Some(2)
+        error start refused why="the configuration is not a JSON object", exit Some(2)
     "#]]
     .assert_eq(&seen);
 }
 
-/// Guards against serving with another customer's worker and dependency.
+/// Guards against serving with the worker and the dependency of another server's customer.
 #[test]
 fn configuration_of_another_server_changes_nothing() {
     let (mut server, mut link) = ServerHarness::new("others", "");
@@ -113,7 +113,7 @@
 /// The capacity of a pipe, in bytes.
 const PIPE_CAPACITY: usize = 64 * 1024;
 
-/// A pipe that is full because nobody reads it, and one whose reader is gone, with both log formats.
+/// Standard error is a full pipe that nobody reads, or a pipe whose reader is closed, with both log formats.
 #[test]
 fn unread_standard_error_does_not_block_the_server() {
     let mut seen = String::new();
@@ -123,10 +123,10 @@
             let (listen, runtime, ledger, config) = ServerHarness::prepare();
             std::fs::write(config_file(name), config).expect("a file");
             let program = env!("CARGO_BIN_EXE_hazelspur-server");
-            // filled to the brim first
+            // Fills the pipe before the server starts.
             (&writer)
                 .write_all(&vec![b'-'; if is_full { PIPE_CAPACITY } else { 0 }])
-                .expect("a pipe takes so much");
+                .expect("the pipe takes its capacity");
             let command = format!("exec {program} {flags}");
             let reader = is_full.then_some(reader);
             let mut shell = std::process::Command::new("/bin/sh");
--- a/crates/hazelspur-server/tests/endings.rs
+++ b/crates/hazelspur-server/tests/endings.rs
@@ -1,4 +1,5 @@
-//! A short soak of endings: drawn plans, whose clients use their connections until the kill.
+//! Shutdowns under plans drawn from seeds. The clients of a plan use their connections until the process is
+//! killed.
 
 use hazelspur_fault_harness::endings::instants::Instants;
 use hazelspur_fault_harness::endings::plan::Plan;
@@ -7,14 +8,15 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// Seeds of the soak in CI, and runs at a time.
+/// Number of seeds, each of which gives one run.
 const SEED_COUNT: u64 = 40;
+/// Number of runs at the same time.
 const PARALLEL_RUNS: usize = 4;
 
-/// What a run came to.
+/// The result of a run.
 struct RunResult {
     instants: Instants,
-    /// What it broke, with the server's log; `None` where all rules hold.
+    /// The plan, the broken rules and the server's log; `None` if all rules hold.
     failure: Option<String>,
 }
 
@@ -53,5 +55,5 @@
     let failures = failures.into_inner().expect("no panic before");
     assert!(failures.is_empty(), "{} seeds failed, the first one:\n{}", failures.len(), failures[0]);
     let instants = instants.into_inner().expect("no panic before");
-    assert!(instants.all_reached(), "not each instant was reached: {instants}");
+    assert!(instants.all_reached(), "not every instant was reached: {instants}");
 }
--- a/crates/hazelspur-server/tests/every_key.rs
+++ b/crates/hazelspur-server/tests/every_key.rs
@@ -1,4 +1,5 @@
-//! Every key of the operator's file and of the platform's configuration, read into the types that the server uses.
+//! Every key of the operator's file and of the platform's configuration, and the defaults of absent keys, as
+//! read into the types that the server uses.
 
 use hazelspur_server::config::operator;
 use hazelspur_server::config::server_config::{self, LoadedConfig};
@@ -63,7 +64,8 @@
 reload(settings = True)
 "#;
 
-/// The values of a `Debug` text without the names of fields, which are not part of the file.
+/// Returns the `Debug` text of a value in one line without the names of fields, which are not keys of the
+/// file.
 fn debug_values(value: &impl Debug) -> String {
     let text = format!("{value:#?}");
     let is_name = |text: &str| text.chars().all(|c| c.is_alphanumeric() || c == '_');
@@ -212,7 +214,7 @@
     expect_test::expect![[r#"Some( Fleet { bread, east, 10.0.0.4:7946, None, [], "fleet.key", 4, 1.0, 900.0, false, [], 4.0, [], None, }, )"#]].assert_eq(&debug_values(&operator.fleet));
 }
 
-/// Guards against an error that names a field of the code where the file has another key.
+/// Guards against an error that names a field of the code instead of the key in the file.
 #[test]
 fn bound_errors_name_the_keys_of_the_operators_file() {
     let broker = r#"brokers = ["127.0.0.1:5672"]"#;
@@ -264,7 +266,7 @@
         FILE:3: queues[0].retry_queue: length is lower than 1
         FILE:3: queues[0].most_tries: lower than 1
         FILE:3: queues[0].failed_pause_s: lower than 0.01
-        FILE:2: fleet.contacts[0]: no address that others can reach
+        FILE:2: fleet.contacts[0]: not an address that other servers can reach
         FILE:2: fleet.period_s: lower than 0.1
         FILE:2: fleet.remember_s: lower than 30
         FILE:2: fleet.lease_s: lower than 1
@@ -279,7 +281,7 @@
  "orgs":[{"name":"a","quota-rps":50},{"name":"b","quota-rps":50}],
  "rules":{"drain-grace-us":300000}}"#;
 
-/// Loads a configuration file with this text, with both variables that stand in for absent keys.
+/// Loads a configuration file with this text. The variables that replace an absent name or address are set.
 fn load(name: &str, text: &str) -> LoadedConfig {
     let file = std::env::temp_dir().join(format!("hazelspur-{}-{name}.json", std::process::id()));
     std::fs::write(&file, text).expect("a file");
@@ -289,7 +291,7 @@
         "ROUTER_LISTEN" => Some("127.0.0.9:9".into()),
         _ => None,
     });
-    std::fs::remove_file(&file).expect("it is there");
+    std::fs::remove_file(&file).expect("the file exists");
     loaded.expect("a good configuration")
 }
 
--- a/crates/hazelspur-server/tests/fleet.rs
+++ b/crates/hazelspur-server/tests/fleet.rs
@@ -1,6 +1,6 @@
-//! The membership of many server processes with faults between them: hard cases, and scripts drawn from
-//! seeds. Waits are for events with generous timeouts; `hazelspur_fault_harness::checker` judges the
-//! evidence.
+//! The membership of many server processes with faults between them, in fixed scripts and in scripts drawn
+//! from seeds. The tests wait for events, with generous timeouts; `hazelspur_fault_harness::checker` checks
+//! the rules on the recorded evidence.
 
 use hazelspur_fault_harness::observer::FleetObserver;
 use hazelspur_fault_harness::run::{Verdict, come_up, play};
@@ -28,6 +28,7 @@
     run_script(servers, &script.parse().expect("a script"), 1)
 }
 
+/// Three servers of one site are suspended, while three of another site are killed and restarted.
 #[test]
 fn membership_rules_hold_under_suspensions_and_kills() {
     // n0, n3, n6 of east are suspended; n1, n4, n7 of west are killed and restarted.
@@ -37,6 +38,7 @@
     assert_eq!((lives, verdict.evidence.lives.len()), (3, 27));
 }
 
+/// Links lose all datagrams in one direction, and one process is suspended again and again.
 #[test]
 fn membership_rules_hold_under_one_way_loss_and_late_runs() {
     run_case(
@@ -45,6 +47,7 @@
     );
 }
 
+/// One site is cut off from two others, while servers end and start on both sides.
 #[test]
 fn membership_rules_hold_under_partition_with_restarts() {
     run_case(
@@ -53,16 +56,20 @@
     );
 }
 
+/// A server is killed and restarted at the same address before others detect it, while its datagrams are
+/// delayed or duplicated.
 #[test]
 fn membership_rules_hold_when_restarts_precede_detection() {
     run_case(12, "0.5+3 delay:2500 n5 servers; 1+0.1 kill n5; 6+0.1 kill n5; 6+4 double:60 servers servers");
 }
 
+/// Other servers start while all seed members are down and the registry is unreachable.
 #[test]
 fn membership_rules_hold_while_all_seeds_are_down() {
     run_case(12, "1+9 kill n0; 1+9 kill n1; 1+9 kill n2; 2+1 kill n9; 4+2 kill n7; 3+4 cut servers list");
 }
 
+/// One site cannot reach the dependency, which is slow besides, and the clocks of two servers are wrong.
 #[test]
 fn membership_rules_hold_under_dependency_faults_and_skew() {
     run_case(
@@ -71,7 +78,7 @@
     );
 }
 
-/// Asks as an operator does: with the server's file, and with another key.
+/// Runs the command `fleet` with the server's own file, and with a file that has another key.
 #[test]
 fn operator_sees_the_view_and_other_key_gets_no_answer() {
     let plan = Plan {
@@ -117,6 +124,7 @@
     assert!(fleet.lives.iter().all(|life| life.status == Some(0)), "{:?}", fleet.lives);
 }
 
+/// `HAZELSPUR_FLEET_SEEDS` sets the number of seeds.
 #[test]
 fn membership_rules_hold_under_drawn_scripts() {
     let seeds: u64 = std::env::var("HAZELSPUR_FLEET_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(4);
--- a/crates/hazelspur-server/tests/operator_file.rs
+++ b/crates/hazelspur-server/tests/operator_file.rs
@@ -1,10 +1,10 @@
-//! The operator's file as `hazelspur-server check` reports it: valid files with their counts, invalid ones with the
-//! key and the line.
+//! The output of `hazelspur-server check`: a summary of a valid operator's file, the key and the line of an
+//! invalid one.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// A file that is removed at the end.
+/// A temporary file, removed when dropped.
 struct TempFile(PathBuf);
 
 impl TempFile {
@@ -20,7 +20,8 @@
     }
 }
 
-/// A `fleet(...)` in which this key replaces the one of its name or is added; unchanged for an empty text.
+/// Returns a valid `fleet(...)`, where `replacement`, such as `most = 5`, replaces the key of that name or is
+/// added. An empty text changes nothing.
 fn fleet(key_file: &Path, replacement: &str) -> String {
     let mut keys = vec![
         "installation = \"bread\"".to_string(),
@@ -80,7 +81,7 @@
     ]
 }
 
-/// The first line of the report on a file, without its path, and the exit status.
+/// Returns the first line that `check` prints, with FILE for the path, and the exit status.
 fn check(file: &Path) -> String {
     let server = env!("CARGO_BIN_EXE_hazelspur-server");
     let out = Command::new(server).arg("check").arg(file).output().expect("the command runs");
@@ -104,11 +105,11 @@
         FILE:4: queues[0].most: lower than 1, exit Some(2)
         FILE:6: queues[0].most: invalid type: string "many", expected u16, exit Some(2)
         FILE:4: queues[0].mots: unknown field `mots`, expected one of `name`, `op_type`, `need_kb`, `window`, `most`, `clock`, `waits_s`, `settle`, `retry_queue`, `outcomes`, `most_tries`, `failed_pause_s`, exit Some(2)
-        FILE:5: queues[1].name: named twice, exit Some(2)
+        FILE:5: queues[1].name: duplicate queue name, exit Some(2)
         FILE:4: amqp: called twice, exit Some(2)
         FILE:1: amqp.brokers: length is lower than 1, exit Some(2)
         FILE:1: amqp.brokers[0]: invalid socket address syntax, exit Some(2)
-        FILE:1: queues[0].name: there is no amqp(...), exit Some(2)
+        FILE:1: queues[0].name: queue(...) requires amqp(...), exit Some(2)
         FILE:1: Parse error: unexpected new line, expected expression, exit Some(2)
         FILE:1: No imports are available, you tried `other.star` (no call to `Evaluator.set_loader`), exit Some(2)
         FILE:1: Variable `open` not found, did you mean `len`?, exit Some(2)
@@ -118,21 +119,21 @@
         FILE: good: brokers=1 queues=0 fleet=none, exit Some(0)
         FILE: good: brokers=0 queues=0 fleet=east, exit Some(0)
         FILE:6: fleet.most: greater than 4096, exit Some(2)
-        FILE:6: fleet.at: no address that others can reach, exit Some(2)
-        FILE:6: fleet.at: no address that others can reach, exit Some(2)
+        FILE:6: fleet.at: not an address that other servers can reach, exit Some(2)
+        FILE:6: fleet.at: not an address that other servers can reach, exit Some(2)
         FILE:7: fleet.contacts[1]: invalid socket address syntax, exit Some(2)
         FILE:6: fleet.site: invalid value: string "two words", expected a name of 1 to 31 visible ASCII characters, exit Some(2)
         FILE:7: fleet.sight: unknown field `sight`, expected one of `installation`, `site`, `at`, `listen`, `contacts`, `key_file`, `most`, `period_s`, `remember_s`, `together`, `keepers`, `lease_s`, `shares`, exit Some(2)
         fleet.key_file: /nowhere: No such file or directory, exit Some(2)
         fleet.key_file: /dev/null: shorter than 16 characters, exit Some(2)
-        FILE:7: fleet.shares: slots: neither calls nor tenant.NAME, exit Some(2)
+        FILE:7: fleet.shares: unknown limit slots, expected calls or tenant.NAME, exit Some(2)
         FILE:7: fleet.shares: calls: total is not a number from 0 to 1000000000, exit Some(2)
         FILE:7: fleet.shares: calls: linger_s is more than half of lease_s, which leaves no time for leases, exit Some(2)
         FILE:7: fleet.shares[0].part: unknown field `part`, expected one of `limit`, `total`, `floor`, `linger_s`, exit Some(2)
-        FILE:7: fleet.keepers: there are no shares to keep, exit Some(2)
+        FILE:7: fleet.keepers: set without any shares, exit Some(2)
         FILE: good: brokers=0 queues=0 fleet=east, exit Some(0)
-        FILE:7: fleet.shares: without keepers nobody gives out what is beyond the floors: floor = 1, exit Some(2)
-        FILE:7: fleet.keepers: 2: an odd number can lose as many as one more, exit Some(2)
+        FILE:7: fleet.shares: floor must be 1 for every limit if there are no keepers, exit Some(2)
+        FILE:7: fleet.keepers: 2 servers, but the number must be odd, exit Some(2)
         FILE:8: fleet.shares: keepers: a server is listed twice, so its vote would count twice, exit Some(2)
         FILE:8: fleet: called twice, exit Some(2)
     "#]].assert_eq(&seen);
--- a/crates/hazelspur-server/tests/restarts.rs
+++ b/crates/hazelspur-server/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Thirty processes between test doubles, restarted in waves while requests are in progress.
+//! Server processes between test doubles, restarted in waves or all at once while requests are in progress.
 
 use hazelspur_fault_harness::run::{Verdict, play};
 use hazelspur_fault_harness::script::Script;
@@ -6,11 +6,12 @@
 
 /// Servers in the tests of restart waves.
 const SERVERS: usize = 30;
-/// Servers in the test of the shared call limit.
+/// Servers in the test of the call limit.
 const CALL_LIMIT_SERVERS: usize = 20;
-/// The calls that each of them may make at once.
+/// Concurrent calls that the dependency allows for each of them.
 const CALLS_PER_SERVER: f64 = 0.25;
-/// Nine in ten serve within this after their start, the last one within three times as much.
+/// Time from the start to serving, in milliseconds, within which nine in ten servers stay. The slowest one
+/// stays within three times as much.
 const MAX_USUAL_START_MS: u64 = 10_000;
 
 fn restart_in_waves(faults: &str) -> Verdict {
@@ -33,7 +34,8 @@
     verdict
 }
 
-/// The time from each start to serving, by the process's log lines, in order of length.
+/// Returns the time from each start to serving in milliseconds, by the log lines of the processes, in
+/// ascending order.
 fn start_durations_ms(verdict: &Verdict) -> Vec<u64> {
     let time_ms = |line: &str| line.split(' ').next()?.replace('.', "").parse::<u64>().ok();
     let mut durations = Vec::new();
@@ -55,8 +57,8 @@
 
 fn assert_all_serve_again(verdict: &Verdict) {
     let durations = start_durations_ms(verdict);
-    assert_eq!(durations.len(), verdict.evidence.lives.len(), "each life came to serve");
-    assert_eq!(durations.len(), 2 * SERVERS, "each server had two lives");
+    assert_eq!(durations.len(), verdict.evidence.lives.len(), "each process served");
+    assert_eq!(durations.len(), 2 * SERVERS, "each server ran twice");
     let ninth_decile = durations[durations.len() * 9 / 10 - 1];
     assert!(
         ninth_decile <= MAX_USUAL_START_MS && durations[durations.len() - 1] <= 3 * MAX_USUAL_START_MS,
@@ -77,7 +79,8 @@
     assert_all_serve_again(&restart_in_waves(&format!("{slow}; 0.5+9 delay:900 servers list")));
 }
 
-/// All restart at once while the dependency is slow; each has a fraction of a call and they do not communicate.
+/// All servers restart at once while the dependency is slow. Each is allowed a fraction of a call, and they
+/// do not coordinate.
 #[test]
 fn simultaneous_restarts_stay_within_the_call_limit() {
     let restarts: Vec<String> = (0..CALL_LIMIT_SERVERS).map(|server| format!("2+1 term n{server}")).collect();
--- a/crates/hazelspur-server/tests/settings_reload.rs
+++ b/crates/hazelspur-server/tests/settings_reload.rs
@@ -1,11 +1,11 @@
-//! Settings of the planned size, and settings that change while the server serves.
+//! Settings that change on SIGHUP, settings of the largest planned size, and settings over their bounds.
 
 mod harness;
 
 use harness::*;
 use std::fmt::Write as _;
 
-/// The next line that says what came of a reload.
+/// Returns the next log line with the result of a reload.
 fn next_reload_result(lines: &LogLines) -> String {
     lines.next(&["reload refused", "settings changed"])
 }
@@ -19,7 +19,7 @@
     (server, link, lines)
 }
 
-/// The server's configuration file.
+/// Returns the text of the server's configuration file.
 fn read_config(server: &ServerHarness) -> String {
     std::fs::read_to_string(&server.file).expect("the file")
 }
@@ -87,7 +87,7 @@
             server.reload(config);
             let _ = writeln!(server.trace, "{}", next_reload_result(&lines));
         }
-        // In the first round both belong to the removed class, in the second those of tenant b to the removed tenant.
+        // The first round removes the class of both keys, the second the tenant of the second key.
         for (n, owner) in [(3, "a"), (4, "b")] {
             let n = n + 4 * round as u32;
             gateway.send(&format!("{}\n", keyed(n, owner, "k")));
@@ -129,10 +129,11 @@
     let old = read_config(&server);
     let (_runtime, _ledger, other) = ServerHarness::listen_for_peers(&server.listen);
     let with_other_worker = |text: String| {
-        // Its addresses do not take effect either.
+        // The worker's address changes too, and must not take effect either.
         let at = other.split("\"runtime\":\"").nth(1).and_then(|rest| rest.split('"').next()).expect("one");
         let (before, rest) = text.split_once("\"runtime\":\"").expect("one");
-        let text = format!("{before}\"runtime\":\"{at}{}", &rest[rest.find('"').expect("its end")..]);
+        let text =
+            format!("{before}\"runtime\":\"{at}{}", &rest[rest.find('"').expect("the end of the address")..]);
         if text.len() > 8 << 20 { with_length_above_bound(text.trim_end()) } else { text }
     };
     let edits = [
@@ -159,31 +160,31 @@
     }
     expect_test::expect![[r#"
         runtime < sync 0
-        error reload refused, the old configuration stays why="settings: op_types.book.window_us: shorter than the window of keys that are still stored; the change requires a restart"
+        error reload refused, configuration unchanged why="settings: op_types.book.window_us: shorter than the window of keys that are still stored; the change requires a restart"
         runtime < start 0000000000000001 view 5 hello
         gateway < {"jsonrpc":"2.0","id":1,"result":{"data":"ZG9uZQ=="}}
-        error reload refused, the old configuration stays why="settings: op_types.colour: unknown key, absent at the start"
+        error reload refused, configuration unchanged why="settings: op_types.colour: unknown key, absent at the start"
         runtime < start 0000000000000002 view 5 hello
         gateway < {"jsonrpc":"2.0","id":2,"result":{"data":"ZG9uZQ=="}}
-        error reload refused, the old configuration stays why="settings: setting tenants.0.quota_per_s is out of range: -50"
+        error reload refused, configuration unchanged why="settings: setting tenants.0.quota_per_s is out of range: -50"
         runtime < start 0000000000000003 view 5 hello
         gateway < {"jsonrpc":"2.0","id":3,"result":{"data":"ZG9uZQ=="}}
-        error reload refused, the old configuration stays why="settings: server.cores: the change requires a restart"
+        error reload refused, configuration unchanged why="settings: server.cores: the change requires a restart"
         runtime < start 0000000000000004 view 5 hello
         gateway < {"jsonrpc":"2.0","id":4,"result":{"data":"ZG9uZQ=="}}
-        error reload refused, the old configuration stays why="settings.lanes: view: the operator's file names it"
+        error reload refused, configuration unchanged why="settings.lanes: view: in use by the operator's file"
         runtime < start 0000000000000005 view 5 hello
         gateway < {"jsonrpc":"2.0","id":5,"result":{"data":"ZG9uZQ=="}}
-        error reload refused, the file is not this server's keys=name
+        error reload refused, keys may not change keys=name
         runtime < start 0000000000000006 view 5 hello
         gateway < {"jsonrpc":"2.0","id":6,"result":{"data":"ZG9uZQ=="}}
-        error reload refused, the old configuration stays why="settings.lanes: view: the operator's file names it"
+        error reload refused, configuration unchanged why="settings.lanes: view: in use by the operator's file"
         runtime < start 0000000000000007 view 5 hello
         gateway < {"jsonrpc":"2.0","id":7,"result":{"data":"ZG9uZQ=="}}
-        error reload refused, the old configuration stays why="ROUTER_CONFIG: FILE: 8388609 bytes, 8388608 at most"
+        error reload refused, configuration unchanged why="ROUTER_CONFIG: FILE: 8388609 bytes, at most 8388608 allowed"
         runtime < start 0000000000000008 view 5 hello
         gateway < {"jsonrpc":"2.0","id":8,"result":{"data":"ZG9uZQ=="}}
-        error reload refused, the old configuration stays why="settings: 5018 keys, at most 4096 allowed"
+        error reload refused, configuration unchanged why="settings: 5018 keys, at most 4096 allowed"
         runtime < start 0000000000000009 view 5 hello
         gateway < {"jsonrpc":"2.0","id":9,"result":{"data":"ZG9uZQ=="}}
     "#]].assert_eq(&server.trace);
@@ -203,8 +204,8 @@
     server.start_run(&mut gateway, &mut link, &request(2, 2, "pay", ",\"owner\":\"a\""));
     expect_test::expect![[r#"
         runtime < sync 0
-        error reload refused, the file is not this server's keys=settings
-        error reload refused, the file is not this server's keys=settings
+        error reload refused, keys may not change keys=settings
+        error reload refused, keys may not change keys=settings
         gateway < {"jsonrpc":"2.0","id":1,"error":{"code":-32601,"message":"no such method"}}
         runtime < start 0000000000000002 pay 5 hello
     "#]]
@@ -250,14 +251,14 @@
     config.to_string() + &" ".repeat((8 << 20) + 1 - config.len())
 }
 
-/// Replaces the request classes and tenants with this many of each.
+/// Replaces the request classes and tenants with these numbers of generated ones.
 fn with_classes_and_tenants(config: &str, request_classes: usize, tenants: usize) -> String {
     let lane =
         |i| format!(r#"{{"name":"route-{i}","aim-us":3000000,"deadline-us":4000000,"semantics":"safe"}}"#);
     let org = |i| format!(r#"{{"name":"tenant-{i}","quota-rps":50}}"#);
     let list = |count: usize, of: &dyn Fn(usize) -> String| (0..count).map(of).collect::<Vec<_>>().join(",");
     let (before, rest) = config.split_once("\"lanes\":[").expect("lanes");
-    let rest = &rest[rest.find("],").expect("their end") + 2..];
+    let rest = &rest[rest.find("],").expect("the end of lanes") + 2..];
     format!("{before}\"lanes\":[{}],\"orgs\":[{}],{rest}", list(request_classes, &lane), list(tenants, &org))
 }
 
@@ -313,7 +314,7 @@
         error start refused why="settings.lanes: 17401 entries, at most 17400 allowed", exit Some(2)
         error start refused why="settings.orgs: 84001 entries, at most 84000 allowed", exit Some(2)
         error start refused why="settings: 5018 keys, at most 4096 allowed", exit Some(2)
-        error start refused why="ROUTER_CONFIG: FILE: 8388609 bytes, 8388608 at most", exit Some(2)
+        error start refused why="ROUTER_CONFIG: FILE: 8388609 bytes, at most 8388608 allowed", exit Some(2)
     "#]]
     .assert_eq(&seen);
 }
--- a/crates/hazelspur-server/tests/shutdown.rs
+++ b/crates/hazelspur-server/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Shutdown: draining, closing, restarts; requests in progress are answered.
+//! Shutdown: draining, closing and the handover of the address. Every received request is answered.
 
 mod harness;
 
@@ -44,7 +44,7 @@
     .assert_eq(&server.trace);
 }
 
-/// Suspends the process for this long, with an action meanwhile.
+/// Suspends the process for this time, and runs an action meanwhile.
 fn while_suspended(server: &ServerHarness, ms: u64, action: impl FnOnce()) {
     let since = Instant::now();
     server.signal("-STOP");
@@ -53,7 +53,7 @@
     server.signal("-CONT");
 }
 
-/// Guards against losing a request that crosses the close: each of ten connections is answered.
+/// Guards against losing a request that is sent while the server closes the connection.
 #[test]
 fn request_received_at_the_instant_of_close_is_answered() {
     let (mut server, _link) = ServerHarness::new("instant", "");
@@ -65,7 +65,7 @@
     }
     server.signal("-TERM");
     for gateway in &mut idle_gateways {
-        gateway.record_next(&mut String::new()); // goodbye
+        gateway.record_next(&mut String::new()); // goodbye message
     }
     while_suspended(&server, 450, || {
         for (n, gateway) in idle_gateways.iter_mut().enumerate() {
@@ -118,7 +118,8 @@
     .assert_eq(&server.trace);
 }
 
-/// Guards against a run past the grace period: its client stamped the request before, its last byte came after.
+/// Guards against a run of a request whose client sent its first half before the end of the grace period and
+/// its last byte afterwards.
 #[test]
 fn request_completed_after_the_grace_period_is_rejected() {
     let (mut server, mut link) = ServerHarness::new("stamped", "");
@@ -145,16 +146,17 @@
     .assert_eq(&server.trace);
 }
 
-/// A drain in which the server is suspended for some time; times count from the sending of SIGTERM.
+/// A shutdown in which the server is suspended for some time. Times count from the sending of SIGTERM.
 struct SuspendedDrain {
     suspended_ms: u64,
-    /// When the suspension begins; SIGTERM is sent within it if it begins with that.
+    /// Start of the suspension; at 0, the suspension starts before SIGTERM is sent.
     from_ms: u64,
-    /// When a whole request is sent, past the grace period of 300 ms.
+    /// Time at which a whole request is sent, after the end of the grace period of 300 ms.
     request_ms: u64,
 }
 
-/// What became of a drain's request, whether the worker got it, and the end of the process.
+/// Returns the response to the request, the worker's next input, the exit status, and whether the process
+/// ended before the time of its kill.
 fn run_suspended_drain(name: &str, drain: &SuspendedDrain) -> String {
     let (mut server, mut link) = ServerHarness::new(name, "");
     let mut gateway = server.connect_gateway();
@@ -177,7 +179,8 @@
     if answer.contains("farewell") {
         answer = gateway.record_next(&mut String::new());
     }
-    // As a gateway does; the server would otherwise wait for it until shortly before the kill.
+    // A gateway closes its end of the connection. The server would otherwise wait for that until shortly
+    // before the kill.
     while gateway.read_line() != "(closed)" {}
     drop(gateway);
     let at_worker = link.record_next(&mut String::new());
@@ -189,8 +192,8 @@
     )
 }
 
-/// Guards against a notice that counts from its handling: what arrives past the grace period as its sender counts it
-/// does not run, and the process has ended when its kill comes.
+/// Guards against times that count from the handling of a notice: a request after the grace period, counted
+/// from the sending, does not run, and the process ends before its kill.
 #[test]
 fn late_handled_shutdown_notice_counts_from_its_sending() {
     let drains = [(450, 0, 350), (450, 0, 440), (1200, 0, 900), (600, 20, 500), (400, 150, 340)];
@@ -237,7 +240,8 @@
     .assert_eq(&server.trace);
 }
 
-/// Connections that wait in the system's accept queue when the listener closes.
+/// Guards against losing requests on connections that are in the system's accept queue when the listener
+/// closes.
 #[test]
 fn connections_in_the_accept_queue_at_close_are_answered() {
     let (mut server, _link) = ServerHarness::new("queue", "");
@@ -246,7 +250,7 @@
     server.signal("-TERM");
     wait_until(begun, 100);
     while_suspended(&server, 300, || {
-        wait_until(begun, 350); // after the grace period
+        wait_until(begun, 350); // after the end of the grace period
         for n in 0..10 {
             waiting.push(server.connect_gateway());
             waiting[n].send(&format!("{}\n", request(1, n as u32 + 1, "view", "")));
