--- a/crates/hazelspur-server/src/commands.rs
+++ b/crates/hazelspur-server/src/commands.rs
@@ -1,20 +1,22 @@
-//! The commands that do not serve: checking an operator's file, showing the fleet.
+//! The commands that do not serve: `check` validates an operator's file, `fleet` prints a server's view of
+//! the fleet. Results go to standard output, errors to standard error with the exit status of a refused
+//! start.
 
-use crate::config::command::Shape;
+use crate::config::command::OutputFormat;
 use crate::config::operator::{self, OperatorConfig, OperatorError};
 use crate::fleet;
-use crate::process::error;
+use crate::process::error::refused_exit_code;
 use std::fmt::Display;
 use std::process::ExitCode;
 
-/// Prints what an operator's file sets, or what is wrong with it.
+/// Checks an operator's file and prints a summary of its settings, or the first error.
 pub fn check(file: &str) -> ExitCode {
     match operator::read(file, None) {
         Ok(operator) => {
             print_summary(file, &operator);
             ExitCode::SUCCESS
         }
-        Err(why) => refuse(why),
+        Err(error) => report_error(error),
     }
 }
 
@@ -24,25 +26,25 @@
     println!("{file}: good: brokers={brokers} queues={} fleet={fleet}", operator.queues.len());
 }
 
-/// Prints the view of the fleet of the server that this operator's file sets up.
-pub fn show_fleet(file: &str, shape: Shape) -> ExitCode {
+/// Asks the server that this operator's file configures for its view of the fleet, and prints it.
+pub fn show_fleet(file: &str, format: OutputFormat) -> ExitCode {
     let config = operator::read(file, None);
     let fleet =
         config.and_then(|config| config.fleet.ok_or(OperatorError::NoFleet { path: file.to_string() }));
     let fleet = match fleet {
         Ok(fleet) => fleet,
-        Err(why) => return refuse(why),
+        Err(error) => return report_error(error),
     };
     match fleet::query::query(&fleet) {
-        Ok(shown) => {
-            print!("{}", shown.render(shape));
+        Ok(output) => {
+            print!("{}", output.render(format));
             ExitCode::SUCCESS
         }
-        Err(why) => refuse(why),
+        Err(error) => report_error(error),
     }
 }
 
-fn refuse(why: impl Display) -> ExitCode {
-    eprintln!("{why}");
-    error::refused()
+fn report_error(error: impl Display) -> ExitCode {
+    eprintln!("{error}");
+    refused_exit_code()
 }
--- a/crates/hazelspur-server/src/main.rs
+++ b/crates/hazelspur-server/src/main.rs
@@ -1,4 +1,4 @@
-//! The `hazelspur-server` program: its commands and exit statuses.
+//! The `hazelspur-server` program: runs the command that the command line names and returns its exit status.
 
 use clap::Parser;
 use hazelspur::Catalog;
@@ -20,7 +20,7 @@
     let command_line = CommandLine::parse();
     match command_line.command {
         Some(Command::Check { file }) => commands::check(&file),
-        Some(Command::Fleet { file, shape }) => commands::show_fleet(&file, shape),
+        Some(Command::Fleet { file, format }) => commands::show_fleet(&file, format),
         Some(Command::Serve(options)) => serve(options),
         None => serve(command_line.serve),
     }
@@ -39,13 +39,13 @@
 
 fn run(options: ServeOptions) -> Result<(), ProcessError> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
-    // Before anything else: without a handler a signal would end the process.
+    // First of all, because a signal without a handler would end the process.
     let signals = {
         let _entered = runtime.enter();
         Signals::register()?
     };
     let inputs = read_inputs(options)?;
-    let clock = Rc::new(Clock::with_wall_offset_ms(inputs.options.clock_apart_ms));
+    let clock = Rc::new(Clock::with_wall_offset_ms(inputs.options.clock_offset_ms));
     let tasks = LocalSet::new();
     let serving = tasks.run_until(process::serve(inputs, clock.clone(), signals));
     EventLoop::new(clock, serving).run(&runtime)?
@@ -53,7 +53,7 @@
 
 fn read_inputs(options: ServeOptions) -> Result<StartInputs, StartError> {
     let loaded = server_config::load(|name| std::env::var(name).ok())?;
-    let operator = read_operator(options.file.as_deref(), &loaded.catalog)?;
+    let operator = read_operator(options.operator_file.as_deref(), &loaded.catalog)?;
     Ok(StartInputs { loaded, operator, options })
 }
 
--- a/crates/hazelspur-server/src/process/server.rs
+++ b/crates/hazelspur-server/src/process/server.rs
@@ -1,4 +1,4 @@
-//! Wires the parts of the process together and spawns its tasks.
+//! Creates the parts of the process, connects them and spawns their tasks.
 
 use super::descriptors::Descriptors;
 use super::error::StartError;
@@ -8,7 +8,7 @@
 use crate::clock::Clock;
 use crate::config::operator::OperatorConfig;
 use crate::config::reload::{self, References, Reloader};
-use crate::config::server_config::{Loaded, ServerConfig};
+use crate::config::server_config::{LoadedConfig, ServerConfig};
 use crate::fleet::transport::{self, GossipTransport, TransportContext};
 use crate::ingress::amqp::{AmqpConsumer, ConsumerContext};
 use crate::ingress::gateway::GatewayServer;
@@ -26,7 +26,7 @@
 use tokio::net::TcpListener;
 use tokio::signal::unix::Signal;
 
-/// One part in this many of the process's memory may store results for retries.
+/// Divisor of the process's memory that gives the bound on stored results for retries.
 const RESULT_MEMORY_DIVISOR: usize = 8;
 
 /// The parts of the process.
@@ -44,11 +44,11 @@
 
 impl Server {
     pub(super) async fn new(
-        loaded: Loaded,
+        loaded: LoadedConfig,
         operator: &OperatorConfig,
         clock: Rc<Clock>,
     ) -> Result<Self, StartError> {
-        let Loaded { config, catalog } = loaded;
+        let LoadedConfig { config, catalog } = loaded;
         let descriptors = Descriptors::allowed(config.max_sockets);
         let phases = Rc::new(Phases::default());
         let dispatcher = Rc::new(Dispatcher::new(clock));
@@ -122,11 +122,11 @@
     }
 
     pub(super) fn log_start(&self, operator: &OperatorConfig) {
-        let ServerConfig { name, listen, stop, .. } = &*self.config;
+        let ServerConfig { name, listen, shutdown_timeout, .. } = &*self.config;
         let request_classes = self.catalog.borrow().request_class_count();
         let tenants = self.catalog.borrow().tenant_count();
-        log::info!(name = name.as_str(), listen:%, stop_ms = stop.us() / 1000, op_types = request_classes,
-            tenants, queues = operator.queues.len(), connections = self.descriptors.gateways,
+        log::info!(name = name.as_str(), listen:%, stop_ms = shutdown_timeout.us() / 1000,
+            op_types = request_classes, tenants, queues = operator.queues.len(), connections = self.descriptors.gateways,
             calls = self.descriptors.calls; "start");
     }
 
@@ -173,11 +173,12 @@
             self.config.seed,
             started_at,
         ));
-        log::info!(cold = !is_warm, up_ms = uptime.us() / 1000; "worker known, requests are admitted");
+        log::info!(cold = !is_warm, up_ms = uptime.us() / 1000; "worker ready, requests admitted");
     }
 }
 
-/// The store of idempotency keys and shared reads; it covers the longest time that any client waits.
+/// Creates the store of idempotency keys and shared reads. It keeps entries for the longest time that a
+/// client may wait for a response.
 fn deduplication(config: &ServerConfig, catalog: &Catalog) -> Deduplication {
     let receipt_delay = catalog.max_request_timeout().scaled(MAX_TIMEOUT_FACTOR) + MAX_OVERDUE;
     let max_bytes = config.max_memory_bytes / RESULT_MEMORY_DIVISOR;
