--- a/crates/hazelspur-fault-harness/src/endings/checker.rs
+++ b/crates/hazelspur-fault-harness/src/endings/checker.rs
@@ -2,7 +2,7 @@
 //! it counts as lost.
 
 use super::client::{Answer, Connection, Sent};
-use super::plan::{Class, GRACE_MS};
+use super::plan::{Class, GRACE_PERIOD_MS};
 use super::server::{End, MAX_DESCRIPTORS, MAX_MEMORY_MB};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -57,9 +57,9 @@
     /// The clients' connections.
     pub connections: Vec<Connection>,
     /// When the worker started each request.
-    pub started: BTreeMap<String, u64>,
+    pub started_ms: BTreeMap<String, u64>,
     /// How often each body ran.
-    pub runs: BTreeMap<String, usize>,
+    pub runs_by_body: BTreeMap<String, usize>,
     /// What the broker's checker found.
     pub queue_breaches: Vec<String>,
     /// How the process ended.
@@ -91,7 +91,7 @@
     }
 
     /// How many requests had this answer.
-    pub fn count(&self, answer: Answer) -> usize {
+    pub fn count_answered(&self, answer: Answer) -> usize {
         self.requests().filter(|sent| sent.answers.first().is_some_and(|(first, _)| *first == answer)).count()
     }
 
@@ -102,7 +102,7 @@
                 found.push(Breach { rule, request, seen });
             };
             match &sent.answers[..] {
-                [] if self.started.contains_key(&sent.request) => {
+                [] if self.started_ms.contains_key(&sent.request) => {
                     report(Rule::OneResponse, "ran, and had no answer".into());
                 }
                 [] if self.is_excused(connection, sent) => {}
@@ -122,17 +122,17 @@
                 answers => report(Rule::OneResponse, format!("{} answers", answers.len())),
             }
             let was_rejected = sent.answers.iter().any(|(answer, _)| *answer == Answer::Rejected);
-            if was_rejected && self.started.contains_key(&sent.request) {
+            if was_rejected && self.started_ms.contains_key(&sent.request) {
                 report(Rule::OneEffect, "rejected though it ran".into());
             }
-            let grace_ends_ms = self.notice_ms.saturating_add_signed(GRACE_MS) + SLACK_MS;
-            if sent.sent_ms > grace_ends_ms && self.started.contains_key(&sent.request) {
+            let grace_ends_ms = self.notice_ms.saturating_add_signed(GRACE_PERIOD_MS) + SLACK_MS;
+            if sent.sent_ms > grace_ends_ms && self.started_ms.contains_key(&sent.request) {
                 let past = sent.sent_ms - grace_ends_ms;
                 report(Rule::GracePeriod, format!("ran, though it arrived {past} ms past the grace period"));
             }
         }
-        if connection.strays > 0 {
-            let seen = format!("{} answers to nothing that was sent", connection.strays);
+        if connection.unmatched_answers > 0 {
+            let seen = format!("{} answers to nothing that was sent", connection.unmatched_answers);
             found.push(Breach { rule: Rule::OneResponse, request: None, seen });
         }
     }
@@ -145,7 +145,7 @@
 
     fn check_effects(&self, found: &mut Vec<Breach>) {
         for sent in self.requests().filter(|sent| sent.class != Some(Class::View)) {
-            let runs = self.runs.get(&sent.effect).copied().unwrap_or(0);
+            let runs = self.runs_by_body.get(&sent.effect).copied().unwrap_or(0);
             if runs > 1 {
                 let (request, seen) =
                     (Some(sent.request.clone()), format!("{} ran {runs} times", sent.effect));
--- a/crates/hazelspur-fault-harness/src/endings/client.rs
+++ b/crates/hazelspur-fault-harness/src/endings/client.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// How long an answer may take by its request, in milliseconds.
-pub const TIMEOUT_MS: u64 = 2000;
+pub const REQUEST_TIMEOUT_MS: u64 = 2000;
 /// How often a client looks for what to do.
 const POLL: Duration = Duration::from_millis(2);
 /// How long a client may wait for the server to take what it sends.
@@ -59,21 +59,21 @@
     /// Whether it ended with a reset.
     pub reset: bool,
     /// Answers under ids that no request had.
-    pub strays: usize,
+    pub unmatched_answers: usize,
 }
 
 /// What all clients of a run know.
 #[derive(Clone, Debug)]
-pub struct Scene {
+pub struct RunContext {
     /// Where the server listens.
     pub server: SocketAddr,
     /// When SIGTERM is due, in Unix milliseconds.
     pub notice_due_ms: u64,
     /// When clients give up, in Unix milliseconds.
-    pub until_ms: u64,
+    pub give_up_ms: u64,
 }
 
-impl Scene {
+impl RunContext {
     fn at(&self, at_ms: i64) -> u64 {
         self.notice_due_ms.saturating_add_signed(at_ms)
     }
@@ -98,22 +98,22 @@
     let data = base64::engine::general_purpose::STANDARD.encode(&sent.effect);
     let request = &sent.request;
     format!(
-        r#"{{"jsonrpc":"2.0","id":{id},"method":"{method}","params":{{"req":"{request}","ts":{stamp_ms},"via":1,"timeout":{TIMEOUT_MS},"need":20.5,"level":0.5,"data":"{data}"{key}}}}}"#
+        r#"{{"jsonrpc":"2.0","id":{id},"method":"{method}","params":{{"req":"{request}","ts":{stamp_ms},"via":1,"timeout":{REQUEST_TIMEOUT_MS},"need":20.5,"level":0.5,"data":"{data}"{key}}}}}"#
     ) + "\n"
 }
 
 /// The pieces of all messages of a client; ids on the connection count from 1.
-fn pieces(scene: &Scene, number: usize, client: &Client) -> Vec<Piece> {
+fn pieces(context: &RunContext, number: usize, client: &Client) -> Vec<Piece> {
     let mut pieces = Vec::new();
     for (index, send) in client.sends.iter().enumerate() {
-        let (id, at_ms) = (index + 1, scene.at(send.at_ms));
+        let (id, at_ms) = (index + 1, context.at(send.at_ms));
         let request = format!("{:08x}{id:08x}", number + 1);
         let sent = |class, effect| Sent {
             request: request.clone(),
             class,
             effect,
             sent_ms: 0,
-            due_ms: at_ms + TIMEOUT_MS,
+            due_ms: at_ms + REQUEST_TIMEOUT_MS,
             answers: Vec::new(),
         };
         let effect = |class| match class {
@@ -145,17 +145,17 @@
 }
 
 /// Plays a client until its connection ends or the run is over.
-pub fn play(scene: &Scene, number: usize, client: &Client) -> Connection {
-    wait_until(scene.at(client.at_ms));
-    let Ok(stream) = TcpStream::connect(scene.server) else { return Connection::default() };
+pub fn play(context: &RunContext, number: usize, client: &Client) -> Connection {
+    wait_until(context.at(client.at_ms));
+    let Ok(stream) = TcpStream::connect(context.server) else { return Connection::default() };
     let _ = stream.set_nodelay(true);
     let _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
     let mut connection = Connection { connected: true, ..Connection::default() };
     // The pieces of one client follow each other, as a gateway writes one line after the other.
-    let mut pieces = pieces(scene, number, client).into_iter().peekable();
+    let mut pieces = pieces(context, number, client).into_iter().peekable();
     let mut reader = ArrivalReader::new(&stream);
     let mut unread = Vec::new();
-    while now_ms() < scene.until_ms {
+    while now_ms() < context.give_up_ms {
         if client.read_pause_ms > 0 {
             sleep(Duration::from_millis(client.read_pause_ms));
         }
@@ -207,7 +207,7 @@
 
 fn note_line(line: &[u8], came_ms: u64, connection: &mut Connection) {
     let Ok(value) = serde_json::from_slice::<Value>(line) else {
-        connection.strays += 1;
+        connection.unmatched_answers += 1;
         return;
     };
     let Some(id) = value.get("id").and_then(Value::as_u64) else { return };
@@ -219,7 +219,7 @@
     let index = (id as usize).wrapping_sub(1);
     match connection.sent.get_mut(index) {
         Some(sent) => sent.answers.push((answer, came_ms)),
-        None => connection.strays += 1,
+        None => connection.unmatched_answers += 1,
     }
 }
 
--- a/crates/hazelspur-fault-harness/src/endings/command.rs
+++ b/crates/hazelspur-fault-harness/src/endings/command.rs
@@ -61,11 +61,11 @@
     /// Runs that came to their end.
     pub played: u64,
     /// Runs that could not be played, with why.
-    pub unplayed: Vec<String>,
+    pub not_played: Vec<String>,
     /// Failed seeds.
     pub failed: Vec<u64>,
     /// Breaches by rule.
-    pub by_rule: BTreeMap<Rule, usize>,
+    pub breaches_by_rule: BTreeMap<Rule, usize>,
     /// Requests by their answer; those without are `None`.
     answers: BTreeMap<&'static str, usize>,
     /// Requests that met the instants that matter.
@@ -127,12 +127,12 @@
                         if seed >= self.seed.saturating_add(self.seeds) {
                             break;
                         }
-                        let plan = Plan::drawn(seed).without(&self.without);
+                        let plan = Plan::from_seed(seed).without(&self.without);
                         let result = play(program, &plan, &INTERRUPTED);
                         let mut summary = summary.lock().expect("no panic before");
                         match result {
                             Ok(evidence) => self.note(&mut summary, program, &plan, &evidence),
-                            Err(why) => summary.unplayed.push(format!("seed {seed}: {why:#}")),
+                            Err(why) => summary.not_played.push(format!("seed {seed}: {why:#}")),
                         }
                         summary.show_progress(self.seeds);
                     }
@@ -166,7 +166,7 @@
 /// The parts that can be left out, one by one, of a plan that fails.
 fn shrunk(program: &Path, plan: &Plan) -> Vec<usize> {
     let mut without = Vec::new();
-    for part in (0..plan.parts()).rev().take(MAX_SHRINKING_RUNS) {
+    for part in (0..plan.part_count()).rev().take(MAX_SHRINKING_RUNS) {
         let fewer = [&without[..], &[part]].concat();
         let still_fails = play(program, &plan.without(&fewer), &INTERRUPTED)
             .is_ok_and(|evidence| !evidence.breaches().is_empty());
@@ -192,11 +192,11 @@
     fn add(&mut self, plan: &Plan, evidence: &Evidence, breaches: &[Breach]) {
         self.played += 1;
         plan.steps.iter().for_each(|step| *self.steps.entry(step.action.kind()).or_default() += 1);
-        breaches.iter().for_each(|breach| *self.by_rule.entry(breach.rule).or_default() += 1);
+        breaches.iter().for_each(|breach| *self.breaches_by_rule.entry(breach.rule).or_default() += 1);
         let named = [
-            ("succeeded", evidence.count(Answer::Success)),
-            ("rejected", evidence.count(Answer::Rejected)),
-            ("failed", evidence.count(Answer::Failed)),
+            ("succeeded", evidence.count_answered(Answer::Success)),
+            ("rejected", evidence.count_answered(Answer::Rejected)),
+            ("failed", evidence.count_answered(Answer::Failed)),
         ];
         named.into_iter().for_each(|(name, count)| *self.answers.entry(name).or_default() += count);
         self.instants.add(Instants::of(plan, evidence));
@@ -205,7 +205,7 @@
     }
 
     fn show_progress(&mut self, seeds: u64) {
-        let (played, failed) = (self.played + self.unplayed.len() as u64, self.failed.len());
+        let (played, failed) = (self.played + self.not_played.len() as u64, self.failed.len());
         let mut stderr = std::io::stderr();
         // Progress that can't be shown is no failure of the soak.
         if stderr.is_terminal() {
@@ -220,11 +220,13 @@
     /// Whether all seeds were played and all rules held.
     fn holds(&self, seeds: u64) -> bool {
         let in_time = self.back_in_time * 10 >= self.back * 9;
-        self.played == seeds && self.failed.is_empty() && self.unplayed.is_empty() && in_time
+        self.played == seeds && self.failed.is_empty() && self.not_played.is_empty() && in_time
     }
 
     fn report(&self, seeds: u64) -> String {
-        let Self { played, unplayed, failed, by_rule, answers, instants, back, back_in_time, .. } = self;
+        let Self {
+            played, not_played, failed, breaches_by_rule, answers, instants, back, back_in_time, ..
+        } = self;
         let steps = Action::KINDS.map(|kind| format!("{} {kind}", self.steps.get(kind).unwrap_or(&0)));
         let answers: Vec<String> = answers.iter().map(|(name, count)| format!("{count} {name}")).collect();
         let mut text = format!(
@@ -235,8 +237,8 @@
             steps.join("; "),
             READY_TIME.as_secs()
         );
-        by_rule.iter().for_each(|(rule, count)| text += &format!("breaches of {rule:?}: {count}\n"));
-        unplayed.iter().for_each(|why| text += &format!("not played: {why}\n"));
+        breaches_by_rule.iter().for_each(|(rule, count)| text += &format!("breaches of {rule:?}: {count}\n"));
+        not_played.iter().for_each(|why| text += &format!("not played: {why}\n"));
         text
     }
 }
--- a/crates/hazelspur-fault-harness/src/endings/instants.rs
+++ b/crates/hazelspur-fault-harness/src/endings/instants.rs
@@ -2,7 +2,7 @@
 
 use super::checker::Evidence;
 use super::client::{Answer, Sent};
-use super::plan::{Action, GRACE_MS, Plan};
+use super::plan::{Action, GRACE_PERIOD_MS, Plan};
 use std::fmt;
 use std::ops::Range;
 
@@ -26,9 +26,9 @@
     /// What one run reached.
     pub fn of(plan: &Plan, evidence: &Evidence) -> Self {
         let suspensions: Vec<Range<u64>> = suspensions(plan, evidence).collect();
-        let grace_ends_ms = evidence.notice_ms.saturating_add_signed(GRACE_MS);
+        let grace_ends_ms = evidence.notice_ms.saturating_add_signed(GRACE_PERIOD_MS);
         let margin = grace_ends_ms - MARGIN_MS..grace_ends_ms;
-        let started_ms = |sent: &Sent| evidence.started.get(&sent.request).copied();
+        let started_ms = |sent: &Sent| evidence.started_ms.get(&sent.request).copied();
         let result_ms = |sent: &Sent| {
             let answer = sent.answers.first().filter(|(answer, _)| *answer == Answer::Success);
             answer.map(|(_, came_ms)| *came_ms)
--- a/crates/hazelspur-fault-harness/src/endings/plan.rs
+++ b/crates/hazelspur-fault-harness/src/endings/plan.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 /// Grace period of the servers, in milliseconds.
-pub const GRACE_MS: i64 = 300;
+pub const GRACE_PERIOD_MS: i64 = 300;
 /// How long before SIGTERM a run begins, in milliseconds.
 pub const LEAD_MS: i64 = 400;
 /// Times to the kill that are drawn, in milliseconds; the shortest leaves 420 ms between grace period and last close.
@@ -192,7 +192,7 @@
         let at_ms = self.time(-LEAD_MS, 0);
         let class = self.class();
         let [first_ms, last_ms] = RESTING_CLOSE_MS;
-        let meets_close_ms = GRACE_MS + self.time(first_ms, last_ms);
+        let meets_close_ms = GRACE_PERIOD_MS + self.time(first_ms, last_ms);
         let send = |at_ms, message| Send { at_ms, message, key: 0 };
         let sends = vec![send(at_ms, Message::Check), send(meets_close_ms, Message::Whole(class))];
         Client { at_ms, sends, read_pause_ms: 0, sends_after_close: true }
@@ -200,7 +200,7 @@
 
     /// A suspension that begins while requests still run.
     fn early_suspension(&mut self) -> Step {
-        let at_ms = self.time(-250, GRACE_MS - 150);
+        let at_ms = self.time(-250, GRACE_PERIOD_MS - 150);
         Step { at_ms, action: Action::Suspend(self.time(60, 200)) }
     }
 
@@ -219,9 +219,9 @@
     fn send(&mut self, from_ms: i64, stop_ms: i64) -> Send {
         // Around the instants at which something ends: more often than by chance.
         let at_ms = match self.below(5) {
-            0 => self.time(GRACE_MS - 40, GRACE_MS + 120),
+            0 => self.time(GRACE_PERIOD_MS - 40, GRACE_PERIOD_MS + 120),
             // Connections that rest after the goodbye message are closed about then.
-            2 => self.time(GRACE_MS + 380, GRACE_MS + 620),
+            2 => self.time(GRACE_PERIOD_MS + 380, GRACE_PERIOD_MS + 620),
             1 => self.time(stop_ms - 260, stop_ms - 120),
             _ => self.time(from_ms, stop_ms),
         };
@@ -247,7 +247,7 @@
 
 impl Plan {
     /// Draws a plan.
-    pub fn drawn(seed: u64) -> Self {
+    pub fn from_seed(seed: u64) -> Self {
         let mut chance = Chance(Pcg::new(seed));
         let stop_ms = STOP_MS[chance.below(4) as usize];
         let clients = if chance.one_in(5) { CROWD } else { CLIENTS };
@@ -266,7 +266,7 @@
     }
 
     /// How many parts can be left out.
-    pub fn parts(&self) -> usize {
+    pub fn part_count(&self) -> usize {
         self.steps.len() + self.clients.len()
     }
 
--- a/crates/hazelspur-fault-harness/src/endings/run.rs
+++ b/crates/hazelspur-fault-harness/src/endings/run.rs
@@ -1,7 +1,7 @@
 //! One run: test doubles, a server, its clients and what is done to it, until its end and its return.
 
 use super::checker::Evidence;
-use super::client::{self, Connection, Scene};
+use super::client::{self, Connection, RunContext};
 use super::plan::{LEAD_MS, Plan};
 use super::server::{Addresses, Server};
 use super::timeline::{Operation, OverlappingSpans, TimedOperation, timeline};
@@ -56,7 +56,7 @@
         let pace = WorkerSettings {
             run_ms: plan.run_ms,
             makes_calls: plan.seed.is_multiple_of(2),
-            call_deadline_ms: client::TIMEOUT_MS,
+            call_deadline_ms: client::REQUEST_TIMEOUT_MS,
             ..WorkerSettings::default()
         };
         let mut scenery = Self {
@@ -103,13 +103,18 @@
     }
 
     /// Plays the timeline; SIGTERM is sent at its time. Returns just before and just after its sending.
-    fn play_timeline(&self, server: &mut Server, plan: &Plan, scene: &Scene) -> anyhow::Result<Notice> {
+    fn play_timeline(
+        &self,
+        server: &mut Server,
+        plan: &Plan,
+        context: &RunContext,
+    ) -> anyhow::Result<Notice> {
         let mut spans = Spans::default();
         let mut notice = Notice::default();
         for TimedOperation { at_ms, operation } in timeline(plan) {
-            let due_ms = scene.notice_due_ms.saturating_add_signed(at_ms);
+            let due_ms = context.notice_due_ms.saturating_add_signed(at_ms);
             while now_ms() < due_ms {
-                server.observe();
+                server.record_usage();
                 sleep(OBSERVATION_INTERVAL.min(Duration::from_millis(due_ms.saturating_sub(now_ms()))));
             }
             if operation == Operation::Notice {
@@ -168,23 +173,23 @@
     let scenery = Scenery::new(plan)?;
     let addresses = scenery.addresses();
     let mut server = Server::start(program, &scenery.folder, addresses, plan)?;
-    server.until_serving().with_context(|| log_of(&scenery.folder))?;
+    server.wait_until_serving().with_context(|| log_of(&scenery.folder))?;
     let notice_due_ms = now_ms().saturating_add_signed(LEAD_MS);
-    let until_ms = notice_due_ms.saturating_add_signed(plan.stop_ms) + AFTERMATH_MS;
-    let scene = Scene { server: addresses.listen, notice_due_ms, until_ms };
+    let give_up_ms = notice_due_ms.saturating_add_signed(plan.stop_ms) + AFTERMATH_MS;
+    let context = RunContext { server: addresses.listen, notice_due_ms, give_up_ms };
     let (connections, ended) = std::thread::scope(|scope| {
         let clients = plan.clients.iter().enumerate();
         let playing: Vec<_> = clients
             .map(|(number, client)| {
                 scope.spawn({
-                    let scene = &scene;
-                    move || client::play(scene, number, client)
+                    let context = &context;
+                    move || client::play(context, number, client)
                 })
             })
             .collect();
-        let ended = scenery.play_timeline(&mut server, plan, &scene).and_then(|notice| {
+        let ended = scenery.play_timeline(&mut server, plan, &context).and_then(|notice| {
             let kill_ms = notice.before_ms.saturating_add_signed(plan.stop_ms);
-            Ok((notice, server.end_or_kill(kill_ms)?))
+            Ok((notice, server.wait_or_kill(kill_ms)?))
         });
         let connections: Vec<Connection> =
             playing.into_iter().map(|client| client.join().unwrap_or_default()).collect();
@@ -199,8 +204,8 @@
         notice_ms: notice.after_ms,
         kill_ms: notice.before_ms.saturating_add_signed(plan.stop_ms),
         connections,
-        started: worker.started.clone(),
-        runs: worker
+        started_ms: worker.started.clone(),
+        runs_by_body: worker
             .runs
             .iter()
             .map(|(body, runs)| (String::from_utf8_lossy(body).into(), runs.len()))
@@ -217,7 +222,7 @@
 /// The same server at once again, under its name and address: the time until it serves. It is killed then.
 fn come_back(program: &Path, scenery: &Scenery, plan: &Plan) -> anyhow::Result<Option<Duration>> {
     let mut server = Server::start(program, &scenery.folder, scenery.addresses(), plan)?;
-    let ready_after = server.until_serving().ok();
+    let ready_after = server.wait_until_serving().ok();
     Ok(ready_after)
 }
 
--- a/crates/hazelspur-fault-harness/src/endings/server.rs
+++ b/crates/hazelspur-fault-harness/src/endings/server.rs
@@ -1,6 +1,6 @@
 //! The process under test: its files, its signals and its end.
 
-use super::plan::{FileChange, GRACE_MS, Plan};
+use super::plan::{FileChange, GRACE_PERIOD_MS, Plan};
 use anyhow::Context;
 use hazelspur_test_doubles::now_ms;
 use hazelspur_test_doubles::process::send_signal;
@@ -65,7 +65,7 @@
 fn configuration(addresses: &Addresses, stop_ms: i64, worker: usize) -> String {
     let Addresses { listen, dependency, registry, .. } = addresses;
     let worker = addresses.worker[worker];
-    let grace_us = GRACE_MS * 1000;
+    let grace_us = GRACE_PERIOD_MS * 1000;
     format!(
         r#"{{"name":"n1","listen":"{listen}","runtime":"{worker}","ledger":"{dependency}","control":"{registry}",
  "seed":"000000000000002a","stop_ms":{stop_ms},"limits":{{"cores":1.0,"memory_mb":{MAX_MEMORY_MB},"sockets":{MAX_DESCRIPTORS}}},
@@ -114,7 +114,7 @@
     ///
     /// # Errors
     /// Where it ends, or takes longer than 30 s.
-    pub fn until_serving(&mut self) -> anyhow::Result<Duration> {
+    pub fn wait_until_serving(&mut self) -> anyhow::Result<Duration> {
         let began = Instant::now();
         while began.elapsed() < START_TIMEOUT {
             anyhow::ensure!(self.child.try_wait()?.is_none(), "the server ended at its start");
@@ -151,7 +151,7 @@
     }
 
     /// Notes what the process uses now.
-    pub fn observe(&mut self) {
+    pub fn record_usage(&mut self) {
         let process = Path::new("/proc").join(self.child.id().to_string());
         let descriptors = std::fs::read_dir(process.join("fd")).map_or(0, Iterator::count);
         self.end.descriptors = self.end.descriptors.max(descriptors);
@@ -165,7 +165,7 @@
     ///
     /// # Errors
     /// Where its status can't be read.
-    pub fn end_or_kill(mut self, kill_ms: u64) -> anyhow::Result<End> {
+    pub fn wait_or_kill(mut self, kill_ms: u64) -> anyhow::Result<End> {
         while now_ms() < kill_ms && self.child.try_wait()?.is_none() {
             sleep(POLL);
         }
--- a/crates/hazelspur-fault-harness/tests/endings.rs
+++ b/crates/hazelspur-fault-harness/tests/endings.rs
@@ -38,8 +38,8 @@
         notice_ms: NOTICE_MS,
         kill_ms: NOTICE_MS + 1500,
         connections: vec![connection],
-        started: [("a".to_string(), NOTICE_MS - 95)].into(),
-        runs: [("effect-a".to_string(), 1)].into(),
+        started_ms: [("a".to_string(), NOTICE_MS - 95)].into(),
+        runs_by_body: [("effect-a".to_string(), 1)].into(),
         end: End { status: Some(0), memory_kb: 9000, descriptors: 40, ..End::default() },
         ready_after: Some(Duration::from_millis(50)),
         ..Evidence::default()
@@ -67,7 +67,7 @@
     assert_eq!(found(|run| request(run, 0).answers.clear()), [Rule::OneResponse]);
     assert_eq!(found(|run| request(run, 0).answers.push((Answer::Failed, NOTICE_MS))), [Rule::OneResponse]);
     assert_eq!(found(|run| request(run, 0).answers[0].1 = NOTICE_MS + 1951), [Rule::OneResponse]);
-    assert_eq!(found(|run| run.connections[0].strays = 1), [Rule::OneResponse]);
+    assert_eq!(found(|run| run.connections[0].unmatched_answers = 1), [Rule::OneResponse]);
 }
 
 #[test]
@@ -80,7 +80,7 @@
 #[test]
 fn a_request_that_crossed_the_close_and_ran_is_lost() {
     assert_eq!(
-        found(|run| run.started.extend([("c".into(), NOTICE_MS + 300)])),
+        found(|run| run.started_ms.extend([("c".into(), NOTICE_MS + 300)])),
         [Rule::OneResponse, Rule::GracePeriod]
     );
 }
@@ -88,11 +88,11 @@
 #[test]
 fn the_instants_that_a_run_reached_are_counted() {
     let steps = vec![Step { at_ms: -99, action: Action::Suspend(10) }];
-    let plan = Plan { steps, ..Plan::drawn(1) };
+    let plan = Plan { steps, ..Plan::from_seed(1) };
     let mut evidence = good();
     let in_suspension = sent("d", NOTICE_MS - 95);
-    evidence.started.insert("d".into(), NOTICE_MS - 80);
-    evidence.started.insert("a".into(), NOTICE_MS - 100);
+    evidence.started_ms.insert("d".into(), NOTICE_MS - 80);
+    evidence.started_ms.insert("a".into(), NOTICE_MS - 100);
     evidence.connections[0].sent.extend([
         in_suspension,
         sent("e", NOTICE_MS + 299),
@@ -110,7 +110,7 @@
 fn a_run_past_the_grace_period_is_found() {
     let run_late = |run: &mut Evidence| {
         request(run, 1).answers[0].0 = Answer::Success;
-        run.started.insert("b".into(), NOTICE_MS + 485);
+        run.started_ms.insert("b".into(), NOTICE_MS + 485);
     };
     assert_eq!(found(run_late), [Rule::GracePeriod]);
     let in_slack = |run: &mut Evidence| {
@@ -122,7 +122,7 @@
 
 #[test]
 fn a_second_effect_and_a_rejection_of_what_ran_are_found() {
-    assert_eq!(found(|run| *run.runs.entry("effect-a".into()).or_default() = 2), [Rule::OneEffect]);
+    assert_eq!(found(|run| *run.runs_by_body.entry("effect-a".into()).or_default() = 2), [Rule::OneEffect]);
     assert_eq!(found(|run| request(run, 0).answers[0].0 = Answer::Rejected), [Rule::OneEffect]);
 }
 
@@ -151,14 +151,17 @@
 #[test]
 fn a_plan_is_the_same_each_time_and_parts_can_be_left_out() {
     for seed in 1..50 {
-        let plan = Plan::drawn(seed);
-        assert_eq!(format!("{plan:?}"), format!("{:?}", Plan::drawn(seed)));
-        let all: Vec<usize> = (0..plan.parts()).collect();
+        let plan = Plan::from_seed(seed);
+        assert_eq!(format!("{plan:?}"), format!("{:?}", Plan::from_seed(seed)));
+        let all: Vec<usize> = (0..plan.part_count()).collect();
         let none = plan.without(&all);
-        assert_eq!((none.steps.len(), none.clients.len(), plan.without(&[]).parts()), (0, 0, plan.parts()));
+        assert_eq!(
+            (none.steps.len(), none.clients.len(), plan.without(&[]).part_count()),
+            (0, 0, plan.part_count())
+        );
     }
-    let crowds = (1..50).filter(|seed| Plan::drawn(*seed).has_crowd()).count();
-    let queues = (1..50).filter(|seed| Plan::drawn(*seed).queued_messages > 0).count();
+    let crowds = (1..50).filter(|seed| Plan::from_seed(*seed).has_crowd()).count();
+    let queues = (1..50).filter(|seed| Plan::from_seed(*seed).queued_messages > 0).count();
     assert!(crowds > 4 && queues > 8, "{crowds} of 49 seeds have a crowd, {queues} a queue");
 }
 
@@ -171,7 +174,7 @@
         Step { at_ms: 1600, action: Action::RefuseWorker(100) },
         Step { at_ms: 1650, action: Action::Term },
     ];
-    let plan = Plan { steps: steps.to_vec(), ..Plan::drawn(972) };
+    let plan = Plan { steps: steps.to_vec(), ..Plan::from_seed(972) };
     let expected = [
         (0, Operation::Notice),
         (1521, Operation::BeginSuspension),
@@ -195,7 +198,7 @@
 
 #[test]
 fn every_drawn_suspension_ends_before_the_margin_to_the_kill_and_every_step_by_the_kill() {
-    for plan in (1..1000).map(Plan::drawn) {
+    for plan in (1..1000).map(Plan::from_seed) {
         let latest = |timed: &TimedOperation| match timed.operation {
             Operation::EndSuspension => plan.stop_ms - 300,
             _ => plan.stop_ms,
@@ -207,7 +210,7 @@
 
 #[test]
 fn every_kind_of_step_is_drawn() {
-    let plans: Vec<Plan> = (1..200).map(Plan::drawn).collect();
+    let plans: Vec<Plan> = (1..200).map(Plan::from_seed).collect();
     let drawn = |kind: &str| plans.iter().flat_map(|plan| &plan.steps).any(|step| step.action.kind() == kind);
     let missing: Vec<&str> = Action::KINDS.into_iter().filter(|kind| !drawn(kind)).collect();
     assert!(missing.is_empty(), "{missing:?}");
--- a/crates/hazelspur-server/tests/endings.rs
+++ b/crates/hazelspur-server/tests/endings.rs
@@ -19,7 +19,7 @@
 }
 
 fn played(seed: u64) -> Played {
-    let plan = Plan::drawn(seed);
+    let plan = Plan::from_seed(seed);
     let program = Path::new(env!("CARGO_BIN_EXE_hazelspur-server"));
     let evidence =
         play(program, &plan, &AtomicBool::new(false)).unwrap_or_else(|why| panic!("{plan}: {why:#}"));
