--- a/crates/hazelspur-fault-harness/src/lightweight/command.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/command.rs
@@ -11,13 +11,13 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 /// The subcommand by which the program serves lightweight members.
-pub const HIDDEN: &str = "hollow-members";
+pub const MEMBERS_SUBCOMMAND: &str = "hollow-members";
 /// The study's name in its file.
 const STUDY: &str = "hollow";
 
 /// Arguments of the subcommand.
 #[derive(clap::Args, Debug)]
-pub struct Line {
+pub struct Options {
     /// All members, real and hollow.
     #[arg(long, default_value_t = 100)]
     members: usize,
@@ -64,7 +64,7 @@
     server: Option<PathBuf>,
 }
 
-impl Line {
+impl Options {
     /// Whether all sizes agreed.
     pub fn run(self) -> anyhow::Result<bool> {
         let own_binary = std::env::current_exe()?;
@@ -86,7 +86,7 @@
             agree_within: Duration::from_secs(self.agree_within),
             settle: Duration::from_secs(self.settle),
             window: Duration::from_secs(self.window),
-            whole: Duration::from_secs(self.seconds),
+            duration: Duration::from_secs(self.seconds),
             rate: self.rate,
             seed: self.seed,
             silent: self.silent,
@@ -95,19 +95,19 @@
         let sizes = if self.sizes.is_empty() { vec![self.members] } else { self.sizes.clone() };
         let plans: Vec<Plan> = sizes.into_iter().map(plan).collect();
         // All of them before the first one starts.
-        let limit = process_usage::descriptors()?;
+        let limit = process_usage::descriptor_limit()?;
         plans.iter().try_for_each(|plan| plan.check(limit))?;
         let mut outcomes: Vec<Outcome> = Vec::new();
         for plan in &plans {
             let outcome = run(plan, &mut |_| ControlFlow::Continue(()))?;
-            println!("{}", figures::told(&outcome));
+            println!("{}", figures::describe(&outcome));
             if let Some(path) = &self.json {
                 self.write(path, &outcome).with_context(|| path.display().to_string())?;
             }
             outcomes.push(outcome);
         }
         println!("{}", figures::table(&outcomes));
-        Ok(outcomes.iter().all(|outcome| outcome.agree.is_some()))
+        Ok(outcomes.iter().all(|outcome| outcome.agreed_after.is_some()))
     }
 
     fn write(&self, path: &Path, outcome: &Outcome) -> anyhow::Result<()> {
@@ -122,7 +122,7 @@
         let arguments: Vec<String> = std::env::args().skip(1).collect();
         let command = format!("cargo run --release -p hazelspur-fault-harness -- {}", arguments.join(" "));
         let cores = std::thread::available_parallelism()?;
-        let gib = (process_usage::memory()? as f64 / f64::from(1 << 30)).round();
+        let gib = (process_usage::machine_memory_bytes()? as f64 / f64::from(1 << 30)).round();
         let text = self.text.clone().or_else(git_text).unwrap_or("not known".into());
         let head = json!({
             "study": STUDY,
--- a/crates/hazelspur-fault-harness/src/lightweight/figures.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/figures.rs
@@ -6,8 +6,8 @@
 //! each hollow one. So that both kinds may be compared, what lightweight members got of either is counted alike,
 //! by the sender.
 
-use super::member::{Counted, Heard, Traffic};
-use super::process_usage::Process;
+use super::member::{Counters, Received, Traffic};
+use super::process_usage::ProcessUsage;
 use super::processes::LightweightProcess;
 use super::{Fleet, Outcome};
 use comfy_table::{Table, presets};
@@ -22,22 +22,22 @@
     /// When it was read.
     pub at: Instant,
     /// By process of lightweight members.
-    pub counted: Vec<Counted>,
+    pub counters: Vec<Counters>,
     /// Usage of the real servers' processes.
-    pub reals: Vec<Option<Process>>,
+    pub real_usage: Vec<Option<ProcessUsage>>,
     /// Usage of the lightweight members' processes.
-    pub hollows: Vec<Option<Process>>,
+    pub lightweight_usage: Vec<Option<ProcessUsage>>,
     /// Datagrams that the kernel dropped so far.
-    pub drops: u64,
+    pub kernel_drops: u64,
 }
 
 /// What a member is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
     /// Real, and divides what all share.
-    Divider,
+    Allocator,
     /// Real, and votes on that.
-    Keeper,
+    Voter,
     /// A real server.
     Real,
     /// A lightweight member.
@@ -46,13 +46,13 @@
 
 impl Role {
     /// All roles, in the order of the table.
-    pub const ALL: [Self; 4] = [Self::Real, Self::Lightweight, Self::Keeper, Self::Divider];
+    pub const ALL: [Self; 4] = [Self::Real, Self::Lightweight, Self::Voter, Self::Allocator];
 
     /// Its name in tables and points.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Divider => "divider",
-            Self::Keeper => "keeper",
+            Self::Allocator => "divider",
+            Self::Voter => "keeper",
             Self::Real => "real",
             Self::Lightweight => "hollow",
         }
@@ -82,11 +82,11 @@
     /// What it sent.
     pub sent: Rates,
     /// What it received.
-    pub heard: Rates,
+    pub received: Rates,
     /// What lightweight members got of it.
-    pub told: Rates,
+    pub seen_by_lightweight: Rates,
     /// Datagrams that it sent, by their numbers.
-    pub numbered: f64,
+    pub datagrams_by_sequence: f64,
     /// Part of a core; of a hollow one an even part of its process.
     pub cpu_share: f64,
     /// In bytes, likewise.
@@ -103,9 +103,9 @@
     /// The members, real ones first.
     pub members: Vec<Member>,
     /// Datagrams that the kernel dropped.
-    pub drops: u64,
+    pub kernel_drops: u64,
     /// Datagrams that lightweight members got and did not take, and that they could not send.
-    pub not_taken: u64,
+    pub not_accepted: u64,
     /// Datagrams that lightweight members could not send.
     pub unsent: u64,
 }
@@ -120,16 +120,16 @@
         after: &Reading,
     ) -> Self {
         let seconds = (after.at - before.at).as_secs_f64().max(f64::MIN_POSITIVE);
-        let (came_before, went_before) = (came(&before.counted), went(&before.counted));
-        let (came_after, went_after) = (came(&after.counted), went(&after.counted));
+        let (came_before, went_before) = (came(&before.counters), went(&before.counters));
+        let (came_after, went_after) = (came(&after.counters), went(&after.counters));
         let told = |of: usize| {
-            let at = fleet.talks_at(of);
+            let at = fleet.gossip_address(of);
             let (old, new) = (came_before.get(&at), came_after.get(&at));
             let (old, new) = (old.copied().unwrap_or_default(), new.copied().unwrap_or_default());
-            (new.traffic.since(old.traffic), new.number.saturating_sub(old.number))
+            (new.traffic.since(old.traffic), new.max_sequence.saturating_sub(old.max_sequence))
         };
         let went = |of: usize| {
-            let at = fleet.talks_at(of);
+            let at = fleet.gossip_address(of);
             let find = |all: &BTreeMap<SocketAddr, Traffic>| all.get(&at).copied().unwrap_or_default();
             find(&went_after).since(find(&went_before))
         };
@@ -143,8 +143,8 @@
         let hollow = (fleet.members - fleet.real) as f64;
         let real = |of: usize| {
             let role = match () {
-                () if divides == Some(of) => Role::Divider,
-                () if of < fleet.keeping() => Role::Keeper,
+                () if divides == Some(of) => Role::Allocator,
+                () if of < fleet.voter_count() => Role::Voter,
                 () => Role::Real,
             };
             // Of the other real ones as of as many hollow ones, and of the divider what it sends to each.
@@ -153,91 +153,115 @@
                 divides.filter(|divides| *divides != of).map(|divides| Rates::of(told(divides).0, seconds));
             let alike = (fleet.members - 1 - usize::from(grants.is_some())) as f64 / hollow;
             let grants = grants.unwrap_or_default();
-            let heard = Rates {
+            let received = Rates {
                 datagrams: came.datagrams * alike + grants.datagrams / hollow,
                 bytes: came.bytes * alike + grants.bytes / hollow,
             };
             let (told, numbered) = told(of);
-            let told = Rates::of(told, seconds);
-            let numbered = numbered as f64 / seconds;
-            let (cpu_share, resident, anonymous) = taken(before.reals[of], after.reals[of], seconds, 1);
-            Member { role, sent: sent(of), heard, told, numbered, cpu_share, resident, anonymous }
+            let seen_by_lightweight = Rates::of(told, seconds);
+            let datagrams_by_sequence = numbered as f64 / seconds;
+            let (cpu_share, resident, anonymous) =
+                taken(before.real_usage[of], after.real_usage[of], seconds, 1);
+            Member {
+                role,
+                sent: sent(of),
+                received,
+                seen_by_lightweight,
+                datagrams_by_sequence,
+                cpu_share,
+                resident,
+                anonymous,
+            }
         };
         let mut members: Vec<Member> = (0..fleet.real).map(real).collect();
-        let (mut not_taken, mut unsent) = (0, 0);
+        let (mut not_accepted, mut unsent) = (0, 0);
         for (i, hollow) in hollows.iter().enumerate() {
             let (cpu_share, resident, anonymous) =
-                taken(before.hollows[i], after.hollows[i], seconds, hollow.count);
+                taken(before.lightweight_usage[i], after.lightweight_usage[i], seconds, hollow.count);
             for place in 0..hollow.count {
-                let (old, new) = (before.counted[i].members[place], after.counted[i].members[place]);
-                let (told, numbered) = told(hollow.first + place);
-                not_taken += new.dropped - old.dropped;
+                let (old, new) = (before.counters[i].members[place], after.counters[i].members[place]);
+                let (told, numbered) = told(hollow.first_member + place);
+                not_accepted += new.dropped - old.dropped;
                 unsent += new.unsent - old.unsent;
                 members.push(Member {
                     role: Role::Lightweight,
                     sent: Rates::of(new.sent.since(old.sent), seconds),
-                    heard: Rates::of(new.heard.since(old.heard), seconds),
-                    told: Rates::of(told, seconds),
-                    numbered: numbered as f64 / seconds,
+                    received: Rates::of(new.received.since(old.received), seconds),
+                    seen_by_lightweight: Rates::of(told, seconds),
+                    datagrams_by_sequence: numbered as f64 / seconds,
                     cpu_share,
                     resident,
                     anonymous,
                 });
             }
         }
-        Self { seconds, members, drops: after.drops.saturating_sub(before.drops), not_taken, unsent }
+        Self {
+            seconds,
+            members,
+            kernel_drops: after.kernel_drops.saturating_sub(before.kernel_drops),
+            not_accepted,
+            unsent,
+        }
     }
 
     /// The members of a role.
-    pub fn of(&self, role: Role) -> impl Iterator<Item = &Member> {
+    pub fn with_role(&self, role: Role) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(move |member| member.role == role)
     }
 
     /// None where there is no such member.
     pub fn mean(&self, role: Role, figure: impl Fn(&Member) -> f64) -> Option<f64> {
-        let count = self.of(role).count();
-        (count > 0).then(|| self.of(role).map(figure).sum::<f64>() / count as f64)
+        let count = self.with_role(role).count();
+        (count > 0).then(|| self.with_role(role).map(figure).sum::<f64>() / count as f64)
     }
 
     /// The highest figure of a role; none where there is no such member.
-    pub fn most(&self, role: Role, figure: impl Fn(&Member) -> f64) -> Option<f64> {
-        self.of(role).map(figure).reduce(f64::max)
+    pub fn max(&self, role: Role, figure: impl Fn(&Member) -> f64) -> Option<f64> {
+        self.with_role(role).map(figure).reduce(f64::max)
     }
 
     /// By how much a lightweight member's datagrams and bytes differ from a real one's, both as lightweight members
     /// got them, to each of them that is not the sender, as parts of the real one's; none where all real
     /// ones are keepers.
     pub fn difference(&self) -> Option<(f64, f64)> {
-        let receivers = self.of(Role::Lightweight).count() as f64;
+        let receivers = self.with_role(Role::Lightweight).count() as f64;
         let part = |figure: Of| {
             let hollow = self.mean(Role::Lightweight, figure)? / (receivers - 1.0);
             let real = self.mean(Role::Real, figure)? / receivers;
             (real > 0.0 && receivers > 1.0).then_some(hollow / real - 1.0)
         };
-        Some((part(|member| member.told.datagrams)?, part(|member| member.told.bytes)?))
+        Some((
+            part(|member| member.seen_by_lightweight.datagrams)?,
+            part(|member| member.seen_by_lightweight.bytes)?,
+        ))
     }
 }
 
-fn taken(before: Option<Process>, after: Option<Process>, seconds: f64, by: usize) -> (f64, f64, f64) {
+fn taken(
+    before: Option<ProcessUsage>,
+    after: Option<ProcessUsage>,
+    seconds: f64,
+    by: usize,
+) -> (f64, f64, f64) {
     let (Some(before), Some(after)) = (before, after) else { return (f64::NAN, f64::NAN, f64::NAN) };
     let cpu = after.cpu.saturating_sub(before.cpu).as_secs_f64() / seconds;
     let each = |n: f64| n / by as f64;
-    (each(cpu), each(after.resident as f64), each(after.anonymous as f64))
+    (each(cpu), each(after.resident_bytes as f64), each(after.anonymous_bytes as f64))
 }
 
-fn came(counted: &[Counted]) -> BTreeMap<SocketAddr, Heard> {
-    let mut all: BTreeMap<SocketAddr, Heard> = BTreeMap::new();
-    for (from, heard) in counted.iter().flat_map(|counted| &counted.came) {
+fn came(counted: &[Counters]) -> BTreeMap<SocketAddr, Received> {
+    let mut all: BTreeMap<SocketAddr, Received> = BTreeMap::new();
+    for (from, heard) in counted.iter().flat_map(|counted| &counted.received_by_sender) {
         let sum = all.entry(*from).or_default();
         sum.traffic.add(heard.traffic.datagrams, heard.traffic.bytes);
-        sum.number = sum.number.max(heard.number);
+        sum.max_sequence = sum.max_sequence.max(heard.max_sequence);
     }
     all
 }
 
-fn went(counted: &[Counted]) -> BTreeMap<SocketAddr, Traffic> {
+fn went(counted: &[Counters]) -> BTreeMap<SocketAddr, Traffic> {
     let mut all: BTreeMap<SocketAddr, Traffic> = BTreeMap::new();
-    for (to, traffic) in counted.iter().flat_map(|counted| &counted.went) {
+    for (to, traffic) in counted.iter().flat_map(|counted| &counted.sent_by_receiver) {
         all.entry(*to).or_default().add(traffic.datagrams, traffic.bytes);
     }
     all
@@ -252,21 +276,21 @@
     ("anon_bytes", "B", |m| m.anonymous),
     ("datagrams_out_per_s", "1/s", |m| m.sent.datagrams),
     ("bytes_out_per_s", "B/s", |m| m.sent.bytes),
-    ("datagrams_in_per_s", "1/s", |m| m.heard.datagrams),
-    ("bytes_in_per_s", "B/s", |m| m.heard.bytes),
+    ("datagrams_in_per_s", "1/s", |m| m.received.datagrams),
+    ("bytes_in_per_s", "B/s", |m| m.received.bytes),
 ];
 
 /// For the JSON file of measured figures.
 pub fn points(outcome: &Outcome, seed: u64) -> Vec<Value> {
     let mut points = Vec::new();
-    let agreed = outcome.agree.is_some();
+    let agreed = outcome.agreed_after.is_some();
     let mut put = |figure: String, case: &str, unit: &str, value: Option<f64>| {
         if let Some(value) = value.filter(|value| value.is_finite()) {
             points.push(json!({"figure": figure, "case": case, "unit": unit, "by": "servers",
                 "size": outcome.members, "seed": seed, "value": rounded(value)}));
         }
     };
-    let agree = outcome.agree.map(|agree| agree.as_secs_f64());
+    let agree = outcome.agreed_after.map(|agree| agree.as_secs_f64());
     put("members.agree_s".into(), "storm", "s", agree);
     put("members.missing".into(), "storm", "members", Some(outcome.missing.len() as f64));
     let Some(figures) = &outcome.figures else { return points };
@@ -276,21 +300,21 @@
         for (figure, unit, of) in EACH {
             put(format!("members.{name}.{figure}"), case, unit, figures.mean(role, of));
             let even = role == Role::Lightweight && !figure.contains("per_s");
-            if role != Role::Divider && !even {
-                put(format!("members.{name}.most_{figure}"), case, unit, figures.most(role, of));
+            if role != Role::Allocator && !even {
+                put(format!("members.{name}.most_{figure}"), case, unit, figures.max(role, of));
             }
         }
-        let told = figures.mean(role, |m| m.told.bytes);
+        let told = figures.mean(role, |m| m.seen_by_lightweight.bytes);
         put(format!("members.{name}.bytes_as_heard_per_s"), case, "B/s", told);
-        let told = figures.mean(role, |m| m.told.datagrams);
+        let told = figures.mean(role, |m| m.seen_by_lightweight.datagrams);
         put(format!("members.{name}.datagrams_as_heard_per_s"), case, "1/s", told);
     }
     let difference = figures.difference();
     put("members.difference.datagrams".into(), case, "part", difference.map(|d| d.0));
     put("members.difference.bytes".into(), case, "part", difference.map(|d| d.1));
-    put("members.kernel_drops".into(), case, "datagrams", Some(figures.drops as f64));
+    put("members.kernel_drops".into(), case, "datagrams", Some(figures.kernel_drops as f64));
     put("members.missing_at_end".into(), case, "members", Some(outcome.missing_at_end.len() as f64));
-    put("members.all_processes_bytes".into(), "most", "B", Some(outcome.most_memory as f64));
+    put("members.all_processes_bytes".into(), "most", "B", Some(outcome.max_memory_bytes as f64));
     points
 }
 
@@ -319,26 +343,26 @@
         let Some(figures) = &outcome.figures else { continue };
         for role in Role::ALL {
             let both = |of: Of, times: f64, digits: usize| {
-                let (mean, most) = (figures.mean(role, of), figures.most(role, of));
+                let (mean, most) = (figures.mean(role, of), figures.max(role, of));
                 let (mean, most) = (mean.unwrap_or(f64::NAN) * times, most.unwrap_or(f64::NAN) * times);
                 format!("{mean:.digits$}, {most:.digits$}")
             };
             let mean =
                 |of: Of, times: f64| format!("{:.0}", figures.mean(role, of).unwrap_or(f64::NAN) * times);
-            if figures.of(role).next().is_none() {
+            if figures.with_role(role).next().is_none() {
                 continue;
             }
             table.add_row([
                 outcome.members.to_string(),
                 role.name().to_string(),
-                figures.of(role).count().to_string(),
+                figures.with_role(role).count().to_string(),
                 both(|m| m.cpu_share, 100.0, 2),
                 mean(|m| m.resident, 1.0 / 1024.0),
                 mean(|m| m.anonymous, 1.0 / 1024.0),
                 both(|m| m.sent.datagrams, 1.0, 2),
                 both(|m| m.sent.bytes, 1.0, 0),
-                both(|m| m.heard.datagrams, 1.0, 2),
-                both(|m| m.heard.bytes, 1.0, 0),
+                both(|m| m.received.datagrams, 1.0, 2),
+                both(|m| m.received.bytes, 1.0, 0),
             ]);
         }
     }
@@ -346,7 +370,7 @@
 }
 
 /// What the table has no room for, a paragraph for one size.
-pub fn told(outcome: &Outcome) -> String {
+pub fn describe(outcome: &Outcome) -> String {
     /// Members that are named as missing.
     const MAX_NAMED: usize = 10;
     let named = |names: &std::collections::BTreeSet<String>| {
@@ -358,16 +382,16 @@
         "{} members, {} of them real, {} processes: ",
         outcome.members, outcome.real, outcome.processes
     );
-    text += &match outcome.agree {
+    text += &match outcome.agreed_after {
         Some(agree) => format!("all real ones show all as alive after {:.1} s", agree.as_secs_f64()),
         None => format!("the real ones do not show all as alive; missing {}", named(&outcome.missing)),
     };
-    text += &format!("; most memory of all processes {} MB", outcome.most_memory >> 20);
+    text += &format!("; most memory of all processes {} MB", outcome.max_memory_bytes >> 20);
     let Some(figures) = &outcome.figures else { return text };
     text += &format!(
         "; window {:.1} s: {} datagrams dropped by the kernel, {} not taken and {} not sent by hollow \
          members",
-        figures.seconds, figures.drops, figures.not_taken, figures.unsent
+        figures.seconds, figures.kernel_drops, figures.not_accepted, figures.unsent
     );
     if !outcome.missing_at_end.is_empty() {
         text += &format!("; at its end missing {}", named(&outcome.missing_at_end));
@@ -375,7 +399,8 @@
     text += &format!("; ops: {} acked of {} tries\n", outcome.requests.0, outcome.requests.1);
     let mean = |role, of: Of| figures.mean(role, of).unwrap_or(f64::NAN);
     let as_heard = |role| {
-        let (datagrams, bytes) = (mean(role, |m| m.told.datagrams), mean(role, |m| m.told.bytes));
+        let (datagrams, bytes) =
+            (mean(role, |m| m.seen_by_lightweight.datagrams), mean(role, |m| m.seen_by_lightweight.bytes));
         format!("{datagrams:.2} datagrams and {bytes:.0} bytes a second")
     };
     text += &format!(
@@ -391,6 +416,6 @@
         );
     }
     let (own, numbered) =
-        (mean(Role::Lightweight, |m| m.sent.datagrams), mean(Role::Lightweight, |m| m.numbered));
+        (mean(Role::Lightweight, |m| m.sent.datagrams), mean(Role::Lightweight, |m| m.datagrams_by_sequence));
     text + &format!("; datagrams of a hollow one by its own count {own:.2}, by their numbers {numbered:.2}")
 }
--- a/crates/hazelspur-fault-harness/src/lightweight/fleet_queries.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/fleet_queries.rs
@@ -47,7 +47,7 @@
     }
 
     /// Condition and bounds of the size by each of them, where an answer came within that time.
-    pub fn sizes(&mut self, of: &[SocketAddr], within: Duration) -> Vec<Option<(LocalStatus, FleetSize)>> {
+    pub fn statuses(&mut self, of: &[SocketAddr], within: Duration) -> Vec<Option<(LocalStatus, FleetSize)>> {
         let mut said = vec![None; of.len()];
         self.exchange(of, within, |i, body| {
             let Some(Body::FleetReply { status: condition, fleet, .. }) = body else {
@@ -60,7 +60,7 @@
     }
 
     /// Names and standings of all others by each of them, where all of it came within that time.
-    pub fn pictures(
+    pub fn member_lists(
         &mut self,
         of: &[SocketAddr],
         within: Duration,
@@ -77,7 +77,7 @@
     }
 
     /// Who divides what all share, by the first that knows.
-    pub fn divider(&mut self, of: &[SocketAddr], within: Duration) -> Option<MemberName> {
+    pub fn allocator(&mut self, of: &[SocketAddr], within: Duration) -> Option<MemberName> {
         let mut divider = None;
         self.exchange(of, within, |_, body| match body {
             Some(Body::CoordinationReply { state, .. }) => {
--- a/crates/hazelspur-fault-harness/src/lightweight/member.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/member.rs
@@ -39,7 +39,8 @@
 pub struct Task {
     pub fleet: Fleet,
     /// Numbers of the fleet's members that live here.
-    pub first: usize,
+    #[serde(rename = "first")]
+    pub first_member: usize,
     pub count: usize,
     /// It ends by itself after so long, whatever its input says.
     pub life_s: u64,
@@ -49,18 +50,21 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub enum Order {
     /// All members start, spread as the fleet says.
-    Go,
+    #[serde(rename = "Go")]
+    Start,
     Count,
 }
 
 /// The answer to each line; nothing counted is the answer to the first one.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Counted {
-    pub members: Vec<Count>,
+pub struct Counters {
+    pub members: Vec<MemberCounters>,
     /// By sender: what all members here got of it, and the greatest number of its datagrams.
-    pub came: BTreeMap<SocketAddr, Heard>,
+    #[serde(rename = "came")]
+    pub received_by_sender: BTreeMap<SocketAddr, Received>,
     /// Datagrams by whom they went to.
-    pub went: BTreeMap<SocketAddr, Traffic>,
+    #[serde(rename = "went")]
+    pub sent_by_receiver: BTreeMap<SocketAddr, Traffic>,
 }
 
 /// Datagrams and their bytes.
@@ -87,16 +91,18 @@
 
 /// What was received from one sender.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
-pub struct Heard {
+pub struct Received {
     pub traffic: Traffic,
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub max_sequence: u64,
 }
 
 /// The counters of one member.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
-pub struct Count {
+pub struct MemberCounters {
     pub sent: Traffic,
-    pub heard: Traffic,
+    #[serde(rename = "heard")]
+    pub received: Traffic,
     /// Datagrams that were not taken, for whatever reason.
     pub dropped: u64,
     /// Datagrams that could not be sent.
@@ -129,7 +135,7 @@
     called: Timestamp,
     /// Its place among those of this process.
     of: usize,
-    counters: Rc<RefCell<Counted>>,
+    counters: Rc<RefCell<Counters>>,
 }
 
 impl Member {
@@ -162,11 +168,11 @@
         let number = opened.as_ref().map_or(0, |datagram| datagram.sequence);
         let taken = opened.and_then(|datagram| self.node.receive(at, &datagram));
         let mut counters = self.counters.borrow_mut();
-        let of = counters.came.entry(from).or_default();
+        let of = counters.received_by_sender.entry(from).or_default();
         of.traffic.add(1, bytes.len() as u64);
-        of.number = of.number.max(number);
+        of.max_sequence = of.max_sequence.max(number);
         let mine = &mut counters.members[self.of];
-        mine.heard.add(1, bytes.len() as u64);
+        mine.received.add(1, bytes.len() as u64);
         mine.dropped += u64::from(taken.is_err());
     }
 
@@ -179,7 +185,7 @@
         if at.monotonic - self.looked >= LOOK {
             self.looked = at.monotonic;
             self.node.observe(at, LocalLoad { call_secs: Some(CALL_SECS), rejected_fraction: 0.0 });
-            self.node.set_demand(super::CALLS, 1.0);
+            self.node.set_demand(super::SHARED_LIMIT, 1.0);
         }
         self.node.tick(at);
         while let Some(OutgoingDatagram { address: to, datagram }) = self.node.next_datagram(at) {
@@ -188,7 +194,7 @@
             let mut counters = self.counters.borrow_mut();
             if went.is_ok() {
                 counters.members[self.of].sent.add(1, bytes.len() as u64);
-                counters.went.entry(to).or_default().add(1, bytes.len() as u64);
+                counters.sent_by_receiver.entry(to).or_default().add(1, bytes.len() as u64);
             } else {
                 counters.members[self.of].unsent += 1;
             }
@@ -223,27 +229,28 @@
 
 async fn obey(task: Task, mut orders: mpsc::Receiver<Order>) -> anyhow::Result<()> {
     let (go, gone) = watch::channel(false);
-    let counters = Rc::new(RefCell::new(Counted::default()));
-    counters.borrow_mut().members = vec![Count::default(); task.count];
+    let counters = Rc::new(RefCell::new(Counters::default()));
+    counters.borrow_mut().members = vec![MemberCounters::default(); task.count];
     let key = Key::from_text(KEY).map_err(anyhow::Error::msg)?;
     let installation = Installation::new(INSTALLATION).ok_or(anyhow::anyhow!("installation"))?;
     for of in 0..task.count {
-        let (number, fleet) = (task.first + of, task.fleet.clone());
-        let at = fleet.talks_at(number);
+        let (number, fleet) = (task.first_member + of, task.fleet.clone());
+        let at = fleet.gossip_address(number);
         let socket = UdpSocket::bind(at).await.map_err(|e| anyhow::anyhow!("{at}: {e}"))?;
         let (counters, key, mut gone) = (counters.clone(), key.clone(), gone.clone());
         tokio::task::spawn_local(async move {
             if gone.wait_for(|gone| *gone).await.is_err() || fleet.is_silent(number) {
                 return std::future::pending().await;
             }
-            tokio::time::sleep(fleet.starts_after(number)).await;
+            tokio::time::sleep(fleet.start_delay(number)).await;
             let clock = Clock { began: Instant::now(), last: RefCell::default() };
             let now = clock.at();
             let generation = Generation(now.wall.us() / 1000);
             // Members that start in one microsecond must not draw the same chances.
             let drawn = Pcg::new(fleet.seed.wrapping_mul(31) ^ number as u64).draw();
             let seed = (u64::from(drawn) << 32) ^ now.wall.us();
-            let node = FleetNode::new(fleet.terms(number), Some(fleet.share_terms()), generation, seed, now);
+            let node =
+                FleetNode::new(fleet.node_config(number), Some(fleet.quota_config()), generation, seed, now);
             let guidance = Guidance::new(
                 true,
                 vec![GuidedLimit { limit: LimitId(0), key: GuidanceKey::CallConcurrencyLimit }],
@@ -254,12 +261,12 @@
             member.run().await
         });
     }
-    tell(&Counted::default())?;
+    tell(&Counters::default())?;
     while let Some(order) = orders.recv().await {
         match order {
-            Order::Go => {
+            Order::Start => {
                 go.send_replace(true);
-                tell(&Counted::default())?;
+                tell(&Counters::default())?;
             }
             Order::Count => tell(&counters.borrow())?,
         }
@@ -267,7 +274,7 @@
     Ok(())
 }
 
-fn tell(counted: &Counted) -> anyhow::Result<()> {
+fn tell(counted: &Counters) -> anyhow::Result<()> {
     let mut out = std::io::stdout().lock();
     writeln!(out, "{}", serde_json::to_string(counted)?)?;
     Ok(out.flush()?)
--- a/crates/hazelspur-fault-harness/src/lightweight/mod.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/mod.rs
@@ -39,11 +39,11 @@
 /// The installation's name.
 pub const INSTALLATION: &str = "hollow";
 /// The limit that all share.
-pub const CALLS: &str = "calls";
+pub const SHARED_LIMIT: &str = "calls";
 /// Duration of quota leases, in seconds.
-pub const LEASE_S: u64 = 4;
+pub const QUOTA_LEASE_S: u64 = 4;
 /// Cores of each worker.
-pub const CORES: usize = 2;
+pub const WORKER_CORES: usize = 2;
 /// Time from the shutdown notice to the end of a real server, in milliseconds.
 pub const STOP_MS: u64 = 1500;
 /// Two regions of three zones.
@@ -51,11 +51,11 @@
 /// `most` of the fleet is twice its members, and 4,096 at most.
 pub const MAX_MEMBERS: usize = 2048;
 /// The most real servers.
-pub const MAX_REAL: usize = 90;
+pub const MAX_REAL_SERVERS: usize = 90;
 /// The most processes of a run.
 pub const MAX_PROCESSES: usize = 100;
 /// The most lightweight members of a process.
-pub const MAX_IN_A_PROCESS: usize = 500;
+pub const MAX_MEMBERS_PER_PROCESS: usize = 500;
 /// The longest run, in seconds.
 pub const MAX_SECONDS: u64 = 600;
 /// Voters.
@@ -117,7 +117,7 @@
     /// What is measured; nothing where it is zero.
     pub window: StdDuration,
     /// The whole of it from the start, where they agree in time.
-    pub whole: StdDuration,
+    pub duration: StdDuration,
     /// Requests a second of all real members together.
     pub rate: f64,
     /// The seed of everything random.
@@ -149,11 +149,11 @@
             anyhow::ensure!((least..=most).contains(&n), "{flag}: {n} is not from {least} to {most}");
             Ok(())
         };
-        range("--real", self.real, 1, MAX_REAL)?;
+        range("--real", self.real, 1, MAX_REAL_SERVERS)?;
         range("--members", self.members, self.real + 1, MAX_MEMBERS)?;
-        range("--per-process", self.per_process, 1, MAX_IN_A_PROCESS)?;
+        range("--per-process", self.per_process, 1, MAX_MEMBERS_PER_PROCESS)?;
         range("--silent", self.silent, 0, self.members - self.real)?;
-        let seconds = (self.whole + self.agree_within + self.settle + self.window + self.spread).as_secs();
+        let seconds = (self.duration + self.agree_within + self.settle + self.window + self.spread).as_secs();
         range("seconds of all flags together", seconds as usize, 0, MAX_SECONDS as usize)?;
         anyhow::ensure!((0.0..=1000.0).contains(&self.rate), "--rate: {} is not from 0 to 1000", self.rate);
         let processes = self.processes();
@@ -200,7 +200,7 @@
     }
 
     /// Where a member receives datagrams.
-    pub fn talks_at(&self, of: usize) -> SocketAddr {
+    pub fn gossip_address(&self, of: usize) -> SocketAddr {
         let (row, place) = match of.checked_sub(self.real) {
             None => (1, of),
             Some(hollow) => (FIRST_ROW + hollow / IN_A_ROW, hollow % IN_A_ROW),
@@ -209,33 +209,33 @@
     }
 
     /// Where a real member accepts gateways.
-    pub fn serves_at(&self, of: usize) -> SocketAddr {
-        SocketAddr::new(self.talks_at(of).ip(), 9000)
+    pub fn gateway_address(&self, of: usize) -> SocketAddr {
+        SocketAddr::new(self.gossip_address(of).ip(), 9000)
     }
 
     /// The most members that the fleet may have.
-    pub fn most(&self) -> usize {
+    pub fn max_members(&self) -> usize {
         self.members * 2
     }
 
     /// Of the ledger, and shared.
-    pub fn slots(&self) -> f64 {
+    pub fn call_slots(&self) -> f64 {
         self.members as f64 * 2.0
     }
 
     /// The first real ones, each in a site of its own.
-    pub fn keepers(&self) -> Vec<String> {
-        (0..self.keeping()).map(|of| self.name(of)).collect()
+    pub fn voters(&self) -> Vec<String> {
+        (0..self.voter_count()).map(|of| self.name(of)).collect()
     }
 
     /// The number of voters.
-    pub fn keeping(&self) -> usize {
+    pub fn voter_count(&self) -> usize {
         if self.real >= KEEPERS { KEEPERS } else { 1 }
     }
 
     /// Addresses of the seed members.
-    pub fn contacts(&self) -> Vec<SocketAddr> {
-        (0..self.real.min(CONTACTS)).map(|of| self.talks_at(of)).collect()
+    pub fn seed_addresses(&self) -> Vec<SocketAddr> {
+        (0..self.real.min(CONTACTS)).map(|of| self.gossip_address(of)).collect()
     }
 
     /// Whether a member never sends anything.
@@ -244,35 +244,35 @@
     }
 
     /// After the start of all.
-    pub fn starts_after(&self, of: usize) -> StdDuration {
+    pub fn start_delay(&self, of: usize) -> StdDuration {
         let drawn = Pcg::new(self.seed.wrapping_mul(1_000_003) ^ of as u64).draw();
         StdDuration::from_millis(u64::from(drawn) % self.spread_ms.max(1))
     }
 
     /// As the server makes them of the operator's file that the real ones get.
-    pub fn terms(&self, of: usize) -> NodeConfig {
+    pub fn node_config(&self, of: usize) -> NodeConfig {
         NodeConfig {
             installation: Installation::new(INSTALLATION).expect("a short name"),
             name: MemberName::new(&self.name(of)).expect("a short name"),
             site: SiteName::new(self.site(of)).expect("a short name"),
-            address: self.talks_at(of),
-            seeds: self.contacts(),
-            max_servers: self.most(),
+            address: self.gossip_address(of),
+            seeds: self.seed_addresses(),
+            max_servers: self.max_members(),
             probe_period: Duration::from_secs(1.0),
             retention: Duration::from_secs(REMEMBER_S),
         }
     }
 
     /// The quota configuration, as the server makes it of the operator's file.
-    pub fn share_terms(&self) -> QuotaConfig {
-        let keepers = self.keepers();
+    pub fn quota_config(&self) -> QuotaConfig {
+        let keepers = self.voters();
         QuotaConfig {
             voters: keepers.iter().map(|name| MemberName::new(name).expect("a short name")).collect(),
-            max_servers: self.most(),
-            vote_duration: Duration::from_secs(LEASE_S as f64),
+            max_servers: self.max_members(),
+            vote_duration: Duration::from_secs(QUOTA_LEASE_S as f64),
             limits: vec![SharedLimit {
-                name: LimitName::new(CALLS).expect("a short name"),
-                total: self.slots(),
+                name: LimitName::new(SHARED_LIMIT).expect("a short name"),
+                total: self.call_slots(),
                 guaranteed_fraction: FLOOR,
                 residual_duration: Duration::from_secs(LINGER_S),
                 max_turn: None,
@@ -282,26 +282,26 @@
 }
 
 /// What the real members say at one time: condition and bounds of the size; none without an answer.
-pub struct Look {
+pub struct FleetSnapshot {
     /// From the start.
-    pub at: StdDuration,
+    pub elapsed: StdDuration,
     /// What each real member said.
-    pub said: Vec<Option<(LocalStatus, FleetSize)>>,
+    pub answers: Vec<Option<(LocalStatus, FleetSize)>>,
     /// Processes that run: of lightweight members, then real ones.
-    pub ids: Vec<u32>,
+    pub process_ids: Vec<u32>,
 }
 
-impl Look {
+impl FleetSnapshot {
     /// The fewest that one of them has for alive.
-    pub fn least(&self) -> usize {
-        self.said.iter().map(|said| said.map_or(0, |(_, size)| size.min)).min().unwrap_or(0)
+    pub fn min_alive(&self) -> usize {
+        self.answers.iter().map(|said| said.map_or(0, |(_, size)| size.min)).min().unwrap_or(0)
     }
 
     fn all(&self, members: usize) -> bool {
         let all = |said: &Option<(LocalStatus, FleetSize)>| {
             said.is_some_and(|(condition, size)| condition == LocalStatus::Healthy && size.min == members)
         };
-        self.said.iter().all(all)
+        self.answers.iter().all(all)
     }
 }
 
@@ -312,24 +312,24 @@
     pub real: usize,
     pub processes: usize,
     /// From the start until every real member showed all as alive; none where that did not come.
-    pub agree: Option<StdDuration>,
+    pub agreed_after: Option<StdDuration>,
     /// Whom at least one real member did not show as alive when that came or was given up.
     pub missing: BTreeSet<String>,
     /// The same at the window's end.
     pub missing_at_end: BTreeSet<String>,
     pub figures: Option<Figures>,
     /// The most of all processes together, in bytes.
-    pub most_memory: u64,
+    pub max_memory_bytes: u64,
     /// Requests that were acked, and tries that were sent.
     pub requests: (usize, usize),
     /// All processes that were started; none of them runs any more.
-    pub ids: Vec<u32>,
+    pub process_ids: Vec<u32>,
 }
 
 /// One run. `look` is told what the real members say while agreement is awaited, and may end that early.
 /// Errors: limits of the machine, processes that could not start or ended by themselves.
-pub fn run(plan: &Plan, look: &mut dyn FnMut(&Look) -> ControlFlow<()>) -> anyhow::Result<Outcome> {
-    plan.check(process_usage::descriptors()?)?;
+pub fn run(plan: &Plan, look: &mut dyn FnMut(&FleetSnapshot) -> ControlFlow<()>) -> anyhow::Result<Outcome> {
+    plan.check(process_usage::descriptor_limit()?)?;
     let run = RUNS.fetch_add(1, Ordering::Relaxed);
     let from = std::process::id().wrapping_mul(13) + run;
     let (net, _claim) = crate::test_fleet::claim_net(from).context("a net of its own")?;
@@ -371,7 +371,7 @@
     reals: RealServers,
     hollows: Vec<LightweightProcess>,
     asker: FleetQuerier,
-    most_memory: u64,
+    max_memory_bytes: u64,
     may_take: u64,
     memory_due: Instant,
 }
@@ -379,16 +379,18 @@
 impl<'a> Run<'a> {
     fn start(plan: &'a Plan, fleet: Fleet, folder: &Folder) -> anyhow::Result<Self> {
         let reals = RealServers::new(plan, &fleet, folder.0.clone())?;
-        let all = plan.whole + plan.agree_within + plan.settle + plan.window + plan.spread;
+        let all = plan.duration + plan.agree_within + plan.settle + plan.window + plan.spread;
         let mut hollows = Vec::new();
         for first in (plan.real..plan.members).step_by(plan.per_process) {
             let count = plan.per_process.min(plan.members - first);
             let life_s = all.as_secs() + GRACE_S;
-            hollows
-                .push(LightweightProcess::start(plan, &Task { fleet: fleet.clone(), first, count, life_s })?);
+            hollows.push(LightweightProcess::start(
+                plan,
+                &Task { fleet: fleet.clone(), first_member: first, count, life_s },
+            )?);
         }
         for hollow in &mut hollows {
-            hollow.answer(READY).context("are all addresses free?")?;
+            hollow.wait_for_answer(READY).context("are all addresses free?")?;
         }
         Ok(Self {
             plan,
@@ -396,51 +398,51 @@
             reals,
             hollows,
             asker: FleetQuerier::new()?,
-            most_memory: 0,
-            may_take: process_usage::memory()? / 2,
+            max_memory_bytes: 0,
+            may_take: process_usage::machine_memory_bytes()? / 2,
             memory_due: Instant::now(),
         })
     }
 
-    fn play(&mut self, look: &mut dyn FnMut(&Look) -> ControlFlow<()>) -> anyhow::Result<Outcome> {
+    fn play(&mut self, look: &mut dyn FnMut(&FleetSnapshot) -> ControlFlow<()>) -> anyhow::Result<Outcome> {
         let plan = self.plan;
         for hollow in &mut self.hollows {
-            hollow.order(Order::Go)?;
+            hollow.send_order(Order::Start)?;
         }
         let began = Instant::now();
         for hollow in &mut self.hollows {
-            hollow.answer(READY)?;
+            hollow.wait_for_answer(READY)?;
         }
         let agree = self.come_together(began, look)?;
         let ids = self.ids();
         let missing = self.missing();
         let (mut figures, mut missing_at_end) = (None, BTreeSet::new());
         if !plan.window.is_zero() {
-            self.reals.begin_ops(plan.rate);
+            self.reals.start_requests(plan.rate);
             self.wait(Instant::now() + plan.settle)?;
-            self.wait(began + plan.whole.saturating_sub(plan.window))?;
-            let divider = self.asker.divider(&self.addresses(), ASKED_WITHIN);
+            self.wait(began + plan.duration.saturating_sub(plan.window))?;
+            let divider = self.asker.allocator(&self.addresses(), ASKED_WITHIN);
             let before = self.read()?;
             self.wait(before.at + plan.window)?;
             let after = self.read()?;
             figures = Some(Figures::new(&self.fleet, divider, &self.hollows, &before, &after));
             missing_at_end = self.missing();
         }
-        let requests = self.reals.end().context("the real members' ends")?;
+        let requests = self.reals.stop().context("the real members' ends")?;
         for hollow in &mut self.hollows {
-            hollow.end(READY)?;
+            hollow.stop(READY)?;
         }
         Ok(Outcome {
             members: plan.members,
             real: plan.real,
             processes: plan.processes(),
-            agree,
+            agreed_after: agree,
             missing,
             missing_at_end,
             figures,
-            most_memory: self.most_memory,
+            max_memory_bytes: self.max_memory_bytes,
             requests,
-            ids,
+            process_ids: ids,
         })
     }
 
@@ -448,10 +450,10 @@
     fn come_together(
         &mut self,
         began: Instant,
-        look: &mut dyn FnMut(&Look) -> ControlFlow<()>,
+        look: &mut dyn FnMut(&FleetSnapshot) -> ControlFlow<()>,
     ) -> anyhow::Result<Option<StdDuration>> {
         let mut to_start: Vec<(StdDuration, usize)> =
-            (0..self.plan.real).map(|of| (self.fleet.starts_after(of), of)).collect();
+            (0..self.plan.real).map(|of| (self.fleet.start_delay(of), of)).collect();
         to_start.sort();
         to_start.reverse();
         while began.elapsed() < self.plan.agree_within {
@@ -461,7 +463,7 @@
             if to_start.is_empty() {
                 let seen = self.look(began);
                 if seen.all(self.plan.members) {
-                    return Ok(Some(seen.at));
+                    return Ok(Some(seen.elapsed));
                 }
                 if look(&seen).is_break() {
                     return Ok(None);
@@ -479,16 +481,16 @@
     }
 
     fn addresses(&self) -> Vec<SocketAddr> {
-        (0..self.plan.real).map(|of| self.fleet.talks_at(of)).collect()
+        (0..self.plan.real).map(|of| self.fleet.gossip_address(of)).collect()
     }
 
-    fn look(&mut self, began: Instant) -> Look {
-        let said = self.asker.sizes(&self.addresses(), ASKED_WITHIN);
-        Look { at: began.elapsed(), said, ids: self.ids() }
+    fn look(&mut self, began: Instant) -> FleetSnapshot {
+        let said = self.asker.statuses(&self.addresses(), ASKED_WITHIN);
+        FleetSnapshot { elapsed: began.elapsed(), answers: said, process_ids: self.ids() }
     }
 
     fn missing(&mut self) -> BTreeSet<String> {
-        let pictures = self.asker.pictures(&self.addresses(), PICTURES_WITHIN);
+        let pictures = self.asker.member_lists(&self.addresses(), PICTURES_WITHIN);
         let mut missing = BTreeSet::new();
         for (me, picture) in pictures.into_iter().enumerate() {
             let picture: BTreeMap<MemberName, MemberStatus> = picture.unwrap_or_default();
@@ -503,14 +505,14 @@
     /// Until then; fails where a process has ended by itself, memory is over its bound, or it is to stop.
     fn wait(&mut self, until: Instant) -> anyhow::Result<()> {
         loop {
-            self.reals.check()?;
-            self.hollows.iter_mut().try_for_each(LightweightProcess::check)?;
+            self.reals.check_running()?;
+            self.hollows.iter_mut().try_for_each(LightweightProcess::check_running)?;
             anyhow::ensure!(!self.plan.stop.load(Ordering::Relaxed), "stopped from outside");
             if Instant::now() >= self.memory_due {
                 self.memory_due = Instant::now() + LOOK_AT_MEMORY;
                 let ids = self.ids().into_iter().chain([std::process::id()]);
-                let taken: u64 = ids.filter_map(process_usage::taken).sum();
-                self.most_memory = self.most_memory.max(taken);
+                let taken: u64 = ids.filter_map(process_usage::resident_bytes).sum();
+                self.max_memory_bytes = self.max_memory_bytes.max(taken);
                 let may = self.may_take;
                 anyhow::ensure!(
                     taken <= may,
@@ -527,12 +529,19 @@
 
     fn read(&mut self) -> anyhow::Result<Reading> {
         for hollow in &mut self.hollows {
-            hollow.order(Order::Count)?;
+            hollow.send_order(Order::Count)?;
         }
         let at = Instant::now();
-        let counted = self.hollows.iter_mut().map(|hollow| hollow.answer(READY)).collect::<Result<_, _>>()?;
-        let reals = self.reals.ids().into_iter().map(|id| id.and_then(process_usage::process)).collect();
-        let hollows = self.hollows.iter().map(|hollow| process_usage::process(hollow.id())).collect();
-        Ok(Reading { at, counted, reals, hollows, drops: process_usage::udp_drops(self.fleet.net) })
+        let counted =
+            self.hollows.iter_mut().map(|hollow| hollow.wait_for_answer(READY)).collect::<Result<_, _>>()?;
+        let reals = self.reals.ids().into_iter().map(|id| id.and_then(process_usage::usage)).collect();
+        let hollows = self.hollows.iter().map(|hollow| process_usage::usage(hollow.id())).collect();
+        Ok(Reading {
+            at,
+            counters: counted,
+            real_usage: reals,
+            lightweight_usage: hollows,
+            kernel_drops: process_usage::udp_drops(self.fleet.net),
+        })
     }
 }
--- a/crates/hazelspur-fault-harness/src/lightweight/process_usage.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/process_usage.rs
@@ -6,12 +6,12 @@
 use std::time::Duration;
 
 /// The soft limit of descriptors of this process, which those that it starts inherit.
-pub fn descriptors() -> anyhow::Result<u64> {
+pub fn descriptor_limit() -> anyhow::Result<u64> {
     Ok(getrlimit(Resource::RLIMIT_NOFILE).context("limit of descriptors")?.0)
 }
 
 /// In bytes.
-pub fn memory() -> anyhow::Result<u64> {
+pub fn machine_memory_bytes() -> anyhow::Result<u64> {
     let text = std::fs::read_to_string("/proc/meminfo")?;
     kib(&text, "MemTotal:").context("MemTotal of /proc/meminfo")
 }
@@ -23,21 +23,21 @@
 
 /// What a process has taken.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Process {
+pub struct ProcessUsage {
     pub cpu: Duration,
     /// In bytes.
-    pub resident: u64,
-    pub anonymous: u64,
+    pub resident_bytes: u64,
+    pub anonymous_bytes: u64,
 }
 
 /// Usage of a process; none where it has ended.
-pub fn process(id: u32) -> Option<Process> {
-    let (resident, anonymous) = resident(id)?;
-    Some(Process { cpu: cpu(id)?, resident, anonymous })
+pub fn usage(id: u32) -> Option<ProcessUsage> {
+    let (resident_bytes, anonymous_bytes) = memory_bytes(id)?;
+    Some(ProcessUsage { cpu: cpu(id)?, resident_bytes, anonymous_bytes })
 }
 
 /// Resident bytes, by the quicker way.
-pub fn taken(id: u32) -> Option<u64> {
+pub fn resident_bytes(id: u32) -> Option<u64> {
     kib(&std::fs::read_to_string(format!("/proc/{id}/status")).ok()?, "VmRSS:")
 }
 
@@ -52,7 +52,7 @@
 }
 
 /// Resident and anonymous bytes of a process, from `/proc/PID/smaps_rollup`.
-fn resident(id: u32) -> Option<(u64, u64)> {
+fn memory_bytes(id: u32) -> Option<(u64, u64)> {
     let text = std::fs::read_to_string(format!("/proc/{id}/smaps_rollup")).ok()?;
     Some((kib(&text, "Rss:")?, kib(&text, "Anonymous:")?))
 }
--- a/crates/hazelspur-fault-harness/src/lightweight/processes.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/processes.rs
@@ -1,8 +1,8 @@
 //! The processes of one run: real servers with their test doubles, and those of lightweight members. Whatever is
 //! started here ends with the value that holds it.
 
-use super::member::{Counted, Order, Task};
-use super::{CALLS, CORES, Fleet, INSTALLATION, KEY, LEASE_S, Plan, STOP_MS};
+use super::member::{Counters, Order, Task};
+use super::{Fleet, INSTALLATION, KEY, Plan, QUOTA_LEASE_S, SHARED_LIMIT, STOP_MS, WORKER_CORES};
 use anyhow::Context;
 use hazelspur_test_doubles::dependency::Dependency;
 use hazelspur_test_doubles::gateway::{Gateway, GatewaySettings, Response};
@@ -47,12 +47,12 @@
             run_ms: RUN_MS,
             makes_calls: true,
             fail_every: 0,
-            cores: CORES,
+            cores: WORKER_CORES,
             call_deadline_ms: OP_TIMEOUT_MS,
         };
         Ok(Self {
             runtimes: (0..fleet.real).map(|_| Worker::start("127.0.0.1:0", pace)).collect(),
-            ledger: Dependency::start("127.0.0.1:0", fleet.slots() as usize, CALL_MS),
+            ledger: Dependency::start("127.0.0.1:0", fleet.call_slots() as usize, CALL_MS),
             control: Registry::start("127.0.0.1:0"),
             processes: (0..fleet.real).map(|_| None).collect(),
             gateway: None,
@@ -67,18 +67,18 @@
         let (fleet, name) = (&self.fleet, self.fleet.name(of));
         let file = |ending| self.folder.join(format!("{name}.{ending}"));
         std::fs::write(file("json"), self.settings(of))?;
-        let contacts: Vec<String> = fleet.contacts().iter().map(ToString::to_string).collect();
+        let contacts: Vec<String> = fleet.seed_addresses().iter().map(ToString::to_string).collect();
         let star = format!(
             "fleet(\n    installation = {INSTALLATION:?},\n    site = {:?},\n    at = \"{}\",\n    \
              contacts = {contacts:?},\n    key_file = {:?},\n    most = {},\n    together = True,\n    \
-             keepers = {:?},\n    lease_s = {LEASE_S},\n    \
-             shares = [{{\"limit\": \"{CALLS}\", \"total\": {}}}],\n)\n",
+             keepers = {:?},\n    lease_s = {QUOTA_LEASE_S},\n    \
+             shares = [{{\"limit\": \"{SHARED_LIMIT}\", \"total\": {}}}],\n)\n",
             fleet.site(of),
-            fleet.talks_at(of),
+            fleet.gossip_address(of),
             self.folder.join("key"),
-            fleet.most(),
-            fleet.keepers(),
-            fleet.slots(),
+            fleet.max_members(),
+            fleet.voters(),
+            fleet.call_slots(),
         );
         std::fs::write(file("star"), star)?;
         let log = std::fs::File::create(file("log"))?;
@@ -93,7 +93,7 @@
     fn settings(&self, of: usize) -> String {
         let due_us = OP_TIMEOUT_MS * 1000;
         let settings = serde_json::json!({
-            "family-info": {"n-cores": CORES, "mem-limit-kb": 100_000, "run-factor": 8, "stop-mode": "drop",
+            "family-info": {"n-cores": WORKER_CORES, "mem-limit-kb": 100_000, "run-factor": 8, "stop-mode": "drop",
                 "meters": ["core_use", "on_cores"], "calls-out": 8.0, "calls-over-us": 5_000_000,
                 "passes-deadline": true},
             "lanes": [
@@ -108,7 +108,7 @@
             "servers": self.fleet.members,
         });
         serde_json::json!({
-            "name": self.fleet.name(of), "listen": self.fleet.serves_at(of).to_string(),
+            "name": self.fleet.name(of), "listen": self.fleet.gateway_address(of).to_string(),
             "runtime": self.runtimes[of].address.to_string(), "ledger": self.ledger.address.to_string(),
             "control": self.control.address.to_string(),
             "seed": format!("{:016x}", self.fleet.seed ^ of as u64),
@@ -118,7 +118,7 @@
     }
 
     /// Requests a second over all of them, round and round.
-    pub fn begin_ops(&mut self, rate: f64) {
+    pub fn start_requests(&mut self, rate: f64) {
         if rate <= 0.0 {
             return;
         }
@@ -137,7 +137,7 @@
             let numbers = named.iter().filter_map(|name| name.strip_prefix('n')?.parse().ok());
             numbers.filter(|of| *of < servers).collect()
         });
-        let servers = (0..servers).map(|of| self.fleet.serves_at(of)).collect();
+        let servers = (0..servers).map(|of| self.fleet.gateway_address(of)).collect();
         self.gateway = Some(Gateway::start(0, habits, servers, lister, self.fleet.seed));
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// Fails where one has ended by itself.
-    pub fn check(&mut self) -> anyhow::Result<()> {
+    pub fn check_running(&mut self) -> anyhow::Result<()> {
         for (of, child) in self.processes.iter_mut().enumerate() {
             let Some(status) = child.as_mut().map(Child::try_wait).transpose()?.flatten() else { continue };
             *child = None;
@@ -161,7 +161,7 @@
 
     /// All leave in good order; how many requests were acked and how many sent. Fails where one had to be killed
     /// or ended badly.
-    pub fn end(&mut self) -> anyhow::Result<(usize, usize)> {
+    pub fn stop(&mut self) -> anyhow::Result<(usize, usize)> {
         let tries = self.gateway.take().map(|mut gateway| gateway.finish()).unwrap_or_default();
         let acked = |t: &&hazelspur_test_doubles::gateway::Attempt| {
             t.responses.iter().any(|a| a.0 == Response::Succeeded)
@@ -209,7 +209,7 @@
     child: Child,
     orders: Option<ChildStdin>,
     answers: Receiver<String>,
-    pub first: usize,
+    pub first_member: usize,
     pub count: usize,
 }
 
@@ -217,7 +217,7 @@
     /// Returns at once; the first answer says that all sockets are there.
     pub fn start(plan: &Plan, task: &Task) -> anyhow::Result<Self> {
         let mut command = Command::new(&plan.own_binary);
-        command.arg(super::command::HIDDEN).stdin(Stdio::piped()).stdout(Stdio::piped());
+        command.arg(super::command::MEMBERS_SUBCOMMAND).stdin(Stdio::piped()).stdout(Stdio::piped());
         let mut child = command.spawn().with_context(|| format!("{:?}", plan.own_binary))?;
         let (mut orders, out) = (child.stdin.take(), child.stdout.take().context("its output")?);
         let (answer, answers) = sync_channel(1);
@@ -230,7 +230,7 @@
         });
         let first = serde_json::to_string(task)?;
         let sent = orders.as_mut().map(|orders| writeln!(orders, "{first}"));
-        let hollow = Self { child, orders, answers, first: task.first, count: task.count };
+        let hollow = Self { child, orders, answers, first_member: task.first_member, count: task.count };
         sent.context("its input")?.context("its input")?;
         Ok(hollow)
     }
@@ -241,37 +241,41 @@
     }
 
     /// Sends an order.
-    pub fn order(&mut self, order: Order) -> anyhow::Result<()> {
+    pub fn send_order(&mut self, order: Order) -> anyhow::Result<()> {
         let line = serde_json::to_string(&order)?;
         writeln!(self.orders.as_mut().context("its input")?, "{line}").context("hollow members' input")
     }
 
     /// Waits for the answer to an order.
-    pub fn answer(&mut self, within: Duration) -> anyhow::Result<Counted> {
+    pub fn wait_for_answer(&mut self, within: Duration) -> anyhow::Result<Counters> {
         let line = self.answers.recv_timeout(within);
-        let line = line.with_context(|| format!("hollow members from {}: no answer", self.first))?;
+        let line = line.with_context(|| format!("hollow members from {}: no answer", self.first_member))?;
         Ok(serde_json::from_str(&line)?)
     }
 
     /// Fails where the process has ended.
-    pub fn check(&mut self) -> anyhow::Result<()> {
+    pub fn check_running(&mut self) -> anyhow::Result<()> {
         let status = self.child.try_wait()?;
-        anyhow::ensure!(status.is_none(), "hollow members from {}: ended by itself, {status:?}", self.first);
+        anyhow::ensure!(
+            status.is_none(),
+            "hollow members from {}: ended by itself, {status:?}",
+            self.first_member
+        );
         Ok(())
     }
 
     /// Ends its input, and waits until it has ended.
-    pub fn end(&mut self, within: Duration) -> anyhow::Result<()> {
+    pub fn stop(&mut self, within: Duration) -> anyhow::Result<()> {
         self.orders = None;
         let until = Instant::now() + within;
         while Instant::now() < until {
             if let Some(status) = self.child.try_wait()? {
-                anyhow::ensure!(status.success(), "hollow members from {}: {status}", self.first);
+                anyhow::ensure!(status.success(), "hollow members from {}: {status}", self.first_member);
                 return Ok(());
             }
             std::thread::sleep(STEP);
         }
-        anyhow::bail!("hollow members from {}: did not end by themselves", self.first)
+        anyhow::bail!("hollow members from {}: did not end by themselves", self.first_member)
     }
 }
 
--- a/crates/hazelspur-fault-harness/src/main.rs
+++ b/crates/hazelspur-fault-harness/src/main.rs
@@ -24,12 +24,12 @@
     /// A fleet of a few real servers and many lightweight members: what a member costs by size; exit status 1
     /// where they did not agree.
     #[command(name = "hollow")]
-    Lightweight(command::Line),
+    Lightweight(command::Options),
     /// Drains one server after the other while its clients go on using their connections until the kill; exit status
     /// 1 where a rule is broken.
     Endings(Options),
     /// Serves lightweight members by lines on its input; started by `hollow`.
-    #[command(name = command::HIDDEN, hide = true)]
+    #[command(name = command::MEMBERS_SUBCOMMAND, hide = true)]
     HollowMembers,
 }
 
--- a/crates/hazelspur-fault-harness/tests/hollow.rs
+++ b/crates/hazelspur-fault-harness/tests/hollow.rs
@@ -1,8 +1,8 @@
 //! A small fleet of real and hollow members. Waits are for events with generous ends. The server's program
 //! is the one beside ours, where a test of the whole workspace puts it; otherwise it is built first.
 
-use hazelspur_fault_harness::lightweight::figures::{Role, points, told};
-use hazelspur_fault_harness::lightweight::{Look, Outcome, Plan, run};
+use hazelspur_fault_harness::lightweight::figures::{Role, describe, points};
+use hazelspur_fault_harness::lightweight::{FleetSnapshot, Outcome, Plan, run};
 use std::collections::BTreeSet;
 use std::ops::ControlFlow;
 use std::path::PathBuf;
@@ -41,7 +41,7 @@
         agree_within: Duration::from_secs(12),
         settle: Duration::ZERO,
         window: Duration::ZERO,
-        whole: Duration::ZERO,
+        duration: Duration::ZERO,
         rate: 0.0,
         seed: 1,
         silent: 0,
@@ -49,7 +49,7 @@
     }
 }
 
-fn go_on(_: &Look) -> ControlFlow<()> {
+fn go_on(_: &FleetSnapshot) -> ControlFlow<()> {
     ControlFlow::Continue(())
 }
 
@@ -61,7 +61,7 @@
 }
 
 fn agreed(outcome: &Outcome) {
-    assert!(outcome.agree.is_some(), "{}", told(outcome));
+    assert!(outcome.agreed_after.is_some(), "{}", describe(outcome));
     assert_eq!(outcome.missing, BTreeSet::new());
 }
 
@@ -70,20 +70,20 @@
     let plan = Plan { window: Duration::from_millis(1500), rate: 4.0, ..plan() };
     let outcome = run(&plan, &mut go_on).expect("it runs");
     agreed(&outcome);
-    assert_eq!((outcome.processes, outcome.ids.len()), (5, 4));
-    none_is_left(&outcome.ids);
+    assert_eq!((outcome.processes, outcome.process_ids.len()), (5, 4));
+    none_is_left(&outcome.process_ids);
 
     let figures = outcome.figures.as_ref().expect("a window");
-    assert_eq!(figures.of(Role::Lightweight).count(), 30);
+    assert_eq!(figures.with_role(Role::Lightweight).count(), 30);
     assert_eq!(figures.members.len(), 32);
-    assert_eq!((figures.not_taken, figures.unsent), (0, 0));
+    assert_eq!((figures.not_accepted, figures.unsent), (0, 0));
     // What hollow members got is what they got of each sender, to the datagram.
-    let heard: f64 = figures.of(Role::Lightweight).map(|member| member.heard.datagrams).sum();
-    let by_sender: f64 = figures.members.iter().map(|member| member.told.datagrams).sum();
+    let heard: f64 = figures.with_role(Role::Lightweight).map(|member| member.received.datagrams).sum();
+    let by_sender: f64 = figures.members.iter().map(|member| member.seen_by_lightweight.datagrams).sum();
     assert!(heard > 0.0 && (heard - by_sender).abs() < 1e-6, "{heard} {by_sender}");
     let bytes = |of: fn(&_) -> f64| figures.members.iter().map(of).sum::<f64>();
-    let heard: f64 = figures.of(Role::Lightweight).map(|member| member.heard.bytes).sum();
-    assert!((heard - bytes(|member| member.told.bytes)).abs() < 1e-3);
+    let heard: f64 = figures.with_role(Role::Lightweight).map(|member| member.received.bytes).sum();
+    assert!((heard - bytes(|member| member.seen_by_lightweight.bytes)).abs() < 1e-3);
     for member in &figures.members {
         assert!(member.sent.bytes <= member.sent.datagrams * 1200.0 + 1e-6, "{member:?}");
         assert!(member.sent.bytes >= member.sent.datagrams * 60.0 - 1e-6, "{member:?}");
@@ -104,22 +104,22 @@
 #[test]
 fn a_hollow_member_that_never_says_a_word_is_told_as_missing() {
     let plan = Plan { silent: 1, ..plan() };
-    let mut others = |look: &Look| {
-        if look.least() + 1 == plan.members { ControlFlow::Break(()) } else { ControlFlow::Continue(()) }
+    let mut others = |look: &FleetSnapshot| {
+        if look.min_alive() + 1 == plan.members { ControlFlow::Break(()) } else { ControlFlow::Continue(()) }
     };
     let outcome = run(&plan, &mut others).expect("it runs");
-    assert_eq!(outcome.agree, None);
+    assert_eq!(outcome.agreed_after, None);
     assert_eq!(outcome.missing, ["h0031".to_string()].into());
-    assert!(told(&outcome).contains("missing 1: h0031"), "{}", told(&outcome));
-    none_is_left(&outcome.ids);
+    assert!(describe(&outcome).contains("missing 1: h0031"), "{}", describe(&outcome));
+    none_is_left(&outcome.process_ids);
 }
 
 #[test]
 fn where_a_process_of_hollow_members_dies_all_others_end_and_it_is_said() {
     let mut ids = Vec::new();
-    let mut kill_one = |look: &Look| {
+    let mut kill_one = |look: &FleetSnapshot| {
         if ids.is_empty() {
-            ids = look.ids.clone();
+            ids = look.process_ids.clone();
             let first = nix::unistd::Pid::from_raw(ids[0] as i32);
             nix::sys::signal::kill(first, nix::sys::signal::Signal::SIGKILL).expect("it runs");
         }
