--- a/crates/hazelspur-fault-harness/src/endings/checker.rs
+++ b/crates/hazelspur-fault-harness/src/endings/checker.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 /// A request that is written so shortly before the close of its connection crosses it, in milliseconds.
-const CROSSING_MS: u64 = 50;
+const MAX_CROSSING_MS: u64 = 50;
 /// Each time limit is so much longer on sockets, in milliseconds.
-const SLACK_MS: u64 = 50;
+const TOLERANCE_MS: u64 = 50;
 
 /// A rule of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -73,15 +73,16 @@
 impl Evidence {
     /// All breaches.
     pub fn breaches(&self) -> Vec<Breach> {
-        let mut found = Vec::new();
+        let mut breaches = Vec::new();
         for connection in &self.connections {
-            self.check_connection(connection, &mut found);
+            self.check_connection(connection, &mut breaches);
         }
-        self.check_effects(&mut found);
-        let of_queue = |seen: &String| Breach { rule: Rule::Deliveries, request: None, seen: seen.clone() };
-        found.extend(self.queue_breaches.iter().map(of_queue));
-        self.check_process(&mut found);
-        found
+        self.check_effects(&mut breaches);
+        let queue_breach =
+            |seen: &String| Breach { rule: Rule::Deliveries, request: None, seen: seen.clone() };
+        breaches.extend(self.queue_breaches.iter().map(queue_breach));
+        self.check_process(&mut breaches);
+        breaches
     }
 
     /// Requests that were sent whole.
@@ -95,28 +96,28 @@
         self.requests().filter(|sent| sent.answers.first().is_some_and(|(first, _)| *first == answer)).count()
     }
 
-    fn check_connection(&self, connection: &Connection, found: &mut Vec<Breach>) {
+    fn check_connection(&self, connection: &Connection, breaches: &mut Vec<Breach>) {
         for sent in connection.sent.iter().filter(|sent| sent.sent_ms != u64::MAX) {
             let mut report = |rule, seen: String| {
                 let request = Some(sent.request.clone());
-                found.push(Breach { rule, request, seen });
+                breaches.push(Breach { rule, request, seen });
             };
             match &sent.answers[..] {
                 [] if self.started_ms.contains_key(&sent.request) => {
                     report(Rule::OneResponse, "ran, and had no answer".into());
                 }
-                [] if self.is_excused(connection, sent) => {}
+                [] if self.crossed_close(connection, sent) => {}
                 [] => {
-                    let at = sent.sent_ms as i64 - self.notice_ms as i64;
+                    let sent_at = sent.sent_ms as i64 - self.notice_ms as i64;
                     let closed = connection.closed_ms.map(|closed| closed as i64 - self.notice_ms as i64);
                     let reset = connection.reset;
                     report(
                         Rule::OneResponse,
-                        format!("sent at {at} ms, closed {closed:?}, reset {reset}: no answer"),
+                        format!("sent at {sent_at} ms, closed {closed:?}, reset {reset}: no answer"),
                     );
                 }
-                [(_, came_ms)] if *came_ms > sent.due_ms + SLACK_MS => {
-                    report(Rule::OneResponse, format!("answered {} ms late", came_ms - sent.due_ms));
+                [(_, answered_ms)] if *answered_ms > sent.due_ms + TOLERANCE_MS => {
+                    report(Rule::OneResponse, format!("answered {} ms late", answered_ms - sent.due_ms));
                 }
                 [_] => {}
                 answers => report(Rule::OneResponse, format!("{} answers", answers.len())),
@@ -125,38 +126,41 @@
             if was_rejected && self.started_ms.contains_key(&sent.request) {
                 report(Rule::OneEffect, "rejected though it ran".into());
             }
-            let grace_ends_ms = self.notice_ms.saturating_add_signed(GRACE_PERIOD_MS) + SLACK_MS;
+            let grace_ends_ms = self.notice_ms.saturating_add_signed(GRACE_PERIOD_MS) + TOLERANCE_MS;
             if sent.sent_ms > grace_ends_ms && self.started_ms.contains_key(&sent.request) {
-                let past = sent.sent_ms - grace_ends_ms;
-                report(Rule::GracePeriod, format!("ran, though it arrived {past} ms past the grace period"));
+                let past_ms = sent.sent_ms - grace_ends_ms;
+                report(
+                    Rule::GracePeriod,
+                    format!("ran, though it arrived {past_ms} ms past the grace period"),
+                );
             }
         }
         if connection.unmatched_answers > 0 {
             let seen = format!("{} answers to nothing that was sent", connection.unmatched_answers);
-            found.push(Breach { rule: Rule::OneResponse, request: None, seen });
+            breaches.push(Breach { rule: Rule::OneResponse, request: None, seen });
         }
     }
 
     /// Whether a request without an answer crossed the close of its connection, or is still in time.
-    fn is_excused(&self, connection: &Connection, sent: &Sent) -> bool {
+    fn crossed_close(&self, connection: &Connection, sent: &Sent) -> bool {
         // A close by the kill is judged by the end of the process.
-        connection.closed_ms.is_some_and(|closed| closed <= sent.sent_ms + CROSSING_MS)
+        connection.closed_ms.is_some_and(|closed| closed <= sent.sent_ms + MAX_CROSSING_MS)
     }
 
-    fn check_effects(&self, found: &mut Vec<Breach>) {
+    fn check_effects(&self, breaches: &mut Vec<Breach>) {
         for sent in self.requests().filter(|sent| sent.class != Some(Class::View)) {
             let runs = self.runs_by_body.get(&sent.effect).copied().unwrap_or(0);
             if runs > 1 {
                 let (request, seen) =
                     (Some(sent.request.clone()), format!("{} ran {runs} times", sent.effect));
-                found.push(Breach { rule: Rule::OneEffect, request, seen });
+                breaches.push(Breach { rule: Rule::OneEffect, request, seen });
             }
         }
     }
 
-    fn check_process(&self, found: &mut Vec<Breach>) {
+    fn check_process(&self, breaches: &mut Vec<Breach>) {
         let End { killed, status, memory_kb, descriptors, files_left } = self.end;
-        let mut report = |rule, seen| found.push(Breach { rule, request: None, seen });
+        let mut report = |rule, seen| breaches.push(Breach { rule, request: None, seen });
         if killed {
             report(Rule::End, "alive when its kill was due".into());
         } else if status != Some(0) {
--- a/crates/hazelspur-fault-harness/src/endings/client.rs
+++ b/crates/hazelspur-fault-harness/src/endings/client.rs
@@ -13,7 +13,7 @@
 /// How long an answer may take by its request, in milliseconds.
 pub const REQUEST_TIMEOUT_MS: u64 = 2000;
 /// How often a client looks for what to do.
-const POLL: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// How long a client may wait for the server to take what it sends.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Bytes that are read at once.
@@ -74,20 +74,20 @@
 }
 
 impl RunContext {
-    fn at(&self, at_ms: i64) -> u64 {
+    fn unix_ms(&self, at_ms: i64) -> u64 {
         self.notice_due_ms.saturating_add_signed(at_ms)
     }
 }
 
 /// Text to be written at a time.
-struct Piece {
+struct TextPiece {
     at_ms: u64,
     text: String,
-    /// The request that it completes.
-    completes: Option<Sent>,
+    /// The request that it completed.
+    completed: Option<Sent>,
 }
 
-fn request_line(id: usize, sent: &Sent, class: Class, key: u32, stamp_ms: u64) -> String {
+fn request_line(id: usize, sent: &Sent, class: Class, key: u32, timestamp_ms: u64) -> String {
     use base64::Engine as _;
     let method = match class {
         Class::View => "view",
@@ -98,16 +98,16 @@
     let data = base64::engine::general_purpose::STANDARD.encode(&sent.effect);
     let request = &sent.request;
     format!(
-        r#"{{"jsonrpc":"2.0","id":{id},"method":"{method}","params":{{"req":"{request}","ts":{stamp_ms},"via":1,"timeout":{REQUEST_TIMEOUT_MS},"need":20.5,"level":0.5,"data":"{data}"{key}}}}}"#
+        r#"{{"jsonrpc":"2.0","id":{id},"method":"{method}","params":{{"req":"{request}","ts":{timestamp_ms},"via":1,"timeout":{REQUEST_TIMEOUT_MS},"need":20.5,"level":0.5,"data":"{data}"{key}}}}}"#
     ) + "\n"
 }
 
 /// The pieces of all messages of a client; ids on the connection count from 1.
-fn pieces(context: &RunContext, number: usize, client: &Client) -> Vec<Piece> {
+fn pieces(context: &RunContext, client_index: usize, client: &Client) -> Vec<TextPiece> {
     let mut pieces = Vec::new();
     for (index, send) in client.sends.iter().enumerate() {
-        let (id, at_ms) = (index + 1, context.at(send.at_ms));
-        let request = format!("{:08x}{id:08x}", number + 1);
+        let (id, at_ms) = (index + 1, context.unix_ms(send.at_ms));
+        let request = format!("{:08x}{id:08x}", client_index + 1);
         let sent = |class, effect| Sent {
             request: request.clone(),
             class,
@@ -123,21 +123,21 @@
         match send.message {
             Message::Check => {
                 let text = format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"check\"}}\n");
-                let completes = Sent { request: String::new(), ..sent(None, String::new()) };
-                pieces.push(Piece { at_ms, text, completes: Some(completes) });
+                let completed = Sent { request: String::new(), ..sent(None, String::new()) };
+                pieces.push(TextPiece { at_ms, text, completed: Some(completed) });
             }
             Message::Whole(class) => {
                 let sent = sent(Some(class), effect(class));
                 let text = request_line(id, &sent, class, send.key, at_ms);
-                pieces.push(Piece { at_ms, text, completes: Some(sent) });
+                pieces.push(TextPiece { at_ms, text, completed: Some(sent) });
             }
             Message::Halves(class, pause_ms) => {
                 let sent = sent(Some(class), effect(class));
                 let text = request_line(id, &sent, class, send.key, at_ms);
                 let (first, second) = text.split_at(text.len() / 2);
-                pieces.push(Piece { at_ms, text: first.into(), completes: None });
+                pieces.push(TextPiece { at_ms, text: first.into(), completed: None });
                 let at_ms = at_ms.saturating_add_signed(pause_ms);
-                pieces.push(Piece { at_ms, text: second.into(), completes: Some(sent) });
+                pieces.push(TextPiece { at_ms, text: second.into(), completed: Some(sent) });
             }
         }
     }
@@ -145,14 +145,14 @@
 }
 
 /// Plays a client until its connection ends or the run is over.
-pub fn play(context: &RunContext, number: usize, client: &Client) -> Connection {
-    wait_until(context.at(client.at_ms));
+pub fn play(context: &RunContext, client_index: usize, client: &Client) -> Connection {
+    wait_until(context.unix_ms(client.at_ms));
     let Ok(stream) = TcpStream::connect(context.server) else { return Connection::default() };
     let _ = stream.set_nodelay(true);
     let _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
     let mut connection = Connection { connected: true, ..Connection::default() };
     // The pieces of one client follow each other, as a gateway writes one line after the other.
-    let mut pieces = pieces(context, number, client).into_iter().peekable();
+    let mut pieces = pieces(context, client_index, client).into_iter().peekable();
     let mut reader = ArrivalReader::new(&stream);
     let mut unread = Vec::new();
     while now_ms() < context.give_up_ms {
@@ -167,15 +167,15 @@
         while let Some(piece) = pieces.next_if(|piece| piece.at_ms <= now_ms()) {
             write(&stream, piece, &mut connection);
         }
-        sleep(POLL);
+        sleep(POLL_INTERVAL);
     }
     connection
 }
 
-fn write(mut stream: &TcpStream, piece: Piece, connection: &mut Connection) {
+fn write(mut stream: &TcpStream, piece: TextPiece, connection: &mut Connection) {
     let sent_ms = now_ms();
     let is_written = stream.write_all(piece.text.as_bytes()).is_ok();
-    if let Some(sent) = piece.completes {
+    if let Some(sent) = piece.completed {
         // Its place says its id; one that could not be written was never had by the server.
         let sent_ms = if is_written { sent_ms } else { u64::MAX };
         connection.sent.push(Sent { sent_ms, ..sent });
@@ -200,12 +200,12 @@
         }
         while let Some(end) = unread.iter().position(|byte| *byte == b'\n') {
             let line: Vec<u8> = unread.drain(..=end).collect();
-            note_line(&line, reader.arrived_after_ms(), connection);
+            record_answer(&line, reader.arrived_after_ms(), connection);
         }
     }
 }
 
-fn note_line(line: &[u8], came_ms: u64, connection: &mut Connection) {
+fn record_answer(line: &[u8], answered_ms: u64, connection: &mut Connection) {
     let Ok(value) = serde_json::from_slice::<Value>(line) else {
         connection.unmatched_answers += 1;
         return;
@@ -218,12 +218,12 @@
     };
     let index = (id as usize).wrapping_sub(1);
     match connection.sent.get_mut(index) {
-        Some(sent) => sent.answers.push((answer, came_ms)),
+        Some(sent) => sent.answers.push((answer, answered_ms)),
         None => connection.unmatched_answers += 1,
     }
 }
 
 fn wait_until(at_ms: u64) {
-    let left = at_ms.saturating_sub(now_ms());
-    sleep(Duration::from_millis(left));
+    let remaining_ms = at_ms.saturating_sub(now_ms());
+    sleep(Duration::from_millis(remaining_ms));
 }
--- a/crates/hazelspur-fault-harness/src/endings/command.rs
+++ b/crates/hazelspur-fault-harness/src/endings/command.rs
@@ -19,9 +19,9 @@
 /// The most runs at a time.
 const MAX_JOBS: usize = 16;
 /// A restarted server serves within this time in nine of ten cases.
-const READY_TIME: Duration = Duration::from_secs(10);
+const MAX_READY_TIME: Duration = Duration::from_secs(10);
 /// Breaches of a seed that are printed.
-const MAX_PRINTED: usize = 5;
+const MAX_PRINTED_BREACHES: usize = 5;
 /// Runs that shrinking may take.
 const MAX_SHRINKING_RUNS: usize = 60;
 /// Time between two lines of progress where standard error is no terminal.
@@ -75,12 +75,12 @@
     /// When progress was last shown.
     progress_shown_at: Option<Instant>,
     /// Servers that came back, and those that did so in time.
-    back: usize,
-    back_in_time: usize,
+    restarted: usize,
+    ready_in_time: usize,
 }
 
 /// Notes an interrupt from now on, on a thread of its own.
-fn note_interrupts() -> std::io::Result<()> {
+fn watch_for_interrupt() -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let mut interrupt = {
         let _entered = runtime.enter();
@@ -103,15 +103,15 @@
         anyhow::ensure!((1..=MAX_SEEDS).contains(&self.seeds), "--seeds {}: 1 to {MAX_SEEDS}", self.seeds);
         anyhow::ensure!((1..=MAX_JOBS).contains(&self.jobs), "--jobs {}: 1 to {MAX_JOBS}", self.jobs);
         anyhow::ensure!(self.reports.is_dir(), "--reports {:?}: no such folder", self.reports);
-        note_interrupts()?;
+        watch_for_interrupt()?;
         let summary = self.play_all(&program);
         print!("{}", summary.report(self.seeds));
-        Ok(summary.holds(self.seeds))
+        Ok(summary.passed(self.seeds))
     }
 
     fn program(&self) -> anyhow::Result<PathBuf> {
-        let beside = std::env::current_exe()?.with_file_name("hazelspur-server");
-        let program = self.server.clone().unwrap_or(beside);
+        let default_path = std::env::current_exe()?.with_file_name("hazelspur-server");
+        let program = self.server.clone().unwrap_or(default_path);
         anyhow::ensure!(program.exists(), "--server {program:?}: build it, or name another");
         Ok(program)
     }
@@ -131,7 +131,7 @@
                         let result = play(program, &plan, &INTERRUPTED);
                         let mut summary = summary.lock().expect("no panic before");
                         match result {
-                            Ok(evidence) => self.note(&mut summary, program, &plan, &evidence),
+                            Ok(evidence) => self.record(&mut summary, program, &plan, &evidence),
                             Err(why) => summary.not_played.push(format!("seed {seed}: {why:#}")),
                         }
                         summary.show_progress(self.seeds);
@@ -142,7 +142,7 @@
         summary.into_inner().expect("no panic before")
     }
 
-    fn note(&self, summary: &mut Summary, program: &Path, plan: &Plan, evidence: &Evidence) {
+    fn record(&self, summary: &mut Summary, program: &Path, plan: &Plan, evidence: &Evidence) {
         let breaches = evidence.breaches();
         summary.add(plan, evidence, &breaches);
         if breaches.is_empty() {
@@ -151,14 +151,14 @@
         summary.failed.push(plan.seed);
         let file = self.reports.join(format!("hazelspur-endings-seed-{}.txt", plan.seed));
         println!("\n{plan}\n  again: hazelspur-fault-harness endings --seed {} --seeds 1", plan.seed);
-        breaches.iter().take(MAX_PRINTED).for_each(|breach| println!("  {breach}"));
+        breaches.iter().take(MAX_PRINTED_BREACHES).for_each(|breach| println!("  {breach}"));
         println!("  report: {}", file.display());
-        if let Err(why) = std::fs::write(&file, report(plan, evidence, &breaches)) {
+        if let Err(why) = std::fs::write(&file, failure_report(plan, evidence, &breaches)) {
             println!("  the report was not kept: {why}");
         }
         if self.shrink {
             let without = shrunk(program, plan);
-            println!("  least: --seed {} --seeds 1 --without {}", plan.seed, join(&without));
+            println!("  least: --seed {} --seeds 1 --without {}", plan.seed, join_numbers(&without));
         }
     }
 }
@@ -177,11 +177,11 @@
     without
 }
 
-fn join(numbers: &[usize]) -> String {
+fn join_numbers(numbers: &[usize]) -> String {
     numbers.iter().map(usize::to_string).collect::<Vec<_>>().join(",")
 }
 
-fn report(plan: &Plan, evidence: &Evidence, breaches: &[Breach]) -> String {
+fn failure_report(plan: &Plan, evidence: &Evidence, breaches: &[Breach]) -> String {
     let breaches: String = breaches.iter().map(|breach| format!("{breach}\n")).collect();
     let requests: String = evidence.requests().map(|sent| format!("{sent:?}\n")).collect();
     let (notice_ms, end) = (evidence.notice_ms, &evidence.end);
@@ -193,15 +193,15 @@
         self.played += 1;
         plan.steps.iter().for_each(|step| *self.steps.entry(step.action.kind()).or_default() += 1);
         breaches.iter().for_each(|breach| *self.breaches_by_rule.entry(breach.rule).or_default() += 1);
-        let named = [
+        let counts = [
             ("succeeded", evidence.count_answered(Answer::Success)),
             ("rejected", evidence.count_answered(Answer::Rejected)),
             ("failed", evidence.count_answered(Answer::Failed)),
         ];
-        named.into_iter().for_each(|(name, count)| *self.answers.entry(name).or_default() += count);
+        counts.into_iter().for_each(|(name, count)| *self.answers.entry(name).or_default() += count);
         self.instants.add(Instants::of(plan, evidence));
-        self.back += 1;
-        self.back_in_time += usize::from(evidence.ready_after.is_some_and(|after| after <= READY_TIME));
+        self.restarted += 1;
+        self.ready_in_time += usize::from(evidence.ready_after.is_some_and(|after| after <= MAX_READY_TIME));
     }
 
     fn show_progress(&mut self, seeds: u64) {
@@ -218,24 +218,32 @@
     }
 
     /// Whether all seeds were played and all rules held.
-    fn holds(&self, seeds: u64) -> bool {
-        let in_time = self.back_in_time * 10 >= self.back * 9;
+    fn passed(&self, seeds: u64) -> bool {
+        let in_time = self.ready_in_time * 10 >= self.restarted * 9;
         self.played == seeds && self.failed.is_empty() && self.not_played.is_empty() && in_time
     }
 
     fn report(&self, seeds: u64) -> String {
         let Self {
-            played, not_played, failed, breaches_by_rule, answers, instants, back, back_in_time, ..
+            played,
+            not_played,
+            failed,
+            breaches_by_rule,
+            answers,
+            instants,
+            restarted,
+            ready_in_time,
+            ..
         } = self;
         let steps = Action::KINDS.map(|kind| format!("{} {kind}", self.steps.get(kind).unwrap_or(&0)));
         let answers: Vec<String> = answers.iter().map(|(name, count)| format!("{count} {name}")).collect();
         let mut text = format!(
             "\n{played} of {seeds} seeds played, {} failed {failed:?}\nrequests: {}\ninstants: {instants}\nsteps: {}\n\
-             ready again within {} s: {back_in_time} of {back}\n",
+             ready again within {} s: {ready_in_time} of {restarted}\n",
             failed.len(),
             answers.join(", "),
             steps.join("; "),
-            READY_TIME.as_secs()
+            MAX_READY_TIME.as_secs()
         );
         breaches_by_rule.iter().for_each(|(rule, count)| text += &format!("breaches of {rule:?}: {count}\n"));
         not_played.iter().for_each(|why| text += &format!("not played: {why}\n"));
--- a/crates/hazelspur-fault-harness/src/endings/instants.rs
+++ b/crates/hazelspur-fault-harness/src/endings/instants.rs
@@ -7,7 +7,7 @@
 use std::ops::Range;
 
 /// A request that was sent so shortly before the end of the grace period is at its margin, in milliseconds.
-const MARGIN_MS: u64 = 50;
+const END_OF_GRACE_MS: u64 = 50;
 
 /// Requests that met each instant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -27,11 +27,11 @@
     pub fn of(plan: &Plan, evidence: &Evidence) -> Self {
         let suspensions: Vec<Range<u64>> = suspensions(plan, evidence).collect();
         let grace_ends_ms = evidence.notice_ms.saturating_add_signed(GRACE_PERIOD_MS);
-        let margin = grace_ends_ms - MARGIN_MS..grace_ends_ms;
+        let end_of_grace = grace_ends_ms - END_OF_GRACE_MS..grace_ends_ms;
         let started_ms = |sent: &Sent| evidence.started_ms.get(&sent.request).copied();
         let result_ms = |sent: &Sent| {
             let answer = sent.answers.first().filter(|(answer, _)| *answer == Answer::Success);
-            answer.map(|(_, came_ms)| *came_ms)
+            answer.map(|(_, answered_ms)| *answered_ms)
         };
         let ran_across = |sent: &Sent| {
             let (Some(started_ms), Some(result_ms)) = (started_ms(sent), result_ms(sent)) else {
@@ -40,10 +40,11 @@
             suspensions.iter().any(|span| started_ms < span.start && span.end <= result_ms)
         };
         let sent_in = |sent: &Sent| suspensions.iter().any(|span| span.contains(&sent.sent_ms));
-        let count = |holds: &dyn Fn(&Sent) -> bool| evidence.requests().filter(|sent| holds(sent)).count();
+        let count =
+            |matches: &dyn Fn(&Sent) -> bool| evidence.requests().filter(|sent| matches(sent)).count();
         Self {
             crossed_close: count(&|sent| sent.answers.is_empty()),
-            at_end_of_grace: count(&|sent| margin.contains(&sent.sent_ms) && !sent.answers.is_empty()),
+            at_end_of_grace: count(&|sent| end_of_grace.contains(&sent.sent_ms) && !sent.answers.is_empty()),
             sent_in_suspension: count(&|sent| sent_in(sent) && started_ms(sent).is_some()),
             ran_across_suspension: count(&ran_across),
         }
@@ -69,7 +70,7 @@
         let Self { crossed_close, at_end_of_grace, sent_in_suspension, ran_across_suspension } = self;
         write!(
             f,
-            "{crossed_close} crossed a close, {at_end_of_grace} in the last {MARGIN_MS} ms of the grace period"
+            "{crossed_close} crossed a close, {at_end_of_grace} in the last {END_OF_GRACE_MS} ms of the grace period"
         )?;
         write!(f, ", {sent_in_suspension} sent during a suspension that ran")?;
         write!(f, ", {ran_across_suspension} ran across a suspension")
@@ -80,9 +81,9 @@
 fn suspensions(plan: &Plan, evidence: &Evidence) -> impl Iterator<Item = Range<u64>> {
     let notice_ms = evidence.notice_ms;
     plan.steps.iter().filter_map(move |step| match step.action {
-        Action::Suspend(ms) => {
-            let begins_ms = notice_ms.saturating_add_signed(step.at_ms);
-            Some(begins_ms..begins_ms.saturating_add_signed(ms))
+        Action::Suspend(duration_ms) => {
+            let begin_ms = notice_ms.saturating_add_signed(step.at_ms);
+            Some(begin_ms..begin_ms.saturating_add_signed(duration_ms))
         }
         _ => None,
     })
--- a/crates/hazelspur-fault-harness/src/endings/plan.rs
+++ b/crates/hazelspur-fault-harness/src/endings/plan.rs
@@ -10,18 +10,18 @@
 /// Times to the kill that are drawn, in milliseconds; the shortest leaves 420 ms between grace period and last close.
 const STOP_MS: [i64; 4] = [900, 1200, 1500, 2400];
 /// A suspension ends at least this long before the kill, in milliseconds.
-const SUSPENSION_MARGIN_MS: i64 = 300;
+const SUSPENSION_END_BEFORE_KILL_MS: i64 = 300;
 /// Clients of a run without a crowd.
 const CLIENTS: u32 = 8;
 /// Clients of a run that rest until about the close of their connection.
-const RESTING_CLIENTS: u32 = 3;
+const IDLE_CLIENTS: u32 = 3;
 /// Clients of a run that send before and during a suspension that half of the runs have.
 const CLIENTS_AROUND_SUSPENSION: u32 = 3;
 /// Connections that rest are closed between these times, in milliseconds from the end of the grace period: so long
 /// after a goodbye message that goes out within one round of the server's maintenance.
-const RESTING_CLOSE_MS: [i64; 2] = [400, 520];
+const IDLE_CLOSE_AFTER_GRACE_MS: [i64; 2] = [400, 520];
 /// Clients of a run with a crowd; all of them fit the descriptors of a server.
-const CROWD: u32 = 60;
+const CROWD_CLIENTS: u32 = 60;
 
 /// A request class, by what repeating it would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -153,9 +153,9 @@
 }
 
 /// Draws from ranges.
-struct Chance(Pcg);
+struct PlanGenerator(Pcg);
 
-impl Chance {
+impl PlanGenerator {
     fn below(&mut self, bound: u32) -> u32 {
         self.0.draw() % bound
     }
@@ -164,7 +164,7 @@
         self.below(count) == 0
     }
 
-    fn time(&mut self, from_ms: i64, to_ms: i64) -> i64 {
+    fn time_ms(&mut self, from_ms: i64, to_ms: i64) -> i64 {
         from_ms + i64::from(self.below((to_ms - from_ms).max(1) as u32))
     }
 
@@ -172,14 +172,14 @@
         let class = self.class();
         match self.below(6) {
             0 => Message::Check,
-            1 => Message::Halves(class, self.time(20, 500)),
+            1 => Message::Halves(class, self.time_ms(20, 500)),
             _ => Message::Whole(class),
         }
     }
 
     fn client(&mut self, stop_ms: i64) -> Client {
         let connects_late = self.one_in(5);
-        let at_ms = if connects_late { self.time(0, stop_ms) } else { self.time(-LEAD_MS, 0) };
+        let at_ms = if connects_late { self.time_ms(0, stop_ms) } else { self.time_ms(-LEAD_MS, 0) };
         let sends = (0..1 + self.below(6)).map(|_| self.send(at_ms, stop_ms));
         let mut sends: Vec<Send> = sends.collect();
         sends.sort_by_key(|send| send.at_ms);
@@ -188,25 +188,25 @@
     }
 
     /// A client whose connection rests from before the notice, and whose request meets the close.
-    fn resting_client(&mut self) -> Client {
-        let at_ms = self.time(-LEAD_MS, 0);
+    fn idle_client(&mut self) -> Client {
+        let at_ms = self.time_ms(-LEAD_MS, 0);
         let class = self.class();
-        let [first_ms, last_ms] = RESTING_CLOSE_MS;
-        let meets_close_ms = GRACE_PERIOD_MS + self.time(first_ms, last_ms);
+        let [first_ms, last_ms] = IDLE_CLOSE_AFTER_GRACE_MS;
+        let near_close_ms = GRACE_PERIOD_MS + self.time_ms(first_ms, last_ms);
         let send = |at_ms, message| Send { at_ms, message, key: 0 };
-        let sends = vec![send(at_ms, Message::Check), send(meets_close_ms, Message::Whole(class))];
+        let sends = vec![send(at_ms, Message::Check), send(near_close_ms, Message::Whole(class))];
         Client { at_ms, sends, read_pause_ms: 0, sends_after_close: true }
     }
 
     /// A suspension that begins while requests still run.
     fn early_suspension(&mut self) -> Step {
-        let at_ms = self.time(-250, GRACE_PERIOD_MS - 150);
-        Step { at_ms, action: Action::Suspend(self.time(60, 200)) }
+        let at_ms = self.time_ms(-250, GRACE_PERIOD_MS - 150);
+        Step { at_ms, action: Action::Suspend(self.time_ms(60, 200)) }
     }
 
     /// A client that sends a request shortly before a moment and one shortly after it.
     fn client_around(&mut self, moment_ms: i64) -> Client {
-        let times = [moment_ms - self.time(2, 20), moment_ms + self.time(10, 50)];
+        let times = [moment_ms - self.time_ms(2, 20), moment_ms + self.time_ms(10, 50)];
         let mut send = |at_ms| Send { at_ms, message: Message::Whole(self.class()), key: self.below(12) };
         let sends = times.map(&mut send).to_vec();
         Client { at_ms: -LEAD_MS, sends, read_pause_ms: 0, sends_after_close: false }
@@ -219,24 +219,24 @@
     fn send(&mut self, from_ms: i64, stop_ms: i64) -> Send {
         // Around the instants at which something ends: more often than by chance.
         let at_ms = match self.below(5) {
-            0 => self.time(GRACE_PERIOD_MS - 40, GRACE_PERIOD_MS + 120),
+            0 => self.time_ms(GRACE_PERIOD_MS - 40, GRACE_PERIOD_MS + 120),
             // Connections that rest after the goodbye message are closed about then.
-            2 => self.time(GRACE_PERIOD_MS + 380, GRACE_PERIOD_MS + 620),
-            1 => self.time(stop_ms - 260, stop_ms - 120),
-            _ => self.time(from_ms, stop_ms),
+            2 => self.time_ms(GRACE_PERIOD_MS + 380, GRACE_PERIOD_MS + 620),
+            1 => self.time_ms(stop_ms - 260, stop_ms - 120),
+            _ => self.time_ms(from_ms, stop_ms),
         };
         Send { at_ms: at_ms.max(from_ms), message: self.message(), key: self.below(12) }
     }
 
     fn step(&mut self, stop_ms: i64) -> Step {
-        let at_ms = self.time(-200, stop_ms - SUSPENSION_MARGIN_MS);
-        let longest = stop_ms - SUSPENSION_MARGIN_MS - at_ms;
+        let at_ms = self.time_ms(-200, stop_ms - SUSPENSION_END_BEFORE_KILL_MS);
+        let longest_ms = stop_ms - SUSPENSION_END_BEFORE_KILL_MS - at_ms;
         let files = [FileChange::Unchanged, FileChange::Moved, FileChange::Missing, FileChange::HalfWritten];
         let action = match self.below(6) {
             0 => Action::Term,
             1 => Action::Hup(files[self.below(4) as usize]),
-            2 | 3 => Action::Suspend(self.time(10, longest.min(600)).min(longest)),
-            4 => Action::RefuseWorker(self.time(10, 400)),
+            2 | 3 => Action::Suspend(self.time_ms(10, longest_ms.min(600)).min(longest_ms)),
+            4 => Action::RefuseWorker(self.time_ms(10, 400)),
             _ => Action::CutBroker,
         };
         // The first SIGTERM is the notice.
@@ -248,18 +248,18 @@
 impl Plan {
     /// Draws a plan.
     pub fn from_seed(seed: u64) -> Self {
-        let mut chance = Chance(Pcg::new(seed));
-        let stop_ms = STOP_MS[chance.below(4) as usize];
-        let clients = if chance.one_in(5) { CROWD } else { CLIENTS };
-        let run_ms = [0, 15, 60, 200][chance.below(4) as usize];
-        let queued_messages = if chance.one_in(3) { 10 } else { 0 };
-        let mut steps: Vec<Step> = (0..chance.below(5)).map(|_| chance.step(stop_ms)).collect();
-        let mut clients: Vec<Client> = (0..clients).map(|_| chance.client(stop_ms)).collect();
-        clients.extend((0..RESTING_CLIENTS).map(|_| chance.resting_client()));
-        let early = chance.early_suspension();
-        clients.extend((0..CLIENTS_AROUND_SUSPENSION).map(|_| chance.client_around(early.at_ms)));
-        if chance.one_in(2) {
-            steps.push(early);
+        let mut generator = PlanGenerator(Pcg::new(seed));
+        let stop_ms = STOP_MS[generator.below(4) as usize];
+        let clients = if generator.one_in(5) { CROWD_CLIENTS } else { CLIENTS };
+        let run_ms = [0, 15, 60, 200][generator.below(4) as usize];
+        let queued_messages = if generator.one_in(3) { 10 } else { 0 };
+        let mut steps: Vec<Step> = (0..generator.below(5)).map(|_| generator.step(stop_ms)).collect();
+        let mut clients: Vec<Client> = (0..clients).map(|_| generator.client(stop_ms)).collect();
+        clients.extend((0..IDLE_CLIENTS).map(|_| generator.idle_client()));
+        let suspension = generator.early_suspension();
+        clients.extend((0..CLIENTS_AROUND_SUSPENSION).map(|_| generator.client_around(suspension.at_ms)));
+        if generator.one_in(2) {
+            steps.push(suspension);
         }
         steps.sort_by_key(|step| step.at_ms);
         Self { seed, stop_ms, run_ms, queued_messages, steps, clients }
@@ -272,10 +272,10 @@
 
     /// The plan without these parts: steps first, then clients.
     pub fn without(&self, parts: &[usize]) -> Self {
-        let kept = |part: usize| !parts.contains(&part);
-        let numbered = |offset: usize| move |(index, _): &(usize, _)| kept(offset + index);
-        let steps = self.steps.iter().copied().enumerate().filter(|(index, _)| kept(*index));
-        let clients = self.clients.iter().cloned().enumerate().filter(numbered(self.steps.len()));
+        let is_kept = |part: usize| !parts.contains(&part);
+        let keeps_client = |offset: usize| move |(index, _): &(usize, _)| is_kept(offset + index);
+        let steps = self.steps.iter().copied().enumerate().filter(|(index, _)| is_kept(*index));
+        let clients = self.clients.iter().cloned().enumerate().filter(keeps_client(self.steps.len()));
         Self {
             steps: steps.map(|(_, step)| step).collect(),
             clients: clients.map(|(_, client)| client).collect(),
@@ -285,7 +285,7 @@
 
     /// Whether many clients are there at once.
     pub fn has_crowd(&self) -> bool {
-        self.clients.len() > (CLIENTS + RESTING_CLIENTS + CLIENTS_AROUND_SUSPENSION) as usize
+        self.clients.len() > (CLIENTS + IDLE_CLIENTS + CLIENTS_AROUND_SUSPENSION) as usize
     }
 }
 
--- a/crates/hazelspur-fault-harness/src/endings/run.rs
+++ b/crates/hazelspur-fault-harness/src/endings/run.rs
@@ -26,7 +26,7 @@
 /// The time of a call, in milliseconds.
 const CALL_MS: f64 = 5.0;
 /// How long the run goes on past the kill, for clients that still read, in milliseconds.
-const AFTERMATH_MS: u64 = 300;
+const CLIENT_TIME_AFTER_KILL_MS: u64 = 300;
 /// How long the broker may take to notice the end of the process.
 const SETTLING_TIMEOUT: Duration = Duration::from_secs(5);
 /// How often the process is looked at.
@@ -35,7 +35,7 @@
 static RUNS: AtomicU32 = AtomicU32::new(0);
 
 /// The test doubles and the folder of one run.
-struct Scenery {
+struct TestEnvironment {
     worker: Worker,
     dependency: Dependency,
     registry: Registry,
@@ -46,21 +46,21 @@
     expected: BTreeMap<Vec<u8>, Expected>,
 }
 
-impl Scenery {
+impl TestEnvironment {
     fn new(plan: &Plan) -> anyhow::Result<Self> {
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
         let net = 1 + (std::process::id() % 250) as u8;
         let ip = Ipv4Addr::new(127, 81, net, 1 + (run % 250) as u8);
         let folder = std::env::temp_dir().join(format!("hazelspur-endings-{}-{run}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
-        let pace = WorkerSettings {
+        let worker_settings = WorkerSettings {
             run_ms: plan.run_ms,
             makes_calls: plan.seed.is_multiple_of(2),
             call_deadline_ms: client::REQUEST_TIMEOUT_MS,
             ..WorkerSettings::default()
         };
-        let mut scenery = Self {
-            worker: Worker::start("127.0.0.1:0", pace),
+        let mut environment = Self {
+            worker: Worker::start("127.0.0.1:0", worker_settings),
             dependency: Dependency::start("127.0.0.1:0", CALL_SLOTS, CALL_MS),
             registry: Registry::start("127.0.0.1:0"),
             broker: Broker::start(),
@@ -68,8 +68,8 @@
             folder,
             expected: BTreeMap::new(),
         };
-        scenery.fill_queue(plan.queued_messages);
-        Ok(scenery)
+        environment.fill_queue(plan.queued_messages);
+        Ok(environment)
     }
 
     fn fill_queue(&mut self, messages: u32) {
@@ -78,7 +78,7 @@
         for number in 0..messages {
             let class = ["view", "book", "pay"][number as usize % 3];
             let body = format!("message-{number}").into_bytes();
-            self.broker.publish("orders", queue_message(class, number), &body);
+            self.broker.publish("orders", message_properties(class, number), &body);
             self.expected.insert(body, Expected { at_most_once: class != "view", start_deadline_ms: None });
         }
     }
@@ -98,7 +98,7 @@
         self.broker
             .wait_until(SETTLING_TIMEOUT, |state| !state.has_consumer("orders") && state.unsettled() == 0);
         sleep(OBSERVATION_INTERVAL);
-        let lost = figure(log, "unproven");
+        let lost = sum_of_log_field(log, "unproven");
         breaches(&self.broker.state(), &self.worker.state(), &self.expected, lost)
     }
 
@@ -108,9 +108,9 @@
         server: &mut Server,
         plan: &Plan,
         context: &RunContext,
-    ) -> anyhow::Result<Notice> {
-        let mut spans = Spans::default();
-        let mut notice = Notice::default();
+    ) -> anyhow::Result<NoticeTimes> {
+        let mut spans = OpenSpans::default();
+        let mut notice = NoticeTimes::default();
         for TimedOperation { at_ms, operation } in timeline(plan) {
             let due_ms = context.notice_due_ms.saturating_add_signed(at_ms);
             while now_ms() < due_ms {
@@ -122,13 +122,18 @@
                 server.signal("-TERM");
                 notice.after_ms = now_ms();
             } else {
-                self.act(server, &mut spans, operation)?;
+                self.perform(server, &mut spans, operation)?;
             }
         }
         Ok(notice)
     }
 
-    fn act(&self, server: &mut Server, spans: &mut Spans, operation: Operation) -> anyhow::Result<()> {
+    fn perform(
+        &self,
+        server: &mut Server,
+        spans: &mut OpenSpans,
+        operation: Operation,
+    ) -> anyhow::Result<()> {
         match operation {
             Operation::Notice | Operation::Term => server.signal("-TERM"),
             Operation::Hup(change) => server.reload(change)?,
@@ -153,14 +158,14 @@
 
 /// Spans under way in one run.
 #[derive(Default)]
-struct Spans {
+struct OpenSpans {
     suspensions: OverlappingSpans,
     refusals: OverlappingSpans,
 }
 
 /// When SIGTERM was sent, in Unix milliseconds.
 #[derive(Clone, Copy, Default)]
-struct Notice {
+struct NoticeTimes {
     before_ms: u64,
     after_ms: u64,
 }
@@ -170,16 +175,16 @@
 /// # Errors
 /// Where it can't be set up, or the server does not start.
 pub fn play(program: &Path, plan: &Plan, interrupted: &AtomicBool) -> anyhow::Result<Evidence> {
-    let scenery = Scenery::new(plan)?;
-    let addresses = scenery.addresses();
-    let mut server = Server::start(program, &scenery.folder, addresses, plan)?;
-    server.wait_until_serving().with_context(|| log_of(&scenery.folder))?;
+    let environment = TestEnvironment::new(plan)?;
+    let addresses = environment.addresses();
+    let mut server = Server::start(program, &environment.folder, addresses, plan)?;
+    server.wait_until_serving().with_context(|| read_log(&environment.folder))?;
     let notice_due_ms = now_ms().saturating_add_signed(LEAD_MS);
-    let give_up_ms = notice_due_ms.saturating_add_signed(plan.stop_ms) + AFTERMATH_MS;
+    let give_up_ms = notice_due_ms.saturating_add_signed(plan.stop_ms) + CLIENT_TIME_AFTER_KILL_MS;
     let context = RunContext { server: addresses.listen, notice_due_ms, give_up_ms };
     let (connections, ended) = std::thread::scope(|scope| {
         let clients = plan.clients.iter().enumerate();
-        let playing: Vec<_> = clients
+        let client_threads: Vec<_> = clients
             .map(|(number, client)| {
                 scope.spawn({
                     let context = &context;
@@ -187,19 +192,20 @@
                 })
             })
             .collect();
-        let ended = scenery.play_timeline(&mut server, plan, &context).and_then(|notice| {
+        let ended = environment.play_timeline(&mut server, plan, &context).and_then(|notice| {
             let kill_ms = notice.before_ms.saturating_add_signed(plan.stop_ms);
             Ok((notice, server.wait_or_kill(kill_ms)?))
         });
         let connections: Vec<Connection> =
-            playing.into_iter().map(|client| client.join().unwrap_or_default()).collect();
+            client_threads.into_iter().map(|client| client.join().unwrap_or_default()).collect();
         (connections, ended)
     });
     let (notice, end) = ended?;
-    let log = log_of(&scenery.folder);
-    let queue_breaches = scenery.queue_breaches(&log);
-    let back = if interrupted.load(Ordering::Relaxed) { None } else { come_back(program, &scenery, plan)? };
-    let worker = scenery.worker.state();
+    let log = read_log(&environment.folder);
+    let queue_breaches = environment.queue_breaches(&log);
+    let ready_after =
+        if interrupted.load(Ordering::Relaxed) { None } else { restart(program, &environment, plan)? };
+    let worker = environment.worker.state();
     let evidence = Evidence {
         notice_ms: notice.after_ms,
         kill_ms: notice.before_ms.saturating_add_signed(plan.stop_ms),
@@ -212,33 +218,33 @@
             .collect(),
         queue_breaches,
         end,
-        ready_after: back,
+        ready_after,
         log,
     };
-    let _ = std::fs::remove_dir_all(&scenery.folder);
+    let _ = std::fs::remove_dir_all(&environment.folder);
     Ok(evidence)
 }
 
 /// The same server at once again, under its name and address: the time until it serves. It is killed then.
-fn come_back(program: &Path, scenery: &Scenery, plan: &Plan) -> anyhow::Result<Option<Duration>> {
-    let mut server = Server::start(program, &scenery.folder, scenery.addresses(), plan)?;
+fn restart(program: &Path, environment: &TestEnvironment, plan: &Plan) -> anyhow::Result<Option<Duration>> {
+    let mut server = Server::start(program, &environment.folder, environment.addresses(), plan)?;
     let ready_after = server.wait_until_serving().ok();
     Ok(ready_after)
 }
 
-fn log_of(folder: &Path) -> String {
+fn read_log(folder: &Path) -> String {
     std::fs::read_to_string(folder.join("log")).unwrap_or_default()
 }
 
 /// The sum of a figure over all lines of a log.
-fn figure(log: &str, key: &str) -> usize {
+fn sum_of_log_field(log: &str, key: &str) -> usize {
     let key = format!(" {key}=");
-    let after = log.split(&key).skip(1);
-    after.filter_map(|rest| rest.split([' ', '\n']).next()?.parse::<usize>().ok()).sum()
+    let values = log.split(&key).skip(1);
+    values.filter_map(|rest| rest.split([' ', '\n']).next()?.parse::<usize>().ok()).sum()
 }
 
 /// A message of a request class; its id is its number.
-fn queue_message(class: &str, number: u32) -> AMQPProperties {
+fn message_properties(class: &str, number: u32) -> AMQPProperties {
     let id = format!("m{number}");
     AMQPProperties::default().with_type(class.into()).with_message_id(id.as_str().into())
 }
--- a/crates/hazelspur-fault-harness/src/endings/server.rs
+++ b/crates/hazelspur-fault-harness/src/endings/server.rs
@@ -19,7 +19,7 @@
 /// How long a start may take before it counts as failed.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 /// How often a health check is repeated, and the end looked for.
-const POLL: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// How long a health check may take.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -62,9 +62,9 @@
     end: End,
 }
 
-fn configuration(addresses: &Addresses, stop_ms: i64, worker: usize) -> String {
+fn config_text(addresses: &Addresses, stop_ms: i64, worker_address: usize) -> String {
     let Addresses { listen, dependency, registry, .. } = addresses;
-    let worker = addresses.worker[worker];
+    let worker = addresses.worker[worker_address];
     let grace_us = GRACE_PERIOD_MS * 1000;
     format!(
         r#"{{"name":"n1","listen":"{listen}","runtime":"{worker}","ledger":"{dependency}","control":"{registry}",
@@ -87,22 +87,22 @@
     pub fn start(program: &Path, folder: &Path, addresses: Addresses, plan: &Plan) -> anyhow::Result<Self> {
         let temporary = folder.join("tmp");
         std::fs::create_dir_all(&temporary)?;
-        let file = folder.join("config.json");
-        std::fs::write(&file, configuration(&addresses, plan.stop_ms, 0))?;
+        let config_path = folder.join("config.json");
+        std::fs::write(&config_path, config_text(&addresses, plan.stop_ms, 0))?;
         let mut command = Command::new(program);
         command
-            .env("ROUTER_CONFIG", &file)
+            .env("ROUTER_CONFIG", &config_path)
             .env("TMPDIR", &temporary)
             .stdin(Stdio::null())
             .stdout(Stdio::null());
         if plan.queued_messages > 0 {
-            let operator = folder.join("operator.star");
+            let operator_file = folder.join("operator.star");
             let broker = addresses.broker;
             let text = format!(
                 "amqp(brokers = [\"{broker}\"], user = \"u\", password = \"p\", spread_s = 0.03)\nqueue(name = \"orders\", window = \"fixed\", most = 4)\n"
             );
-            std::fs::write(&operator, text)?;
-            command.arg("--file").arg(operator);
+            std::fs::write(&operator_file, text)?;
+            command.arg("--file").arg(operator_file);
         }
         command.stderr(File::options().create(true).append(true).open(folder.join("log"))?);
         let child = command.spawn().with_context(|| format!("{program:?}"))?;
@@ -118,10 +118,10 @@
         let began = Instant::now();
         while began.elapsed() < START_TIMEOUT {
             anyhow::ensure!(self.child.try_wait()?.is_none(), "the server ended at its start");
-            if serves(self.addresses.listen) {
+            if is_ready(self.addresses.listen) {
                 return Ok(began.elapsed());
             }
-            sleep(POLL);
+            sleep(POLL_INTERVAL);
         }
         anyhow::bail!("not serving within {} s", START_TIMEOUT.as_secs())
     }
@@ -138,13 +138,13 @@
     /// # Errors
     /// Where the file can't be changed.
     pub fn reload(&mut self, change: FileChange) -> anyhow::Result<()> {
-        let file = self.folder.join("config.json");
-        let text = |worker| configuration(&self.addresses, self.stop_ms, worker);
+        let config_path = self.folder.join("config.json");
+        let text = |worker_address| config_text(&self.addresses, self.stop_ms, worker_address);
         match change {
             FileChange::Unchanged => {}
-            FileChange::Moved => std::fs::write(&file, text(1))?,
-            FileChange::Missing => std::fs::remove_file(&file).or_else(ignore_missing)?,
-            FileChange::HalfWritten => std::fs::write(&file, &text(0)[..text(0).len() / 2])?,
+            FileChange::Moved => std::fs::write(&config_path, text(1))?,
+            FileChange::Missing => std::fs::remove_file(&config_path).or_else(ignore_missing)?,
+            FileChange::HalfWritten => std::fs::write(&config_path, &text(0)[..text(0).len() / 2])?,
         }
         self.signal("-HUP");
         Ok(())
@@ -156,9 +156,9 @@
         let descriptors = std::fs::read_dir(process.join("fd")).map_or(0, Iterator::count);
         self.end.descriptors = self.end.descriptors.max(descriptors);
         let status = std::fs::read_to_string(process.join("status")).unwrap_or_default();
-        let memory = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
-        let memory = memory.and_then(|rest| rest.trim().trim_end_matches(" kB").parse().ok());
-        self.end.memory_kb = self.end.memory_kb.max(memory.unwrap_or(0));
+        let memory_kb = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
+        let memory_kb = memory_kb.and_then(|rest| rest.trim().trim_end_matches(" kB").parse().ok());
+        self.end.memory_kb = self.end.memory_kb.max(memory_kb.unwrap_or(0));
     }
 
     /// Waits for its end until a moment in Unix milliseconds, and kills it then.
@@ -167,7 +167,7 @@
     /// Where its status can't be read.
     pub fn wait_or_kill(mut self, kill_ms: u64) -> anyhow::Result<End> {
         while now_ms() < kill_ms && self.child.try_wait()?.is_none() {
-            sleep(POLL);
+            sleep(POLL_INTERVAL);
         }
         let ended = self.child.try_wait()?;
         self.end.killed = ended.is_none();
@@ -191,7 +191,7 @@
     if error.kind() == std::io::ErrorKind::NotFound { Ok(()) } else { Err(error) }
 }
 
-fn serves(listen: SocketAddr) -> bool {
+fn is_ready(listen: SocketAddr) -> bool {
     let check = || -> std::io::Result<String> {
         let mut stream = TcpStream::connect_timeout(&listen, CHECK_TIMEOUT)?;
         stream.set_read_timeout(Some(CHECK_TIMEOUT))?;
--- a/crates/hazelspur-fault-harness/src/endings/timeline.rs
+++ b/crates/hazelspur-fault-harness/src/endings/timeline.rs
@@ -38,20 +38,20 @@
 /// Overlapping spans of one kind: all of them together last from the first beginning to the last end.
 #[derive(Debug, Default)]
 pub struct OverlappingSpans {
-    open: u32,
+    open_count: u32,
 }
 
 impl OverlappingSpans {
     /// One begins; whether it is the only one.
     pub fn begin(&mut self) -> bool {
-        self.open += 1;
-        self.open == 1
+        self.open_count += 1;
+        self.open_count == 1
     }
 
     /// One ends; whether it was the last one.
     pub fn end(&mut self) -> bool {
-        self.open = self.open.saturating_sub(1);
-        self.open == 0
+        self.open_count = self.open_count.saturating_sub(1);
+        self.open_count == 0
     }
 }
 
@@ -66,13 +66,13 @@
         match step.action {
             Action::Term => add(at_ms, Operation::Term),
             Action::Hup(change) => add(at_ms, Operation::Hup(change)),
-            Action::Suspend(ms) => {
+            Action::Suspend(duration_ms) => {
                 add(at_ms, Operation::BeginSuspension);
-                add(at_ms + ms, Operation::EndSuspension);
+                add(at_ms + duration_ms, Operation::EndSuspension);
             }
-            Action::RefuseWorker(ms) => {
+            Action::RefuseWorker(duration_ms) => {
                 add(at_ms, Operation::BeginRefusal);
-                add((at_ms + ms).min(plan.stop_ms), Operation::EndRefusal);
+                add((at_ms + duration_ms).min(plan.stop_ms), Operation::EndRefusal);
             }
             Action::CutBroker => add(at_ms, Operation::CutBroker),
         }
--- a/crates/hazelspur-fault-harness/tests/endings.rs
+++ b/crates/hazelspur-fault-harness/tests/endings.rs
@@ -25,12 +25,13 @@
 
 /// A run in which all rules hold: a request before the notice that ran, one past the grace period that was rejected,
 /// and one that crossed the close.
-fn good() -> Evidence {
-    let late = Sent { answers: vec![(Answer::Rejected, NOTICE_MS + 500)], ..sent("b", NOTICE_MS + 480) };
-    let crossing = Sent { answers: Vec::new(), ..sent("c", NOTICE_MS + 900) };
+fn evidence_without_breach() -> Evidence {
+    let late_request =
+        Sent { answers: vec![(Answer::Rejected, NOTICE_MS + 500)], ..sent("b", NOTICE_MS + 480) };
+    let crossing_close = Sent { answers: Vec::new(), ..sent("c", NOTICE_MS + 900) };
     let connection = Connection {
         connected: true,
-        sent: vec![sent("a", NOTICE_MS - 100), late, crossing],
+        sent: vec![sent("a", NOTICE_MS - 100), late_request, crossing_close],
         closed_ms: Some(NOTICE_MS + 940),
         ..Connection::default()
     };
@@ -47,9 +48,9 @@
 }
 
 /// The rules that are broken in a run with a planted fault.
-fn found(plant: impl FnOnce(&mut Evidence)) -> Vec<Rule> {
-    let mut evidence = good();
-    plant(&mut evidence);
+fn broken_rules(plant_fault: impl FnOnce(&mut Evidence)) -> Vec<Rule> {
+    let mut evidence = evidence_without_breach();
+    plant_fault(&mut evidence);
     evidence.breaches().into_iter().map(|breach| breach.rule).collect()
 }
 
@@ -58,38 +59,41 @@
 }
 
 #[test]
-fn a_good_run_has_no_breach() {
-    assert_eq!(good().breaches(), []);
+fn evidence_of_a_correct_run_has_no_breach() {
+    assert_eq!(evidence_without_breach().breaches(), []);
 }
 
 #[test]
-fn a_dropped_a_doubled_a_late_and_a_stray_response_are_found() {
-    assert_eq!(found(|run| request(run, 0).answers.clear()), [Rule::OneResponse]);
-    assert_eq!(found(|run| request(run, 0).answers.push((Answer::Failed, NOTICE_MS))), [Rule::OneResponse]);
-    assert_eq!(found(|run| request(run, 0).answers[0].1 = NOTICE_MS + 1951), [Rule::OneResponse]);
-    assert_eq!(found(|run| run.connections[0].unmatched_answers = 1), [Rule::OneResponse]);
+fn missing_doubled_late_and_unmatched_responses_are_found() {
+    assert_eq!(broken_rules(|run| request(run, 0).answers.clear()), [Rule::OneResponse]);
+    assert_eq!(
+        broken_rules(|run| request(run, 0).answers.push((Answer::Failed, NOTICE_MS))),
+        [Rule::OneResponse]
+    );
+    assert_eq!(broken_rules(|run| request(run, 0).answers[0].1 = NOTICE_MS + 1951), [Rule::OneResponse]);
+    assert_eq!(broken_rules(|run| run.connections[0].unmatched_answers = 1), [Rule::OneResponse]);
 }
 
 #[test]
-fn a_request_that_was_sent_long_before_the_close_or_is_never_closed_is_lost() {
-    assert_eq!(found(|run| run.connections[0].closed_ms = Some(NOTICE_MS + 951)), [Rule::OneResponse]);
-    assert_eq!(found(|run| run.connections[0].closed_ms = None), [Rule::OneResponse]);
+fn unanswered_request_that_did_not_cross_a_close_is_found() {
+    assert_eq!(broken_rules(|run| run.connections[0].closed_ms = Some(NOTICE_MS + 951)), [Rule::OneResponse]);
+    assert_eq!(broken_rules(|run| run.connections[0].closed_ms = None), [Rule::OneResponse]);
 }
 
 /// Guards against a request that is read after the close and forwarded.
 #[test]
-fn a_request_that_crossed_the_close_and_ran_is_lost() {
+fn unanswered_request_that_crossed_the_close_and_ran_is_found() {
     assert_eq!(
-        found(|run| run.started_ms.extend([("c".into(), NOTICE_MS + 300)])),
+        broken_rules(|run| run.started_ms.extend([("c".into(), NOTICE_MS + 300)])),
         [Rule::OneResponse, Rule::GracePeriod]
     );
 }
 
 #[test]
-fn the_instants_that_a_run_reached_are_counted() {
+fn requests_at_each_instant_are_counted() {
     let steps = vec![Step { at_ms: -99, action: Action::Suspend(10) }];
     let plan = Plan { steps, ..Plan::from_seed(1) };
-    let mut evidence = good();
+    let mut evidence = evidence_without_breach();
     let in_suspension = sent("d", NOTICE_MS - 95);
     evidence.started_ms.insert("d".into(), NOTICE_MS - 80);
     evidence.started_ms.insert("a".into(), NOTICE_MS - 100);
@@ -107,56 +111,60 @@
 }
 
 #[test]
-fn a_run_past_the_grace_period_is_found() {
+fn request_run_past_the_grace_period_is_found() {
     let run_late = |run: &mut Evidence| {
         request(run, 1).answers[0].0 = Answer::Success;
         run.started_ms.insert("b".into(), NOTICE_MS + 485);
     };
-    assert_eq!(found(run_late), [Rule::GracePeriod]);
-    let in_slack = |run: &mut Evidence| {
+    assert_eq!(broken_rules(run_late), [Rule::GracePeriod]);
+    let within_tolerance = |run: &mut Evidence| {
         request(run, 1).sent_ms = NOTICE_MS + 350;
         run_late(run);
     };
-    assert_eq!(found(in_slack), []);
+    assert_eq!(broken_rules(within_tolerance), []);
 }
 
 #[test]
-fn a_second_effect_and_a_rejection_of_what_ran_are_found() {
-    assert_eq!(found(|run| *run.runs_by_body.entry("effect-a".into()).or_default() = 2), [Rule::OneEffect]);
-    assert_eq!(found(|run| request(run, 0).answers[0].0 = Answer::Rejected), [Rule::OneEffect]);
+fn second_effect_and_rejection_after_a_run_are_found() {
+    assert_eq!(
+        broken_rules(|run| *run.runs_by_body.entry("effect-a".into()).or_default() = 2),
+        [Rule::OneEffect]
+    );
+    assert_eq!(broken_rules(|run| request(run, 0).answers[0].0 = Answer::Rejected), [Rule::OneEffect]);
 }
 
 #[test]
-fn a_late_exit_a_failure_and_a_logged_fault_are_found() {
-    assert_eq!(found(|run| run.end.killed = true), [Rule::End]);
-    assert_eq!(found(|run| run.end.status = Some(1)), [Rule::End]);
-    assert_eq!(found(|run| run.end.status = None), [Rule::End]);
-    assert_eq!(found(|run| run.log = "1.0 error task failed name=accept\n".into()), [Rule::End]);
-    assert_eq!(found(|run| run.log = "1.0 error reload refused, the old file stays\n".into()), []);
+fn late_exit_failed_exit_and_logged_error_are_found() {
+    assert_eq!(broken_rules(|run| run.end.killed = true), [Rule::End]);
+    assert_eq!(broken_rules(|run| run.end.status = Some(1)), [Rule::End]);
+    assert_eq!(broken_rules(|run| run.end.status = None), [Rule::End]);
+    assert_eq!(broken_rules(|run| run.log = "1.0 error task failed name=accept\n".into()), [Rule::End]);
+    assert_eq!(broken_rules(|run| run.log = "1.0 error reload refused, the old file stays\n".into()), []);
 }
 
 #[test]
-fn kept_descriptors_memory_and_files_are_found() {
-    assert_eq!(found(|run| run.end.descriptors = MAX_DESCRIPTORS + 1), [Rule::Limits]);
-    assert_eq!(found(|run| run.end.memory_kb = MAX_MEMORY_MB * 1024 + 1), [Rule::Limits]);
-    assert_eq!(found(|run| run.end.files_left = 1), [Rule::Limits]);
+fn excess_descriptors_memory_and_leftover_files_are_found() {
+    assert_eq!(broken_rules(|run| run.end.descriptors = MAX_DESCRIPTORS + 1), [Rule::Limits]);
+    assert_eq!(broken_rules(|run| run.end.memory_kb = MAX_MEMORY_MB * 1024 + 1), [Rule::Limits]);
+    assert_eq!(broken_rules(|run| run.end.files_left = 1), [Rule::Limits]);
 }
 
 #[test]
-fn a_breach_at_the_broker_is_found() {
-    let plant = |run: &mut Evidence| run.queue_breaches.push("message 1 settled for good 2 times".into());
-    assert_eq!(found(plant), [Rule::Deliveries]);
+fn breach_at_the_broker_is_found() {
+    let plant_fault =
+        |run: &mut Evidence| run.queue_breaches.push("message 1 settled for good 2 times".into());
+    assert_eq!(broken_rules(plant_fault), [Rule::Deliveries]);
 }
 
 #[test]
-fn a_plan_is_the_same_each_time_and_parts_can_be_left_out() {
+fn plan_is_repeatable_and_its_parts_can_be_left_out() {
     for seed in 1..50 {
         let plan = Plan::from_seed(seed);
         assert_eq!(format!("{plan:?}"), format!("{:?}", Plan::from_seed(seed)));
         let all: Vec<usize> = (0..plan.part_count()).collect();
-        let none = plan.without(&all);
+        let empty = plan.without(&all);
         assert_eq!(
-            (none.steps.len(), none.clients.len(), plan.without(&[]).part_count()),
+            (empty.steps.len(), empty.clients.len(), plan.without(&[]).part_count()),
             (0, 0, plan.part_count())
         );
     }
@@ -167,7 +175,7 @@
 
 /// Guards against steps that are carried out one after the other, so that a suspension lasts until past the kill.
 #[test]
-fn a_step_ends_at_its_moment_whatever_other_step_lasts_longer() {
+fn step_ends_on_time_while_another_step_lasts_longer() {
     let steps = [
         Step { at_ms: 1521, action: Action::Suspend(322) },
         Step { at_ms: 1522, action: Action::Suspend(573) },
@@ -190,14 +198,14 @@
 }
 
 #[test]
-fn overlapping_spans_last_from_the_first_beginning_to_the_last_end() {
+fn overlapping_spans_last_from_first_begin_to_last_end() {
     let mut spans = OverlappingSpans::default();
     assert_eq!([spans.begin(), spans.begin(), spans.end(), spans.end()], [true, false, false, true]);
     assert_eq!([spans.begin(), spans.end()], [true, true]);
 }
 
 #[test]
-fn every_drawn_suspension_ends_before_the_margin_to_the_kill_and_every_step_by_the_kill() {
+fn suspensions_end_300_ms_before_the_kill_other_steps_by_it() {
     for plan in (1..1000).map(Plan::from_seed) {
         let latest = |timed: &TimedOperation| match timed.operation {
             Operation::EndSuspension => plan.stop_ms - 300,
@@ -209,7 +217,7 @@
 }
 
 #[test]
-fn every_kind_of_step_is_drawn() {
+fn every_kind_of_step_occurs_in_generated_plans() {
     let plans: Vec<Plan> = (1..200).map(Plan::from_seed).collect();
     let drawn = |kind: &str| plans.iter().flat_map(|plan| &plan.steps).any(|step| step.action.kind() == kind);
     let missing: Vec<&str> = Action::KINDS.into_iter().filter(|kind| !drawn(kind)).collect();
@@ -217,18 +225,18 @@
 }
 
 #[test]
-fn impossible_options_are_refused_with_their_bounds() {
-    let refused = |server: &str, options: &[&str]| {
+fn options_out_of_bounds_are_rejected_with_the_bounds() {
+    let run_with = |server: &str, options: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_hazelspur-fault-harness"));
         let output = command.args(["endings", "--server", server]).args(options).output().expect("it runs");
         (output.status.code(), String::from_utf8_lossy(&output.stderr).trim().to_string())
     };
     // Any program stands for the server: nothing is started.
     let any = "/bin/true";
-    assert_eq!(refused(any, &["--seeds", "0"]), (Some(2), "--seeds 0: 1 to 100000".into()));
-    assert_eq!(refused(any, &["--jobs", "17"]), (Some(2), "--jobs 17: 1 to 16".into()));
+    assert_eq!(run_with(any, &["--seeds", "0"]), (Some(2), "--seeds 0: 1 to 100000".into()));
+    assert_eq!(run_with(any, &["--jobs", "17"]), (Some(2), "--jobs 17: 1 to 16".into()));
     let no_folder = (Some(2), "--reports \"/nowhere\": no such folder".into());
-    assert_eq!(refused(any, &["--reports", "/nowhere"]), no_folder);
+    assert_eq!(run_with(any, &["--reports", "/nowhere"]), no_folder);
     let no_program = (Some(2), "--server \"/nowhere/server\": build it, or name another".into());
-    assert_eq!(refused("/nowhere/server", &[]), no_program);
+    assert_eq!(run_with("/nowhere/server", &[]), no_program);
 }
