--- a/crates/hazelspur-fault-harness/src/endings/checker.rs
+++ b/crates/hazelspur-fault-harness/src/endings/checker.rs
@@ -1,5 +1,6 @@
-//! The rules over the evidence of one run. What the server says of itself does not count, except for deliveries that
-//! it counts as lost.
+//! Checks the evidence of one run against the rules of the service. The evidence comes from the clients, the test
+//! doubles and the operating system. From the log of the server only its errors and its count of lost deliveries are
+//! used.
 
 use super::client::{Answer, Connection, Sent};
 use super::plan::{Class, GRACE_PERIOD_MS};
@@ -8,36 +9,37 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A request that is written so shortly before the close of its connection crosses it, in milliseconds.
+/// Longest time from the writing of a request to the close of its connection for which the two may have crossed on
+/// the way, in milliseconds.
 const MAX_CROSSING_MS: u64 = 50;
-/// Each time limit is so much longer on sockets, in milliseconds.
+/// Tolerance added to each time limit for the delay of sockets, in milliseconds.
 const TOLERANCE_MS: u64 = 50;
 
-/// A rule of the service.
+/// Rule of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// One final response to each request, in time.
+    /// Each request gets one final response in time, and no response belongs to no request.
     OneResponse,
-    /// No effect twice, and nothing rejected that ran.
+    /// No effect takes place twice, and no request that ran is answered as rejected.
     OneEffect,
-    /// Nothing that arrived past the grace period runs.
+    /// No request that arrived after the end of the grace period runs.
     GracePeriod,
-    /// Each delivery is settled once, or still at the broker.
+    /// Each delivery is settled once, or is still at the broker.
     Deliveries,
-    /// The process ends in good order before its kill.
+    /// The process exits with status 0 before its kill, without an error in its log.
     End,
-    /// Memory, descriptors and files stay in their limits.
+    /// Memory and file descriptors stay within their limits, and no temporary files are left.
     Limits,
 }
 
-/// A broken rule.
+/// Violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// The rule.
+    /// Rule that was violated.
     pub rule: Rule,
-    /// The request, if it is about one.
+    /// Id of the request at the worker; `None` for a breach by the server as a whole.
     pub request: Option<String>,
-    /// What was seen.
+    /// Description of the observation that violates the rule.
     pub seen: String,
 }
 
@@ -47,31 +49,31 @@
     }
 }
 
-/// What a run left to be judged.
+/// Observations of one run.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// Just after SIGTERM was sent, in Unix milliseconds.
+    /// Time just after SIGTERM was sent, in Unix milliseconds.
     pub notice_ms: u64,
-    /// When SIGKILL was due.
+    /// Time at which SIGKILL was due, in Unix milliseconds.
     pub kill_ms: u64,
-    /// The clients' connections.
+    /// Connections of the clients.
     pub connections: Vec<Connection>,
-    /// When the worker started each request.
+    /// Time at which the worker started each request, in Unix milliseconds, by the id of the request.
     pub started_ms: BTreeMap<String, u64>,
-    /// How often each body ran.
+    /// Number of times that the worker ran each request body.
     pub runs_by_body: BTreeMap<String, usize>,
-    /// What the broker's checker found.
+    /// Breaches that the checker of the broker found.
     pub queue_breaches: Vec<String>,
-    /// How the process ended.
+    /// Exit of the process and its use of resources.
     pub end: End,
-    /// How long the next process took to serve; `None` where it did not, or was not tried.
+    /// Time from the restart of the server until it was ready; `None` if it did not become ready or was not restarted.
     pub ready_after: Option<Duration>,
-    /// The log of the server.
+    /// Log of the server.
     pub log: String,
 }
 
 impl Evidence {
-    /// All breaches.
+    /// Returns all breaches.
     pub fn breaches(&self) -> Vec<Breach> {
         let mut breaches = Vec::new();
         for connection in &self.connections {
@@ -85,13 +87,13 @@
         breaches
     }
 
-    /// Requests that were sent whole.
+    /// Returns the requests that were written completely, without health checks.
     pub fn requests(&self) -> impl Iterator<Item = &Sent> {
         let sent = self.connections.iter().flat_map(|connection| &connection.sent);
         sent.filter(|sent| sent.class.is_some() && sent.sent_ms != u64::MAX)
     }
 
-    /// How many requests had this answer.
+    /// Returns the number of requests whose first answer was this one.
     pub fn count_answered(&self, answer: Answer) -> usize {
         self.requests().filter(|sent| sent.answers.first().is_some_and(|(first, _)| *first == answer)).count()
     }
@@ -141,9 +143,10 @@
         }
     }
 
-    /// Whether a request without an answer crossed the close of its connection, or is still in time.
+    /// Returns whether a request without an answer may have crossed the close of its connection, so that the server
+    /// never read it.
     fn crossed_close(&self, connection: &Connection, sent: &Sent) -> bool {
-        // A close by the kill is judged by the end of the process.
+        // A close by the kill counts as well: `Rule::End` covers the kill.
         connection.closed_ms.is_some_and(|closed| closed <= sent.sent_ms + MAX_CROSSING_MS)
     }
 
@@ -175,7 +178,7 @@
         if files_left > 0 {
             report(Rule::Limits, format!("{files_left} files left"));
         }
-        // A file that is refused is an error of the file.
+        // The plan writes incomplete configuration files, so a rejected reload is expected.
         let is_fault =
             |line: &&str| line.split(' ').nth(1) == Some("error") && !line.contains("reload refused");
         for line in self.log.lines().filter(is_fault) {
--- a/crates/hazelspur-fault-harness/src/endings/client.rs
+++ b/crates/hazelspur-fault-harness/src/endings/client.rs
@@ -1,5 +1,5 @@
-//! One connection of a client: sends what its plan says until the server closes, reads all that comes, and notes
-//! when each could have happened at the earliest.
+//! One connection of a client: sends the messages of its plan until the server closes the connection, and records
+//! each answer and the close with the earliest time at which it can have arrived.
 
 use super::plan::{Class, Client, Message};
 use hazelspur_test_doubles::arrival::ArrivalReader;
@@ -10,66 +10,66 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// How long an answer may take by its request, in milliseconds.
+/// Timeout that each request states, in milliseconds from its planned sending.
 pub const REQUEST_TIMEOUT_MS: u64 = 2000;
-/// How often a client looks for what to do.
+/// Pause between two checks for received bytes and due messages.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// How long a client may wait for the server to take what it sends.
+/// Longest time that a write may block.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes that are read at once.
+/// Size of the read buffer, in bytes.
 const READ_BYTES: usize = 16 * 1024;
 
-/// How a request was answered.
+/// Kind of answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// With a result.
+    /// A result.
     Success,
-    /// With -32011: it never ran.
+    /// Error -32011: the request never ran.
     Rejected,
-    /// With any other error.
+    /// Any other error.
     Failed,
 }
 
-/// A request that was sent whole, or a health check.
+/// Request that was written completely, or a health check.
 #[derive(Clone, Debug)]
 pub struct Sent {
-    /// Its id at the worker; empty for a health check.
+    /// Id of the request at the worker; empty for a health check.
     pub request: String,
-    /// What it is; `None` for a health check.
+    /// Request class; `None` for a health check.
     pub class: Option<Class>,
-    /// Its effect: requests with the same one must take effect once.
+    /// Name of the effect; requests with the same name must take effect once.
     pub effect: String,
-    /// Just before its last byte was written, in Unix milliseconds.
+    /// Time just before the last byte was written, in Unix milliseconds; `u64::MAX` if writing failed.
     pub sent_ms: u64,
-    /// When its answer is due, in Unix milliseconds.
+    /// Time at which the answer is due, in Unix milliseconds.
     pub due_ms: u64,
-    /// Its answers, each with the earliest moment at which it can have come.
+    /// Answers, each with the earliest time at which it can have arrived, in Unix milliseconds.
     pub answers: Vec<(Answer, u64)>,
 }
 
-/// What became of a connection.
+/// Record of one connection.
 #[derive(Clone, Debug, Default)]
 pub struct Connection {
-    /// Whether the server took it.
+    /// Whether the server accepted the connection.
     pub connected: bool,
-    /// What was sent on it.
+    /// Requests and health checks in order of their ids, which count from 1.
     pub sent: Vec<Sent>,
-    /// The earliest moment at which the server can have closed it, in Unix milliseconds.
+    /// Earliest time at which the server can have closed the connection, in Unix milliseconds; `None` if it did not.
     pub closed_ms: Option<u64>,
-    /// Whether it ended with a reset.
+    /// Whether the connection ended with an error, such as a reset.
     pub reset: bool,
-    /// Answers under ids that no request had.
+    /// Number of answers that are not valid JSON or whose id belongs to no request.
     pub unmatched_answers: usize,
 }
 
-/// What all clients of a run know.
+/// Address and times that all clients of a run share.
 #[derive(Clone, Debug)]
 pub struct RunContext {
-    /// Where the server listens.
+    /// Address of the server.
     pub server: SocketAddr,
-    /// When SIGTERM is due, in Unix milliseconds.
+    /// Time at which SIGTERM is due, in Unix milliseconds.
     pub notice_due_ms: u64,
-    /// When clients give up, in Unix milliseconds.
+    /// Time at which clients give up, in Unix milliseconds.
     pub give_up_ms: u64,
 }
 
@@ -79,11 +79,11 @@
     }
 }
 
-/// Text to be written at a time.
+/// Text to be written at one time: a message or half of one.
 struct TextPiece {
     at_ms: u64,
     text: String,
-    /// The request that it completed.
+    /// Message that is complete once this text is written; `None` for a first half.
     completed: Option<Sent>,
 }
 
@@ -102,7 +102,7 @@
     ) + "\n"
 }
 
-/// The pieces of all messages of a client; ids on the connection count from 1.
+/// Returns the texts of all messages of a client, in the order of its plan. The ids of the messages count from 1.
 fn pieces(context: &RunContext, client_index: usize, client: &Client) -> Vec<TextPiece> {
     let mut pieces = Vec::new();
     for (index, send) in client.sends.iter().enumerate() {
@@ -144,14 +144,14 @@
     pieces
 }
 
-/// Plays a client until its connection ends or the run is over.
+/// Connects as one client and follows its plan until the connection ends or the run is over.
 pub fn play(context: &RunContext, client_index: usize, client: &Client) -> Connection {
     wait_until(context.unix_ms(client.at_ms));
     let Ok(stream) = TcpStream::connect(context.server) else { return Connection::default() };
     let _ = stream.set_nodelay(true);
     let _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
     let mut connection = Connection { connected: true, ..Connection::default() };
-    // The pieces of one client follow each other, as a gateway writes one line after the other.
+    // A piece is written only after all earlier ones, as a gateway writes one line after the other.
     let mut pieces = pieces(context, client_index, client).into_iter().peekable();
     let mut reader = ArrivalReader::new(&stream);
     let mut unread = Vec::new();
@@ -176,13 +176,13 @@
     let sent_ms = now_ms();
     let is_written = stream.write_all(piece.text.as_bytes()).is_ok();
     if let Some(sent) = piece.completed {
-        // Its place says its id; one that could not be written was never had by the server.
+        // The position in `sent` is the id of the message minus 1, so one that could not be written takes its place too.
         let sent_ms = if is_written { sent_ms } else { u64::MAX };
         connection.sent.push(Sent { sent_ms, ..sent });
     }
 }
 
-/// Reads what is there; returns whether the connection has ended.
+/// Reads and records all available bytes; returns whether the connection has ended.
 fn read_available(reader: &mut ArrivalReader<'_>, unread: &mut Vec<u8>, connection: &mut Connection) -> bool {
     let mut chunk = [0; READ_BYTES];
     loop {
--- a/crates/hazelspur-fault-harness/src/endings/command.rs
+++ b/crates/hazelspur-fault-harness/src/endings/command.rs
@@ -1,4 +1,5 @@
-//! The subcommand `endings`: plays seeds, shows how far it is, keeps what fails, and sums up.
+//! The subcommand `endings`: runs the plans of many seeds, shows the progress, writes a report for each seed that fails,
+//! and prints a summary.
 
 use super::checker::{Breach, Evidence, Rule};
 use super::client::Answer;
@@ -14,72 +15,73 @@
 use std::time::{Duration, Instant};
 use tokio::signal::unix::SignalKind;
 
-/// The most seeds of one call.
+/// Highest number of seeds of one call.
 const MAX_SEEDS: u64 = 100_000;
-/// The most runs at a time.
+/// Highest number of concurrent runs.
 const MAX_JOBS: usize = 16;
-/// A restarted server serves within this time in nine of ten cases.
+/// Time within which at least nine of ten restarted servers must be ready.
 const MAX_READY_TIME: Duration = Duration::from_secs(10);
-/// Breaches of a seed that are printed.
+/// Highest number of breaches that are printed for one seed.
 const MAX_PRINTED_BREACHES: usize = 5;
-/// Runs that shrinking may take.
+/// Highest number of runs for shrinking one plan.
 const MAX_SHRINKING_RUNS: usize = 60;
-/// Time between two lines of progress where standard error is no terminal.
+/// Shortest time between two lines of progress if standard error is not a terminal.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(10);
-/// Set by an interrupt: no run is begun any more, and those under way end their processes.
+/// Set by SIGINT: no further run begins, and the runs in progress don't restart their server.
 static INTERRUPTED: AtomicBool = AtomicBool::new(false);
 
-/// Options of the soak.
+/// Options of `endings`.
 #[derive(Args)]
 pub struct Options {
-    /// The first seed.
+    /// First seed.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// How many seeds are played.
+    /// Number of consecutive seeds to run.
     #[arg(long, default_value_t = 50)]
     pub seeds: u64,
-    /// Runs at a time.
+    /// Number of concurrent runs.
     #[arg(long, default_value_t = 4)]
     pub jobs: usize,
-    /// Parts of the plan that are left out, as a failing seed's report names them.
+    /// Numbers of the parts of each plan to leave out, as printed by --shrink.
     #[arg(long, value_delimiter = ',')]
     pub without: Vec<usize>,
-    /// Leaves parts of a failing plan out, one by one, while it goes on failing.
+    /// Shrinks a failing plan: leaves out its parts one by one as long as it still fails.
     #[arg(long)]
     pub shrink: bool,
-    /// Where reports of failing seeds are kept.
+    /// Folder for the reports of failing seeds.
     #[arg(long, default_value_os_t = std::env::temp_dir())]
     pub reports: PathBuf,
-    /// The server's program; otherwise the one beside this.
+    /// Server program; by default `hazelspur-server` in the folder of this program.
     #[arg(long)]
     pub server: Option<PathBuf>,
 }
 
-/// What all runs came to.
+/// Summary of all runs.
 #[derive(Debug, Default)]
 pub struct Summary {
-    /// Runs that came to their end.
+    /// Number of runs that were completed.
     pub played: u64,
-    /// Runs that could not be played, with why.
+    /// Runs that could not be completed: seed and error of each.
     pub not_played: Vec<String>,
-    /// Failed seeds.
+    /// Seeds with a breach.
     pub failed: Vec<u64>,
-    /// Breaches by rule.
+    /// Number of breaches by rule.
     pub breaches_by_rule: BTreeMap<Rule, usize>,
-    /// Requests by their answer; those without are `None`.
+    /// Number of requests by the name of their answer; requests without an answer are not counted.
     answers: BTreeMap<&'static str, usize>,
-    /// Requests that met the instants that matter.
+    /// Number of requests that met each critical instant.
     instants: Instants,
-    /// Steps of all plans that were played, by kind.
+    /// Number of steps of all completed runs, by kind.
     steps: BTreeMap<&'static str, usize>,
-    /// When progress was last shown.
+    /// Time at which progress was last shown; `None` before the first time.
     progress_shown_at: Option<Instant>,
-    /// Servers that came back, and those that did so in time.
+    /// Number of completed runs, each of which restarts its server at the end.
     restarted: usize,
+    /// Number of restarted servers that were ready within `MAX_READY_TIME`.
     ready_in_time: usize,
 }
 
-/// Notes an interrupt from now on, on a thread of its own.
+/// Starts a thread that sets `INTERRUPTED` at the first SIGINT.
 fn watch_for_interrupt() -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let mut interrupt = {
@@ -94,15 +96,24 @@
 }
 
 impl Options {
-    /// Plays the seeds; returns whether all rules held.
+    /// Runs the plans of all seeds and prints the summary. Returns whether all runs were completed and all rules held.
     ///
     /// # Errors
-    /// Names the option that is not possible, with its bound.
+    /// Returns an error if an option is out of its bounds, names a missing file or folder, or if SIGINT cannot be
+    /// handled.
     pub fn run(self) -> anyhow::Result<bool> {
         let program = self.program()?;
-        anyhow::ensure!((1..=MAX_SEEDS).contains(&self.seeds), "--seeds {}: 1 to {MAX_SEEDS}", self.seeds);
-        anyhow::ensure!((1..=MAX_JOBS).contains(&self.jobs), "--jobs {}: 1 to {MAX_JOBS}", self.jobs);
-        anyhow::ensure!(self.reports.is_dir(), "--reports {:?}: no such folder", self.reports);
+        anyhow::ensure!(
+            (1..=MAX_SEEDS).contains(&self.seeds),
+            "--seeds {} is not from 1 to {MAX_SEEDS}",
+            self.seeds
+        );
+        anyhow::ensure!(
+            (1..=MAX_JOBS).contains(&self.jobs),
+            "--jobs {} is not from 1 to {MAX_JOBS}",
+            self.jobs
+        );
+        anyhow::ensure!(self.reports.is_dir(), "--reports {:?} is not a folder", self.reports);
         watch_for_interrupt()?;
         let summary = self.play_all(&program);
         print!("{}", summary.report(self.seeds));
@@ -112,7 +123,10 @@
     fn program(&self) -> anyhow::Result<PathBuf> {
         let default_path = std::env::current_exe()?.with_file_name("hazelspur-server");
         let program = self.server.clone().unwrap_or(default_path);
-        anyhow::ensure!(program.exists(), "--server {program:?}: build it, or name another");
+        anyhow::ensure!(
+            program.exists(),
+            "--server {program:?} does not exist: build it, or name another program"
+        );
         Ok(program)
     }
 
@@ -129,7 +143,7 @@
                         }
                         let plan = Plan::from_seed(seed).without(&self.without);
                         let result = play(program, &plan, &INTERRUPTED);
-                        let mut summary = summary.lock().expect("no panic before");
+                        let mut summary = summary.lock().expect("no thread of the soak has panicked");
                         match result {
                             Ok(evidence) => self.record(&mut summary, program, &plan, &evidence),
                             Err(why) => summary.not_played.push(format!("seed {seed}: {why:#}")),
@@ -139,7 +153,7 @@
                 });
             }
         });
-        summary.into_inner().expect("no panic before")
+        summary.into_inner().expect("no thread of the soak has panicked")
     }
 
     fn record(&self, summary: &mut Summary, program: &Path, plan: &Plan, evidence: &Evidence) {
@@ -163,7 +177,8 @@
     }
 }
 
-/// The parts that can be left out, one by one, of a plan that fails.
+/// Returns the parts that can be left out of a failing plan so that it still fails; tries them one by one, from the
+/// last one.
 fn shrunk(program: &Path, plan: &Plan) -> Vec<usize> {
     let mut without = Vec::new();
     for part in (0..plan.part_count()).rev().take(MAX_SHRINKING_RUNS) {
@@ -207,7 +222,7 @@
     fn show_progress(&mut self, seeds: u64) {
         let (played, failed) = (self.played + self.not_played.len() as u64, self.failed.len());
         let mut stderr = std::io::stderr();
-        // Progress that can't be shown is no failure of the soak.
+        // Progress that cannot be written does not fail the soak.
         if stderr.is_terminal() {
             let _ = write!(stderr, "\r{played} of {seeds} seeds, {failed} failed ");
             let _ = stderr.flush();
@@ -217,7 +232,7 @@
         }
     }
 
-    /// Whether all seeds were played and all rules held.
+    /// Returns whether all seeds were run, all rules held, and nine of ten restarted servers were ready in time.
     fn passed(&self, seeds: u64) -> bool {
         let in_time = self.ready_in_time * 10 >= self.restarted * 9;
         self.played == seeds && self.failed.is_empty() && self.not_played.is_empty() && in_time
--- a/crates/hazelspur-fault-harness/src/endings/instants.rs
+++ b/crates/hazelspur-fault-harness/src/endings/instants.rs
@@ -1,4 +1,5 @@
-//! How often runs reached the instants for which the soak exists: a soak that misses one of them shows nothing of it.
+//! Counts the requests that met one of the critical instants of a shutdown. A soak in which no request meets an
+//! instant has not tested the behaviour of the server at it.
 
 use super::checker::Evidence;
 use super::client::{Answer, Sent};
@@ -6,24 +7,24 @@
 use std::fmt;
 use std::ops::Range;
 
-/// A request that was sent so shortly before the end of the grace period is at its margin, in milliseconds.
+/// Length of the last part of the grace period that counts as its end, in milliseconds.
 const END_OF_GRACE_MS: u64 = 50;
 
-/// Requests that met each instant.
+/// Number of requests that met each critical instant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Instants {
-    /// Not answered, since they crossed the close of their connection.
+    /// Requests without an answer, because they crossed the close of their connection.
     pub crossed_close: usize,
-    /// Sent in the last 50 ms of the grace period, and answered.
+    /// Requests that were sent in the last 50 ms of the grace period and answered.
     pub at_end_of_grace: usize,
-    /// Sent during a suspension of the server, and ran.
+    /// Requests that were sent during a suspension of the server and ran.
     pub sent_in_suspension: usize,
-    /// Started before a suspension of the server, with a result after it.
+    /// Requests that started before a suspension of the server and gave their result after it.
     pub ran_across_suspension: usize,
 }
 
 impl Instants {
-    /// What one run reached.
+    /// Returns the counts of one run.
     pub fn of(plan: &Plan, evidence: &Evidence) -> Self {
         let suspensions: Vec<Range<u64>> = suspensions(plan, evidence).collect();
         let grace_ends_ms = evidence.notice_ms.saturating_add_signed(GRACE_PERIOD_MS);
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Adds what another run reached.
+    /// Adds the counts of another run.
     pub fn add(&mut self, other: Self) {
         self.crossed_close += other.crossed_close;
         self.at_end_of_grace += other.at_end_of_grace;
@@ -58,7 +59,7 @@
         self.ran_across_suspension += other.ran_across_suspension;
     }
 
-    /// Whether each instant was reached.
+    /// Returns whether at least one request met each instant.
     pub fn all_reached(&self) -> bool {
         let Self { crossed_close, at_end_of_grace, sent_in_suspension, ran_across_suspension } = *self;
         [crossed_close, at_end_of_grace, sent_in_suspension, ran_across_suspension].iter().all(|n| *n > 0)
@@ -77,7 +78,7 @@
     }
 }
 
-/// The suspensions of the plan, in Unix milliseconds.
+/// Returns the suspensions of the plan, in Unix milliseconds.
 fn suspensions(plan: &Plan, evidence: &Evidence) -> impl Iterator<Item = Range<u64>> {
     let notice_ms = evidence.notice_ms;
     plan.steps.iter().filter_map(move |step| match step.action {
--- a/crates/hazelspur-fault-harness/src/endings/mod.rs
+++ b/crates/hazelspur-fault-harness/src/endings/mod.rs
@@ -1,12 +1,12 @@
-//! A seeded soak of endings: one real server at a time between test doubles, drained while its clients go on using
-//! their open connections until its kill.
+//! A seeded soak test of server shutdown: each run drains one real server between test doubles, while its clients go
+//! on using their open connections until the server is killed.
 //!
-//! - `plan`: what happens when, drawn from a seed, and what is left of it when parts are left out;
-//! - `server`: the process under test, its files, signals and end; `client`: one connection of a client;
-//! - `timeline`: when each step of a plan begins and ends;
-//! - `run`: a plan from start to evidence; `checker`: the rules over the evidence;
-//! - `instants`: how often runs reached the instants that matter;
-//! - `command`: many seeds, their summary, and the shrinking of one that fails.
+//! - `plan`: the events of one run, generated from a seed; parts of a plan can be left out;
+//! - `server`: the server process under test, its files, signals and exit; `client`: one connection of a client;
+//! - `timeline`: the times at which each step of a plan begins and ends;
+//! - `run`: executes a plan and collects the evidence; `checker`: checks the evidence against the rules;
+//! - `instants`: counts the requests that met one of the critical instants of a shutdown;
+//! - `command`: runs many seeds, sums them up, and shrinks the plan of a seed that fails.
 
 pub mod checker;
 pub mod client;
--- a/crates/hazelspur-fault-harness/src/endings/plan.rs
+++ b/crates/hazelspur-fault-harness/src/endings/plan.rs
@@ -1,91 +1,96 @@
-//! What happens in one run, drawn from a seed. Times are in milliseconds from the sending of SIGTERM.
+//! The events of one run: clients, their messages, signals and faults. A plan is generated from a seed, and the same
+//! seed always gives the same plan. Times (`at_ms`) are in milliseconds relative to the first SIGTERM, which is the
+//! shutdown notice; times before it are negative.
 
 use hazelspur::pcg::Pcg;
 use std::fmt;
 
-/// Grace period of the servers, in milliseconds.
+/// Grace period that the servers are configured with, in milliseconds.
 pub const GRACE_PERIOD_MS: i64 = 300;
-/// How long before SIGTERM a run begins, in milliseconds.
+/// Time from the start of a run to the first SIGTERM, in milliseconds.
 pub const LEAD_MS: i64 = 400;
-/// Times to the kill that are drawn, in milliseconds; the shortest leaves 420 ms between grace period and last close.
+/// Possible times from SIGTERM to SIGKILL, in milliseconds. The shortest leaves 420 ms between the end of the grace
+/// period and the last close of a connection.
 const STOP_MS: [i64; 4] = [900, 1200, 1500, 2400];
-/// A suspension ends at least this long before the kill, in milliseconds.
+/// Shortest time from the end of a suspension to the kill, in milliseconds.
 const SUSPENSION_END_BEFORE_KILL_MS: i64 = 300;
-/// Clients of a run without a crowd.
+/// Number of clients in a run without a crowd, besides the idle ones and those around a suspension.
 const CLIENTS: u32 = 8;
-/// Clients of a run that rest until about the close of their connection.
+/// Number of clients that stay idle until about the time at which the server closes their connection.
 const IDLE_CLIENTS: u32 = 3;
-/// Clients of a run that send before and during a suspension that half of the runs have.
+/// Number of clients that send shortly before and shortly after the begin of the early suspension, which half of the
+/// runs have.
 const CLIENTS_AROUND_SUSPENSION: u32 = 3;
-/// Connections that rest are closed between these times, in milliseconds from the end of the grace period: so long
-/// after a goodbye message that goes out within one round of the server's maintenance.
+/// Earliest and latest time at which the server closes an idle connection, in milliseconds from the end of the grace
+/// period. The close follows the goodbye message, which goes out within one round of the server's maintenance.
 const IDLE_CLOSE_AFTER_GRACE_MS: [i64; 2] = [400, 520];
-/// Clients of a run with a crowd; all of them fit the descriptors of a server.
+/// Number of clients in a run with a crowd; a server has enough file descriptors for all of them.
 const CROWD_CLIENTS: u32 = 60;
 
-/// A request class, by what repeating it would do.
+/// Request class, by whether a request of it may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
-    /// Idempotent.
+    /// Idempotent without a key: repeating a request has no further effect.
     View,
-    /// Idempotent with a key.
+    /// Idempotent by its idempotency key.
     Book,
-    /// Not idempotent.
+    /// Not idempotent: a repeated request takes effect again.
     Pay,
 }
 
-/// What a client sends.
+/// Kind of a message that a client sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Message {
     /// A health check.
     Check,
-    /// A request in one piece.
+    /// A request written in one piece.
     Whole(Class),
-    /// A request whose second half follows after so many milliseconds.
+    /// A request whose second half is written this many milliseconds after its first.
     Halves(Class, i64),
 }
 
-/// One message of a client.
+/// Message of a client with its time.
 #[derive(Clone, Copy, Debug)]
 pub struct Send {
-    /// When it is sent.
+    /// Time of sending, in milliseconds from the first SIGTERM.
     pub at_ms: i64,
-    /// What is sent.
+    /// Kind of the message, with the class of a request.
     pub message: Message,
-    /// Requests with the same key are one effect; only keyed requests have one.
+    /// Number of the idempotency key; requests with the same one must take effect once. Only requests of class `Book`
+    /// use it.
     pub key: u32,
 }
 
-/// A change of the configuration file before SIGHUP.
+/// Change of the configuration file before SIGHUP is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileChange {
-    /// The same file.
+    /// None: the file stays as it is.
     Unchanged,
-    /// Another worker address, which is the same worker.
+    /// The file names the second worker address, at which the same worker listens.
     Moved,
-    /// No file.
+    /// The file is deleted.
     Missing,
-    /// The first half of the file.
+    /// The file holds only the first half of its text.
     HalfWritten,
 }
 
-/// What is done to the server or to its peers.
+/// Signal or fault that the server or its peers are exposed to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// SIGTERM once more.
+    /// A further SIGTERM.
     Term,
-    /// SIGHUP.
+    /// SIGHUP after a change of the configuration file.
     Hup(FileChange),
-    /// SIGSTOP, and SIGCONT after so many milliseconds.
+    /// SIGSTOP, and SIGCONT this many milliseconds later.
     Suspend(i64),
-    /// The worker link breaks and is refused for so many milliseconds.
+    /// The worker breaks its connection and refuses new ones for this many milliseconds.
     RefuseWorker(i64),
-    /// All connections to the broker break.
+    /// The broker breaks all its connections.
     CutBroker,
 }
 
 impl Action {
-    /// The names of all kinds of actions.
+    /// Names of all kinds of actions, as the summary of the soak prints them.
     pub const KINDS: [&'static str; 8] = [
         "SIGTERM again",
         "SIGHUP, same file",
@@ -97,7 +102,7 @@
         "cut broker",
     ];
 
-    /// The name of its kind.
+    /// Returns the name of the kind of this action, one of `KINDS`.
     pub fn kind(self) -> &'static str {
         let index = match self {
             Self::Term => 0,
@@ -113,46 +118,47 @@
     }
 }
 
-/// An action and its time.
+/// Action with its time.
 #[derive(Clone, Copy, Debug)]
 pub struct Step {
-    /// When it is done.
+    /// Time at which the action begins, in milliseconds from the first SIGTERM.
     pub at_ms: i64,
-    /// What is done.
+    /// The action.
     pub action: Action,
 }
 
-/// A client with one connection, which it uses until the server closes it.
+/// Client with one connection, which it uses until the server closes it.
 #[derive(Clone, Debug)]
 pub struct Client {
-    /// When it connects; after SIGTERM it may be refused.
+    /// Time of connecting, in milliseconds from the first SIGTERM; after it the server may refuse the connection.
     pub at_ms: i64,
-    /// What it sends, in order of time.
+    /// Messages in order of time.
     pub sends: Vec<Send>,
-    /// How long it rests between two reads, in milliseconds.
+    /// Pause before each read, in milliseconds; 0 for a client that reads without delay.
     pub read_pause_ms: u64,
-    /// Whether it sends what is due although the server has closed, as one does whom the close has not reached yet.
+    /// Whether the client still sends its due messages after the server has closed the connection, like a client that
+    /// has not received the close yet.
     pub sends_after_close: bool,
 }
 
-/// All that happens in one run.
+/// All events of one run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The seed that it was drawn from.
+    /// Seed that the plan was generated from.
     pub seed: u64,
-    /// Time from SIGTERM to SIGKILL.
+    /// Time from SIGTERM to SIGKILL, in milliseconds.
     pub stop_ms: i64,
-    /// How long a run takes the worker, in milliseconds.
+    /// Time that the worker takes to run a request, in milliseconds.
     pub run_ms: u64,
-    /// Messages in the broker's queue; none where the server consumes no queue.
+    /// Number of messages in the broker's queue; 0 if the server consumes no queue.
     pub queued_messages: u32,
-    /// What is done, in order of time.
+    /// Signals and faults, in order of time.
     pub steps: Vec<Step>,
-    /// The clients.
+    /// Clients, each with one connection.
     pub clients: Vec<Client>,
 }
 
-/// Draws from ranges.
+/// Generates the parts of a plan from a stream of pseudorandom numbers.
 struct PlanGenerator(Pcg);
 
 impl PlanGenerator {
@@ -187,7 +193,8 @@
         Client { at_ms, sends, read_pause_ms, sends_after_close: false }
     }
 
-    /// A client whose connection rests from before the notice, and whose request meets the close.
+    /// Returns a client whose connection is idle from before the shutdown notice, and which sends a request at about
+    /// the time at which the server closes the connection.
     fn idle_client(&mut self) -> Client {
         let at_ms = self.time_ms(-LEAD_MS, 0);
         let class = self.class();
@@ -198,13 +205,13 @@
         Client { at_ms, sends, read_pause_ms: 0, sends_after_close: true }
     }
 
-    /// A suspension that begins while requests still run.
+    /// Returns a suspension that begins while requests still run.
     fn early_suspension(&mut self) -> Step {
         let at_ms = self.time_ms(-250, GRACE_PERIOD_MS - 150);
         Step { at_ms, action: Action::Suspend(self.time_ms(60, 200)) }
     }
 
-    /// A client that sends a request shortly before a moment and one shortly after it.
+    /// Returns a client that sends one request shortly before a time and one shortly after it.
     fn client_around(&mut self, moment_ms: i64) -> Client {
         let times = [moment_ms - self.time_ms(2, 20), moment_ms + self.time_ms(10, 50)];
         let mut send = |at_ms| Send { at_ms, message: Message::Whole(self.class()), key: self.below(12) };
@@ -217,10 +224,11 @@
     }
 
     fn send(&mut self, from_ms: i64, stop_ms: i64) -> Send {
-        // Around the instants at which something ends: more often than by chance.
+        // Two times in five the message is sent at about the end of the grace period or the close of an idle
+        // connection, and one time in five shortly before the kill: uniform times would rarely hit these instants.
         let at_ms = match self.below(5) {
             0 => self.time_ms(GRACE_PERIOD_MS - 40, GRACE_PERIOD_MS + 120),
-            // Connections that rest after the goodbye message are closed about then.
+            // The server closes idle connections at about this time, after the goodbye message.
             2 => self.time_ms(GRACE_PERIOD_MS + 380, GRACE_PERIOD_MS + 620),
             1 => self.time_ms(stop_ms - 260, stop_ms - 120),
             _ => self.time_ms(from_ms, stop_ms),
@@ -239,14 +247,14 @@
             4 => Action::RefuseWorker(self.time_ms(10, 400)),
             _ => Action::CutBroker,
         };
-        // The first SIGTERM is the notice.
+        // The first SIGTERM is the shutdown notice at 0 ms; further ones come later.
         let at_ms = if action == Action::Term { at_ms.max(1) } else { at_ms };
         Step { at_ms, action }
     }
 }
 
 impl Plan {
-    /// Draws a plan.
+    /// Generates the plan of a seed.
     pub fn from_seed(seed: u64) -> Self {
         let mut generator = PlanGenerator(Pcg::new(seed));
         let stop_ms = STOP_MS[generator.below(4) as usize];
@@ -265,12 +273,12 @@
         Self { seed, stop_ms, run_ms, queued_messages, steps, clients }
     }
 
-    /// How many parts can be left out.
+    /// Returns the number of parts (steps and clients) that can be left out.
     pub fn part_count(&self) -> usize {
         self.steps.len() + self.clients.len()
     }
 
-    /// The plan without these parts: steps first, then clients.
+    /// Returns the plan without the parts of these numbers. Parts are numbered from 0, steps before clients.
     pub fn without(&self, parts: &[usize]) -> Self {
         let is_kept = |part: usize| !parts.contains(&part);
         let keeps_client = |offset: usize| move |(index, _): &(usize, _)| is_kept(offset + index);
@@ -283,7 +291,7 @@
         }
     }
 
-    /// Whether many clients are there at once.
+    /// Returns whether the run has a crowd of clients.
     pub fn has_crowd(&self) -> bool {
         self.clients.len() > (CLIENTS + IDLE_CLIENTS + CLIENTS_AROUND_SUSPENSION) as usize
     }
--- a/crates/hazelspur-fault-harness/src/endings/run.rs
+++ b/crates/hazelspur-fault-harness/src/endings/run.rs
@@ -1,4 +1,5 @@
-//! One run: test doubles, a server, its clients and what is done to it, until its end and its return.
+//! Executes one plan: starts the test doubles, the server and its clients, carries out the steps of the plan, and
+//! collects the evidence until the server has ended. Then the server is restarted to see whether it becomes ready.
 
 use super::checker::Evidence;
 use super::client::{self, Connection, RunContext};
@@ -21,20 +22,20 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// Calls that the dependency serves at once.
+/// Number of calls that the dependency serves concurrently.
 const CALL_SLOTS: usize = 50;
-/// The time of a call, in milliseconds.
+/// Duration of a dependency call, in milliseconds.
 const CALL_MS: f64 = 5.0;
-/// How long the run goes on past the kill, for clients that still read, in milliseconds.
+/// Time after the kill for which clients still read, in milliseconds.
 const CLIENT_TIME_AFTER_KILL_MS: u64 = 300;
-/// How long the broker may take to notice the end of the process.
+/// Longest wait for the broker to notice that the server process has ended.
 const SETTLING_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often the process is looked at.
+/// Time between two records of the resource usage of the server.
 const OBSERVATION_INTERVAL: Duration = Duration::from_millis(20);
-/// Runs of this process so far; part of each run's folder and address.
+/// Number of runs that this process has begun; part of the folder name and the address of each run.
 static RUNS: AtomicU32 = AtomicU32::new(0);
 
-/// The test doubles and the folder of one run.
+/// Test doubles, reserved server address and folder of one run.
 struct TestEnvironment {
     worker: Worker,
     dependency: Dependency,
@@ -42,7 +43,7 @@
     broker: Broker,
     reserved: ReservedAddress,
     folder: PathBuf,
-    /// Bodies in the broker's queue, with what must hold for each.
+    /// Message bodies in the broker's queue, each with the requirements that its handling must meet.
     expected: BTreeMap<Vec<u8>, Expected>,
 }
 
@@ -64,7 +65,7 @@
             dependency: Dependency::start("127.0.0.1:0", CALL_SLOTS, CALL_MS),
             registry: Registry::start("127.0.0.1:0"),
             broker: Broker::start(),
-            reserved: ReservedAddress::on(ip).context("an address for the server")?,
+            reserved: ReservedAddress::on(ip).context("cannot reserve an address for the server")?,
             folder,
             expected: BTreeMap::new(),
         };
@@ -93,7 +94,8 @@
         }
     }
 
-    /// What the broker's checker finds once the broker and the worker have read all that the server wrote.
+    /// Returns the breaches found by the checker of the broker, once the broker and the worker have read everything
+    /// that the server wrote.
     fn queue_breaches(&self, log: &str) -> Vec<String> {
         self.broker
             .wait_until(SETTLING_TIMEOUT, |state| !state.has_consumer("orders") && state.unsettled() == 0);
@@ -102,7 +104,8 @@
         breaches(&self.broker.state(), &self.worker.state(), &self.expected, lost)
     }
 
-    /// Plays the timeline; SIGTERM is sent at its time. Returns just before and just after its sending.
+    /// Carries out the operations of the plan at their times. Returns the times just before and just after the first
+    /// SIGTERM was sent.
     fn play_timeline(
         &self,
         server: &mut Server,
@@ -146,7 +149,7 @@
             }
             Operation::EndRefusal if spans.refusals.end() => self.worker.state().refuses_links = false,
             Operation::CutBroker => self.broker.cut_connections(),
-            // Another span of the kind goes on.
+            // Another span of the same kind is still open.
             Operation::BeginSuspension
             | Operation::EndSuspension
             | Operation::BeginRefusal
@@ -156,24 +159,25 @@
     }
 }
 
-/// Spans under way in one run.
+/// Suspensions and refusals that are open in one run.
 #[derive(Default)]
 struct OpenSpans {
     suspensions: OverlappingSpans,
     refusals: OverlappingSpans,
 }
 
-/// When SIGTERM was sent, in Unix milliseconds.
+/// Times just before and just after the first SIGTERM was sent, in Unix milliseconds.
 #[derive(Clone, Copy, Default)]
 struct NoticeTimes {
     before_ms: u64,
     after_ms: u64,
 }
 
-/// Plays a plan.
+/// Executes a plan with the server `program` and returns the evidence. If `interrupted` is set, the server is not
+/// restarted after its end.
 ///
 /// # Errors
-/// Where it can't be set up, or the server does not start.
+/// Returns an error if a test double or a file cannot be set up, or if the server does not become ready.
 pub fn play(program: &Path, plan: &Plan, interrupted: &AtomicBool) -> anyhow::Result<Evidence> {
     let environment = TestEnvironment::new(plan)?;
     let addresses = environment.addresses();
@@ -225,7 +229,8 @@
     Ok(evidence)
 }
 
-/// The same server at once again, under its name and address: the time until it serves. It is killed then.
+/// Starts the server again at once, with the same name and address, and returns the time until it is ready; `None` if
+/// it does not become ready. The new process is then killed.
 fn restart(program: &Path, environment: &TestEnvironment, plan: &Plan) -> anyhow::Result<Option<Duration>> {
     let mut server = Server::start(program, &environment.folder, environment.addresses(), plan)?;
     let ready_after = server.wait_until_serving().ok();
@@ -236,14 +241,14 @@
     std::fs::read_to_string(folder.join("log")).unwrap_or_default()
 }
 
-/// The sum of a figure over all lines of a log.
+/// Returns the sum of a numeric field over all lines of a log.
 fn sum_of_log_field(log: &str, key: &str) -> usize {
     let key = format!(" {key}=");
     let values = log.split(&key).skip(1);
     values.filter_map(|rest| rest.split([' ', '\n']).next()?.parse::<usize>().ok()).sum()
 }
 
-/// A message of a request class; its id is its number.
+/// Returns the AMQP properties of a message: its request class as type, and an id made of its number.
 fn message_properties(class: &str, number: u32) -> AMQPProperties {
     let id = format!("m{number}");
     AMQPProperties::default().with_type(class.into()).with_message_id(id.as_str().into())
--- a/crates/hazelspur-fault-harness/src/endings/server.rs
+++ b/crates/hazelspur-fault-harness/src/endings/server.rs
@@ -1,4 +1,5 @@
-//! The process under test: its files, its signals and its end.
+//! The server process under test: writes its configuration, starts it, sends it signals, records its resource usage
+//! and waits for its exit.
 
 use super::plan::{FileChange, GRACE_PERIOD_MS, Plan};
 use anyhow::Context;
@@ -12,48 +13,48 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Descriptors that the server may use.
+/// File descriptors that the server may use.
 pub const MAX_DESCRIPTORS: usize = 160;
-/// Memory that it may use, in MB.
+/// Memory that the server may use, in MB.
 pub const MAX_MEMORY_MB: u64 = 64;
-/// How long a start may take before it counts as failed.
+/// Time after which a start counts as failed.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
-/// How often a health check is repeated, and the end looked for.
+/// Pause between two health checks, and between two checks for the exit of the process.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How long a health check may take.
+/// Timeout of connecting and of reading in a health check.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The addresses of a server and its peers.
+/// Addresses of a server and its peers.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// Where the server listens.
+    /// Address at which the server listens.
     pub listen: SocketAddr,
-    /// The worker, by two addresses.
+    /// Two addresses of the same worker.
     pub worker: [SocketAddr; 2],
-    /// The shared dependency.
+    /// Address of the shared dependency.
     pub dependency: SocketAddr,
-    /// The registry.
+    /// Address of the registry.
     pub registry: SocketAddr,
-    /// The broker.
+    /// Address of the broker.
     pub broker: SocketAddr,
 }
 
-/// How a process ended.
+/// Exit of a process and its use of resources.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct End {
-    /// Whether it was alive when its kill was due.
+    /// Whether the process was alive when its kill was due.
     pub killed: bool,
-    /// Its exit status, if it ended by itself.
+    /// Exit status; `None` if the process was killed or ended by a signal.
     pub status: Option<i32>,
-    /// The most memory that it took, in kB.
+    /// Peak resident memory, in kB.
     pub memory_kb: u64,
-    /// The most descriptors that it was seen with.
+    /// Highest observed number of open file descriptors.
     pub descriptors: usize,
-    /// Files that it left in its folder for temporary files.
+    /// Number of files that the process left in its folder for temporary files.
     pub files_left: usize,
 }
 
-/// A server process.
+/// Server process, which is killed when the value is dropped.
 pub struct Server {
     child: Child,
     addresses: Addresses,
@@ -80,10 +81,11 @@
 }
 
 impl Server {
-    /// Starts the program in a folder of its own.
+    /// Writes the files of the server into `folder` and starts `program` with them. The log is appended to the file
+    /// `log` there.
     ///
     /// # Errors
-    /// Where files or the process can't be made.
+    /// Returns an error if a file cannot be written or the process cannot be started.
     pub fn start(program: &Path, folder: &Path, addresses: Addresses, plan: &Plan) -> anyhow::Result<Self> {
         let temporary = folder.join("tmp");
         std::fs::create_dir_all(&temporary)?;
@@ -105,28 +107,28 @@
             command.arg("--file").arg(operator_file);
         }
         command.stderr(File::options().create(true).append(true).open(folder.join("log"))?);
-        let child = command.spawn().with_context(|| format!("{program:?}"))?;
+        let child = command.spawn().with_context(|| format!("cannot start {program:?}"))?;
         let (folder, stop_ms) = (folder.to_path_buf(), plan.stop_ms);
         Ok(Self { child, addresses, folder, stop_ms, end: End::default() })
     }
 
-    /// Waits until a health check says that it serves; the time that took.
+    /// Waits until a health check reports that the server is ready; returns the time that this took.
     ///
     /// # Errors
-    /// Where it ends, or takes longer than 30 s.
+    /// Returns an error if the process exits, or is not ready within 30 s.
     pub fn wait_until_serving(&mut self) -> anyhow::Result<Duration> {
         let began = Instant::now();
         while began.elapsed() < START_TIMEOUT {
-            anyhow::ensure!(self.child.try_wait()?.is_none(), "the server ended at its start");
+            anyhow::ensure!(self.child.try_wait()?.is_none(), "the server exited before it was ready");
             if is_ready(self.addresses.listen) {
                 return Ok(began.elapsed());
             }
             sleep(POLL_INTERVAL);
         }
-        anyhow::bail!("not serving within {} s", START_TIMEOUT.as_secs())
+        anyhow::bail!("the server was not ready within {} s", START_TIMEOUT.as_secs())
     }
 
-    /// Sends a signal, named as for the `kill` command, if the process is still there.
+    /// Sends a signal, written as an option of the `kill` command such as `-TERM`, if the process still runs.
     pub fn signal(&mut self, name: &str) {
         if self.child.try_wait().is_ok_and(|ended| ended.is_none()) {
             send_signal(self.child.id(), name);
@@ -136,7 +138,7 @@
     /// Changes the configuration file and sends SIGHUP.
     ///
     /// # Errors
-    /// Where the file can't be changed.
+    /// Returns an error if the file cannot be changed.
     pub fn reload(&mut self, change: FileChange) -> anyhow::Result<()> {
         let config_path = self.folder.join("config.json");
         let text = |worker_address| config_text(&self.addresses, self.stop_ms, worker_address);
@@ -150,7 +152,7 @@
         Ok(())
     }
 
-    /// Notes what the process uses now.
+    /// Records the peak memory and the current number of file descriptors of the process.
     pub fn record_usage(&mut self) {
         let process = Path::new("/proc").join(self.child.id().to_string());
         let descriptors = std::fs::read_dir(process.join("fd")).map_or(0, Iterator::count);
@@ -161,10 +163,10 @@
         self.end.memory_kb = self.end.memory_kb.max(memory_kb.unwrap_or(0));
     }
 
-    /// Waits for its end until a moment in Unix milliseconds, and kills it then.
+    /// Waits for the exit of the process until `kill_ms`, in Unix milliseconds, and kills it if it still runs then.
     ///
     /// # Errors
-    /// Where its status can't be read.
+    /// Returns an error if the status of the process or its folder for temporary files cannot be read.
     pub fn wait_or_kill(mut self, kill_ms: u64) -> anyhow::Result<End> {
         while now_ms() < kill_ms && self.child.try_wait()?.is_none() {
             sleep(POLL_INTERVAL);
@@ -181,7 +183,7 @@
 
 impl Drop for Server {
     fn drop(&mut self) {
-        // Whatever ends the run ends the process.
+        // A run that ends early, by an error or a panic, must not leave the process behind.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crates/hazelspur-fault-harness/src/endings/timeline.rs
+++ b/crates/hazelspur-fault-harness/src/endings/timeline.rs
@@ -1,62 +1,63 @@
-//! What is done to the server and its peers at each moment of a run: the steps of a plan, each with its own end.
+//! Turns the steps of a plan into the operations on the server and its peers, in order of time. A step that lasts
+//! becomes two operations, its begin and its end.
 //!
-//! Invariant: an operation's time depends on its step alone, so that a step ends at its drawn moment whatever other
-//! step lasts longer.
+//! Invariant: the time of an operation depends only on its own step, so that a step ends at its planned time even while
+//! another step lasts longer.
 
 use super::plan::{Action, FileChange, Plan};
 
-/// What is done at one moment.
+/// Operation on the server or its peers at one time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// The first SIGTERM.
+    /// Sends the first SIGTERM, the shutdown notice.
     Notice,
-    /// SIGTERM once more.
+    /// Sends a further SIGTERM.
     Term,
-    /// SIGHUP.
+    /// Changes the configuration file and sends SIGHUP.
     Hup(FileChange),
-    /// A suspension begins.
+    /// Begins a suspension of the server.
     BeginSuspension,
-    /// A suspension ends.
+    /// Ends a suspension of the server.
     EndSuspension,
-    /// The worker link breaks and is refused from now on.
+    /// Breaks the connection of the worker; the worker refuses new ones from now on.
     BeginRefusal,
-    /// A refusal of the worker link ends.
+    /// Ends a refusal of connections by the worker.
     EndRefusal,
-    /// All connections to the broker break.
+    /// Breaks all connections to the broker.
     CutBroker,
 }
 
-/// An operation and its time.
+/// Operation with its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimedOperation {
-    /// When it is done, in milliseconds from the first SIGTERM.
+    /// Time of the operation, in milliseconds from the first SIGTERM.
     pub at_ms: i64,
-    /// What is done.
+    /// The operation.
     pub operation: Operation,
 }
 
-/// Overlapping spans of one kind: all of them together last from the first beginning to the last end.
+/// Counter of the open spans of one kind. Overlapping spans act as a single one, from the first begin to the last end.
 #[derive(Debug, Default)]
 pub struct OverlappingSpans {
     open_count: u32,
 }
 
 impl OverlappingSpans {
-    /// One begins; whether it is the only one.
+    /// Opens a span; returns whether no other one was open.
     pub fn begin(&mut self) -> bool {
         self.open_count += 1;
         self.open_count == 1
     }
 
-    /// One ends; whether it was the last one.
+    /// Closes a span; returns whether no other one is open.
     pub fn end(&mut self) -> bool {
         self.open_count = self.open_count.saturating_sub(1);
         self.open_count == 0
     }
 }
 
-/// All operations of a plan, in order of time; of those at one moment a beginning comes first. None is later than
-/// the kill, which waits for no step.
+/// Returns all operations of a plan in order of time; at equal times the end of a span comes last. None is later than
+/// the kill, which does not wait for a step to end.
 pub fn timeline(plan: &Plan) -> Vec<TimedOperation> {
     let mut operations = Vec::new();
     let mut add = |at_ms, operation| operations.push(TimedOperation { at_ms, operation });
--- a/crates/hazelspur-fault-harness/tests/endings.rs
+++ b/crates/hazelspur-fault-harness/tests/endings.rs
@@ -1,4 +1,5 @@
-//! The soak's checker finds planted faults, one for each rule; its plans are repeatable; its options are checked.
+//! Tests of the soak `endings`: its checker finds a planted fault for each rule, its plans are repeatable and keep their
+//! time limits, and its options are validated. No server is started.
 
 use hazelspur_fault_harness::endings::checker::{Evidence, Rule};
 use hazelspur_fault_harness::endings::client::{Answer, Connection, Sent};
@@ -9,7 +10,8 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// When SIGTERM was sent; the grace period ends 300 ms later, or 350 with the slack.
+/// Time at which SIGTERM was sent, in Unix milliseconds. The grace period ends 300 ms later; with the tolerance of the
+/// checker, 350 ms later.
 const NOTICE_MS: u64 = 10_000;
 
 fn sent(request: &str, at_ms: u64) -> Sent {
@@ -23,8 +25,8 @@
     }
 }
 
-/// A run in which all rules hold: a request before the notice that ran, one past the grace period that was rejected,
-/// and one that crossed the close.
+/// Returns the evidence of a run in which all rules hold: request a was sent before the shutdown notice and ran,
+/// request b was sent after the grace period and was rejected, request c crossed the close of the connection.
 fn evidence_without_breach() -> Evidence {
     let late_request =
         Sent { answers: vec![(Answer::Rejected, NOTICE_MS + 500)], ..sent("b", NOTICE_MS + 480) };
@@ -47,7 +49,7 @@
     }
 }
 
-/// The rules that are broken in a run with a planted fault.
+/// Returns the rules that are broken once a fault is planted in the evidence of a correct run.
 fn broken_rules(plant_fault: impl FnOnce(&mut Evidence)) -> Vec<Rule> {
     let mut evidence = evidence_without_breach();
     plant_fault(&mut evidence);
@@ -80,7 +82,7 @@
     assert_eq!(broken_rules(|run| run.connections[0].closed_ms = None), [Rule::OneResponse]);
 }
 
-/// Guards against a request that is read after the close and forwarded.
+/// Guards against a server that reads a request after it has closed the connection and still forwards it to the worker.
 #[test]
 fn unanswered_request_that_crossed_the_close_and_ran_is_found() {
     assert_eq!(
@@ -170,10 +172,11 @@
     }
     let crowds = (1..50).filter(|seed| Plan::from_seed(*seed).has_crowd()).count();
     let queues = (1..50).filter(|seed| Plan::from_seed(*seed).queued_messages > 0).count();
-    assert!(crowds > 4 && queues > 8, "{crowds} of 49 seeds have a crowd, {queues} a queue");
+    assert!(crowds > 4 && queues > 8, "{crowds} of 49 seeds have a crowd, {queues} have queued messages");
 }
 
-/// Guards against steps that are carried out one after the other, so that a suspension lasts until past the kill.
+/// Guards against steps that are carried out one after the other: a suspension then waits for the end of an earlier,
+/// longer one and lasts until after the kill.
 #[test]
 fn step_ends_on_time_while_another_step_lasts_longer() {
     let steps = [
@@ -212,7 +215,7 @@
             _ => plan.stop_ms,
         };
         let late: Vec<_> = timeline(&plan).into_iter().filter(|timed| timed.at_ms > latest(timed)).collect();
-        assert!(late.is_empty(), "{plan}: {late:?}");
+        assert!(late.is_empty(), "{plan}: operations past their limit: {late:?}");
     }
 }
 
@@ -221,22 +224,24 @@
     let plans: Vec<Plan> = (1..200).map(Plan::from_seed).collect();
     let drawn = |kind: &str| plans.iter().flat_map(|plan| &plan.steps).any(|step| step.action.kind() == kind);
     let missing: Vec<&str> = Action::KINDS.into_iter().filter(|kind| !drawn(kind)).collect();
-    assert!(missing.is_empty(), "{missing:?}");
+    assert!(missing.is_empty(), "kinds of steps that no plan has: {missing:?}");
 }
 
 #[test]
 fn options_out_of_bounds_are_rejected_with_the_bounds() {
     let run_with = |server: &str, options: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_hazelspur-fault-harness"));
-        let output = command.args(["endings", "--server", server]).args(options).output().expect("it runs");
+        let output =
+            command.args(["endings", "--server", server]).args(options).output().expect("the harness runs");
         (output.status.code(), String::from_utf8_lossy(&output.stderr).trim().to_string())
     };
-    // Any program stands for the server: nothing is started.
+    // Options are checked before a server is started, so any existing program will do.
     let any = "/bin/true";
-    assert_eq!(run_with(any, &["--seeds", "0"]), (Some(2), "--seeds 0: 1 to 100000".into()));
-    assert_eq!(run_with(any, &["--jobs", "17"]), (Some(2), "--jobs 17: 1 to 16".into()));
-    let no_folder = (Some(2), "--reports \"/nowhere\": no such folder".into());
+    assert_eq!(run_with(any, &["--seeds", "0"]), (Some(2), "--seeds 0 is not from 1 to 100000".into()));
+    assert_eq!(run_with(any, &["--jobs", "17"]), (Some(2), "--jobs 17 is not from 1 to 16".into()));
+    let no_folder = (Some(2), "--reports \"/nowhere\" is not a folder".into());
     assert_eq!(run_with(any, &["--reports", "/nowhere"]), no_folder);
-    let no_program = (Some(2), "--server \"/nowhere/server\": build it, or name another".into());
+    let no_program =
+        (Some(2), "--server \"/nowhere/server\" does not exist: build it, or name another program".into());
     assert_eq!(run_with("/nowhere/server", &[]), no_program);
 }
