--- a/crates/hazelspur-fault-harness/src/lightweight/command.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/command.rs
@@ -13,7 +13,7 @@
 /// The subcommand by which the program serves lightweight members.
 pub const MEMBERS_SUBCOMMAND: &str = "hollow-members";
 /// The study's name in its file.
-const STUDY: &str = "hollow";
+const STUDY_NAME: &str = "hollow";
 
 /// Arguments of the subcommand.
 #[derive(clap::Args, Debug)]
@@ -75,7 +75,7 @@
         );
         anyhow::ensure!(self.window <= self.seconds, "--window: longer than --seconds");
         let stop = Arc::new(AtomicBool::new(false));
-        heed_signals(stop.clone());
+        stop_on_signal(stop.clone());
         let plan = |members| Plan {
             server_binary: server_binary.clone(),
             own_binary: own_binary.clone(),
@@ -102,7 +102,7 @@
             let outcome = run(plan, &mut |_| ControlFlow::Continue(()))?;
             println!("{}", figures::describe(&outcome));
             if let Some(path) = &self.json {
-                self.write(path, &outcome).with_context(|| path.display().to_string())?;
+                self.write_points(path, &outcome).with_context(|| path.display().to_string())?;
             }
             outcomes.push(outcome);
         }
@@ -110,12 +110,12 @@
         Ok(outcomes.iter().all(|outcome| outcome.agreed_after.is_some()))
     }
 
-    fn write(&self, path: &Path, outcome: &Outcome) -> anyhow::Result<()> {
-        let there = match std::fs::read(path) {
+    fn write_points(&self, path: &Path, outcome: &Outcome) -> anyhow::Result<()> {
+        let existing = match std::fs::read(path) {
             Ok(bytes) => serde_json::from_slice::<Value>(&bytes)?,
             Err(_) => Value::Null,
         };
-        let mut points: Vec<Value> = there["points"].as_array().cloned().unwrap_or_default();
+        let mut points: Vec<Value> = existing["points"].as_array().cloned().unwrap_or_default();
         points.retain(|point| point["size"] != outcome.members || point["seed"] != self.seed);
         points.extend(figures::points(outcome, self.seed));
         points.sort_by_key(|point| point["size"].as_u64());
@@ -123,38 +123,38 @@
         let command = format!("cargo run --release -p hazelspur-fault-harness -- {}", arguments.join(" "));
         let cores = std::thread::available_parallelism()?;
         let gib = (process_usage::machine_memory_bytes()? as f64 / f64::from(1 << 30)).round();
-        let text = self.text.clone().or_else(git_text).unwrap_or("not known".into());
-        let head = json!({
-            "study": STUDY,
-            "command": joined(&there["command"], command),
-            "text": joined(&there["text"], text),
+        let text = self.text.clone().or_else(git_revision).unwrap_or("not known".into());
+        let fields = json!({
+            "study": STUDY_NAME,
+            "command": joined(&existing["command"], command),
+            "text": joined(&existing["text"], text),
             "machine": format!("{cores} cores, {gib} GiB; real processes and hollow members on loopback"),
         });
         // A point a line, so that a change of one is seen.
-        let mut lines = serde_json::to_string(&head)?;
-        lines.truncate(lines.len() - 1);
+        let mut header = serde_json::to_string(&fields)?;
+        header.truncate(header.len() - 1);
         let points: Vec<String> = points.iter().map(Value::to_string).collect();
-        Ok(std::fs::write(path, format!("{lines},\"points\":[\n{}\n]}}\n", points.join(",\n")))?)
+        Ok(std::fs::write(path, format!("{header},\"points\":[\n{}\n]}}\n", points.join(",\n")))?)
     }
 }
 
 /// What was there stays before what is new: a file may come of a run for each size.
-fn joined(there: &Value, new: String) -> String {
-    match there.as_str() {
+fn joined(existing: &Value, new: String) -> String {
+    match existing.as_str() {
         Some(old) if old.split("; ").any(|old| old == new) => old.into(),
         Some(old) => format!("{old}; {new}"),
         None => new,
     }
 }
 
-fn git_text() -> Option<String> {
-    let out = std::process::Command::new("git").args(["rev-parse", "--short", "HEAD"]).output().ok()?;
-    let text = String::from_utf8(out.stdout).ok()?.trim().to_string();
-    (out.status.success() && !text.is_empty()).then_some(text)
+fn git_revision() -> Option<String> {
+    let output = std::process::Command::new("git").args(["rev-parse", "--short", "HEAD"]).output().ok()?;
+    let revision = String::from_utf8(output.stdout).ok()?.trim().to_string();
+    (output.status.success() && !revision.is_empty()).then_some(revision)
 }
 
 /// The first SIGINT or SIGTERM ends the run early, with all that it started.
-fn heed_signals(stop: Arc<AtomicBool>) {
+fn stop_on_signal(stop: Arc<AtomicBool>) {
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         runtime.block_on(async {
--- a/crates/hazelspur-fault-harness/src/lightweight/figures.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/figures.rs
@@ -114,57 +114,64 @@
     /// The figures between two readings.
     pub fn new(
         fleet: &Fleet,
-        divider: Option<MemberName>,
-        hollows: &[LightweightProcess],
+        allocator: Option<MemberName>,
+        processes: &[LightweightProcess],
         before: &Reading,
         after: &Reading,
     ) -> Self {
         let seconds = (after.at - before.at).as_secs_f64().max(f64::MIN_POSITIVE);
-        let (came_before, went_before) = (came(&before.counters), went(&before.counters));
-        let (came_after, went_after) = (came(&after.counters), went(&after.counters));
-        let told = |of: usize| {
-            let at = fleet.gossip_address(of);
-            let (old, new) = (came_before.get(&at), came_after.get(&at));
+        let (received_before, sent_before) =
+            (received_by_sender(&before.counters), sent_by_receiver(&before.counters));
+        let (received_after, sent_after) =
+            (received_by_sender(&after.counters), sent_by_receiver(&after.counters));
+        let seen_from = |index: usize| {
+            let address = fleet.gossip_address(index);
+            let (old, new) = (received_before.get(&address), received_after.get(&address));
             let (old, new) = (old.copied().unwrap_or_default(), new.copied().unwrap_or_default());
             (new.traffic.since(old.traffic), new.max_sequence.saturating_sub(old.max_sequence))
         };
-        let went = |of: usize| {
-            let at = fleet.gossip_address(of);
-            let find = |all: &BTreeMap<SocketAddr, Traffic>| all.get(&at).copied().unwrap_or_default();
-            find(&went_after).since(find(&went_before))
+        let sent_to = |index: usize| {
+            let address = fleet.gossip_address(index);
+            let find = |all: &BTreeMap<SocketAddr, Traffic>| all.get(&address).copied().unwrap_or_default();
+            find(&sent_after).since(find(&sent_before))
         };
         // Of a real member: datagrams by number, at the mean length of those that came to hollow ones.
-        let sent = |of: usize| {
-            let (told, numbered) = told(of);
-            let mean = if told.datagrams == 0 { 0.0 } else { told.bytes as f64 / told.datagrams as f64 };
-            Rates { datagrams: numbered as f64 / seconds, bytes: numbered as f64 * mean / seconds }
+        let sent = |index: usize| {
+            let (seen, sequence_advance) = seen_from(index);
+            let mean = if seen.datagrams == 0 { 0.0 } else { seen.bytes as f64 / seen.datagrams as f64 };
+            Rates {
+                datagrams: sequence_advance as f64 / seconds,
+                bytes: sequence_advance as f64 * mean / seconds,
+            }
         };
-        let divides = divider.and_then(|name| (0..fleet.real).find(|of| fleet.name(*of) == name.as_str()));
-        let hollow = (fleet.members - fleet.real) as f64;
-        let real = |of: usize| {
+        let allocator_index =
+            allocator.and_then(|name| (0..fleet.real).find(|index| fleet.name(*index) == name.as_str()));
+        let lightweight_count = (fleet.members - fleet.real) as f64;
+        let real_member = |index: usize| {
             let role = match () {
-                () if divides == Some(of) => Role::Allocator,
-                () if of < fleet.voter_count() => Role::Voter,
+                () if allocator_index == Some(index) => Role::Allocator,
+                () if index < fleet.voter_count() => Role::Voter,
                 () => Role::Real,
             };
             // Of the other real ones as of as many hollow ones, and of the divider what it sends to each.
-            let came = Rates::of(went(of), seconds);
-            let grants =
-                divides.filter(|divides| *divides != of).map(|divides| Rates::of(told(divides).0, seconds));
-            let alike = (fleet.members - 1 - usize::from(grants.is_some())) as f64 / hollow;
+            let from_lightweight = Rates::of(sent_to(index), seconds);
+            let grants = allocator_index
+                .filter(|allocator| *allocator != index)
+                .map(|allocator| Rates::of(seen_from(allocator).0, seconds));
+            let scale = (fleet.members - 1 - usize::from(grants.is_some())) as f64 / lightweight_count;
             let grants = grants.unwrap_or_default();
             let received = Rates {
-                datagrams: came.datagrams * alike + grants.datagrams / hollow,
-                bytes: came.bytes * alike + grants.bytes / hollow,
+                datagrams: from_lightweight.datagrams * scale + grants.datagrams / lightweight_count,
+                bytes: from_lightweight.bytes * scale + grants.bytes / lightweight_count,
             };
-            let (told, numbered) = told(of);
-            let seen_by_lightweight = Rates::of(told, seconds);
-            let datagrams_by_sequence = numbered as f64 / seconds;
+            let (seen, sequence_advance) = seen_from(index);
+            let seen_by_lightweight = Rates::of(seen, seconds);
+            let datagrams_by_sequence = sequence_advance as f64 / seconds;
             let (cpu_share, resident, anonymous) =
-                taken(before.real_usage[of], after.real_usage[of], seconds, 1);
+                mean_usage(before.real_usage[index], after.real_usage[index], seconds, 1);
             Member {
                 role,
-                sent: sent(of),
+                sent: sent(index),
                 received,
                 seen_by_lightweight,
                 datagrams_by_sequence,
@@ -173,22 +180,22 @@
                 anonymous,
             }
         };
-        let mut members: Vec<Member> = (0..fleet.real).map(real).collect();
+        let mut members: Vec<Member> = (0..fleet.real).map(real_member).collect();
         let (mut not_accepted, mut unsent) = (0, 0);
-        for (i, hollow) in hollows.iter().enumerate() {
+        for (i, process) in processes.iter().enumerate() {
             let (cpu_share, resident, anonymous) =
-                taken(before.lightweight_usage[i], after.lightweight_usage[i], seconds, hollow.count);
-            for place in 0..hollow.count {
+                mean_usage(before.lightweight_usage[i], after.lightweight_usage[i], seconds, process.count);
+            for place in 0..process.count {
                 let (old, new) = (before.counters[i].members[place], after.counters[i].members[place]);
-                let (told, numbered) = told(hollow.first_member + place);
+                let (seen, sequence_advance) = seen_from(process.first_member + place);
                 not_accepted += new.dropped - old.dropped;
                 unsent += new.unsent - old.unsent;
                 members.push(Member {
                     role: Role::Lightweight,
                     sent: Rates::of(new.sent.since(old.sent), seconds),
                     received: Rates::of(new.received.since(old.received), seconds),
-                    seen_by_lightweight: Rates::of(told, seconds),
-                    datagrams_by_sequence: numbered as f64 / seconds,
+                    seen_by_lightweight: Rates::of(seen, seconds),
+                    datagrams_by_sequence: sequence_advance as f64 / seconds,
                     cpu_share,
                     resident,
                     anonymous,
@@ -225,52 +232,52 @@
     /// ones are keepers.
     pub fn difference(&self) -> Option<(f64, f64)> {
         let receivers = self.with_role(Role::Lightweight).count() as f64;
-        let part = |figure: Of| {
-            let hollow = self.mean(Role::Lightweight, figure)? / (receivers - 1.0);
+        let relative_difference = |figure: MemberFigure| {
+            let lightweight = self.mean(Role::Lightweight, figure)? / (receivers - 1.0);
             let real = self.mean(Role::Real, figure)? / receivers;
-            (real > 0.0 && receivers > 1.0).then_some(hollow / real - 1.0)
+            (real > 0.0 && receivers > 1.0).then_some(lightweight / real - 1.0)
         };
         Some((
-            part(|member| member.seen_by_lightweight.datagrams)?,
-            part(|member| member.seen_by_lightweight.bytes)?,
+            relative_difference(|member| member.seen_by_lightweight.datagrams)?,
+            relative_difference(|member| member.seen_by_lightweight.bytes)?,
         ))
     }
 }
 
-fn taken(
+fn mean_usage(
     before: Option<ProcessUsage>,
     after: Option<ProcessUsage>,
     seconds: f64,
-    by: usize,
+    members: usize,
 ) -> (f64, f64, f64) {
     let (Some(before), Some(after)) = (before, after) else { return (f64::NAN, f64::NAN, f64::NAN) };
     let cpu = after.cpu.saturating_sub(before.cpu).as_secs_f64() / seconds;
-    let each = |n: f64| n / by as f64;
-    (each(cpu), each(after.resident_bytes as f64), each(after.anonymous_bytes as f64))
+    let per_member = |total: f64| total / members as f64;
+    (per_member(cpu), per_member(after.resident_bytes as f64), per_member(after.anonymous_bytes as f64))
 }
 
-fn came(counted: &[Counters]) -> BTreeMap<SocketAddr, Received> {
+fn received_by_sender(counters: &[Counters]) -> BTreeMap<SocketAddr, Received> {
     let mut all: BTreeMap<SocketAddr, Received> = BTreeMap::new();
-    for (from, heard) in counted.iter().flat_map(|counted| &counted.received_by_sender) {
-        let sum = all.entry(*from).or_default();
-        sum.traffic.add(heard.traffic.datagrams, heard.traffic.bytes);
-        sum.max_sequence = sum.max_sequence.max(heard.max_sequence);
+    for (sender, received) in counters.iter().flat_map(|counters| &counters.received_by_sender) {
+        let sum = all.entry(*sender).or_default();
+        sum.traffic.add(received.traffic.datagrams, received.traffic.bytes);
+        sum.max_sequence = sum.max_sequence.max(received.max_sequence);
     }
     all
 }
 
-fn went(counted: &[Counters]) -> BTreeMap<SocketAddr, Traffic> {
+fn sent_by_receiver(counters: &[Counters]) -> BTreeMap<SocketAddr, Traffic> {
     let mut all: BTreeMap<SocketAddr, Traffic> = BTreeMap::new();
-    for (to, traffic) in counted.iter().flat_map(|counted| &counted.sent_by_receiver) {
-        all.entry(*to).or_default().add(traffic.datagrams, traffic.bytes);
+    for (receiver, traffic) in counters.iter().flat_map(|counters| &counters.sent_by_receiver) {
+        all.entry(*receiver).or_default().add(traffic.datagrams, traffic.bytes);
     }
     all
 }
 
-type Of = fn(&Member) -> f64;
+type MemberFigure = fn(&Member) -> f64;
 
 /// Name in the points, and unit.
-const EACH: [(&str, &str, Of); 7] = [
+const FIGURES: [(&str, &str, MemberFigure); 7] = [
     ("cpu_share", "cores", |m| m.cpu_share),
     ("resident_bytes", "B", |m| m.resident),
     ("anon_bytes", "B", |m| m.anonymous),
@@ -287,27 +294,27 @@
     let mut put = |figure: String, case: &str, unit: &str, value: Option<f64>| {
         if let Some(value) = value.filter(|value| value.is_finite()) {
             points.push(json!({"figure": figure, "case": case, "unit": unit, "by": "servers",
-                "size": outcome.members, "seed": seed, "value": rounded(value)}));
+                "size": outcome.members, "seed": seed, "value": round_to_six_digits(value)}));
         }
     };
-    let agree = outcome.agreed_after.map(|agree| agree.as_secs_f64());
-    put("members.agree_s".into(), "storm", "s", agree);
+    let agreed_after_s = outcome.agreed_after.map(|agree| agree.as_secs_f64());
+    put("members.agree_s".into(), "storm", "s", agreed_after_s);
     put("members.missing".into(), "storm", "members", Some(outcome.missing.len() as f64));
     let Some(figures) = &outcome.figures else { return points };
     let case = if agreed { "rest" } else { "not agreed" };
     for role in Role::ALL {
         let name = role.name();
-        for (figure, unit, of) in EACH {
-            put(format!("members.{name}.{figure}"), case, unit, figures.mean(role, of));
-            let even = role == Role::Lightweight && !figure.contains("per_s");
-            if role != Role::Allocator && !even {
-                put(format!("members.{name}.most_{figure}"), case, unit, figures.max(role, of));
+        for (figure_name, unit, figure) in FIGURES {
+            put(format!("members.{name}.{figure_name}"), case, unit, figures.mean(role, figure));
+            let is_equal_share = role == Role::Lightweight && !figure_name.contains("per_s");
+            if role != Role::Allocator && !is_equal_share {
+                put(format!("members.{name}.most_{figure_name}"), case, unit, figures.max(role, figure));
             }
         }
-        let told = figures.mean(role, |m| m.seen_by_lightweight.bytes);
-        put(format!("members.{name}.bytes_as_heard_per_s"), case, "B/s", told);
-        let told = figures.mean(role, |m| m.seen_by_lightweight.datagrams);
-        put(format!("members.{name}.datagrams_as_heard_per_s"), case, "1/s", told);
+        let seen = figures.mean(role, |m| m.seen_by_lightweight.bytes);
+        put(format!("members.{name}.bytes_as_heard_per_s"), case, "B/s", seen);
+        let seen = figures.mean(role, |m| m.seen_by_lightweight.datagrams);
+        put(format!("members.{name}.datagrams_as_heard_per_s"), case, "1/s", seen);
     }
     let difference = figures.difference();
     put("members.difference.datagrams".into(), case, "part", difference.map(|d| d.0));
@@ -319,7 +326,7 @@
 }
 
 /// Six digits are more than any of these measures.
-fn rounded(value: f64) -> f64 {
+fn round_to_six_digits(value: f64) -> f64 {
     format!("{value:.5e}").parse().unwrap_or(value)
 }
 
@@ -342,13 +349,14 @@
     for outcome in outcomes {
         let Some(figures) = &outcome.figures else { continue };
         for role in Role::ALL {
-            let both = |of: Of, times: f64, digits: usize| {
-                let (mean, most) = (figures.mean(role, of), figures.max(role, of));
-                let (mean, most) = (mean.unwrap_or(f64::NAN) * times, most.unwrap_or(f64::NAN) * times);
-                format!("{mean:.digits$}, {most:.digits$}")
+            let mean_and_max = |figure: MemberFigure, times: f64, digits: usize| {
+                let (mean, max) = (figures.mean(role, figure), figures.max(role, figure));
+                let (mean, max) = (mean.unwrap_or(f64::NAN) * times, max.unwrap_or(f64::NAN) * times);
+                format!("{mean:.digits$}, {max:.digits$}")
+            };
+            let mean = |figure: MemberFigure, times: f64| {
+                format!("{:.0}", figures.mean(role, figure).unwrap_or(f64::NAN) * times)
             };
-            let mean =
-                |of: Of, times: f64| format!("{:.0}", figures.mean(role, of).unwrap_or(f64::NAN) * times);
             if figures.with_role(role).next().is_none() {
                 continue;
             }
@@ -356,13 +364,13 @@
                 outcome.members.to_string(),
                 role.name().to_string(),
                 figures.with_role(role).count().to_string(),
-                both(|m| m.cpu_share, 100.0, 2),
+                mean_and_max(|m| m.cpu_share, 100.0, 2),
                 mean(|m| m.resident, 1.0 / 1024.0),
                 mean(|m| m.anonymous, 1.0 / 1024.0),
-                both(|m| m.sent.datagrams, 1.0, 2),
-                both(|m| m.sent.bytes, 1.0, 0),
-                both(|m| m.received.datagrams, 1.0, 2),
-                both(|m| m.received.bytes, 1.0, 0),
+                mean_and_max(|m| m.sent.datagrams, 1.0, 2),
+                mean_and_max(|m| m.sent.bytes, 1.0, 0),
+                mean_and_max(|m| m.received.datagrams, 1.0, 2),
+                mean_and_max(|m| m.received.bytes, 1.0, 0),
             ]);
         }
     }
@@ -373,7 +381,7 @@
 pub fn describe(outcome: &Outcome) -> String {
     /// Members that are named as missing.
     const MAX_NAMED: usize = 10;
-    let named = |names: &std::collections::BTreeSet<String>| {
+    let count_and_names = |names: &std::collections::BTreeSet<String>| {
         let first: Vec<&str> = names.iter().take(MAX_NAMED).map(String::as_str).collect();
         let more = if names.len() > MAX_NAMED { ", ..." } else { "" };
         format!("{}: {}{more}", names.len(), first.join(", "))
@@ -384,7 +392,9 @@
     );
     text += &match outcome.agreed_after {
         Some(agree) => format!("all real ones show all as alive after {:.1} s", agree.as_secs_f64()),
-        None => format!("the real ones do not show all as alive; missing {}", named(&outcome.missing)),
+        None => {
+            format!("the real ones do not show all as alive; missing {}", count_and_names(&outcome.missing))
+        }
     };
     text += &format!("; most memory of all processes {} MB", outcome.max_memory_bytes >> 20);
     let Some(figures) = &outcome.figures else { return text };
@@ -394,19 +404,19 @@
         figures.seconds, figures.kernel_drops, figures.not_accepted, figures.unsent
     );
     if !outcome.missing_at_end.is_empty() {
-        text += &format!("; at its end missing {}", named(&outcome.missing_at_end));
+        text += &format!("; at its end missing {}", count_and_names(&outcome.missing_at_end));
     }
     text += &format!("; ops: {} acked of {} tries\n", outcome.requests.0, outcome.requests.1);
-    let mean = |role, of: Of| figures.mean(role, of).unwrap_or(f64::NAN);
-    let as_heard = |role| {
+    let mean = |role, figure: MemberFigure| figures.mean(role, figure).unwrap_or(f64::NAN);
+    let as_received = |role| {
         let (datagrams, bytes) =
             (mean(role, |m| m.seen_by_lightweight.datagrams), mean(role, |m| m.seen_by_lightweight.bytes));
         format!("{datagrams:.2} datagrams and {bytes:.0} bytes a second")
     };
     text += &format!(
         "as hollow members got them: of a real one {}, of a hollow one {}",
-        as_heard(Role::Real),
-        as_heard(Role::Lightweight)
+        as_received(Role::Real),
+        as_received(Role::Lightweight)
     );
     if let Some((datagrams, bytes)) = figures.difference() {
         text += &format!(
@@ -415,7 +425,9 @@
             bytes * 100.0
         );
     }
-    let (own, numbered) =
+    let (own_count, by_sequence) =
         (mean(Role::Lightweight, |m| m.sent.datagrams), mean(Role::Lightweight, |m| m.datagrams_by_sequence));
-    text + &format!("; datagrams of a hollow one by its own count {own:.2}, by their numbers {numbered:.2}")
+    text + &format!(
+        "; datagrams of a hollow one by its own count {own_count:.2}, by their numbers {by_sequence:.2}"
+    )
 }
--- a/crates/hazelspur-fault-harness/src/lightweight/member.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/member.rs
@@ -22,17 +22,17 @@
 use tokio::sync::{mpsc, watch};
 
 /// As the server's own talk has them.
-const IN_ONE_GO: usize = 64;
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
 /// Period of the membership protocol's rounds.
-const ROUND: Duration = Duration::from_ms(250);
+const MAX_WAIT: Duration = Duration::from_ms(250);
 /// How often its load is reported.
-const LOOK: Duration = Duration::from_ms(200);
+const LOAD_INTERVAL: Duration = Duration::from_ms(200);
 /// A lightweight member says that it makes a call each second, and that it takes so long.
-const CALL_EVERY: Duration = Duration::from_ms(1000);
+const CALL_INTERVAL: Duration = Duration::from_ms(1000);
 /// The call latency that a member reports, in seconds.
-const CALL_SECS: f64 = 0.01;
+const CALL_LATENCY_S: f64 = 0.01;
 /// Lines of input that wait.
-const MAX_LINES: usize = 16;
+const MAX_QUEUED_ORDERS: usize = 16;
 
 /// The first line.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -84,8 +84,8 @@
     }
 
     /// What came since an earlier count.
-    pub fn since(self, before: Self) -> Self {
-        Self { datagrams: self.datagrams - before.datagrams, bytes: self.bytes - before.bytes }
+    pub fn since(self, earlier: Self) -> Self {
+        Self { datagrams: self.datagrams - earlier.datagrams, bytes: self.bytes - earlier.bytes }
     }
 }
 
@@ -110,17 +110,17 @@
 }
 
 struct Clock {
-    began: Instant,
-    last: RefCell<Timestamp>,
+    started_at: Instant,
+    last_wall: RefCell<Timestamp>,
 }
 
 impl Clock {
-    fn at(&self) -> Clocks {
+    fn now(&self) -> Clocks {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let wall = Timestamp::from_us(unix.as_micros() as u64).max(*self.last.borrow());
-        *self.last.borrow_mut() = wall;
-        let steady = Timestamp::from_us(1_000_000 + self.began.elapsed().as_micros() as u64);
-        Clocks { wall, monotonic: steady }
+        let wall = Timestamp::from_us(unix.as_micros() as u64).max(*self.last_wall.borrow());
+        *self.last_wall.borrow_mut() = wall;
+        let monotonic = Timestamp::from_us(1_000_000 + self.started_at.elapsed().as_micros() as u64);
+        Clocks { wall, monotonic }
     }
 }
 
@@ -131,10 +131,10 @@
     node: FleetNode,
     guidance: Guidance,
     clock: Clock,
-    looked: Timestamp,
-    called: Timestamp,
+    load_reported_at: Timestamp,
+    call_reported_at: Timestamp,
     /// Its place among those of this process.
-    of: usize,
+    index: usize,
     counters: Rc<RefCell<Counters>>,
 }
 
@@ -142,19 +142,19 @@
     async fn run(mut self) {
         let mut bytes = vec![0; datagram::MAX_DATAGRAM_BYTES + 1];
         loop {
-            self.act();
-            let wait = self.node.time_to_next_tick(self.clock.at()).min(ROUND);
+            self.tick_and_send();
+            let wait = self.node.time_to_next_tick(self.clock.now()).min(MAX_WAIT);
             tokio::select! {
-                came = self.socket.recv_from(&mut bytes) => {
-                    self.node.tick(self.clock.at());
-                    if let Ok((length, from)) = came {
-                        self.hear(from, &bytes[..length]);
+                received = self.socket.recv_from(&mut bytes) => {
+                    self.node.tick(self.clock.now());
+                    if let Ok((length, from)) = received {
+                        self.receive(from, &bytes[..length]);
                     }
-                    for _ in 1..IN_ONE_GO {
+                    for _ in 1..MAX_DATAGRAMS_PER_TURN {
                         let Ok((length, from)) = self.socket.try_recv_from(&mut bytes) else { break };
-                        self.hear(from, &bytes[..length]);
+                        self.receive(from, &bytes[..length]);
                     }
-                    self.act();
+                    self.tick_and_send();
                     tokio::task::yield_now().await;
                 }
                 () = tokio::time::sleep(StdDuration::from_micros(wait.us())) => {}
@@ -162,120 +162,136 @@
         }
     }
 
-    fn hear(&mut self, from: SocketAddr, bytes: &[u8]) {
-        let at = self.clock.at();
-        let opened = datagram::open(&self.key, &self.installation, at.wall, bytes);
-        let number = opened.as_ref().map_or(0, |datagram| datagram.sequence);
-        let taken = opened.and_then(|datagram| self.node.receive(at, &datagram));
+    fn receive(&mut self, from: SocketAddr, bytes: &[u8]) {
+        let now = self.clock.now();
+        let opened = datagram::open(&self.key, &self.installation, now.wall, bytes);
+        let sequence = opened.as_ref().map_or(0, |datagram| datagram.sequence);
+        let accepted = opened.and_then(|datagram| self.node.receive(now, &datagram));
         let mut counters = self.counters.borrow_mut();
-        let of = counters.received_by_sender.entry(from).or_default();
-        of.traffic.add(1, bytes.len() as u64);
-        of.max_sequence = of.max_sequence.max(number);
-        let mine = &mut counters.members[self.of];
-        mine.received.add(1, bytes.len() as u64);
-        mine.dropped += u64::from(taken.is_err());
+        let from_sender = counters.received_by_sender.entry(from).or_default();
+        from_sender.traffic.add(1, bytes.len() as u64);
+        from_sender.max_sequence = from_sender.max_sequence.max(sequence);
+        let own = &mut counters.members[self.index];
+        own.received.add(1, bytes.len() as u64);
+        own.dropped += u64::from(accepted.is_err());
     }
 
-    fn act(&mut self) {
-        let at = self.clock.at();
-        if at.monotonic - self.called >= CALL_EVERY {
-            self.called = at.monotonic;
-            self.node.call_finished(at, true);
+    fn tick_and_send(&mut self) {
+        let now = self.clock.now();
+        if now.monotonic - self.call_reported_at >= CALL_INTERVAL {
+            self.call_reported_at = now.monotonic;
+            self.node.call_finished(now, true);
         }
-        if at.monotonic - self.looked >= LOOK {
-            self.looked = at.monotonic;
-            self.node.observe(at, LocalLoad { call_secs: Some(CALL_SECS), rejected_fraction: 0.0 });
+        if now.monotonic - self.load_reported_at >= LOAD_INTERVAL {
+            self.load_reported_at = now.monotonic;
+            self.node.observe(now, LocalLoad { call_secs: Some(CALL_LATENCY_S), rejected_fraction: 0.0 });
             self.node.set_demand(super::SHARED_LIMIT, 1.0);
         }
-        self.node.tick(at);
-        while let Some(OutgoingDatagram { address: to, datagram }) = self.node.next_datagram(at) {
+        self.node.tick(now);
+        while let Some(OutgoingDatagram { address: to, datagram }) = self.node.next_datagram(now) {
             let bytes = datagram::seal(&self.key, &datagram);
-            let went = self.socket.try_send_to(&bytes, to);
+            let sent = self.socket.try_send_to(&bytes, to);
             let mut counters = self.counters.borrow_mut();
-            if went.is_ok() {
-                counters.members[self.of].sent.add(1, bytes.len() as u64);
+            if sent.is_ok() {
+                counters.members[self.index].sent.add(1, bytes.len() as u64);
                 counters.sent_by_receiver.entry(to).or_default().add(1, bytes.len() as u64);
             } else {
-                counters.members[self.of].unsent += 1;
+                counters.members[self.index].unsent += 1;
             }
         }
         while self.node.membership.next_event().is_some() {}
-        let _ = self.guidance.next_update(at, &self.node);
+        let _ = self.guidance.next_update(now, &self.node);
     }
 }
 
 /// Until its input or its time ends. Errors say what could not be had.
 pub fn serve() -> anyhow::Result<()> {
-    let mut first = String::new();
-    std::io::stdin().lock().read_line(&mut first)?;
-    let task: Task = serde_json::from_str(&first)?;
-    let (order, orders) = mpsc::channel(MAX_LINES);
+    let mut first_line = String::new();
+    std::io::stdin().lock().read_line(&mut first_line)?;
+    let task: Task = serde_json::from_str(&first_line)?;
+    let (order_sender, orders) = mpsc::channel(MAX_QUEUED_ORDERS);
     std::thread::spawn(move || {
         for line in std::io::stdin().lock().lines() {
-            let read = line.ok().and_then(|line| serde_json::from_str::<Order>(&line).ok());
-            let Some(read) = read else { break };
-            if order.blocking_send(read).is_err() {
+            let parsed = line.ok().and_then(|line| serde_json::from_str::<Order>(&line).ok());
+            let Some(order) = parsed else { break };
+            if order_sender.blocking_send(order).is_err() {
                 break;
             }
         }
     });
-    let life = StdDuration::from_secs(task.life_s);
-    let here = tokio::task::LocalSet::new();
+    let lifetime = StdDuration::from_secs(task.life_s);
+    let local_tasks = tokio::task::LocalSet::new();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let ended = here.block_on(&runtime, async { tokio::time::timeout(life, obey(task, orders)).await });
+    let ended = local_tasks
+        .block_on(&runtime, async { tokio::time::timeout(lifetime, run_members(task, orders)).await });
     // The reader's thread may stand at its input for ever; the end of the process is its end.
     ended.unwrap_or_else(|_| Err(anyhow::anyhow!("hollow members: their time is over")))
 }
 
-async fn obey(task: Task, mut orders: mpsc::Receiver<Order>) -> anyhow::Result<()> {
-    let (go, gone) = watch::channel(false);
+async fn run_members(task: Task, mut orders: mpsc::Receiver<Order>) -> anyhow::Result<()> {
+    let (start, started) = watch::channel(false);
     let counters = Rc::new(RefCell::new(Counters::default()));
     counters.borrow_mut().members = vec![MemberCounters::default(); task.count];
     let key = Key::from_text(KEY).map_err(anyhow::Error::msg)?;
     let installation = Installation::new(INSTALLATION).ok_or(anyhow::anyhow!("installation"))?;
-    for of in 0..task.count {
-        let (number, fleet) = (task.first_member + of, task.fleet.clone());
-        let at = fleet.gossip_address(number);
-        let socket = UdpSocket::bind(at).await.map_err(|e| anyhow::anyhow!("{at}: {e}"))?;
-        let (counters, key, mut gone) = (counters.clone(), key.clone(), gone.clone());
+    for index in 0..task.count {
+        let (member_number, fleet) = (task.first_member + index, task.fleet.clone());
+        let address = fleet.gossip_address(member_number);
+        let socket = UdpSocket::bind(address).await.map_err(|e| anyhow::anyhow!("{address}: {e}"))?;
+        let (counters, key, mut started) = (counters.clone(), key.clone(), started.clone());
         tokio::task::spawn_local(async move {
-            if gone.wait_for(|gone| *gone).await.is_err() || fleet.is_silent(number) {
+            if started.wait_for(|started| *started).await.is_err() || fleet.is_silent(member_number) {
                 return std::future::pending().await;
             }
-            tokio::time::sleep(fleet.start_delay(number)).await;
-            let clock = Clock { began: Instant::now(), last: RefCell::default() };
-            let now = clock.at();
+            tokio::time::sleep(fleet.start_delay(member_number)).await;
+            let clock = Clock { started_at: Instant::now(), last_wall: RefCell::default() };
+            let now = clock.now();
             let generation = Generation(now.wall.us() / 1000);
             // Members that start in one microsecond must not draw the same chances.
-            let drawn = Pcg::new(fleet.seed.wrapping_mul(31) ^ number as u64).draw();
+            let drawn = Pcg::new(fleet.seed.wrapping_mul(31) ^ member_number as u64).draw();
             let seed = (u64::from(drawn) << 32) ^ now.wall.us();
-            let node =
-                FleetNode::new(fleet.node_config(number), Some(fleet.quota_config()), generation, seed, now);
+            let node = FleetNode::new(
+                fleet.node_config(member_number),
+                Some(fleet.quota_config()),
+                generation,
+                seed,
+                now,
+            );
             let guidance = Guidance::new(
                 true,
                 vec![GuidedLimit { limit: LimitId(0), key: GuidanceKey::CallConcurrencyLimit }],
             );
-            let (looked, called) = (Timestamp::default(), Timestamp::default());
-            let member =
-                Member { socket, key, installation, node, guidance, clock, looked, called, of, counters };
+            let (load_reported_at, call_reported_at) = (Timestamp::default(), Timestamp::default());
+            let member = Member {
+                socket,
+                key,
+                installation,
+                node,
+                guidance,
+                clock,
+                load_reported_at,
+                call_reported_at,
+                index,
+                counters,
+            };
             member.run().await
         });
     }
-    tell(&Counters::default())?;
+    write_counters(&Counters::default())?;
     while let Some(order) = orders.recv().await {
         match order {
             Order::Start => {
-                go.send_replace(true);
-                tell(&Counters::default())?;
+                start.send_replace(true);
+                write_counters(&Counters::default())?;
             }
-            Order::Count => tell(&counters.borrow())?,
+            Order::Count => write_counters(&counters.borrow())?,
         }
     }
     Ok(())
 }
 
-fn tell(counted: &Counters) -> anyhow::Result<()> {
+fn write_counters(counters: &Counters) -> anyhow::Result<()> {
     let mut out = std::io::stdout().lock();
-    writeln!(out, "{}", serde_json::to_string(counted)?)?;
+    writeln!(out, "{}", serde_json::to_string(counters)?)?;
     Ok(out.flush()?)
 }
--- a/crates/hazelspur-fault-harness/src/lightweight/mod.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/mod.rs
@@ -59,39 +59,39 @@
 /// The longest run, in seconds.
 pub const MAX_SECONDS: u64 = 600;
 /// Voters.
-const KEEPERS: usize = 5;
+const VOTERS: usize = 5;
 /// Seed members.
-const CONTACTS: usize = 3;
+const SEED_MEMBERS: usize = 3;
 /// Addresses of lightweight members by turns: so many a row, from this row on.
-const IN_A_ROW: usize = 200;
+const ADDRESSES_PER_ROW: usize = 200;
 /// The first row of addresses of lightweight members.
-const FIRST_ROW: usize = 20;
+const FIRST_LIGHTWEIGHT_ROW: usize = 20;
 /// Guaranteed minimum, as a part of the shared limit.
-const FLOOR: f64 = 0.2;
+const GUARANTEED_FRACTION: f64 = 0.2;
 /// Residual load of a call, in seconds.
-const LINGER_S: f64 = 1.0;
+const RESIDUAL_LOAD_S: f64 = 1.0;
 /// How long members that left are remembered, in seconds.
-const REMEMBER_S: f64 = 900.0;
+const RETENTION_S: f64 = 900.0;
 /// Descriptors of a process by itself.
-const OWN: u64 = 64;
+const BASE_DESCRIPTORS: u64 = 64;
 /// Descriptors of ours for each real server with its test doubles.
-const FOR_A_REAL: u64 = 24;
+const DESCRIPTORS_PER_REAL_SERVER: u64 = 24;
 /// Descriptors of ours for each process of lightweight members.
-const FOR_A_PROCESS: u64 = 4;
+const DESCRIPTORS_PER_LIGHTWEIGHT_PROCESS: u64 = 4;
 /// Descriptors of a real server.
-const OF_A_SERVER: u64 = 512 + 64;
+const SERVER_DESCRIPTORS: u64 = 512 + 64;
 /// How often the real members are asked, and what else is looked at.
-const LOOK: StdDuration = StdDuration::from_millis(100);
+const POLL_INTERVAL: StdDuration = StdDuration::from_millis(100);
 /// How often memory is looked at.
-const LOOK_AT_MEMORY: StdDuration = StdDuration::from_secs(1);
+const MEMORY_CHECK_INTERVAL: StdDuration = StdDuration::from_secs(1);
 /// How long a server may take to answer a query.
-const ASKED_WITHIN: StdDuration = StdDuration::from_millis(500);
+const QUERY_TIMEOUT: StdDuration = StdDuration::from_millis(500);
 /// How long all servers may take to send their views.
-const PICTURES_WITHIN: StdDuration = StdDuration::from_secs(10);
+const MEMBER_LISTS_TIMEOUT: StdDuration = StdDuration::from_secs(10);
 /// All sockets of a process of lightweight members are there within this; a count comes within this.
-const READY: StdDuration = StdDuration::from_secs(20);
+const PROCESS_ANSWER_TIMEOUT: StdDuration = StdDuration::from_secs(20);
 /// A lightweight process ends so long after all else would have.
-const GRACE_S: u64 = 60;
+const LIFETIME_MARGIN_S: u64 = 60;
 /// Runs of this process so far; part of each run's network.
 static RUNS: AtomicU32 = AtomicU32::new(0);
 
@@ -136,17 +136,18 @@
 
     /// The most that one process needs.
     pub fn descriptors(&self) -> u64 {
-        let hollow = self.members - self.real;
-        let ours =
-            OWN + self.real as u64 * FOR_A_REAL + hollow.div_ceil(self.per_process) as u64 * FOR_A_PROCESS;
-        let theirs = OWN + self.per_process.min(hollow) as u64;
-        ours.max(theirs).max(OF_A_SERVER)
+        let lightweight = self.members - self.real;
+        let own = BASE_DESCRIPTORS
+            + self.real as u64 * DESCRIPTORS_PER_REAL_SERVER
+            + lightweight.div_ceil(self.per_process) as u64 * DESCRIPTORS_PER_LIGHTWEIGHT_PROCESS;
+        let per_lightweight_process = BASE_DESCRIPTORS + self.per_process.min(lightweight) as u64;
+        own.max(per_lightweight_process).max(SERVER_DESCRIPTORS)
     }
 
     /// Errors name the flag and both numbers. `limit`: descriptors that a process may have.
     pub fn check(&self, limit: u64) -> anyhow::Result<()> {
-        let range = |flag: &str, n: usize, least: usize, most: usize| {
-            anyhow::ensure!((least..=most).contains(&n), "{flag}: {n} is not from {least} to {most}");
+        let range = |flag: &str, value: usize, min: usize, max: usize| {
+            anyhow::ensure!((min..=max).contains(&value), "{flag}: {value} is not from {min} to {max}");
             Ok(())
         };
         range("--real", self.real, 1, MAX_REAL_SERVERS)?;
@@ -161,10 +162,10 @@
             processes <= MAX_PROCESSES,
             "{processes} processes, {MAX_PROCESSES} may be: raise --per-process or lower --real"
         );
-        let need = self.descriptors();
+        let needed = self.descriptors();
         anyhow::ensure!(
-            need <= limit,
-            "a process needs {need} descriptors, its limit is {limit}: raise it (ulimit -n), or lower \
+            needed <= limit,
+            "a process needs {needed} descriptors, its limit is {limit}: raise it (ulimit -n), or lower \
              --per-process or --real"
         );
         Ok(())
@@ -190,27 +191,29 @@
 
 impl Fleet {
     /// Names of one length, so that datagrams of both kinds compare.
-    pub fn name(&self, of: usize) -> String {
-        format!("{}{of:04}", if of < self.real { 'n' } else { 'h' })
+    pub fn name(&self, index: usize) -> String {
+        format!("{}{index:04}", if index < self.real { 'n' } else { 'h' })
     }
 
     /// The site of a member.
-    pub fn site(&self, of: usize) -> &'static str {
-        SITES[of % SITES.len()]
+    pub fn site(&self, index: usize) -> &'static str {
+        SITES[index % SITES.len()]
     }
 
     /// Where a member receives datagrams.
-    pub fn gossip_address(&self, of: usize) -> SocketAddr {
-        let (row, place) = match of.checked_sub(self.real) {
-            None => (1, of),
-            Some(hollow) => (FIRST_ROW + hollow / IN_A_ROW, hollow % IN_A_ROW),
+    pub fn gossip_address(&self, index: usize) -> SocketAddr {
+        let (row, place) = match index.checked_sub(self.real) {
+            None => (1, index),
+            Some(lightweight) => {
+                (FIRST_LIGHTWEIGHT_ROW + lightweight / ADDRESSES_PER_ROW, lightweight % ADDRESSES_PER_ROW)
+            }
         };
         SocketAddr::from((Ipv4Addr::new(127, self.net, row as u8, place as u8 + 1), 7946))
     }
 
     /// Where a real member accepts gateways.
-    pub fn gateway_address(&self, of: usize) -> SocketAddr {
-        SocketAddr::new(self.gossip_address(of).ip(), 9000)
+    pub fn gateway_address(&self, index: usize) -> SocketAddr {
+        SocketAddr::new(self.gossip_address(index).ip(), 9000)
     }
 
     /// The most members that the fleet may have.
@@ -225,56 +228,56 @@
 
     /// The first real ones, each in a site of its own.
     pub fn voters(&self) -> Vec<String> {
-        (0..self.voter_count()).map(|of| self.name(of)).collect()
+        (0..self.voter_count()).map(|index| self.name(index)).collect()
     }
 
     /// The number of voters.
     pub fn voter_count(&self) -> usize {
-        if self.real >= KEEPERS { KEEPERS } else { 1 }
+        if self.real >= VOTERS { VOTERS } else { 1 }
     }
 
     /// Addresses of the seed members.
     pub fn seed_addresses(&self) -> Vec<SocketAddr> {
-        (0..self.real.min(CONTACTS)).map(|of| self.gossip_address(of)).collect()
+        (0..self.real.min(SEED_MEMBERS)).map(|index| self.gossip_address(index)).collect()
     }
 
     /// Whether a member never sends anything.
-    pub fn is_silent(&self, of: usize) -> bool {
-        of + self.silent >= self.members
+    pub fn is_silent(&self, index: usize) -> bool {
+        index + self.silent >= self.members
     }
 
     /// After the start of all.
-    pub fn start_delay(&self, of: usize) -> StdDuration {
-        let drawn = Pcg::new(self.seed.wrapping_mul(1_000_003) ^ of as u64).draw();
+    pub fn start_delay(&self, index: usize) -> StdDuration {
+        let drawn = Pcg::new(self.seed.wrapping_mul(1_000_003) ^ index as u64).draw();
         StdDuration::from_millis(u64::from(drawn) % self.spread_ms.max(1))
     }
 
     /// As the server makes them of the operator's file that the real ones get.
-    pub fn node_config(&self, of: usize) -> NodeConfig {
+    pub fn node_config(&self, index: usize) -> NodeConfig {
         NodeConfig {
             installation: Installation::new(INSTALLATION).expect("a short name"),
-            name: MemberName::new(&self.name(of)).expect("a short name"),
-            site: SiteName::new(self.site(of)).expect("a short name"),
-            address: self.gossip_address(of),
+            name: MemberName::new(&self.name(index)).expect("a short name"),
+            site: SiteName::new(self.site(index)).expect("a short name"),
+            address: self.gossip_address(index),
             seeds: self.seed_addresses(),
             max_servers: self.max_members(),
             probe_period: Duration::from_secs(1.0),
-            retention: Duration::from_secs(REMEMBER_S),
+            retention: Duration::from_secs(RETENTION_S),
         }
     }
 
     /// The quota configuration, as the server makes it of the operator's file.
     pub fn quota_config(&self) -> QuotaConfig {
-        let keepers = self.voters();
+        let voters = self.voters();
         QuotaConfig {
-            voters: keepers.iter().map(|name| MemberName::new(name).expect("a short name")).collect(),
+            voters: voters.iter().map(|name| MemberName::new(name).expect("a short name")).collect(),
             max_servers: self.max_members(),
             vote_duration: Duration::from_secs(QUOTA_LEASE_S as f64),
             limits: vec![SharedLimit {
                 name: LimitName::new(SHARED_LIMIT).expect("a short name"),
                 total: self.call_slots(),
-                guaranteed_fraction: FLOOR,
-                residual_duration: Duration::from_secs(LINGER_S),
+                guaranteed_fraction: GUARANTEED_FRACTION,
+                residual_duration: Duration::from_secs(RESIDUAL_LOAD_S),
                 max_turn: None,
             }],
         }
@@ -294,14 +297,14 @@
 impl FleetSnapshot {
     /// The fewest that one of them has for alive.
     pub fn min_alive(&self) -> usize {
-        self.answers.iter().map(|said| said.map_or(0, |(_, size)| size.min)).min().unwrap_or(0)
+        self.answers.iter().map(|answer| answer.map_or(0, |(_, size)| size.min)).min().unwrap_or(0)
     }
 
-    fn all(&self, members: usize) -> bool {
-        let all = |said: &Option<(LocalStatus, FleetSize)>| {
-            said.is_some_and(|(condition, size)| condition == LocalStatus::Healthy && size.min == members)
+    fn shows_all_alive(&self, members: usize) -> bool {
+        let shows_all = |answer: &Option<(LocalStatus, FleetSize)>| {
+            answer.is_some_and(|(status, size)| status == LocalStatus::Healthy && size.min == members)
         };
-        self.answers.iter().all(all)
+        self.answers.iter().all(shows_all)
     }
 }
 
@@ -328,11 +331,14 @@
 
 /// One run. `look` is told what the real members say while agreement is awaited, and may end that early.
 /// Errors: limits of the machine, processes that could not start or ended by themselves.
-pub fn run(plan: &Plan, look: &mut dyn FnMut(&FleetSnapshot) -> ControlFlow<()>) -> anyhow::Result<Outcome> {
+pub fn run(
+    plan: &Plan,
+    observe: &mut dyn FnMut(&FleetSnapshot) -> ControlFlow<()>,
+) -> anyhow::Result<Outcome> {
     plan.check(process_usage::descriptor_limit()?)?;
-    let run = RUNS.fetch_add(1, Ordering::Relaxed);
-    let from = std::process::id().wrapping_mul(13) + run;
-    let (net, _claim) = crate::test_fleet::claim_net(from).context("a net of its own")?;
+    let run_number = RUNS.fetch_add(1, Ordering::Relaxed);
+    let first_net = std::process::id().wrapping_mul(13) + run_number;
+    let (net, _claim) = crate::test_fleet::claim_net(first_net).context("a net of its own")?;
     let fleet = Fleet {
         net,
         members: plan.members,
@@ -341,22 +347,22 @@
         spread_ms: plan.spread.as_millis() as u64,
         silent: plan.silent,
     };
-    let folder = Folder::new(run)?;
+    let folder = TemporaryFolder::new(run_number)?;
     let mut run = Run::start(plan, fleet, &folder)?;
-    run.play(look)
+    run.play(observe)
 }
 
-struct Folder(PathBuf);
+struct TemporaryFolder(PathBuf);
 
-impl Folder {
-    fn new(run: u32) -> anyhow::Result<Self> {
-        let path = std::env::temp_dir().join(format!("hazelspur-hollow-{}-{run}", std::process::id()));
+impl TemporaryFolder {
+    fn new(run_number: u32) -> anyhow::Result<Self> {
+        let path = std::env::temp_dir().join(format!("hazelspur-hollow-{}-{run_number}", std::process::id()));
         std::fs::create_dir_all(&path)?;
         Ok(Self(path))
     }
 }
 
-impl Drop for Folder {
+impl Drop for TemporaryFolder {
     fn drop(&mut self) {
         if std::env::var("HAZELSPUR_KEEP").is_err() {
             let _ = std::fs::remove_dir_all(&self.0);
@@ -368,135 +374,139 @@
     plan: &'a Plan,
     fleet: Fleet,
     // Ended first.
-    reals: RealServers,
-    hollows: Vec<LightweightProcess>,
-    asker: FleetQuerier,
+    real_servers: RealServers,
+    lightweight: Vec<LightweightProcess>,
+    querier: FleetQuerier,
     max_memory_bytes: u64,
-    may_take: u64,
-    memory_due: Instant,
+    memory_limit_bytes: u64,
+    memory_check_due: Instant,
 }
 
 impl<'a> Run<'a> {
-    fn start(plan: &'a Plan, fleet: Fleet, folder: &Folder) -> anyhow::Result<Self> {
-        let reals = RealServers::new(plan, &fleet, folder.0.clone())?;
-        let all = plan.duration + plan.agree_within + plan.settle + plan.window + plan.spread;
-        let mut hollows = Vec::new();
+    fn start(plan: &'a Plan, fleet: Fleet, folder: &TemporaryFolder) -> anyhow::Result<Self> {
+        let real_servers = RealServers::new(plan, &fleet, folder.0.clone())?;
+        let max_duration = plan.duration + plan.agree_within + plan.settle + plan.window + plan.spread;
+        let mut lightweight = Vec::new();
         for first in (plan.real..plan.members).step_by(plan.per_process) {
             let count = plan.per_process.min(plan.members - first);
-            let life_s = all.as_secs() + GRACE_S;
-            hollows.push(LightweightProcess::start(
+            let life_s = max_duration.as_secs() + LIFETIME_MARGIN_S;
+            lightweight.push(LightweightProcess::start(
                 plan,
                 &Task { fleet: fleet.clone(), first_member: first, count, life_s },
             )?);
         }
-        for hollow in &mut hollows {
-            hollow.wait_for_answer(READY).context("are all addresses free?")?;
+        for process in &mut lightweight {
+            process.wait_for_answer(PROCESS_ANSWER_TIMEOUT).context("are all addresses free?")?;
         }
         Ok(Self {
             plan,
             fleet,
-            reals,
-            hollows,
-            asker: FleetQuerier::new()?,
+            real_servers,
+            lightweight,
+            querier: FleetQuerier::new()?,
             max_memory_bytes: 0,
-            may_take: process_usage::machine_memory_bytes()? / 2,
-            memory_due: Instant::now(),
+            memory_limit_bytes: process_usage::machine_memory_bytes()? / 2,
+            memory_check_due: Instant::now(),
         })
     }
 
-    fn play(&mut self, look: &mut dyn FnMut(&FleetSnapshot) -> ControlFlow<()>) -> anyhow::Result<Outcome> {
+    fn play(
+        &mut self,
+        observe: &mut dyn FnMut(&FleetSnapshot) -> ControlFlow<()>,
+    ) -> anyhow::Result<Outcome> {
         let plan = self.plan;
-        for hollow in &mut self.hollows {
-            hollow.send_order(Order::Start)?;
+        for process in &mut self.lightweight {
+            process.send_order(Order::Start)?;
         }
         let began = Instant::now();
-        for hollow in &mut self.hollows {
-            hollow.wait_for_answer(READY)?;
+        for process in &mut self.lightweight {
+            process.wait_for_answer(PROCESS_ANSWER_TIMEOUT)?;
         }
-        let agree = self.come_together(began, look)?;
-        let ids = self.ids();
+        let agreed_after = self.start_until_agreed(began, observe)?;
+        let process_ids = self.process_ids();
         let missing = self.missing();
         let (mut figures, mut missing_at_end) = (None, BTreeSet::new());
         if !plan.window.is_zero() {
-            self.reals.start_requests(plan.rate);
+            self.real_servers.start_requests(plan.rate);
             self.wait(Instant::now() + plan.settle)?;
             self.wait(began + plan.duration.saturating_sub(plan.window))?;
-            let divider = self.asker.allocator(&self.addresses(), ASKED_WITHIN);
+            let allocator = self.querier.allocator(&self.addresses(), QUERY_TIMEOUT);
             let before = self.read()?;
             self.wait(before.at + plan.window)?;
             let after = self.read()?;
-            figures = Some(Figures::new(&self.fleet, divider, &self.hollows, &before, &after));
+            figures = Some(Figures::new(&self.fleet, allocator, &self.lightweight, &before, &after));
             missing_at_end = self.missing();
         }
-        let requests = self.reals.stop().context("the real members' ends")?;
-        for hollow in &mut self.hollows {
-            hollow.stop(READY)?;
+        let requests = self.real_servers.stop().context("the real members' ends")?;
+        for process in &mut self.lightweight {
+            process.stop(PROCESS_ANSWER_TIMEOUT)?;
         }
         Ok(Outcome {
             members: plan.members,
             real: plan.real,
             processes: plan.processes(),
-            agreed_after: agree,
+            agreed_after,
             missing,
             missing_at_end,
             figures,
             max_memory_bytes: self.max_memory_bytes,
             requests,
-            process_ids: ids,
+            process_ids,
         })
     }
 
     /// Starts the real members, each when it is its time, and waits until all show all as alive.
-    fn come_together(
+    fn start_until_agreed(
         &mut self,
         began: Instant,
-        look: &mut dyn FnMut(&FleetSnapshot) -> ControlFlow<()>,
+        observe: &mut dyn FnMut(&FleetSnapshot) -> ControlFlow<()>,
     ) -> anyhow::Result<Option<StdDuration>> {
         let mut to_start: Vec<(StdDuration, usize)> =
-            (0..self.plan.real).map(|of| (self.fleet.start_delay(of), of)).collect();
+            (0..self.plan.real).map(|index| (self.fleet.start_delay(index), index)).collect();
         to_start.sort();
         to_start.reverse();
         while began.elapsed() < self.plan.agree_within {
-            while let Some((_, of)) = to_start.pop_if(|(due, _)| *due <= began.elapsed()) {
-                self.reals.start(of)?;
+            while let Some((_, index)) = to_start.pop_if(|(due, _)| *due <= began.elapsed()) {
+                self.real_servers.start(index)?;
             }
             if to_start.is_empty() {
-                let seen = self.look(began);
-                if seen.all(self.plan.members) {
-                    return Ok(Some(seen.elapsed));
+                let snapshot = self.snapshot(began);
+                if snapshot.shows_all_alive(self.plan.members) {
+                    return Ok(Some(snapshot.elapsed));
                 }
-                if look(&seen).is_break() {
+                if observe(&snapshot).is_break() {
                     return Ok(None);
                 }
             }
-            let next = to_start.last().map_or(began.elapsed() + LOOK, |(due, _)| *due);
-            self.wait(began + next.min(began.elapsed() + LOOK))?;
+            let next = to_start.last().map_or(began.elapsed() + POLL_INTERVAL, |(due, _)| *due);
+            self.wait(began + next.min(began.elapsed() + POLL_INTERVAL))?;
         }
         Ok(None)
     }
 
-    fn ids(&self) -> Vec<u32> {
-        let hollows = self.hollows.iter().map(LightweightProcess::id);
-        hollows.chain(self.reals.ids().into_iter().flatten()).collect()
+    fn process_ids(&self) -> Vec<u32> {
+        let lightweight = self.lightweight.iter().map(LightweightProcess::id);
+        lightweight.chain(self.real_servers.ids().into_iter().flatten()).collect()
     }
 
     fn addresses(&self) -> Vec<SocketAddr> {
-        (0..self.plan.real).map(|of| self.fleet.gossip_address(of)).collect()
+        (0..self.plan.real).map(|index| self.fleet.gossip_address(index)).collect()
     }
 
-    fn look(&mut self, began: Instant) -> FleetSnapshot {
-        let said = self.asker.statuses(&self.addresses(), ASKED_WITHIN);
-        FleetSnapshot { elapsed: began.elapsed(), answers: said, process_ids: self.ids() }
+    fn snapshot(&mut self, began: Instant) -> FleetSnapshot {
+        let answers = self.querier.statuses(&self.addresses(), QUERY_TIMEOUT);
+        FleetSnapshot { elapsed: began.elapsed(), answers, process_ids: self.process_ids() }
     }
 
     fn missing(&mut self) -> BTreeSet<String> {
-        let pictures = self.asker.member_lists(&self.addresses(), PICTURES_WITHIN);
+        let member_lists = self.querier.member_lists(&self.addresses(), MEMBER_LISTS_TIMEOUT);
         let mut missing = BTreeSet::new();
-        for (me, picture) in pictures.into_iter().enumerate() {
-            let picture: BTreeMap<MemberName, MemberStatus> = picture.unwrap_or_default();
-            let alive = picture.iter().filter(|(_, standing)| **standing == MemberStatus::Alive);
+        for (observer, member_list) in member_lists.into_iter().enumerate() {
+            let member_list: BTreeMap<MemberName, MemberStatus> = member_list.unwrap_or_default();
+            let alive = member_list.iter().filter(|(_, status)| **status == MemberStatus::Alive);
             let alive: BTreeSet<&str> = alive.map(|(name, _)| name.as_str()).collect();
-            let others = (0..self.plan.members).filter(|of| *of != me).map(|of| self.fleet.name(of));
+            let others =
+                (0..self.plan.members).filter(|index| *index != observer).map(|index| self.fleet.name(index));
             missing.extend(others.filter(|name| !alive.contains(name.as_str())));
         }
         missing
@@ -505,42 +515,47 @@
     /// Until then; fails where a process has ended by itself, memory is over its bound, or it is to stop.
     fn wait(&mut self, until: Instant) -> anyhow::Result<()> {
         loop {
-            self.reals.check_running()?;
-            self.hollows.iter_mut().try_for_each(LightweightProcess::check_running)?;
+            self.real_servers.check_running()?;
+            self.lightweight.iter_mut().try_for_each(LightweightProcess::check_running)?;
             anyhow::ensure!(!self.plan.stop.load(Ordering::Relaxed), "stopped from outside");
-            if Instant::now() >= self.memory_due {
-                self.memory_due = Instant::now() + LOOK_AT_MEMORY;
-                let ids = self.ids().into_iter().chain([std::process::id()]);
-                let taken: u64 = ids.filter_map(process_usage::resident_bytes).sum();
-                self.max_memory_bytes = self.max_memory_bytes.max(taken);
-                let may = self.may_take;
+            if Instant::now() >= self.memory_check_due {
+                self.memory_check_due = Instant::now() + MEMORY_CHECK_INTERVAL;
+                let ids = self.process_ids().into_iter().chain([std::process::id()]);
+                let used_bytes: u64 = ids.filter_map(process_usage::resident_bytes).sum();
+                self.max_memory_bytes = self.max_memory_bytes.max(used_bytes);
+                let limit = self.memory_limit_bytes;
                 anyhow::ensure!(
-                    taken <= may,
-                    "all processes take {taken} bytes, half of the machine is {may}"
+                    used_bytes <= limit,
+                    "all processes take {used_bytes} bytes, half of the machine is {limit}"
                 );
             }
             let left = until.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return Ok(());
             }
-            std::thread::sleep(left.min(LOOK));
+            std::thread::sleep(left.min(POLL_INTERVAL));
         }
     }
 
     fn read(&mut self) -> anyhow::Result<Reading> {
-        for hollow in &mut self.hollows {
-            hollow.send_order(Order::Count)?;
+        for process in &mut self.lightweight {
+            process.send_order(Order::Count)?;
         }
         let at = Instant::now();
-        let counted =
-            self.hollows.iter_mut().map(|hollow| hollow.wait_for_answer(READY)).collect::<Result<_, _>>()?;
-        let reals = self.reals.ids().into_iter().map(|id| id.and_then(process_usage::usage)).collect();
-        let hollows = self.hollows.iter().map(|hollow| process_usage::usage(hollow.id())).collect();
+        let counters = self
+            .lightweight
+            .iter_mut()
+            .map(|process| process.wait_for_answer(PROCESS_ANSWER_TIMEOUT))
+            .collect::<Result<_, _>>()?;
+        let real_usage =
+            self.real_servers.ids().into_iter().map(|id| id.and_then(process_usage::usage)).collect();
+        let lightweight_usage =
+            self.lightweight.iter().map(|process| process_usage::usage(process.id())).collect();
         Ok(Reading {
             at,
-            counters: counted,
-            real_usage: reals,
-            lightweight_usage: hollows,
+            counters,
+            real_usage,
+            lightweight_usage,
             kernel_drops: process_usage::udp_drops(self.fleet.net),
         })
     }
--- a/crates/hazelspur-fault-harness/src/lightweight/processes.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/processes.rs
@@ -17,15 +17,15 @@
 use std::time::{Duration, Instant};
 
 /// Request timeout, in milliseconds.
-const OP_TIMEOUT_MS: u64 = 3000;
+const REQUEST_TIMEOUT_MS: u64 = 3000;
 /// Time of a dependency call, in milliseconds.
 const CALL_MS: f64 = 10.0;
 /// Time of a run, in milliseconds.
 const RUN_MS: u64 = 15;
 /// Concurrency limit of a worker, by core.
-const CROWD_MULTIPLE: usize = 8;
+const CONCURRENCY_LIMIT_PER_CORE: usize = 8;
 /// How often a process that was told to end is looked at.
-const STEP: Duration = Duration::from_millis(2);
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Real servers.
 pub struct RealServers {
@@ -33,9 +33,9 @@
     server_binary: PathBuf,
     pub folder: PathBuf,
     processes: Vec<Option<Child>>,
-    runtimes: Vec<Worker>,
-    ledger: Dependency,
-    control: Registry,
+    workers: Vec<Worker>,
+    dependency: Dependency,
+    registry: Registry,
     gateway: Option<Gateway>,
 }
 
@@ -43,17 +43,17 @@
     /// All but the processes.
     pub fn new(plan: &Plan, fleet: &Fleet, folder: PathBuf) -> anyhow::Result<Self> {
         std::fs::write(folder.join("key"), KEY)?;
-        let pace = WorkerSettings {
+        let worker_settings = WorkerSettings {
             run_ms: RUN_MS,
             makes_calls: true,
             fail_every: 0,
             cores: WORKER_CORES,
-            call_deadline_ms: OP_TIMEOUT_MS,
+            call_deadline_ms: REQUEST_TIMEOUT_MS,
         };
         Ok(Self {
-            runtimes: (0..fleet.real).map(|_| Worker::start("127.0.0.1:0", pace)).collect(),
-            ledger: Dependency::start("127.0.0.1:0", fleet.call_slots() as usize, CALL_MS),
-            control: Registry::start("127.0.0.1:0"),
+            workers: (0..fleet.real).map(|_| Worker::start("127.0.0.1:0", worker_settings)).collect(),
+            dependency: Dependency::start("127.0.0.1:0", fleet.call_slots() as usize, CALL_MS),
+            registry: Registry::start("127.0.0.1:0"),
             processes: (0..fleet.real).map(|_| None).collect(),
             gateway: None,
             fleet: fleet.clone(),
@@ -63,55 +63,55 @@
     }
 
     /// Starts a real server.
-    pub fn start(&mut self, of: usize) -> anyhow::Result<()> {
-        let (fleet, name) = (&self.fleet, self.fleet.name(of));
-        let file = |ending| self.folder.join(format!("{name}.{ending}"));
-        std::fs::write(file("json"), self.settings(of))?;
-        let contacts: Vec<String> = fleet.seed_addresses().iter().map(ToString::to_string).collect();
-        let star = format!(
+    pub fn start(&mut self, index: usize) -> anyhow::Result<()> {
+        let (fleet, name) = (&self.fleet, self.fleet.name(index));
+        let path = |extension| self.folder.join(format!("{name}.{extension}"));
+        std::fs::write(path("json"), self.config_text(index))?;
+        let seeds: Vec<String> = fleet.seed_addresses().iter().map(ToString::to_string).collect();
+        let operator_file = format!(
             "fleet(\n    installation = {INSTALLATION:?},\n    site = {:?},\n    at = \"{}\",\n    \
-             contacts = {contacts:?},\n    key_file = {:?},\n    most = {},\n    together = True,\n    \
+             contacts = {seeds:?},\n    key_file = {:?},\n    most = {},\n    together = True,\n    \
              keepers = {:?},\n    lease_s = {QUOTA_LEASE_S},\n    \
              shares = [{{\"limit\": \"{SHARED_LIMIT}\", \"total\": {}}}],\n)\n",
-            fleet.site(of),
-            fleet.gossip_address(of),
+            fleet.site(index),
+            fleet.gossip_address(index),
             self.folder.join("key"),
             fleet.max_members(),
             fleet.voters(),
             fleet.call_slots(),
         );
-        std::fs::write(file("star"), star)?;
-        let log = std::fs::File::create(file("log"))?;
+        std::fs::write(path("star"), operator_file)?;
+        let log = std::fs::File::create(path("log"))?;
         let mut command = Command::new(&self.server_binary);
-        command.env("ROUTER_CONFIG", file("json")).arg("--file").arg(file("star"));
+        command.env("ROUTER_CONFIG", path("json")).arg("--file").arg(path("star"));
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
         let child = command.spawn().with_context(|| format!("{:?}", self.server_binary))?;
-        self.processes[of] = Some(child);
+        self.processes[index] = Some(child);
         Ok(())
     }
 
-    fn settings(&self, of: usize) -> String {
-        let due_us = OP_TIMEOUT_MS * 1000;
+    fn config_text(&self, index: usize) -> String {
+        let deadline_us = REQUEST_TIMEOUT_MS * 1000;
         let settings = serde_json::json!({
             "family-info": {"n-cores": WORKER_CORES, "mem-limit-kb": 100_000, "run-factor": 8, "stop-mode": "drop",
                 "meters": ["core_use", "on_cores"], "calls-out": 8.0, "calls-over-us": 5_000_000,
                 "passes-deadline": true},
             "lanes": [
-                {"name": "view", "aim-us": 1_500_000, "deadline-us": due_us, "semantics": "safe",
+                {"name": "view", "aim-us": 1_500_000, "deadline-us": deadline_us, "semantics": "safe",
                     "importance": 1},
-                {"name": "set-qty", "aim-us": 1_500_000, "deadline-us": due_us, "semantics": "keyed",
+                {"name": "set-qty", "aim-us": 1_500_000, "deadline-us": deadline_us, "semantics": "keyed",
                     "memory-span-us": 60_000_000},
-                {"name": "book", "aim-us": 1_500_000, "deadline-us": due_us, "semantics": "unsafe"}],
-            "rules": {"fall-multiple": CROWD_MULTIPLE, "cold-share": 0.2, "cold-us": 5_000_000,
+                {"name": "book", "aim-us": 1_500_000, "deadline-us": deadline_us, "semantics": "unsafe"}],
+            "rules": {"fall-multiple": CONCURRENCY_LIMIT_PER_CORE, "cold-share": 0.2, "cold-us": 5_000_000,
                 "drain-grace-us": 300_000},
             "limits": {"retry-after": true, "max-retry-after-us": 1_000_000},
             "servers": self.fleet.members,
         });
         serde_json::json!({
-            "name": self.fleet.name(of), "listen": self.fleet.gateway_address(of).to_string(),
-            "runtime": self.runtimes[of].address.to_string(), "ledger": self.ledger.address.to_string(),
-            "control": self.control.address.to_string(),
-            "seed": format!("{:016x}", self.fleet.seed ^ of as u64),
+            "name": self.fleet.name(index), "listen": self.fleet.gateway_address(index).to_string(),
+            "runtime": self.workers[index].address.to_string(), "ledger": self.dependency.address.to_string(),
+            "control": self.registry.address.to_string(),
+            "seed": format!("{:016x}", self.fleet.seed ^ index as u64),
             "stop_ms": STOP_MS, "limits": {"sockets": 512}, "settings": settings,
         })
         .to_string()
@@ -122,23 +122,23 @@
         if rate <= 0.0 {
             return;
         }
-        let habits = GatewaySettings {
+        let gateway_settings = GatewaySettings {
             by_request_hash: false,
             retries: 1,
             retries_elsewhere: true,
             obeys_retry_after: true,
             requests_per_s: rate,
             list_age_ms: 1000,
-            timeout_ms: OP_TIMEOUT_MS,
+            timeout_ms: REQUEST_TIMEOUT_MS,
         };
-        let (list, servers) = (self.control.list.clone(), self.fleet.real);
-        let lister = Box::new(move || {
-            let named = list.listed(habits.list_age_ms);
-            let numbers = named.iter().filter_map(|name| name.strip_prefix('n')?.parse().ok());
-            numbers.filter(|of| *of < servers).collect()
+        let (list, servers) = (self.registry.list.clone(), self.fleet.real);
+        let list_servers = Box::new(move || {
+            let names = list.listed(gateway_settings.list_age_ms);
+            let indices = names.iter().filter_map(|name| name.strip_prefix('n')?.parse().ok());
+            indices.filter(|index| *index < servers).collect()
         });
-        let servers = (0..servers).map(|of| self.fleet.gateway_address(of)).collect();
-        self.gateway = Some(Gateway::start(0, habits, servers, lister, self.fleet.seed));
+        let servers = (0..servers).map(|index| self.fleet.gateway_address(index)).collect();
+        self.gateway = Some(Gateway::start(0, gateway_settings, servers, list_servers, self.fleet.seed));
     }
 
     /// Process ids of the real servers.
@@ -148,13 +148,13 @@
 
     /// Fails where one has ended by itself.
     pub fn check_running(&mut self) -> anyhow::Result<()> {
-        for (of, child) in self.processes.iter_mut().enumerate() {
+        for (index, child) in self.processes.iter_mut().enumerate() {
             let Some(status) = child.as_mut().map(Child::try_wait).transpose()?.flatten() else { continue };
             *child = None;
-            let name = self.fleet.name(of);
+            let name = self.fleet.name(index);
             let log = std::fs::read_to_string(self.folder.join(format!("{name}.log"))).unwrap_or_default();
-            let last = log.lines().last().unwrap_or("it said nothing");
-            anyhow::bail!("{name} ended by itself, {status}: {last}");
+            let last_line = log.lines().last().unwrap_or("it said nothing");
+            anyhow::bail!("{name} ended by itself, {status}: {last_line}");
         }
         Ok(())
     }
@@ -162,24 +162,24 @@
     /// All leave in good order; how many requests were acked and how many sent. Fails where one had to be killed
     /// or ended badly.
     pub fn stop(&mut self) -> anyhow::Result<(usize, usize)> {
-        let tries = self.gateway.take().map(|mut gateway| gateway.finish()).unwrap_or_default();
-        let acked = |t: &&hazelspur_test_doubles::gateway::Attempt| {
-            t.responses.iter().any(|a| a.0 == Response::Succeeded)
+        let attempts = self.gateway.take().map(|mut gateway| gateway.finish()).unwrap_or_default();
+        let is_acked = |attempt: &&hazelspur_test_doubles::gateway::Attempt| {
+            attempt.responses.iter().any(|response| response.0 == Response::Succeeded)
         };
-        let requests = (tries.iter().filter(acked).count(), tries.len());
+        let requests = (attempts.iter().filter(is_acked).count(), attempts.len());
         for child in self.processes.iter().flatten() {
             // Not waited for yet, so the number is still its own.
             let _ = kill(Pid::from_raw(child.id() as i32), Signal::SIGTERM);
         }
-        let until = Instant::now() + Duration::from_millis(STOP_MS + 8000);
-        let mut bad = Vec::new();
-        for (of, child) in self.processes.iter_mut().enumerate() {
+        let deadline = Instant::now() + Duration::from_millis(STOP_MS + 8000);
+        let mut failures = Vec::new();
+        for (index, child) in self.processes.iter_mut().enumerate() {
             let Some(mut child) = child.take() else { continue };
             let status = loop {
                 match child.try_wait()? {
                     Some(status) => break Some(status),
-                    None if Instant::now() >= until => break None,
-                    None => std::thread::sleep(STEP),
+                    None if Instant::now() >= deadline => break None,
+                    None => std::thread::sleep(EXIT_POLL_INTERVAL),
                 }
             };
             if status.is_none() {
@@ -187,10 +187,10 @@
                 let _ = child.wait();
             }
             if !status.is_some_and(|status| status.success()) {
-                bad.push(format!("{} ended with {status:?}", self.fleet.name(of)));
+                failures.push(format!("{} ended with {status:?}", self.fleet.name(index)));
             }
         }
-        anyhow::ensure!(bad.is_empty(), bad.join("; "));
+        anyhow::ensure!(failures.is_empty(), failures.join("; "));
         Ok(requests)
     }
 }
@@ -219,20 +219,20 @@
         let mut command = Command::new(&plan.own_binary);
         command.arg(super::command::MEMBERS_SUBCOMMAND).stdin(Stdio::piped()).stdout(Stdio::piped());
         let mut child = command.spawn().with_context(|| format!("{:?}", plan.own_binary))?;
-        let (mut orders, out) = (child.stdin.take(), child.stdout.take().context("its output")?);
-        let (answer, answers) = sync_channel(1);
+        let (mut orders, output) = (child.stdin.take(), child.stdout.take().context("its output")?);
+        let (answer_sender, answers) = sync_channel(1);
         std::thread::spawn(move || {
-            for line in BufReader::new(out).lines().map_while(Result::ok) {
-                if answer.send(line).is_err() {
+            for line in BufReader::new(output).lines().map_while(Result::ok) {
+                if answer_sender.send(line).is_err() {
                     break;
                 }
             }
         });
-        let first = serde_json::to_string(task)?;
-        let sent = orders.as_mut().map(|orders| writeln!(orders, "{first}"));
-        let hollow = Self { child, orders, answers, first_member: task.first_member, count: task.count };
+        let task_line = serde_json::to_string(task)?;
+        let sent = orders.as_mut().map(|orders| writeln!(orders, "{task_line}"));
+        let process = Self { child, orders, answers, first_member: task.first_member, count: task.count };
         sent.context("its input")?.context("its input")?;
-        Ok(hollow)
+        Ok(process)
     }
 
     /// Its process id.
@@ -247,8 +247,8 @@
     }
 
     /// Waits for the answer to an order.
-    pub fn wait_for_answer(&mut self, within: Duration) -> anyhow::Result<Counters> {
-        let line = self.answers.recv_timeout(within);
+    pub fn wait_for_answer(&mut self, timeout: Duration) -> anyhow::Result<Counters> {
+        let line = self.answers.recv_timeout(timeout);
         let line = line.with_context(|| format!("hollow members from {}: no answer", self.first_member))?;
         Ok(serde_json::from_str(&line)?)
     }
@@ -265,15 +265,15 @@
     }
 
     /// Ends its input, and waits until it has ended.
-    pub fn stop(&mut self, within: Duration) -> anyhow::Result<()> {
+    pub fn stop(&mut self, timeout: Duration) -> anyhow::Result<()> {
         self.orders = None;
-        let until = Instant::now() + within;
-        while Instant::now() < until {
+        let deadline = Instant::now() + timeout;
+        while Instant::now() < deadline {
             if let Some(status) = self.child.try_wait()? {
                 anyhow::ensure!(status.success(), "hollow members from {}: {status}", self.first_member);
                 return Ok(());
             }
-            std::thread::sleep(STEP);
+            std::thread::sleep(EXIT_POLL_INTERVAL);
         }
         anyhow::bail!("hollow members from {}: did not end by themselves", self.first_member)
     }
--- a/crates/hazelspur-fault-harness/tests/hollow.rs
+++ b/crates/hazelspur-fault-harness/tests/hollow.rs
@@ -10,29 +10,29 @@
 use std::sync::Once;
 use std::time::Duration;
 
-fn server() -> PathBuf {
-    static BUILT: Once = Once::new();
-    let ours = PathBuf::from(env!("CARGO_BIN_EXE_hazelspur-fault-harness"));
-    let theirs = ours.with_file_name("hazelspur-server");
-    BUILT.call_once(|| {
-        if theirs.exists() {
+fn server_binary() -> PathBuf {
+    static BUILD: Once = Once::new();
+    let own_binary = PathBuf::from(env!("CARGO_BIN_EXE_hazelspur-fault-harness"));
+    let server_binary = own_binary.with_file_name("hazelspur-server");
+    BUILD.call_once(|| {
+        if server_binary.exists() {
             return;
         }
-        let folder = ours.parent().expect("the profile's folder");
+        let profile_folder = own_binary.parent().expect("the profile's folder");
         let mut build = Command::new(env!("CARGO"));
         build.args(["build", "--locked", "-p", "hazelspur-server", "--target-dir"]);
-        build.arg(folder.parent().expect("the target folder"));
-        if folder.ends_with("release") {
+        build.arg(profile_folder.parent().expect("the target folder"));
+        if profile_folder.ends_with("release") {
             build.arg("--release");
         }
         assert!(build.status().expect("cargo starts").success(), "hazelspur-server is built");
     });
-    theirs
+    server_binary
 }
 
 fn plan() -> Plan {
     Plan {
-        server_binary: server(),
+        server_binary: server_binary(),
         own_binary: env!("CARGO_BIN_EXE_hazelspur-fault-harness").into(),
         members: 32,
         real: 2,
@@ -49,104 +49,110 @@
     }
 }
 
-fn go_on(_: &FleetSnapshot) -> ControlFlow<()> {
+fn ignore_snapshot(_: &FleetSnapshot) -> ControlFlow<()> {
     ControlFlow::Continue(())
 }
 
-fn none_is_left(ids: &[u32]) {
+fn assert_all_ended(ids: &[u32]) {
     for id in ids {
         let program = std::fs::read_link(format!("/proc/{id}/exe")).unwrap_or_default();
         assert!(!program.to_string_lossy().contains("hazelspur"), "{id} still runs");
     }
 }
 
-fn agreed(outcome: &Outcome) {
+fn assert_agreed(outcome: &Outcome) {
     assert!(outcome.agreed_after.is_some(), "{}", describe(outcome));
     assert_eq!(outcome.missing, BTreeSet::new());
 }
 
 #[test]
-fn a_small_fleet_agrees_counts_add_up_and_it_ends_by_itself() {
+fn small_fleet_agrees_its_counts_add_up_and_all_processes_end() {
     let plan = Plan { window: Duration::from_millis(1500), rate: 4.0, ..plan() };
-    let outcome = run(&plan, &mut go_on).expect("it runs");
-    agreed(&outcome);
+    let outcome = run(&plan, &mut ignore_snapshot).expect("it runs");
+    assert_agreed(&outcome);
     assert_eq!((outcome.processes, outcome.process_ids.len()), (5, 4));
-    none_is_left(&outcome.process_ids);
+    assert_all_ended(&outcome.process_ids);
 
     let figures = outcome.figures.as_ref().expect("a window");
     assert_eq!(figures.with_role(Role::Lightweight).count(), 30);
     assert_eq!(figures.members.len(), 32);
     assert_eq!((figures.not_accepted, figures.unsent), (0, 0));
     // What hollow members got is what they got of each sender, to the datagram.
-    let heard: f64 = figures.with_role(Role::Lightweight).map(|member| member.received.datagrams).sum();
+    let received: f64 = figures.with_role(Role::Lightweight).map(|member| member.received.datagrams).sum();
     let by_sender: f64 = figures.members.iter().map(|member| member.seen_by_lightweight.datagrams).sum();
-    assert!(heard > 0.0 && (heard - by_sender).abs() < 1e-6, "{heard} {by_sender}");
-    let bytes = |of: fn(&_) -> f64| figures.members.iter().map(of).sum::<f64>();
-    let heard: f64 = figures.with_role(Role::Lightweight).map(|member| member.received.bytes).sum();
-    assert!((heard - bytes(|member| member.seen_by_lightweight.bytes)).abs() < 1e-3);
+    assert!(received > 0.0 && (received - by_sender).abs() < 1e-6, "{received} {by_sender}");
+    let total = |figure: fn(&_) -> f64| figures.members.iter().map(figure).sum::<f64>();
+    let received: f64 = figures.with_role(Role::Lightweight).map(|member| member.received.bytes).sum();
+    assert!((received - total(|member| member.seen_by_lightweight.bytes)).abs() < 1e-3);
     for member in &figures.members {
         assert!(member.sent.bytes <= member.sent.datagrams * 1200.0 + 1e-6, "{member:?}");
         assert!(member.sent.bytes >= member.sent.datagrams * 60.0 - 1e-6, "{member:?}");
         assert!(member.anonymous > 0.0 && member.resident > member.anonymous, "{member:?}");
         assert!((0.0..8.0).contains(&member.cpu_share), "{member:?}");
     }
-    let written = points(&outcome, plan.seed);
-    let names: BTreeSet<&str> = written.iter().filter_map(|point| point["figure"].as_str()).collect();
+    let points = points(&outcome, plan.seed);
+    let names: BTreeSet<&str> = points.iter().filter_map(|point| point["figure"].as_str()).collect();
     for name in ["agree_s", "hollow.bytes_out_per_s", "hollow.cpu_share", "difference.bytes"] {
         assert!(names.contains(format!("members.{name}").as_str()), "{name} of {names:?}");
     }
-    for point in &written {
+    for point in &points {
         let keys: Vec<&str> = point.as_object().expect("an object").keys().map(String::as_str).collect();
         assert_eq!(keys, ["by", "case", "figure", "seed", "size", "unit", "value"]);
     }
 }
 
 #[test]
-fn a_hollow_member_that_never_says_a_word_is_told_as_missing() {
+fn silent_lightweight_member_is_reported_as_missing() {
     let plan = Plan { silent: 1, ..plan() };
-    let mut others = |look: &FleetSnapshot| {
-        if look.min_alive() + 1 == plan.members { ControlFlow::Break(()) } else { ControlFlow::Continue(()) }
+    let mut stop_when_others_are_alive = |snapshot: &FleetSnapshot| {
+        if snapshot.min_alive() + 1 == plan.members {
+            ControlFlow::Break(())
+        } else {
+            ControlFlow::Continue(())
+        }
     };
-    let outcome = run(&plan, &mut others).expect("it runs");
+    let outcome = run(&plan, &mut stop_when_others_are_alive).expect("it runs");
     assert_eq!(outcome.agreed_after, None);
     assert_eq!(outcome.missing, ["h0031".to_string()].into());
     assert!(describe(&outcome).contains("missing 1: h0031"), "{}", describe(&outcome));
-    none_is_left(&outcome.process_ids);
+    assert_all_ended(&outcome.process_ids);
 }
 
 #[test]
-fn where_a_process_of_hollow_members_dies_all_others_end_and_it_is_said() {
+fn death_of_a_lightweight_process_ends_the_run_with_an_error() {
     let mut ids = Vec::new();
-    let mut kill_one = |look: &FleetSnapshot| {
+    let mut kill_one = |snapshot: &FleetSnapshot| {
         if ids.is_empty() {
-            ids = look.process_ids.clone();
-            let first = nix::unistd::Pid::from_raw(ids[0] as i32);
-            nix::sys::signal::kill(first, nix::sys::signal::Signal::SIGKILL).expect("it runs");
+            ids = snapshot.process_ids.clone();
+            let process = nix::unistd::Pid::from_raw(ids[0] as i32);
+            nix::sys::signal::kill(process, nix::sys::signal::Signal::SIGKILL).expect("it runs");
         }
         ControlFlow::Continue(())
     };
     // One more than there are can't be agreed on.
-    let why = run(&Plan { silent: 1, ..plan() }, &mut kill_one).expect_err("one has died");
-    assert!(format!("{why:#}").contains("hollow members from 2: ended by itself"), "{why:#}");
+    let error = run(&Plan { silent: 1, ..plan() }, &mut kill_one).expect_err("one has died");
+    assert!(format!("{error:#}").contains("hollow members from 2: ended by itself"), "{error:#}");
     assert_eq!(ids.len(), 4);
-    none_is_left(&ids);
+    assert_all_ended(&ids);
 }
 
 #[test]
-fn a_plan_over_a_limit_is_refused_with_both_numbers() {
-    let target = Plan { members: 810, real: 24, per_process: 200, ..plan() };
-    assert_eq!((target.processes(), target.descriptors()), (29, 656));
-    let wrong = [
-        (Plan { per_process: 5, ..target.clone() }, 20_000),
-        (Plan { per_process: 400, ..target.clone() }, 600),
-        (Plan { members: 24, ..target.clone() }, 20_000),
-        (Plan { real: 91, ..target.clone() }, 20_000),
-        (Plan { silent: 787, ..target.clone() }, 20_000),
-        (Plan { settle: Duration::from_secs(600), ..target.clone() }, 20_000),
+fn plan_over_a_limit_is_rejected_with_value_and_limit() {
+    let allowed = Plan { members: 810, real: 24, per_process: 200, ..plan() };
+    assert_eq!((allowed.processes(), allowed.descriptors()), (29, 656));
+    let over_a_limit = [
+        (Plan { per_process: 5, ..allowed.clone() }, 20_000),
+        (Plan { per_process: 400, ..allowed.clone() }, 600),
+        (Plan { members: 24, ..allowed.clone() }, 20_000),
+        (Plan { real: 91, ..allowed.clone() }, 20_000),
+        (Plan { silent: 787, ..allowed.clone() }, 20_000),
+        (Plan { settle: Duration::from_secs(600), ..allowed.clone() }, 20_000),
     ];
-    assert!(target.check(656).is_ok());
-    let said: Vec<String> =
-        wrong.iter().map(|(plan, limit)| plan.check(*limit).expect_err("over it").to_string()).collect();
+    assert!(allowed.check(656).is_ok());
+    let errors: Vec<String> = over_a_limit
+        .iter()
+        .map(|(plan, limit)| plan.check(*limit).expect_err("over it").to_string())
+        .collect();
     expect_test::expect![[r#"
         183 processes, 100 may be: raise --per-process or lower --real
         a process needs 648 descriptors, its limit is 600: raise it (ulimit -n), or lower --per-process or --real
@@ -154,5 +160,5 @@
         --real: 91 is not from 1 to 90
         --silent: 787 is not from 0 to 786
         seconds of all flags together: 612 is not from 0 to 600"#]]
-    .assert_eq(&said.join("\n"));
+    .assert_eq(&errors.join("\n"));
 }
