--- a/crates/hazelspur-fault-harness/src/lightweight/command.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/command.rs
@@ -1,4 +1,5 @@
-//! The subcommand `hollow`: sizes one after the other, a table, and the file of measured figures.
+//! The subcommand `hollow`: runs one fleet size after the other, prints a table, and writes the measured figures to a
+//! file.
 
 use super::{Outcome, Plan, figures, process_usage, run};
 use anyhow::Context;
@@ -10,70 +11,79 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// The subcommand by which the program serves lightweight members.
+/// Hidden subcommand with which the program serves lightweight members.
 pub const MEMBERS_SUBCOMMAND: &str = "hollow-members";
-/// The study's name in its file.
+/// Name of the study in the file of figures.
 const STUDY_NAME: &str = "hollow";
 
-/// Arguments of the subcommand.
+/// Options of `hollow`.
 #[derive(clap::Args, Debug)]
 pub struct Options {
-    /// All members, real and hollow.
+    /// Number of members, real and lightweight.
     #[arg(long, default_value_t = 100)]
     members: usize,
-    /// Sizes one after the other, as in 100,200,400,810, in place of --members.
+    /// Numbers of members to run one after the other, as in 100,200,400,810, instead of --members.
     #[arg(long, value_delimiter = ',')]
     sizes: Vec<usize>,
-    /// How many of them are real servers.
+    /// Number of members that are real servers.
     #[arg(long, default_value_t = 24)]
     real: usize,
-    /// Lightweight members of a process.
+    /// Number of lightweight members in each process.
     #[arg(long, default_value_t = 200)]
     per_process: usize,
-    /// From the start to the end of the window; longer where they agree late.
+    /// Seconds from the start to the end of the measuring window; a run takes longer if the members agree late.
     #[arg(long, default_value_t = 60)]
     seconds: u64,
-    /// The last seconds, which are measured.
+    /// Length of the measuring window at the end of a run, in seconds.
     #[arg(long, default_value_t = 25)]
     window: u64,
-    /// Seconds from agreement to the window, at least.
+    /// Shortest time from agreement to the measuring window, in seconds.
     #[arg(long, default_value_t = 5)]
     settle: u64,
-    /// Seconds within which all real members are to show all as alive.
+    /// Longest time until all real members show all members as alive, in seconds.
     #[arg(long, default_value_t = 60)]
     agree_within: u64,
-    /// All start within so many milliseconds.
+    /// Time over which the starts of the members are spread, in milliseconds.
     #[arg(long, default_value_t = 1000)]
     spread_ms: u64,
-    /// Requests a second of all real members together.
+    /// Requests per second to all real members together.
     #[arg(long, default_value_t = 24.0)]
     rate: f64,
+    /// Seed of everything random.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// So many lightweight members never say a word: planted, to see that it is told.
+    /// Number of lightweight members that never send anything, to check that they are reported as missing.
     #[arg(long, default_value_t = 0)]
     silent: usize,
-    /// Measured figures; sizes of another run that are there already stay.
+    /// File for the measured figures; figures of other sizes or seeds that it holds stay.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// The text that was measured, for the file; otherwise what git says here.
+    /// Revision of the measured sources, for the file of figures; by default the commit that git reports here.
     #[arg(long)]
     text: Option<String>,
-    /// The server's program; otherwise the one beside this.
+    /// Server program; by default `hazelspur-server` in the folder of this program.
     #[arg(long)]
     server: Option<PathBuf>,
 }
 
 impl Options {
-    /// Whether all sizes agreed.
+    /// Runs all sizes and prints their figures. Returns whether all members agreed in each of them.
+    ///
+    /// # Errors
+    /// Returns an error if an option is out of its bounds, or a run or the file of figures fails.
     pub fn run(self) -> anyhow::Result<bool> {
         let own_binary = std::env::current_exe()?;
         let server_binary = self.server.clone().unwrap_or(own_binary.with_file_name("hazelspur-server"));
         anyhow::ensure!(
             server_binary.exists(),
-            "{server_binary:?} is not there: build it, or name it by --server"
+            "server program {server_binary:?} does not exist: build it, or name another with --server"
+        );
+        anyhow::ensure!(
+            self.window <= self.seconds,
+            "--window {} is longer than --seconds {}",
+            self.window,
+            self.seconds
         );
-        anyhow::ensure!(self.window <= self.seconds, "--window: longer than --seconds");
         let stop = Arc::new(AtomicBool::new(false));
         stop_on_signal(stop.clone());
         let plan = |members| Plan {
@@ -94,7 +104,7 @@
         };
         let sizes = if self.sizes.is_empty() { vec![self.members] } else { self.sizes.clone() };
         let plans: Vec<Plan> = sizes.into_iter().map(plan).collect();
-        // All of them before the first one starts.
+        // All plans are checked before the first one runs.
         let limit = process_usage::descriptor_limit()?;
         plans.iter().try_for_each(|plan| plan.check(limit))?;
         let mut outcomes: Vec<Outcome> = Vec::new();
@@ -110,6 +120,7 @@
         Ok(outcomes.iter().all(|outcome| outcome.agreed_after.is_some()))
     }
 
+    /// Writes the figures of one size to the file of figures, in place of those of the same size and seed.
     fn write_points(&self, path: &Path, outcome: &Outcome) -> anyhow::Result<()> {
         let existing = match std::fs::read(path) {
             Ok(bytes) => serde_json::from_slice::<Value>(&bytes)?,
@@ -130,7 +141,7 @@
             "text": joined(&existing["text"], text),
             "machine": format!("{cores} cores, {gib} GiB; real processes and hollow members on loopback"),
         });
-        // A point a line, so that a change of one is seen.
+        // Each point has its own line, so that a diff shows which of them changed.
         let mut header = serde_json::to_string(&fields)?;
         header.truncate(header.len() - 1);
         let points: Vec<String> = points.iter().map(Value::to_string).collect();
@@ -138,7 +149,8 @@
     }
 }
 
-/// What was there stays before what is new: a file may come of a run for each size.
+/// Appends a text to the existing ones unless it is there already: several runs, such as one for each size, may write
+/// one file.
 fn joined(existing: &Value, new: String) -> String {
     match existing.as_str() {
         Some(old) if old.split("; ").any(|old| old == new) => old.into(),
@@ -147,13 +159,14 @@
     }
 }
 
+/// Returns the abbreviated commit of the current folder; `None` if git reports none.
 fn git_revision() -> Option<String> {
     let output = std::process::Command::new("git").args(["rev-parse", "--short", "HEAD"]).output().ok()?;
     let revision = String::from_utf8(output.stdout).ok()?.trim().to_string();
     (output.status.success() && !revision.is_empty()).then_some(revision)
 }
 
-/// The first SIGINT or SIGTERM ends the run early, with all that it started.
+/// Starts a thread that sets `stop` at the first SIGINT or SIGTERM, which ends the run and all its processes.
 fn stop_on_signal(stop: Arc<AtomicBool>) {
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
--- a/crates/hazelspur-fault-harness/src/lightweight/figures.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/figures.rs
@@ -1,10 +1,14 @@
-//! What two readings of a run come to: traffic, CPU and memory of a member, by what it is.
+//! Computes the figures of a measuring window from the readings at its begin and end: traffic, CPU and memory of each
+//! member, by role. Prints them as a table and as points of the JSON file.
 //!
-//! A lightweight member counts its own datagrams. What a real member sends is told by the numbers that its own
-//! datagrams bear, and their mean length by those that lightweight members got; what it gets, by what hollow
-//! members sent to it, as if real ones sent it as much, but for the divider, which sends it what it sends to
-//! each hollow one. So that both kinds may be compared, what lightweight members got of either is counted alike,
-//! by the sender.
+//! A lightweight member counts the datagrams that it sends and receives. The figures of a real member are estimates:
+//! - Sent datagrams follow from the sequence numbers in its datagrams, and sent bytes from the mean length of those that
+//!   lightweight members received.
+//! - Received traffic follows from the traffic that lightweight members sent to it, scaled up as if real members sent as
+//!   much. The allocator is an exception: it is taken to send a real member as much as each lightweight one.
+//!
+//! To compare the two kinds, the traffic that lightweight members received is also counted by sender, in the same way
+//! for real and lightweight senders.
 
 use super::member::{Counters, Received, Traffic};
 use super::process_usage::ProcessUsage;
@@ -17,30 +21,30 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Everything at one time.
+/// All counters and usages at one time.
 pub struct Reading {
-    /// When it was read.
+    /// Time of the reading.
     pub at: Instant,
-    /// By process of lightweight members.
+    /// Counters of each process of lightweight members.
     pub counters: Vec<Counters>,
-    /// Usage of the real servers' processes.
+    /// Usage of the process of each real server; `None` if it does not run.
     pub real_usage: Vec<Option<ProcessUsage>>,
-    /// Usage of the lightweight members' processes.
+    /// Usage of each process of lightweight members; `None` if it does not run.
     pub lightweight_usage: Vec<Option<ProcessUsage>>,
-    /// Datagrams that the kernel dropped so far.
+    /// Number of datagrams that the kernel had dropped.
     pub kernel_drops: u64,
 }
 
-/// What a member is.
+/// Role of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
-    /// Real, and divides what all share.
+    /// Real server that is the allocator of the quotas.
     Allocator,
-    /// Real, and votes on that.
+    /// Real server that votes for the allocator.
     Voter,
-    /// A real server.
+    /// Any other real server.
     Real,
-    /// A lightweight member.
+    /// Lightweight member.
     Lightweight,
 }
 
@@ -48,7 +52,7 @@
     /// All roles, in the order of the table.
     pub const ALL: [Self; 4] = [Self::Real, Self::Lightweight, Self::Voter, Self::Allocator];
 
-    /// Its name in tables and points.
+    /// Returns the name of the role in tables and points.
     pub fn name(self) -> &'static str {
         match self {
             Self::Allocator => "divider",
@@ -59,7 +63,7 @@
     }
 }
 
-/// Of one member, a second.
+/// Rates of datagrams and bytes of one member.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rates {
     /// Datagrams a second.
@@ -74,44 +78,44 @@
     }
 }
 
-/// What one member sends, receives and uses.
+/// Traffic and resource usage of one member in a window.
 #[derive(Clone, Copy, Debug)]
 pub struct Member {
-    /// What it is.
+    /// Role of the member.
     pub role: Role,
-    /// What it sent.
+    /// Sent traffic; an estimate for a real server.
     pub sent: Rates,
-    /// What it received.
+    /// Received traffic; an estimate for a real server.
     pub received: Rates,
-    /// What lightweight members got of it.
+    /// Traffic that lightweight members together received from it.
     pub seen_by_lightweight: Rates,
-    /// Datagrams that it sent, by their numbers.
+    /// Sent datagrams per second, by the sequence numbers in them.
     pub datagrams_by_sequence: f64,
-    /// Part of a core; of a hollow one an even part of its process.
+    /// CPU use, as a share of a core. A lightweight member counts with an equal share of its process.
     pub cpu_share: f64,
-    /// In bytes, likewise.
+    /// Resident memory, in bytes, shared in the same way.
     pub resident: f64,
-    /// Anonymous memory, in bytes, likewise.
+    /// Anonymous memory, in bytes, shared in the same way.
     pub anonymous: f64,
 }
 
-/// The figures of a window.
+/// Figures of a measuring window.
 #[derive(Clone, Debug)]
 pub struct Figures {
     /// Length of the window, in seconds.
     pub seconds: f64,
-    /// The members, real ones first.
+    /// Members, real ones first.
     pub members: Vec<Member>,
-    /// Datagrams that the kernel dropped.
+    /// Number of datagrams that the kernel dropped in the window.
     pub kernel_drops: u64,
-    /// Datagrams that lightweight members got and did not take, and that they could not send.
+    /// Number of datagrams that lightweight members received but did not accept.
     pub not_accepted: u64,
-    /// Datagrams that lightweight members could not send.
+    /// Number of datagrams that lightweight members could not send.
     pub unsent: u64,
 }
 
 impl Figures {
-    /// The figures between two readings.
+    /// Computes the figures of the window between two readings.
     pub fn new(
         fleet: &Fleet,
         allocator: Option<MemberName>,
@@ -135,7 +139,8 @@
             let find = |all: &BTreeMap<SocketAddr, Traffic>| all.get(&address).copied().unwrap_or_default();
             find(&sent_after).since(find(&sent_before))
         };
-        // Of a real member: datagrams by number, at the mean length of those that came to hollow ones.
+        // Sent by a real member: datagrams by sequence number, at the mean length of those that lightweight members
+        // received from it.
         let sent = |index: usize| {
             let (seen, sequence_advance) = seen_from(index);
             let mean = if seen.datagrams == 0 { 0.0 } else { seen.bytes as f64 / seen.datagrams as f64 };
@@ -153,7 +158,8 @@
                 () if index < fleet.voter_count() => Role::Voter,
                 () => Role::Real,
             };
-            // Of the other real ones as of as many hollow ones, and of the divider what it sends to each.
+            // The other real members are taken to send as much as lightweight ones, and the allocator as much as it
+            // sends to each lightweight member.
             let from_lightweight = Rates::of(sent_to(index), seconds);
             let grants = allocator_index
                 .filter(|allocator| *allocator != index)
@@ -211,25 +217,26 @@
         }
     }
 
-    /// The members of a role.
+    /// Returns the members of a role.
     pub fn with_role(&self, role: Role) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(move |member| member.role == role)
     }
 
-    /// None where there is no such member.
+    /// Returns the mean of a figure over the members of a role; `None` if no member has it.
     pub fn mean(&self, role: Role, figure: impl Fn(&Member) -> f64) -> Option<f64> {
         let count = self.with_role(role).count();
         (count > 0).then(|| self.with_role(role).map(figure).sum::<f64>() / count as f64)
     }
 
-    /// The highest figure of a role; none where there is no such member.
+    /// Returns the highest value of a figure among the members of a role; `None` if no member has it.
     pub fn max(&self, role: Role, figure: impl Fn(&Member) -> f64) -> Option<f64> {
         self.with_role(role).map(figure).reduce(f64::max)
     }
 
-    /// By how much a lightweight member's datagrams and bytes differ from a real one's, both as lightweight members
-    /// got them, to each of them that is not the sender, as parts of the real one's; none where all real
-    /// ones are keepers.
+    /// Returns the relative differences of the datagrams and bytes of a lightweight member from those of a real one, as
+    /// fractions of the latter. Both are counted as lightweight members receive them, per receiver; a lightweight sender
+    /// has one receiver fewer, since it does not send to itself. `None` if there is no real member other than voters and
+    /// allocator, if it sent nothing, or if there are fewer than two lightweight members.
     pub fn difference(&self) -> Option<(f64, f64)> {
         let receivers = self.with_role(Role::Lightweight).count() as f64;
         let relative_difference = |figure: MemberFigure| {
@@ -244,6 +251,8 @@
     }
 }
 
+/// Returns the mean CPU share, resident and anonymous memory of each member of a process; NaN if the process does not
+/// run.
 fn mean_usage(
     before: Option<ProcessUsage>,
     after: Option<ProcessUsage>,
@@ -256,6 +265,7 @@
     (per_member(cpu), per_member(after.resident_bytes as f64), per_member(after.anonymous_bytes as f64))
 }
 
+/// Sums the traffic received by all lightweight members, by sender, with the highest sequence number.
 fn received_by_sender(counters: &[Counters]) -> BTreeMap<SocketAddr, Received> {
     let mut all: BTreeMap<SocketAddr, Received> = BTreeMap::new();
     for (sender, received) in counters.iter().flat_map(|counters| &counters.received_by_sender) {
@@ -266,6 +276,7 @@
     all
 }
 
+/// Sums the traffic sent by all lightweight members, by receiver.
 fn sent_by_receiver(counters: &[Counters]) -> BTreeMap<SocketAddr, Traffic> {
     let mut all: BTreeMap<SocketAddr, Traffic> = BTreeMap::new();
     for (receiver, traffic) in counters.iter().flat_map(|counters| &counters.sent_by_receiver) {
@@ -276,7 +287,7 @@
 
 type MemberFigure = fn(&Member) -> f64;
 
-/// Name in the points, and unit.
+/// Figures of a member: name in the points, unit and value.
 const FIGURES: [(&str, &str, MemberFigure); 7] = [
     ("cpu_share", "cores", |m| m.cpu_share),
     ("resident_bytes", "B", |m| m.resident),
@@ -287,7 +298,7 @@
     ("bytes_in_per_s", "B/s", |m| m.received.bytes),
 ];
 
-/// For the JSON file of measured figures.
+/// Returns the figures of one size as points of the JSON file.
 pub fn points(outcome: &Outcome, seed: u64) -> Vec<Value> {
     let mut points = Vec::new();
     let agreed = outcome.agreed_after.is_some();
@@ -325,12 +336,12 @@
     points
 }
 
-/// Six digits are more than any of these measures.
+/// Rounds to six significant digits, which is more than the precision of any figure here.
 fn round_to_six_digits(value: f64) -> f64 {
     format!("{value:.5e}").parse().unwrap_or(value)
 }
 
-/// One row for each role of each size.
+/// Returns a table with one row for each role of each size.
 pub fn table(outcomes: &[Outcome]) -> String {
     let mut table = Table::new();
     table.load_style(presets::ASCII_MARKDOWN);
@@ -377,9 +388,9 @@
     table.to_string()
 }
 
-/// What the table has no room for, a paragraph for one size.
+/// Describes one size in a paragraph: agreement, missing members and figures that are not in the table.
 pub fn describe(outcome: &Outcome) -> String {
-    /// Members that are named as missing.
+    /// Highest number of missing members that are named.
     const MAX_NAMED: usize = 10;
     let count_and_names = |names: &std::collections::BTreeSet<String>| {
         let first: Vec<&str> = names.iter().take(MAX_NAMED).map(String::as_str).collect();
--- a/crates/hazelspur-fault-harness/src/lightweight/fleet_queries.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/fleet_queries.rs
@@ -1,4 +1,5 @@
-//! What the real members say of the fleet, asked as an operator's command asks, all of them at once.
+//! Queries real members for their view of the fleet, with the datagrams of the operator's command, all of them
+//! concurrently.
 
 use super::{INSTALLATION, KEY};
 use hazelspur::Timestamp;
@@ -12,23 +13,28 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-/// What did not come is asked for again after so long.
+/// Time after which an unanswered query is sent again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Queries real servers for their views of the fleet.
+/// Client that queries real servers for their views of the fleet.
 pub struct FleetQuerier {
     socket: UdpSocket,
+    /// Sender that each query states.
     sender: MemberUpdate,
     key: Key,
     installation: Installation,
+    /// Number of the last query that was created.
     last_number: u32,
 }
 
 impl FleetQuerier {
-    /// Opens a socket.
+    /// Opens a socket on a free port.
+    ///
+    /// # Errors
+    /// Returns an error if the socket cannot be opened.
     pub fn new() -> anyhow::Result<Self> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
-        let invalid = |name| anyhow::anyhow!("{name}: no good name");
+        let invalid = |name| anyhow::anyhow!("invalid name {name:?}");
         let sender = MemberUpdate {
             name: MemberName::new("watch").ok_or(invalid("watch"))?,
             site: SiteName::new("watch").ok_or(invalid("watch"))?,
@@ -46,7 +52,8 @@
         })
     }
 
-    /// Condition and bounds of the size by each of them, where an answer came within that time.
+    /// Returns the local status and the estimated fleet size that each server reports; `None` for a server that does
+    /// not answer within the timeout.
     pub fn statuses(
         &mut self,
         servers: &[SocketAddr],
@@ -63,7 +70,8 @@
         answers
     }
 
-    /// Names and standings of all others by each of them, where all of it came within that time.
+    /// Returns the status of all other members that each server reports, by name; `None` for a server whose list does
+    /// not arrive completely within the timeout.
     pub fn member_lists(
         &mut self,
         servers: &[SocketAddr],
@@ -80,7 +88,7 @@
         rows_by_server.into_iter().zip(complete).map(|(rows, complete)| complete.then_some(rows)).collect()
     }
 
-    /// Who divides what all share, by the first that knows.
+    /// Returns the allocator of the quotas, as reported by the first server that knows it.
     pub fn allocator(&mut self, servers: &[SocketAddr], timeout: Duration) -> Option<MemberName> {
         let mut allocator = None;
         self.exchange(servers, timeout, |_, body| match body {
@@ -93,8 +101,9 @@
         allocator
     }
 
-    /// One question after the other to each: `next` makes the first from none and each further one from the
-    /// answer to the one before, until it makes none.
+    /// Sends each server one query after the other, until the timeout. `next` gets the index of the server and returns
+    /// its first query without an answer, and each further one from the answer to the one before; `None` ends the
+    /// queries to the server.
     fn exchange(
         &mut self,
         servers: &[SocketAddr],
@@ -102,7 +111,7 @@
         mut next: impl FnMut(usize, Option<&Body>) -> Option<Body>,
     ) {
         let deadline = Instant::now() + timeout;
-        // By the question's number: of whom, what, and when it is asked again.
+        // By the number of the query: index of the server, query, and time of the next sending.
         let mut pending: BTreeMap<u32, (usize, Body, Instant)> = BTreeMap::new();
         for index in 0..servers.len() {
             if let Some(body) = next(index, None) {
@@ -148,10 +157,12 @@
     }
 }
 
+/// Returns the query for the part of the member list after a name; `with_number` sets its number.
 fn list_query(after: Option<MemberName>) -> Body {
     Body::FleetQuery { number: 0, after }
 }
 
+/// Returns the query with another number.
 fn with_number(body: Body, number: u32) -> Body {
     match body {
         Body::FleetQuery { after, .. } => Body::FleetQuery { number, after },
--- a/crates/hazelspur-fault-harness/src/lightweight/member.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/member.rs
@@ -1,7 +1,10 @@
-//! One process of lightweight members: hundreds of sockets on one loop, behind each the machine that a server has
-//! (`Joint` and its datagrams), driven as the server's own talk drives it, and no server around it. The
-//! binary starts itself for this; it is told what to do by lines of JSON on its input, and ends when that
-//! ends.
+//! One process of lightweight members. A lightweight member is the state machine with which a server takes part in the
+//! fleet (`FleetNode`), with a UDP socket of its own and driven like in a server, but without the rest of the server.
+//! Hundreds of them share one event loop.
+//!
+//! The harness starts its own program for this. The process reads one JSON line with its [`Task`] from its standard
+//! input and one [`Order`] from each further line, answers each line with [`Counters`] on its standard output, and ends
+//! when its input ends.
 
 use super::{Fleet, INSTALLATION, KEY};
 use hazelspur::pcg::Pcg;
@@ -21,94 +24,104 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
 
-/// As the server's own talk has them.
+/// Highest number of datagrams received in one turn of the event loop, as in the server.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
-/// Period of the membership protocol's rounds.
+/// Period of the rounds of the membership protocol, the longest wait between two ticks of the state machine.
 const MAX_WAIT: Duration = Duration::from_ms(250);
-/// How often its load is reported.
+/// Time between two observations of the local load.
 const LOAD_INTERVAL: Duration = Duration::from_ms(200);
-/// A lightweight member says that it makes a call each second, and that it takes so long.
+/// Time between two dependency calls that a member reports as finished.
 const CALL_INTERVAL: Duration = Duration::from_ms(1000);
-/// The call latency that a member reports, in seconds.
+/// Call latency that a member reports, in seconds.
 const CALL_LATENCY_S: f64 = 0.01;
-/// Lines of input that wait.
+/// Highest number of orders that are read but not yet carried out.
 const MAX_QUEUED_ORDERS: usize = 16;
 
-/// The first line.
+/// First line of the input: the members that the process serves.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Task {
+    /// Description of the whole fleet.
     pub fleet: Fleet,
-    /// Numbers of the fleet's members that live here.
+    /// Index in the fleet of the first member of this process.
     #[serde(rename = "first")]
     pub first_member: usize,
+    /// Number of members of this process, which have consecutive indices.
     pub count: usize,
-    /// It ends by itself after so long, whatever its input says.
+    /// Time after which the process ends by itself, even if its input is still open, in seconds.
     pub life_s: u64,
 }
 
-/// Each further line.
+/// Further line of the input.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub enum Order {
-    /// All members start, spread as the fleet says.
+    /// Starts all members, each after its delay ([`Fleet::start_delay`]).
     #[serde(rename = "Go")]
     Start,
+    /// Asks for the current counters.
     Count,
 }
 
-/// The answer to each line; nothing counted is the answer to the first one.
+/// Counters of the process, the answer to each line of the input; empty in the answers to the first line and to
+/// [`Order::Start`].
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Counters {
+    /// Counters of each member of the process.
     pub members: Vec<MemberCounters>,
-    /// By sender: what all members here got of it, and the greatest number of its datagrams.
+    /// Traffic received by all members of the process, by sender.
     #[serde(rename = "came")]
     pub received_by_sender: BTreeMap<SocketAddr, Received>,
-    /// Datagrams by whom they went to.
+    /// Traffic sent by all members of the process, by receiver.
     #[serde(rename = "went")]
     pub sent_by_receiver: BTreeMap<SocketAddr, Traffic>,
 }
 
-/// Datagrams and their bytes.
+/// Number of datagrams and bytes.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Traffic {
-    /// Datagrams.
+    /// Number of datagrams.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Number of bytes in them.
     pub bytes: u64,
 }
 
 impl Traffic {
-    /// Adds so many.
+    /// Adds datagrams and their bytes.
     pub fn add(&mut self, datagrams: u64, bytes: u64) {
         self.datagrams += datagrams;
         self.bytes += bytes;
     }
 
-    /// What came since an earlier count.
+    /// Returns the traffic since an earlier count.
     pub fn since(self, earlier: Self) -> Self {
         Self { datagrams: self.datagrams - earlier.datagrams, bytes: self.bytes - earlier.bytes }
     }
 }
 
-/// What was received from one sender.
+/// Traffic received from one sender.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Received {
+    /// Datagrams and bytes.
     pub traffic: Traffic,
+    /// Highest sequence number in the datagrams.
     #[serde(rename = "number")]
     pub max_sequence: u64,
 }
 
-/// The counters of one member.
+/// Counters of one member.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct MemberCounters {
+    /// Sent traffic.
     pub sent: Traffic,
+    /// Received traffic, including datagrams that were not accepted.
     #[serde(rename = "heard")]
     pub received: Traffic,
-    /// Datagrams that were not taken, for whatever reason.
+    /// Number of received datagrams that were not accepted, for any reason.
     pub dropped: u64,
-    /// Datagrams that could not be sent.
+    /// Number of datagrams that could not be sent.
     pub unsent: u64,
 }
 
+/// Wall clock and monotonic clock of one member; the wall clock does not go back.
 struct Clock {
     started_at: Instant,
     last_wall: RefCell<Timestamp>,
@@ -124,6 +137,7 @@
     }
 }
 
+/// Lightweight member: state machine, socket and clock.
 struct Member {
     socket: UdpSocket,
     key: Key,
@@ -133,8 +147,9 @@
     clock: Clock,
     load_reported_at: Timestamp,
     call_reported_at: Timestamp,
-    /// Its place among those of this process.
+    /// Index among the members of this process.
     index: usize,
+    /// Counters of the whole process.
     counters: Rc<RefCell<Counters>>,
 }
 
@@ -176,6 +191,7 @@
         own.dropped += u64::from(accepted.is_err());
     }
 
+    /// Reports load and calls when they are due, advances the state machine and sends its datagrams.
     fn tick_and_send(&mut self) {
         let now = self.clock.now();
         if now.monotonic - self.call_reported_at >= CALL_INTERVAL {
@@ -204,7 +220,11 @@
     }
 }
 
-/// Until its input or its time ends. Errors say what could not be had.
+/// Serves lightweight members until the input ends.
+///
+/// # Errors
+/// Returns an error if the first line is not a valid task, a socket cannot be bound, an answer cannot be written, or the
+/// lifetime of the task ends before the input.
 pub fn serve() -> anyhow::Result<()> {
     let mut first_line = String::new();
     std::io::stdin().lock().read_line(&mut first_line)?;
@@ -224,8 +244,10 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let ended = local_tasks
         .block_on(&runtime, async { tokio::time::timeout(lifetime, run_members(task, orders)).await });
-    // The reader's thread may stand at its input for ever; the end of the process is its end.
-    ended.unwrap_or_else(|_| Err(anyhow::anyhow!("hollow members: their time is over")))
+    // The thread that reads the input may still block; it ends with the process.
+    ended.unwrap_or_else(|_| {
+        Err(anyhow::anyhow!("lightweight members: lifetime is over before the end of the input"))
+    })
 }
 
 async fn run_members(task: Task, mut orders: mpsc::Receiver<Order>) -> anyhow::Result<()> {
@@ -233,11 +255,13 @@
     let counters = Rc::new(RefCell::new(Counters::default()));
     counters.borrow_mut().members = vec![MemberCounters::default(); task.count];
     let key = Key::from_text(KEY).map_err(anyhow::Error::msg)?;
-    let installation = Installation::new(INSTALLATION).ok_or(anyhow::anyhow!("installation"))?;
+    let installation = Installation::new(INSTALLATION)
+        .ok_or(anyhow::anyhow!("invalid installation name {INSTALLATION:?}"))?;
     for index in 0..task.count {
         let (member_number, fleet) = (task.first_member + index, task.fleet.clone());
         let address = fleet.gossip_address(member_number);
-        let socket = UdpSocket::bind(address).await.map_err(|e| anyhow::anyhow!("{address}: {e}"))?;
+        let socket =
+            UdpSocket::bind(address).await.map_err(|e| anyhow::anyhow!("cannot bind {address}: {e}"))?;
         let (counters, key, mut started) = (counters.clone(), key.clone(), started.clone());
         tokio::task::spawn_local(async move {
             if started.wait_for(|started| *started).await.is_err() || fleet.is_silent(member_number) {
@@ -247,7 +271,7 @@
             let clock = Clock { started_at: Instant::now(), last_wall: RefCell::default() };
             let now = clock.now();
             let generation = Generation(now.wall.us() / 1000);
-            // Members that start in one microsecond must not draw the same chances.
+            // Members that start in the same microsecond must have different seeds.
             let drawn = Pcg::new(fleet.seed.wrapping_mul(31) ^ member_number as u64).draw();
             let seed = (u64::from(drawn) << 32) ^ now.wall.us();
             let node = FleetNode::new(
--- a/crates/hazelspur-fault-harness/src/lightweight/mod.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/mod.rs
@@ -1,11 +1,14 @@
-//! A fleet of a few real servers and many lightweight members: the same state machines with real datagrams, hundreds
-//! to a process. It measures what a member costs by the size of its fleet, at sizes that one machine can't hold in real
-//! servers. Addresses are of a network of its own in 127.0.0.0/8; every process that it starts is ended; a run has at
-//! most a hundred processes and half of the machine's memory.
+//! Runs a fleet of a few real servers and many lightweight members, and measures the cost of a member by the size of its
+//! fleet, at sizes for which one machine can't run enough real servers. A lightweight member runs the state machine of a
+//! server and exchanges real datagrams; hundreds of them share a process. The subcommand, its flags and the printed
+//! figures call them hollow members.
 //!
-//! - `member`: a process of lightweight members; `processes`: starting and ending processes;
-//! - `fleet_queries`: the real members' views of the fleet; `process_usage`: limits and usage of processes;
-//! - `figures`: a window's figures, as a table and as points; `command`: the subcommand `hollow`.
+//! Each run has a network of its own in 127.0.0.0/8, ends every process that it started, and uses at most a hundred
+//! processes and half of the memory of the machine.
+//!
+//! - `member`: a process of lightweight members; `processes`: starts and ends processes;
+//! - `fleet_queries`: queries real members for their views of the fleet; `process_usage`: limits and usage of processes;
+//! - `figures`: the figures of a measuring window, as a table and as points; `command`: the subcommand `hollow`.
 
 pub mod command;
 pub mod figures;
@@ -34,107 +37,109 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::time::{Duration as StdDuration, Instant};
 
-/// The text of the fleet's key.
+/// Text of the key of the fleet.
 pub const KEY: &str = "a key for the fleet on this machine only";
-/// The installation's name.
+/// Name of the installation.
 pub const INSTALLATION: &str = "hollow";
-/// The limit that all share.
+/// Name of the limit that all members share.
 pub const SHARED_LIMIT: &str = "calls";
 /// Duration of quota leases, in seconds.
 pub const QUOTA_LEASE_S: u64 = 4;
 /// Cores of each worker.
 pub const WORKER_CORES: usize = 2;
-/// Time from the shutdown notice to the end of a real server, in milliseconds.
+/// Time from the shutdown notice to the end of a real server, in milliseconds, as configured.
 pub const STOP_MS: u64 = 1500;
-/// Two regions of three zones.
+/// Sites: two regions of three zones each.
 pub const SITES: [&str; 6] = ["r1-a", "r1-b", "r1-c", "r2-a", "r2-b", "r2-c"];
-/// `most` of the fleet is twice its members, and 4,096 at most.
+/// Highest number of members of a run. The setting `most` of the fleet is twice its number of members, and at most
+/// 4,096.
 pub const MAX_MEMBERS: usize = 2048;
-/// The most real servers.
+/// Highest number of real servers.
 pub const MAX_REAL_SERVERS: usize = 90;
-/// The most processes of a run.
+/// Highest number of processes of a run.
 pub const MAX_PROCESSES: usize = 100;
-/// The most lightweight members of a process.
+/// Highest number of lightweight members in a process.
 pub const MAX_MEMBERS_PER_PROCESS: usize = 500;
-/// The longest run, in seconds.
+/// Highest sum of all durations of a plan, in seconds.
 pub const MAX_SECONDS: u64 = 600;
-/// Voters.
+/// Number of voters, if there are that many real servers.
 const VOTERS: usize = 5;
-/// Seed members.
+/// Number of seed members, if there are that many real servers.
 const SEED_MEMBERS: usize = 3;
-/// Addresses of lightweight members by turns: so many a row, from this row on.
+/// Number of lightweight members whose addresses have the same third byte (row).
 const ADDRESSES_PER_ROW: usize = 200;
-/// The first row of addresses of lightweight members.
+/// Third byte of the addresses of the first lightweight members; real servers have 1.
 const FIRST_LIGHTWEIGHT_ROW: usize = 20;
-/// Guaranteed minimum, as a part of the shared limit.
+/// Guaranteed minimum, as a fraction of the shared limit.
 const GUARANTEED_FRACTION: f64 = 0.2;
-/// Residual load of a call, in seconds.
+/// Duration of the residual load of a call, in seconds.
 const RESIDUAL_LOAD_S: f64 = 1.0;
-/// How long members that left are remembered, in seconds.
+/// Time for which members that left are retained, in seconds.
 const RETENTION_S: f64 = 900.0;
-/// Descriptors of a process by itself.
+/// File descriptors of a process without any members.
 const BASE_DESCRIPTORS: u64 = 64;
-/// Descriptors of ours for each real server with its test doubles.
+/// File descriptors of the harness process for each real server with its test doubles.
 const DESCRIPTORS_PER_REAL_SERVER: u64 = 24;
-/// Descriptors of ours for each process of lightweight members.
+/// File descriptors of the harness process for each process of lightweight members.
 const DESCRIPTORS_PER_LIGHTWEIGHT_PROCESS: u64 = 4;
-/// Descriptors of a real server.
+/// File descriptors of a real server: its configured 512 sockets, and 64 more.
 const SERVER_DESCRIPTORS: u64 = 512 + 64;
-/// How often the real members are asked, and what else is looked at.
+/// Time between two queries of the real members, and between two checks of the processes.
 const POLL_INTERVAL: StdDuration = StdDuration::from_millis(100);
-/// How often memory is looked at.
+/// Time between two checks of the memory use.
 const MEMORY_CHECK_INTERVAL: StdDuration = StdDuration::from_secs(1);
-/// How long a server may take to answer a query.
+/// Timeout of queries for the status and for the allocator.
 const QUERY_TIMEOUT: StdDuration = StdDuration::from_millis(500);
-/// How long all servers may take to send their views.
+/// Timeout of queries for the member lists of all servers.
 const MEMBER_LISTS_TIMEOUT: StdDuration = StdDuration::from_secs(10);
-/// All sockets of a process of lightweight members are there within this; a count comes within this.
+/// Longest wait for an answer or the exit of a process of lightweight members; the first answer comes once all its
+/// sockets are bound.
 const PROCESS_ANSWER_TIMEOUT: StdDuration = StdDuration::from_secs(20);
-/// A lightweight process ends so long after all else would have.
+/// Time added to the longest duration of a run for the lifetime of a process of lightweight members, in seconds.
 const LIFETIME_MARGIN_S: u64 = 60;
-/// Runs of this process so far; part of each run's network.
+/// Number of runs that this process has begun; part of the choice of the network of each run.
 static RUNS: AtomicU32 = AtomicU32::new(0);
 
-/// What a run consists of.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The server's program.
+    /// Server program.
     pub server_binary: PathBuf,
-    /// The program that serves lightweight members when started with the hidden subcommand.
+    /// Program that serves lightweight members when started with [`command::MEMBERS_SUBCOMMAND`].
     pub own_binary: PathBuf,
-    /// Members in all.
+    /// Number of members, real and lightweight.
     pub members: usize,
-    /// Members that are real servers.
+    /// Number of members that are real servers.
     pub real: usize,
-    /// Lightweight members of a process.
+    /// Number of lightweight members in each process.
     pub per_process: usize,
-    /// All start within so long.
+    /// Time over which the starts of the members are spread.
     pub spread: StdDuration,
-    /// The real ones show all as alive within this, or the run goes on without.
+    /// Longest time until all real members show all members as alive; after it the run goes on without agreement.
     pub agree_within: StdDuration,
-    /// At rest for so long before the window.
+    /// Shortest time from agreement to the measuring window.
     pub settle: StdDuration,
-    /// What is measured; nothing where it is zero.
+    /// Length of the measuring window; zero to measure nothing.
     pub window: StdDuration,
-    /// The whole of it from the start, where they agree in time.
+    /// Time from the start to the end of the measuring window; longer if the members agree late.
     pub duration: StdDuration,
-    /// Requests a second of all real members together.
+    /// Requests per second to all real members together.
     pub rate: f64,
-    /// The seed of everything random.
+    /// Seed of everything random.
     pub seed: u64,
-    /// So many lightweight members, the last ones, never say a word: planted.
+    /// Number of lightweight members, the last ones, that never send anything: a planted fault.
     pub silent: usize,
-    /// Set from outside, it ends the run early with an error.
+    /// Flag that ends the run early with an error once it is set.
     pub stop: Arc<AtomicBool>,
 }
 
 impl Plan {
-    /// Processes of the run.
+    /// Returns the number of processes of the run, including the harness itself.
     pub fn processes(&self) -> usize {
         1 + self.real + (self.members - self.real).div_ceil(self.per_process)
     }
 
-    /// The most that one process needs.
+    /// Returns the highest number of file descriptors that a process of the run needs.
     pub fn descriptors(&self) -> u64 {
         let lightweight = self.members - self.real;
         let own = BASE_DESCRIPTORS
@@ -144,7 +149,10 @@
         own.max(per_lightweight_process).max(SERVER_DESCRIPTORS)
     }
 
-    /// Errors name the flag and both numbers. `limit`: descriptors that a process may have.
+    /// Checks the parameters against their limits. `limit` is the number of file descriptors that a process may have.
+    ///
+    /// # Errors
+    /// Returns an error that names the flag, its value and its limit.
     pub fn check(&self, limit: u64) -> anyhow::Result<()> {
         let range = |flag: &str, value: usize, min: usize, max: usize| {
             anyhow::ensure!((min..=max).contains(&value), "{flag}: {value} is not from {min} to {max}");
@@ -160,7 +168,7 @@
         let processes = self.processes();
         anyhow::ensure!(
             processes <= MAX_PROCESSES,
-            "{processes} processes, {MAX_PROCESSES} may be: raise --per-process or lower --real"
+            "the run needs {processes} processes, at most {MAX_PROCESSES} are allowed: raise --per-process or lower --real"
         );
         let needed = self.descriptors();
         anyhow::ensure!(
@@ -172,35 +180,37 @@
     }
 }
 
-/// Who is who; all of it follows from a few numbers, the same in all processes.
+/// Names, sites, addresses and roles of all members. They follow from a few numbers, so that all processes of a run
+/// derive the same ones. Members are identified by an index from 0.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Fleet {
-    /// The network, 127.`net`.0.0/16.
+    /// Second byte of the network, 127.`net`.0.0/16.
     pub net: u8,
-    /// Members in all.
+    /// Number of members, real and lightweight.
     pub members: usize,
-    /// The first so many are real.
+    /// Number of real members, which have the lowest indices.
     pub real: usize,
-    /// The seed of everything random.
+    /// Seed of everything random.
     pub seed: u64,
-    /// All start within so many milliseconds.
+    /// Time over which the starts of the members are spread, in milliseconds.
     pub spread_ms: u64,
-    /// Members, the last ones, that never send anything.
+    /// Number of members, the last ones, that never send anything.
     pub silent: usize,
 }
 
 impl Fleet {
-    /// Names of one length, so that datagrams of both kinds compare.
+    /// Returns the name of a member. All names have the same length, so that the datagrams of real and lightweight
+    /// members have comparable lengths.
     pub fn name(&self, index: usize) -> String {
         format!("{}{index:04}", if index < self.real { 'n' } else { 'h' })
     }
 
-    /// The site of a member.
+    /// Returns the site of a member.
     pub fn site(&self, index: usize) -> &'static str {
         SITES[index % SITES.len()]
     }
 
-    /// Where a member receives datagrams.
+    /// Returns the address at which a member receives datagrams.
     pub fn gossip_address(&self, index: usize) -> SocketAddr {
         let (row, place) = match index.checked_sub(self.real) {
             None => (1, index),
@@ -211,48 +221,49 @@
         SocketAddr::from((Ipv4Addr::new(127, self.net, row as u8, place as u8 + 1), 7946))
     }
 
-    /// Where a real member accepts gateways.
+    /// Returns the address at which a real member accepts connections of gateways.
     pub fn gateway_address(&self, index: usize) -> SocketAddr {
         SocketAddr::new(self.gossip_address(index).ip(), 9000)
     }
 
-    /// The most members that the fleet may have.
+    /// Returns the highest number of members that the fleet may have.
     pub fn max_members(&self) -> usize {
         self.members * 2
     }
 
-    /// Of the ledger, and shared.
+    /// Returns the number of concurrent calls that the dependency serves, which is also the total of the shared limit.
     pub fn call_slots(&self) -> f64 {
         self.members as f64 * 2.0
     }
 
-    /// The first real ones, each in a site of its own.
+    /// Returns the names of the voters: the first real members, each in a site of its own.
     pub fn voters(&self) -> Vec<String> {
         (0..self.voter_count()).map(|index| self.name(index)).collect()
     }
 
-    /// The number of voters.
+    /// Returns the number of voters.
     pub fn voter_count(&self) -> usize {
         if self.real >= VOTERS { VOTERS } else { 1 }
     }
 
-    /// Addresses of the seed members.
+    /// Returns the addresses of the seed members.
     pub fn seed_addresses(&self) -> Vec<SocketAddr> {
         (0..self.real.min(SEED_MEMBERS)).map(|index| self.gossip_address(index)).collect()
     }
 
-    /// Whether a member never sends anything.
+    /// Returns whether a member never sends anything.
     pub fn is_silent(&self, index: usize) -> bool {
         index + self.silent >= self.members
     }
 
-    /// After the start of all.
+    /// Returns the time from the start of the run to the start of a member.
     pub fn start_delay(&self, index: usize) -> StdDuration {
         let drawn = Pcg::new(self.seed.wrapping_mul(1_000_003) ^ index as u64).draw();
         StdDuration::from_millis(u64::from(drawn) % self.spread_ms.max(1))
     }
 
-    /// As the server makes them of the operator's file that the real ones get.
+    /// Returns the configuration of a lightweight member, equal to the one that a server derives from the operator's
+    /// file of the real members.
     pub fn node_config(&self, index: usize) -> NodeConfig {
         NodeConfig {
             installation: Installation::new(INSTALLATION).expect("a short name"),
@@ -266,7 +277,7 @@
         }
     }
 
-    /// The quota configuration, as the server makes it of the operator's file.
+    /// Returns the quota configuration, equal to the one that a server derives from the operator's file.
     pub fn quota_config(&self) -> QuotaConfig {
         let voters = self.voters();
         QuotaConfig {
@@ -284,22 +295,23 @@
     }
 }
 
-/// What the real members say at one time: condition and bounds of the size; none without an answer.
+/// Answers of the real members to a query for their status at one time.
 pub struct FleetSnapshot {
-    /// From the start.
+    /// Time since the start of the run.
     pub elapsed: StdDuration,
-    /// What each real member said.
+    /// Local status and estimated fleet size that each real member reports; `None` without an answer.
     pub answers: Vec<Option<(LocalStatus, FleetSize)>>,
-    /// Processes that run: of lightweight members, then real ones.
+    /// Ids of the running processes: those of lightweight members, then the real servers.
     pub process_ids: Vec<u32>,
 }
 
 impl FleetSnapshot {
-    /// The fewest that one of them has for alive.
+    /// Returns the lowest number of alive members that a real member reports; 0 if one did not answer.
     pub fn min_alive(&self) -> usize {
         self.answers.iter().map(|answer| answer.map_or(0, |(_, size)| size.min)).min().unwrap_or(0)
     }
 
+    /// Returns whether all real members are healthy and report exactly this number of alive members.
     fn shows_all_alive(&self, members: usize) -> bool {
         let shows_all = |answer: &Option<(LocalStatus, FleetSize)>| {
             answer.is_some_and(|(status, size)| status == LocalStatus::Healthy && size.min == members)
@@ -308,29 +320,36 @@
     }
 }
 
-/// What came out of one size.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct Outcome {
+    /// Number of members, real and lightweight.
     pub members: usize,
+    /// Number of real members.
     pub real: usize,
+    /// Number of processes, including the harness itself.
     pub processes: usize,
-    /// From the start until every real member showed all as alive; none where that did not come.
+    /// Time from the start until every real member showed all members as alive; `None` if that did not happen.
     pub agreed_after: Option<StdDuration>,
-    /// Whom at least one real member did not show as alive when that came or was given up.
+    /// Names of the members that at least one real member did not show as alive when agreement was reached or given up.
     pub missing: BTreeSet<String>,
-    /// The same at the window's end.
+    /// Names of the members that at least one real member did not show as alive at the end of the window.
     pub missing_at_end: BTreeSet<String>,
+    /// Figures of the measuring window; `None` if its length is zero.
     pub figures: Option<Figures>,
-    /// The most of all processes together, in bytes.
+    /// Highest resident memory of all processes together, in bytes.
     pub max_memory_bytes: u64,
-    /// Requests that were acked, and tries that were sent.
+    /// Number of requests that succeeded, and number of attempts that were sent.
     pub requests: (usize, usize),
-    /// All processes that were started; none of them runs any more.
+    /// Ids of all processes that were started, all of which have ended.
     pub process_ids: Vec<u32>,
 }
 
-/// One run. `look` is told what the real members say while agreement is awaited, and may end that early.
-/// Errors: limits of the machine, processes that could not start or ended by themselves.
+/// Executes a plan. `observe` gets each snapshot of the fleet until the members agree, and may end this wait early.
+///
+/// # Errors
+/// Returns an error if the plan or the memory use exceeds a limit, if a process does not start, exits early or does not
+/// end properly, or if the run is stopped from outside.
 pub fn run(
     plan: &Plan,
     observe: &mut dyn FnMut(&FleetSnapshot) -> ControlFlow<()>,
@@ -338,7 +357,8 @@
     plan.check(process_usage::descriptor_limit()?)?;
     let run_number = RUNS.fetch_add(1, Ordering::Relaxed);
     let first_net = std::process::id().wrapping_mul(13) + run_number;
-    let (net, _claim) = crate::test_fleet::claim_net(first_net).context("a net of its own")?;
+    let (net, _claim) =
+        crate::test_fleet::claim_net(first_net).context("cannot claim a network in 127.0.0.0/8")?;
     let fleet = Fleet {
         net,
         members: plan.members,
@@ -352,6 +372,7 @@
     run.play(observe)
 }
 
+/// Temporary folder of a run, removed when the value is dropped unless `HAZELSPUR_KEEP` is set.
 struct TemporaryFolder(PathBuf);
 
 impl TemporaryFolder {
@@ -370,10 +391,11 @@
     }
 }
 
+/// Run in progress.
 struct Run<'a> {
     plan: &'a Plan,
     fleet: Fleet,
-    // Ended first.
+    // Declared before the lightweight members, so that the real servers end first.
     real_servers: RealServers,
     lightweight: Vec<LightweightProcess>,
     querier: FleetQuerier,
@@ -396,7 +418,9 @@
             )?);
         }
         for process in &mut lightweight {
-            process.wait_for_answer(PROCESS_ANSWER_TIMEOUT).context("are all addresses free?")?;
+            process
+                .wait_for_answer(PROCESS_ANSWER_TIMEOUT)
+                .context("lightweight members did not bind their addresses; another program may use them")?;
         }
         Ok(Self {
             plan,
@@ -437,7 +461,7 @@
             figures = Some(Figures::new(&self.fleet, allocator, &self.lightweight, &before, &after));
             missing_at_end = self.missing();
         }
-        let requests = self.real_servers.stop().context("the real members' ends")?;
+        let requests = self.real_servers.stop().context("cannot stop the real members")?;
         for process in &mut self.lightweight {
             process.stop(PROCESS_ANSWER_TIMEOUT)?;
         }
@@ -455,7 +479,8 @@
         })
     }
 
-    /// Starts the real members, each when it is its time, and waits until all show all as alive.
+    /// Starts the real members, each after its delay, and waits until all of them show all members as alive. Returns the
+    /// time from the start; `None` if the wait timed out or was ended by `observe`.
     fn start_until_agreed(
         &mut self,
         began: Instant,
@@ -498,6 +523,7 @@
         FleetSnapshot { elapsed: began.elapsed(), answers, process_ids: self.process_ids() }
     }
 
+    /// Returns the names of the members that at least one real member does not show as alive.
     fn missing(&mut self) -> BTreeSet<String> {
         let member_lists = self.querier.member_lists(&self.addresses(), MEMBER_LISTS_TIMEOUT);
         let mut missing = BTreeSet::new();
@@ -512,12 +538,15 @@
         missing
     }
 
-    /// Until then; fails where a process has ended by itself, memory is over its bound, or it is to stop.
+    /// Waits until a time.
+    ///
+    /// # Errors
+    /// Returns an error if a process has exited early, the memory use exceeds its limit, or the run is stopped.
     fn wait(&mut self, until: Instant) -> anyhow::Result<()> {
         loop {
             self.real_servers.check_running()?;
             self.lightweight.iter_mut().try_for_each(LightweightProcess::check_running)?;
-            anyhow::ensure!(!self.plan.stop.load(Ordering::Relaxed), "stopped from outside");
+            anyhow::ensure!(!self.plan.stop.load(Ordering::Relaxed), "the run was stopped by a signal");
             if Instant::now() >= self.memory_check_due {
                 self.memory_check_due = Instant::now() + MEMORY_CHECK_INTERVAL;
                 let ids = self.process_ids().into_iter().chain([std::process::id()]);
@@ -526,7 +555,7 @@
                 let limit = self.memory_limit_bytes;
                 anyhow::ensure!(
                     used_bytes <= limit,
-                    "all processes take {used_bytes} bytes, half of the machine is {limit}"
+                    "all processes use {used_bytes} bytes of memory, the limit is half of the machine, {limit}"
                 );
             }
             let left = until.saturating_duration_since(Instant::now());
@@ -537,6 +566,7 @@
         }
     }
 
+    /// Reads all counters and usages.
     fn read(&mut self) -> anyhow::Result<Reading> {
         for process in &mut self.lightweight {
             process.send_order(Order::Count)?;
--- a/crates/hazelspur-fault-harness/src/lightweight/processes.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/processes.rs
@@ -1,5 +1,5 @@
-//! The processes of one run: real servers with their test doubles, and those of lightweight members. Whatever is
-//! started here ends with the value that holds it.
+//! The processes of one run: real servers with their test doubles, and processes of lightweight members. A process is
+//! killed when the value that holds it is dropped.
 
 use super::member::{Counters, Order, Task};
 use super::{Fleet, INSTALLATION, KEY, Plan, QUOTA_LEASE_S, SHARED_LIMIT, STOP_MS, WORKER_CORES};
@@ -18,29 +18,35 @@
 
 /// Request timeout, in milliseconds.
 const REQUEST_TIMEOUT_MS: u64 = 3000;
-/// Time of a dependency call, in milliseconds.
+/// Duration of a dependency call, in milliseconds.
 const CALL_MS: f64 = 10.0;
-/// Time of a run, in milliseconds.
+/// Time that a worker takes to run a request, in milliseconds.
 const RUN_MS: u64 = 15;
-/// Concurrency limit of a worker, by core.
+/// Concurrency limit of a worker for each of its cores.
 const CONCURRENCY_LIMIT_PER_CORE: usize = 8;
-/// How often a process that was told to end is looked at.
+/// Pause between two checks for the exit of a process.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Real servers.
+/// Real servers with their workers and shared test doubles.
 pub struct RealServers {
     fleet: Fleet,
     server_binary: PathBuf,
+    /// Folder for configuration, operator's files and logs.
     pub folder: PathBuf,
+    /// Process of each server; `None` before its start and after its exit.
     processes: Vec<Option<Child>>,
     workers: Vec<Worker>,
     dependency: Dependency,
     registry: Registry,
+    /// Gateway that sends requests, once they have been started.
     gateway: Option<Gateway>,
 }
 
 impl RealServers {
-    /// All but the processes.
+    /// Writes the key file and starts the test doubles, but no server.
+    ///
+    /// # Errors
+    /// Returns an error if the key file cannot be written.
     pub fn new(plan: &Plan, fleet: &Fleet, folder: PathBuf) -> anyhow::Result<Self> {
         std::fs::write(folder.join("key"), KEY)?;
         let worker_settings = WorkerSettings {
@@ -62,7 +68,10 @@
         })
     }
 
-    /// Starts a real server.
+    /// Writes the files of a real server and starts it.
+    ///
+    /// # Errors
+    /// Returns an error if a file cannot be written or the process cannot be started.
     pub fn start(&mut self, index: usize) -> anyhow::Result<()> {
         let (fleet, name) = (&self.fleet, self.fleet.name(index));
         let path = |extension| self.folder.join(format!("{name}.{extension}"));
@@ -85,7 +94,7 @@
         let mut command = Command::new(&self.server_binary);
         command.env("ROUTER_CONFIG", path("json")).arg("--file").arg(path("star"));
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
-        let child = command.spawn().with_context(|| format!("{:?}", self.server_binary))?;
+        let child = command.spawn().with_context(|| format!("cannot start {:?}", self.server_binary))?;
         self.processes[index] = Some(child);
         Ok(())
     }
@@ -117,7 +126,7 @@
         .to_string()
     }
 
-    /// Requests a second over all of them, round and round.
+    /// Starts a gateway that sends `rate` requests per second to all listed servers; none if the rate is 0.
     pub fn start_requests(&mut self, rate: f64) {
         if rate <= 0.0 {
             return;
@@ -141,26 +150,32 @@
         self.gateway = Some(Gateway::start(0, gateway_settings, servers, list_servers, self.fleet.seed));
     }
 
-    /// Process ids of the real servers.
+    /// Returns the process ids of the real servers; `None` for one that does not run.
     pub fn ids(&self) -> Vec<Option<u32>> {
         self.processes.iter().map(|child| child.as_ref().map(Child::id)).collect()
     }
 
-    /// Fails where one has ended by itself.
+    /// Checks that no server has exited.
+    ///
+    /// # Errors
+    /// Returns an error with the last line of the log of a server that has exited.
     pub fn check_running(&mut self) -> anyhow::Result<()> {
         for (index, child) in self.processes.iter_mut().enumerate() {
             let Some(status) = child.as_mut().map(Child::try_wait).transpose()?.flatten() else { continue };
             *child = None;
             let name = self.fleet.name(index);
             let log = std::fs::read_to_string(self.folder.join(format!("{name}.log"))).unwrap_or_default();
-            let last_line = log.lines().last().unwrap_or("it said nothing");
-            anyhow::bail!("{name} ended by itself, {status}: {last_line}");
+            let last_line = log.lines().last().unwrap_or("its log is empty");
+            anyhow::bail!("{name} exited early with {status}; last line of its log: {last_line}");
         }
         Ok(())
     }
 
-    /// All leave in good order; how many requests were acked and how many sent. Fails where one had to be killed
-    /// or ended badly.
+    /// Stops the requests and all servers. Returns the number of requests that succeeded and the number of attempts that
+    /// were sent.
+    ///
+    /// # Errors
+    /// Returns an error if a server had to be killed or did not exit with status 0.
     pub fn stop(&mut self) -> anyhow::Result<(usize, usize)> {
         let attempts = self.gateway.take().map(|mut gateway| gateway.finish()).unwrap_or_default();
         let is_acked = |attempt: &&hazelspur_test_doubles::gateway::Attempt| {
@@ -168,7 +183,7 @@
         };
         let requests = (attempts.iter().filter(is_acked).count(), attempts.len());
         for child in self.processes.iter().flatten() {
-            // Not waited for yet, so the number is still its own.
+            // The process has not been waited for yet, so its id cannot have been reused.
             let _ = kill(Pid::from_raw(child.id() as i32), Signal::SIGTERM);
         }
         let deadline = Instant::now() + Duration::from_millis(STOP_MS + 8000);
@@ -187,7 +202,7 @@
                 let _ = child.wait();
             }
             if !status.is_some_and(|status| status.success()) {
-                failures.push(format!("{} ended with {status:?}", self.fleet.name(index)));
+                failures.push(format!("{} exited with {status:?}", self.fleet.name(index)));
             }
         }
         anyhow::ensure!(failures.is_empty(), failures.join("; "));
@@ -204,22 +219,28 @@
     }
 }
 
-/// One process of lightweight members.
+/// Process of lightweight members.
 pub struct LightweightProcess {
     child: Child,
     orders: Option<ChildStdin>,
     answers: Receiver<String>,
+    /// Index in the fleet of the first member.
     pub first_member: usize,
+    /// Number of members.
     pub count: usize,
 }
 
 impl LightweightProcess {
-    /// Returns at once; the first answer says that all sockets are there.
+    /// Starts the process and sends it its task, without waiting. Its first answer means that all sockets are bound.
+    ///
+    /// # Errors
+    /// Returns an error if the process cannot be started or its input cannot be written.
     pub fn start(plan: &Plan, task: &Task) -> anyhow::Result<Self> {
         let mut command = Command::new(&plan.own_binary);
         command.arg(super::command::MEMBERS_SUBCOMMAND).stdin(Stdio::piped()).stdout(Stdio::piped());
-        let mut child = command.spawn().with_context(|| format!("{:?}", plan.own_binary))?;
-        let (mut orders, output) = (child.stdin.take(), child.stdout.take().context("its output")?);
+        let mut child = command.spawn().with_context(|| format!("cannot start {:?}", plan.own_binary))?;
+        let (mut orders, output) =
+            (child.stdin.take(), child.stdout.take().context("lightweight members have no output")?);
         let (answer_sender, answers) = sync_channel(1);
         std::thread::spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
@@ -231,51 +252,74 @@
         let task_line = serde_json::to_string(task)?;
         let sent = orders.as_mut().map(|orders| writeln!(orders, "{task_line}"));
         let process = Self { child, orders, answers, first_member: task.first_member, count: task.count };
-        sent.context("its input")?.context("its input")?;
+        sent.context("lightweight members have no input")?
+            .context("cannot write to the input of lightweight members")?;
         Ok(process)
     }
 
-    /// Its process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends an order.
+    /// Sends an order, without waiting for the answer.
+    ///
+    /// # Errors
+    /// Returns an error if the input of the process cannot be written.
     pub fn send_order(&mut self, order: Order) -> anyhow::Result<()> {
         let line = serde_json::to_string(&order)?;
-        writeln!(self.orders.as_mut().context("its input")?, "{line}").context("hollow members' input")
+        writeln!(self.orders.as_mut().context("lightweight members have no input")?, "{line}")
+            .context("cannot write to the input of lightweight members")
     }
 
-    /// Waits for the answer to an order.
+    /// Waits for the answer to the task or an order.
+    ///
+    /// # Errors
+    /// Returns an error if no answer comes within the timeout, or it is not valid.
     pub fn wait_for_answer(&mut self, timeout: Duration) -> anyhow::Result<Counters> {
         let line = self.answers.recv_timeout(timeout);
-        let line = line.with_context(|| format!("hollow members from {}: no answer", self.first_member))?;
+        let line = line.with_context(|| {
+            format!("lightweight members from {}: no answer within {timeout:?}", self.first_member)
+        })?;
         Ok(serde_json::from_str(&line)?)
     }
 
-    /// Fails where the process has ended.
+    /// Checks that the process has not exited.
+    ///
+    /// # Errors
+    /// Returns an error with its exit status if it has.
     pub fn check_running(&mut self) -> anyhow::Result<()> {
         let status = self.child.try_wait()?;
         anyhow::ensure!(
             status.is_none(),
-            "hollow members from {}: ended by itself, {status:?}",
+            "lightweight members from {}: exited early with {status:?}",
             self.first_member
         );
         Ok(())
     }
 
-    /// Ends its input, and waits until it has ended.
+    /// Closes the input of the process and waits for its exit.
+    ///
+    /// # Errors
+    /// Returns an error if the process does not exit within the timeout, or not with status 0.
     pub fn stop(&mut self, timeout: Duration) -> anyhow::Result<()> {
         self.orders = None;
         let deadline = Instant::now() + timeout;
         while Instant::now() < deadline {
             if let Some(status) = self.child.try_wait()? {
-                anyhow::ensure!(status.success(), "hollow members from {}: {status}", self.first_member);
+                anyhow::ensure!(
+                    status.success(),
+                    "lightweight members from {}: exited with {status}",
+                    self.first_member
+                );
                 return Ok(());
             }
             std::thread::sleep(EXIT_POLL_INTERVAL);
         }
-        anyhow::bail!("hollow members from {}: did not end by themselves", self.first_member)
+        anyhow::bail!(
+            "lightweight members from {}: no exit within {timeout:?} of the end of the input",
+            self.first_member
+        )
     }
 }
 
--- a/crates/hazelspur-fault-harness/tests/hollow.rs
+++ b/crates/hazelspur-fault-harness/tests/hollow.rs
@@ -1,5 +1,6 @@
-//! A small fleet of real and hollow members. Waits are for events with generous ends. The server's program
-//! is the one beside ours, where a test of the whole workspace puts it; otherwise it is built first.
+//! Tests of a small fleet of real and lightweight members, which the printed figures call hollow. Waits are for events,
+//! with generous timeouts. The server program is the one in the folder of the harness, where a test of the whole
+//! workspace puts it; if it is missing there, it is built first.
 
 use hazelspur_fault_harness::lightweight::figures::{Role, describe, points};
 use hazelspur_fault_harness::lightweight::{FleetSnapshot, Outcome, Plan, run};
@@ -18,14 +19,14 @@
         if server_binary.exists() {
             return;
         }
-        let profile_folder = own_binary.parent().expect("the profile's folder");
+        let profile_folder = own_binary.parent().expect("the program is in a profile folder");
         let mut build = Command::new(env!("CARGO"));
         build.args(["build", "--locked", "-p", "hazelspur-server", "--target-dir"]);
-        build.arg(profile_folder.parent().expect("the target folder"));
+        build.arg(profile_folder.parent().expect("the profile folder is in the target folder"));
         if profile_folder.ends_with("release") {
             build.arg("--release");
         }
-        assert!(build.status().expect("cargo starts").success(), "hazelspur-server is built");
+        assert!(build.status().expect("cargo starts").success(), "building hazelspur-server failed");
     });
     server_binary
 }
@@ -56,7 +57,7 @@
 fn assert_all_ended(ids: &[u32]) {
     for id in ids {
         let program = std::fs::read_link(format!("/proc/{id}/exe")).unwrap_or_default();
-        assert!(!program.to_string_lossy().contains("hazelspur"), "{id} still runs");
+        assert!(!program.to_string_lossy().contains("hazelspur"), "process {id} still runs");
     }
 }
 
@@ -68,19 +69,22 @@
 #[test]
 fn small_fleet_agrees_its_counts_add_up_and_all_processes_end() {
     let plan = Plan { window: Duration::from_millis(1500), rate: 4.0, ..plan() };
-    let outcome = run(&plan, &mut ignore_snapshot).expect("it runs");
+    let outcome = run(&plan, &mut ignore_snapshot).expect("the run succeeds");
     assert_agreed(&outcome);
     assert_eq!((outcome.processes, outcome.process_ids.len()), (5, 4));
     assert_all_ended(&outcome.process_ids);
 
-    let figures = outcome.figures.as_ref().expect("a window");
+    let figures = outcome.figures.as_ref().expect("a window was measured");
     assert_eq!(figures.with_role(Role::Lightweight).count(), 30);
     assert_eq!(figures.members.len(), 32);
     assert_eq!((figures.not_accepted, figures.unsent), (0, 0));
-    // What hollow members got is what they got of each sender, to the datagram.
+    // The traffic that lightweight members received, counted by receiver and by sender, must be the same.
     let received: f64 = figures.with_role(Role::Lightweight).map(|member| member.received.datagrams).sum();
     let by_sender: f64 = figures.members.iter().map(|member| member.seen_by_lightweight.datagrams).sum();
-    assert!(received > 0.0 && (received - by_sender).abs() < 1e-6, "{received} {by_sender}");
+    assert!(
+        received > 0.0 && (received - by_sender).abs() < 1e-6,
+        "{received} datagrams by receiver, {by_sender} by sender"
+    );
     let total = |figure: fn(&_) -> f64| figures.members.iter().map(figure).sum::<f64>();
     let received: f64 = figures.with_role(Role::Lightweight).map(|member| member.received.bytes).sum();
     assert!((received - total(|member| member.seen_by_lightweight.bytes)).abs() < 1e-3);
@@ -93,10 +97,11 @@
     let points = points(&outcome, plan.seed);
     let names: BTreeSet<&str> = points.iter().filter_map(|point| point["figure"].as_str()).collect();
     for name in ["agree_s", "hollow.bytes_out_per_s", "hollow.cpu_share", "difference.bytes"] {
-        assert!(names.contains(format!("members.{name}").as_str()), "{name} of {names:?}");
+        assert!(names.contains(format!("members.{name}").as_str()), "{name} is not among {names:?}");
     }
     for point in &points {
-        let keys: Vec<&str> = point.as_object().expect("an object").keys().map(String::as_str).collect();
+        let keys: Vec<&str> =
+            point.as_object().expect("a point is an object").keys().map(String::as_str).collect();
         assert_eq!(keys, ["by", "case", "figure", "seed", "size", "unit", "value"]);
     }
 }
@@ -111,7 +116,7 @@
             ControlFlow::Continue(())
         }
     };
-    let outcome = run(&plan, &mut stop_when_others_are_alive).expect("it runs");
+    let outcome = run(&plan, &mut stop_when_others_are_alive).expect("the run succeeds");
     assert_eq!(outcome.agreed_after, None);
     assert_eq!(outcome.missing, ["h0031".to_string()].into());
     assert!(describe(&outcome).contains("missing 1: h0031"), "{}", describe(&outcome));
@@ -125,13 +130,13 @@
         if ids.is_empty() {
             ids = snapshot.process_ids.clone();
             let process = nix::unistd::Pid::from_raw(ids[0] as i32);
-            nix::sys::signal::kill(process, nix::sys::signal::Signal::SIGKILL).expect("it runs");
+            nix::sys::signal::kill(process, nix::sys::signal::Signal::SIGKILL).expect("the process runs");
         }
         ControlFlow::Continue(())
     };
-    // One more than there are can't be agreed on.
-    let error = run(&Plan { silent: 1, ..plan() }, &mut kill_one).expect_err("one has died");
-    assert!(format!("{error:#}").contains("hollow members from 2: ended by itself"), "{error:#}");
+    // With a silent member the fleet cannot agree, so the run still waits when the process is killed.
+    let error = run(&Plan { silent: 1, ..plan() }, &mut kill_one).expect_err("a process was killed");
+    assert!(format!("{error:#}").contains("lightweight members from 2: exited early"), "{error:#}");
     assert_eq!(ids.len(), 4);
     assert_all_ended(&ids);
 }
@@ -151,10 +156,10 @@
     assert!(allowed.check(656).is_ok());
     let errors: Vec<String> = over_a_limit
         .iter()
-        .map(|(plan, limit)| plan.check(*limit).expect_err("over it").to_string())
+        .map(|(plan, limit)| plan.check(*limit).expect_err("the plan is over a limit").to_string())
         .collect();
     expect_test::expect![[r#"
-        183 processes, 100 may be: raise --per-process or lower --real
+        the run needs 183 processes, at most 100 are allowed: raise --per-process or lower --real
         a process needs 648 descriptors, its limit is 600: raise it (ulimit -n), or lower --per-process or --real
         --members: 24 is not from 25 to 2048
         --real: 91 is not from 1 to 90
