--- a/crates/hazelspur-fault-harness/src/endings/checker.rs
+++ b/crates/hazelspur-fault-harness/src/endings/checker.rs
@@ -1,43 +1,45 @@
-//! The rules over the evidence of one run. What the server says of itself does not count, except for deliveries that
-//! it counts as lost.
+//! Checks the evidence of one run against the rules of the service. The evidence comes from the clients, the test
+//! doubles and the operating system. From the log of the server only its errors and its count of lost deliveries are
+//! used.
 
 use super::client::{Answer, Connection, Sent};
-use super::plan::{Class, GRACE_MS};
+use super::plan::{Class, GRACE_PERIOD_MS};
 use super::server::{End, MAX_DESCRIPTORS, MAX_MEMORY_MB};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
 
-/// A request that is written so shortly before the close of its connection crosses it, in milliseconds.
-const CROSSING_MS: u64 = 50;
-/// Each time limit is so much longer on sockets, in milliseconds.
-const SLACK_MS: u64 = 50;
+/// Longest time from the writing of a request to the close of its connection for which the two may have crossed on
+/// the way, in milliseconds.
+const MAX_CROSSING_MS: u64 = 50;
+/// Tolerance added to each time limit for the delay of sockets, in milliseconds.
+const TOLERANCE_MS: u64 = 50;
 
-/// A rule of the service.
+/// Rule of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// One final response to each request, in time.
+    /// Each request gets one final response in time, and no response belongs to no request.
     OneResponse,
-    /// No effect twice, and nothing rejected that ran.
+    /// No effect takes place twice, and no request that ran is answered as rejected.
     OneEffect,
-    /// Nothing that arrived past the grace period runs.
+    /// No request that arrived after the end of the grace period runs.
     GracePeriod,
-    /// Each delivery is settled once, or still at the broker.
+    /// Each delivery is settled once, or is still at the broker.
     Deliveries,
-    /// The process ends in good order before its kill.
+    /// The process exits with status 0 before its kill, without an error in its log.
     End,
-    /// Memory, descriptors and files stay in their limits.
+    /// Memory and file descriptors stay within their limits, and no temporary files are left.
     Limits,
 }
 
-/// A broken rule.
+/// Violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// The rule.
+    /// Rule that was violated.
     pub rule: Rule,
-    /// The request, if it is about one.
+    /// Id of the request at the worker; `None` for a breach by the server as a whole.
     pub request: Option<String>,
-    /// What was seen.
+    /// Description of the observation that violates the rule.
     pub seen: String,
 }
 
@@ -47,116 +49,121 @@
     }
 }
 
-/// What a run left to be judged.
+/// Observations of one run.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// Just after SIGTERM was sent, in Unix milliseconds.
+    /// Time just after SIGTERM was sent, in Unix milliseconds.
     pub notice_ms: u64,
-    /// When SIGKILL was due.
+    /// Time at which SIGKILL was due, in Unix milliseconds.
     pub kill_ms: u64,
-    /// The clients' connections.
+    /// Connections of the clients.
     pub connections: Vec<Connection>,
-    /// When the worker started each request.
-    pub started: BTreeMap<String, u64>,
-    /// How often each body ran.
-    pub runs: BTreeMap<String, usize>,
-    /// What the broker's checker found.
+    /// Time at which the worker started each request, in Unix milliseconds, by the id of the request.
+    pub started_ms: BTreeMap<String, u64>,
+    /// Number of times that the worker ran each request body.
+    pub runs_by_body: BTreeMap<String, usize>,
+    /// Breaches that the checker of the broker found.
     pub queue_breaches: Vec<String>,
-    /// How the process ended.
+    /// Exit of the process and its use of resources.
     pub end: End,
-    /// How long the next process took to serve; `None` where it did not, or was not tried.
+    /// Time from the restart of the server until it was ready; `None` if it did not become ready or was not restarted.
     pub ready_after: Option<Duration>,
-    /// The log of the server.
+    /// Log of the server.
     pub log: String,
 }
 
 impl Evidence {
-    /// All breaches.
+    /// Returns all breaches.
     pub fn breaches(&self) -> Vec<Breach> {
-        let mut found = Vec::new();
+        let mut breaches = Vec::new();
         for connection in &self.connections {
-            self.check_connection(connection, &mut found);
+            self.check_connection(connection, &mut breaches);
         }
-        self.check_effects(&mut found);
-        let of_queue = |seen: &String| Breach { rule: Rule::Deliveries, request: None, seen: seen.clone() };
-        found.extend(self.queue_breaches.iter().map(of_queue));
-        self.check_process(&mut found);
-        found
+        self.check_effects(&mut breaches);
+        let queue_breach =
+            |seen: &String| Breach { rule: Rule::Deliveries, request: None, seen: seen.clone() };
+        breaches.extend(self.queue_breaches.iter().map(queue_breach));
+        self.check_process(&mut breaches);
+        breaches
     }
 
-    /// Requests that were sent whole.
+    /// Returns the requests that were written completely, without health checks.
     pub fn requests(&self) -> impl Iterator<Item = &Sent> {
         let sent = self.connections.iter().flat_map(|connection| &connection.sent);
         sent.filter(|sent| sent.class.is_some() && sent.sent_ms != u64::MAX)
     }
 
-    /// How many requests had this answer.
-    pub fn count(&self, answer: Answer) -> usize {
+    /// Returns the number of requests whose first answer was this one.
+    pub fn count_answered(&self, answer: Answer) -> usize {
         self.requests().filter(|sent| sent.answers.first().is_some_and(|(first, _)| *first == answer)).count()
     }
 
-    fn check_connection(&self, connection: &Connection, found: &mut Vec<Breach>) {
+    fn check_connection(&self, connection: &Connection, breaches: &mut Vec<Breach>) {
         for sent in connection.sent.iter().filter(|sent| sent.sent_ms != u64::MAX) {
             let mut report = |rule, seen: String| {
                 let request = Some(sent.request.clone());
-                found.push(Breach { rule, request, seen });
+                breaches.push(Breach { rule, request, seen });
             };
             match &sent.answers[..] {
-                [] if self.started.contains_key(&sent.request) => {
+                [] if self.started_ms.contains_key(&sent.request) => {
                     report(Rule::OneResponse, "ran, and had no answer".into());
                 }
-                [] if self.is_excused(connection, sent) => {}
+                [] if self.crossed_close(connection, sent) => {}
                 [] => {
-                    let at = sent.sent_ms as i64 - self.notice_ms as i64;
+                    let sent_at = sent.sent_ms as i64 - self.notice_ms as i64;
                     let closed = connection.closed_ms.map(|closed| closed as i64 - self.notice_ms as i64);
                     let reset = connection.reset;
                     report(
                         Rule::OneResponse,
-                        format!("sent at {at} ms, closed {closed:?}, reset {reset}: no answer"),
+                        format!("sent at {sent_at} ms, closed {closed:?}, reset {reset}: no answer"),
                     );
                 }
-                [(_, came_ms)] if *came_ms > sent.due_ms + SLACK_MS => {
-                    report(Rule::OneResponse, format!("answered {} ms late", came_ms - sent.due_ms));
+                [(_, answered_ms)] if *answered_ms > sent.due_ms + TOLERANCE_MS => {
+                    report(Rule::OneResponse, format!("answered {} ms late", answered_ms - sent.due_ms));
                 }
                 [_] => {}
                 answers => report(Rule::OneResponse, format!("{} answers", answers.len())),
             }
             let was_rejected = sent.answers.iter().any(|(answer, _)| *answer == Answer::Rejected);
-            if was_rejected && self.started.contains_key(&sent.request) {
+            if was_rejected && self.started_ms.contains_key(&sent.request) {
                 report(Rule::OneEffect, "rejected though it ran".into());
             }
-            let grace_ends_ms = self.notice_ms.saturating_add_signed(GRACE_MS) + SLACK_MS;
-            if sent.sent_ms > grace_ends_ms && self.started.contains_key(&sent.request) {
-                let past = sent.sent_ms - grace_ends_ms;
-                report(Rule::GracePeriod, format!("ran, though it arrived {past} ms past the grace period"));
+            let grace_ends_ms = self.notice_ms.saturating_add_signed(GRACE_PERIOD_MS) + TOLERANCE_MS;
+            if sent.sent_ms > grace_ends_ms && self.started_ms.contains_key(&sent.request) {
+                let past_ms = sent.sent_ms - grace_ends_ms;
+                report(
+                    Rule::GracePeriod,
+                    format!("ran, though it arrived {past_ms} ms past the grace period"),
+                );
             }
         }
-        if connection.strays > 0 {
-            let seen = format!("{} answers to nothing that was sent", connection.strays);
-            found.push(Breach { rule: Rule::OneResponse, request: None, seen });
+        if connection.unmatched_answers > 0 {
+            let seen = format!("{} answers to nothing that was sent", connection.unmatched_answers);
+            breaches.push(Breach { rule: Rule::OneResponse, request: None, seen });
         }
     }
 
-    /// Whether a request without an answer crossed the close of its connection, or is still in time.
-    fn is_excused(&self, connection: &Connection, sent: &Sent) -> bool {
-        // A close by the kill is judged by the end of the process.
-        connection.closed_ms.is_some_and(|closed| closed <= sent.sent_ms + CROSSING_MS)
+    /// Returns whether a request without an answer may have crossed the close of its connection, so that the server
+    /// never read it.
+    fn crossed_close(&self, connection: &Connection, sent: &Sent) -> bool {
+        // A close by the kill counts as well: `Rule::End` covers the kill.
+        connection.closed_ms.is_some_and(|closed| closed <= sent.sent_ms + MAX_CROSSING_MS)
     }
 
-    fn check_effects(&self, found: &mut Vec<Breach>) {
+    fn check_effects(&self, breaches: &mut Vec<Breach>) {
         for sent in self.requests().filter(|sent| sent.class != Some(Class::View)) {
-            let runs = self.runs.get(&sent.effect).copied().unwrap_or(0);
+            let runs = self.runs_by_body.get(&sent.effect).copied().unwrap_or(0);
             if runs > 1 {
                 let (request, seen) =
                     (Some(sent.request.clone()), format!("{} ran {runs} times", sent.effect));
-                found.push(Breach { rule: Rule::OneEffect, request, seen });
+                breaches.push(Breach { rule: Rule::OneEffect, request, seen });
             }
         }
     }
 
-    fn check_process(&self, found: &mut Vec<Breach>) {
+    fn check_process(&self, breaches: &mut Vec<Breach>) {
         let End { killed, status, memory_kb, descriptors, files_left } = self.end;
-        let mut report = |rule, seen| found.push(Breach { rule, request: None, seen });
+        let mut report = |rule, seen| breaches.push(Breach { rule, request: None, seen });
         if killed {
             report(Rule::End, "alive when its kill was due".into());
         } else if status != Some(0) {
@@ -171,7 +178,7 @@
         if files_left > 0 {
             report(Rule::Limits, format!("{files_left} files left"));
         }
-        // A file that is refused is an error of the file.
+        // The plan writes incomplete configuration files, so a rejected reload is expected.
         let is_fault =
             |line: &&str| line.split(' ').nth(1) == Some("error") && !line.contains("reload refused");
         for line in self.log.lines().filter(is_fault) {
--- a/crates/hazelspur-fault-harness/src/endings/command.rs
+++ b/crates/hazelspur-fault-harness/src/endings/command.rs
@@ -1,4 +1,5 @@
-//! The subcommand `endings`: plays seeds, shows how far it is, keeps what fails, and sums up.
+//! The subcommand `endings`: runs the plans of many seeds, shows the progress, writes a report for each seed that fails,
+//! and prints a summary.
 
 use super::checker::{Breach, Evidence, Rule};
 use super::client::Answer;
@@ -14,73 +15,74 @@
 use std::time::{Duration, Instant};
 use tokio::signal::unix::SignalKind;
 
-/// The most seeds of one call.
+/// Highest number of seeds of one call.
 const MAX_SEEDS: u64 = 100_000;
-/// The most runs at a time.
+/// Highest number of concurrent runs.
 const MAX_JOBS: usize = 16;
-/// A restarted server serves within this time in nine of ten cases.
-const READY_TIME: Duration = Duration::from_secs(10);
-/// Breaches of a seed that are printed.
-const MAX_PRINTED: usize = 5;
-/// Runs that shrinking may take.
+/// Time within which at least nine of ten restarted servers must be ready.
+const MAX_READY_TIME: Duration = Duration::from_secs(10);
+/// Highest number of breaches that are printed for one seed.
+const MAX_PRINTED_BREACHES: usize = 5;
+/// Highest number of runs for shrinking one plan.
 const MAX_SHRINKING_RUNS: usize = 60;
-/// Time between two lines of progress where standard error is no terminal.
+/// Shortest time between two lines of progress if standard error is not a terminal.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(10);
-/// Set by an interrupt: no run is begun any more, and those under way end their processes.
+/// Set by SIGINT: no further run begins, and the runs in progress don't restart their server.
 static INTERRUPTED: AtomicBool = AtomicBool::new(false);
 
-/// Options of the soak.
+/// Options of `endings`.
 #[derive(Args)]
 pub struct Options {
-    /// The first seed.
+    /// First seed.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// How many seeds are played.
+    /// Number of consecutive seeds to run.
     #[arg(long, default_value_t = 50)]
     pub seeds: u64,
-    /// Runs at a time.
+    /// Number of concurrent runs.
     #[arg(long, default_value_t = 4)]
     pub jobs: usize,
-    /// Parts of the plan that are left out, as a failing seed's report names them.
+    /// Numbers of the parts of each plan to leave out, as printed by --shrink.
     #[arg(long, value_delimiter = ',')]
     pub without: Vec<usize>,
-    /// Leaves parts of a failing plan out, one by one, while it goes on failing.
+    /// Shrinks a failing plan: leaves out its parts one by one as long as it still fails.
     #[arg(long)]
     pub shrink: bool,
-    /// Where reports of failing seeds are kept.
+    /// Folder for the reports of failing seeds.
     #[arg(long, default_value_os_t = std::env::temp_dir())]
     pub reports: PathBuf,
-    /// The server's program; otherwise the one beside this.
+    /// Server program; by default `hazelspur-server` in the folder of this program.
     #[arg(long)]
     pub server: Option<PathBuf>,
 }
 
-/// What all runs came to.
+/// Summary of all runs.
 #[derive(Debug, Default)]
 pub struct Summary {
-    /// Runs that came to their end.
+    /// Number of runs that were completed.
     pub played: u64,
-    /// Runs that could not be played, with why.
-    pub unplayed: Vec<String>,
-    /// Failed seeds.
+    /// Runs that could not be completed: seed and error of each.
+    pub not_played: Vec<String>,
+    /// Seeds with a breach.
     pub failed: Vec<u64>,
-    /// Breaches by rule.
-    pub by_rule: BTreeMap<Rule, usize>,
-    /// Requests by their answer; those without are `None`.
+    /// Number of breaches by rule.
+    pub breaches_by_rule: BTreeMap<Rule, usize>,
+    /// Number of requests by the name of their answer; requests without an answer are not counted.
     answers: BTreeMap<&'static str, usize>,
-    /// Requests that met the instants that matter.
+    /// Number of requests that met each critical instant.
     instants: Instants,
-    /// Steps of all plans that were played, by kind.
+    /// Number of steps of all completed runs, by kind.
     steps: BTreeMap<&'static str, usize>,
-    /// When progress was last shown.
+    /// Time at which progress was last shown; `None` before the first time.
     progress_shown_at: Option<Instant>,
-    /// Servers that came back, and those that did so in time.
-    back: usize,
-    back_in_time: usize,
+    /// Number of completed runs, each of which restarts its server at the end.
+    restarted: usize,
+    /// Number of restarted servers that were ready within `MAX_READY_TIME`.
+    ready_in_time: usize,
 }
 
-/// Notes an interrupt from now on, on a thread of its own.
-fn note_interrupts() -> std::io::Result<()> {
+/// Starts a thread that sets `INTERRUPTED` at the first SIGINT.
+fn watch_for_interrupt() -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let mut interrupt = {
         let _entered = runtime.enter();
@@ -94,25 +96,37 @@
 }
 
 impl Options {
-    /// Plays the seeds; returns whether all rules held.
+    /// Runs the plans of all seeds and prints the summary. Returns whether all runs were completed and all rules held.
     ///
     /// # Errors
-    /// Names the option that is not possible, with its bound.
+    /// Returns an error if an option is out of its bounds, names a missing file or folder, or if SIGINT cannot be
+    /// handled.
     pub fn run(self) -> anyhow::Result<bool> {
         let program = self.program()?;
-        anyhow::ensure!((1..=MAX_SEEDS).contains(&self.seeds), "--seeds {}: 1 to {MAX_SEEDS}", self.seeds);
-        anyhow::ensure!((1..=MAX_JOBS).contains(&self.jobs), "--jobs {}: 1 to {MAX_JOBS}", self.jobs);
-        anyhow::ensure!(self.reports.is_dir(), "--reports {:?}: no such folder", self.reports);
-        note_interrupts()?;
+        anyhow::ensure!(
+            (1..=MAX_SEEDS).contains(&self.seeds),
+            "--seeds {} is not from 1 to {MAX_SEEDS}",
+            self.seeds
+        );
+        anyhow::ensure!(
+            (1..=MAX_JOBS).contains(&self.jobs),
+            "--jobs {} is not from 1 to {MAX_JOBS}",
+            self.jobs
+        );
+        anyhow::ensure!(self.reports.is_dir(), "--reports {:?} is not a folder", self.reports);
+        watch_for_interrupt()?;
         let summary = self.play_all(&program);
         print!("{}", summary.report(self.seeds));
-        Ok(summary.holds(self.seeds))
+        Ok(summary.passed(self.seeds))
     }
 
     fn program(&self) -> anyhow::Result<PathBuf> {
-        let beside = std::env::current_exe()?.with_file_name("hazelspur-server");
-        let program = self.server.clone().unwrap_or(beside);
-        anyhow::ensure!(program.exists(), "--server {program:?}: build it, or name another");
+        let default_path = std::env::current_exe()?.with_file_name("hazelspur-server");
+        let program = self.server.clone().unwrap_or(default_path);
+        anyhow::ensure!(
+            program.exists(),
+            "--server {program:?} does not exist: build it, or name another program"
+        );
         Ok(program)
     }
 
@@ -127,22 +141,22 @@
                         if seed >= self.seed.saturating_add(self.seeds) {
                             break;
                         }
-                        let plan = Plan::drawn(seed).without(&self.without);
+                        let plan = Plan::from_seed(seed).without(&self.without);
                         let result = play(program, &plan, &INTERRUPTED);
-                        let mut summary = summary.lock().expect("no panic before");
+                        let mut summary = summary.lock().expect("no thread of the soak has panicked");
                         match result {
-                            Ok(evidence) => self.note(&mut summary, program, &plan, &evidence),
-                            Err(why) => summary.unplayed.push(format!("seed {seed}: {why:#}")),
+                            Ok(evidence) => self.record(&mut summary, program, &plan, &evidence),
+                            Err(why) => summary.not_played.push(format!("seed {seed}: {why:#}")),
                         }
                         summary.show_progress(self.seeds);
                     }
                 });
             }
         });
-        summary.into_inner().expect("no panic before")
+        summary.into_inner().expect("no thread of the soak has panicked")
     }
 
-    fn note(&self, summary: &mut Summary, program: &Path, plan: &Plan, evidence: &Evidence) {
+    fn record(&self, summary: &mut Summary, program: &Path, plan: &Plan, evidence: &Evidence) {
         let breaches = evidence.breaches();
         summary.add(plan, evidence, &breaches);
         if breaches.is_empty() {
@@ -151,22 +165,23 @@
         summary.failed.push(plan.seed);
         let file = self.reports.join(format!("hazelspur-endings-seed-{}.txt", plan.seed));
         println!("\n{plan}\n  again: hazelspur-fault-harness endings --seed {} --seeds 1", plan.seed);
-        breaches.iter().take(MAX_PRINTED).for_each(|breach| println!("  {breach}"));
+        breaches.iter().take(MAX_PRINTED_BREACHES).for_each(|breach| println!("  {breach}"));
         println!("  report: {}", file.display());
-        if let Err(why) = std::fs::write(&file, report(plan, evidence, &breaches)) {
+        if let Err(why) = std::fs::write(&file, failure_report(plan, evidence, &breaches)) {
             println!("  the report was not kept: {why}");
         }
         if self.shrink {
             let without = shrunk(program, plan);
-            println!("  least: --seed {} --seeds 1 --without {}", plan.seed, join(&without));
+            println!("  least: --seed {} --seeds 1 --without {}", plan.seed, join_numbers(&without));
         }
     }
 }
 
-/// The parts that can be left out, one by one, of a plan that fails.
+/// Returns the parts that can be left out of a failing plan so that it still fails; tries them one by one, from the
+/// last one.
 fn shrunk(program: &Path, plan: &Plan) -> Vec<usize> {
     let mut without = Vec::new();
-    for part in (0..plan.parts()).rev().take(MAX_SHRINKING_RUNS) {
+    for part in (0..plan.part_count()).rev().take(MAX_SHRINKING_RUNS) {
         let fewer = [&without[..], &[part]].concat();
         let still_fails = play(program, &plan.without(&fewer), &INTERRUPTED)
             .is_ok_and(|evidence| !evidence.breaches().is_empty());
@@ -177,11 +192,11 @@
     without
 }
 
-fn join(numbers: &[usize]) -> String {
+fn join_numbers(numbers: &[usize]) -> String {
     numbers.iter().map(usize::to_string).collect::<Vec<_>>().join(",")
 }
 
-fn report(plan: &Plan, evidence: &Evidence, breaches: &[Breach]) -> String {
+fn failure_report(plan: &Plan, evidence: &Evidence, breaches: &[Breach]) -> String {
     let breaches: String = breaches.iter().map(|breach| format!("{breach}\n")).collect();
     let requests: String = evidence.requests().map(|sent| format!("{sent:?}\n")).collect();
     let (notice_ms, end) = (evidence.notice_ms, &evidence.end);
@@ -192,22 +207,22 @@
     fn add(&mut self, plan: &Plan, evidence: &Evidence, breaches: &[Breach]) {
         self.played += 1;
         plan.steps.iter().for_each(|step| *self.steps.entry(step.action.kind()).or_default() += 1);
-        breaches.iter().for_each(|breach| *self.by_rule.entry(breach.rule).or_default() += 1);
-        let named = [
-            ("succeeded", evidence.count(Answer::Success)),
-            ("rejected", evidence.count(Answer::Rejected)),
-            ("failed", evidence.count(Answer::Failed)),
+        breaches.iter().for_each(|breach| *self.breaches_by_rule.entry(breach.rule).or_default() += 1);
+        let counts = [
+            ("succeeded", evidence.count_answered(Answer::Success)),
+            ("rejected", evidence.count_answered(Answer::Rejected)),
+            ("failed", evidence.count_answered(Answer::Failed)),
         ];
-        named.into_iter().for_each(|(name, count)| *self.answers.entry(name).or_default() += count);
+        counts.into_iter().for_each(|(name, count)| *self.answers.entry(name).or_default() += count);
         self.instants.add(Instants::of(plan, evidence));
-        self.back += 1;
-        self.back_in_time += usize::from(evidence.ready_after.is_some_and(|after| after <= READY_TIME));
+        self.restarted += 1;
+        self.ready_in_time += usize::from(evidence.ready_after.is_some_and(|after| after <= MAX_READY_TIME));
     }
 
     fn show_progress(&mut self, seeds: u64) {
-        let (played, failed) = (self.played + self.unplayed.len() as u64, self.failed.len());
+        let (played, failed) = (self.played + self.not_played.len() as u64, self.failed.len());
         let mut stderr = std::io::stderr();
-        // Progress that can't be shown is no failure of the soak.
+        // Progress that cannot be written does not fail the soak.
         if stderr.is_terminal() {
             let _ = write!(stderr, "\r{played} of {seeds} seeds, {failed} failed ");
             let _ = stderr.flush();
@@ -217,26 +232,36 @@
         }
     }
 
-    /// Whether all seeds were played and all rules held.
-    fn holds(&self, seeds: u64) -> bool {
-        let in_time = self.back_in_time * 10 >= self.back * 9;
-        self.played == seeds && self.failed.is_empty() && self.unplayed.is_empty() && in_time
+    /// Returns whether all seeds were run, all rules held, and nine of ten restarted servers were ready in time.
+    fn passed(&self, seeds: u64) -> bool {
+        let in_time = self.ready_in_time * 10 >= self.restarted * 9;
+        self.played == seeds && self.failed.is_empty() && self.not_played.is_empty() && in_time
     }
 
     fn report(&self, seeds: u64) -> String {
-        let Self { played, unplayed, failed, by_rule, answers, instants, back, back_in_time, .. } = self;
+        let Self {
+            played,
+            not_played,
+            failed,
+            breaches_by_rule,
+            answers,
+            instants,
+            restarted,
+            ready_in_time,
+            ..
+        } = self;
         let steps = Action::KINDS.map(|kind| format!("{} {kind}", self.steps.get(kind).unwrap_or(&0)));
         let answers: Vec<String> = answers.iter().map(|(name, count)| format!("{count} {name}")).collect();
         let mut text = format!(
             "\n{played} of {seeds} seeds played, {} failed {failed:?}\nrequests: {}\ninstants: {instants}\nsteps: {}\n\
-             ready again within {} s: {back_in_time} of {back}\n",
+             ready again within {} s: {ready_in_time} of {restarted}\n",
             failed.len(),
             answers.join(", "),
             steps.join("; "),
-            READY_TIME.as_secs()
+            MAX_READY_TIME.as_secs()
         );
-        by_rule.iter().for_each(|(rule, count)| text += &format!("breaches of {rule:?}: {count}\n"));
-        unplayed.iter().for_each(|why| text += &format!("not played: {why}\n"));
+        breaches_by_rule.iter().for_each(|(rule, count)| text += &format!("breaches of {rule:?}: {count}\n"));
+        not_played.iter().for_each(|why| text += &format!("not played: {why}\n"));
         text
     }
 }
--- a/crates/hazelspur-fault-harness/src/endings/server.rs
+++ b/crates/hazelspur-fault-harness/src/endings/server.rs
@@ -1,6 +1,7 @@
-//! The process under test: its files, its signals and its end.
+//! The server process under test: writes its configuration, starts it, sends it signals, records its resource usage
+//! and waits for its exit.
 
-use super::plan::{FileChange, GRACE_MS, Plan};
+use super::plan::{FileChange, GRACE_PERIOD_MS, Plan};
 use anyhow::Context;
 use hazelspur_test_doubles::now_ms;
 use hazelspur_test_doubles::process::send_signal;
@@ -12,48 +13,48 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Descriptors that the server may use.
+/// File descriptors that the server may use.
 pub const MAX_DESCRIPTORS: usize = 160;
-/// Memory that it may use, in MB.
+/// Memory that the server may use, in MB.
 pub const MAX_MEMORY_MB: u64 = 64;
-/// How long a start may take before it counts as failed.
+/// Time after which a start counts as failed.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
-/// How often a health check is repeated, and the end looked for.
-const POLL: Duration = Duration::from_millis(5);
-/// How long a health check may take.
+/// Pause between two health checks, and between two checks for the exit of the process.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Timeout of connecting and of reading in a health check.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The addresses of a server and its peers.
+/// Addresses of a server and its peers.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// Where the server listens.
+    /// Address at which the server listens.
     pub listen: SocketAddr,
-    /// The worker, by two addresses.
+    /// Two addresses of the same worker.
     pub worker: [SocketAddr; 2],
-    /// The shared dependency.
+    /// Address of the shared dependency.
     pub dependency: SocketAddr,
-    /// The registry.
+    /// Address of the registry.
     pub registry: SocketAddr,
-    /// The broker.
+    /// Address of the broker.
     pub broker: SocketAddr,
 }
 
-/// How a process ended.
+/// Exit of a process and its use of resources.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct End {
-    /// Whether it was alive when its kill was due.
+    /// Whether the process was alive when its kill was due.
     pub killed: bool,
-    /// Its exit status, if it ended by itself.
+    /// Exit status; `None` if the process was killed or ended by a signal.
     pub status: Option<i32>,
-    /// The most memory that it took, in kB.
+    /// Peak resident memory, in kB.
     pub memory_kb: u64,
-    /// The most descriptors that it was seen with.
+    /// Highest observed number of open file descriptors.
     pub descriptors: usize,
-    /// Files that it left in its folder for temporary files.
+    /// Number of files that the process left in its folder for temporary files.
     pub files_left: usize,
 }
 
-/// A server process.
+/// Server process, which is killed when the value is dropped.
 pub struct Server {
     child: Child,
     addresses: Addresses,
@@ -62,10 +63,10 @@
     end: End,
 }
 
-fn configuration(addresses: &Addresses, stop_ms: i64, worker: usize) -> String {
+fn config_text(addresses: &Addresses, stop_ms: i64, worker_address: usize) -> String {
     let Addresses { listen, dependency, registry, .. } = addresses;
-    let worker = addresses.worker[worker];
-    let grace_us = GRACE_MS * 1000;
+    let worker = addresses.worker[worker_address];
+    let grace_us = GRACE_PERIOD_MS * 1000;
     format!(
         r#"{{"name":"n1","listen":"{listen}","runtime":"{worker}","ledger":"{dependency}","control":"{registry}",
  "seed":"000000000000002a","stop_ms":{stop_ms},"limits":{{"cores":1.0,"memory_mb":{MAX_MEMORY_MB},"sockets":{MAX_DESCRIPTORS}}},
@@ -80,53 +81,54 @@
 }
 
 impl Server {
-    /// Starts the program in a folder of its own.
+    /// Writes the files of the server into `folder` and starts `program` with them. The log is appended to the file
+    /// `log` there.
     ///
     /// # Errors
-    /// Where files or the process can't be made.
+    /// Returns an error if a file cannot be written or the process cannot be started.
     pub fn start(program: &Path, folder: &Path, addresses: Addresses, plan: &Plan) -> anyhow::Result<Self> {
         let temporary = folder.join("tmp");
         std::fs::create_dir_all(&temporary)?;
-        let file = folder.join("config.json");
-        std::fs::write(&file, configuration(&addresses, plan.stop_ms, 0))?;
+        let config_path = folder.join("config.json");
+        std::fs::write(&config_path, config_text(&addresses, plan.stop_ms, 0))?;
         let mut command = Command::new(program);
         command
-            .env("ROUTER_CONFIG", &file)
+            .env("ROUTER_CONFIG", &config_path)
             .env("TMPDIR", &temporary)
             .stdin(Stdio::null())
             .stdout(Stdio::null());
         if plan.queued_messages > 0 {
-            let operator = folder.join("operator.star");
+            let operator_file = folder.join("operator.star");
             let broker = addresses.broker;
             let text = format!(
                 "amqp(brokers = [\"{broker}\"], user = \"u\", password = \"p\", spread_s = 0.03)\nqueue(name = \"orders\", window = \"fixed\", most = 4)\n"
             );
-            std::fs::write(&operator, text)?;
-            command.arg("--file").arg(operator);
+            std::fs::write(&operator_file, text)?;
+            command.arg("--file").arg(operator_file);
         }
         command.stderr(File::options().create(true).append(true).open(folder.join("log"))?);
-        let child = command.spawn().with_context(|| format!("{program:?}"))?;
+        let child = command.spawn().with_context(|| format!("cannot start {program:?}"))?;
         let (folder, stop_ms) = (folder.to_path_buf(), plan.stop_ms);
         Ok(Self { child, addresses, folder, stop_ms, end: End::default() })
     }
 
-    /// Waits until a health check says that it serves; the time that took.
+    /// Waits until a health check reports that the server is ready; returns the time that this took.
     ///
     /// # Errors
-    /// Where it ends, or takes longer than 30 s.
-    pub fn until_serving(&mut self) -> anyhow::Result<Duration> {
+    /// Returns an error if the process exits, or is not ready within 30 s.
+    pub fn wait_until_serving(&mut self) -> anyhow::Result<Duration> {
         let began = Instant::now();
         while began.elapsed() < START_TIMEOUT {
-            anyhow::ensure!(self.child.try_wait()?.is_none(), "the server ended at its start");
-            if serves(self.addresses.listen) {
+            anyhow::ensure!(self.child.try_wait()?.is_none(), "the server exited before it was ready");
+            if is_ready(self.addresses.listen) {
                 return Ok(began.elapsed());
             }
-            sleep(POLL);
+            sleep(POLL_INTERVAL);
         }
-        anyhow::bail!("not serving within {} s", START_TIMEOUT.as_secs())
+        anyhow::bail!("the server was not ready within {} s", START_TIMEOUT.as_secs())
     }
 
-    /// Sends a signal, named as for the `kill` command, if the process is still there.
+    /// Sends a signal, written as an option of the `kill` command such as `-TERM`, if the process still runs.
     pub fn signal(&mut self, name: &str) {
         if self.child.try_wait().is_ok_and(|ended| ended.is_none()) {
             send_signal(self.child.id(), name);
@@ -136,38 +138,38 @@
     /// Changes the configuration file and sends SIGHUP.
     ///
     /// # Errors
-    /// Where the file can't be changed.
+    /// Returns an error if the file cannot be changed.
     pub fn reload(&mut self, change: FileChange) -> anyhow::Result<()> {
-        let file = self.folder.join("config.json");
-        let text = |worker| configuration(&self.addresses, self.stop_ms, worker);
+        let config_path = self.folder.join("config.json");
+        let text = |worker_address| config_text(&self.addresses, self.stop_ms, worker_address);
         match change {
             FileChange::Unchanged => {}
-            FileChange::Moved => std::fs::write(&file, text(1))?,
-            FileChange::Missing => std::fs::remove_file(&file).or_else(ignore_missing)?,
-            FileChange::HalfWritten => std::fs::write(&file, &text(0)[..text(0).len() / 2])?,
+            FileChange::Moved => std::fs::write(&config_path, text(1))?,
+            FileChange::Missing => std::fs::remove_file(&config_path).or_else(ignore_missing)?,
+            FileChange::HalfWritten => std::fs::write(&config_path, &text(0)[..text(0).len() / 2])?,
         }
         self.signal("-HUP");
         Ok(())
     }
 
-    /// Notes what the process uses now.
-    pub fn observe(&mut self) {
+    /// Records the peak memory and the current number of file descriptors of the process.
+    pub fn record_usage(&mut self) {
         let process = Path::new("/proc").join(self.child.id().to_string());
         let descriptors = std::fs::read_dir(process.join("fd")).map_or(0, Iterator::count);
         self.end.descriptors = self.end.descriptors.max(descriptors);
         let status = std::fs::read_to_string(process.join("status")).unwrap_or_default();
-        let memory = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
-        let memory = memory.and_then(|rest| rest.trim().trim_end_matches(" kB").parse().ok());
-        self.end.memory_kb = self.end.memory_kb.max(memory.unwrap_or(0));
+        let memory_kb = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
+        let memory_kb = memory_kb.and_then(|rest| rest.trim().trim_end_matches(" kB").parse().ok());
+        self.end.memory_kb = self.end.memory_kb.max(memory_kb.unwrap_or(0));
     }
 
-    /// Waits for its end until a moment in Unix milliseconds, and kills it then.
+    /// Waits for the exit of the process until `kill_ms`, in Unix milliseconds, and kills it if it still runs then.
     ///
     /// # Errors
-    /// Where its status can't be read.
-    pub fn end_or_kill(mut self, kill_ms: u64) -> anyhow::Result<End> {
+    /// Returns an error if the status of the process or its folder for temporary files cannot be read.
+    pub fn wait_or_kill(mut self, kill_ms: u64) -> anyhow::Result<End> {
         while now_ms() < kill_ms && self.child.try_wait()?.is_none() {
-            sleep(POLL);
+            sleep(POLL_INTERVAL);
         }
         let ended = self.child.try_wait()?;
         self.end.killed = ended.is_none();
@@ -181,7 +183,7 @@
 
 impl Drop for Server {
     fn drop(&mut self) {
-        // Whatever ends the run ends the process.
+        // A run that ends early, by an error or a panic, must not leave the process behind.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -191,7 +193,7 @@
     if error.kind() == std::io::ErrorKind::NotFound { Ok(()) } else { Err(error) }
 }
 
-fn serves(listen: SocketAddr) -> bool {
+fn is_ready(listen: SocketAddr) -> bool {
     let check = || -> std::io::Result<String> {
         let mut stream = TcpStream::connect_timeout(&listen, CHECK_TIMEOUT)?;
         stream.set_read_timeout(Some(CHECK_TIMEOUT))?;
--- a/crates/hazelspur-fault-harness/src/lightweight/figures.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/figures.rs
@@ -1,13 +1,17 @@
-//! What two readings of a run come to: traffic, CPU and memory of a member, by what it is.
+//! Computes the figures of a measuring window from the readings at its begin and end: traffic, CPU and memory of each
+//! member, by role. Prints them as a table and as points of the JSON file.
 //!
-//! A lightweight member counts its own datagrams. What a real member sends is told by the numbers that its own
-//! datagrams bear, and their mean length by those that lightweight members got; what it gets, by what hollow
-//! members sent to it, as if real ones sent it as much, but for the divider, which sends it what it sends to
-//! each hollow one. So that both kinds may be compared, what lightweight members got of either is counted alike,
-//! by the sender.
+//! A lightweight member counts the datagrams that it sends and receives. The figures of a real member are estimates:
+//! - Sent datagrams follow from the sequence numbers in its datagrams, and sent bytes from the mean length of those that
+//!   lightweight members received.
+//! - Received traffic follows from the traffic that lightweight members sent to it, scaled up as if real members sent as
+//!   much. The allocator is an exception: it is taken to send a real member as much as each lightweight one.
+//!
+//! To compare the two kinds, the traffic that lightweight members received is also counted by sender, in the same way
+//! for real and lightweight senders.
 
-use super::member::{Counted, Heard, Traffic};
-use super::process_usage::Process;
+use super::member::{Counters, Received, Traffic};
+use super::process_usage::ProcessUsage;
 use super::processes::LightweightProcess;
 use super::{Fleet, Outcome};
 use comfy_table::{Table, presets};
@@ -17,49 +21,49 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Everything at one time.
+/// All counters and usages at one time.
 pub struct Reading {
-    /// When it was read.
+    /// Time of the reading.
     pub at: Instant,
-    /// By process of lightweight members.
-    pub counted: Vec<Counted>,
-    /// Usage of the real servers' processes.
-    pub reals: Vec<Option<Process>>,
-    /// Usage of the lightweight members' processes.
-    pub hollows: Vec<Option<Process>>,
-    /// Datagrams that the kernel dropped so far.
-    pub drops: u64,
+    /// Counters of each process of lightweight members.
+    pub counters: Vec<Counters>,
+    /// Usage of the process of each real server; `None` if it does not run.
+    pub real_usage: Vec<Option<ProcessUsage>>,
+    /// Usage of each process of lightweight members; `None` if it does not run.
+    pub lightweight_usage: Vec<Option<ProcessUsage>>,
+    /// Number of datagrams that the kernel had dropped.
+    pub kernel_drops: u64,
 }
 
-/// What a member is.
+/// Role of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
-    /// Real, and divides what all share.
-    Divider,
-    /// Real, and votes on that.
-    Keeper,
-    /// A real server.
+    /// Real server that is the allocator of the quotas.
+    Allocator,
+    /// Real server that votes for the allocator.
+    Voter,
+    /// Any other real server.
     Real,
-    /// A lightweight member.
+    /// Lightweight member.
     Lightweight,
 }
 
 impl Role {
     /// All roles, in the order of the table.
-    pub const ALL: [Self; 4] = [Self::Real, Self::Lightweight, Self::Keeper, Self::Divider];
+    pub const ALL: [Self; 4] = [Self::Real, Self::Lightweight, Self::Voter, Self::Allocator];
 
-    /// Its name in tables and points.
+    /// Returns the name of the role in tables and points.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Divider => "divider",
-            Self::Keeper => "keeper",
+            Self::Allocator => "divider",
+            Self::Voter => "keeper",
             Self::Real => "real",
             Self::Lightweight => "hollow",
         }
     }
 }
 
-/// Of one member, a second.
+/// Rates of datagrams and bytes of one member.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rates {
     /// Datagrams a second.
@@ -74,232 +78,270 @@
     }
 }
 
-/// What one member sends, receives and uses.
+/// Traffic and resource usage of one member in a window.
 #[derive(Clone, Copy, Debug)]
 pub struct Member {
-    /// What it is.
+    /// Role of the member.
     pub role: Role,
-    /// What it sent.
+    /// Sent traffic; an estimate for a real server.
     pub sent: Rates,
-    /// What it received.
-    pub heard: Rates,
-    /// What lightweight members got of it.
-    pub told: Rates,
-    /// Datagrams that it sent, by their numbers.
-    pub numbered: f64,
-    /// Part of a core; of a hollow one an even part of its process.
+    /// Received traffic; an estimate for a real server.
+    pub received: Rates,
+    /// Traffic that lightweight members together received from it.
+    pub seen_by_lightweight: Rates,
+    /// Sent datagrams per second, by the sequence numbers in them.
+    pub datagrams_by_sequence: f64,
+    /// CPU use, as a share of a core. A lightweight member counts with an equal share of its process.
     pub cpu_share: f64,
-    /// In bytes, likewise.
+    /// Resident memory, in bytes, shared in the same way.
     pub resident: f64,
-    /// Anonymous memory, in bytes, likewise.
+    /// Anonymous memory, in bytes, shared in the same way.
     pub anonymous: f64,
 }
 
-/// The figures of a window.
+/// Figures of a measuring window.
 #[derive(Clone, Debug)]
 pub struct Figures {
     /// Length of the window, in seconds.
     pub seconds: f64,
-    /// The members, real ones first.
+    /// Members, real ones first.
     pub members: Vec<Member>,
-    /// Datagrams that the kernel dropped.
-    pub drops: u64,
-    /// Datagrams that lightweight members got and did not take, and that they could not send.
-    pub not_taken: u64,
-    /// Datagrams that lightweight members could not send.
+    /// Number of datagrams that the kernel dropped in the window.
+    pub kernel_drops: u64,
+    /// Number of datagrams that lightweight members received but did not accept.
+    pub not_accepted: u64,
+    /// Number of datagrams that lightweight members could not send.
     pub unsent: u64,
 }
 
 impl Figures {
-    /// The figures between two readings.
+    /// Computes the figures of the window between two readings.
     pub fn new(
         fleet: &Fleet,
-        divider: Option<MemberName>,
-        hollows: &[LightweightProcess],
+        allocator: Option<MemberName>,
+        processes: &[LightweightProcess],
         before: &Reading,
         after: &Reading,
     ) -> Self {
         let seconds = (after.at - before.at).as_secs_f64().max(f64::MIN_POSITIVE);
-        let (came_before, went_before) = (came(&before.counted), went(&before.counted));
-        let (came_after, went_after) = (came(&after.counted), went(&after.counted));
-        let told = |of: usize| {
-            let at = fleet.talks_at(of);
-            let (old, new) = (came_before.get(&at), came_after.get(&at));
+        let (received_before, sent_before) =
+            (received_by_sender(&before.counters), sent_by_receiver(&before.counters));
+        let (received_after, sent_after) =
+            (received_by_sender(&after.counters), sent_by_receiver(&after.counters));
+        let seen_from = |index: usize| {
+            let address = fleet.gossip_address(index);
+            let (old, new) = (received_before.get(&address), received_after.get(&address));
             let (old, new) = (old.copied().unwrap_or_default(), new.copied().unwrap_or_default());
-            (new.traffic.since(old.traffic), new.number.saturating_sub(old.number))
+            (new.traffic.since(old.traffic), new.max_sequence.saturating_sub(old.max_sequence))
         };
-        let went = |of: usize| {
-            let at = fleet.talks_at(of);
-            let find = |all: &BTreeMap<SocketAddr, Traffic>| all.get(&at).copied().unwrap_or_default();
-            find(&went_after).since(find(&went_before))
+        let sent_to = |index: usize| {
+            let address = fleet.gossip_address(index);
+            let find = |all: &BTreeMap<SocketAddr, Traffic>| all.get(&address).copied().unwrap_or_default();
+            find(&sent_after).since(find(&sent_before))
         };
-        // Of a real member: datagrams by number, at the mean length of those that came to hollow ones.
-        let sent = |of: usize| {
-            let (told, numbered) = told(of);
-            let mean = if told.datagrams == 0 { 0.0 } else { told.bytes as f64 / told.datagrams as f64 };
-            Rates { datagrams: numbered as f64 / seconds, bytes: numbered as f64 * mean / seconds }
+        // Sent by a real member: datagrams by sequence number, at the mean length of those that lightweight members
+        // received from it.
+        let sent = |index: usize| {
+            let (seen, sequence_advance) = seen_from(index);
+            let mean = if seen.datagrams == 0 { 0.0 } else { seen.bytes as f64 / seen.datagrams as f64 };
+            Rates {
+                datagrams: sequence_advance as f64 / seconds,
+                bytes: sequence_advance as f64 * mean / seconds,
+            }
         };
-        let divides = divider.and_then(|name| (0..fleet.real).find(|of| fleet.name(*of) == name.as_str()));
-        let hollow = (fleet.members - fleet.real) as f64;
-        let real = |of: usize| {
+        let allocator_index =
+            allocator.and_then(|name| (0..fleet.real).find(|index| fleet.name(*index) == name.as_str()));
+        let lightweight_count = (fleet.members - fleet.real) as f64;
+        let real_member = |index: usize| {
             let role = match () {
-                () if divides == Some(of) => Role::Divider,
-                () if of < fleet.keeping() => Role::Keeper,
+                () if allocator_index == Some(index) => Role::Allocator,
+                () if index < fleet.voter_count() => Role::Voter,
                 () => Role::Real,
             };
-            // Of the other real ones as of as many hollow ones, and of the divider what it sends to each.
-            let came = Rates::of(went(of), seconds);
-            let grants =
-                divides.filter(|divides| *divides != of).map(|divides| Rates::of(told(divides).0, seconds));
-            let alike = (fleet.members - 1 - usize::from(grants.is_some())) as f64 / hollow;
+            // The other real members are taken to send as much as lightweight ones, and the allocator as much as it
+            // sends to each lightweight member.
+            let from_lightweight = Rates::of(sent_to(index), seconds);
+            let grants = allocator_index
+                .filter(|allocator| *allocator != index)
+                .map(|allocator| Rates::of(seen_from(allocator).0, seconds));
+            let scale = (fleet.members - 1 - usize::from(grants.is_some())) as f64 / lightweight_count;
             let grants = grants.unwrap_or_default();
-            let heard = Rates {
-                datagrams: came.datagrams * alike + grants.datagrams / hollow,
-                bytes: came.bytes * alike + grants.bytes / hollow,
+            let received = Rates {
+                datagrams: from_lightweight.datagrams * scale + grants.datagrams / lightweight_count,
+                bytes: from_lightweight.bytes * scale + grants.bytes / lightweight_count,
             };
-            let (told, numbered) = told(of);
-            let told = Rates::of(told, seconds);
-            let numbered = numbered as f64 / seconds;
-            let (cpu_share, resident, anonymous) = taken(before.reals[of], after.reals[of], seconds, 1);
-            Member { role, sent: sent(of), heard, told, numbered, cpu_share, resident, anonymous }
+            let (seen, sequence_advance) = seen_from(index);
+            let seen_by_lightweight = Rates::of(seen, seconds);
+            let datagrams_by_sequence = sequence_advance as f64 / seconds;
+            let (cpu_share, resident, anonymous) =
+                mean_usage(before.real_usage[index], after.real_usage[index], seconds, 1);
+            Member {
+                role,
+                sent: sent(index),
+                received,
+                seen_by_lightweight,
+                datagrams_by_sequence,
+                cpu_share,
+                resident,
+                anonymous,
+            }
         };
-        let mut members: Vec<Member> = (0..fleet.real).map(real).collect();
-        let (mut not_taken, mut unsent) = (0, 0);
-        for (i, hollow) in hollows.iter().enumerate() {
+        let mut members: Vec<Member> = (0..fleet.real).map(real_member).collect();
+        let (mut not_accepted, mut unsent) = (0, 0);
+        for (i, process) in processes.iter().enumerate() {
             let (cpu_share, resident, anonymous) =
-                taken(before.hollows[i], after.hollows[i], seconds, hollow.count);
-            for place in 0..hollow.count {
-                let (old, new) = (before.counted[i].members[place], after.counted[i].members[place]);
-                let (told, numbered) = told(hollow.first + place);
-                not_taken += new.dropped - old.dropped;
+                mean_usage(before.lightweight_usage[i], after.lightweight_usage[i], seconds, process.count);
+            for place in 0..process.count {
+                let (old, new) = (before.counters[i].members[place], after.counters[i].members[place]);
+                let (seen, sequence_advance) = seen_from(process.first_member + place);
+                not_accepted += new.dropped - old.dropped;
                 unsent += new.unsent - old.unsent;
                 members.push(Member {
                     role: Role::Lightweight,
                     sent: Rates::of(new.sent.since(old.sent), seconds),
-                    heard: Rates::of(new.heard.since(old.heard), seconds),
-                    told: Rates::of(told, seconds),
-                    numbered: numbered as f64 / seconds,
+                    received: Rates::of(new.received.since(old.received), seconds),
+                    seen_by_lightweight: Rates::of(seen, seconds),
+                    datagrams_by_sequence: sequence_advance as f64 / seconds,
                     cpu_share,
                     resident,
                     anonymous,
                 });
             }
         }
-        Self { seconds, members, drops: after.drops.saturating_sub(before.drops), not_taken, unsent }
+        Self {
+            seconds,
+            members,
+            kernel_drops: after.kernel_drops.saturating_sub(before.kernel_drops),
+            not_accepted,
+            unsent,
+        }
     }
 
-    /// The members of a role.
-    pub fn of(&self, role: Role) -> impl Iterator<Item = &Member> {
+    /// Returns the members of a role.
+    pub fn with_role(&self, role: Role) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(move |member| member.role == role)
     }
 
-    /// None where there is no such member.
+    /// Returns the mean of a figure over the members of a role; `None` if no member has it.
     pub fn mean(&self, role: Role, figure: impl Fn(&Member) -> f64) -> Option<f64> {
-        let count = self.of(role).count();
-        (count > 0).then(|| self.of(role).map(figure).sum::<f64>() / count as f64)
+        let count = self.with_role(role).count();
+        (count > 0).then(|| self.with_role(role).map(figure).sum::<f64>() / count as f64)
     }
 
-    /// The highest figure of a role; none where there is no such member.
-    pub fn most(&self, role: Role, figure: impl Fn(&Member) -> f64) -> Option<f64> {
-        self.of(role).map(figure).reduce(f64::max)
+    /// Returns the highest value of a figure among the members of a role; `None` if no member has it.
+    pub fn max(&self, role: Role, figure: impl Fn(&Member) -> f64) -> Option<f64> {
+        self.with_role(role).map(figure).reduce(f64::max)
     }
 
-    /// By how much a lightweight member's datagrams and bytes differ from a real one's, both as lightweight members
-    /// got them, to each of them that is not the sender, as parts of the real one's; none where all real
-    /// ones are keepers.
+    /// Returns the relative differences of the datagrams and bytes of a lightweight member from those of a real one, as
+    /// fractions of the latter. Both are counted as lightweight members receive them, per receiver; a lightweight sender
+    /// has one receiver fewer, since it does not send to itself. `None` if there is no real member other than voters and
+    /// allocator, if it sent nothing, or if there are fewer than two lightweight members.
     pub fn difference(&self) -> Option<(f64, f64)> {
-        let receivers = self.of(Role::Lightweight).count() as f64;
-        let part = |figure: Of| {
-            let hollow = self.mean(Role::Lightweight, figure)? / (receivers - 1.0);
+        let receivers = self.with_role(Role::Lightweight).count() as f64;
+        let relative_difference = |figure: MemberFigure| {
+            let lightweight = self.mean(Role::Lightweight, figure)? / (receivers - 1.0);
             let real = self.mean(Role::Real, figure)? / receivers;
-            (real > 0.0 && receivers > 1.0).then_some(hollow / real - 1.0)
+            (real > 0.0 && receivers > 1.0).then_some(lightweight / real - 1.0)
         };
-        Some((part(|member| member.told.datagrams)?, part(|member| member.told.bytes)?))
+        Some((
+            relative_difference(|member| member.seen_by_lightweight.datagrams)?,
+            relative_difference(|member| member.seen_by_lightweight.bytes)?,
+        ))
     }
 }
 
-fn taken(before: Option<Process>, after: Option<Process>, seconds: f64, by: usize) -> (f64, f64, f64) {
+/// Returns the mean CPU share, resident and anonymous memory of each member of a process; NaN if the process does not
+/// run.
+fn mean_usage(
+    before: Option<ProcessUsage>,
+    after: Option<ProcessUsage>,
+    seconds: f64,
+    members: usize,
+) -> (f64, f64, f64) {
     let (Some(before), Some(after)) = (before, after) else { return (f64::NAN, f64::NAN, f64::NAN) };
     let cpu = after.cpu.saturating_sub(before.cpu).as_secs_f64() / seconds;
-    let each = |n: f64| n / by as f64;
-    (each(cpu), each(after.resident as f64), each(after.anonymous as f64))
+    let per_member = |total: f64| total / members as f64;
+    (per_member(cpu), per_member(after.resident_bytes as f64), per_member(after.anonymous_bytes as f64))
 }
 
-fn came(counted: &[Counted]) -> BTreeMap<SocketAddr, Heard> {
-    let mut all: BTreeMap<SocketAddr, Heard> = BTreeMap::new();
-    for (from, heard) in counted.iter().flat_map(|counted| &counted.came) {
-        let sum = all.entry(*from).or_default();
-        sum.traffic.add(heard.traffic.datagrams, heard.traffic.bytes);
-        sum.number = sum.number.max(heard.number);
+/// Sums the traffic received by all lightweight members, by sender, with the highest sequence number.
+fn received_by_sender(counters: &[Counters]) -> BTreeMap<SocketAddr, Received> {
+    let mut all: BTreeMap<SocketAddr, Received> = BTreeMap::new();
+    for (sender, received) in counters.iter().flat_map(|counters| &counters.received_by_sender) {
+        let sum = all.entry(*sender).or_default();
+        sum.traffic.add(received.traffic.datagrams, received.traffic.bytes);
+        sum.max_sequence = sum.max_sequence.max(received.max_sequence);
     }
     all
 }
 
-fn went(counted: &[Counted]) -> BTreeMap<SocketAddr, Traffic> {
+/// Sums the traffic sent by all lightweight members, by receiver.
+fn sent_by_receiver(counters: &[Counters]) -> BTreeMap<SocketAddr, Traffic> {
     let mut all: BTreeMap<SocketAddr, Traffic> = BTreeMap::new();
-    for (to, traffic) in counted.iter().flat_map(|counted| &counted.went) {
-        all.entry(*to).or_default().add(traffic.datagrams, traffic.bytes);
+    for (receiver, traffic) in counters.iter().flat_map(|counters| &counters.sent_by_receiver) {
+        all.entry(*receiver).or_default().add(traffic.datagrams, traffic.bytes);
     }
     all
 }
 
-type Of = fn(&Member) -> f64;
+type MemberFigure = fn(&Member) -> f64;
 
-/// Name in the points, and unit.
-const EACH: [(&str, &str, Of); 7] = [
+/// Figures of a member: name in the points, unit and value.
+const FIGURES: [(&str, &str, MemberFigure); 7] = [
     ("cpu_share", "cores", |m| m.cpu_share),
     ("resident_bytes", "B", |m| m.resident),
     ("anon_bytes", "B", |m| m.anonymous),
     ("datagrams_out_per_s", "1/s", |m| m.sent.datagrams),
     ("bytes_out_per_s", "B/s", |m| m.sent.bytes),
-    ("datagrams_in_per_s", "1/s", |m| m.heard.datagrams),
-    ("bytes_in_per_s", "B/s", |m| m.heard.bytes),
+    ("datagrams_in_per_s", "1/s", |m| m.received.datagrams),
+    ("bytes_in_per_s", "B/s", |m| m.received.bytes),
 ];
 
-/// For the JSON file of measured figures.
+/// Returns the figures of one size as points of the JSON file.
 pub fn points(outcome: &Outcome, seed: u64) -> Vec<Value> {
     let mut points = Vec::new();
-    let agreed = outcome.agree.is_some();
+    let agreed = outcome.agreed_after.is_some();
     let mut put = |figure: String, case: &str, unit: &str, value: Option<f64>| {
         if let Some(value) = value.filter(|value| value.is_finite()) {
             points.push(json!({"figure": figure, "case": case, "unit": unit, "by": "servers",
-                "size": outcome.members, "seed": seed, "value": rounded(value)}));
+                "size": outcome.members, "seed": seed, "value": round_to_six_digits(value)}));
         }
     };
-    let agree = outcome.agree.map(|agree| agree.as_secs_f64());
-    put("members.agree_s".into(), "storm", "s", agree);
+    let agreed_after_s = outcome.agreed_after.map(|agree| agree.as_secs_f64());
+    put("members.agree_s".into(), "storm", "s", agreed_after_s);
     put("members.missing".into(), "storm", "members", Some(outcome.missing.len() as f64));
     let Some(figures) = &outcome.figures else { return points };
     let case = if agreed { "rest" } else { "not agreed" };
     for role in Role::ALL {
         let name = role.name();
-        for (figure, unit, of) in EACH {
-            put(format!("members.{name}.{figure}"), case, unit, figures.mean(role, of));
-            let even = role == Role::Lightweight && !figure.contains("per_s");
-            if role != Role::Divider && !even {
-                put(format!("members.{name}.most_{figure}"), case, unit, figures.most(role, of));
+        for (figure_name, unit, figure) in FIGURES {
+            put(format!("members.{name}.{figure_name}"), case, unit, figures.mean(role, figure));
+            let is_equal_share = role == Role::Lightweight && !figure_name.contains("per_s");
+            if role != Role::Allocator && !is_equal_share {
+                put(format!("members.{name}.most_{figure_name}"), case, unit, figures.max(role, figure));
             }
         }
-        let told = figures.mean(role, |m| m.told.bytes);
-        put(format!("members.{name}.bytes_as_heard_per_s"), case, "B/s", told);
-        let told = figures.mean(role, |m| m.told.datagrams);
-        put(format!("members.{name}.datagrams_as_heard_per_s"), case, "1/s", told);
+        let seen = figures.mean(role, |m| m.seen_by_lightweight.bytes);
+        put(format!("members.{name}.bytes_as_heard_per_s"), case, "B/s", seen);
+        let seen = figures.mean(role, |m| m.seen_by_lightweight.datagrams);
+        put(format!("members.{name}.datagrams_as_heard_per_s"), case, "1/s", seen);
     }
     let difference = figures.difference();
     put("members.difference.datagrams".into(), case, "part", difference.map(|d| d.0));
     put("members.difference.bytes".into(), case, "part", difference.map(|d| d.1));
-    put("members.kernel_drops".into(), case, "datagrams", Some(figures.drops as f64));
+    put("members.kernel_drops".into(), case, "datagrams", Some(figures.kernel_drops as f64));
     put("members.missing_at_end".into(), case, "members", Some(outcome.missing_at_end.len() as f64));
-    put("members.all_processes_bytes".into(), "most", "B", Some(outcome.most_memory as f64));
+    put("members.all_processes_bytes".into(), "most", "B", Some(outcome.max_memory_bytes as f64));
     points
 }
 
-/// Six digits are more than any of these measures.
-fn rounded(value: f64) -> f64 {
+/// Rounds to six significant digits, which is more than the precision of any figure here.
+fn round_to_six_digits(value: f64) -> f64 {
     format!("{value:.5e}").parse().unwrap_or(value)
 }
 
-/// One row for each role of each size.
+/// Returns a table with one row for each role of each size.
 pub fn table(outcomes: &[Outcome]) -> String {
     let mut table = Table::new();
     table.load_style(presets::ASCII_MARKDOWN);
@@ -318,38 +360,39 @@
     for outcome in outcomes {
         let Some(figures) = &outcome.figures else { continue };
         for role in Role::ALL {
-            let both = |of: Of, times: f64, digits: usize| {
-                let (mean, most) = (figures.mean(role, of), figures.most(role, of));
-                let (mean, most) = (mean.unwrap_or(f64::NAN) * times, most.unwrap_or(f64::NAN) * times);
-                format!("{mean:.digits$}, {most:.digits$}")
+            let mean_and_max = |figure: MemberFigure, times: f64, digits: usize| {
+                let (mean, max) = (figures.mean(role, figure), figures.max(role, figure));
+                let (mean, max) = (mean.unwrap_or(f64::NAN) * times, max.unwrap_or(f64::NAN) * times);
+                format!("{mean:.digits$}, {max:.digits$}")
+            };
+            let mean = |figure: MemberFigure, times: f64| {
+                format!("{:.0}", figures.mean(role, figure).unwrap_or(f64::NAN) * times)
             };
-            let mean =
-                |of: Of, times: f64| format!("{:.0}", figures.mean(role, of).unwrap_or(f64::NAN) * times);
-            if figures.of(role).next().is_none() {
+            if figures.with_role(role).next().is_none() {
                 continue;
             }
             table.add_row([
                 outcome.members.to_string(),
                 role.name().to_string(),
-                figures.of(role).count().to_string(),
-                both(|m| m.cpu_share, 100.0, 2),
+                figures.with_role(role).count().to_string(),
+                mean_and_max(|m| m.cpu_share, 100.0, 2),
                 mean(|m| m.resident, 1.0 / 1024.0),
                 mean(|m| m.anonymous, 1.0 / 1024.0),
-                both(|m| m.sent.datagrams, 1.0, 2),
-                both(|m| m.sent.bytes, 1.0, 0),
-                both(|m| m.heard.datagrams, 1.0, 2),
-                both(|m| m.heard.bytes, 1.0, 0),
+                mean_and_max(|m| m.sent.datagrams, 1.0, 2),
+                mean_and_max(|m| m.sent.bytes, 1.0, 0),
+                mean_and_max(|m| m.received.datagrams, 1.0, 2),
+                mean_and_max(|m| m.received.bytes, 1.0, 0),
             ]);
         }
     }
     table.to_string()
 }
 
-/// What the table has no room for, a paragraph for one size.
-pub fn told(outcome: &Outcome) -> String {
-    /// Members that are named as missing.
+/// Describes one size in a paragraph: agreement, missing members and figures that are not in the table.
+pub fn describe(outcome: &Outcome) -> String {
+    /// Highest number of missing members that are named.
     const MAX_NAMED: usize = 10;
-    let named = |names: &std::collections::BTreeSet<String>| {
+    let count_and_names = |names: &std::collections::BTreeSet<String>| {
         let first: Vec<&str> = names.iter().take(MAX_NAMED).map(String::as_str).collect();
         let more = if names.len() > MAX_NAMED { ", ..." } else { "" };
         format!("{}: {}{more}", names.len(), first.join(", "))
@@ -358,30 +401,33 @@
         "{} members, {} of them real, {} processes: ",
         outcome.members, outcome.real, outcome.processes
     );
-    text += &match outcome.agree {
+    text += &match outcome.agreed_after {
         Some(agree) => format!("all real ones show all as alive after {:.1} s", agree.as_secs_f64()),
-        None => format!("the real ones do not show all as alive; missing {}", named(&outcome.missing)),
+        None => {
+            format!("the real ones do not show all as alive; missing {}", count_and_names(&outcome.missing))
+        }
     };
-    text += &format!("; most memory of all processes {} MB", outcome.most_memory >> 20);
+    text += &format!("; most memory of all processes {} MB", outcome.max_memory_bytes >> 20);
     let Some(figures) = &outcome.figures else { return text };
     text += &format!(
         "; window {:.1} s: {} datagrams dropped by the kernel, {} not taken and {} not sent by hollow \
          members",
-        figures.seconds, figures.drops, figures.not_taken, figures.unsent
+        figures.seconds, figures.kernel_drops, figures.not_accepted, figures.unsent
     );
     if !outcome.missing_at_end.is_empty() {
-        text += &format!("; at its end missing {}", named(&outcome.missing_at_end));
+        text += &format!("; at its end missing {}", count_and_names(&outcome.missing_at_end));
     }
     text += &format!("; ops: {} acked of {} tries\n", outcome.requests.0, outcome.requests.1);
-    let mean = |role, of: Of| figures.mean(role, of).unwrap_or(f64::NAN);
-    let as_heard = |role| {
-        let (datagrams, bytes) = (mean(role, |m| m.told.datagrams), mean(role, |m| m.told.bytes));
+    let mean = |role, figure: MemberFigure| figures.mean(role, figure).unwrap_or(f64::NAN);
+    let as_received = |role| {
+        let (datagrams, bytes) =
+            (mean(role, |m| m.seen_by_lightweight.datagrams), mean(role, |m| m.seen_by_lightweight.bytes));
         format!("{datagrams:.2} datagrams and {bytes:.0} bytes a second")
     };
     text += &format!(
         "as hollow members got them: of a real one {}, of a hollow one {}",
-        as_heard(Role::Real),
-        as_heard(Role::Lightweight)
+        as_received(Role::Real),
+        as_received(Role::Lightweight)
     );
     if let Some((datagrams, bytes)) = figures.difference() {
         text += &format!(
@@ -390,7 +436,9 @@
             bytes * 100.0
         );
     }
-    let (own, numbered) =
-        (mean(Role::Lightweight, |m| m.sent.datagrams), mean(Role::Lightweight, |m| m.numbered));
-    text + &format!("; datagrams of a hollow one by its own count {own:.2}, by their numbers {numbered:.2}")
+    let (own_count, by_sequence) =
+        (mean(Role::Lightweight, |m| m.sent.datagrams), mean(Role::Lightweight, |m| m.datagrams_by_sequence));
+    text + &format!(
+        "; datagrams of a hollow one by its own count {own_count:.2}, by their numbers {by_sequence:.2}"
+    )
 }
--- a/crates/hazelspur-fault-harness/src/lightweight/mod.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/mod.rs
@@ -1,11 +1,14 @@
-//! A fleet of a few real servers and many lightweight members: the same state machines with real datagrams, hundreds
-//! to a process. It measures what a member costs by the size of its fleet, at sizes that one machine can't hold in real
-//! servers. Addresses are of a network of its own in 127.0.0.0/8; every process that it starts is ended; a run has at
-//! most a hundred processes and half of the machine's memory.
+//! Runs a fleet of a few real servers and many lightweight members, and measures the cost of a member by the size of its
+//! fleet, at sizes for which one machine can't run enough real servers. A lightweight member runs the state machine of a
+//! server and exchanges real datagrams; hundreds of them share a process. The subcommand, its flags and the printed
+//! figures call them hollow members.
 //!
-//! - `member`: a process of lightweight members; `processes`: starting and ending processes;
-//! - `fleet_queries`: the real members' views of the fleet; `process_usage`: limits and usage of processes;
-//! - `figures`: a window's figures, as a table and as points; `command`: the subcommand `hollow`.
+//! Each run has a network of its own in 127.0.0.0/8, ends every process that it started, and uses at most a hundred
+//! processes and half of the memory of the machine.
+//!
+//! - `member`: a process of lightweight members; `processes`: starts and ends processes;
+//! - `fleet_queries`: queries real members for their views of the fleet; `process_usage`: limits and usage of processes;
+//! - `figures`: the figures of a measuring window, as a table and as points; `command`: the subcommand `hollow`.
 
 pub mod command;
 pub mod figures;
@@ -34,305 +37,328 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::time::{Duration as StdDuration, Instant};
 
-/// The text of the fleet's key.
+/// Text of the key of the fleet.
 pub const KEY: &str = "a key for the fleet on this machine only";
-/// The installation's name.
+/// Name of the installation.
 pub const INSTALLATION: &str = "hollow";
-/// The limit that all share.
-pub const CALLS: &str = "calls";
+/// Name of the limit that all members share.
+pub const SHARED_LIMIT: &str = "calls";
 /// Duration of quota leases, in seconds.
-pub const LEASE_S: u64 = 4;
+pub const QUOTA_LEASE_S: u64 = 4;
 /// Cores of each worker.
-pub const CORES: usize = 2;
-/// Time from the shutdown notice to the end of a real server, in milliseconds.
+pub const WORKER_CORES: usize = 2;
+/// Time from the shutdown notice to the end of a real server, in milliseconds, as configured.
 pub const STOP_MS: u64 = 1500;
-/// Two regions of three zones.
+/// Sites: two regions of three zones each.
 pub const SITES: [&str; 6] = ["r1-a", "r1-b", "r1-c", "r2-a", "r2-b", "r2-c"];
-/// `most` of the fleet is twice its members, and 4,096 at most.
+/// Highest number of members of a run. The setting `most` of the fleet is twice its number of members, and at most
+/// 4,096.
 pub const MAX_MEMBERS: usize = 2048;
-/// The most real servers.
-pub const MAX_REAL: usize = 90;
-/// The most processes of a run.
+/// Highest number of real servers.
+pub const MAX_REAL_SERVERS: usize = 90;
+/// Highest number of processes of a run.
 pub const MAX_PROCESSES: usize = 100;
-/// The most lightweight members of a process.
-pub const MAX_IN_A_PROCESS: usize = 500;
-/// The longest run, in seconds.
+/// Highest number of lightweight members in a process.
+pub const MAX_MEMBERS_PER_PROCESS: usize = 500;
+/// Highest sum of all durations of a plan, in seconds.
 pub const MAX_SECONDS: u64 = 600;
-/// Voters.
-const KEEPERS: usize = 5;
-/// Seed members.
-const CONTACTS: usize = 3;
-/// Addresses of lightweight members by turns: so many a row, from this row on.
-const IN_A_ROW: usize = 200;
-/// The first row of addresses of lightweight members.
-const FIRST_ROW: usize = 20;
-/// Guaranteed minimum, as a part of the shared limit.
-const FLOOR: f64 = 0.2;
-/// Residual load of a call, in seconds.
-const LINGER_S: f64 = 1.0;
-/// How long members that left are remembered, in seconds.
-const REMEMBER_S: f64 = 900.0;
-/// Descriptors of a process by itself.
-const OWN: u64 = 64;
-/// Descriptors of ours for each real server with its test doubles.
-const FOR_A_REAL: u64 = 24;
-/// Descriptors of ours for each process of lightweight members.
-const FOR_A_PROCESS: u64 = 4;
-/// Descriptors of a real server.
-const OF_A_SERVER: u64 = 512 + 64;
-/// How often the real members are asked, and what else is looked at.
-const LOOK: StdDuration = StdDuration::from_millis(100);
-/// How often memory is looked at.
-const LOOK_AT_MEMORY: StdDuration = StdDuration::from_secs(1);
-/// How long a server may take to answer a query.
-const ASKED_WITHIN: StdDuration = StdDuration::from_millis(500);
-/// How long all servers may take to send their views.
-const PICTURES_WITHIN: StdDuration = StdDuration::from_secs(10);
-/// All sockets of a process of lightweight members are there within this; a count comes within this.
-const READY: StdDuration = StdDuration::from_secs(20);
-/// A lightweight process ends so long after all else would have.
-const GRACE_S: u64 = 60;
-/// Runs of this process so far; part of each run's network.
+/// Number of voters, if there are that many real servers.
+const VOTERS: usize = 5;
+/// Number of seed members, if there are that many real servers.
+const SEED_MEMBERS: usize = 3;
+/// Number of lightweight members whose addresses have the same third byte (row).
+const ADDRESSES_PER_ROW: usize = 200;
+/// Third byte of the addresses of the first lightweight members; real servers have 1.
+const FIRST_LIGHTWEIGHT_ROW: usize = 20;
+/// Guaranteed minimum, as a fraction of the shared limit.
+const GUARANTEED_FRACTION: f64 = 0.2;
+/// Duration of the residual load of a call, in seconds.
+const RESIDUAL_LOAD_S: f64 = 1.0;
+/// Time for which members that left are retained, in seconds.
+const RETENTION_S: f64 = 900.0;
+/// File descriptors of a process without any members.
+const BASE_DESCRIPTORS: u64 = 64;
+/// File descriptors of the harness process for each real server with its test doubles.
+const DESCRIPTORS_PER_REAL_SERVER: u64 = 24;
+/// File descriptors of the harness process for each process of lightweight members.
+const DESCRIPTORS_PER_LIGHTWEIGHT_PROCESS: u64 = 4;
+/// File descriptors of a real server: its configured 512 sockets, and 64 more.
+const SERVER_DESCRIPTORS: u64 = 512 + 64;
+/// Time between two queries of the real members, and between two checks of the processes.
+const POLL_INTERVAL: StdDuration = StdDuration::from_millis(100);
+/// Time between two checks of the memory use.
+const MEMORY_CHECK_INTERVAL: StdDuration = StdDuration::from_secs(1);
+/// Timeout of queries for the status and for the allocator.
+const QUERY_TIMEOUT: StdDuration = StdDuration::from_millis(500);
+/// Timeout of queries for the member lists of all servers.
+const MEMBER_LISTS_TIMEOUT: StdDuration = StdDuration::from_secs(10);
+/// Longest wait for an answer or the exit of a process of lightweight members; the first answer comes once all its
+/// sockets are bound.
+const PROCESS_ANSWER_TIMEOUT: StdDuration = StdDuration::from_secs(20);
+/// Time added to the longest duration of a run for the lifetime of a process of lightweight members, in seconds.
+const LIFETIME_MARGIN_S: u64 = 60;
+/// Number of runs that this process has begun; part of the choice of the network of each run.
 static RUNS: AtomicU32 = AtomicU32::new(0);
 
-/// What a run consists of.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The server's program.
+    /// Server program.
     pub server_binary: PathBuf,
-    /// The program that serves lightweight members when started with the hidden subcommand.
+    /// Program that serves lightweight members when started with [`command::MEMBERS_SUBCOMMAND`].
     pub own_binary: PathBuf,
-    /// Members in all.
+    /// Number of members, real and lightweight.
     pub members: usize,
-    /// Members that are real servers.
+    /// Number of members that are real servers.
     pub real: usize,
-    /// Lightweight members of a process.
+    /// Number of lightweight members in each process.
     pub per_process: usize,
-    /// All start within so long.
+    /// Time over which the starts of the members are spread.
     pub spread: StdDuration,
-    /// The real ones show all as alive within this, or the run goes on without.
+    /// Longest time until all real members show all members as alive; after it the run goes on without agreement.
     pub agree_within: StdDuration,
-    /// At rest for so long before the window.
+    /// Shortest time from agreement to the measuring window.
     pub settle: StdDuration,
-    /// What is measured; nothing where it is zero.
+    /// Length of the measuring window; zero to measure nothing.
     pub window: StdDuration,
-    /// The whole of it from the start, where they agree in time.
-    pub whole: StdDuration,
-    /// Requests a second of all real members together.
+    /// Time from the start to the end of the measuring window; longer if the members agree late.
+    pub duration: StdDuration,
+    /// Requests per second to all real members together.
     pub rate: f64,
-    /// The seed of everything random.
+    /// Seed of everything random.
     pub seed: u64,
-    /// So many lightweight members, the last ones, never say a word: planted.
+    /// Number of lightweight members, the last ones, that never send anything: a planted fault.
     pub silent: usize,
-    /// Set from outside, it ends the run early with an error.
+    /// Flag that ends the run early with an error once it is set.
     pub stop: Arc<AtomicBool>,
 }
 
 impl Plan {
-    /// Processes of the run.
+    /// Returns the number of processes of the run, including the harness itself.
     pub fn processes(&self) -> usize {
         1 + self.real + (self.members - self.real).div_ceil(self.per_process)
     }
 
-    /// The most that one process needs.
+    /// Returns the highest number of file descriptors that a process of the run needs.
     pub fn descriptors(&self) -> u64 {
-        let hollow = self.members - self.real;
-        let ours =
-            OWN + self.real as u64 * FOR_A_REAL + hollow.div_ceil(self.per_process) as u64 * FOR_A_PROCESS;
-        let theirs = OWN + self.per_process.min(hollow) as u64;
-        ours.max(theirs).max(OF_A_SERVER)
+        let lightweight = self.members - self.real;
+        let own = BASE_DESCRIPTORS
+            + self.real as u64 * DESCRIPTORS_PER_REAL_SERVER
+            + lightweight.div_ceil(self.per_process) as u64 * DESCRIPTORS_PER_LIGHTWEIGHT_PROCESS;
+        let per_lightweight_process = BASE_DESCRIPTORS + self.per_process.min(lightweight) as u64;
+        own.max(per_lightweight_process).max(SERVER_DESCRIPTORS)
     }
 
-    /// Errors name the flag and both numbers. `limit`: descriptors that a process may have.
+    /// Checks the parameters against their limits. `limit` is the number of file descriptors that a process may have.
+    ///
+    /// # Errors
+    /// Returns an error that names the flag, its value and its limit.
     pub fn check(&self, limit: u64) -> anyhow::Result<()> {
-        let range = |flag: &str, n: usize, least: usize, most: usize| {
-            anyhow::ensure!((least..=most).contains(&n), "{flag}: {n} is not from {least} to {most}");
+        let range = |flag: &str, value: usize, min: usize, max: usize| {
+            anyhow::ensure!((min..=max).contains(&value), "{flag}: {value} is not from {min} to {max}");
             Ok(())
         };
-        range("--real", self.real, 1, MAX_REAL)?;
+        range("--real", self.real, 1, MAX_REAL_SERVERS)?;
         range("--members", self.members, self.real + 1, MAX_MEMBERS)?;
-        range("--per-process", self.per_process, 1, MAX_IN_A_PROCESS)?;
+        range("--per-process", self.per_process, 1, MAX_MEMBERS_PER_PROCESS)?;
         range("--silent", self.silent, 0, self.members - self.real)?;
-        let seconds = (self.whole + self.agree_within + self.settle + self.window + self.spread).as_secs();
+        let seconds = (self.duration + self.agree_within + self.settle + self.window + self.spread).as_secs();
         range("seconds of all flags together", seconds as usize, 0, MAX_SECONDS as usize)?;
         anyhow::ensure!((0.0..=1000.0).contains(&self.rate), "--rate: {} is not from 0 to 1000", self.rate);
         let processes = self.processes();
         anyhow::ensure!(
             processes <= MAX_PROCESSES,
-            "{processes} processes, {MAX_PROCESSES} may be: raise --per-process or lower --real"
+            "the run needs {processes} processes, at most {MAX_PROCESSES} are allowed: raise --per-process or lower --real"
         );
-        let need = self.descriptors();
+        let needed = self.descriptors();
         anyhow::ensure!(
-            need <= limit,
-            "a process needs {need} descriptors, its limit is {limit}: raise it (ulimit -n), or lower \
+            needed <= limit,
+            "a process needs {needed} descriptors, its limit is {limit}: raise it (ulimit -n), or lower \
              --per-process or --real"
         );
         Ok(())
     }
 }
 
-/// Who is who; all of it follows from a few numbers, the same in all processes.
+/// Names, sites, addresses and roles of all members. They follow from a few numbers, so that all processes of a run
+/// derive the same ones. Members are identified by an index from 0.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Fleet {
-    /// The network, 127.`net`.0.0/16.
+    /// Second byte of the network, 127.`net`.0.0/16.
     pub net: u8,
-    /// Members in all.
+    /// Number of members, real and lightweight.
     pub members: usize,
-    /// The first so many are real.
+    /// Number of real members, which have the lowest indices.
     pub real: usize,
-    /// The seed of everything random.
+    /// Seed of everything random.
     pub seed: u64,
-    /// All start within so many milliseconds.
+    /// Time over which the starts of the members are spread, in milliseconds.
     pub spread_ms: u64,
-    /// Members, the last ones, that never send anything.
+    /// Number of members, the last ones, that never send anything.
     pub silent: usize,
 }
 
 impl Fleet {
-    /// Names of one length, so that datagrams of both kinds compare.
-    pub fn name(&self, of: usize) -> String {
-        format!("{}{of:04}", if of < self.real { 'n' } else { 'h' })
+    /// Returns the name of a member. All names have the same length, so that the datagrams of real and lightweight
+    /// members have comparable lengths.
+    pub fn name(&self, index: usize) -> String {
+        format!("{}{index:04}", if index < self.real { 'n' } else { 'h' })
     }
 
-    /// The site of a member.
-    pub fn site(&self, of: usize) -> &'static str {
-        SITES[of % SITES.len()]
+    /// Returns the site of a member.
+    pub fn site(&self, index: usize) -> &'static str {
+        SITES[index % SITES.len()]
     }
 
-    /// Where a member receives datagrams.
-    pub fn talks_at(&self, of: usize) -> SocketAddr {
-        let (row, place) = match of.checked_sub(self.real) {
-            None => (1, of),
-            Some(hollow) => (FIRST_ROW + hollow / IN_A_ROW, hollow % IN_A_ROW),
+    /// Returns the address at which a member receives datagrams.
+    pub fn gossip_address(&self, index: usize) -> SocketAddr {
+        let (row, place) = match index.checked_sub(self.real) {
+            None => (1, index),
+            Some(lightweight) => {
+                (FIRST_LIGHTWEIGHT_ROW + lightweight / ADDRESSES_PER_ROW, lightweight % ADDRESSES_PER_ROW)
+            }
         };
         SocketAddr::from((Ipv4Addr::new(127, self.net, row as u8, place as u8 + 1), 7946))
     }
 
-    /// Where a real member accepts gateways.
-    pub fn serves_at(&self, of: usize) -> SocketAddr {
-        SocketAddr::new(self.talks_at(of).ip(), 9000)
+    /// Returns the address at which a real member accepts connections of gateways.
+    pub fn gateway_address(&self, index: usize) -> SocketAddr {
+        SocketAddr::new(self.gossip_address(index).ip(), 9000)
     }
 
-    /// The most members that the fleet may have.
-    pub fn most(&self) -> usize {
+    /// Returns the highest number of members that the fleet may have.
+    pub fn max_members(&self) -> usize {
         self.members * 2
     }
 
-    /// Of the ledger, and shared.
-    pub fn slots(&self) -> f64 {
+    /// Returns the number of concurrent calls that the dependency serves, which is also the total of the shared limit.
+    pub fn call_slots(&self) -> f64 {
         self.members as f64 * 2.0
     }
 
-    /// The first real ones, each in a site of its own.
-    pub fn keepers(&self) -> Vec<String> {
-        (0..self.keeping()).map(|of| self.name(of)).collect()
+    /// Returns the names of the voters: the first real members, each in a site of its own.
+    pub fn voters(&self) -> Vec<String> {
+        (0..self.voter_count()).map(|index| self.name(index)).collect()
     }
 
-    /// The number of voters.
-    pub fn keeping(&self) -> usize {
-        if self.real >= KEEPERS { KEEPERS } else { 1 }
+    /// Returns the number of voters.
+    pub fn voter_count(&self) -> usize {
+        if self.real >= VOTERS { VOTERS } else { 1 }
     }
 
-    /// Addresses of the seed members.
-    pub fn contacts(&self) -> Vec<SocketAddr> {
-        (0..self.real.min(CONTACTS)).map(|of| self.talks_at(of)).collect()
+    /// Returns the addresses of the seed members.
+    pub fn seed_addresses(&self) -> Vec<SocketAddr> {
+        (0..self.real.min(SEED_MEMBERS)).map(|index| self.gossip_address(index)).collect()
     }
 
-    /// Whether a member never sends anything.
-    pub fn is_silent(&self, of: usize) -> bool {
-        of + self.silent >= self.members
+    /// Returns whether a member never sends anything.
+    pub fn is_silent(&self, index: usize) -> bool {
+        index + self.silent >= self.members
     }
 
-    /// After the start of all.
-    pub fn starts_after(&self, of: usize) -> StdDuration {
-        let drawn = Pcg::new(self.seed.wrapping_mul(1_000_003) ^ of as u64).draw();
+    /// Returns the time from the start of the run to the start of a member.
+    pub fn start_delay(&self, index: usize) -> StdDuration {
+        let drawn = Pcg::new(self.seed.wrapping_mul(1_000_003) ^ index as u64).draw();
         StdDuration::from_millis(u64::from(drawn) % self.spread_ms.max(1))
     }
 
-    /// As the server makes them of the operator's file that the real ones get.
-    pub fn terms(&self, of: usize) -> NodeConfig {
+    /// Returns the configuration of a lightweight member, equal to the one that a server derives from the operator's
+    /// file of the real members.
+    pub fn node_config(&self, index: usize) -> NodeConfig {
         NodeConfig {
             installation: Installation::new(INSTALLATION).expect("a short name"),
-            name: MemberName::new(&self.name(of)).expect("a short name"),
-            site: SiteName::new(self.site(of)).expect("a short name"),
-            address: self.talks_at(of),
-            seeds: self.contacts(),
-            max_servers: self.most(),
+            name: MemberName::new(&self.name(index)).expect("a short name"),
+            site: SiteName::new(self.site(index)).expect("a short name"),
+            address: self.gossip_address(index),
+            seeds: self.seed_addresses(),
+            max_servers: self.max_members(),
             probe_period: Duration::from_secs(1.0),
-            retention: Duration::from_secs(REMEMBER_S),
+            retention: Duration::from_secs(RETENTION_S),
         }
     }
 
-    /// The quota configuration, as the server makes it of the operator's file.
-    pub fn share_terms(&self) -> QuotaConfig {
-        let keepers = self.keepers();
+    /// Returns the quota configuration, equal to the one that a server derives from the operator's file.
+    pub fn quota_config(&self) -> QuotaConfig {
+        let voters = self.voters();
         QuotaConfig {
-            voters: keepers.iter().map(|name| MemberName::new(name).expect("a short name")).collect(),
-            max_servers: self.most(),
-            vote_duration: Duration::from_secs(LEASE_S as f64),
+            voters: voters.iter().map(|name| MemberName::new(name).expect("a short name")).collect(),
+            max_servers: self.max_members(),
+            vote_duration: Duration::from_secs(QUOTA_LEASE_S as f64),
             limits: vec![SharedLimit {
-                name: LimitName::new(CALLS).expect("a short name"),
-                total: self.slots(),
-                guaranteed_fraction: FLOOR,
-                residual_duration: Duration::from_secs(LINGER_S),
+                name: LimitName::new(SHARED_LIMIT).expect("a short name"),
+                total: self.call_slots(),
+                guaranteed_fraction: GUARANTEED_FRACTION,
+                residual_duration: Duration::from_secs(RESIDUAL_LOAD_S),
                 max_turn: None,
             }],
         }
     }
 }
 
-/// What the real members say at one time: condition and bounds of the size; none without an answer.
-pub struct Look {
-    /// From the start.
-    pub at: StdDuration,
-    /// What each real member said.
-    pub said: Vec<Option<(LocalStatus, FleetSize)>>,
-    /// Processes that run: of lightweight members, then real ones.
-    pub ids: Vec<u32>,
+/// Answers of the real members to a query for their status at one time.
+pub struct FleetSnapshot {
+    /// Time since the start of the run.
+    pub elapsed: StdDuration,
+    /// Local status and estimated fleet size that each real member reports; `None` without an answer.
+    pub answers: Vec<Option<(LocalStatus, FleetSize)>>,
+    /// Ids of the running processes: those of lightweight members, then the real servers.
+    pub process_ids: Vec<u32>,
 }
 
-impl Look {
-    /// The fewest that one of them has for alive.
-    pub fn least(&self) -> usize {
-        self.said.iter().map(|said| said.map_or(0, |(_, size)| size.min)).min().unwrap_or(0)
+impl FleetSnapshot {
+    /// Returns the lowest number of alive members that a real member reports; 0 if one did not answer.
+    pub fn min_alive(&self) -> usize {
+        self.answers.iter().map(|answer| answer.map_or(0, |(_, size)| size.min)).min().unwrap_or(0)
     }
 
-    fn all(&self, members: usize) -> bool {
-        let all = |said: &Option<(LocalStatus, FleetSize)>| {
-            said.is_some_and(|(condition, size)| condition == LocalStatus::Healthy && size.min == members)
+    /// Returns whether all real members are healthy and report exactly this number of alive members.
+    fn shows_all_alive(&self, members: usize) -> bool {
+        let shows_all = |answer: &Option<(LocalStatus, FleetSize)>| {
+            answer.is_some_and(|(status, size)| status == LocalStatus::Healthy && size.min == members)
         };
-        self.said.iter().all(all)
+        self.answers.iter().all(shows_all)
     }
 }
 
-/// What came out of one size.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct Outcome {
+    /// Number of members, real and lightweight.
     pub members: usize,
+    /// Number of real members.
     pub real: usize,
+    /// Number of processes, including the harness itself.
     pub processes: usize,
-    /// From the start until every real member showed all as alive; none where that did not come.
-    pub agree: Option<StdDuration>,
-    /// Whom at least one real member did not show as alive when that came or was given up.
+    /// Time from the start until every real member showed all members as alive; `None` if that did not happen.
+    pub agreed_after: Option<StdDuration>,
+    /// Names of the members that at least one real member did not show as alive when agreement was reached or given up.
     pub missing: BTreeSet<String>,
-    /// The same at the window's end.
+    /// Names of the members that at least one real member did not show as alive at the end of the window.
     pub missing_at_end: BTreeSet<String>,
+    /// Figures of the measuring window; `None` if its length is zero.
     pub figures: Option<Figures>,
-    /// The most of all processes together, in bytes.
-    pub most_memory: u64,
-    /// Requests that were acked, and tries that were sent.
+    /// Highest resident memory of all processes together, in bytes.
+    pub max_memory_bytes: u64,
+    /// Number of requests that succeeded, and number of attempts that were sent.
     pub requests: (usize, usize),
-    /// All processes that were started; none of them runs any more.
-    pub ids: Vec<u32>,
+    /// Ids of all processes that were started, all of which have ended.
+    pub process_ids: Vec<u32>,
 }
 
-/// One run. `look` is told what the real members say while agreement is awaited, and may end that early.
-/// Errors: limits of the machine, processes that could not start or ended by themselves.
-pub fn run(plan: &Plan, look: &mut dyn FnMut(&Look) -> ControlFlow<()>) -> anyhow::Result<Outcome> {
-    plan.check(process_usage::descriptors()?)?;
-    let run = RUNS.fetch_add(1, Ordering::Relaxed);
-    let from = std::process::id().wrapping_mul(13) + run;
-    let (net, _claim) = crate::test_fleet::claim_net(from).context("a net of its own")?;
+/// Executes a plan. `observe` gets each snapshot of the fleet until the members agree, and may end this wait early.
+///
+/// # Errors
+/// Returns an error if the plan or the memory use exceeds a limit, if a process does not start, exits early or does not
+/// end properly, or if the run is stopped from outside.
+pub fn run(
+    plan: &Plan,
+    observe: &mut dyn FnMut(&FleetSnapshot) -> ControlFlow<()>,
+) -> anyhow::Result<Outcome> {
+    plan.check(process_usage::descriptor_limit()?)?;
+    let run_number = RUNS.fetch_add(1, Ordering::Relaxed);
+    let first_net = std::process::id().wrapping_mul(13) + run_number;
+    let (net, _claim) =
+        crate::test_fleet::claim_net(first_net).context("cannot claim a network in 127.0.0.0/8")?;
     let fleet = Fleet {
         net,
         members: plan.members,
@@ -341,22 +367,23 @@
         spread_ms: plan.spread.as_millis() as u64,
         silent: plan.silent,
     };
-    let folder = Folder::new(run)?;
+    let folder = TemporaryFolder::new(run_number)?;
     let mut run = Run::start(plan, fleet, &folder)?;
-    run.play(look)
+    run.play(observe)
 }
 
-struct Folder(PathBuf);
+/// Temporary folder of a run, removed when the value is dropped unless `HAZELSPUR_KEEP` is set.
+struct TemporaryFolder(PathBuf);
 
-impl Folder {
-    fn new(run: u32) -> anyhow::Result<Self> {
-        let path = std::env::temp_dir().join(format!("hazelspur-hollow-{}-{run}", std::process::id()));
+impl TemporaryFolder {
+    fn new(run_number: u32) -> anyhow::Result<Self> {
+        let path = std::env::temp_dir().join(format!("hazelspur-hollow-{}-{run_number}", std::process::id()));
         std::fs::create_dir_all(&path)?;
         Ok(Self(path))
     }
 }
 
-impl Drop for Folder {
+impl Drop for TemporaryFolder {
     fn drop(&mut self) {
         if std::env::var("HAZELSPUR_KEEP").is_err() {
             let _ = std::fs::remove_dir_all(&self.0);
@@ -364,175 +391,202 @@
     }
 }
 
+/// Run in progress.
 struct Run<'a> {
     plan: &'a Plan,
     fleet: Fleet,
-    // Ended first.
-    reals: RealServers,
-    hollows: Vec<LightweightProcess>,
-    asker: FleetQuerier,
-    most_memory: u64,
-    may_take: u64,
-    memory_due: Instant,
+    // Declared before the lightweight members, so that the real servers end first.
+    real_servers: RealServers,
+    lightweight: Vec<LightweightProcess>,
+    querier: FleetQuerier,
+    max_memory_bytes: u64,
+    memory_limit_bytes: u64,
+    memory_check_due: Instant,
 }
 
 impl<'a> Run<'a> {
-    fn start(plan: &'a Plan, fleet: Fleet, folder: &Folder) -> anyhow::Result<Self> {
-        let reals = RealServers::new(plan, &fleet, folder.0.clone())?;
-        let all = plan.whole + plan.agree_within + plan.settle + plan.window + plan.spread;
-        let mut hollows = Vec::new();
+    fn start(plan: &'a Plan, fleet: Fleet, folder: &TemporaryFolder) -> anyhow::Result<Self> {
+        let real_servers = RealServers::new(plan, &fleet, folder.0.clone())?;
+        let max_duration = plan.duration + plan.agree_within + plan.settle + plan.window + plan.spread;
+        let mut lightweight = Vec::new();
         for first in (plan.real..plan.members).step_by(plan.per_process) {
             let count = plan.per_process.min(plan.members - first);
-            let life_s = all.as_secs() + GRACE_S;
-            hollows
-                .push(LightweightProcess::start(plan, &Task { fleet: fleet.clone(), first, count, life_s })?);
+            let life_s = max_duration.as_secs() + LIFETIME_MARGIN_S;
+            lightweight.push(LightweightProcess::start(
+                plan,
+                &Task { fleet: fleet.clone(), first_member: first, count, life_s },
+            )?);
         }
-        for hollow in &mut hollows {
-            hollow.answer(READY).context("are all addresses free?")?;
+        for process in &mut lightweight {
+            process
+                .wait_for_answer(PROCESS_ANSWER_TIMEOUT)
+                .context("lightweight members did not bind their addresses; another program may use them")?;
         }
         Ok(Self {
             plan,
             fleet,
-            reals,
-            hollows,
-            asker: FleetQuerier::new()?,
-            most_memory: 0,
-            may_take: process_usage::memory()? / 2,
-            memory_due: Instant::now(),
+            real_servers,
+            lightweight,
+            querier: FleetQuerier::new()?,
+            max_memory_bytes: 0,
+            memory_limit_bytes: process_usage::machine_memory_bytes()? / 2,
+            memory_check_due: Instant::now(),
         })
     }
 
-    fn play(&mut self, look: &mut dyn FnMut(&Look) -> ControlFlow<()>) -> anyhow::Result<Outcome> {
+    fn play(
+        &mut self,
+        observe: &mut dyn FnMut(&FleetSnapshot) -> ControlFlow<()>,
+    ) -> anyhow::Result<Outcome> {
         let plan = self.plan;
-        for hollow in &mut self.hollows {
-            hollow.order(Order::Go)?;
+        for process in &mut self.lightweight {
+            process.send_order(Order::Start)?;
         }
         let began = Instant::now();
-        for hollow in &mut self.hollows {
-            hollow.answer(READY)?;
+        for process in &mut self.lightweight {
+            process.wait_for_answer(PROCESS_ANSWER_TIMEOUT)?;
         }
-        let agree = self.come_together(began, look)?;
-        let ids = self.ids();
+        let agreed_after = self.start_until_agreed(began, observe)?;
+        let process_ids = self.process_ids();
         let missing = self.missing();
         let (mut figures, mut missing_at_end) = (None, BTreeSet::new());
         if !plan.window.is_zero() {
-            self.reals.begin_ops(plan.rate);
+            self.real_servers.start_requests(plan.rate);
             self.wait(Instant::now() + plan.settle)?;
-            self.wait(began + plan.whole.saturating_sub(plan.window))?;
-            let divider = self.asker.divider(&self.addresses(), ASKED_WITHIN);
+            self.wait(began + plan.duration.saturating_sub(plan.window))?;
+            let allocator = self.querier.allocator(&self.addresses(), QUERY_TIMEOUT);
             let before = self.read()?;
             self.wait(before.at + plan.window)?;
             let after = self.read()?;
-            figures = Some(Figures::new(&self.fleet, divider, &self.hollows, &before, &after));
+            figures = Some(Figures::new(&self.fleet, allocator, &self.lightweight, &before, &after));
             missing_at_end = self.missing();
         }
-        let requests = self.reals.end().context("the real members' ends")?;
-        for hollow in &mut self.hollows {
-            hollow.end(READY)?;
+        let requests = self.real_servers.stop().context("cannot stop the real members")?;
+        for process in &mut self.lightweight {
+            process.stop(PROCESS_ANSWER_TIMEOUT)?;
         }
         Ok(Outcome {
             members: plan.members,
             real: plan.real,
             processes: plan.processes(),
-            agree,
+            agreed_after,
             missing,
             missing_at_end,
             figures,
-            most_memory: self.most_memory,
+            max_memory_bytes: self.max_memory_bytes,
             requests,
-            ids,
+            process_ids,
         })
     }
 
-    /// Starts the real members, each when it is its time, and waits until all show all as alive.
-    fn come_together(
+    /// Starts the real members, each after its delay, and waits until all of them show all members as alive. Returns the
+    /// time from the start; `None` if the wait timed out or was ended by `observe`.
+    fn start_until_agreed(
         &mut self,
         began: Instant,
-        look: &mut dyn FnMut(&Look) -> ControlFlow<()>,
+        observe: &mut dyn FnMut(&FleetSnapshot) -> ControlFlow<()>,
     ) -> anyhow::Result<Option<StdDuration>> {
         let mut to_start: Vec<(StdDuration, usize)> =
-            (0..self.plan.real).map(|of| (self.fleet.starts_after(of), of)).collect();
+            (0..self.plan.real).map(|index| (self.fleet.start_delay(index), index)).collect();
         to_start.sort();
         to_start.reverse();
         while began.elapsed() < self.plan.agree_within {
-            while let Some((_, of)) = to_start.pop_if(|(due, _)| *due <= began.elapsed()) {
-                self.reals.start(of)?;
+            while let Some((_, index)) = to_start.pop_if(|(due, _)| *due <= began.elapsed()) {
+                self.real_servers.start(index)?;
             }
             if to_start.is_empty() {
-                let seen = self.look(began);
-                if seen.all(self.plan.members) {
-                    return Ok(Some(seen.at));
+                let snapshot = self.snapshot(began);
+                if snapshot.shows_all_alive(self.plan.members) {
+                    return Ok(Some(snapshot.elapsed));
                 }
-                if look(&seen).is_break() {
+                if observe(&snapshot).is_break() {
                     return Ok(None);
                 }
             }
-            let next = to_start.last().map_or(began.elapsed() + LOOK, |(due, _)| *due);
-            self.wait(began + next.min(began.elapsed() + LOOK))?;
+            let next = to_start.last().map_or(began.elapsed() + POLL_INTERVAL, |(due, _)| *due);
+            self.wait(began + next.min(began.elapsed() + POLL_INTERVAL))?;
         }
         Ok(None)
     }
 
-    fn ids(&self) -> Vec<u32> {
-        let hollows = self.hollows.iter().map(LightweightProcess::id);
-        hollows.chain(self.reals.ids().into_iter().flatten()).collect()
+    fn process_ids(&self) -> Vec<u32> {
+        let lightweight = self.lightweight.iter().map(LightweightProcess::id);
+        lightweight.chain(self.real_servers.ids().into_iter().flatten()).collect()
     }
 
     fn addresses(&self) -> Vec<SocketAddr> {
-        (0..self.plan.real).map(|of| self.fleet.talks_at(of)).collect()
+        (0..self.plan.real).map(|index| self.fleet.gossip_address(index)).collect()
     }
 
-    fn look(&mut self, began: Instant) -> Look {
-        let said = self.asker.sizes(&self.addresses(), ASKED_WITHIN);
-        Look { at: began.elapsed(), said, ids: self.ids() }
+    fn snapshot(&mut self, began: Instant) -> FleetSnapshot {
+        let answers = self.querier.statuses(&self.addresses(), QUERY_TIMEOUT);
+        FleetSnapshot { elapsed: began.elapsed(), answers, process_ids: self.process_ids() }
     }
 
+    /// Returns the names of the members that at least one real member does not show as alive.
     fn missing(&mut self) -> BTreeSet<String> {
-        let pictures = self.asker.pictures(&self.addresses(), PICTURES_WITHIN);
+        let member_lists = self.querier.member_lists(&self.addresses(), MEMBER_LISTS_TIMEOUT);
         let mut missing = BTreeSet::new();
-        for (me, picture) in pictures.into_iter().enumerate() {
-            let picture: BTreeMap<MemberName, MemberStatus> = picture.unwrap_or_default();
-            let alive = picture.iter().filter(|(_, standing)| **standing == MemberStatus::Alive);
+        for (observer, member_list) in member_lists.into_iter().enumerate() {
+            let member_list: BTreeMap<MemberName, MemberStatus> = member_list.unwrap_or_default();
+            let alive = member_list.iter().filter(|(_, status)| **status == MemberStatus::Alive);
             let alive: BTreeSet<&str> = alive.map(|(name, _)| name.as_str()).collect();
-            let others = (0..self.plan.members).filter(|of| *of != me).map(|of| self.fleet.name(of));
+            let others =
+                (0..self.plan.members).filter(|index| *index != observer).map(|index| self.fleet.name(index));
             missing.extend(others.filter(|name| !alive.contains(name.as_str())));
         }
         missing
     }
 
-    /// Until then; fails where a process has ended by itself, memory is over its bound, or it is to stop.
+    /// Waits until a time.
+    ///
+    /// # Errors
+    /// Returns an error if a process has exited early, the memory use exceeds its limit, or the run is stopped.
     fn wait(&mut self, until: Instant) -> anyhow::Result<()> {
         loop {
-            self.reals.check()?;
-            self.hollows.iter_mut().try_for_each(LightweightProcess::check)?;
-            anyhow::ensure!(!self.plan.stop.load(Ordering::Relaxed), "stopped from outside");
-            if Instant::now() >= self.memory_due {
-                self.memory_due = Instant::now() + LOOK_AT_MEMORY;
-                let ids = self.ids().into_iter().chain([std::process::id()]);
-                let taken: u64 = ids.filter_map(process_usage::taken).sum();
-                self.most_memory = self.most_memory.max(taken);
-                let may = self.may_take;
+            self.real_servers.check_running()?;
+            self.lightweight.iter_mut().try_for_each(LightweightProcess::check_running)?;
+            anyhow::ensure!(!self.plan.stop.load(Ordering::Relaxed), "the run was stopped by a signal");
+            if Instant::now() >= self.memory_check_due {
+                self.memory_check_due = Instant::now() + MEMORY_CHECK_INTERVAL;
+                let ids = self.process_ids().into_iter().chain([std::process::id()]);
+                let used_bytes: u64 = ids.filter_map(process_usage::resident_bytes).sum();
+                self.max_memory_bytes = self.max_memory_bytes.max(used_bytes);
+                let limit = self.memory_limit_bytes;
                 anyhow::ensure!(
-                    taken <= may,
-                    "all processes take {taken} bytes, half of the machine is {may}"
+                    used_bytes <= limit,
+                    "all processes use {used_bytes} bytes of memory, the limit is half of the machine, {limit}"
                 );
             }
             let left = until.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return Ok(());
             }
-            std::thread::sleep(left.min(LOOK));
+            std::thread::sleep(left.min(POLL_INTERVAL));
         }
     }
 
+    /// Reads all counters and usages.
     fn read(&mut self) -> anyhow::Result<Reading> {
-        for hollow in &mut self.hollows {
-            hollow.order(Order::Count)?;
+        for process in &mut self.lightweight {
+            process.send_order(Order::Count)?;
         }
         let at = Instant::now();
-        let counted = self.hollows.iter_mut().map(|hollow| hollow.answer(READY)).collect::<Result<_, _>>()?;
-        let reals = self.reals.ids().into_iter().map(|id| id.and_then(process_usage::process)).collect();
-        let hollows = self.hollows.iter().map(|hollow| process_usage::process(hollow.id())).collect();
-        Ok(Reading { at, counted, reals, hollows, drops: process_usage::udp_drops(self.fleet.net) })
+        let counters = self
+            .lightweight
+            .iter_mut()
+            .map(|process| process.wait_for_answer(PROCESS_ANSWER_TIMEOUT))
+            .collect::<Result<_, _>>()?;
+        let real_usage =
+            self.real_servers.ids().into_iter().map(|id| id.and_then(process_usage::usage)).collect();
+        let lightweight_usage =
+            self.lightweight.iter().map(|process| process_usage::usage(process.id())).collect();
+        Ok(Reading {
+            at,
+            counters,
+            real_usage,
+            lightweight_usage,
+            kernel_drops: process_usage::udp_drops(self.fleet.net),
+        })
     }
 }
--- a/crates/hazelspur-fault-harness/src/lightweight/processes.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/processes.rs
@@ -1,8 +1,8 @@
-//! The processes of one run: real servers with their test doubles, and those of lightweight members. Whatever is
-//! started here ends with the value that holds it.
+//! The processes of one run: real servers with their test doubles, and processes of lightweight members. A process is
+//! killed when the value that holds it is dropped.
 
-use super::member::{Counted, Order, Task};
-use super::{CALLS, CORES, Fleet, INSTALLATION, KEY, LEASE_S, Plan, STOP_MS};
+use super::member::{Counters, Order, Task};
+use super::{Fleet, INSTALLATION, KEY, Plan, QUOTA_LEASE_S, SHARED_LIMIT, STOP_MS, WORKER_CORES};
 use anyhow::Context;
 use hazelspur_test_doubles::dependency::Dependency;
 use hazelspur_test_doubles::gateway::{Gateway, GatewaySettings, Response};
@@ -17,43 +17,49 @@
 use std::time::{Duration, Instant};
 
 /// Request timeout, in milliseconds.
-const OP_TIMEOUT_MS: u64 = 3000;
-/// Time of a dependency call, in milliseconds.
+const REQUEST_TIMEOUT_MS: u64 = 3000;
+/// Duration of a dependency call, in milliseconds.
 const CALL_MS: f64 = 10.0;
-/// Time of a run, in milliseconds.
+/// Time that a worker takes to run a request, in milliseconds.
 const RUN_MS: u64 = 15;
-/// Concurrency limit of a worker, by core.
-const CROWD_MULTIPLE: usize = 8;
-/// How often a process that was told to end is looked at.
-const STEP: Duration = Duration::from_millis(2);
+/// Concurrency limit of a worker for each of its cores.
+const CONCURRENCY_LIMIT_PER_CORE: usize = 8;
+/// Pause between two checks for the exit of a process.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Real servers.
+/// Real servers with their workers and shared test doubles.
 pub struct RealServers {
     fleet: Fleet,
     server_binary: PathBuf,
+    /// Folder for configuration, operator's files and logs.
     pub folder: PathBuf,
+    /// Process of each server; `None` before its start and after its exit.
     processes: Vec<Option<Child>>,
-    runtimes: Vec<Worker>,
-    ledger: Dependency,
-    control: Registry,
+    workers: Vec<Worker>,
+    dependency: Dependency,
+    registry: Registry,
+    /// Gateway that sends requests, once they have been started.
     gateway: Option<Gateway>,
 }
 
 impl RealServers {
-    /// All but the processes.
+    /// Writes the key file and starts the test doubles, but no server.
+    ///
+    /// # Errors
+    /// Returns an error if the key file cannot be written.
     pub fn new(plan: &Plan, fleet: &Fleet, folder: PathBuf) -> anyhow::Result<Self> {
         std::fs::write(folder.join("key"), KEY)?;
-        let pace = WorkerSettings {
+        let worker_settings = WorkerSettings {
             run_ms: RUN_MS,
             makes_calls: true,
             fail_every: 0,
-            cores: CORES,
-            call_deadline_ms: OP_TIMEOUT_MS,
+            cores: WORKER_CORES,
+            call_deadline_ms: REQUEST_TIMEOUT_MS,
         };
         Ok(Self {
-            runtimes: (0..fleet.real).map(|_| Worker::start("127.0.0.1:0", pace)).collect(),
-            ledger: Dependency::start("127.0.0.1:0", fleet.slots() as usize, CALL_MS),
-            control: Registry::start("127.0.0.1:0"),
+            workers: (0..fleet.real).map(|_| Worker::start("127.0.0.1:0", worker_settings)).collect(),
+            dependency: Dependency::start("127.0.0.1:0", fleet.call_slots() as usize, CALL_MS),
+            registry: Registry::start("127.0.0.1:0"),
             processes: (0..fleet.real).map(|_| None).collect(),
             gateway: None,
             fleet: fleet.clone(),
@@ -62,124 +68,133 @@
         })
     }
 
-    /// Starts a real server.
-    pub fn start(&mut self, of: usize) -> anyhow::Result<()> {
-        let (fleet, name) = (&self.fleet, self.fleet.name(of));
-        let file = |ending| self.folder.join(format!("{name}.{ending}"));
-        std::fs::write(file("json"), self.settings(of))?;
-        let contacts: Vec<String> = fleet.contacts().iter().map(ToString::to_string).collect();
-        let star = format!(
+    /// Writes the files of a real server and starts it.
+    ///
+    /// # Errors
+    /// Returns an error if a file cannot be written or the process cannot be started.
+    pub fn start(&mut self, index: usize) -> anyhow::Result<()> {
+        let (fleet, name) = (&self.fleet, self.fleet.name(index));
+        let path = |extension| self.folder.join(format!("{name}.{extension}"));
+        std::fs::write(path("json"), self.config_text(index))?;
+        let seeds: Vec<String> = fleet.seed_addresses().iter().map(ToString::to_string).collect();
+        let operator_file = format!(
             "fleet(\n    installation = {INSTALLATION:?},\n    site = {:?},\n    at = \"{}\",\n    \
-             contacts = {contacts:?},\n    key_file = {:?},\n    most = {},\n    together = True,\n    \
-             keepers = {:?},\n    lease_s = {LEASE_S},\n    \
-             shares = [{{\"limit\": \"{CALLS}\", \"total\": {}}}],\n)\n",
-            fleet.site(of),
-            fleet.talks_at(of),
+             contacts = {seeds:?},\n    key_file = {:?},\n    most = {},\n    together = True,\n    \
+             keepers = {:?},\n    lease_s = {QUOTA_LEASE_S},\n    \
+             shares = [{{\"limit\": \"{SHARED_LIMIT}\", \"total\": {}}}],\n)\n",
+            fleet.site(index),
+            fleet.gossip_address(index),
             self.folder.join("key"),
-            fleet.most(),
-            fleet.keepers(),
-            fleet.slots(),
+            fleet.max_members(),
+            fleet.voters(),
+            fleet.call_slots(),
         );
-        std::fs::write(file("star"), star)?;
-        let log = std::fs::File::create(file("log"))?;
+        std::fs::write(path("star"), operator_file)?;
+        let log = std::fs::File::create(path("log"))?;
         let mut command = Command::new(&self.server_binary);
-        command.env("ROUTER_CONFIG", file("json")).arg("--file").arg(file("star"));
+        command.env("ROUTER_CONFIG", path("json")).arg("--file").arg(path("star"));
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
-        let child = command.spawn().with_context(|| format!("{:?}", self.server_binary))?;
-        self.processes[of] = Some(child);
+        let child = command.spawn().with_context(|| format!("cannot start {:?}", self.server_binary))?;
+        self.processes[index] = Some(child);
         Ok(())
     }
 
-    fn settings(&self, of: usize) -> String {
-        let due_us = OP_TIMEOUT_MS * 1000;
+    fn config_text(&self, index: usize) -> String {
+        let deadline_us = REQUEST_TIMEOUT_MS * 1000;
         let settings = serde_json::json!({
-            "family-info": {"n-cores": CORES, "mem-limit-kb": 100_000, "run-factor": 8, "stop-mode": "drop",
+            "family-info": {"n-cores": WORKER_CORES, "mem-limit-kb": 100_000, "run-factor": 8, "stop-mode": "drop",
                 "meters": ["core_use", "on_cores"], "calls-out": 8.0, "calls-over-us": 5_000_000,
                 "passes-deadline": true},
             "lanes": [
-                {"name": "view", "aim-us": 1_500_000, "deadline-us": due_us, "semantics": "safe",
+                {"name": "view", "aim-us": 1_500_000, "deadline-us": deadline_us, "semantics": "safe",
                     "importance": 1},
-                {"name": "set-qty", "aim-us": 1_500_000, "deadline-us": due_us, "semantics": "keyed",
+                {"name": "set-qty", "aim-us": 1_500_000, "deadline-us": deadline_us, "semantics": "keyed",
                     "memory-span-us": 60_000_000},
-                {"name": "book", "aim-us": 1_500_000, "deadline-us": due_us, "semantics": "unsafe"}],
-            "rules": {"fall-multiple": CROWD_MULTIPLE, "cold-share": 0.2, "cold-us": 5_000_000,
+                {"name": "book", "aim-us": 1_500_000, "deadline-us": deadline_us, "semantics": "unsafe"}],
+            "rules": {"fall-multiple": CONCURRENCY_LIMIT_PER_CORE, "cold-share": 0.2, "cold-us": 5_000_000,
                 "drain-grace-us": 300_000},
             "limits": {"retry-after": true, "max-retry-after-us": 1_000_000},
             "servers": self.fleet.members,
         });
         serde_json::json!({
-            "name": self.fleet.name(of), "listen": self.fleet.serves_at(of).to_string(),
-            "runtime": self.runtimes[of].address.to_string(), "ledger": self.ledger.address.to_string(),
-            "control": self.control.address.to_string(),
-            "seed": format!("{:016x}", self.fleet.seed ^ of as u64),
+            "name": self.fleet.name(index), "listen": self.fleet.gateway_address(index).to_string(),
+            "runtime": self.workers[index].address.to_string(), "ledger": self.dependency.address.to_string(),
+            "control": self.registry.address.to_string(),
+            "seed": format!("{:016x}", self.fleet.seed ^ index as u64),
             "stop_ms": STOP_MS, "limits": {"sockets": 512}, "settings": settings,
         })
         .to_string()
     }
 
-    /// Requests a second over all of them, round and round.
-    pub fn begin_ops(&mut self, rate: f64) {
+    /// Starts a gateway that sends `rate` requests per second to all listed servers; none if the rate is 0.
+    pub fn start_requests(&mut self, rate: f64) {
         if rate <= 0.0 {
             return;
         }
-        let habits = GatewaySettings {
+        let gateway_settings = GatewaySettings {
             by_request_hash: false,
             retries: 1,
             retries_elsewhere: true,
             obeys_retry_after: true,
             requests_per_s: rate,
             list_age_ms: 1000,
-            timeout_ms: OP_TIMEOUT_MS,
+            timeout_ms: REQUEST_TIMEOUT_MS,
         };
-        let (list, servers) = (self.control.list.clone(), self.fleet.real);
-        let lister = Box::new(move || {
-            let named = list.listed(habits.list_age_ms);
-            let numbers = named.iter().filter_map(|name| name.strip_prefix('n')?.parse().ok());
-            numbers.filter(|of| *of < servers).collect()
+        let (list, servers) = (self.registry.list.clone(), self.fleet.real);
+        let list_servers = Box::new(move || {
+            let names = list.listed(gateway_settings.list_age_ms);
+            let indices = names.iter().filter_map(|name| name.strip_prefix('n')?.parse().ok());
+            indices.filter(|index| *index < servers).collect()
         });
-        let servers = (0..servers).map(|of| self.fleet.serves_at(of)).collect();
-        self.gateway = Some(Gateway::start(0, habits, servers, lister, self.fleet.seed));
+        let servers = (0..servers).map(|index| self.fleet.gateway_address(index)).collect();
+        self.gateway = Some(Gateway::start(0, gateway_settings, servers, list_servers, self.fleet.seed));
     }
 
-    /// Process ids of the real servers.
+    /// Returns the process ids of the real servers; `None` for one that does not run.
     pub fn ids(&self) -> Vec<Option<u32>> {
         self.processes.iter().map(|child| child.as_ref().map(Child::id)).collect()
     }
 
-    /// Fails where one has ended by itself.
-    pub fn check(&mut self) -> anyhow::Result<()> {
-        for (of, child) in self.processes.iter_mut().enumerate() {
+    /// Checks that no server has exited.
+    ///
+    /// # Errors
+    /// Returns an error with the last line of the log of a server that has exited.
+    pub fn check_running(&mut self) -> anyhow::Result<()> {
+        for (index, child) in self.processes.iter_mut().enumerate() {
             let Some(status) = child.as_mut().map(Child::try_wait).transpose()?.flatten() else { continue };
             *child = None;
-            let name = self.fleet.name(of);
+            let name = self.fleet.name(index);
             let log = std::fs::read_to_string(self.folder.join(format!("{name}.log"))).unwrap_or_default();
-            let last = log.lines().last().unwrap_or("it said nothing");
-            anyhow::bail!("{name} ended by itself, {status}: {last}");
+            let last_line = log.lines().last().unwrap_or("its log is empty");
+            anyhow::bail!("{name} exited early with {status}; last line of its log: {last_line}");
         }
         Ok(())
     }
 
-    /// All leave in good order; how many requests were acked and how many sent. Fails where one had to be killed
-    /// or ended badly.
-    pub fn end(&mut self) -> anyhow::Result<(usize, usize)> {
-        let tries = self.gateway.take().map(|mut gateway| gateway.finish()).unwrap_or_default();
-        let acked = |t: &&hazelspur_test_doubles::gateway::Attempt| {
-            t.responses.iter().any(|a| a.0 == Response::Succeeded)
+    /// Stops the requests and all servers. Returns the number of requests that succeeded and the number of attempts that
+    /// were sent.
+    ///
+    /// # Errors
+    /// Returns an error if a server had to be killed or did not exit with status 0.
+    pub fn stop(&mut self) -> anyhow::Result<(usize, usize)> {
+        let attempts = self.gateway.take().map(|mut gateway| gateway.finish()).unwrap_or_default();
+        let is_acked = |attempt: &&hazelspur_test_doubles::gateway::Attempt| {
+            attempt.responses.iter().any(|response| response.0 == Response::Succeeded)
         };
-        let requests = (tries.iter().filter(acked).count(), tries.len());
+        let requests = (attempts.iter().filter(is_acked).count(), attempts.len());
         for child in self.processes.iter().flatten() {
-            // Not waited for yet, so the number is still its own.
+            // The process has not been waited for yet, so its id cannot have been reused.
             let _ = kill(Pid::from_raw(child.id() as i32), Signal::SIGTERM);
         }
-        let until = Instant::now() + Duration::from_millis(STOP_MS + 8000);
-        let mut bad = Vec::new();
-        for (of, child) in self.processes.iter_mut().enumerate() {
+        let deadline = Instant::now() + Duration::from_millis(STOP_MS + 8000);
+        let mut failures = Vec::new();
+        for (index, child) in self.processes.iter_mut().enumerate() {
             let Some(mut child) = child.take() else { continue };
             let status = loop {
                 match child.try_wait()? {
                     Some(status) => break Some(status),
-                    None if Instant::now() >= until => break None,
-                    None => std::thread::sleep(STEP),
+                    None if Instant::now() >= deadline => break None,
+                    None => std::thread::sleep(EXIT_POLL_INTERVAL),
                 }
             };
             if status.is_none() {
@@ -187,10 +202,10 @@
                 let _ = child.wait();
             }
             if !status.is_some_and(|status| status.success()) {
-                bad.push(format!("{} ended with {status:?}", self.fleet.name(of)));
+                failures.push(format!("{} exited with {status:?}", self.fleet.name(index)));
             }
         }
-        anyhow::ensure!(bad.is_empty(), bad.join("; "));
+        anyhow::ensure!(failures.is_empty(), failures.join("; "));
         Ok(requests)
     }
 }
@@ -204,74 +219,107 @@
     }
 }
 
-/// One process of lightweight members.
+/// Process of lightweight members.
 pub struct LightweightProcess {
     child: Child,
     orders: Option<ChildStdin>,
     answers: Receiver<String>,
-    pub first: usize,
+    /// Index in the fleet of the first member.
+    pub first_member: usize,
+    /// Number of members.
     pub count: usize,
 }
 
 impl LightweightProcess {
-    /// Returns at once; the first answer says that all sockets are there.
+    /// Starts the process and sends it its task, without waiting. Its first answer means that all sockets are bound.
+    ///
+    /// # Errors
+    /// Returns an error if the process cannot be started or its input cannot be written.
     pub fn start(plan: &Plan, task: &Task) -> anyhow::Result<Self> {
         let mut command = Command::new(&plan.own_binary);
-        command.arg(super::command::HIDDEN).stdin(Stdio::piped()).stdout(Stdio::piped());
-        let mut child = command.spawn().with_context(|| format!("{:?}", plan.own_binary))?;
-        let (mut orders, out) = (child.stdin.take(), child.stdout.take().context("its output")?);
-        let (answer, answers) = sync_channel(1);
+        command.arg(super::command::MEMBERS_SUBCOMMAND).stdin(Stdio::piped()).stdout(Stdio::piped());
+        let mut child = command.spawn().with_context(|| format!("cannot start {:?}", plan.own_binary))?;
+        let (mut orders, output) =
+            (child.stdin.take(), child.stdout.take().context("lightweight members have no output")?);
+        let (answer_sender, answers) = sync_channel(1);
         std::thread::spawn(move || {
-            for line in BufReader::new(out).lines().map_while(Result::ok) {
-                if answer.send(line).is_err() {
+            for line in BufReader::new(output).lines().map_while(Result::ok) {
+                if answer_sender.send(line).is_err() {
                     break;
                 }
             }
         });
-        let first = serde_json::to_string(task)?;
-        let sent = orders.as_mut().map(|orders| writeln!(orders, "{first}"));
-        let hollow = Self { child, orders, answers, first: task.first, count: task.count };
-        sent.context("its input")?.context("its input")?;
-        Ok(hollow)
+        let task_line = serde_json::to_string(task)?;
+        let sent = orders.as_mut().map(|orders| writeln!(orders, "{task_line}"));
+        let process = Self { child, orders, answers, first_member: task.first_member, count: task.count };
+        sent.context("lightweight members have no input")?
+            .context("cannot write to the input of lightweight members")?;
+        Ok(process)
     }
 
-    /// Its process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends an order.
-    pub fn order(&mut self, order: Order) -> anyhow::Result<()> {
+    /// Sends an order, without waiting for the answer.
+    ///
+    /// # Errors
+    /// Returns an error if the input of the process cannot be written.
+    pub fn send_order(&mut self, order: Order) -> anyhow::Result<()> {
         let line = serde_json::to_string(&order)?;
-        writeln!(self.orders.as_mut().context("its input")?, "{line}").context("hollow members' input")
+        writeln!(self.orders.as_mut().context("lightweight members have no input")?, "{line}")
+            .context("cannot write to the input of lightweight members")
     }
 
-    /// Waits for the answer to an order.
-    pub fn answer(&mut self, within: Duration) -> anyhow::Result<Counted> {
-        let line = self.answers.recv_timeout(within);
-        let line = line.with_context(|| format!("hollow members from {}: no answer", self.first))?;
+    /// Waits for the answer to the task or an order.
+    ///
+    /// # Errors
+    /// Returns an error if no answer comes within the timeout, or it is not valid.
+    pub fn wait_for_answer(&mut self, timeout: Duration) -> anyhow::Result<Counters> {
+        let line = self.answers.recv_timeout(timeout);
+        let line = line.with_context(|| {
+            format!("lightweight members from {}: no answer within {timeout:?}", self.first_member)
+        })?;
         Ok(serde_json::from_str(&line)?)
     }
 
-    /// Fails where the process has ended.
-    pub fn check(&mut self) -> anyhow::Result<()> {
+    /// Checks that the process has not exited.
+    ///
+    /// # Errors
+    /// Returns an error with its exit status if it has.
+    pub fn check_running(&mut self) -> anyhow::Result<()> {
         let status = self.child.try_wait()?;
-        anyhow::ensure!(status.is_none(), "hollow members from {}: ended by itself, {status:?}", self.first);
+        anyhow::ensure!(
+            status.is_none(),
+            "lightweight members from {}: exited early with {status:?}",
+            self.first_member
+        );
         Ok(())
     }
 
-    /// Ends its input, and waits until it has ended.
-    pub fn end(&mut self, within: Duration) -> anyhow::Result<()> {
+    /// Closes the input of the process and waits for its exit.
+    ///
+    /// # Errors
+    /// Returns an error if the process does not exit within the timeout, or not with status 0.
+    pub fn stop(&mut self, timeout: Duration) -> anyhow::Result<()> {
         self.orders = None;
-        let until = Instant::now() + within;
-        while Instant::now() < until {
+        let deadline = Instant::now() + timeout;
+        while Instant::now() < deadline {
             if let Some(status) = self.child.try_wait()? {
-                anyhow::ensure!(status.success(), "hollow members from {}: {status}", self.first);
+                anyhow::ensure!(
+                    status.success(),
+                    "lightweight members from {}: exited with {status}",
+                    self.first_member
+                );
                 return Ok(());
             }
-            std::thread::sleep(STEP);
+            std::thread::sleep(EXIT_POLL_INTERVAL);
         }
-        anyhow::bail!("hollow members from {}: did not end by themselves", self.first)
+        anyhow::bail!(
+            "lightweight members from {}: no exit within {timeout:?} of the end of the input",
+            self.first_member
+        )
     }
 }
 
