--- a/crates/hazelspur-simulator/src/capacity.rs
+++ b/crates/hazelspur-simulator/src/capacity.rs
@@ -21,14 +21,14 @@
 pub mod size;
 
 /// Three significant digits, with commas from a thousand on.
-pub fn digits(value: f64) -> String {
+pub fn format_significant(value: f64) -> String {
     if value == 0.0 {
         return "0".into();
     }
     if !value.is_finite() {
         return "-".into();
     }
-    let rounded = rounded(value);
+    let rounded = round_significant(value);
     let places = (2 - rounded.abs().log10().floor() as i32).max(0) as usize;
     let text = format!("{rounded:.places$}");
     let text = if text.contains('.') { text.trim_end_matches('0').trim_end_matches('.') } else { &text };
@@ -45,14 +45,14 @@
 }
 
 /// The same as a number, for JSON.
-pub fn rounded(value: f64) -> f64 {
+pub fn round_significant(value: f64) -> f64 {
     if value == 0.0 || !value.is_finite() { value } else { format!("{value:.2e}").parse().unwrap_or(value) }
 }
 
 /// With its unit; bytes in kB and MB of 1000.
-pub fn with_unit(value: f64, unit: &str) -> String {
+pub fn format_with_unit(value: f64, unit: &str) -> String {
     let Some(per) = unit.strip_prefix('B').filter(|rest| rest.is_empty() || rest.starts_with('/')) else {
-        return format!("{} {unit}", digits(value)).trim_end().to_string();
+        return format!("{} {unit}", format_significant(value)).trim_end().to_string();
     };
     let (scale, name) = match value.abs() {
         n if n >= 1e9 => (1e9, "GB"),
@@ -60,5 +60,5 @@
         n if n >= 1e3 => (1e3, "kB"),
         _ => (1.0, "B"),
     };
-    format!("{} {name}{per}", digits(value / scale))
+    format!("{} {name}{per}", format_significant(value / scale))
 }
--- a/crates/hazelspur-simulator/src/capacity/constants.rs
+++ b/crates/hazelspur-simulator/src/capacity/constants.rs
@@ -8,12 +8,12 @@
     pub file: &'static str,
     pub name: &'static str,
     /// A piece of the file, word for word.
-    pub text: &'static str,
+    pub excerpt: &'static str,
     pub value: f64,
 }
 
-const fn constant(file: &'static str, name: &'static str, text: &'static str, value: f64) -> Constant {
-    Constant { file, name, text, value }
+const fn constant(file: &'static str, name: &'static str, excerpt: &'static str, value: f64) -> Constant {
+    Constant { file, name, excerpt, value }
 }
 
 /// The source file of the kinds of configuration entries.
@@ -28,103 +28,107 @@
 const KEYS: &str = "crates/hazelspur-server/src/config/fleet_keys.rs";
 
 /// Mean wait between reports to the list, s: the middle of `REPORT_INTERVAL`.
-pub const REPORT_EVERY: Constant = constant(
+pub const REPORT_INTERVAL: Constant = constant(
     REGISTRY,
     "REPORT_INTERVAL",
     "const REPORT_INTERVAL: RandomInterval =\n    RandomInterval { min: Duration::from_ms(640), max: Duration::from_ms(960) };",
     0.8,
 );
 /// The same after a miss, s: the middle of `RETRY_INTERVAL`.
-pub const REPORT_AGAIN: Constant = constant(
+pub const REPORT_RETRY_INTERVAL: Constant = constant(
     REGISTRY,
     "RETRY_INTERVAL",
     "const RETRY_INTERVAL: RandomInterval =\n    RandomInterval { min: Duration::from_ms(125), max: Duration::from_ms(375) };",
     0.25,
 );
 /// Descriptors of the program's own.
-pub const OWN: Constant = constant(DESCRIPTORS, "RESERVED", "const RESERVED: usize = 16;", 16.0);
+pub const RESERVED_DESCRIPTORS: Constant =
+    constant(DESCRIPTORS, "RESERVED", "const RESERVED: usize = 16;", 16.0);
 /// Connections to the ledger, in use or kept.
-pub const CALLS: Constant = constant(DESCRIPTORS, "MAX_CALLS", "const MAX_CALLS: usize = 64;", 64.0);
+pub const MAX_DEPENDENCY_CALLS: Constant =
+    constant(DESCRIPTORS, "MAX_CALLS", "const MAX_CALLS: usize = 64;", 64.0);
 /// Gateways' connections on their way out.
-pub const CLOSING: Constant = constant(DESCRIPTORS, "MAX_CLOSING", "const MAX_CLOSING: usize = 64;", 64.0);
+pub const MAX_CLOSING_CONNECTIONS: Constant =
+    constant(DESCRIPTORS, "MAX_CLOSING", "const MAX_CLOSING: usize = 64;", 64.0);
 /// `limits.sockets` where the platform says nothing.
-pub const SOCKETS: Constant = constant(
+pub const DEFAULT_SOCKET_LIMIT: Constant = constant(
     "crates/hazelspur-server/src/config/server_config.rs",
     "limits.sockets",
     "NumberKey { key: \"limits.sockets\", default: 1024.0,",
     1024.0,
 );
 /// Idle connections to the ledger that are kept.
-pub const IDLE: Constant = constant(
+pub const MAX_IDLE_DEPENDENCY_CONNECTIONS: Constant = constant(
     "crates/hazelspur-server/src/upstream/dependency.rs",
     "MAX_IDLE_CONNECTIONS",
     "const MAX_IDLE_CONNECTIONS: usize = 16;",
     16.0,
 );
 /// Callers and users that the decision module remembers.
-pub const SEEN: Constant =
+pub const LAST_SEEN_CAPACITY: Constant =
     constant("src/last_seen.rs", "LAST_SEEN_CAPACITY", "const LAST_SEEN_CAPACITY: usize = 4096;", 4096.0);
 /// Op types that are held.
-pub const OP_TYPES: Constant =
+pub const MAX_REQUEST_CLASSES: Constant =
     constant(ENTRY_KIND, "MAX_REQUEST_CLASSES", "pub const MAX_REQUEST_CLASSES: usize = 17_400;", 17_400.0);
 /// Tenants that are held.
-pub const TENANTS: Constant =
+pub const MAX_TENANTS: Constant =
     constant(ENTRY_KIND, "MAX_TENANTS", "pub const MAX_TENANTS: usize = 84_000;", 84_000.0);
 /// Tenants, and op types, of which something learned is kept.
-pub const LEARNED: Constant = constant(
+pub const RECENTLY_SEEN_CAPACITY: Constant = constant(
     "src/recently_seen.rs",
     "RECENTLY_SEEN_CAPACITY",
     "pub const RECENTLY_SEEN_CAPACITY: usize = 4096;",
     4096.0,
 );
 /// The longest configuration that is read, in bytes.
-pub const LONGEST_FILE: Constant = constant(
+pub const MAX_CONFIG_FILE_BYTES: Constant = constant(
     "crates/hazelspur-server/src/config/server_config.rs",
     "MAX_FILE_BYTES",
     "const MAX_FILE_BYTES: u64 = 8 * 1024 * 1024;",
     8_388_608.0,
 );
 /// The greatest `most` of the operator's file.
-pub const MOST: Constant =
+pub const MAX_FLEET_SIZE: Constant =
     constant(KEYS, "Fleet.most", "#[garde(range(min = 1, max = 4096))]\n    pub most: usize,", 4096.0);
 /// The part of a shared limit that is divided by `most` for good.
-pub const FLOOR: Constant =
+pub const GUARANTEED_FRACTION: Constant =
     constant(KEYS, "DEFAULT_GUARANTEED_FRACTION", "const DEFAULT_GUARANTEED_FRACTION: f64 = 0.2;", 0.2);
 /// How long a vote holds, s.
-pub const LEASE: Constant = constant(KEYS, "DEFAULT_VOTE_SECS", "const DEFAULT_VOTE_SECS: f64 = 4.0;", 4.0);
+pub const VOTE_DURATION: Constant =
+    constant(KEYS, "DEFAULT_VOTE_SECS", "const DEFAULT_VOTE_SECS: f64 = 4.0;", 4.0);
 /// How often one other is probed, s.
-pub const PERIOD: Constant =
+pub const PROBE_PERIOD: Constant =
     constant(KEYS, "DEFAULT_PERIOD_SECS", "const DEFAULT_PERIOD_SECS: f64 = 1.0;", 1.0);
 /// The part of a lease after which a holder asks again.
-pub const RENEWAL: Constant = constant(
+pub const LEASE_RENEWAL_FRACTION: Constant = constant(
     "crates/hazelspur-fleet/src/quota/config.rs",
     "RENEWAL_FRACTION",
     "const RENEWAL_FRACTION: f64 = 0.25;",
     0.25,
 );
 /// How often a chosen server tries a ledger that is gone, s.
-pub const CHOSEN_EVERY: Constant = constant(
+pub const DESIGNATED_PROBE_INTERVAL: Constant = constant(
     CIRCUIT_BREAKER,
     "DESIGNATED_PROBE_INTERVAL",
     "const DESIGNATED_PROBE_INTERVAL: Duration = Duration::from_ms(250);",
     0.25,
 );
 /// The same of the others, s.
-pub const OTHERS_EVERY: Constant = constant(
+pub const OTHER_PROBE_INTERVAL: Constant = constant(
     CIRCUIT_BREAKER,
     "OTHER_PROBE_INTERVAL",
     "const OTHER_PROBE_INTERVAL: Duration = Duration::from_ms(4000);",
     4.0,
 );
 /// Parts of the list that one server answers in a period.
-pub const PAGES: Constant = constant(
+pub const LIST_PAGES_PER_PERIOD: Constant = constant(
     "crates/hazelspur-fleet/src/membership/state.rs",
     "LIST_PAGES_PER_PERIOD",
     "const LIST_PAGES_PER_PERIOD: usize = 64;",
     64.0,
 );
 /// How often a piece of news goes out, times the logarithm of the size.
-pub const NEWS_TIMES: Constant = constant(
+pub const TRANSMISSIONS_PER_LOG_SIZE: Constant = constant(
     "crates/hazelspur-fleet/src/membership/gossip_queue.rs",
     "TRANSMISSIONS_PER_LOG_SIZE",
     "const TRANSMISSIONS_PER_LOG_SIZE: u32 = 4;",
@@ -133,32 +137,32 @@
 
 /// All of them.
 pub const ALL: [Constant; 21] = [
-    REPORT_EVERY,
-    REPORT_AGAIN,
-    OWN,
-    CALLS,
-    CLOSING,
-    SOCKETS,
-    IDLE,
-    SEEN,
-    OP_TYPES,
-    TENANTS,
-    LEARNED,
-    LONGEST_FILE,
-    MOST,
-    FLOOR,
-    LEASE,
-    PERIOD,
-    RENEWAL,
-    CHOSEN_EVERY,
-    OTHERS_EVERY,
-    PAGES,
-    NEWS_TIMES,
+    REPORT_INTERVAL,
+    REPORT_RETRY_INTERVAL,
+    RESERVED_DESCRIPTORS,
+    MAX_DEPENDENCY_CALLS,
+    MAX_CLOSING_CONNECTIONS,
+    DEFAULT_SOCKET_LIMIT,
+    MAX_IDLE_DEPENDENCY_CONNECTIONS,
+    LAST_SEEN_CAPACITY,
+    MAX_REQUEST_CLASSES,
+    MAX_TENANTS,
+    RECENTLY_SEEN_CAPACITY,
+    MAX_CONFIG_FILE_BYTES,
+    MAX_FLEET_SIZE,
+    GUARANTEED_FRACTION,
+    VOTE_DURATION,
+    PROBE_PERIOD,
+    LEASE_RENEWAL_FRACTION,
+    DESIGNATED_PROBE_INTERVAL,
+    OTHER_PROBE_INTERVAL,
+    LIST_PAGES_PER_PERIOD,
+    TRANSMISSIONS_PER_LOG_SIZE,
 ];
 
 impl Constant {
     /// As a page names it.
-    pub fn from(&self) -> String {
+    pub fn origin(&self) -> String {
         format!("{} {}", self.file, self.name)
     }
 }
--- a/crates/hazelspur-simulator/src/capacity/measured.rs
+++ b/crates/hazelspur-simulator/src/capacity/measured.rs
@@ -11,8 +11,8 @@
     #[serde(default)]
     pub command: String,
     /// The commit it was made on.
-    #[serde(default)]
-    pub text: String,
+    #[serde(default, rename = "text")]
+    pub commit: String,
     #[serde(default)]
     pub machine: String,
     #[serde(default)]
@@ -29,7 +29,8 @@
     #[serde(default)]
     pub unit: String,
     /// What `size` counts.
-    pub by: String,
+    #[serde(rename = "by")]
+    pub dimension: String,
     pub size: f64,
     #[serde(default)]
     pub seed: Option<u64>,
@@ -40,11 +41,11 @@
 /// A study's figure in a case, by a dimension. Two studies may have one name for theirs: virtual time and real
 /// processes are never one line.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Of {
+pub struct SeriesKey {
     pub study: String,
     pub figure: String,
     pub case: String,
-    pub by: String,
+    pub dimension: String,
 }
 
 /// All points of one figure, case and dimension.
@@ -72,10 +73,10 @@
     pub base: f64,
     /// The largest distance of a point from the line, of the greatest value.
     pub deviation: f64,
-    pub least: f64,
-    pub most: f64,
-    pub sizes: usize,
-    pub points: usize,
+    pub smallest_size: f64,
+    pub largest_size: f64,
+    pub size_count: usize,
+    pub point_count: usize,
 }
 
 impl Fit {
@@ -87,31 +88,33 @@
 
 /// All series, by figure, case and dimension.
 #[derive(Clone, Debug, Default)]
-pub struct Measured {
-    pub series: BTreeMap<Of, Series>,
+pub struct Measurements {
+    pub series: BTreeMap<SeriesKey, Series>,
     /// As they came.
     pub studies: Vec<Study>,
 }
 
 impl Study {
     /// Errors name the key at fault.
-    pub fn read(text: &str) -> serde_json::Result<Self> {
+    pub fn parse(text: &str) -> serde_json::Result<Self> {
         serde_json::from_str(text)
     }
 }
 
-impl Measured {
+impl Measurements {
     /// Sorts the points of all studies into series.
-    pub fn of(studies: Vec<Study>) -> Self {
-        let mut series: BTreeMap<Of, Series> = BTreeMap::new();
+    pub fn from_studies(studies: Vec<Study>) -> Self {
+        let mut series: BTreeMap<SeriesKey, Series> = BTreeMap::new();
         for study in &studies {
             for point in &study.points {
                 let Some(value) = point.value.filter(|value| value.is_finite() && point.size.is_finite())
                 else {
                     continue;
                 };
-                let Point { figure, case, by, unit, size, .. } = point.clone();
-                let of = series.entry(Of { study: study.study.clone(), figure, case, by }).or_default();
+                let Point { figure, case, dimension, unit, size, .. } = point.clone();
+                let of = series
+                    .entry(SeriesKey { study: study.study.clone(), figure, case, dimension })
+                    .or_default();
                 of.unit = unit;
                 of.command = study.command.clone();
                 of.points.push((size, value));
@@ -122,15 +125,15 @@
 
     /// The series of some figures by a dimension, as one, in the first of the cases there is; without cases
     /// in any. A figure is `name` or `study/name`; without a study the first that has any of them counts.
-    pub fn find(&self, figures: &[&str], cases: &[&str], by: &str) -> Option<Series> {
-        let names = |of: &Of, figure: &str| match figure.split_once('/') {
+    pub fn find(&self, figures: &[&str], cases: &[&str], dimension: &str) -> Option<Series> {
+        let names = |of: &SeriesKey, figure: &str| match figure.split_once('/') {
             Some((study, name)) => of.study == study && of.figure == name,
             None => of.figure == figure,
         };
         let of_case = |case: Option<&str>| {
-            let fits = |of: &&Of| {
+            let fits = |of: &&SeriesKey| {
                 let figure = figures.iter().any(|figure| names(of, figure));
-                figure && of.by == by && case.is_none_or(|case| case == of.case)
+                figure && of.dimension == dimension && case.is_none_or(|case| case == of.case)
             };
             let study = &self.series.keys().find(fits)?.study;
             let of_study = self.series.iter().filter(|(of, _)| fits(of) && of.study == *study);
@@ -147,7 +150,7 @@
     }
 
     /// Sizes and values of the seeds that count.
-    pub fn chosen(&self, seeds: Seeds) -> Vec<(f64, f64)> {
+    pub fn points_for(&self, seeds: Seeds) -> Vec<(f64, f64)> {
         if seeds == Seeds::All {
             return self.points.clone();
         }
@@ -163,7 +166,7 @@
 
     /// None with fewer than two sizes.
     pub fn fit(&self, seeds: Seeds) -> Option<Fit> {
-        let points = self.chosen(seeds);
+        let points = self.points_for(seeds);
         let mut sizes: Vec<f64> = points.iter().map(|(size, _)| *size).collect();
         sizes.sort_by(f64::total_cmp);
         sizes.dedup();
@@ -183,17 +186,17 @@
             slope,
             base,
             deviation: off / greatest,
-            least: sizes[0],
-            most: sizes[sizes.len() - 1],
-            sizes: sizes.len(),
-            points: points.len(),
+            smallest_size: sizes[0],
+            largest_size: sizes[sizes.len() - 1],
+            size_count: sizes.len(),
+            point_count: points.len(),
         })
     }
 
     /// What was seen at this size, to a hundredth: the mean of all seeds, or the worst.
-    pub fn seen_at(&self, size: f64, seeds: Seeds) -> Option<f64> {
+    pub fn value_near(&self, size: f64, seeds: Seeds) -> Option<f64> {
         let there: Vec<f64> = self
-            .chosen(seeds)
+            .points_for(seeds)
             .iter()
             .filter(|(at, _)| (at - size).abs() < 0.01 * size)
             .map(|p| p.1)
--- a/crates/hazelspur-simulator/src/capacity/page.rs
+++ b/crates/hazelspur-simulator/src/capacity/page.rs
@@ -5,13 +5,13 @@
 //! <!-- end -->
 //! ```
 
-use super::command::Told;
-use super::report::{self, Known, Line, Report, State, Stops};
+use super::command::CapacityInput;
+use super::report::{self, BudgetCrossing, MissingList, Report, ReportLine, State};
 use super::rows::Role;
-use super::{digits, measured, with_unit};
+use super::{format_significant, format_with_unit, measured};
 
 /// A table by its marker's name.
-pub struct Block {
+pub struct GeneratedTable {
     pub name: String,
     pub text: String,
 }
@@ -29,12 +29,12 @@
 }
 
 fn or_none(value: Option<f64>, unit: &str) -> String {
-    value.map_or(NONE.into(), |value| with_unit(value, unit))
+    value.map_or(NONE.into(), |value| format_with_unit(value, unit))
 }
 
 /// A figure at the target, or why there is none.
-pub fn at_target(line: &Line) -> String {
-    match line.target.map(|target| with_unit(target, line.unit)) {
+pub fn target_cell(line: &ReportLine) -> String {
+    match line.target.map(|target| format_with_unit(target, line.unit)) {
         Some(part) if line.state == State::NotMeasured => format!("at least {part}"),
         Some(target) => target,
         None if line.state == State::Missing => "no mechanism".into(),
@@ -46,20 +46,20 @@
 fn plain(value: Option<f64>) -> String {
     value.map_or(NONE.into(), |value| match value.abs() {
         n if n != 0.0 && n < 1e-3 => format!("{value:.2e}"),
-        _ => digits(value),
+        _ => format_significant(value),
     })
 }
 
-fn stops(line: &Line) -> String {
-    match line.stops_at {
-        Stops::At(size) => format!("{} {}", digits(size), line.by),
-        Stops::Never => "past 1,000 times the target".into(),
-        Stops::AnySize => "at any size".into(),
-        Stops::Unknown => NONE.into(),
+fn stops(line: &ReportLine) -> String {
+    match line.budget_crossing {
+        BudgetCrossing::At(size) => format!("{} {}", format_significant(size), line.dimension),
+        BudgetCrossing::Never => "past 1,000 times the target".into(),
+        BudgetCrossing::AnySize => "at any size".into(),
+        BudgetCrossing::Unknown => NONE.into(),
     }
 }
 
-fn role(lines: &[&Line]) -> String {
+fn role(lines: &[&ReportLine]) -> String {
     let head = [
         "row",
         "what",
@@ -77,27 +77,27 @@
     let figures = lines.iter().map(|line| {
         vec![
             format!("`{}`", line.row),
-            line.what.into(),
-            format!("{} {}", digits(line.size), line.by),
+            line.description.into(),
+            format!("{} {}", format_significant(line.size), line.dimension),
             plain(line.slope),
             plain(line.base),
-            line.deviation.map_or(NONE.into(), |of| format!("{} %", digits(of * 100.0))),
-            at_target(line),
+            line.deviation.map_or(NONE.into(), |of| format!("{} %", format_significant(of * 100.0))),
+            target_cell(line),
             or_none(line.twice, line.unit),
             or_none(line.budget, line.unit),
-            line.ratio.map_or(NONE.into(), digits),
+            line.ratio.map_or(NONE.into(), format_significant),
             stops(line),
             line.state.name().into(),
         ]
     });
     let carried = lines.iter().map(|line| {
-        let from = if line.from.is_empty() { NOT_MEASURED.into() } else { line.from.clone() };
-        let from = match &line.points {
-            Some(points) => format!("{from} ({points})"),
-            None => from,
+        let origin = if line.origin.is_empty() { NOT_MEASURED.into() } else { line.origin.clone() };
+        let origin = match &line.points {
+            Some(points) => format!("{origin} ({points})"),
+            None => origin,
         };
-        let budget = if line.budget_from.is_empty() { NONE } else { line.budget_from };
-        vec![format!("`{}`", line.row), line.formula.clone(), from, budget.into(), line.mechanism.into()]
+        let budget = if line.budget_origin.is_empty() { NONE } else { line.budget_origin };
+        vec![format!("`{}`", line.row), line.formula.clone(), origin, budget.into(), line.mechanism.into()]
     });
     let second = ["row", "formula", "measured by, or computed from", "budget from", "carried by"];
     table(&head, figures) + "\n" + &table(&second, carried)
@@ -107,15 +107,15 @@
     let head = ["row", "what", "at the target", "budget", "ratio", "rests on", "carries", "why", "roadmap"];
     let rows = report.missing().into_iter().map(|line| {
         let (why, roadmap) = line.known.clone().unwrap_or(("not named in missing.toml".into(), NONE.into()));
-        let rests: Vec<String> = line.rests_on.iter().map(|under| format!("`{under}`")).collect();
+        let rests: Vec<String> = line.prerequisites.iter().map(|under| format!("`{under}`")).collect();
         vec![
             format!("`{}`", line.row),
-            line.what.into(),
-            at_target(line),
+            line.description.into(),
+            target_cell(line),
             or_none(line.budget, line.unit),
-            line.ratio.map_or(NONE.into(), digits),
+            line.ratio.map_or(NONE.into(), format_significant),
             if rests.is_empty() { NONE.into() } else { rests.join(", ") },
-            report.carries(line.row).to_string(),
+            report.dependent_count(line.row).to_string(),
             why,
             roadmap,
         ]
@@ -126,13 +126,14 @@
 fn order(report: &Report) -> String {
     let line = |(at, row): (usize, &&str)| {
         let line = report.lines.iter().find(|line| line.row == *row);
-        let ratio =
-            line.and_then(|line| line.ratio).map_or("no figure".into(), |r| format!("{} times", digits(r)));
+        let ratio = line
+            .and_then(|line| line.ratio)
+            .map_or("no figure".into(), |r| format!("{} times", format_significant(r)));
         format!(
             "{}. `{row}`: {}; {ratio}; carries {}\n",
             at + 1,
-            line.map_or("", |l| l.what),
-            report.carries(row)
+            line.map_or("", |l| l.description),
+            report.dependent_count(row)
         )
     };
     report.order.iter().enumerate().map(line).collect()
@@ -140,30 +141,31 @@
 
 fn states(report: &Report) -> String {
     let count = |state| report.lines.iter().filter(|line| line.state == state).count().to_string();
-    let all = [State::Fits, State::Missing, State::NotMeasured, State::Stated];
+    let all = [State::Fits, State::Missing, State::NotMeasured, State::NoBudget];
     table(&["state", "rows"], all.into_iter().map(|state| vec![state.name().into(), count(state)]))
 }
 
-fn studies(measured: &measured::Measured) -> String {
+fn studies(measured: &measured::Measurements) -> String {
     if measured.studies.is_empty() {
         return "No study is there yet: what is not computed is not measured.\n".into();
     }
     let rows = measured.studies.iter().map(|study| {
-        let measured::Study { study, text, machine, command, points } = study;
-        vec![study.clone(), text.clone(), machine.clone(), points.len().to_string(), format!("`{command}`")]
+        let measured::Study { study, commit, machine, command, points } = study;
+        vec![study.clone(), commit.clone(), machine.clone(), points.len().to_string(), format!("`{command}`")]
     });
     table(&["study", "text", "machine", "points", "command"], rows)
 }
 
 /// Rows that an earlier text's studies measured, beside what they are now.
-fn before(told: &Told, report: &Report) -> String {
-    let then = report::report(&told.size, &told.before, &Known::default());
-    let texts: Vec<&str> = told.before.studies.iter().map(|study| study.text.as_str()).collect();
+fn before(told: &CapacityInput, report: &Report) -> String {
+    let then = report::build_report(&told.size, &told.earlier_measurements, &MissingList::default());
+    let texts: Vec<&str> =
+        told.earlier_measurements.studies.iter().map(|study| study.commit.as_str()).collect();
     let measured = then.lines.iter().filter(|line| line.points.is_some());
     let rows = measured.filter_map(|then| {
         let now = report.lines.iter().find(|line| line.row == then.row)?;
-        let cells = [&at_target(then), &at_target(now), &or_none(now.budget, now.unit)];
-        let names = [format!("`{}`", now.row), now.what.to_string()];
+        let cells = [&target_cell(then), &target_cell(now), &or_none(now.budget, now.unit)];
+        let names = [format!("`{}`", now.row), now.description.to_string()];
         Some(names.into_iter().chain(cells.into_iter().cloned()).collect())
     });
     let rows: Vec<Vec<String>> = rows.collect();
@@ -175,26 +177,28 @@
 }
 
 /// All tables, in the order of the page.
-pub fn blocks(told: &Told, report: &Report) -> Vec<Block> {
+pub fn generated_tables(told: &CapacityInput, report: &Report) -> Vec<GeneratedTable> {
     let of_section = |section: &str| {
         let of = told.figures.iter().filter(move |figure| figure.section == section);
         table(
             &["key", "figure", "reason"],
-            of.map(|figure| vec![format!("`{}`", figure.key), digits(figure.value), figure.reason.clone()]),
+            of.map(|figure| {
+                vec![format!("`{}`", figure.key), format_significant(figure.value), figure.reason.clone()]
+            }),
         )
     };
-    let block = |name: &str, text: String| Block { name: name.into(), text };
-    let mut all: Vec<Block> =
+    let block = |name: &str, text: String| GeneratedTable { name: name.into(), text };
+    let mut all: Vec<GeneratedTable> =
         ["size", "budget", "assumed"].map(|section| block(section, of_section(section))).into();
     all.push(block("states", states(report)));
     for of in Role::ALL {
-        let lines: Vec<&Line> = report.lines.iter().filter(|line| line.role == of).collect();
+        let lines: Vec<&ReportLine> = report.lines.iter().filter(|line| line.role == of).collect();
         all.push(block(of.name(), role(&lines)));
     }
     all.push(block("missing", missing(report)));
     all.push(block("order", order(report)));
     all.push(block("before", before(told, report)));
-    all.push(block("studies", studies(&told.measured)));
+    all.push(block("studies", studies(&told.measurements)));
     all
 }
 
@@ -206,13 +210,13 @@
     UnknownTable(String),
     /// A table's end marker is missing.
     #[error("generated: {0} has no end")]
-    NoEnd(String),
+    MissingEndMarker(String),
     /// A table has two markers.
     #[error("generated: {0} stands there twice")]
-    Twice(String),
+    DuplicateTable(String),
     /// A table has no marker.
     #[error("generated: {0} is not on the page")]
-    NotOnPage(String),
+    MissingTable(String),
 }
 
 /// Opens the marker before a generated table.
@@ -221,19 +225,19 @@
 const ENDS: &str = "<!-- end -->";
 
 /// The page with each of its tables made anew. Errors say which marker is wrong, or not there.
-pub fn filled(page: &str, blocks: &[Block]) -> Result<String, PageError> {
+pub fn replace_tables(page: &str, blocks: &[GeneratedTable]) -> Result<String, PageError> {
     let (mut out, mut rest, mut seen) = (String::new(), page, Vec::new());
     while let Some(begins) = rest.find(BEGINS) {
         let after = &rest[begins + BEGINS.len()..];
         let name = after.split(" -->").next().unwrap_or_default();
         let block = blocks.iter().find(|block| block.name == name);
         let block = block.ok_or_else(|| PageError::UnknownTable(name.into()))?;
-        let ends = after.find(ENDS).ok_or_else(|| PageError::NoEnd(name.into()))?;
+        let ends = after.find(ENDS).ok_or_else(|| PageError::MissingEndMarker(name.into()))?;
         if after[..ends].contains(BEGINS) {
-            return Err(PageError::NoEnd(name.into()));
+            return Err(PageError::MissingEndMarker(name.into()));
         }
         if seen.contains(&name) {
-            return Err(PageError::Twice(name.into()));
+            return Err(PageError::DuplicateTable(name.into()));
         }
         seen.push(name);
         out += &rest[..begins];
@@ -241,19 +245,19 @@
         rest = &after[ends + ENDS.len()..];
     }
     match blocks.iter().find(|block| !seen.contains(&block.name.as_str())) {
-        Some(block) => Err(PageError::NotOnPage(block.name.clone())),
+        Some(block) => Err(PageError::MissingTable(block.name.clone())),
         None => Ok(out + rest),
     }
 }
 
 /// The names of tables on the page that are not what the report gives; errors as in `filled`.
-pub fn differing(page: &str, blocks: &[Block]) -> Result<Vec<String>, PageError> {
-    let made = filled(page, blocks)?;
+pub fn stale_tables(page: &str, blocks: &[GeneratedTable]) -> Result<Vec<String>, PageError> {
+    let made = replace_tables(page, blocks)?;
     let of = |text: &str, name: &str| {
         let begins = text.find(&format!("{BEGINS}{name} -->"))?;
         let ends = text[begins..].find(ENDS)?;
         Some(text[begins..begins + ends].to_string())
     };
-    let differs = |block: &&Block| of(page, &block.name) != of(&made, &block.name);
+    let differs = |block: &&GeneratedTable| of(page, &block.name) != of(&made, &block.name);
     Ok(blocks.iter().filter(differs).map(|block| block.name.clone()).collect())
 }
--- a/crates/hazelspur-simulator/src/capacity/rows/configuration.rs
+++ b/crates/hazelspur-simulator/src/capacity/rows/configuration.rs
@@ -1,25 +1,25 @@
 //! Rows of clients, of the configuration and of control machines.
 
 use super::{BYTES, DAY_S, FILE, IN_FORCE, JOINT, RELOAD, Role, Row, row};
-use crate::capacity::size::Size;
+use crate::capacity::size::SizeFile;
 
 /// All rows of a client, in the order of the page.
-pub(super) fn caller(size: &Size) -> Vec<Row> {
-    use Role::Caller;
+pub(super) fn caller(size: &SizeFile) -> Vec<Row> {
+    use Role::Client;
     let (s, a) = (&size.size, &size.assumed);
     let servers = ("servers", s.servers);
     vec![
-        row(Caller, "caller.connections", "connections of one caller process", "descriptors", servers)
+        row(Client, "caller.connections", "connections of one caller process", "descriptors", servers)
             .formula("servers_a_caller_keeps x connections_per_caller_and_server")
             .computed(FILE, 0.0, a.servers_a_caller_keeps * a.connections_per_caller_and_server)
             .by_mechanism("none of ours: gateways choose"),
-        row(Caller, "caller.most_load", "most loaded server over the mean, by subsets", "times", servers)
+        row(Client, "caller.most_load", "most loaded server over the mean, by subsets", "times", servers)
             .formula("4 of all by rendezvous, as many choosers as servers")
             .measured(&["subsets.most_over_mean"], &["rendezvous"])
             .within(a.most_over_mean_load, "assumed.most_over_mean_load")
             .by_mechanism("crates/hazelspur-fleet/src/subset.rs select"),
         row(
-            Caller,
+            Client,
             "caller.tries",
             "tries of an op at one and a half times what the cores do",
             "tries",
@@ -32,7 +32,7 @@
 }
 
 /// All rows of the configuration, in the order of the page.
-pub(super) fn configuration(size: &Size) -> Vec<Row> {
+pub(super) fn configuration(size: &SizeFile) -> Vec<Row> {
     use Role::Configuration;
     let (s, b, a) = (&size.size, &size.budget, &size.assumed);
     let servers = ("servers", s.servers);
@@ -46,26 +46,26 @@
             )
             .within(s.restarts_per_day, "size.restarts_per_day")
             .by_mechanism(RELOAD)
-            .rests_on(&["server.settings.op_types", "server.settings.tenants", "server.settings.memory"]),
+            .requires(&["server.settings.op_types", "server.settings.tenants", "server.settings.memory"]),
         row(Configuration, "config.in_force", "a change in force everywhere, worst", "s", servers)
             .formula("from the push until the last server has it in force")
-            .worst(&["revisions.in_force_s"], &["rest"])
+            .measured_worst_seed(&["revisions.in_force_s"], &["rest"])
             .within(b.in_force_s, IN_FORCE)
             .no_mechanism("none: each server reads its own file")
-            .rests_on(&["config.restarts"]),
+            .requires(&["config.restarts"]),
         row(Configuration, "config.catch_up", "what a newcomer or a region back asks for", "B", servers)
             .formula("revisions since its file, or the whole in parts")
             .measured(&["revisions.catch_up_bytes"], &[])
             .no_mechanism("none: a start goes by its file, however old")
-            .rests_on(&["config.in_force"]),
+            .requires(&["config.in_force"]),
         row(Configuration, "config.overlap", "two revisions at once are safe", "kinds", servers)
             .formula("for each kind of key what old and new can do together")
             .no_mechanism("for one server alone: src/config/change.rs Change")
-            .rests_on(&["config.in_force"]),
+            .requires(&["config.in_force"]),
         row(Configuration, "config.staged", "roll-out in stages, judged by figures", "stages", servers)
             .formula("a part of the servers first")
             .no_mechanism("none")
-            .rests_on(&["config.in_force", "config.overlap"]),
+            .requires(&["config.in_force", "config.overlap"]),
         row(Configuration, "config.bytes", "bytes of changes on an ordinary day, a server", "B/s", servers)
             .formula("changes_per_day x bytes_per_change / 86,400 s, taken in once by each")
             .computed(FILE, 0.0, s.changes_per_day * a.bytes_per_change / DAY_S)
@@ -92,6 +92,6 @@
             .formula("no such program, so nothing to measure")
             .measured(&["control.cpu_share"], &[])
             .by_mechanism("none")
-            .rests_on(&["control.program"]),
+            .requires(&["control.program"]),
     ]
 }
--- a/crates/hazelspur-simulator/src/capacity/rows/events.rs
+++ b/crates/hazelspur-simulator/src/capacity/rows/events.rs
@@ -1,57 +1,73 @@
 //! Rows of events: starts, losses, partitions, deploys and changes.
 
 use super::{AGREE, BYTES, CPU, FILE, IN_FORCE, JOINT, MEMBERS, RELOAD, Role, Row, SHARES, TALK, row};
-use crate::capacity::size::Size;
+use crate::capacity::size::SizeFile;
 use hazelspur_fleet::quota;
 
 /// All rows of events, in the order of the page.
-pub(super) fn events(size: &Size) -> Vec<Row> {
+pub(super) fn events(size: &SizeFile) -> Vec<Row> {
     [load(size), agreement_rows(size), losses(size), changes(size)].into_iter().flatten().collect()
 }
 
 /// Requests at a server in some situation.
-fn requests(size: &Size, name: &'static str, what: &'static str, left: f64, by: &str) -> Row {
-    row(Role::Event, name, what, "1/s", ("requests_per_s", size.size.requests_per_s))
-        .formula(format!("requests_per_s / {by}"))
-        .computed(FILE, 1.0 / left, 0.0)
+fn requests(
+    size: &SizeFile,
+    name: &'static str,
+    description: &'static str,
+    servers_left: f64,
+    divisor: &str,
+) -> Row {
+    row(Role::Event, name, description, "1/s", ("requests_per_s", size.size.requests_per_s))
+        .formula(format!("requests_per_s / {divisor}"))
+        .computed(FILE, 1.0 / servers_left, 0.0)
         .by_mechanism("none of ours: gateways choose")
 }
 
 /// Time until all servers have one view of the members.
-fn agreement(size: &Size, name: &'static str, what: &'static str, cases: &'static [&'static str]) -> Row {
-    row(Role::Event, name, what, "s", ("servers", size.size.servers))
+fn agreement(
+    size: &SizeFile,
+    name: &'static str,
+    description: &'static str,
+    cases: &'static [&'static str],
+) -> Row {
+    row(Role::Event, name, description, "s", ("servers", size.size.servers))
         .formula("until all have one picture, worst seed")
-        .worst(&AGREE, cases)
+        .measured_worst_seed(&AGREE, cases)
         .within(size.budget.in_force_s, IN_FORCE)
         .by_mechanism(MEMBERS)
 }
 
 /// What the busiest server sends in its busiest second.
 fn busiest_second(
-    size: &Size,
+    size: &SizeFile,
     name: &'static str,
-    what: &'static str,
+    description: &'static str,
     cases: &'static [&'static str],
 ) -> Row {
-    row(Role::Event, name, what, "B/s", ("servers", size.size.servers))
+    row(Role::Event, name, description, "B/s", ("servers", size.size.servers))
         .formula("the busiest server's busiest second, worst seed")
-        .worst(&["joint.most_bytes_out_in_a_second"], cases)
-        .worst(&["members.most_bytes_out_in_a_second"], cases)
+        .measured_worst_seed(&["joint.most_bytes_out_in_a_second"], cases)
+        .measured_worst_seed(&["members.most_bytes_out_in_a_second"], cases)
         .within(size.budget.control_bytes_per_s, BYTES)
         .by_mechanism(JOINT)
 }
 
 /// Time until quota leases are settled.
-fn quota_settled(size: &Size, name: &'static str, what: &'static str, cases: &'static [&'static str]) -> Row {
-    row(Role::Event, name, what, "s", ("servers", size.size.servers))
+fn quota_settled(
+    size: &SizeFile,
+    name: &'static str,
+    description: &'static str,
+    cases: &'static [&'static str],
+) -> Row {
+    row(Role::Event, name, description, "s", ("servers", size.size.servers))
         .formula("until shares are settled, worst seed")
-        .worst(&["shares.of_1.settle_s"], cases)
+        .measured_worst_seed(&["shares.of_1.settle_s"], cases)
         .within(size.budget.in_force_s, IN_FORCE)
         .by_mechanism(SHARES)
 }
 
 /// Requests at a server when others are lost.
-fn load(size: &Size) -> Vec<Row> {
+fn load(size: &SizeFile) -> Vec<Row> {
     let s = &size.size;
     let a = &size.assumed;
     let region = s.servers * (s.regions - 1.0) / s.regions;
@@ -91,7 +107,7 @@
 }
 
 /// Agreement on the members after starts, losses and partitions.
-fn agreement_rows(size: &Size) -> Vec<Row> {
+fn agreement_rows(size: &SizeFile) -> Vec<Row> {
     use Role::Event;
     let s = &size.size;
     let b = &size.budget;
@@ -106,7 +122,7 @@
             servers,
         )
         .formula("until the real servers show all as alive, worst seed")
-        .worst(&["hollow/members.agree_s"], &["storm"])
+        .measured_worst_seed(&["hollow/members.agree_s"], &["storm"])
         .within(b.in_force_s, IN_FORCE)
         .by_mechanism(TALK),
         agreement(size, "event.zone_lost.agree", "a zone lost: one picture of those left", &["zone lost"]),
@@ -139,7 +155,7 @@
 }
 
 /// Deploys and lost servers.
-fn losses(size: &Size) -> Vec<Row> {
+fn losses(size: &SizeFile) -> Vec<Row> {
     use Role::Event;
     let s = &size.size;
     let b = &size.budget;
@@ -167,7 +183,7 @@
         .by_mechanism("crates/hazelspur-server/src/process/phases.rs Phases"),
         row(Event, "event.rack_lost.noticed", "a rack gone: noticed, 99 in 100", "s", servers)
             .formula("until a server holds one of them for lost")
-            .worst(&["members.noticed_p99_s"], &[])
+            .measured_worst_seed(&["members.noticed_p99_s"], &[])
             .within(b.in_force_s, IN_FORCE)
             .by_mechanism(MEMBERS),
         quota_settled(
@@ -191,7 +207,7 @@
 }
 
 /// Changes of the configuration.
-fn changes(size: &Size) -> Vec<Row> {
+fn changes(size: &SizeFile) -> Vec<Row> {
     use Role::Event;
     let s = &size.size;
     let b = &size.budget;
@@ -208,8 +224,8 @@
             ("tenants", s.tenants),
         )
         .formula("changes_in_busiest_minute / 60 s x CPU of a reload, else of a start")
-        .measured_times(&["server.reload.cpu_s"], &[], per_minute, false)
-        .measured_times(&["server.start.cpu_s"], &[], per_minute, false)
+        .measured_scaled(&["server.reload.cpu_s"], &[], per_minute, false)
+        .measured_scaled(&["server.start.cpu_s"], &[], per_minute, false)
         .within(b.control_cpu_share, CPU)
         .by_mechanism(RELOAD),
         row(
@@ -220,7 +236,7 @@
             ("tenants", s.tenants),
         )
         .formula("changes_in_busiest_minute / 60 s x the longest health check in a reload; 1 in 100 may wait")
-        .measured_times(&["server.reload.stall_s"], &[], per_minute, false)
+        .measured_scaled(&["server.reload.stall_s"], &[], per_minute, false)
         .within(0.01, "99 in 100")
         .by_mechanism(RELOAD),
         row(Event, "event.changes.restarts", "30 changes in a minute: restarts in it", "1/min", servers)
@@ -232,6 +248,6 @@
             )
             .within(out * 60.0 / a.restart_out_s, "assumed.out_at_once_share")
             .by_mechanism(RELOAD)
-            .rests_on(&["config.restarts"]),
+            .requires(&["config.restarts"]),
     ]
 }
--- a/crates/hazelspur-simulator/src/capacity/rows/mod.rs
+++ b/crates/hazelspur-simulator/src/capacity/rows/mod.rs
@@ -9,7 +9,7 @@
 
 use super::constants::Constant;
 use super::measured::Seeds;
-use super::size::Size;
+use super::size::SizeFile;
 
 /// Whose cost a row is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -17,15 +17,15 @@
     /// One server.
     Server,
     /// One client process.
-    Caller,
+    Client,
     /// The configuration of the fleet.
     Configuration,
     /// A machine that only controls.
     ControlMachine,
     /// Voters and the allocator of the quota.
-    KeeperAndDivider,
+    VoterAndAllocator,
     /// The list of servers.
-    List,
+    Registry,
     /// The shared dependency.
     SharedDependency,
     /// A link between two zones.
@@ -40,11 +40,11 @@
     /// All roles, in the order of the page.
     pub const ALL: [Self; 10] = [
         Self::Server,
-        Self::Caller,
+        Self::Client,
         Self::Configuration,
         Self::ControlMachine,
-        Self::KeeperAndDivider,
-        Self::List,
+        Self::VoterAndAllocator,
+        Self::Registry,
         Self::SharedDependency,
         Self::LinkBetweenZones,
         Self::LinkBetweenRegions,
@@ -55,11 +55,11 @@
     pub fn name(self) -> &'static str {
         match self {
             Self::Server => "server",
-            Self::Caller => "caller",
+            Self::Client => "caller",
             Self::Configuration => "configuration",
             Self::ControlMachine => "control-machine",
-            Self::KeeperAndDivider => "keeper-and-divider",
-            Self::List => "list",
+            Self::VoterAndAllocator => "keeper-and-divider",
+            Self::Registry => "list",
             Self::SharedDependency => "shared-dependency",
             Self::LinkBetweenZones => "link-between-zones",
             Self::LinkBetweenRegions => "link-between-regions",
@@ -81,14 +81,14 @@
         /// Which seeds count.
         seeds: Seeds,
         /// The factor from the figure's unit to the row's.
-        times: f64,
+        factor: f64,
         /// Whether it is summed over all servers.
-        over_all: bool,
+        sum_over_servers: bool,
     },
     /// From what the code or the size file says.
     Computed {
         /// Where the figures stand.
-        from: String,
+        origin: String,
         /// What one more of the dimension adds.
         slope: f64,
         /// What there is without any.
@@ -98,11 +98,11 @@
 
 /// Whether a mechanism carries a row's load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum MechanismStatus {
     /// There is a mechanism.
-    Something,
+    Present,
     /// There is none.
-    Nothing,
+    Absent,
 }
 
 /// The budget of a row.
@@ -111,7 +111,7 @@
     /// The most that it may be, in the row's unit.
     pub limit: f64,
     /// Where that stands.
-    pub from: &'static str,
+    pub origin: &'static str,
 }
 
 /// One quantity that grows with the size.
@@ -122,13 +122,13 @@
     /// Whose it is.
     pub role: Role,
     /// What it is, in words.
-    pub what: &'static str,
+    pub description: &'static str,
     /// Its unit.
     pub unit: &'static str,
     /// Its formula, in words.
     pub formula: String,
     /// The dimension by which it grows.
-    pub by: &'static str,
+    pub dimension: &'static str,
     /// The dimension's figure at the target.
     pub size: f64,
     /// Where its slope comes from; the first source that gives one counts.
@@ -138,35 +138,35 @@
     /// Its budget.
     pub budget: Option<RowBudget>,
     /// Whether there is a mechanism.
-    pub found: Found,
+    pub mechanism_status: MechanismStatus,
     /// File and type of the mechanism.
     pub mechanism: &'static str,
     /// Rows that must hold first.
-    pub rests_on: Vec<&'static str>,
+    pub prerequisites: Vec<&'static str>,
 }
 
 /// A row with its names only; its methods add the rest. `by` is the dimension with its figure at the target.
 pub fn row(
     role: Role,
     name: &'static str,
-    what: &'static str,
+    description: &'static str,
     unit: &'static str,
-    (by, size): (&'static str, f64),
+    (dimension, size): (&'static str, f64),
 ) -> Row {
     Row {
         name,
         role,
-        what,
+        description,
         unit,
         formula: String::new(),
-        by,
+        dimension,
         size,
         sources: Vec::new(),
         sum_of: Vec::new(),
         budget: None,
-        found: Found::Something,
+        mechanism_status: MechanismStatus::Present,
         mechanism: "",
-        rests_on: Vec::new(),
+        prerequisites: Vec::new(),
     }
 }
 
@@ -179,31 +179,35 @@
 
     /// A figure as it was measured.
     pub fn measured(self, figure: &'static [&'static str], cases: &'static [&'static str]) -> Self {
-        self.measured_times(figure, cases, 1.0, false)
+        self.measured_scaled(figure, cases, 1.0, false)
     }
 
     /// A figure as it was measured, times a factor, and summed over all servers where `over_all`.
-    pub fn measured_times(
+    pub fn measured_scaled(
         mut self,
         figures: &'static [&'static str],
         cases: &'static [&'static str],
-        times: f64,
-        over_all: bool,
+        factor: f64,
+        sum_over_servers: bool,
     ) -> Self {
-        self.sources.push(Source::Measured { figures, cases, seeds: Seeds::All, times, over_all });
+        self.sources.push(Source::Measured { figures, cases, seeds: Seeds::All, factor, sum_over_servers });
         self
     }
 
     /// By the worst seed of each size.
-    pub fn worst(mut self, figures: &'static [&'static str], cases: &'static [&'static str]) -> Self {
+    pub fn measured_worst_seed(
+        mut self,
+        figures: &'static [&'static str],
+        cases: &'static [&'static str],
+    ) -> Self {
         let seeds = Seeds::Worst;
-        self.sources.push(Source::Measured { figures, cases, seeds, times: 1.0, over_all: false });
+        self.sources.push(Source::Measured { figures, cases, seeds, factor: 1.0, sum_over_servers: false });
         self
     }
 
     /// A figure computed from code or the size file.
-    pub fn computed(mut self, from: impl Into<String>, slope: f64, base: f64) -> Self {
-        self.sources.push(Source::Computed { from: from.into(), slope, base });
+    pub fn computed(mut self, origin: impl Into<String>, slope: f64, base: f64) -> Self {
+        self.sources.push(Source::Computed { origin: origin.into(), slope, base });
         self
     }
 
@@ -214,8 +218,8 @@
     }
 
     /// Its budget, and where that stands.
-    pub fn within(mut self, budget: f64, from: &'static str) -> Self {
-        self.budget = Some(RowBudget { limit: budget, from });
+    pub fn within(mut self, budget: f64, origin: &'static str) -> Self {
+        self.budget = Some(RowBudget { limit: budget, origin });
         self
     }
 
@@ -227,13 +231,13 @@
 
     /// No mechanism carries it; `nearest` says what comes nearest.
     pub fn no_mechanism(mut self, nearest: &'static str) -> Self {
-        (self.found, self.mechanism) = (Found::Nothing, nearest);
+        (self.mechanism_status, self.mechanism) = (MechanismStatus::Absent, nearest);
         self
     }
 
     /// Rows that must hold first.
-    pub fn rests_on(mut self, rows: &[&'static str]) -> Self {
-        self.rests_on = rows.to_vec();
+    pub fn requires(mut self, rows: &[&'static str]) -> Self {
+        self.prerequisites = rows.to_vec();
         self
     }
 }
@@ -285,7 +289,7 @@
 const BYTES: &str = "budget.control_bytes_per_s";
 
 /// All rows, in the order of the page; a sum stands behind its parts.
-pub fn rows(size: &Size) -> Vec<Row> {
+pub fn rows(size: &SizeFile) -> Vec<Row> {
     let mut rows = server::server(size);
     rows.extend(configuration::caller(size));
     rows.extend(configuration::configuration(size));
@@ -300,5 +304,5 @@
 
 /// Where these constants stand.
 fn at(constants: &[&Constant]) -> String {
-    constants.iter().map(|constant| constant.from()).collect::<Vec<_>>().join(", ")
+    constants.iter().map(|constant| constant.origin()).collect::<Vec<_>>().join(", ")
 }
--- a/crates/hazelspur-simulator/src/capacity/rows/network.rs
+++ b/crates/hazelspur-simulator/src/capacity/rows/network.rs
@@ -2,44 +2,50 @@
 
 use super::{FILE, MEMBERS, REPORT, Role, Row, SHARES, at, row};
 use crate::capacity::constants as code;
-use crate::capacity::size::Size;
+use crate::capacity::size::SizeFile;
 use hazelspur_fleet::circuit_breaker;
 
 /// All rows of the list of servers, in the order of the page.
-pub(super) fn list(size: &Size) -> Vec<Row> {
-    use Role::List;
+pub(super) fn list(size: &SizeFile) -> Vec<Row> {
+    use Role::Registry;
     let (s, a) = (&size.size, &size.assumed);
     let servers = ("servers", s.servers);
-    let every = at(&[&code::REPORT_EVERY]);
+    let every = at(&[&code::REPORT_INTERVAL]);
     vec![
-        row(List, "list.reports", "reports a second, each on a connection of its own", "1/s", servers)
+        row(Registry, "list.reports", "reports a second, each on a connection of its own", "1/s", servers)
             .formula("servers / 0.8 s")
-            .computed(every.clone(), 1.0 / code::REPORT_EVERY.value, 0.0)
+            .computed(every.clone(), 1.0 / code::REPORT_INTERVAL.value, 0.0)
             .within(a.list_reports_per_s, "assumed.list_reports_per_s")
             .by_mechanism(REPORT),
-        row(List, "list.reports.refused", "the same while it refuses each at once", "1/s", servers)
+        row(Registry, "list.reports.refused", "the same while it refuses each at once", "1/s", servers)
             .formula("servers / 0.25 s")
-            .computed(at(&[&code::REPORT_AGAIN]), 1.0 / code::REPORT_AGAIN.value, 0.0)
+            .computed(at(&[&code::REPORT_RETRY_INTERVAL]), 1.0 / code::REPORT_RETRY_INTERVAL.value, 0.0)
             .within(a.list_reports_per_s, "assumed.list_reports_per_s")
             .by_mechanism(REPORT),
-        row(List, "list.peak", "most reports in 20 ms over the mean, after it was gone", "times", servers)
-            .formula("as simulated; chance alone gives about as much")
-            .measured(&["list.most_over_mean"], &["spread"])
-            .by_mechanism(REPORT),
-        row(List, "list.bytes", "bytes of all reports", "B/s", servers)
+        row(
+            Registry,
+            "list.peak",
+            "most reports in 20 ms over the mean, after it was gone",
+            "times",
+            servers,
+        )
+        .formula("as simulated; chance alone gives about as much")
+        .measured(&["list.most_over_mean"], &["spread"])
+        .by_mechanism(REPORT),
+        row(Registry, "list.bytes", "bytes of all reports", "B/s", servers)
             .formula("servers x bytes_per_report / 0.8 s")
-            .computed(every, a.bytes_per_report / code::REPORT_EVERY.value, 0.0)
+            .computed(every, a.bytes_per_report / code::REPORT_INTERVAL.value, 0.0)
             .by_mechanism(REPORT),
     ]
 }
 
 /// All rows of the shared dependency, in the order of the page.
-pub(super) fn shared_dependency(size: &Size) -> Vec<Row> {
+pub(super) fn shared_dependency(size: &SizeFile) -> Vec<Row> {
     [dependency_load(size), dependency_loss(size)].into_iter().flatten().collect()
 }
 
 /// Calls and connections at the shared dependency.
-fn dependency_load(size: &Size) -> Vec<Row> {
+fn dependency_load(size: &SizeFile) -> Vec<Row> {
     use Role::SharedDependency;
     let s = &size.size;
     let a = &size.assumed;
@@ -64,7 +70,7 @@
             servers,
         )
         .formula("servers x 64")
-        .computed(at(&[&code::CALLS]), code::CALLS.value, 0.0)
+        .computed(at(&[&code::MAX_DEPENDENCY_CALLS]), code::MAX_DEPENDENCY_CALLS.value, 0.0)
         .within(a.dependency_connections, "assumed.dependency_connections")
         .by_mechanism("crates/hazelspur-server/src/upstream/dependency.rs DependencyClient"),
         row(
@@ -75,20 +81,24 @@
             servers,
         )
         .formula("servers x 16")
-        .computed(at(&[&code::IDLE]), code::IDLE.value, 0.0)
+        .computed(
+            at(&[&code::MAX_IDLE_DEPENDENCY_CONNECTIONS]),
+            code::MAX_IDLE_DEPENDENCY_CONNECTIONS.value,
+            0.0,
+        )
         .within(a.dependency_connections, "assumed.dependency_connections")
         .by_mechanism("crates/hazelspur-server/src/upstream/dependency.rs DependencyClient"),
     ]
 }
 
 /// Probes of a lost dependency, and its return.
-fn dependency_loss(size: &Size) -> Vec<Row> {
+fn dependency_loss(size: &SizeFile) -> Vec<Row> {
     use Role::SharedDependency;
     let s = &size.size;
     let a = &size.assumed;
     let servers = ("servers", s.servers);
-    let chosen = 1.0 / code::CHOSEN_EVERY.value;
-    let rest = 1.0 / code::OTHERS_EVERY.value;
+    let chosen = 1.0 / code::DESIGNATED_PROBE_INTERVAL.value;
+    let rest = 1.0 / code::OTHER_PROBE_INTERVAL.value;
     let few = circuit_breaker::DESIGNATED_PROBERS as f64;
     vec![
         row(
@@ -99,7 +109,11 @@
             servers,
         )
         .formula("6 chosen every 0.25 s, all others every 4 s")
-        .computed(at(&[&code::CHOSEN_EVERY, &code::OTHERS_EVERY]), rest, few * (chosen - rest))
+        .computed(
+            at(&[&code::DESIGNATED_PROBE_INTERVAL, &code::OTHER_PROBE_INTERVAL]),
+            rest,
+            few * (chosen - rest),
+        )
         .within(a.tries_at_a_lost_dependency_per_s, "assumed.tries_at_a_lost_dependency_per_s")
         .by_mechanism("crates/hazelspur-fleet/src/circuit_breaker.rs CircuitBreaker"),
         row(
@@ -116,12 +130,12 @@
 }
 
 /// All rows of links between zones and regions, in the order of the page.
-pub(super) fn links(size: &Size) -> Vec<Row> {
+pub(super) fn links(size: &SizeFile) -> Vec<Row> {
     [zone_links(size), region_links(size)].into_iter().flatten().collect()
 }
 
 /// Links between zones.
-fn zone_links(size: &Size) -> Vec<Row> {
+fn zone_links(size: &SizeFile) -> Vec<Row> {
     let s = &size.size;
     let a = &size.assumed;
     let servers = ("servers", s.servers);
@@ -131,22 +145,22 @@
     vec![
         row(zones, "zones.datagrams", "datagrams of the talk between two zones, both ways", "1/s", servers)
             .formula("servers x datagrams of a server x 2 / zones squared")
-            .measured_times(&["joint.datagrams_out_per_s"], &["rest"], pair, true)
-            .measured_times(&["members.datagrams_out_per_s"], &["rest"], pair, true)
+            .measured_scaled(&["joint.datagrams_out_per_s"], &["rest"], pair, true)
+            .measured_scaled(&["members.datagrams_out_per_s"], &["rest"], pair, true)
             .by_mechanism(MEMBERS),
         row(zones, "zones.bytes", "talk between two zones, both ways", "B/s", servers)
             .formula(
                 "servers x bytes of a server x 2 / zones squared: all are asked alike, wherever they stand",
             )
-            .measured_times(talk, &["rest"], pair, true)
-            .measured_times(&["members.bytes_out_per_s"], &["rest"], pair, true)
+            .measured_scaled(talk, &["rest"], pair, true)
+            .measured_scaled(&["members.bytes_out_per_s"], &["rest"], pair, true)
             .within(a.zone_link_bytes_per_s, "assumed.zone_link_bytes_per_s")
             .by_mechanism(MEMBERS),
     ]
 }
 
 /// Links between regions.
-fn region_links(size: &Size) -> Vec<Row> {
+fn region_links(size: &SizeFile) -> Vec<Row> {
     let s = &size.size;
     let a = &size.assumed;
     let servers = ("servers", s.servers);
@@ -156,8 +170,8 @@
     vec![
         row(regions, "regions.bytes", "talk between the regions, both ways", "B/s", servers)
             .formula("servers x bytes of a server x (1 - 1 / regions)")
-            .measured_times(talk, &["rest"], cross, true)
-            .measured_times(&["members.bytes_out_per_s"], &["rest"], cross, true)
+            .measured_scaled(talk, &["rest"], cross, true)
+            .measured_scaled(&["members.bytes_out_per_s"], &["rest"], cross, true)
             .within(a.region_link_bytes_per_s, "assumed.region_link_bytes_per_s")
             .by_mechanism(MEMBERS),
         row(
@@ -168,13 +182,13 @@
             servers,
         )
         .formula("servers x datagrams of a server x (1 - 1 / regions)")
-        .measured_times(&["joint.datagrams_out_per_s"], &["rest"], cross, true)
-        .measured_times(&["members.datagrams_out_per_s"], &["rest"], cross, true)
+        .measured_scaled(&["joint.datagrams_out_per_s"], &["rest"], cross, true)
+        .measured_scaled(&["members.datagrams_out_per_s"], &["rest"], cross, true)
         .by_mechanism(MEMBERS),
         row(regions, "regions.bytes.storm", "the same while all start", "B/s", servers)
             .formula("the same, mean of the window after the storm began")
-            .measured_times(talk, &["storm"], cross, true)
-            .measured_times(&["members.bytes_out_per_s"], &["storm"], cross, true)
+            .measured_scaled(talk, &["storm"], cross, true)
+            .measured_scaled(&["members.bytes_out_per_s"], &["storm"], cross, true)
             .within(a.region_link_bytes_per_s, "assumed.region_link_bytes_per_s")
             .by_mechanism(MEMBERS),
         row(
--- a/crates/hazelspur-simulator/src/capacity/rows/quota.rs
+++ b/crates/hazelspur-simulator/src/capacity/rows/quota.rs
@@ -2,26 +2,26 @@
 
 use super::{BYTES, CPU, DIVIDER, FILE, IN_FORCE, MEMORY, Role, Row, SHARES, at, row};
 use crate::capacity::constants as code;
-use crate::capacity::size::Size;
+use crate::capacity::size::SizeFile;
 use hazelspur_fleet::{datagram, quota};
 
 /// All rows of allocator and voters, in the order of the page.
-pub(super) fn keeper_and_divider(size: &Size) -> Vec<Row> {
+pub(super) fn keeper_and_divider(size: &SizeFile) -> Vec<Row> {
     [allocator_traffic(size), processes(size), limits(size)].into_iter().flatten().collect()
 }
 
 /// What the allocator sends and receives.
-fn allocator_traffic(size: &Size) -> Vec<Row> {
-    use Role::KeeperAndDivider;
+fn allocator_traffic(size: &SizeFile) -> Vec<Row> {
+    use Role::VoterAndAllocator;
     let s = &size.size;
     let b = &size.budget;
     let a = &size.assumed;
     let servers = ("servers", s.servers);
-    let renewals = 2.0 / (code::LEASE.value * code::RENEWAL.value);
-    let words = at(&[&code::RENEWAL, &code::LEASE]);
+    let renewals = 2.0 / (code::VOTE_DURATION.value * code::LEASE_RENEWAL_FRACTION.value);
+    let words = at(&[&code::LEASE_RENEWAL_FRACTION, &code::VOTE_DURATION]);
     vec![
         row(
-            KeeperAndDivider,
+            VoterAndAllocator,
             "divider.messages",
             "messages at the divider, in and out, one limit",
             "1/s",
@@ -31,21 +31,27 @@
         .measured(&["shares.of_1.divider_messages_per_s"], &["none"])
         .computed(words.clone(), renewals, 0.0)
         .by_mechanism(DIVIDER),
-        row(KeeperAndDivider, "divider.bytes", "bytes at the divider, in and out, one limit", "B/s", servers)
-            .formula("the same messages; without a measure x bytes_per_datagram")
-            .measured(&["shares.of_1.divider_bytes_per_s"], &["none"])
-            .computed(words, renewals * a.bytes_per_datagram, 0.0)
-            .within(b.control_bytes_per_s, BYTES)
-            .by_mechanism(DIVIDER)
-            .rests_on(&["control.program"]),
-        row(KeeperAndDivider, "divider.bytes.sixteen", "the same, 16 limits", "B/s", servers)
+        row(
+            VoterAndAllocator,
+            "divider.bytes",
+            "bytes at the divider, in and out, one limit",
+            "B/s",
+            servers,
+        )
+        .formula("the same messages; without a measure x bytes_per_datagram")
+        .measured(&["shares.of_1.divider_bytes_per_s"], &["none"])
+        .computed(words, renewals * a.bytes_per_datagram, 0.0)
+        .within(b.control_bytes_per_s, BYTES)
+        .by_mechanism(DIVIDER)
+        .requires(&["control.program"]),
+        row(VoterAndAllocator, "divider.bytes.sixteen", "the same, 16 limits", "B/s", servers)
             .formula("as simulated")
             .measured(&["shares.of_16.divider_bytes_per_s"], &["none"])
             .within(b.control_bytes_per_s, BYTES)
             .by_mechanism(DIVIDER)
-            .rests_on(&["control.program"]),
+            .requires(&["control.program"]),
         row(
-            KeeperAndDivider,
+            VoterAndAllocator,
             "divider.busiest",
             "bytes that the busiest server sends, all of the talk",
             "B/s",
@@ -55,25 +61,25 @@
         .measured(&["joint.busiest_bytes_out_per_s"], &["rest"])
         .within(b.control_bytes_per_s, BYTES)
         .by_mechanism(DIVIDER)
-        .rests_on(&["control.program"]),
+        .requires(&["control.program"]),
     ]
 }
 
 /// Real processes of the allocator and a voter.
-fn processes(size: &Size) -> Vec<Row> {
-    use Role::KeeperAndDivider;
+fn processes(size: &SizeFile) -> Vec<Row> {
+    use Role::VoterAndAllocator;
     let s = &size.size;
     let b = &size.budget;
     let servers = ("servers", s.servers);
     vec![
-        row(KeeperAndDivider, "divider.cpu", "CPU of the divider", "of a core", servers)
+        row(VoterAndAllocator, "divider.cpu", "CPU of the divider", "of a core", servers)
             .formula("as measured on a real process")
             .measured(&["members.divider.cpu_share"], &[])
             .within(b.control_cpu_share, CPU)
             .by_mechanism(DIVIDER)
-            .rests_on(&["control.program"]),
+            .requires(&["control.program"]),
         row(
-            KeeperAndDivider,
+            VoterAndAllocator,
             "divider.real.bytes",
             "bytes that a real divider sends, one limit",
             "B/s",
@@ -83,18 +89,18 @@
         .measured(&["members.divider.bytes_out_per_s"], &["rest"])
         .within(b.control_bytes_per_s, BYTES)
         .by_mechanism(DIVIDER)
-        .rests_on(&["control.program"]),
-        row(KeeperAndDivider, "divider.real.memory", "anonymous memory of the same", "B", servers)
+        .requires(&["control.program"]),
+        row(VoterAndAllocator, "divider.real.memory", "anonymous memory of the same", "B", servers)
             .formula("a real process among hollow members")
             .measured(&["members.divider.anon_bytes"], &["rest"])
             .within(b.control_memory_bytes, MEMORY)
             .by_mechanism(DIVIDER),
-        row(KeeperAndDivider, "keeper.cpu", "CPU of a keeper that does not divide", "of a core", servers)
+        row(VoterAndAllocator, "keeper.cpu", "CPU of a keeper that does not divide", "of a core", servers)
             .formula("a real process among hollow members")
             .measured(&["members.keeper.cpu_share"], &["rest"])
             .within(b.control_cpu_share, CPU)
             .by_mechanism("crates/hazelspur-fleet/src/quota/election.rs Voter"),
-        row(KeeperAndDivider, "keeper.bytes", "bytes that the same sends", "B/s", servers)
+        row(VoterAndAllocator, "keeper.bytes", "bytes that the same sends", "B/s", servers)
             .formula("by its datagrams' numbers and their mean length")
             .measured(&["members.keeper.bytes_out_per_s"], &["rest"])
             .within(b.control_bytes_per_s, BYTES)
@@ -103,54 +109,54 @@
 }
 
 /// Shared limits and their datagrams.
-fn limits(size: &Size) -> Vec<Row> {
-    use Role::KeeperAndDivider;
+fn limits(size: &SizeFile) -> Vec<Row> {
+    use Role::VoterAndAllocator;
     let s = &size.size;
     let b = &size.budget;
     let a = &size.assumed;
     let servers = ("servers", s.servers);
-    let region = code::FLOOR.value / (s.regions * a.most_over_servers);
+    let region = code::GUARANTEED_FRACTION.value / (s.regions * a.most_over_servers);
     let limits = ("tenants", s.tenants);
     let near = a.tenants_near_their_quota / s.tenants;
     vec![
-        row(KeeperAndDivider, "divider.entries", "entries in the divider's table", "entries", servers)
+        row(VoterAndAllocator, "divider.entries", "entries in the divider's table", "entries", servers)
             .formula("one for each server that asks")
             .computed(FILE.to_string() + " servers", 1.0, 0.0)
             .within(2.0 * a.most_over_servers * s.servers, "divide.rs, twice `most`")
             .by_mechanism(DIVIDER),
-        row(KeeperAndDivider, "shares.limits", "limits that must be shared at one time", "limits", limits)
+        row(VoterAndAllocator, "shares.limits", "limits that must be shared at one time", "limits", limits)
             .formula("tenants near their quota, and calls")
             .computed(FILE.to_string() + " tenants_near_their_quota", near, 1.0)
             .within(quota::MAX_LIMITS as f64, "quota/mod.rs, MAX_LIMITS")
             .by_mechanism(SHARES)
-            .rests_on(&["config.in_force", "divider.bytes"]),
-        row(KeeperAndDivider, "shares.datagram", "bytes of one demand for that many limits", "B", limits)
+            .requires(&["config.in_force", "divider.bytes"]),
+        row(VoterAndAllocator, "shares.datagram", "bytes of one demand for that many limits", "B", limits)
             .formula("two amounts of 4 bytes for each limit, in one datagram")
             .computed("shares/mod.rs Word::Want", near * 8.0, 8.0)
             .within(datagram::MAX_DATAGRAM_BYTES as f64, "datagram/mod.rs, MAX_DATAGRAM_BYTES")
             .by_mechanism("crates/hazelspur-fleet/src/quota/message.rs QuotaMessage")
-            .rests_on(&["shares.limits"]),
+            .requires(&["shares.limits"]),
         row(
-            KeeperAndDivider,
+            VoterAndAllocator,
             "shares.region_alone",
             "what a region needs of a limit over what it has without a vote",
             "times",
             ("regions", s.regions),
         )
         .formula("share_of_a_region_alone / (floor of the limit x its servers / `most`)")
-        .computed(at(&[&code::FLOOR]), 0.0, a.share_of_a_region_alone / region)
+        .computed(at(&[&code::GUARANTEED_FRACTION]), 0.0, a.share_of_a_region_alone / region)
         .within(1.0, "all that it needs")
         .by_mechanism("crates/hazelspur-fleet/src/quota/config.rs QuotaConfig")
-        .rests_on(&["regions.names"]),
+        .requires(&["regions.names"]),
         row(
-            KeeperAndDivider,
+            VoterAndAllocator,
             "shares.settle.replaced",
             "shares settled, two in five servers replaced",
             "s",
             servers,
         )
         .formula("from the beginning of the trouble, worst seed")
-        .worst(&["shares.of_1.settle_s"], &["two in five replaced in 7 s"])
+        .measured_worst_seed(&["shares.of_1.settle_s"], &["two in five replaced in 7 s"])
         .within(b.in_force_s, IN_FORCE)
         .by_mechanism(SHARES),
     ]
--- a/crates/hazelspur-simulator/src/capacity/rows/server.rs
+++ b/crates/hazelspur-simulator/src/capacity/rows/server.rs
@@ -5,14 +5,14 @@
     REPORT, Role, Row, TABLE, TALK, at, row,
 };
 use crate::capacity::constants as code;
-use crate::capacity::size::Size;
+use crate::capacity::size::SizeFile;
 use hazelspur_fleet::datagram;
 
 /// How the study of a server's own path names its large tables.
 const LARGE: &[&str] = &["large", "large tables", "8700x42000"];
 
 /// All rows of a server, in the order of the page.
-pub(super) fn server(size: &Size) -> Vec<Row> {
+pub(super) fn server(size: &SizeFile) -> Vec<Row> {
     [
         settings(size),
         memory(size),
@@ -29,7 +29,7 @@
 }
 
 /// What a server reads and holds of its settings.
-fn settings(size: &Size) -> Vec<Row> {
+fn settings(size: &SizeFile) -> Vec<Row> {
     use Role::Server;
     let s = &size.size;
     let b = &size.budget;
@@ -44,17 +44,17 @@
         )
         .formula("one entry for each op type; past the bound the start is refused")
         .computed(FILE.to_string() + " op_types", 1.0, 0.0)
-        .within(code::OP_TYPES.value, "entry_kind.rs, MAX_REQUEST_CLASSES")
+        .within(code::MAX_REQUEST_CLASSES.value, "entry_kind.rs, MAX_REQUEST_CLASSES")
         .by_mechanism(CATALOG),
         row(Server, "server.settings.tenants", "tenants that a start takes", "entries", tenants)
             .formula("one entry for each tenant; past the bound the start is refused")
             .computed(FILE.to_string() + " tenants", 1.0, 0.0)
-            .within(code::TENANTS.value, "entry_kind.rs, MAX_TENANTS")
+            .within(code::MAX_TENANTS.value, "entry_kind.rs, MAX_TENANTS")
             .by_mechanism(CATALOG),
         row(Server, "server.settings.file", "the file that is read", "B", tenants)
             .formula("bytes of the file by tenants, with op types in the same proportion")
             .measured(&["server.file_bytes"], &[])
-            .within(code::LONGEST_FILE.value, "server_config.rs, MAX_FILE_BYTES")
+            .within(code::MAX_CONFIG_FILE_BYTES.value, "server_config.rs, MAX_FILE_BYTES")
             .by_mechanism(CHECK),
         row(Server, "server.settings.memory", "settings held, memory", "B", tenants)
             .formula("anonymous memory of an idle server by tenants, with op types in the same proportion")
@@ -65,7 +65,7 @@
 }
 
 /// Memory of a server.
-fn memory(size: &Size) -> Vec<Row> {
+fn memory(size: &SizeFile) -> Vec<Row> {
     use Role::Server;
     let s = &size.size;
     let b = &size.budget;
@@ -83,7 +83,7 @@
             .sum_of(&["server.settings.memory", "server.talk.memory"])
             .within(b.control_memory_bytes, MEMORY)
             .by_mechanism(JOINT)
-            .rests_on(&["server.settings.memory"]),
+            .requires(&["server.settings.memory"]),
         row(
             Server,
             "server.learned.memory",
@@ -106,13 +106,13 @@
             "one for each tenant met; past the bound those not seen for longest go, and are learned anew",
         )
         .computed(FILE.to_string() + " tenants_met_in_a_minute", 1.0, 0.0)
-        .within(code::LEARNED.value, "recently_seen.rs, RECENTLY_SEEN_CAPACITY")
+        .within(code::RECENTLY_SEEN_CAPACITY.value, "recently_seen.rs, RECENTLY_SEEN_CAPACITY")
         .by_mechanism(RECENTLY_SEEN),
     ]
 }
 
 /// Processor time of a server.
-fn processor_time(size: &Size) -> Vec<Row> {
+fn processor_time(size: &SizeFile) -> Vec<Row> {
     use Role::Server;
     let s = &size.size;
     let b = &size.budget;
@@ -131,8 +131,8 @@
             .by_mechanism("crates/hazelspur-server/src/request/dispatcher.rs Dispatcher"),
         row(Server, "server.talk.cpu", "CPU of members, signals and shares", "of a core", servers)
             .formula("the machines' own code, without sockets")
-            .measured_times(&["joint.cpu_us_per_s"], &["rest"], 1e-6, false)
-            .measured_times(&["members.cpu_us_per_s"], &["rest"], 1e-6, false)
+            .measured_scaled(&["joint.cpu_us_per_s"], &["rest"], 1e-6, false)
+            .measured_scaled(&["members.cpu_us_per_s"], &["rest"], 1e-6, false)
             .within(b.control_cpu_share, CPU)
             .by_mechanism(JOINT),
         row(Server, "server.cpu", "CPU for control, all", "of a core", servers)
@@ -144,7 +144,7 @@
 }
 
 /// A real server process among lightweight members.
-fn process(size: &Size) -> Vec<Row> {
+fn process(size: &SizeFile) -> Vec<Row> {
     use Role::Server;
     let s = &size.size;
     let b = &size.budget;
@@ -175,7 +175,7 @@
 }
 
 /// What a server sends.
-fn traffic(size: &Size) -> Vec<Row> {
+fn traffic(size: &SizeFile) -> Vec<Row> {
     use Role::Server;
     let s = &size.size;
     let b = &size.budget;
@@ -195,7 +195,7 @@
             .by_mechanism(JOINT),
         row(Server, "server.reports.bytes", "bytes of reports to the list", "B/s", servers)
             .formula("bytes_per_report / 0.8 s, whatever the size")
-            .computed(at(&[&code::REPORT_EVERY]), 0.0, a.bytes_per_report / code::REPORT_EVERY.value)
+            .computed(at(&[&code::REPORT_INTERVAL]), 0.0, a.bytes_per_report / code::REPORT_INTERVAL.value)
             .within(b.control_bytes_per_s, BYTES)
             .by_mechanism(REPORT),
         row(Server, "server.bytes", "bytes for control, all", "B/s", servers)
@@ -207,7 +207,7 @@
 }
 
 /// Tables of the fleet at a server.
-fn tables(size: &Size) -> Vec<Row> {
+fn tables(size: &SizeFile) -> Vec<Row> {
     use Role::Server;
     let s = &size.size;
     let a = &size.assumed;
@@ -218,12 +218,12 @@
             .measured(&["joint.entries"], &["rest"])
             .measured(&["members.entries"], &["rest"])
             .computed(FILE.to_string() + " servers", 1.0, -1.0)
-            .within(code::MOST.value * 2.0, "members, twice `most`")
+            .within(code::MAX_FLEET_SIZE.value * 2.0, "members, twice `most`")
             .by_mechanism(MEMBERS),
         row(Server, "server.talk.most", "servers that may be at once (`most`)", "entries", servers)
             .formula("servers x most_over_servers")
             .computed(FILE.to_string() + " most_over_servers", a.most_over_servers, 0.0)
-            .within(code::MOST.value, "fleet_keys.rs, most")
+            .within(code::MAX_FLEET_SIZE.value, "fleet_keys.rs, most")
             .by_mechanism(MEMBERS),
         row(Server, "server.talk.sites", "sites that an operator is shown", "sites", ("zones", s.zones))
             .formula("one for each zone")
@@ -234,13 +234,16 @@
 }
 
 /// Connections and clients of a server.
-fn connections(size: &Size) -> Vec<Row> {
+fn connections(size: &SizeFile) -> Vec<Row> {
     use Role::Server;
     let s = &size.size;
     let a = &size.assumed;
     let callers = ("callers", s.callers);
     let kept = a.servers_a_caller_keeps * a.connections_per_caller_and_server;
-    let gateways = code::SOCKETS.value - code::OWN.value - code::CALLS.value - code::CLOSING.value;
+    let gateways = code::DEFAULT_SOCKET_LIMIT.value
+        - code::RESERVED_DESCRIPTORS.value
+        - code::MAX_DEPENDENCY_CALLS.value
+        - code::MAX_CLOSING_CONNECTIONS.value;
     vec![
         row(
             Server,
@@ -267,20 +270,20 @@
         row(Server, "server.callers", "callers that the module remembers", "entries", callers)
             .formula("callers x servers_a_caller_keeps / servers")
             .computed(FILE, a.servers_a_caller_keeps / s.servers, 0.0)
-            .within(code::SEEN.value, "last_seen.rs, LAST_SEEN_CAPACITY")
+            .within(code::LAST_SEEN_CAPACITY.value, "last_seen.rs, LAST_SEEN_CAPACITY")
             .by_mechanism(LAST_SEEN),
     ]
 }
 
 /// What a server adds to a request.
-fn latency(size: &Size) -> Vec<Row> {
+fn latency(size: &SizeFile) -> Vec<Row> {
     use Role::Server;
     let s = &size.size;
     let b = &size.budget;
     let tenants = ("tenants", s.tenants);
     let each = s.requests_per_s / s.servers;
-    let p99 = |name, what, zones_left: f64| {
-        row(Server, name, what, "ms", ("rate_per_s", each * s.zones / zones_left))
+    let p99 = |name, description, zones_left: f64| {
+        row(Server, name, description, "ms", ("rate_per_s", each * s.zones / zones_left))
             .formula("as measured, open loop, the runtime's own time taken out")
             .measured(&["path.added.p99_ms"], LARGE)
             .within(b.added_p99_ms, "budget.added_p99_ms")
--- a/crates/hazelspur-simulator/src/capacity/size.rs
+++ b/crates/hazelspur-simulator/src/capacity/size.rs
@@ -47,10 +47,10 @@
 /// The file, whole.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Size {
+pub struct SizeFile {
     pub size: Target,
     pub budget: Budget,
-    pub assumed: Assumed,
+    pub assumed: Assumptions,
 }
 
 /// Counts at the peak, and events a day.
@@ -87,7 +87,7 @@
 /// The unit is in each name; the reasons are in the file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Assumed {
+pub struct Assumptions {
     pub mean_op_ms: f64,
     pub calls_per_op: f64,
     pub mean_call_ms: f64,
@@ -129,9 +129,9 @@
     pub reason: String,
 }
 
-impl Size {
+impl SizeFile {
     /// Errors name the key at fault.
-    pub fn read(text: &str) -> Result<Self, SizeError> {
+    pub fn parse(text: &str) -> Result<Self, SizeError> {
         let size: Self =
             toml::from_str(text).map_err(|error| SizeError::Syntax(error.message().to_string()))?;
         for figure in figures(text)? {
--- a/crates/hazelspur-simulator/src/cli/mod.rs
+++ b/crates/hazelspur-simulator/src/cli/mod.rs
@@ -30,7 +30,7 @@
     /// The real decision modules of many servers, at several sizes.
     Together(together::TogetherArguments),
     /// What each role needs at the size in a file, beside its budgets: status 1 where one is passed.
-    Capacity(capacity::command::Asked),
+    Capacity(capacity::command::CapacityArguments),
     /// The hard cases of choices that add up, under each way of choosing.
     Choices(choices::ChoicesArguments),
     /// Shares of one limit through troubles, without the servers' other work.
--- a/crates/hazelspur-simulator/tests/capacity.rs
+++ b/crates/hazelspur-simulator/tests/capacity.rs
@@ -1,14 +1,16 @@
 //! The capacity model: the repository's page is in step, and what is planted is told.
 
 use expect_test::expect;
-use hazelspur_simulator::capacity::command::{Told, read_all, summary};
+use hazelspur_simulator::capacity::command::{CapacityInput, read_input, summary};
 use hazelspur_simulator::capacity::constants;
-use hazelspur_simulator::capacity::measured::{Measured, Study};
-use hazelspur_simulator::capacity::page::{blocks, differing, filled};
-use hazelspur_simulator::capacity::report::{Known, State, Stops, report, report_of};
+use hazelspur_simulator::capacity::measured::{Measurements, Study};
+use hazelspur_simulator::capacity::page::{generated_tables, replace_tables, stale_tables};
+use hazelspur_simulator::capacity::report::{
+    BudgetCrossing, MissingList, State, build_report, build_report_from_rows,
+};
 use hazelspur_simulator::capacity::rows::{Role, row, rows};
-use hazelspur_simulator::capacity::size::{Size, figures};
-use hazelspur_simulator::capacity::{digits, with_unit};
+use hazelspur_simulator::capacity::size::{SizeFile, figures};
+use hazelspur_simulator::capacity::{format_significant, format_with_unit};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -25,22 +27,23 @@
     std::fs::read_to_string(root().join("docs/CAPACITY.md")).expect("the page is there")
 }
 
-fn told() -> Told {
-    read_all(&root().join("docs/capacity/size.toml"), &root().join("docs/capacity")).expect("all can be read")
+fn told() -> CapacityInput {
+    read_input(&root().join("docs/capacity/size.toml"), &root().join("docs/capacity"))
+        .expect("all can be read")
 }
 
-fn studies(texts: &[&str]) -> Measured {
-    Measured::of(texts.iter().map(|text| Study::read(text).expect("a study")).collect())
+fn studies(texts: &[&str]) -> Measurements {
+    Measurements::from_studies(texts.iter().map(|text| Study::parse(text).expect("a study")).collect())
 }
 
 /// The repository's size, with nothing known, and no study but these.
-fn with(measured: Measured) -> Told {
-    Told {
-        size: Size::read(&size_text()).expect("the size"),
+fn with(measured: Measurements) -> CapacityInput {
+    CapacityInput {
+        size: SizeFile::parse(&size_text()).expect("the size"),
         figures: figures(&size_text()).expect("figures"),
-        measured,
-        before: Measured::default(),
-        known: Known::default(),
+        measurements: measured,
+        earlier_measurements: Measurements::default(),
+        missing_list: MissingList::default(),
     }
 }
 
@@ -66,13 +69,13 @@
 #[test]
 fn the_repositorys_page_is_in_step_with_its_slopes() {
     let told = told();
-    let report = report(&told.size, &told.measured, &told.known);
+    let report = build_report(&told.size, &told.measurements, &told.missing_list);
     assert_eq!(report.faults, Vec::<String>::new());
     assert_eq!(report.unknown, Vec::<String>::new());
-    let blocks = blocks(&told, &report);
-    let differing = differing(&page_text(), &blocks).expect("all markers are there");
+    let blocks = generated_tables(&told, &report);
+    let stale_tables = stale_tables(&page_text(), &blocks).expect("all markers are there");
     assert_eq!(
-        differing,
+        stale_tables,
         Vec::<String>::new(),
         "run `hazelspur-simulator capacity --page docs/CAPACITY.md` and read what changed"
     );
@@ -89,17 +92,17 @@
     for constant in constants::ALL {
         let text = std::fs::read_to_string(root().join(constant.file)).expect(constant.file);
         assert!(
-            text.contains(constant.text),
+            text.contains(constant.excerpt),
             "{} is not what {} says any more: mend crates/hazelspur-simulator/src/capacity/constants.rs",
-            constant.from(),
-            constant.text
+            constant.origin(),
+            constant.excerpt
         );
     }
 }
 
 #[test]
 fn mechanisms_are_in_the_files_that_rows_name() {
-    let size = Size::read(&size_text()).expect("the size");
+    let size = SizeFile::parse(&size_text()).expect("the size");
     for row in rows(&size) {
         let Some((file, name)) = row.mechanism.split_once(".rs ") else { continue };
         let file = format!("{}.rs", file.rsplit(' ').next().unwrap_or(file));
@@ -114,14 +117,19 @@
 
 #[test]
 fn rows_rest_on_rows_have_names_of_their_own_and_sums_stand_behind_their_parts() {
-    let rows = rows(&Size::read(&size_text()).expect("the size"));
+    let rows = rows(&SizeFile::parse(&size_text()).expect("the size"));
     let mut names = BTreeSet::new();
     for row in &rows {
         assert!(row.sum_of.iter().all(|part| names.contains(part)), "{}", row.name);
         assert!(names.insert(row.name), "{} twice", row.name);
     }
     for row in &rows {
-        assert!(row.rests_on.iter().all(|under| names.contains(under)), "{}: {:?}", row.name, row.rests_on);
+        assert!(
+            row.prerequisites.iter().all(|under| names.contains(under)),
+            "{}: {:?}",
+            row.name,
+            row.prerequisites
+        );
         assert!(!row.formula.is_empty() && !row.mechanism.is_empty(), "{}", row.name);
     }
 }
@@ -144,15 +152,18 @@
 fn a_table_changed_by_hand_is_told() {
     let at = directory("by-hand");
     let told = told();
-    let report = report(&told.size, &told.measured, &told.known);
+    let report = build_report(&told.size, &told.measurements, &told.missing_list);
     let page = page_text();
     // One digit of one slope.
     let line = page.lines().find(|line| line.starts_with("| `list.reports` |")).expect("the row");
     let planted = page.replace(line, &line.replacen("1.25", "1.24", 1));
     assert_ne!(planted, page);
-    let blocks = blocks(&told, &report);
-    assert_eq!(differing(&planted, &blocks), Ok(vec!["list".to_string()]));
-    assert_eq!(filled(&planted, &blocks).expect("all markers"), filled(&page, &blocks).expect("all markers"));
+    let blocks = generated_tables(&told, &report);
+    assert_eq!(stale_tables(&planted, &blocks), Ok(vec!["list".to_string()]));
+    assert_eq!(
+        replace_tables(&planted, &blocks).expect("all markers"),
+        replace_tables(&page, &blocks).expect("all markers")
+    );
     std::fs::write(at.join("page.md"), planted).expect("written");
     let (status, said) = run(&["--page".as_ref(), &at.join("page.md"), "--check".as_ref()]);
     assert_eq!(status, Some(1));
@@ -162,11 +173,11 @@
 #[test]
 fn markers_that_are_wrong_are_named() {
     let told = told();
-    let report = report(&told.size, &told.measured, &told.known);
-    let blocks = blocks(&told, &report);
+    let report = build_report(&told.size, &told.measurements, &told.missing_list);
+    let blocks = generated_tables(&told, &report);
     let page = page_text();
     let wrong = |from: &str, to: &str| {
-        filled(&page.replacen(from, to, 1), &blocks).err().map(|error| error.to_string())
+        replace_tables(&page.replacen(from, to, 1), &blocks).err().map(|error| error.to_string())
     };
     assert_eq!(
         wrong("generated: list -->", "generated: lists -->"),
@@ -182,13 +193,13 @@
 
 #[test]
 fn what_is_not_measured_is_said_to_be_so() {
-    let size = Size::read(&size_text()).expect("the size");
-    let report = report(&size, &Measured::default(), &Known::default());
+    let size = SizeFile::parse(&size_text()).expect("the size");
+    let report = build_report(&size, &Measurements::default(), &MissingList::default());
     let line = |name: &str| report.lines.iter().find(|line| line.row == name).expect("a row");
     assert_eq!(line("server.talk.bytes").state, State::NotMeasured);
     assert_eq!(line("server.bytes").state, State::NotMeasured);
     assert_eq!(line("server.bytes").ratio, None);
-    let blocks = blocks(&with(Measured::default()), &report);
+    let blocks = generated_tables(&with(Measurements::default()), &report);
     let server = &blocks.iter().find(|block| block.name == "server").expect("a table").text;
     let starts =
         |name: &str| server.lines().find(|line| line.starts_with(&format!("| `{name}`"))).expect("a row");
@@ -204,9 +215,9 @@
             "unit":"B/s","by":"servers","size":{size},"seed":1,"value":432.1}}]}}"#
         )
     };
-    let size = Size::read(&size_text()).expect("the size");
-    let seen = |studies: Measured| {
-        let report = report(&size, &studies, &Known::default());
+    let size = SizeFile::parse(&size_text()).expect("the size");
+    let seen = |studies: Measurements| {
+        let report = build_report(&size, &studies, &MissingList::default());
         let line = report.lines.into_iter().find(|line| line.row == "server.talk.bytes").expect("a row");
         (line.state, line.target, line.twice, line.slope)
     };
@@ -224,8 +235,8 @@
         })
         .into();
     let study = format!(r#"{{"study":"scale","command":"c","points":[{}]}}"#, points.join(","));
-    let size = Size::read(&size_text()).expect("the size");
-    let report = report(&size, &studies(&[&study]), &Known::default());
+    let size = SizeFile::parse(&size_text()).expect("the size");
+    let report = build_report(&size, &studies(&[&study]), &MissingList::default());
     let line = report.lines.iter().find(|line| line.row == "event.storm.agree").expect("a row");
     assert_eq!((line.state, line.target), (State::Missing, Some(30.0)));
 }
@@ -235,7 +246,7 @@
     let refused = |from: &str, to: &str| {
         let text = size_text().replacen(from, to, 1);
         assert_ne!(text, size_text());
-        Size::read(&text).expect_err("refused").to_string()
+        SizeFile::parse(&text).expect_err("refused").to_string()
     };
     expect![[r#"
         unknown field `severs`, expected one of `servers`, `callers`, `services`, `requests_per_s`, `op_types`, `tenants`, `regions`, `zones`, `changes_per_day`, `machines_failing_per_day`, `restarts_per_day`, `control_machines`
@@ -290,9 +301,9 @@
     assert!(said.contains("server.json: study: server is in another file too"), "{said}");
     std::fs::create_dir(at.join("before")).expect("a directory");
     std::fs::rename(at.join("server-old.json"), at.join("before/server.json")).expect("moved");
-    let told = read_all(&at.join("size.toml"), &at).expect("all can be read");
-    let report = report(&told.size, &told.measured, &told.known);
-    let blocks = blocks(&told, &report);
+    let told = read_input(&at.join("size.toml"), &at).expect("all can be read");
+    let report = build_report(&told.size, &told.measurements, &told.missing_list);
+    let blocks = generated_tables(&told, &report);
     let before = &blocks.iter().find(|block| block.name == "before").expect("a table").text;
     expect![[r#"
         | row | what | at the target, old | now | budget |
@@ -304,10 +315,10 @@
 
 #[test]
 fn a_row_that_is_named_as_missing_and_fits_is_told() {
-    let size = Size::read(&size_text()).expect("the size");
+    let size = SizeFile::parse(&size_text()).expect("the size");
     let named = "[[missing]]\nrow = \"list.reports\"\nwhy = \"a test\"\nroadmap = \"none\"\n";
-    let known = Known::read(named).expect("a list");
-    let report = report(&size, &Measured::default(), &known);
+    let known = MissingList::parse(named).expect("a list");
+    let report = build_report(&size, &Measurements::default(), &known);
     assert!(report.faults.contains(&"list.reports: named as missing, and fits".to_string()));
 }
 
@@ -324,14 +335,14 @@
     };
     let rows = [
         of("bees").measured(&["bees"], &["rest"]).within(250.0, "the hive"),
-        of("wasps").computed("a nest", 3.0, 0.0).within(250.0, "the hive").rests_on(&["hornets"]),
+        of("wasps").computed("a nest", 3.0, 0.0).within(250.0, "the hive").requires(&["hornets"]),
         of("hornets").computed("a nest", 0.0, 260.0).within(250.0, "the hive"),
         of("moths").measured(&["moths"], &[]).within(250.0, "the hive"),
-        of("ants").no_mechanism("none").rests_on(&["wasps"]),
+        of("ants").no_mechanism("none").requires(&["wasps"]),
         of("all").sum_of(&["bees", "wasps"]).within(1000.0, "the hive"),
         of("most").sum_of(&["bees", "moths"]).within(1000.0, "the hive"),
     ];
-    let report = report_of(&rows, &studies(&[study]), &Known::default());
+    let report = build_report_from_rows(&rows, &studies(&[study]), &MissingList::default());
     expect![[r#"
         | role   | row     | at the target    | at twice  | budget  | ratio | state        |
         |--------|---------|------------------|-----------|---------|-------|--------------|
@@ -354,8 +365,8 @@
         hornets: 260 B/s at the target, over its budget of 250 B/s, 1.04 times; not named as missing
         ants: nothing carries it; not named as missing"#]]
     .assert_eq(&report.faults.join("\n"));
-    assert_eq!(report.lines[0].stops_at, Stops::At(119.0));
-    let table = &blocks(&with(studies(&[study])), &report)[4];
+    assert_eq!(report.lines[0].budget_crossing, BudgetCrossing::At(119.0));
+    let table = &generated_tables(&with(studies(&[study])), &report)[4];
     expect![[r#"
         | row | what | by | slope | base | off by | at the target | at twice | budget | ratio | stops at | state |
         | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |
@@ -381,9 +392,10 @@
 
 #[test]
 fn figures_have_three_digits() {
-    let seen: Vec<String> =
-        [0.0, 0.00012345, 0.99999, 1.2345, 13.0, 999.6, 1234.5, 469_800.0, -25.25].map(digits).into();
+    let seen: Vec<String> = [0.0, 0.00012345, 0.99999, 1.2345, 13.0, 999.6, 1234.5, 469_800.0, -25.25]
+        .map(format_significant)
+        .into();
     expect!["0 0.000123 1 1.23 13 1,000 1,230 470,000 -25.2"].assert_eq(&seen.join(" "));
-    let bytes = [12.0, 41.9e6, 875.0, 27_000.0].map(|value| with_unit(value, "B/s"));
+    let bytes = [12.0, 41.9e6, 875.0, 27_000.0].map(|value| format_with_unit(value, "B/s"));
     expect!["12 B/s, 41.9 MB/s, 875 B/s, 27 kB/s"].assert_eq(&bytes.join(", "));
 }
