--- a/crates/hazelspur-simulator/src/capacity.rs
+++ b/crates/hazelspur-simulator/src/capacity.rs
@@ -33,15 +33,15 @@
     let text = format!("{rounded:.places$}");
     let text = if text.contains('.') { text.trim_end_matches('0').trim_end_matches('.') } else { &text };
     let (sign, text) = text.strip_prefix('-').map_or(("", text), |rest| ("-", rest));
-    let (whole, part) = text.split_at(text.find('.').unwrap_or(text.len()));
+    let (integer, fraction) = text.split_at(text.find('.').unwrap_or(text.len()));
     let mut with_commas = String::new();
-    for (at, digit) in whole.chars().enumerate() {
-        if at > 0 && (whole.len() - at).is_multiple_of(3) {
+    for (index, digit) in integer.chars().enumerate() {
+        if index > 0 && (integer.len() - index).is_multiple_of(3) {
             with_commas.push(',');
         }
         with_commas.push(digit);
     }
-    format!("{sign}{with_commas}{part}")
+    format!("{sign}{with_commas}{fraction}")
 }
 
 /// The same as a number, for JSON.
@@ -51,7 +51,7 @@
 
 /// With its unit; bytes in kB and MB of 1000.
 pub fn format_with_unit(value: f64, unit: &str) -> String {
-    let Some(per) = unit.strip_prefix('B').filter(|rest| rest.is_empty() || rest.starts_with('/')) else {
+    let Some(suffix) = unit.strip_prefix('B').filter(|rest| rest.is_empty() || rest.starts_with('/')) else {
         return format!("{} {unit}", format_significant(value)).trim_end().to_string();
     };
     let (scale, name) = match value.abs() {
@@ -60,5 +60,5 @@
         n if n >= 1e3 => (1e3, "kB"),
         _ => (1.0, "B"),
     };
-    format!("{} {name}{per}", format_significant(value / scale))
+    format!("{} {name}{suffix}", format_significant(value / scale))
 }
--- a/crates/hazelspur-simulator/src/capacity/command.rs
+++ b/crates/hazelspur-simulator/src/capacity/command.rs
@@ -40,28 +40,28 @@
 }
 
 /// An error with the file that it concerns.
-fn at(path: &Path, error: impl std::fmt::Display) -> anyhow::Error {
+fn with_path(path: &Path, error: impl std::fmt::Display) -> anyhow::Error {
     anyhow!("{}: {error}", path.display())
 }
 
 fn read(path: &Path) -> anyhow::Result<String> {
-    std::fs::read_to_string(path).map_err(|error| at(path, error))
+    std::fs::read_to_string(path).map_err(|error| with_path(path, error))
 }
 
 /// All studies of a directory, in the order of the files' names.
 fn read_studies(directory: &Path) -> anyhow::Result<Measurements> {
-    let there = std::fs::read_dir(directory).map_err(|error| at(directory, error))?;
-    let mut files: Vec<PathBuf> = there.filter_map(|entry| entry.ok().map(|entry| entry.path())).collect();
+    let entries = std::fs::read_dir(directory).map_err(|error| with_path(directory, error))?;
+    let mut files: Vec<PathBuf> = entries.filter_map(|entry| entry.ok().map(|entry| entry.path())).collect();
     files.retain(|path| path.extension().is_some_and(|kind| kind == "json"));
     files.sort();
     let mut studies: Vec<Study> = Vec::new();
     for file in files {
-        let study = Study::parse(&read(&file)?).map_err(|error| at(&file, error))?;
+        let study = Study::parse(&read(&file)?).map_err(|error| with_path(&file, error))?;
         if studies.iter().any(|other| other.study == study.study) {
             // One line through two texts would be neither's.
-            let why =
+            let message =
                 format!("study: {} is in another file too; an earlier text's goes to before/", study.study);
-            return Err(at(&file, why));
+            return Err(with_path(&file, message));
         }
         // A report of this command may have been left there.
         if study.study != "capacity" {
@@ -74,20 +74,21 @@
 /// Errors name the file and the key.
 pub fn read_input(size: &Path, measured: &Path) -> anyhow::Result<CapacityInput> {
     let text = read(size)?;
-    let known_at = measured.join("missing.toml");
-    let known = if known_at.exists() {
-        MissingList::parse(&read(&known_at)?).map_err(|error| at(&known_at, error))?
+    let list_path = measured.join("missing.toml");
+    let missing_list = if list_path.exists() {
+        MissingList::parse(&read(&list_path)?).map_err(|error| with_path(&list_path, error))?
     } else {
         MissingList::default()
     };
-    let before = measured.join("before");
-    let before = if before.is_dir() { read_studies(&before)? } else { Measurements::default() };
+    let earlier_directory = measured.join("before");
+    let earlier_measurements =
+        if earlier_directory.is_dir() { read_studies(&earlier_directory)? } else { Measurements::default() };
     Ok(CapacityInput {
-        size: SizeFile::parse(&text).map_err(|error| at(size, error))?,
-        figures: figures(&text).map_err(|error| at(size, error))?,
+        size: SizeFile::parse(&text).map_err(|error| with_path(size, error))?,
+        figures: figures(&text).map_err(|error| with_path(size, error))?,
         measurements: read_studies(measured)?,
-        earlier_measurements: before,
-        missing_list: known,
+        earlier_measurements,
+        missing_list,
     })
 }
 
@@ -97,59 +98,58 @@
     table.load_style(presets::ASCII_MARKDOWN);
     table.set_header(["role", "row", "at the target", "at twice", "budget", "ratio", "state"]);
     for line in &report.lines {
-        let figure =
-            |value: Option<f64>| value.map_or("-".into(), |value| format_with_unit(value, line.unit));
+        let cell = |value: Option<f64>| value.map_or("-".into(), |value| format_with_unit(value, line.unit));
         table.add_row([
             line.role.name().to_string(),
             line.row.to_string(),
             page::target_cell(line),
-            figure(line.twice),
-            figure(line.budget),
+            cell(line.twice),
+            cell(line.budget),
             line.ratio.map_or("-".into(), format_significant),
             line.state.name().into(),
         ]);
     }
     let mut text = format!("{table}\n\nMissing, in the order in which they rest on each other:\n");
-    for (at, row) in report.order.iter().enumerate() {
-        text += &format!("{}. {row}, carries {}\n", at + 1, report.dependent_count(row));
+    for (index, row) in report.order.iter().enumerate() {
+        text += &format!("{}. {row}, carries {}\n", index + 1, report.dependent_count(row));
     }
     text
 }
 
 /// Prints, writes what was asked for, and gives the exit status: 0 where all is as named, 1 where a budget is
 /// passed that is not named as missing, a named one fits, or the page is out of step, 2 for bad input.
-pub fn run(asked: &CapacityArguments) -> i32 {
-    run_quietly(asked).unwrap_or_else(|why| {
-        eprintln!("{why}");
+pub fn run(arguments: &CapacityArguments) -> i32 {
+    try_run(arguments).unwrap_or_else(|error| {
+        eprintln!("{error}");
         2
     })
 }
 
-fn run_quietly(asked: &CapacityArguments) -> anyhow::Result<i32> {
-    let told = read_input(&asked.size, &asked.measured)?;
-    let report = build_report(&told.size, &told.measurements, &told.missing_list);
+fn try_run(arguments: &CapacityArguments) -> anyhow::Result<i32> {
+    let input = read_input(&arguments.size, &arguments.measured)?;
+    let report = build_report(&input.size, &input.measurements, &input.missing_list);
     if let Some(unknown) = report.unknown.first() {
-        let list = asked.measured.join("missing.toml");
-        return Err(at(&list, format!("row: there is no row {unknown}")));
+        let list = arguments.measured.join("missing.toml");
+        return Err(with_path(&list, format!("row: there is no row {unknown}")));
     }
     println!("{}", summary(&report));
-    if let Some(file) = &asked.json {
+    if let Some(file) = &arguments.json {
         let text = serde_json::to_string_pretty(&report.to_json())? + "\n";
-        std::fs::write(file, text).map_err(|error| at(file, error))?;
+        std::fs::write(file, text).map_err(|error| with_path(file, error))?;
     }
     let mut status = i32::from(!report.faults.is_empty());
     report.faults.iter().for_each(|fault| eprintln!("{fault}"));
-    if let Some(file) = &asked.page {
+    if let Some(file) = &arguments.page {
         let text = read(file)?;
-        let blocks = page::generated_tables(&told, &report);
-        if asked.check {
-            for name in page::stale_tables(&text, &blocks).map_err(|error| at(file, error))? {
+        let tables = page::generated_tables(&input, &report);
+        if arguments.check {
+            for name in page::stale_tables(&text, &tables).map_err(|error| with_path(file, error))? {
                 eprintln!("{}: the table {name} is not what its slopes give", file.display());
                 status = 1;
             }
         } else {
-            let made = page::replace_tables(&text, &blocks).map_err(|error| at(file, error))?;
-            std::fs::write(file, made).map_err(|error| at(file, error))?;
+            let updated = page::replace_tables(&text, &tables).map_err(|error| with_path(file, error))?;
+            std::fs::write(file, updated).map_err(|error| with_path(file, error))?;
         }
     }
     Ok(status)
--- a/crates/hazelspur-simulator/src/capacity/constants.rs
+++ b/crates/hazelspur-simulator/src/capacity/constants.rs
@@ -17,39 +17,39 @@
 }
 
 /// The source file of the kinds of configuration entries.
-const ENTRY_KIND: &str = "src/config/entry_kind.rs";
+const ENTRY_KIND_FILE: &str = "src/config/entry_kind.rs";
 /// The source file of the registry connection.
-const REGISTRY: &str = "crates/hazelspur-server/src/upstream/registry.rs";
+const REGISTRY_FILE: &str = "crates/hazelspur-server/src/upstream/registry.rs";
 /// The source file of the file descriptor budget.
-const DESCRIPTORS: &str = "crates/hazelspur-server/src/process/descriptors.rs";
+const DESCRIPTORS_FILE: &str = "crates/hazelspur-server/src/process/descriptors.rs";
 /// The source file of the circuit breaker.
-const CIRCUIT_BREAKER: &str = "crates/hazelspur-fleet/src/circuit_breaker.rs";
+const CIRCUIT_BREAKER_FILE: &str = "crates/hazelspur-fleet/src/circuit_breaker.rs";
 /// The source file of the fleet settings.
-const KEYS: &str = "crates/hazelspur-server/src/config/fleet_keys.rs";
+const FLEET_KEYS_FILE: &str = "crates/hazelspur-server/src/config/fleet_keys.rs";
 
 /// Mean wait between reports to the list, s: the middle of `REPORT_INTERVAL`.
 pub const REPORT_INTERVAL: Constant = constant(
-    REGISTRY,
+    REGISTRY_FILE,
     "REPORT_INTERVAL",
     "const REPORT_INTERVAL: RandomInterval =\n    RandomInterval { min: Duration::from_ms(640), max: Duration::from_ms(960) };",
     0.8,
 );
 /// The same after a miss, s: the middle of `RETRY_INTERVAL`.
 pub const REPORT_RETRY_INTERVAL: Constant = constant(
-    REGISTRY,
+    REGISTRY_FILE,
     "RETRY_INTERVAL",
     "const RETRY_INTERVAL: RandomInterval =\n    RandomInterval { min: Duration::from_ms(125), max: Duration::from_ms(375) };",
     0.25,
 );
 /// Descriptors of the program's own.
 pub const RESERVED_DESCRIPTORS: Constant =
-    constant(DESCRIPTORS, "RESERVED", "const RESERVED: usize = 16;", 16.0);
+    constant(DESCRIPTORS_FILE, "RESERVED", "const RESERVED: usize = 16;", 16.0);
 /// Connections to the ledger, in use or kept.
 pub const MAX_DEPENDENCY_CALLS: Constant =
-    constant(DESCRIPTORS, "MAX_CALLS", "const MAX_CALLS: usize = 64;", 64.0);
+    constant(DESCRIPTORS_FILE, "MAX_CALLS", "const MAX_CALLS: usize = 64;", 64.0);
 /// Gateways' connections on their way out.
 pub const MAX_CLOSING_CONNECTIONS: Constant =
-    constant(DESCRIPTORS, "MAX_CLOSING", "const MAX_CLOSING: usize = 64;", 64.0);
+    constant(DESCRIPTORS_FILE, "MAX_CLOSING", "const MAX_CLOSING: usize = 64;", 64.0);
 /// `limits.sockets` where the platform says nothing.
 pub const DEFAULT_SOCKET_LIMIT: Constant = constant(
     "crates/hazelspur-server/src/config/server_config.rs",
@@ -68,11 +68,15 @@
 pub const LAST_SEEN_CAPACITY: Constant =
     constant("src/last_seen.rs", "LAST_SEEN_CAPACITY", "const LAST_SEEN_CAPACITY: usize = 4096;", 4096.0);
 /// Op types that are held.
-pub const MAX_REQUEST_CLASSES: Constant =
-    constant(ENTRY_KIND, "MAX_REQUEST_CLASSES", "pub const MAX_REQUEST_CLASSES: usize = 17_400;", 17_400.0);
+pub const MAX_REQUEST_CLASSES: Constant = constant(
+    ENTRY_KIND_FILE,
+    "MAX_REQUEST_CLASSES",
+    "pub const MAX_REQUEST_CLASSES: usize = 17_400;",
+    17_400.0,
+);
 /// Tenants that are held.
 pub const MAX_TENANTS: Constant =
-    constant(ENTRY_KIND, "MAX_TENANTS", "pub const MAX_TENANTS: usize = 84_000;", 84_000.0);
+    constant(ENTRY_KIND_FILE, "MAX_TENANTS", "pub const MAX_TENANTS: usize = 84_000;", 84_000.0);
 /// Tenants, and op types, of which something learned is kept.
 pub const RECENTLY_SEEN_CAPACITY: Constant = constant(
     "src/recently_seen.rs",
@@ -88,17 +92,25 @@
     8_388_608.0,
 );
 /// The greatest `most` of the operator's file.
-pub const MAX_FLEET_SIZE: Constant =
-    constant(KEYS, "Fleet.most", "#[garde(range(min = 1, max = 4096))]\n    pub most: usize,", 4096.0);
+pub const MAX_FLEET_SIZE: Constant = constant(
+    FLEET_KEYS_FILE,
+    "Fleet.most",
+    "#[garde(range(min = 1, max = 4096))]\n    pub most: usize,",
+    4096.0,
+);
 /// The part of a shared limit that is divided by `most` for good.
-pub const GUARANTEED_FRACTION: Constant =
-    constant(KEYS, "DEFAULT_GUARANTEED_FRACTION", "const DEFAULT_GUARANTEED_FRACTION: f64 = 0.2;", 0.2);
+pub const GUARANTEED_FRACTION: Constant = constant(
+    FLEET_KEYS_FILE,
+    "DEFAULT_GUARANTEED_FRACTION",
+    "const DEFAULT_GUARANTEED_FRACTION: f64 = 0.2;",
+    0.2,
+);
 /// How long a vote holds, s.
 pub const VOTE_DURATION: Constant =
-    constant(KEYS, "DEFAULT_VOTE_SECS", "const DEFAULT_VOTE_SECS: f64 = 4.0;", 4.0);
+    constant(FLEET_KEYS_FILE, "DEFAULT_VOTE_SECS", "const DEFAULT_VOTE_SECS: f64 = 4.0;", 4.0);
 /// How often one other is probed, s.
 pub const PROBE_PERIOD: Constant =
-    constant(KEYS, "DEFAULT_PERIOD_SECS", "const DEFAULT_PERIOD_SECS: f64 = 1.0;", 1.0);
+    constant(FLEET_KEYS_FILE, "DEFAULT_PERIOD_SECS", "const DEFAULT_PERIOD_SECS: f64 = 1.0;", 1.0);
 /// The part of a lease after which a holder asks again.
 pub const LEASE_RENEWAL_FRACTION: Constant = constant(
     "crates/hazelspur-fleet/src/quota/config.rs",
@@ -108,14 +120,14 @@
 );
 /// How often a chosen server tries a ledger that is gone, s.
 pub const DESIGNATED_PROBE_INTERVAL: Constant = constant(
-    CIRCUIT_BREAKER,
+    CIRCUIT_BREAKER_FILE,
     "DESIGNATED_PROBE_INTERVAL",
     "const DESIGNATED_PROBE_INTERVAL: Duration = Duration::from_ms(250);",
     0.25,
 );
 /// The same of the others, s.
 pub const OTHER_PROBE_INTERVAL: Constant = constant(
-    CIRCUIT_BREAKER,
+    CIRCUIT_BREAKER_FILE,
     "OTHER_PROBE_INTERVAL",
     "const OTHER_PROBE_INTERVAL: Duration = Duration::from_ms(4000);",
     4.0,
--- a/crates/hazelspur-simulator/src/capacity/measured.rs
+++ b/crates/hazelspur-simulator/src/capacity/measured.rs
@@ -112,12 +112,12 @@
                     continue;
                 };
                 let Point { figure, case, dimension, unit, size, .. } = point.clone();
-                let of = series
+                let entry = series
                     .entry(SeriesKey { study: study.study.clone(), figure, case, dimension })
                     .or_default();
-                of.unit = unit;
-                of.command = study.command.clone();
-                of.points.push((size, value));
+                entry.unit = unit;
+                entry.command = study.command.clone();
+                entry.points.push((size, value));
             }
         }
         Self { series, studies }
@@ -126,25 +126,29 @@
     /// The series of some figures by a dimension, as one, in the first of the cases there is; without cases
     /// in any. A figure is `name` or `study/name`; without a study the first that has any of them counts.
     pub fn find(&self, figures: &[&str], cases: &[&str], dimension: &str) -> Option<Series> {
-        let names = |of: &SeriesKey, figure: &str| match figure.split_once('/') {
-            Some((study, name)) => of.study == study && of.figure == name,
-            None => of.figure == figure,
+        let matches_name = |key: &SeriesKey, figure: &str| match figure.split_once('/') {
+            Some((study, name)) => key.study == study && key.figure == name,
+            None => key.figure == figure,
         };
-        let of_case = |case: Option<&str>| {
-            let fits = |of: &&SeriesKey| {
-                let figure = figures.iter().any(|figure| names(of, figure));
-                figure && of.dimension == dimension && case.is_none_or(|case| case == of.case)
+        let find_in_case = |case: Option<&str>| {
+            let is_wanted = |key: &&SeriesKey| {
+                let figure = figures.iter().any(|figure| matches_name(key, figure));
+                figure && key.dimension == dimension && case.is_none_or(|case| case == key.case)
             };
-            let study = &self.series.keys().find(fits)?.study;
-            let of_study = self.series.iter().filter(|(of, _)| fits(of) && of.study == *study);
-            of_study.map(|(_, series)| series.clone()).reduce(Series::with)
+            let study = &self.series.keys().find(is_wanted)?.study;
+            let in_study = self.series.iter().filter(|(key, _)| is_wanted(key) && key.study == *study);
+            in_study.map(|(_, series)| series.clone()).reduce(Series::merged_with)
         };
-        if cases.is_empty() { of_case(None) } else { cases.iter().find_map(|case| of_case(Some(case))) }
+        if cases.is_empty() {
+            find_in_case(None)
+        } else {
+            cases.iter().find_map(|case| find_in_case(Some(case)))
+        }
     }
 }
 
 impl Series {
-    fn with(mut self, other: Self) -> Self {
+    fn merged_with(mut self, other: Self) -> Self {
         self.points.extend(other.points);
         self
     }
@@ -157,7 +161,7 @@
         let mut worst: Vec<(f64, f64)> = Vec::new();
         for (size, value) in &self.points {
             match worst.iter_mut().find(|(other, _)| other == size) {
-                Some((_, greatest)) => *greatest = greatest.max(*value),
+                Some((_, largest)) => *largest = largest.max(*value),
                 None => worst.push((*size, *value)),
             }
         }
@@ -174,18 +178,19 @@
             return None;
         }
         let n = points.len() as f64;
-        let (mx, my) = points.iter().fold((0.0, 0.0), |(mx, my), (x, y)| (mx + x / n, my + y / n));
-        let (xy, xx) = points
-            .iter()
-            .fold((0.0, 0.0), |(xy, xx), (x, y)| (xy + (x - mx) * (y - my), xx + (x - mx) * (x - mx)));
-        let slope = xy / xx;
-        let base = my - slope * mx;
-        let greatest = points.iter().map(|(_, y)| y.abs()).fold(f64::MIN_POSITIVE, f64::max);
-        let off = points.iter().map(|(x, y)| (y - slope * x - base).abs()).fold(0.0, f64::max);
+        let (mean_x, mean_y) =
+            points.iter().fold((0.0, 0.0), |(mean_x, mean_y), (x, y)| (mean_x + x / n, mean_y + y / n));
+        let (sum_xy, sum_xx) = points.iter().fold((0.0, 0.0), |(sum_xy, sum_xx), (x, y)| {
+            (sum_xy + (x - mean_x) * (y - mean_y), sum_xx + (x - mean_x) * (x - mean_x))
+        });
+        let slope = sum_xy / sum_xx;
+        let base = mean_y - slope * mean_x;
+        let largest = points.iter().map(|(_, y)| y.abs()).fold(f64::MIN_POSITIVE, f64::max);
+        let largest_error = points.iter().map(|(x, y)| (y - slope * x - base).abs()).fold(0.0, f64::max);
         Some(Fit {
             slope,
             base,
-            deviation: off / greatest,
+            deviation: largest_error / largest,
             smallest_size: sizes[0],
             largest_size: sizes[sizes.len() - 1],
             size_count: sizes.len(),
@@ -195,12 +200,12 @@
 
     /// What was seen at this size, to a hundredth: the mean of all seeds, or the worst.
     pub fn value_near(&self, size: f64, seeds: Seeds) -> Option<f64> {
-        let there: Vec<f64> = self
+        let values: Vec<f64> = self
             .points_for(seeds)
             .iter()
-            .filter(|(at, _)| (at - size).abs() < 0.01 * size)
-            .map(|p| p.1)
+            .filter(|(other, _)| (other - size).abs() < 0.01 * size)
+            .map(|point| point.1)
             .collect();
-        (!there.is_empty()).then(|| there.iter().sum::<f64>() / there.len() as f64)
+        (!values.is_empty()).then(|| values.iter().sum::<f64>() / values.len() as f64)
     }
 }
--- a/crates/hazelspur-simulator/src/capacity/report.rs
+++ b/crates/hazelspur-simulator/src/capacity/report.rs
@@ -136,36 +136,36 @@
     factor: f64,
     /// Whether it grows with the size once more: a sum over all servers of what each sees.
     sum_over_servers: bool,
-    seen: Option<f64>,
+    measured_at_target: Option<f64>,
     origin: String,
     points: Option<String>,
 }
 
 impl Curve {
     fn at(&self, size: f64) -> f64 {
-        let one = (self.slope * size + self.base) * self.factor;
-        if self.sum_over_servers { one * size } else { one }
+        let value = (self.slope * size + self.base) * self.factor;
+        if self.sum_over_servers { value * size } else { value }
     }
 }
 
 /// The curve of the first source that has figures.
-fn curve(row: &Row, measured: &Measurements) -> Option<Curve> {
+fn first_curve(row: &Row, measurements: &Measurements) -> Option<Curve> {
     row.sources.iter().find_map(|source| match source {
         Source::Computed { origin, slope, base } => Some(computed_curve(origin, *slope, *base)),
         Source::Measured { figures, cases, seeds, factor, sum_over_servers } => {
-            let series = measured.find(figures, cases, row.dimension)?;
-            let scaled = if *sum_over_servers { factor * row.size } else { *factor };
-            let seen = series.value_near(row.size, *seeds).map(|seen| seen * scaled);
+            let series = measurements.find(figures, cases, row.dimension)?;
+            let scale = if *sum_over_servers { factor * row.size } else { *factor };
+            let measured_at_target = series.value_near(row.size, *seeds).map(|value| value * scale);
             let origin = series.command.clone();
             match series.fit(*seeds) {
                 Some(fit) => Some(Curve {
                     factor: *factor,
                     sum_over_servers: *sum_over_servers,
-                    seen,
+                    measured_at_target,
                     ..fitted_curve(fit, origin)
                 }),
                 // One size tells nothing of another.
-                None => seen.map(|seen| curve_at_one_size(seen, origin)),
+                None => measured_at_target.map(|value| curve_at_one_size(value, origin)),
             }
         }
     })
@@ -173,7 +173,16 @@
 
 fn computed_curve(origin: &str, slope: f64, base: f64) -> Curve {
     let origin = format!("computed from {origin}");
-    Curve { fit: None, slope, base, factor: 1.0, sum_over_servers: false, seen: None, origin, points: None }
+    Curve {
+        fit: None,
+        slope,
+        base,
+        factor: 1.0,
+        sum_over_servers: false,
+        measured_at_target: None,
+        origin,
+        points: None,
+    }
 }
 
 fn fitted_curve(fit: Fit, origin: String) -> Curve {
@@ -185,20 +194,20 @@
         base: fit.base,
         factor: 1.0,
         sum_over_servers: false,
-        seen: None,
+        measured_at_target: None,
         origin,
         points: Some(points),
     }
 }
 
-fn curve_at_one_size(seen: f64, origin: String) -> Curve {
+fn curve_at_one_size(value: f64, origin: String) -> Curve {
     Curve {
         fit: None,
         slope: f64::NAN,
         base: f64::NAN,
         factor: 1.0,
         sum_over_servers: false,
-        seen: Some(seen),
+        measured_at_target: Some(value),
         origin,
         points: Some("at the target only".into()),
     }
@@ -208,28 +217,28 @@
     value.is_finite().then_some(value)
 }
 
-fn stops(curve: &Curve, target: f64, budget: Option<f64>) -> BudgetCrossing {
+fn budget_crossing(curve: &Curve, target: f64, budget: Option<f64>) -> BudgetCrossing {
     let Some(budget) = budget.filter(|_| curve.slope.is_finite()) else { return BudgetCrossing::Unknown };
     if curve.at(0.0) > budget {
         return BudgetCrossing::AnySize;
     }
-    let (mut fits, mut passes) = (0.0, target * 1000.0);
-    if curve.at(passes) <= budget {
+    let (mut within, mut exceeding) = (0.0, target * 1000.0);
+    if curve.at(exceeding) <= budget {
         return BudgetCrossing::Never;
     }
     for _ in 0..100 {
-        let middle = (fits + passes) / 2.0;
-        if curve.at(middle) <= budget { fits = middle } else { passes = middle }
+        let middle = (within + exceeding) / 2.0;
+        if curve.at(middle) <= budget { within = middle } else { exceeding = middle }
     }
-    BudgetCrossing::At(fits)
+    BudgetCrossing::At(within)
 }
 
-fn line(row: &Row, measured: &Measurements) -> ReportLine {
-    let curve = curve(row, measured);
+fn report_line(row: &Row, measurements: &Measurements) -> ReportLine {
+    let curve = first_curve(row, measurements);
     let target = curve.as_ref().and_then(|curve| {
         // A point at the size itself counts where it is worse than the line.
-        let of_line = finite(curve.at(row.size));
-        [of_line, curve.seen].into_iter().flatten().reduce(f64::max)
+        let on_curve = finite(curve.at(row.size));
+        [on_curve, curve.measured_at_target].into_iter().flatten().reduce(f64::max)
     });
     let budget = row.budget.map(|budget| budget.limit);
     let ratio = target.zip(budget).map(|(target, budget)| target / budget);
@@ -248,18 +257,20 @@
         formula: row.formula.clone(),
         dimension: row.dimension,
         size: row.size,
-        slope: curve.as_ref().and_then(|c| finite(c.slope)),
-        base: curve.as_ref().and_then(|c| finite(c.base)),
-        deviation: curve.as_ref().and_then(|c| c.fit).map(|fit| fit.deviation),
-        origin: curve.as_ref().map_or(String::new(), |c| c.origin.clone()),
-        points: curve.as_ref().and_then(|c| c.points.clone()),
+        slope: curve.as_ref().and_then(|curve| finite(curve.slope)),
+        base: curve.as_ref().and_then(|curve| finite(curve.base)),
+        deviation: curve.as_ref().and_then(|curve| curve.fit).map(|fit| fit.deviation),
+        origin: curve.as_ref().map_or(String::new(), |curve| curve.origin.clone()),
+        points: curve.as_ref().and_then(|curve| curve.points.clone()),
         target,
-        twice: curve.as_ref().and_then(|c| finite(c.at(2.0 * row.size))),
+        twice: curve.as_ref().and_then(|curve| finite(curve.at(2.0 * row.size))),
         budget,
         budget_origin: row.budget.map_or("", |budget| budget.origin),
         ratio,
         mechanism: row.mechanism,
-        budget_crossing: curve.as_ref().map_or(BudgetCrossing::Unknown, |c| stops(c, row.size, budget)),
+        budget_crossing: curve
+            .as_ref()
+            .map_or(BudgetCrossing::Unknown, |curve| budget_crossing(curve, row.size, budget)),
         state,
         prerequisites: row.prerequisites.to_vec(),
         known: None,
@@ -267,52 +278,56 @@
 }
 
 /// A sum of other rows: what is known of it, and whether that is all.
-fn sum(row: &Row, lines: &[ReportLine]) -> ReportLine {
+fn sum_line(row: &Row, lines: &[ReportLine]) -> ReportLine {
     let parts: Vec<&ReportLine> =
         row.sum_of.iter().filter_map(|name| lines.iter().find(|line| line.row == *name)).collect();
-    let add = |of: &dyn Fn(&ReportLine) -> Option<f64>| {
-        parts.iter().filter_map(|line| of(line)).reduce(|a, b| a + b)
+    let total = |figure: &dyn Fn(&ReportLine) -> Option<f64>| {
+        parts.iter().filter_map(|line| figure(line)).reduce(|a, b| a + b)
     };
     let unknown: Vec<&str> = parts.iter().filter(|line| line.target.is_none()).map(|line| line.row).collect();
-    let (target, budget) = (add(&|line| line.target), row.budget.map(|budget| budget.limit));
+    let (target, budget) = (total(&|line| line.target), row.budget.map(|budget| budget.limit));
     let ratio = target.zip(budget).map(|(target, budget)| target / budget);
     let state = match ratio {
         Some(ratio) if ratio > 1.0 => State::Missing,
         Some(_) if unknown.is_empty() => State::Fits,
         _ => State::NotMeasured,
     };
-    let mut line = line(row, &Measurements::default());
+    let mut line = report_line(row, &Measurements::default());
     line.origin = "the rows above".into();
     if !unknown.is_empty() {
         line.origin = format!("the rows above, without {}, which nobody measured", unknown.join(", "));
     }
     // A part of a sum says how much it is at least, and nothing of its budget.
     let ratio = ratio.filter(|_| state != State::NotMeasured);
-    line.twice = parts.iter().all(|line| line.twice.is_some()).then(|| add(&|line| line.twice)).flatten();
+    line.twice = parts.iter().all(|line| line.twice.is_some()).then(|| total(&|line| line.twice)).flatten();
     ReportLine { target, ratio, state, ..line }
 }
 
 /// Everything, from the rows of the model.
-pub fn build_report(size: &SizeFile, measured: &Measurements, known: &MissingList) -> Report {
-    build_report_from_rows(&super::rows::rows(size), measured, known)
+pub fn build_report(size: &SizeFile, measurements: &Measurements, missing_list: &MissingList) -> Report {
+    build_report_from_rows(&super::rows::rows(size), measurements, missing_list)
 }
 
 /// Everything, from rows that are handed in.
-pub fn build_report_from_rows(rows: &[Row], measured: &Measurements, known: &MissingList) -> Report {
+pub fn build_report_from_rows(
+    rows: &[Row],
+    measurements: &Measurements,
+    missing_list: &MissingList,
+) -> Report {
     let mut lines: Vec<ReportLine> = Vec::new();
     for row in rows {
-        let line = if row.sum_of.is_empty() { line(row, measured) } else { sum(row, &lines) };
+        let line = if row.sum_of.is_empty() { report_line(row, measurements) } else { sum_line(row, &lines) };
         lines.push(line);
     }
     let (mut faults, mut unknown) = (Vec::new(), Vec::new());
-    for named in &known.missing {
-        let Some(line) = lines.iter_mut().find(|line| line.row == named.row) else {
-            unknown.push(named.row.clone());
+    for entry in &missing_list.missing {
+        let Some(line) = lines.iter_mut().find(|line| line.row == entry.row) else {
+            unknown.push(entry.row.clone());
             continue;
         };
-        line.known = Some((named.why.clone(), named.roadmap.clone()));
+        line.known = Some((entry.why.clone(), entry.roadmap.clone()));
         if line.state == State::Fits || line.state == State::NoBudget {
-            faults.push(format!("{}: named as missing, and fits", named.row));
+            faults.push(format!("{}: named as missing, and fits", entry.row));
         }
     }
     for line in lines.iter().filter(|line| line.state == State::Missing && line.known.is_none()) {
@@ -327,15 +342,16 @@
             _ => format!("{}: nothing carries it; not named as missing", line.row),
         });
     }
-    let order = order(&lines);
+    let order = order_missing(&lines);
     Report { study: "capacity", lines, order, faults, unknown }
 }
 
 impl Report {
     /// Missing lines, worst ratio first; those without a figure of their own after them.
     pub fn missing(&self) -> Vec<&ReportLine> {
-        let mut missing: Vec<&ReportLine> = self.lines.iter().filter(|l| l.state == State::Missing).collect();
-        missing.sort_by(|a, b| worse(a, b));
+        let mut missing: Vec<&ReportLine> =
+            self.lines.iter().filter(|line| line.state == State::Missing).collect();
+        missing.sort_by(|a, b| compare_severity(a, b));
         missing
     }
 
@@ -344,61 +360,76 @@
         let missing = self.missing();
         missing
             .iter()
-            .filter(|line| line.row != row && rests(&missing, line, row, &mut BTreeSet::new()))
+            .filter(|line| line.row != row && depends_on(&missing, line, row, &mut BTreeSet::new()))
             .count()
     }
 
     /// As JSON, with three digits.
     pub fn to_json(&self) -> serde_json::Value {
-        let mut all = serde_json::to_value(self).unwrap_or_default();
-        shorten(&mut all);
-        all
+        let mut json = serde_json::to_value(self).unwrap_or_default();
+        round_numbers(&mut json);
+        json
     }
 }
 
-fn shorten(value: &mut serde_json::Value) {
+fn round_numbers(value: &mut serde_json::Value) {
     match value {
         serde_json::Value::Number(number) => {
-            if let Some(short) = number.as_f64().map(round_significant).and_then(serde_json::Number::from_f64)
+            if let Some(rounded) =
+                number.as_f64().map(round_significant).and_then(serde_json::Number::from_f64)
             {
-                *number = short;
+                *number = rounded;
             }
         }
-        serde_json::Value::Array(all) => all.iter_mut().for_each(shorten),
-        serde_json::Value::Object(all) => all.values_mut().for_each(shorten),
+        serde_json::Value::Array(all) => all.iter_mut().for_each(round_numbers),
+        serde_json::Value::Object(all) => all.values_mut().for_each(round_numbers),
         _ => {}
     }
 }
 
-fn worse(a: &ReportLine, b: &ReportLine) -> std::cmp::Ordering {
-    let of = |line: &ReportLine| line.ratio.unwrap_or(0.0);
-    of(b).total_cmp(&of(a)).then(a.row.cmp(b.row))
+fn compare_severity(a: &ReportLine, b: &ReportLine) -> std::cmp::Ordering {
+    let ratio = |line: &ReportLine| line.ratio.unwrap_or(0.0);
+    ratio(b).total_cmp(&ratio(a)).then(a.row.cmp(b.row))
 }
 
-fn rests(missing: &[&ReportLine], line: &ReportLine, on: &str, looked: &mut BTreeSet<&'static str>) -> bool {
-    line.prerequisites.iter().any(|under| {
-        *under == on
-            || looked.insert(under)
-                && missing.iter().any(|other| other.row == *under && rests(missing, other, on, looked))
+fn depends_on(
+    missing: &[&ReportLine],
+    line: &ReportLine,
+    prerequisite: &str,
+    visited: &mut BTreeSet<&'static str>,
+) -> bool {
+    line.prerequisites.iter().any(|required| {
+        *required == prerequisite
+            || visited.insert(required)
+                && missing
+                    .iter()
+                    .any(|other| other.row == *required && depends_on(missing, other, prerequisite, visited))
     })
 }
 
 /// Always the worst of those whose ground is laid.
-fn order(lines: &[ReportLine]) -> Vec<&'static str> {
-    let mut left: BTreeMap<&'static str, &ReportLine> =
+fn order_missing(lines: &[ReportLine]) -> Vec<&'static str> {
+    let mut remaining: BTreeMap<&'static str, &ReportLine> =
         lines.iter().filter(|line| line.state == State::Missing).map(|line| (line.row, line)).collect();
     let mut order = Vec::new();
-    while !left.is_empty() {
-        let ready = |line: &&&ReportLine| !line.prerequisites.iter().any(|under| left.contains_key(under));
+    while !remaining.is_empty() {
+        let ready =
+            |line: &&&ReportLine| !line.prerequisites.iter().any(|required| remaining.contains_key(required));
         // Those on which others rest come first.
-        let carries = |of: &ReportLine| left.values().any(|line| line.prerequisites.contains(&of.row));
-        let next = left.values().filter(ready).min_by(|a, b| carries(b).cmp(&carries(a)).then(worse(a, b)));
+        let is_prerequisite = |candidate: &ReportLine| {
+            remaining.values().any(|line| line.prerequisites.contains(&candidate.row))
+        };
+        let next = remaining
+            .values()
+            .filter(ready)
+            .min_by(|a, b| is_prerequisite(b).cmp(&is_prerequisite(a)).then(compare_severity(a, b)));
         // A circle would be a fault of the rows; it is cut at its worst.
-        let Some(next) = next.or_else(|| left.values().min_by(|a, b| worse(a, b))).map(|line| line.row)
+        let Some(next) =
+            next.or_else(|| remaining.values().min_by(|a, b| compare_severity(a, b))).map(|line| line.row)
         else {
             break;
         };
-        left.remove(next);
+        remaining.remove(next);
         order.push(next);
     }
     order
--- a/crates/hazelspur-simulator/src/capacity/rows/configuration.rs
+++ b/crates/hazelspur-simulator/src/capacity/rows/configuration.rs
@@ -1,22 +1,28 @@
 //! Rows of clients, of the configuration and of control machines.
 
-use super::{BYTES, DAY_S, FILE, IN_FORCE, JOINT, RELOAD, Role, Row, row};
+use super::{
+    FLEET_NODE, IN_FORCE_BUDGET, RELOADER, Role, Row, SECONDS_PER_DAY, SIZE_FILE, TRAFFIC_BUDGET, row,
+};
 use crate::capacity::size::SizeFile;
 
 /// All rows of a client, in the order of the page.
-pub(super) fn caller(size: &SizeFile) -> Vec<Row> {
+pub(super) fn client(size: &SizeFile) -> Vec<Row> {
     use Role::Client;
-    let (s, a) = (&size.size, &size.assumed);
-    let servers = ("servers", s.servers);
+    let (target, assumed) = (&size.size, &size.assumed);
+    let servers = ("servers", target.servers);
     vec![
         row(Client, "caller.connections", "connections of one caller process", "descriptors", servers)
             .formula("servers_a_caller_keeps x connections_per_caller_and_server")
-            .computed(FILE, 0.0, a.servers_a_caller_keeps * a.connections_per_caller_and_server)
+            .computed(
+                SIZE_FILE,
+                0.0,
+                assumed.servers_a_caller_keeps * assumed.connections_per_caller_and_server,
+            )
             .by_mechanism("none of ours: gateways choose"),
         row(Client, "caller.most_load", "most loaded server over the mean, by subsets", "times", servers)
             .formula("4 of all by rendezvous, as many choosers as servers")
             .measured(&["subsets.most_over_mean"], &["rendezvous"])
-            .within(a.most_over_mean_load, "assumed.most_over_mean_load")
+            .within(assumed.most_over_mean_load, "assumed.most_over_mean_load")
             .by_mechanism("crates/hazelspur-fleet/src/subset.rs select"),
         row(
             Client,
@@ -27,30 +33,30 @@
         )
         .formula("as simulated")
         .measured(&["choices.tries_per_op"], &["crowded"])
-        .by_mechanism(JOINT),
+        .by_mechanism(FLEET_NODE),
     ]
 }
 
 /// All rows of the configuration, in the order of the page.
 pub(super) fn configuration(size: &SizeFile) -> Vec<Row> {
     use Role::Configuration;
-    let (s, b, a) = (&size.size, &size.budget, &size.assumed);
-    let servers = ("servers", s.servers);
+    let (target, budget, assumed) = (&size.size, &size.budget, &size.assumed);
+    let servers = ("servers", target.servers);
     vec![
         row(Configuration, "config.restarts", "restarts a day for changes alone", "1/day", servers)
             .formula("changes_per_day x changes_that_need_a_restart x servers")
             .computed(
-                FILE.to_string() + " changes_that_need_a_restart",
-                s.changes_per_day * a.changes_that_need_a_restart,
+                SIZE_FILE.to_string() + " changes_that_need_a_restart",
+                target.changes_per_day * assumed.changes_that_need_a_restart,
                 0.0,
             )
-            .within(s.restarts_per_day, "size.restarts_per_day")
-            .by_mechanism(RELOAD)
+            .within(target.restarts_per_day, "size.restarts_per_day")
+            .by_mechanism(RELOADER)
             .requires(&["server.settings.op_types", "server.settings.tenants", "server.settings.memory"]),
         row(Configuration, "config.in_force", "a change in force everywhere, worst", "s", servers)
             .formula("from the push until the last server has it in force")
             .measured_worst_seed(&["revisions.in_force_s"], &["rest"])
-            .within(b.in_force_s, IN_FORCE)
+            .within(budget.in_force_s, IN_FORCE_BUDGET)
             .no_mechanism("none: each server reads its own file")
             .requires(&["config.restarts"]),
         row(Configuration, "config.catch_up", "what a newcomer or a region back asks for", "B", servers)
@@ -68,8 +74,8 @@
             .requires(&["config.in_force", "config.overlap"]),
         row(Configuration, "config.bytes", "bytes of changes on an ordinary day, a server", "B/s", servers)
             .formula("changes_per_day x bytes_per_change / 86,400 s, taken in once by each")
-            .computed(FILE, 0.0, s.changes_per_day * a.bytes_per_change / DAY_S)
-            .within(b.control_bytes_per_s, BYTES)
+            .computed(SIZE_FILE, 0.0, target.changes_per_day * assumed.bytes_per_change / SECONDS_PER_DAY)
+            .within(budget.control_bytes_per_s, TRAFFIC_BUDGET)
             .by_mechanism("none yet: what config.in_force would carry"),
     ]
 }
--- a/crates/hazelspur-simulator/src/capacity/rows/mod.rs
+++ b/crates/hazelspur-simulator/src/capacity/rows/mod.rs
@@ -172,14 +172,14 @@
 
 impl Row {
     /// Its formula, in words.
-    pub fn formula(mut self, words: impl Into<String>) -> Self {
-        self.formula = words.into();
+    pub fn formula(mut self, formula: impl Into<String>) -> Self {
+        self.formula = formula.into();
         self
     }
 
     /// A figure as it was measured.
-    pub fn measured(self, figure: &'static [&'static str], cases: &'static [&'static str]) -> Self {
-        self.measured_scaled(figure, cases, 1.0, false)
+    pub fn measured(self, figures: &'static [&'static str], cases: &'static [&'static str]) -> Self {
+        self.measured_scaled(figures, cases, 1.0, false)
     }
 
     /// A figure as it was measured, times a factor, and summed over all servers where `over_all`.
@@ -218,8 +218,8 @@
     }
 
     /// Its budget, and where that stands.
-    pub fn within(mut self, budget: f64, origin: &'static str) -> Self {
-        self.budget = Some(RowBudget { limit: budget, origin });
+    pub fn within(mut self, limit: f64, origin: &'static str) -> Self {
+        self.budget = Some(RowBudget { limit, origin });
         self
     }
 
@@ -243,27 +243,27 @@
 }
 
 /// The file with the size, the budgets and the assumptions.
-const FILE: &str = "docs/capacity/size.toml";
+const SIZE_FILE: &str = "docs/capacity/size.toml";
 /// Figures of the time until all servers have one view of the members.
-const AGREE: [&str; 2] = ["scale/members.agree_s", "scale/members.not_agreed_within_s"];
+const AGREEMENT_FIGURES: [&str; 2] = ["scale/members.agree_s", "scale/members.not_agreed_within_s"];
 // Mechanisms: file and type.
 
 /// The membership.
-const MEMBERS: &str = "crates/hazelspur-fleet/src/membership/state.rs Membership";
+const MEMBERSHIP: &str = "crates/hazelspur-fleet/src/membership/state.rs Membership";
 /// The fleet's node.
-const JOINT: &str = "crates/hazelspur-fleet/src/node.rs FleetNode";
+const FLEET_NODE: &str = "crates/hazelspur-fleet/src/node.rs FleetNode";
 /// The gossip transport.
-const TALK: &str = "crates/hazelspur-server/src/fleet/transport.rs GossipTransport";
+const GOSSIP_TRANSPORT: &str = "crates/hazelspur-server/src/fleet/transport.rs GossipTransport";
 /// The quota.
-const SHARES: &str = "crates/hazelspur-fleet/src/quota/manager.rs QuotaManager";
+const QUOTA_MANAGER: &str = "crates/hazelspur-fleet/src/quota/manager.rs QuotaManager";
 /// The quota's allocator.
-const DIVIDER: &str = "crates/hazelspur-fleet/src/quota/allocator.rs Allocator";
+const ALLOCATOR: &str = "crates/hazelspur-fleet/src/quota/allocator.rs Allocator";
 /// Reports to the list of servers.
-const REPORT: &str = "crates/hazelspur-server/src/upstream/registry.rs HealthReporter";
+const HEALTH_REPORTER: &str = "crates/hazelspur-server/src/upstream/registry.rs HealthReporter";
 /// Reload on SIGHUP.
-const RELOAD: &str = "crates/hazelspur-server/src/config/reload.rs Reloader";
+const RELOADER: &str = "crates/hazelspur-server/src/config/reload.rs Reloader";
 /// The server's configuration.
-const CHECK: &str = "crates/hazelspur-server/src/config/server_config.rs ServerConfig";
+const SERVER_CONFIG: &str = "crates/hazelspur-server/src/config/server_config.rs ServerConfig";
 /// Request classes and tenants in force.
 const CATALOG: &str = "src/config/catalog.rs Catalog";
 /// The table by name and id.
@@ -275,27 +275,27 @@
 /// What is learned of classes and tenants.
 const RECENTLY_SEEN: &str = "src/recently_seen.rs RecentlySeen";
 /// Seconds of a day.
-const DAY_S: f64 = 86_400.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
 // Budgets of the size file.
 
 /// Time until a change is in force.
-const IN_FORCE: &str = "budget.in_force_s";
+const IN_FORCE_BUDGET: &str = "budget.in_force_s";
 /// Processor time for control.
-const CPU: &str = "budget.control_cpu_share";
+const CPU_BUDGET: &str = "budget.control_cpu_share";
 /// Memory for control.
-const MEMORY: &str = "budget.control_memory_bytes";
+const MEMORY_BUDGET: &str = "budget.control_memory_bytes";
 /// Traffic for control.
-const BYTES: &str = "budget.control_bytes_per_s";
+const TRAFFIC_BUDGET: &str = "budget.control_bytes_per_s";
 
 /// All rows, in the order of the page; a sum stands behind its parts.
 pub fn rows(size: &SizeFile) -> Vec<Row> {
     let mut rows = server::server(size);
-    rows.extend(configuration::caller(size));
+    rows.extend(configuration::client(size));
     rows.extend(configuration::configuration(size));
     rows.extend(configuration::control_machine());
-    rows.extend(quota::keeper_and_divider(size));
-    rows.extend(network::list(size));
+    rows.extend(quota::voter_and_allocator(size));
+    rows.extend(network::registry(size));
     rows.extend(network::shared_dependency(size));
     rows.extend(network::links(size));
     rows.extend(events::events(size));
@@ -303,6 +303,6 @@
 }
 
 /// Where these constants stand.
-fn at(constants: &[&Constant]) -> String {
+fn origins(constants: &[&Constant]) -> String {
     constants.iter().map(|constant| constant.origin()).collect::<Vec<_>>().join(", ")
 }
--- a/crates/hazelspur-simulator/src/capacity/rows/network.rs
+++ b/crates/hazelspur-simulator/src/capacity/rows/network.rs
@@ -1,27 +1,27 @@
 //! Rows of what servers share: the list of servers, the dependency, links between zones and regions.
 
-use super::{FILE, MEMBERS, REPORT, Role, Row, SHARES, at, row};
+use super::{HEALTH_REPORTER, MEMBERSHIP, QUOTA_MANAGER, Role, Row, SIZE_FILE, origins, row};
 use crate::capacity::constants as code;
 use crate::capacity::size::SizeFile;
 use hazelspur_fleet::circuit_breaker;
 
 /// All rows of the list of servers, in the order of the page.
-pub(super) fn list(size: &SizeFile) -> Vec<Row> {
+pub(super) fn registry(size: &SizeFile) -> Vec<Row> {
     use Role::Registry;
-    let (s, a) = (&size.size, &size.assumed);
-    let servers = ("servers", s.servers);
-    let every = at(&[&code::REPORT_INTERVAL]);
+    let (target, assumed) = (&size.size, &size.assumed);
+    let servers = ("servers", target.servers);
+    let interval_origin = origins(&[&code::REPORT_INTERVAL]);
     vec![
         row(Registry, "list.reports", "reports a second, each on a connection of its own", "1/s", servers)
             .formula("servers / 0.8 s")
-            .computed(every.clone(), 1.0 / code::REPORT_INTERVAL.value, 0.0)
-            .within(a.list_reports_per_s, "assumed.list_reports_per_s")
-            .by_mechanism(REPORT),
+            .computed(interval_origin.clone(), 1.0 / code::REPORT_INTERVAL.value, 0.0)
+            .within(assumed.list_reports_per_s, "assumed.list_reports_per_s")
+            .by_mechanism(HEALTH_REPORTER),
         row(Registry, "list.reports.refused", "the same while it refuses each at once", "1/s", servers)
             .formula("servers / 0.25 s")
-            .computed(at(&[&code::REPORT_RETRY_INTERVAL]), 1.0 / code::REPORT_RETRY_INTERVAL.value, 0.0)
-            .within(a.list_reports_per_s, "assumed.list_reports_per_s")
-            .by_mechanism(REPORT),
+            .computed(origins(&[&code::REPORT_RETRY_INTERVAL]), 1.0 / code::REPORT_RETRY_INTERVAL.value, 0.0)
+            .within(assumed.list_reports_per_s, "assumed.list_reports_per_s")
+            .by_mechanism(HEALTH_REPORTER),
         row(
             Registry,
             "list.peak",
@@ -31,11 +31,11 @@
         )
         .formula("as simulated; chance alone gives about as much")
         .measured(&["list.most_over_mean"], &["spread"])
-        .by_mechanism(REPORT),
+        .by_mechanism(HEALTH_REPORTER),
         row(Registry, "list.bytes", "bytes of all reports", "B/s", servers)
             .formula("servers x bytes_per_report / 0.8 s")
-            .computed(every, a.bytes_per_report / code::REPORT_INTERVAL.value, 0.0)
-            .by_mechanism(REPORT),
+            .computed(interval_origin, assumed.bytes_per_report / code::REPORT_INTERVAL.value, 0.0)
+            .by_mechanism(HEALTH_REPORTER),
     ]
 }
 
@@ -47,21 +47,21 @@
 /// Calls and connections at the shared dependency.
 fn dependency_load(size: &SizeFile) -> Vec<Row> {
     use Role::SharedDependency;
-    let s = &size.size;
-    let a = &size.assumed;
-    let servers = ("servers", s.servers);
+    let target = &size.size;
+    let assumed = &size.assumed;
+    let servers = ("servers", target.servers);
     vec![
         row(
             SharedDependency,
             "dependency.calls",
             "calls at once at the peak",
             "calls",
-            ("requests_per_s", s.requests_per_s),
+            ("requests_per_s", target.requests_per_s),
         )
         .formula("requests_per_s x calls_per_op x mean_call_ms")
-        .computed(FILE, a.calls_per_op * a.mean_call_ms / 1000.0, 0.0)
-        .within(a.dependency_calls_at_once, "assumed.dependency_calls_at_once")
-        .by_mechanism(SHARES),
+        .computed(SIZE_FILE, assumed.calls_per_op * assumed.mean_call_ms / 1000.0, 0.0)
+        .within(assumed.dependency_calls_at_once, "assumed.dependency_calls_at_once")
+        .by_mechanism(QUOTA_MANAGER),
         row(
             SharedDependency,
             "dependency.connections",
@@ -70,8 +70,8 @@
             servers,
         )
         .formula("servers x 64")
-        .computed(at(&[&code::MAX_DEPENDENCY_CALLS]), code::MAX_DEPENDENCY_CALLS.value, 0.0)
-        .within(a.dependency_connections, "assumed.dependency_connections")
+        .computed(origins(&[&code::MAX_DEPENDENCY_CALLS]), code::MAX_DEPENDENCY_CALLS.value, 0.0)
+        .within(assumed.dependency_connections, "assumed.dependency_connections")
         .by_mechanism("crates/hazelspur-server/src/upstream/dependency.rs DependencyClient"),
         row(
             SharedDependency,
@@ -82,11 +82,11 @@
         )
         .formula("servers x 16")
         .computed(
-            at(&[&code::MAX_IDLE_DEPENDENCY_CONNECTIONS]),
+            origins(&[&code::MAX_IDLE_DEPENDENCY_CONNECTIONS]),
             code::MAX_IDLE_DEPENDENCY_CONNECTIONS.value,
             0.0,
         )
-        .within(a.dependency_connections, "assumed.dependency_connections")
+        .within(assumed.dependency_connections, "assumed.dependency_connections")
         .by_mechanism("crates/hazelspur-server/src/upstream/dependency.rs DependencyClient"),
     ]
 }
@@ -94,12 +94,12 @@
 /// Probes of a lost dependency, and its return.
 fn dependency_loss(size: &SizeFile) -> Vec<Row> {
     use Role::SharedDependency;
-    let s = &size.size;
-    let a = &size.assumed;
-    let servers = ("servers", s.servers);
-    let chosen = 1.0 / code::DESIGNATED_PROBE_INTERVAL.value;
-    let rest = 1.0 / code::OTHER_PROBE_INTERVAL.value;
-    let few = circuit_breaker::DESIGNATED_PROBERS as f64;
+    let target = &size.size;
+    let assumed = &size.assumed;
+    let servers = ("servers", target.servers);
+    let designated_rate = 1.0 / code::DESIGNATED_PROBE_INTERVAL.value;
+    let other_rate = 1.0 / code::OTHER_PROBE_INTERVAL.value;
+    let designated_probers = circuit_breaker::DESIGNATED_PROBERS as f64;
     vec![
         row(
             SharedDependency,
@@ -110,11 +110,11 @@
         )
         .formula("6 chosen every 0.25 s, all others every 4 s")
         .computed(
-            at(&[&code::DESIGNATED_PROBE_INTERVAL, &code::OTHER_PROBE_INTERVAL]),
-            rest,
-            few * (chosen - rest),
+            origins(&[&code::DESIGNATED_PROBE_INTERVAL, &code::OTHER_PROBE_INTERVAL]),
+            other_rate,
+            designated_probers * (designated_rate - other_rate),
         )
-        .within(a.tries_at_a_lost_dependency_per_s, "assumed.tries_at_a_lost_dependency_per_s")
+        .within(assumed.tries_at_a_lost_dependency_per_s, "assumed.tries_at_a_lost_dependency_per_s")
         .by_mechanism("crates/hazelspur-fleet/src/circuit_breaker.rs CircuitBreaker"),
         row(
             SharedDependency,
@@ -136,67 +136,67 @@
 
 /// Links between zones.
 fn zone_links(size: &SizeFile) -> Vec<Row> {
-    let s = &size.size;
-    let a = &size.assumed;
-    let servers = ("servers", s.servers);
-    let zones = Role::LinkBetweenZones;
-    let pair = 2.0 / (s.zones * s.zones);
-    let talk = &["joint.bytes_out_per_s"];
+    let target = &size.size;
+    let assumed = &size.assumed;
+    let servers = ("servers", target.servers);
+    let role = Role::LinkBetweenZones;
+    let pair_share = 2.0 / (target.zones * target.zones);
+    let gossip_bytes = &["joint.bytes_out_per_s"];
     vec![
-        row(zones, "zones.datagrams", "datagrams of the talk between two zones, both ways", "1/s", servers)
+        row(role, "zones.datagrams", "datagrams of the talk between two zones, both ways", "1/s", servers)
             .formula("servers x datagrams of a server x 2 / zones squared")
-            .measured_scaled(&["joint.datagrams_out_per_s"], &["rest"], pair, true)
-            .measured_scaled(&["members.datagrams_out_per_s"], &["rest"], pair, true)
-            .by_mechanism(MEMBERS),
-        row(zones, "zones.bytes", "talk between two zones, both ways", "B/s", servers)
+            .measured_scaled(&["joint.datagrams_out_per_s"], &["rest"], pair_share, true)
+            .measured_scaled(&["members.datagrams_out_per_s"], &["rest"], pair_share, true)
+            .by_mechanism(MEMBERSHIP),
+        row(role, "zones.bytes", "talk between two zones, both ways", "B/s", servers)
             .formula(
                 "servers x bytes of a server x 2 / zones squared: all are asked alike, wherever they stand",
             )
-            .measured_scaled(talk, &["rest"], pair, true)
-            .measured_scaled(&["members.bytes_out_per_s"], &["rest"], pair, true)
-            .within(a.zone_link_bytes_per_s, "assumed.zone_link_bytes_per_s")
-            .by_mechanism(MEMBERS),
+            .measured_scaled(gossip_bytes, &["rest"], pair_share, true)
+            .measured_scaled(&["members.bytes_out_per_s"], &["rest"], pair_share, true)
+            .within(assumed.zone_link_bytes_per_s, "assumed.zone_link_bytes_per_s")
+            .by_mechanism(MEMBERSHIP),
     ]
 }
 
 /// Links between regions.
 fn region_links(size: &SizeFile) -> Vec<Row> {
-    let s = &size.size;
-    let a = &size.assumed;
-    let servers = ("servers", s.servers);
-    let regions = Role::LinkBetweenRegions;
-    let cross = 1.0 - 1.0 / s.regions;
-    let talk = &["joint.bytes_out_per_s"];
+    let target = &size.size;
+    let assumed = &size.assumed;
+    let servers = ("servers", target.servers);
+    let role = Role::LinkBetweenRegions;
+    let cross_region_share = 1.0 - 1.0 / target.regions;
+    let gossip_bytes = &["joint.bytes_out_per_s"];
     vec![
-        row(regions, "regions.bytes", "talk between the regions, both ways", "B/s", servers)
+        row(role, "regions.bytes", "talk between the regions, both ways", "B/s", servers)
             .formula("servers x bytes of a server x (1 - 1 / regions)")
-            .measured_scaled(talk, &["rest"], cross, true)
-            .measured_scaled(&["members.bytes_out_per_s"], &["rest"], cross, true)
-            .within(a.region_link_bytes_per_s, "assumed.region_link_bytes_per_s")
-            .by_mechanism(MEMBERS),
+            .measured_scaled(gossip_bytes, &["rest"], cross_region_share, true)
+            .measured_scaled(&["members.bytes_out_per_s"], &["rest"], cross_region_share, true)
+            .within(assumed.region_link_bytes_per_s, "assumed.region_link_bytes_per_s")
+            .by_mechanism(MEMBERSHIP),
         row(
-            regions,
+            role,
             "regions.datagrams",
             "datagrams of the talk between the regions, both ways",
             "1/s",
             servers,
         )
         .formula("servers x datagrams of a server x (1 - 1 / regions)")
-        .measured_scaled(&["joint.datagrams_out_per_s"], &["rest"], cross, true)
-        .measured_scaled(&["members.datagrams_out_per_s"], &["rest"], cross, true)
-        .by_mechanism(MEMBERS),
-        row(regions, "regions.bytes.storm", "the same while all start", "B/s", servers)
+        .measured_scaled(&["joint.datagrams_out_per_s"], &["rest"], cross_region_share, true)
+        .measured_scaled(&["members.datagrams_out_per_s"], &["rest"], cross_region_share, true)
+        .by_mechanism(MEMBERSHIP),
+        row(role, "regions.bytes.storm", "the same while all start", "B/s", servers)
             .formula("the same, mean of the window after the storm began")
-            .measured_scaled(talk, &["storm"], cross, true)
-            .measured_scaled(&["members.bytes_out_per_s"], &["storm"], cross, true)
-            .within(a.region_link_bytes_per_s, "assumed.region_link_bytes_per_s")
-            .by_mechanism(MEMBERS),
+            .measured_scaled(gossip_bytes, &["storm"], cross_region_share, true)
+            .measured_scaled(&["members.bytes_out_per_s"], &["storm"], cross_region_share, true)
+            .within(assumed.region_link_bytes_per_s, "assumed.region_link_bytes_per_s")
+            .by_mechanism(MEMBERSHIP),
         row(
-            regions,
+            role,
             "regions.names",
             "a word for the region that a zone belongs to",
             "",
-            ("regions", s.regions),
+            ("regions", target.regions),
         )
         .formula("members know sites; probes, votes and middles of sites go by these alone")
         .no_mechanism("none: crates/hazelspur-fleet/src/names.rs SiteName"),
--- a/crates/hazelspur-simulator/src/capacity/size.rs
+++ b/crates/hazelspur-simulator/src/capacity/size.rs
@@ -140,7 +140,7 @@
                 return Err(SizeError::OutOfRange { section, key });
             }
             // Parts may be nothing; what is counted or divided by may not.
-            if value == 0.0 && (section != "assumed" || !PARTS.contains(&key.as_str())) {
+            if value == 0.0 && (section != "assumed" || !FRACTIONS_ALLOWED_ZERO.contains(&key.as_str())) {
                 return Err(SizeError::Zero { section, key });
             }
             if reason.is_empty() {
@@ -152,7 +152,7 @@
 }
 
 /// Assumed fractions that may be 0.
-const PARTS: [&str; 2] = ["region_loss", "changes_that_need_a_restart"];
+const FRACTIONS_ALLOWED_ZERO: [&str; 2] = ["region_loss", "changes_that_need_a_restart"];
 
 /// All figures in the order of the file.
 ///
@@ -161,7 +161,7 @@
 pub fn figures(text: &str) -> Result<Vec<Figure>, SizeError> {
     let table: toml::Table =
         toml::from_str(text).map_err(|error| SizeError::Syntax(error.message().to_string()))?;
-    let (mut section, mut reason, mut found) = (String::new(), Vec::new(), Vec::new());
+    let (mut section, mut reason, mut figures) = (String::new(), Vec::new(), Vec::new());
     for line in text.lines().map(str::trim) {
         if let Some(comment) = line.strip_prefix('#') {
             reason.push(comment.trim().to_string());
@@ -173,7 +173,7 @@
             let value = value.and_then(|value| value.as_float().or(value.as_integer().map(|n| n as f64)));
             let value =
                 value.ok_or_else(|| SizeError::NotANumber { section: section.clone(), key: key.clone() })?;
-            found.push(Figure {
+            figures.push(Figure {
                 section: section.clone(),
                 key,
                 value,
@@ -183,5 +183,5 @@
             reason.clear();
         }
     }
-    Ok(found)
+    Ok(figures)
 }
