--- a/crates/hazelspur-simulator/src/capacity/rows/server.rs
+++ b/crates/hazelspur-simulator/src/capacity/rows/server.rs
@@ -243,7 +243,7 @@
     use Role::Server;
     let target = &size.size;
     let assumed = &size.assumed;
-    let callers = ("callers", target.callers);
+    let clients = ("callers", target.callers);
     let connections_per_client = assumed.servers_a_caller_keeps * assumed.connections_per_caller_and_server;
     let gateway_descriptors = code::DEFAULT_SOCKET_LIMIT.value
         - code::RESERVED_DESCRIPTORS.value
@@ -255,7 +255,7 @@
             "server.descriptors",
             "connections of callers at the mean server",
             "descriptors",
-            callers,
+            clients,
         )
         .formula("callers x servers_a_caller_keeps x connections_per_caller_and_server / servers")
         .computed(SIZE_FILE, connections_per_client / target.servers, 0.0)
@@ -272,7 +272,7 @@
         .computed(SIZE_FILE, target.callers * assumed.connections_per_caller_and_server / target.servers, 0.0)
         .within(gateway_descriptors, "descriptors.rs, of 1,024")
         .by_mechanism("crates/hazelspur-server/src/process/descriptors.rs Descriptors"),
-        row(Server, "server.callers", "callers that the module remembers", "entries", callers)
+        row(Server, "server.callers", "callers that the module remembers", "entries", clients)
             .formula("callers x servers_a_caller_keeps / servers")
             .computed(SIZE_FILE, assumed.servers_a_caller_keeps / target.servers, 0.0)
             .within(code::LAST_SEEN_CAPACITY.value, "last_seen.rs, LAST_SEEN_CAPACITY")
--- a/crates/hazelspur-simulator/tests/capacity.rs
+++ b/crates/hazelspur-simulator/tests/capacity.rs
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn ten_times_the_servers_exceed_budgets_by_row_name() {
+fn ten_times_the_servers_is_reported_as_over_budget() {
     let directory = empty_directory("ten-times");
     let text = size_text().replace("\nservers = 810\n", "\nservers = 8100\n");
     assert_ne!(text, size_text());
@@ -262,7 +262,7 @@
 
 #[test]
 fn invalid_input_is_refused_with_the_key_named() {
-    let refused = |from: &str, to: &str| {
+    let size_error = |from: &str, to: &str| {
         let text = size_text().replacen(from, to, 1);
         assert_ne!(text, size_text());
         SizeFile::parse(&text).expect_err("size file is refused").to_string()
@@ -275,11 +275,11 @@
         budget.lookup_ratio: no comment above the key gives a reason"#]]
     .assert_eq(
         &[
-            refused("\nservers = ", "\nsevers = "),
-            refused("lookup_ratio = 1.2\n", "\n"),
-            refused("\nservers = 810", "\nservers = 0"),
-            refused("deploy_min = 10", "deploy_min = -10"),
-            refused("\nlookup_ratio = 1.2\n", "\n\nlookup_ratio = 1.2\n"),
+            size_error("\nservers = ", "\nsevers = "),
+            size_error("lookup_ratio = 1.2\n", "\n"),
+            size_error("\nservers = 810", "\nservers = 0"),
+            size_error("deploy_min = 10", "deploy_min = -10"),
+            size_error("\nlookup_ratio = 1.2\n", "\n\nlookup_ratio = 1.2\n"),
         ]
         .join("\n"),
     );
@@ -310,9 +310,9 @@
 fn earlier_study_is_shown_in_a_separate_table() {
     let directory = empty_directory("before");
     std::fs::write(directory.join("size.toml"), size_text()).expect("file is written");
-    let study = |text: &str, value: u32| {
+    let study = |commit: &str, value: u32| {
         format!(
-            r#"{{"study":"server","text":"{text}","points":[{{"figure":"server.memory.anon_bytes","case":"any",
+            r#"{{"study":"server","text":"{commit}","points":[{{"figure":"server.memory.anon_bytes","case":"any",
             "unit":"B","by":"tenants","size":42000,"seed":1,"value":{value}}}]}}"#
         )
     };
