--- a/crates/hazelspur-simulator/src/capacity/constants.rs
+++ b/crates/hazelspur-simulator/src/capacity/constants.rs
@@ -1,164 +1,183 @@
-//! Figures that the code itself sets, from which rows are computed where nothing needs to be measured. Those
-//! that other packages don't show stand here with the line that says so; `tests/capacity.rs` looks it up.
+//! Limits and intervals that the code sets, from which rows are computed without a measurement. Constants
+//! that are private to other packages are repeated here with an excerpt of their source; `tests/capacity.rs`
+//! fails if a source file no longer contains its excerpt.
 
-/// A figure of the code.
+/// Value of a constant in another source file.
 #[derive(Clone, Copy, Debug)]
 pub struct Constant {
-    /// From the root of the repository.
+    /// Path from the root of the repository.
     pub file: &'static str,
+    /// Name of the constant or key there.
     pub name: &'static str,
-    /// A piece of the file, word for word.
-    pub text: &'static str,
+    /// Text of the file that sets the value, word for word.
+    pub excerpt: &'static str,
+    /// Value, in the unit that the comment of the constant gives; a plain count without one.
     pub value: f64,
 }
 
-const fn constant(file: &'static str, name: &'static str, text: &'static str, value: f64) -> Constant {
-    Constant { file, name, text, value }
+const fn constant(file: &'static str, name: &'static str, excerpt: &'static str, value: f64) -> Constant {
+    Constant { file, name, excerpt, value }
 }
 
-/// The source file of the kinds of configuration entries.
-const ENTRY_KIND: &str = "src/config/entry_kind.rs";
-/// The source file of the registry connection.
-const REGISTRY: &str = "crates/hazelspur-server/src/upstream/registry.rs";
-/// The source file of the file descriptor budget.
-const DESCRIPTORS: &str = "crates/hazelspur-server/src/process/descriptors.rs";
-/// The source file of the circuit breaker.
-const CIRCUIT_BREAKER: &str = "crates/hazelspur-fleet/src/circuit_breaker.rs";
-/// The source file of the fleet settings.
-const KEYS: &str = "crates/hazelspur-server/src/config/fleet_keys.rs";
+/// Source file of the kinds of configuration entries.
+const ENTRY_KIND_FILE: &str = "src/config/entry_kind.rs";
+/// Source file of the registry connection.
+const REGISTRY_FILE: &str = "crates/hazelspur-server/src/upstream/registry.rs";
+/// Source file of the file descriptor budget.
+const DESCRIPTORS_FILE: &str = "crates/hazelspur-server/src/process/descriptors.rs";
+/// Source file of the circuit breaker.
+const CIRCUIT_BREAKER_FILE: &str = "crates/hazelspur-fleet/src/circuit_breaker.rs";
+/// Source file of the fleet settings.
+const FLEET_KEYS_FILE: &str = "crates/hazelspur-server/src/config/fleet_keys.rs";
 
-/// Mean wait between reports to the list, s: the middle of `REPORT_INTERVAL`.
-pub const REPORT_EVERY: Constant = constant(
-    REGISTRY,
+/// Mean interval between a server's reports to the registry, in seconds: the middle of `REPORT_INTERVAL`.
+pub const REPORT_INTERVAL: Constant = constant(
+    REGISTRY_FILE,
     "REPORT_INTERVAL",
     "const REPORT_INTERVAL: RandomInterval =\n    RandomInterval { min: Duration::from_ms(640), max: Duration::from_ms(960) };",
     0.8,
 );
-/// The same after a miss, s: the middle of `RETRY_INTERVAL`.
-pub const REPORT_AGAIN: Constant = constant(
-    REGISTRY,
+/// Mean interval after a failed report, in seconds: the middle of `RETRY_INTERVAL`.
+pub const REPORT_RETRY_INTERVAL: Constant = constant(
+    REGISTRY_FILE,
     "RETRY_INTERVAL",
     "const RETRY_INTERVAL: RandomInterval =\n    RandomInterval { min: Duration::from_ms(125), max: Duration::from_ms(375) };",
     0.25,
 );
-/// Descriptors of the program's own.
-pub const OWN: Constant = constant(DESCRIPTORS, "RESERVED", "const RESERVED: usize = 16;", 16.0);
-/// Connections to the ledger, in use or kept.
-pub const CALLS: Constant = constant(DESCRIPTORS, "MAX_CALLS", "const MAX_CALLS: usize = 64;", 64.0);
-/// Gateways' connections on their way out.
-pub const CLOSING: Constant = constant(DESCRIPTORS, "MAX_CLOSING", "const MAX_CLOSING: usize = 64;", 64.0);
-/// `limits.sockets` where the platform says nothing.
-pub const SOCKETS: Constant = constant(
+/// File descriptors that the process reserves for its own use.
+pub const RESERVED_DESCRIPTORS: Constant =
+    constant(DESCRIPTORS_FILE, "RESERVED", "const RESERVED: usize = 16;", 16.0);
+/// Greatest number of a server's connections to the dependency, in use or idle.
+pub const MAX_DEPENDENCY_CALLS: Constant =
+    constant(DESCRIPTORS_FILE, "MAX_CALLS", "const MAX_CALLS: usize = 64;", 64.0);
+/// Greatest number of gateway connections that are being closed.
+pub const MAX_CLOSING_CONNECTIONS: Constant =
+    constant(DESCRIPTORS_FILE, "MAX_CLOSING", "const MAX_CLOSING: usize = 64;", 64.0);
+/// Default of `limits.sockets`, used where the platform gives no limit.
+pub const DEFAULT_SOCKET_LIMIT: Constant = constant(
     "crates/hazelspur-server/src/config/server_config.rs",
     "limits.sockets",
     "NumberKey { key: \"limits.sockets\", default: 1024.0,",
     1024.0,
 );
-/// Idle connections to the ledger that are kept.
-pub const IDLE: Constant = constant(
+/// Greatest number of idle connections to the dependency that a server keeps.
+pub const MAX_IDLE_DEPENDENCY_CONNECTIONS: Constant = constant(
     "crates/hazelspur-server/src/upstream/dependency.rs",
     "MAX_IDLE_CONNECTIONS",
     "const MAX_IDLE_CONNECTIONS: usize = 16;",
     16.0,
 );
-/// Callers and users that the decision module remembers.
-pub const SEEN: Constant =
+/// Greatest number of clients, and likewise of sessions, that the decision module remembers.
+pub const LAST_SEEN_CAPACITY: Constant =
     constant("src/last_seen.rs", "LAST_SEEN_CAPACITY", "const LAST_SEEN_CAPACITY: usize = 4096;", 4096.0);
-/// Op types that are held.
-pub const OP_TYPES: Constant =
-    constant(ENTRY_KIND, "MAX_REQUEST_CLASSES", "pub const MAX_REQUEST_CLASSES: usize = 17_400;", 17_400.0);
-/// Tenants that are held.
-pub const TENANTS: Constant =
-    constant(ENTRY_KIND, "MAX_TENANTS", "pub const MAX_TENANTS: usize = 84_000;", 84_000.0);
-/// Tenants, and op types, of which something learned is kept.
-pub const LEARNED: Constant = constant(
+/// Greatest number of request classes in a configuration.
+pub const MAX_REQUEST_CLASSES: Constant = constant(
+    ENTRY_KIND_FILE,
+    "MAX_REQUEST_CLASSES",
+    "pub const MAX_REQUEST_CLASSES: usize = 17_400;",
+    17_400.0,
+);
+/// Greatest number of tenants in a configuration.
+pub const MAX_TENANTS: Constant =
+    constant(ENTRY_KIND_FILE, "MAX_TENANTS", "pub const MAX_TENANTS: usize = 84_000;", 84_000.0);
+/// Greatest number of tenants, and likewise of request classes, whose learned samples are kept.
+pub const RECENTLY_SEEN_CAPACITY: Constant = constant(
     "src/recently_seen.rs",
     "RECENTLY_SEEN_CAPACITY",
     "pub const RECENTLY_SEEN_CAPACITY: usize = 4096;",
     4096.0,
 );
-/// The longest configuration that is read, in bytes.
-pub const LONGEST_FILE: Constant = constant(
+/// Greatest length of a configuration file, in bytes.
+pub const MAX_CONFIG_FILE_BYTES: Constant = constant(
     "crates/hazelspur-server/src/config/server_config.rs",
     "MAX_FILE_BYTES",
     "const MAX_FILE_BYTES: u64 = 8 * 1024 * 1024;",
     8_388_608.0,
 );
-/// The greatest `most` of the operator's file.
-pub const MOST: Constant =
-    constant(KEYS, "Fleet.most", "#[garde(range(min = 1, max = 4096))]\n    pub most: usize,", 4096.0);
-/// The part of a shared limit that is divided by `most` for good.
-pub const FLOOR: Constant =
-    constant(KEYS, "DEFAULT_GUARANTEED_FRACTION", "const DEFAULT_GUARANTEED_FRACTION: f64 = 0.2;", 0.2);
-/// How long a vote holds, s.
-pub const LEASE: Constant = constant(KEYS, "DEFAULT_VOTE_SECS", "const DEFAULT_VOTE_SECS: f64 = 4.0;", 4.0);
-/// How often one other is probed, s.
-pub const PERIOD: Constant =
-    constant(KEYS, "DEFAULT_PERIOD_SECS", "const DEFAULT_PERIOD_SECS: f64 = 1.0;", 1.0);
-/// The part of a lease after which a holder asks again.
-pub const RENEWAL: Constant = constant(
+/// Greatest value allowed for the key `most`, the largest fleet size, in the operator's file.
+pub const MAX_FLEET_SIZE: Constant = constant(
+    FLEET_KEYS_FILE,
+    "Fleet.most",
+    "#[garde(range(min = 1, max = 4096))]\n    pub most: usize,",
+    4096.0,
+);
+/// Default fraction of a shared limit that is always divided evenly by `most`, without the allocator.
+pub const GUARANTEED_FRACTION: Constant = constant(
+    FLEET_KEYS_FILE,
+    "DEFAULT_GUARANTEED_FRACTION",
+    "const DEFAULT_GUARANTEED_FRACTION: f64 = 0.2;",
+    0.2,
+);
+/// Default of the time for which a vote is valid, in seconds.
+pub const VOTE_DURATION: Constant =
+    constant(FLEET_KEYS_FILE, "DEFAULT_VOTE_SECS", "const DEFAULT_VOTE_SECS: f64 = 4.0;", 4.0);
+/// Default interval at which a server probes one other member, in seconds.
+pub const PROBE_PERIOD: Constant =
+    constant(FLEET_KEYS_FILE, "DEFAULT_PERIOD_SECS", "const DEFAULT_PERIOD_SECS: f64 = 1.0;", 1.0);
+/// Fraction of the vote duration after which a lessee renews its leases.
+pub const LEASE_RENEWAL_FRACTION: Constant = constant(
     "crates/hazelspur-fleet/src/quota/config.rs",
     "RENEWAL_FRACTION",
     "const RENEWAL_FRACTION: f64 = 0.25;",
     0.25,
 );
-/// How often a chosen server tries a ledger that is gone, s.
-pub const CHOSEN_EVERY: Constant = constant(
-    CIRCUIT_BREAKER,
+/// Mean interval at which a designated server probes an unavailable dependency, in seconds.
+pub const DESIGNATED_PROBE_INTERVAL: Constant = constant(
+    CIRCUIT_BREAKER_FILE,
     "DESIGNATED_PROBE_INTERVAL",
     "const DESIGNATED_PROBE_INTERVAL: Duration = Duration::from_ms(250);",
     0.25,
 );
-/// The same of the others, s.
-pub const OTHERS_EVERY: Constant = constant(
-    CIRCUIT_BREAKER,
+/// Mean interval at which each other server probes an unavailable dependency, in seconds.
+pub const OTHER_PROBE_INTERVAL: Constant = constant(
+    CIRCUIT_BREAKER_FILE,
     "OTHER_PROBE_INTERVAL",
     "const OTHER_PROBE_INTERVAL: Duration = Duration::from_ms(4000);",
     4.0,
 );
-/// Parts of the list that one server answers in a period.
-pub const PAGES: Constant = constant(
+/// Greatest number of requests for pages of the member list that a server answers in a probe period.
+pub const LIST_PAGES_PER_PERIOD: Constant = constant(
     "crates/hazelspur-fleet/src/membership/state.rs",
     "LIST_PAGES_PER_PERIOD",
     "const LIST_PAGES_PER_PERIOD: usize = 64;",
     64.0,
 );
-/// How often a piece of news goes out, times the logarithm of the size.
-pub const NEWS_TIMES: Constant = constant(
+/// Ratio of the transmissions of an update to the decimal logarithm, rounded up, of the fleet's size.
+pub const TRANSMISSIONS_PER_LOG_SIZE: Constant = constant(
     "crates/hazelspur-fleet/src/membership/gossip_queue.rs",
     "TRANSMISSIONS_PER_LOG_SIZE",
     "const TRANSMISSIONS_PER_LOG_SIZE: u32 = 4;",
     4.0,
 );
 
-/// All of them.
+/// All constants of this module; a constant that is not listed is not checked.
 pub const ALL: [Constant; 21] = [
-    REPORT_EVERY,
-    REPORT_AGAIN,
-    OWN,
-    CALLS,
-    CLOSING,
-    SOCKETS,
-    IDLE,
-    SEEN,
-    OP_TYPES,
-    TENANTS,
-    LEARNED,
-    LONGEST_FILE,
-    MOST,
-    FLOOR,
-    LEASE,
-    PERIOD,
-    RENEWAL,
-    CHOSEN_EVERY,
-    OTHERS_EVERY,
-    PAGES,
-    NEWS_TIMES,
+    REPORT_INTERVAL,
+    REPORT_RETRY_INTERVAL,
+    RESERVED_DESCRIPTORS,
+    MAX_DEPENDENCY_CALLS,
+    MAX_CLOSING_CONNECTIONS,
+    DEFAULT_SOCKET_LIMIT,
+    MAX_IDLE_DEPENDENCY_CONNECTIONS,
+    LAST_SEEN_CAPACITY,
+    MAX_REQUEST_CLASSES,
+    MAX_TENANTS,
+    RECENTLY_SEEN_CAPACITY,
+    MAX_CONFIG_FILE_BYTES,
+    MAX_FLEET_SIZE,
+    GUARANTEED_FRACTION,
+    VOTE_DURATION,
+    PROBE_PERIOD,
+    LEASE_RENEWAL_FRACTION,
+    DESIGNATED_PROBE_INTERVAL,
+    OTHER_PROBE_INTERVAL,
+    LIST_PAGES_PER_PERIOD,
+    TRANSMISSIONS_PER_LOG_SIZE,
 ];
 
 impl Constant {
-    /// As a page names it.
-    pub fn from(&self) -> String {
+    /// Returns file and name, as the tables print them.
+    pub fn origin(&self) -> String {
         format!("{} {}", self.file, self.name)
     }
 }
--- a/crates/hazelspur-simulator/src/capacity/report.rs
+++ b/crates/hazelspur-simulator/src/capacity/report.rs
@@ -1,195 +1,238 @@
-//! Rows and slopes to figures at the target and at twice it, states, and the order in which what is missing
-//! rests on each other. Pure: the same size, points and list give the same report.
+//! Evaluates the rows of the model. For each row it computes the value at the target size and at twice that
+//! size, the size at which the budget is exceeded, and the row's state; it orders the missing rows so that
+//! each follows its prerequisites. The report depends on the size file, the measurements and the missing list
+//! alone.
 
-use super::measured::{Fit, Measured};
-use super::rows::{Found, Role, Row, Source};
-use super::size::Size;
-use super::{digits, rounded};
+use super::measured::{Fit, Measurements};
+use super::rows::{MechanismStatus, Role, Row, Source};
+use super::size::SizeFile;
+use super::{format_significant, round_significant};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The list of rows that are known to be over their budget.
+/// Contents of missing.toml: rows that are known to exceed their budget or to have no mechanism.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Known {
+pub struct MissingList {
     #[serde(default)]
-    pub missing: Vec<KnownMissing>,
+    pub missing: Vec<MissingEntry>,
 }
 
-/// A row that is known to be over its budget.
+/// Entry for one row that is known to be missing.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct KnownMissing {
-    /// The row's name.
+pub struct MissingEntry {
+    /// Name of the row.
     pub row: String,
+    /// Reason why the row is missing.
     pub why: String,
-    /// The entry of docs/ROADMAP.md.
+    /// Entry of docs/ROADMAP.md that covers it.
     pub roadmap: String,
 }
 
-/// Why a list of known rows is refused; names the key at fault.
+/// Error in missing.toml, with the parser's message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
-pub struct KnownError(String);
+pub struct MissingListError(String);
 
-impl Known {
-    /// Errors name the key at fault.
-    pub fn read(text: &str) -> Result<Self, KnownError> {
-        toml::from_str(text).map_err(|error| KnownError(error.message().to_string()))
+impl MissingList {
+    /// Parses missing.toml.
+    ///
+    /// # Errors
+    /// Fails if the text is not valid TOML or has an unknown key or lacks one; the error names the key.
+    pub fn parse(text: &str) -> Result<Self, MissingListError> {
+        toml::from_str(text).map_err(|error| MissingListError(error.message().to_string()))
     }
 }
 
-/// How a row stands beside its budget.
+/// State of a row relative to its budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
+    /// Within its budget.
     Fits,
-    /// Over its budget, or nothing carries it.
+    /// Over its budget, or without a mechanism that carries it.
     Missing,
+    /// Without a measured or computed value, or the sum of rows of which at least one has none.
     NotMeasured,
-    /// Has no budget of its own; other rows go by it.
-    Stated,
+    /// Without a budget of its own, and shown for its value.
+    #[serde(rename = "stated")]
+    NoBudget,
 }
 
 impl State {
-    /// Its name in tables.
+    /// Returns the name of the state in tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Fits => "fits",
             Self::Missing => "missing",
             Self::NotMeasured => "not measured",
-            Self::Stated => "no budget",
+            Self::NoBudget => "no budget",
         }
     }
 }
 
-/// A row with its figures; none where a figure could not be had.
+/// A row of the model with its evaluated figures; a figure that is unknown is absent.
 #[derive(Clone, Debug, Serialize)]
-pub struct Line {
+pub struct ReportLine {
+    /// Name of the row.
     pub row: &'static str,
     #[serde(skip)]
     pub role: Role,
-    pub what: &'static str,
+    #[serde(rename = "what")]
+    pub description: &'static str,
     pub unit: &'static str,
     pub formula: String,
-    /// The dimension that slope and size count.
-    pub by: &'static str,
+    /// Quantity that `size` counts.
+    #[serde(rename = "by")]
+    pub dimension: &'static str,
+    /// Target size.
     pub size: f64,
+    /// Increase of the value per unit of the dimension, before scaling and summing over servers.
     pub slope: Option<f64>,
+    /// Value at size 0, before scaling and summing over servers.
     pub base: Option<f64>,
-    /// Largest distance of a measured point from the line, of the greatest value.
+    /// Largest distance of a measured point from the line, as a fraction of the largest value.
     pub deviation: Option<f64>,
-    /// The command that measured it, or the line of code it is computed from.
-    pub from: String,
-    /// Sizes and points behind a measured slope.
+    /// Command that measured the value, or the source it is computed from; empty if neither exists.
+    #[serde(rename = "from")]
+    pub origin: String,
+    /// Number and range of the sizes, and number of points, behind a measured value.
     pub points: Option<String>,
+    /// Value at the target size; a lower bound if the row is a sum with parts that were not measured.
     pub target: Option<f64>,
+    /// Value at twice the target size.
     pub twice: Option<f64>,
+    /// Largest value allowed at the target size.
     pub budget: Option<f64>,
-    pub budget_from: &'static str,
+    /// Source of the budget; empty without a budget.
+    #[serde(rename = "budget_from")]
+    pub budget_origin: &'static str,
+    /// Value at the target size divided by the budget.
     pub ratio: Option<f64>,
+    /// File and item of the mechanism that carries the load, or an explanation why there is none.
     pub mechanism: &'static str,
-    pub stops_at: Stops,
+    #[serde(rename = "stops_at")]
+    pub budget_crossing: BudgetCrossing,
     pub state: State,
-    pub rests_on: Vec<&'static str>,
-    /// Why it is known to be missing, and its place on the roadmap.
+    /// Rows that must fit before this one can.
+    #[serde(rename = "rests_on")]
+    pub prerequisites: Vec<&'static str>,
+    /// Reason and roadmap entry of the row's entry in missing.toml.
     pub known: Option<(String, String)>,
 }
 
-/// From which size on the budget is passed.
+/// Size at which a row exceeds its budget.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Stops {
+pub enum BudgetCrossing {
+    /// Size in units of the row's dimension.
     At(f64),
-    /// Not within a thousand times the target.
+    /// Within its budget at 1,000 times the target size.
     Never,
-    /// The base alone passes it.
+    /// Over its budget already at size 0.
     AnySize,
+    /// No budget, or no value at other sizes.
     Unknown,
 }
 
-/// All lines, and what is wrong with them.
+/// Evaluation of all rows.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
+    /// Constant `capacity`, by which this JSON file is told from those of the studies.
     pub study: &'static str,
-    pub lines: Vec<Line>,
-    /// Rows that are missing, in an order in which each stands behind what it rests on, worst ratio first.
+    /// Rows in the order of the model.
+    pub lines: Vec<ReportLine>,
+    /// Names of the missing rows, each after its prerequisites; among those that are ready, prerequisites of
+    /// others come first, then higher ratios.
     pub order: Vec<&'static str>,
-    /// One line each; any of them makes the command fail.
+    /// Differences between the states and missing.toml, one message each; any of them makes the command fail.
     pub faults: Vec<String>,
-    /// Rows that are named as missing and are none.
+    /// Names in missing.toml that belong to no row.
     pub unknown: Vec<String>,
 }
 
-/// A row's value by size.
+/// Value of a row as a function of the size.
 struct Curve {
     fit: Option<Fit>,
     slope: f64,
     base: f64,
-    times: f64,
-    /// Whether it grows with the size once more: a sum over all servers of what each sees.
-    over_all: bool,
-    seen: Option<f64>,
-    from: String,
+    factor: f64,
+    /// Whether the value of one server is summed over all servers, that is, multiplied by the size.
+    sum_over_servers: bool,
+    measured_at_target: Option<f64>,
+    origin: String,
     points: Option<String>,
 }
 
 impl Curve {
     fn at(&self, size: f64) -> f64 {
-        let one = (self.slope * size + self.base) * self.times;
-        if self.over_all { one * size } else { one }
+        let value = (self.slope * size + self.base) * self.factor;
+        if self.sum_over_servers { value * size } else { value }
     }
 }
 
-/// The curve of the first source that has figures.
-fn curve(row: &Row, measured: &Measured) -> Option<Curve> {
+/// Returns the curve of the row's first source that has a value.
+fn first_curve(row: &Row, measurements: &Measurements) -> Option<Curve> {
     row.sources.iter().find_map(|source| match source {
-        Source::Computed { from, slope, base } => Some(computed_curve(from, *slope, *base)),
-        Source::Measured { figures, cases, seeds, times, over_all } => {
-            let series = measured.find(figures, cases, row.by)?;
-            let scaled = if *over_all { times * row.size } else { *times };
-            let seen = series.seen_at(row.size, *seeds).map(|seen| seen * scaled);
-            let from = series.command.clone();
+        Source::Computed { origin, slope, base } => Some(computed_curve(origin, *slope, *base)),
+        Source::Measured { figures, cases, seeds, factor, sum_over_servers } => {
+            let series = measurements.find(figures, cases, row.dimension)?;
+            let scale = if *sum_over_servers { factor * row.size } else { *factor };
+            let measured_at_target = series.value_near(row.size, *seeds).map(|value| value * scale);
+            let origin = series.command.clone();
             match series.fit(*seeds) {
-                Some(fit) => {
-                    Some(Curve { times: *times, over_all: *over_all, seen, ..fitted_curve(fit, from) })
-                }
-                // One size tells nothing of another.
-                None => seen.map(|seen| curve_at_one_size(seen, from)),
+                Some(fit) => Some(Curve {
+                    factor: *factor,
+                    sum_over_servers: *sum_over_servers,
+                    measured_at_target,
+                    ..fitted_curve(fit, origin)
+                }),
+                // Points of one size give no slope, so the curve has a value at the target only.
+                None => measured_at_target.map(|value| curve_at_one_size(value, origin)),
             }
         }
     })
 }
 
-fn computed_curve(from: &str, slope: f64, base: f64) -> Curve {
-    let from = format!("computed from {from}");
-    Curve { fit: None, slope, base, times: 1.0, over_all: false, seen: None, from, points: None }
+fn computed_curve(origin: &str, slope: f64, base: f64) -> Curve {
+    let origin = format!("computed from {origin}");
+    Curve {
+        fit: None,
+        slope,
+        base,
+        factor: 1.0,
+        sum_over_servers: false,
+        measured_at_target: None,
+        origin,
+        points: None,
+    }
 }
 
-fn fitted_curve(fit: Fit, from: String) -> Curve {
-    let (least, most) = (digits(fit.least), digits(fit.most));
-    let points = format!("{} sizes from {least} to {most}, {} points", fit.sizes, fit.points);
+fn fitted_curve(fit: Fit, origin: String) -> Curve {
+    let (least, most) = (format_significant(fit.smallest_size), format_significant(fit.largest_size));
+    let points = format!("{} sizes from {least} to {most}, {} points", fit.size_count, fit.point_count);
     Curve {
         fit: Some(fit),
         slope: fit.slope,
         base: fit.base,
-        times: 1.0,
-        over_all: false,
-        seen: None,
-        from,
+        factor: 1.0,
+        sum_over_servers: false,
+        measured_at_target: None,
+        origin,
         points: Some(points),
     }
 }
 
-fn curve_at_one_size(seen: f64, from: String) -> Curve {
+fn curve_at_one_size(value: f64, origin: String) -> Curve {
     Curve {
         fit: None,
         slope: f64::NAN,
         base: f64::NAN,
-        times: 1.0,
-        over_all: false,
-        seen: Some(seen),
-        from,
+        factor: 1.0,
+        sum_over_servers: false,
+        measured_at_target: Some(value),
+        origin,
         points: Some("at the target only".into()),
     }
 }
@@ -198,110 +241,117 @@
     value.is_finite().then_some(value)
 }
 
-fn stops(curve: &Curve, target: f64, budget: Option<f64>) -> Stops {
-    let Some(budget) = budget.filter(|_| curve.slope.is_finite()) else { return Stops::Unknown };
+fn budget_crossing(curve: &Curve, target: f64, budget: Option<f64>) -> BudgetCrossing {
+    let Some(budget) = budget.filter(|_| curve.slope.is_finite()) else { return BudgetCrossing::Unknown };
     if curve.at(0.0) > budget {
-        return Stops::AnySize;
+        return BudgetCrossing::AnySize;
     }
-    let (mut fits, mut passes) = (0.0, target * 1000.0);
-    if curve.at(passes) <= budget {
-        return Stops::Never;
+    let (mut within, mut exceeding) = (0.0, target * 1000.0);
+    if curve.at(exceeding) <= budget {
+        return BudgetCrossing::Never;
     }
     for _ in 0..100 {
-        let middle = (fits + passes) / 2.0;
-        if curve.at(middle) <= budget { fits = middle } else { passes = middle }
+        let middle = (within + exceeding) / 2.0;
+        if curve.at(middle) <= budget { within = middle } else { exceeding = middle }
     }
-    Stops::At(fits)
+    BudgetCrossing::At(within)
 }
 
-fn line(row: &Row, measured: &Measured) -> Line {
-    let curve = curve(row, measured);
+fn report_line(row: &Row, measurements: &Measurements) -> ReportLine {
+    let curve = first_curve(row, measurements);
     let target = curve.as_ref().and_then(|curve| {
-        // A point at the size itself counts where it is worse than the line.
-        let of_line = finite(curve.at(row.size));
-        [of_line, curve.seen].into_iter().flatten().reduce(f64::max)
+        // A point measured at the target size takes precedence over the fitted line if it is larger.
+        let on_curve = finite(curve.at(row.size));
+        [on_curve, curve.measured_at_target].into_iter().flatten().reduce(f64::max)
     });
     let budget = row.budget.map(|budget| budget.limit);
     let ratio = target.zip(budget).map(|(target, budget)| target / budget);
-    let state = match (row.found, ratio, target) {
-        (Found::Nothing, ..) => State::Missing,
+    let state = match (row.mechanism_status, ratio, target) {
+        (MechanismStatus::Absent, ..) => State::Missing,
         (_, Some(ratio), _) if ratio > 1.0 => State::Missing,
         (_, Some(_), _) => State::Fits,
-        (_, None, Some(_)) => State::Stated,
+        (_, None, Some(_)) => State::NoBudget,
         (_, None, None) => State::NotMeasured,
     };
-    Line {
+    ReportLine {
         row: row.name,
         role: row.role,
-        what: row.what,
+        description: row.description,
         unit: row.unit,
         formula: row.formula.clone(),
-        by: row.by,
+        dimension: row.dimension,
         size: row.size,
-        slope: curve.as_ref().and_then(|c| finite(c.slope)),
-        base: curve.as_ref().and_then(|c| finite(c.base)),
-        deviation: curve.as_ref().and_then(|c| c.fit).map(|fit| fit.deviation),
-        from: curve.as_ref().map_or(String::new(), |c| c.from.clone()),
-        points: curve.as_ref().and_then(|c| c.points.clone()),
+        slope: curve.as_ref().and_then(|curve| finite(curve.slope)),
+        base: curve.as_ref().and_then(|curve| finite(curve.base)),
+        deviation: curve.as_ref().and_then(|curve| curve.fit).map(|fit| fit.deviation),
+        origin: curve.as_ref().map_or(String::new(), |curve| curve.origin.clone()),
+        points: curve.as_ref().and_then(|curve| curve.points.clone()),
         target,
-        twice: curve.as_ref().and_then(|c| finite(c.at(2.0 * row.size))),
+        twice: curve.as_ref().and_then(|curve| finite(curve.at(2.0 * row.size))),
         budget,
-        budget_from: row.budget.map_or("", |budget| budget.from),
+        budget_origin: row.budget.map_or("", |budget| budget.origin),
         ratio,
         mechanism: row.mechanism,
-        stops_at: curve.as_ref().map_or(Stops::Unknown, |c| stops(c, row.size, budget)),
+        budget_crossing: curve
+            .as_ref()
+            .map_or(BudgetCrossing::Unknown, |curve| budget_crossing(curve, row.size, budget)),
         state,
-        rests_on: row.rests_on.to_vec(),
+        prerequisites: row.prerequisites.to_vec(),
         known: None,
     }
 }
 
-/// A sum of other rows: what is known of it, and whether that is all.
-fn sum(row: &Row, lines: &[Line]) -> Line {
-    let parts: Vec<&Line> =
+/// Evaluates a row that sums other rows. If some parts have no value, the sum of the others is a lower bound.
+fn sum_line(row: &Row, lines: &[ReportLine]) -> ReportLine {
+    let parts: Vec<&ReportLine> =
         row.sum_of.iter().filter_map(|name| lines.iter().find(|line| line.row == *name)).collect();
-    let add =
-        |of: &dyn Fn(&Line) -> Option<f64>| parts.iter().filter_map(|line| of(line)).reduce(|a, b| a + b);
+    let total = |figure: &dyn Fn(&ReportLine) -> Option<f64>| {
+        parts.iter().filter_map(|line| figure(line)).reduce(|a, b| a + b)
+    };
     let unknown: Vec<&str> = parts.iter().filter(|line| line.target.is_none()).map(|line| line.row).collect();
-    let (target, budget) = (add(&|line| line.target), row.budget.map(|budget| budget.limit));
+    let (target, budget) = (total(&|line| line.target), row.budget.map(|budget| budget.limit));
     let ratio = target.zip(budget).map(|(target, budget)| target / budget);
     let state = match ratio {
         Some(ratio) if ratio > 1.0 => State::Missing,
         Some(_) if unknown.is_empty() => State::Fits,
         _ => State::NotMeasured,
     };
-    let mut line = line(row, &Measured::default());
-    line.from = "the rows above".into();
+    let mut line = report_line(row, &Measurements::default());
+    line.origin = "the rows above".into();
     if !unknown.is_empty() {
-        line.from = format!("the rows above, without {}, which nobody measured", unknown.join(", "));
+        line.origin = format!("the rows above, without {}, which nobody measured", unknown.join(", "));
     }
-    // A part of a sum says how much it is at least, and nothing of its budget.
+    // A lower bound within the budget does not show that the sum fits, so it has no ratio.
     let ratio = ratio.filter(|_| state != State::NotMeasured);
-    line.twice = parts.iter().all(|line| line.twice.is_some()).then(|| add(&|line| line.twice)).flatten();
-    Line { target, ratio, state, ..line }
+    line.twice = parts.iter().all(|line| line.twice.is_some()).then(|| total(&|line| line.twice)).flatten();
+    ReportLine { target, ratio, state, ..line }
 }
 
-/// Everything, from the rows of the model.
-pub fn report(size: &Size, measured: &Measured, known: &Known) -> Report {
-    report_of(&super::rows::rows(size), measured, known)
+/// Evaluates the rows of the model.
+pub fn build_report(size: &SizeFile, measurements: &Measurements, missing_list: &MissingList) -> Report {
+    build_report_from_rows(&super::rows::rows(size), measurements, missing_list)
 }
 
-/// Everything, from rows that are handed in.
-pub fn report_of(rows: &[Row], measured: &Measured, known: &Known) -> Report {
-    let mut lines: Vec<Line> = Vec::new();
+/// Evaluates the given rows; a row that sums others must come after them.
+pub fn build_report_from_rows(
+    rows: &[Row],
+    measurements: &Measurements,
+    missing_list: &MissingList,
+) -> Report {
+    let mut lines: Vec<ReportLine> = Vec::new();
     for row in rows {
-        let line = if row.sum_of.is_empty() { line(row, measured) } else { sum(row, &lines) };
+        let line = if row.sum_of.is_empty() { report_line(row, measurements) } else { sum_line(row, &lines) };
         lines.push(line);
     }
     let (mut faults, mut unknown) = (Vec::new(), Vec::new());
-    for named in &known.missing {
-        let Some(line) = lines.iter_mut().find(|line| line.row == named.row) else {
-            unknown.push(named.row.clone());
+    for entry in &missing_list.missing {
+        let Some(line) = lines.iter_mut().find(|line| line.row == entry.row) else {
+            unknown.push(entry.row.clone());
             continue;
         };
-        line.known = Some((named.why.clone(), named.roadmap.clone()));
-        if line.state == State::Fits || line.state == State::Stated {
-            faults.push(format!("{}: named as missing, and fits", named.row));
+        line.known = Some((entry.why.clone(), entry.roadmap.clone()));
+        if line.state == State::Fits || line.state == State::NoBudget {
+            faults.push(format!("{}: named as missing, and fits", entry.row));
         }
     }
     for line in lines.iter().filter(|line| line.state == State::Missing && line.known.is_none()) {
@@ -309,84 +359,102 @@
             (Some(target), Some(budget), Some(ratio)) => format!(
                 "{}: {} at the target, over its budget of {}, {} times; not named as missing",
                 line.row,
-                super::with_unit(target, line.unit),
-                super::with_unit(budget, line.unit),
-                digits(ratio),
+                super::format_with_unit(target, line.unit),
+                super::format_with_unit(budget, line.unit),
+                format_significant(ratio),
             ),
             _ => format!("{}: nothing carries it; not named as missing", line.row),
         });
     }
-    let order = order(&lines);
+    let order = order_missing(&lines);
     Report { study: "capacity", lines, order, faults, unknown }
 }
 
 impl Report {
-    /// Missing lines, worst ratio first; those without a figure of their own after them.
-    pub fn missing(&self) -> Vec<&Line> {
-        let mut missing: Vec<&Line> = self.lines.iter().filter(|l| l.state == State::Missing).collect();
-        missing.sort_by(|a, b| worse(a, b));
+    /// Returns the missing rows by falling ratio; those without a ratio come last.
+    pub fn missing(&self) -> Vec<&ReportLine> {
+        let mut missing: Vec<&ReportLine> =
+            self.lines.iter().filter(|line| line.state == State::Missing).collect();
+        missing.sort_by(|a, b| compare_severity(a, b));
         missing
     }
 
-    /// How many missing rows rest on one, directly or by others.
-    pub fn carries(&self, row: &str) -> usize {
+    /// Returns the number of missing rows that have the given one as a direct or indirect prerequisite.
+    pub fn dependent_count(&self, row: &str) -> usize {
         let missing = self.missing();
         missing
             .iter()
-            .filter(|line| line.row != row && rests(&missing, line, row, &mut BTreeSet::new()))
+            .filter(|line| line.row != row && depends_on(&missing, line, row, &mut BTreeSet::new()))
             .count()
     }
 
-    /// As JSON, with three digits.
-    pub fn json(&self) -> serde_json::Value {
-        let mut all = serde_json::to_value(self).unwrap_or_default();
-        shorten(&mut all);
-        all
+    /// Returns the report as JSON, with numbers rounded to three significant digits.
+    pub fn to_json(&self) -> serde_json::Value {
+        let mut json = serde_json::to_value(self).unwrap_or_default();
+        round_numbers(&mut json);
+        json
     }
 }
 
-fn shorten(value: &mut serde_json::Value) {
+fn round_numbers(value: &mut serde_json::Value) {
     match value {
         serde_json::Value::Number(number) => {
-            if let Some(short) = number.as_f64().map(rounded).and_then(serde_json::Number::from_f64) {
-                *number = short;
+            if let Some(rounded) =
+                number.as_f64().map(round_significant).and_then(serde_json::Number::from_f64)
+            {
+                *number = rounded;
             }
         }
-        serde_json::Value::Array(all) => all.iter_mut().for_each(shorten),
-        serde_json::Value::Object(all) => all.values_mut().for_each(shorten),
+        serde_json::Value::Array(all) => all.iter_mut().for_each(round_numbers),
+        serde_json::Value::Object(all) => all.values_mut().for_each(round_numbers),
         _ => {}
     }
 }
 
-fn worse(a: &Line, b: &Line) -> std::cmp::Ordering {
-    let of = |line: &Line| line.ratio.unwrap_or(0.0);
-    of(b).total_cmp(&of(a)).then(a.row.cmp(b.row))
+fn compare_severity(a: &ReportLine, b: &ReportLine) -> std::cmp::Ordering {
+    let ratio = |line: &ReportLine| line.ratio.unwrap_or(0.0);
+    ratio(b).total_cmp(&ratio(a)).then(a.row.cmp(b.row))
 }
 
-fn rests(missing: &[&Line], line: &Line, on: &str, looked: &mut BTreeSet<&'static str>) -> bool {
-    line.rests_on.iter().any(|under| {
-        *under == on
-            || looked.insert(under)
-                && missing.iter().any(|other| other.row == *under && rests(missing, other, on, looked))
+/// Returns whether a missing row has the given prerequisite, directly or through other missing rows.
+fn depends_on(
+    missing: &[&ReportLine],
+    line: &ReportLine,
+    prerequisite: &str,
+    visited: &mut BTreeSet<&'static str>,
+) -> bool {
+    line.prerequisites.iter().any(|required| {
+        *required == prerequisite
+            || visited.insert(required)
+                && missing
+                    .iter()
+                    .any(|other| other.row == *required && depends_on(missing, other, prerequisite, visited))
     })
 }
 
-/// Always the worst of those whose ground is laid.
-fn order(lines: &[Line]) -> Vec<&'static str> {
-    let mut left: BTreeMap<&'static str, &Line> =
+/// Orders the missing rows: repeatedly takes, among those without an unordered prerequisite, first the ones
+/// that are prerequisites themselves, then the one with the highest ratio.
+fn order_missing(lines: &[ReportLine]) -> Vec<&'static str> {
+    let mut remaining: BTreeMap<&'static str, &ReportLine> =
         lines.iter().filter(|line| line.state == State::Missing).map(|line| (line.row, line)).collect();
     let mut order = Vec::new();
-    while !left.is_empty() {
-        let ready = |line: &&&Line| !line.rests_on.iter().any(|under| left.contains_key(under));
-        // Those on which others rest come first.
-        let carries = |of: &Line| left.values().any(|line| line.rests_on.contains(&of.row));
-        let next = left.values().filter(ready).min_by(|a, b| carries(b).cmp(&carries(a)).then(worse(a, b)));
-        // A circle would be a fault of the rows; it is cut at its worst.
-        let Some(next) = next.or_else(|| left.values().min_by(|a, b| worse(a, b))).map(|line| line.row)
+    while !remaining.is_empty() {
+        let ready =
+            |line: &&&ReportLine| !line.prerequisites.iter().any(|required| remaining.contains_key(required));
+        let is_prerequisite = |candidate: &ReportLine| {
+            remaining.values().any(|line| line.prerequisites.contains(&candidate.row))
+        };
+        let next = remaining
+            .values()
+            .filter(ready)
+            .min_by(|a, b| is_prerequisite(b).cmp(&is_prerequisite(a)).then(compare_severity(a, b)));
+        // Rows that are each other's prerequisites are a fault of the model; the worst of them is taken.
+        let Some(next) =
+            next.or_else(|| remaining.values().min_by(|a, b| compare_severity(a, b))).map(|line| line.row)
         else {
             break;
         };
-        left.remove(next);
+        remaining.remove(next);
         order.push(next);
     }
     order
--- a/crates/hazelspur-simulator/src/capacity/rows/mod.rs
+++ b/crates/hazelspur-simulator/src/capacity/rows/mod.rs
@@ -1,5 +1,5 @@
-//! Quantities that grow with the size, by role: their dimension, formula, budget and mechanism. A row names the figure
-//! that a study measures, or the line of code that it is computed from.
+//! Rows of the model: the quantities that grow with the size, grouped by role. A row gives its dimension,
+//! formula, budget and mechanism, and the studies' figures or the constants that its value comes from.
 
 mod configuration;
 mod events;
@@ -9,30 +9,30 @@
 
 use super::constants::Constant;
 use super::measured::Seeds;
-use super::size::Size;
+use super::size::SizeFile;
 
-/// Whose cost a row is.
+/// Part of the deployment that bears the cost of a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
-    /// One server.
+    /// A server.
     Server,
-    /// One client process.
-    Caller,
-    /// The configuration of the fleet.
+    /// A client process.
+    Client,
+    /// Configuration of the fleet.
     Configuration,
-    /// A machine that only controls.
+    /// A machine that runs control tasks only and serves no requests.
     ControlMachine,
-    /// Voters and the allocator of the quota.
-    KeeperAndDivider,
-    /// The list of servers.
-    List,
-    /// The shared dependency.
+    /// Voters and allocator of the quota.
+    VoterAndAllocator,
+    /// Registry of servers.
+    Registry,
+    /// Dependency that all servers share.
     SharedDependency,
     /// A link between two zones.
     LinkBetweenZones,
     /// A link between two regions.
     LinkBetweenRegions,
-    /// Something that happens at times.
+    /// An occasional event, such as a start, a loss or a deploy.
     Event,
 }
 
@@ -40,26 +40,26 @@
     /// All roles, in the order of the page.
     pub const ALL: [Self; 10] = [
         Self::Server,
-        Self::Caller,
+        Self::Client,
         Self::Configuration,
         Self::ControlMachine,
-        Self::KeeperAndDivider,
-        Self::List,
+        Self::VoterAndAllocator,
+        Self::Registry,
         Self::SharedDependency,
         Self::LinkBetweenZones,
         Self::LinkBetweenRegions,
         Self::Event,
     ];
 
-    /// Its name in the page's markers.
+    /// Returns the name of the role in the page's markers.
     pub fn name(self) -> &'static str {
         match self {
             Self::Server => "server",
-            Self::Caller => "caller",
+            Self::Client => "caller",
             Self::Configuration => "configuration",
             Self::ControlMachine => "control-machine",
-            Self::KeeperAndDivider => "keeper-and-divider",
-            Self::List => "list",
+            Self::VoterAndAllocator => "keeper-and-divider",
+            Self::Registry => "list",
             Self::SharedDependency => "shared-dependency",
             Self::LinkBetweenZones => "link-between-zones",
             Self::LinkBetweenRegions => "link-between-regions",
@@ -68,237 +68,243 @@
     }
 }
 
-/// Where a row's slope comes from.
+/// Origin of a row's value.
 #[derive(Clone, Debug)]
 pub enum Source {
-    /// A study's figures, all of which count, in the first of the cases that was measured; none for any case.
-    /// Times a factor, and over all servers where it is a sum of what each sees.
+    /// Figures that a study measured.
     Measured {
-        /// The figures, all of which count.
+        /// Names of the figures, whose points are merged.
         figures: &'static [&'static str],
-        /// The cases, of which the first that was measured counts.
+        /// Cases, of which the first that was measured is used; empty for all cases.
         cases: &'static [&'static str],
-        /// Which seeds count.
+        /// Points that are used where a size has several seeds.
         seeds: Seeds,
-        /// The factor from the figure's unit to the row's.
-        times: f64,
-        /// Whether it is summed over all servers.
-        over_all: bool,
+        /// Factor from the figure's unit to the row's.
+        factor: f64,
+        /// Whether the figure of one server is summed over all servers.
+        sum_over_servers: bool,
     },
-    /// From what the code or the size file says.
+    /// Value computed from constants of the code or figures of the size file.
     Computed {
-        /// Where the figures stand.
-        from: String,
-        /// What one more of the dimension adds.
+        /// File and name of the constants or figures.
+        origin: String,
+        /// Increase of the value per unit of the dimension.
         slope: f64,
-        /// What there is without any.
+        /// Value at size 0.
         base: f64,
     },
 }
 
-/// Whether a mechanism carries a row's load.
+/// Existence of a mechanism that carries a row's load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Found {
-    /// There is a mechanism.
-    Something,
-    /// There is none.
-    Nothing,
+pub enum MechanismStatus {
+    /// A mechanism exists.
+    Present,
+    /// No mechanism exists.
+    Absent,
 }
 
-/// The budget of a row.
+/// Budget of a row.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RowBudget {
-    /// The most that it may be, in the row's unit.
+    /// Largest value allowed at the target size, in the row's unit.
     pub limit: f64,
-    /// Where that stands.
-    pub from: &'static str,
+    /// Key of the size file, or constant, that sets the limit.
+    pub origin: &'static str,
 }
 
-/// One quantity that grows with the size.
+/// A quantity that grows with the size.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// Its name.
+    /// Unique name, such as `server.memory`.
     pub name: &'static str,
-    /// Whose it is.
+    /// Part of the deployment that bears the cost.
     pub role: Role,
-    /// What it is, in words.
-    pub what: &'static str,
-    /// Its unit.
+    /// Description for the tables.
+    pub description: &'static str,
+    /// Unit of the value; empty if it has none.
     pub unit: &'static str,
-    /// Its formula, in words.
+    /// Formula for the tables, in words.
     pub formula: String,
-    /// The dimension by which it grows.
-    pub by: &'static str,
-    /// The dimension's figure at the target.
+    /// Quantity with which the value grows, such as `servers`.
+    pub dimension: &'static str,
+    /// Target size, in units of the dimension.
     pub size: f64,
-    /// Where its slope comes from; the first source that gives one counts.
+    /// Origins of the value; the first that has a value is used.
     pub sources: Vec<Source>,
-    /// Rows before this one that it adds up.
+    /// Names of earlier rows that this one sums; empty if it is not a sum.
     pub sum_of: Vec<&'static str>,
-    /// Its budget.
+    /// Budget; absent if the row has none.
     pub budget: Option<RowBudget>,
-    /// Whether there is a mechanism.
-    pub found: Found,
-    /// File and type of the mechanism.
+    /// Existence of a mechanism that carries the load.
+    pub mechanism_status: MechanismStatus,
+    /// File and item of the mechanism, or an explanation why there is none.
     pub mechanism: &'static str,
-    /// Rows that must hold first.
-    pub rests_on: Vec<&'static str>,
+    /// Names of the rows that must fit before this one can.
+    pub prerequisites: Vec<&'static str>,
 }
 
-/// A row with its names only; its methods add the rest. `by` is the dimension with its figure at the target.
+/// Returns a row without formula, sources, budget and mechanism, which its methods add. The last argument is
+/// the dimension and its target size.
 pub fn row(
     role: Role,
     name: &'static str,
-    what: &'static str,
+    description: &'static str,
     unit: &'static str,
-    (by, size): (&'static str, f64),
+    (dimension, size): (&'static str, f64),
 ) -> Row {
     Row {
         name,
         role,
-        what,
+        description,
         unit,
         formula: String::new(),
-        by,
+        dimension,
         size,
         sources: Vec::new(),
         sum_of: Vec::new(),
         budget: None,
-        found: Found::Something,
+        mechanism_status: MechanismStatus::Present,
         mechanism: "",
-        rests_on: Vec::new(),
+        prerequisites: Vec::new(),
     }
 }
 
 impl Row {
-    /// Its formula, in words.
-    pub fn formula(mut self, words: impl Into<String>) -> Self {
-        self.formula = words.into();
+    /// Sets the formula, in words.
+    pub fn formula(mut self, formula: impl Into<String>) -> Self {
+        self.formula = formula.into();
         self
     }
 
-    /// A figure as it was measured.
-    pub fn measured(self, figure: &'static [&'static str], cases: &'static [&'static str]) -> Self {
-        self.measured_times(figure, cases, 1.0, false)
+    /// Adds measured figures as a source.
+    pub fn measured(self, figures: &'static [&'static str], cases: &'static [&'static str]) -> Self {
+        self.measured_scaled(figures, cases, 1.0, false)
     }
 
-    /// A figure as it was measured, times a factor, and summed over all servers where `over_all`.
-    pub fn measured_times(
+    /// Adds measured figures as a source, multiplied by a factor and, with `sum_over_servers`, by the number
+    /// of servers.
+    pub fn measured_scaled(
         mut self,
         figures: &'static [&'static str],
         cases: &'static [&'static str],
-        times: f64,
-        over_all: bool,
+        factor: f64,
+        sum_over_servers: bool,
     ) -> Self {
-        self.sources.push(Source::Measured { figures, cases, seeds: Seeds::All, times, over_all });
+        self.sources.push(Source::Measured { figures, cases, seeds: Seeds::All, factor, sum_over_servers });
         self
     }
 
-    /// By the worst seed of each size.
-    pub fn worst(mut self, figures: &'static [&'static str], cases: &'static [&'static str]) -> Self {
+    /// Adds measured figures as a source, with the largest value among the seeds of each size.
+    pub fn measured_worst_seed(
+        mut self,
+        figures: &'static [&'static str],
+        cases: &'static [&'static str],
+    ) -> Self {
         let seeds = Seeds::Worst;
-        self.sources.push(Source::Measured { figures, cases, seeds, times: 1.0, over_all: false });
+        self.sources.push(Source::Measured { figures, cases, seeds, factor: 1.0, sum_over_servers: false });
         self
     }
 
-    /// A figure computed from code or the size file.
-    pub fn computed(mut self, from: impl Into<String>, slope: f64, base: f64) -> Self {
-        self.sources.push(Source::Computed { from: from.into(), slope, base });
+    /// Adds a value computed from constants or the size file as a source; `origin` names them.
+    pub fn computed(mut self, origin: impl Into<String>, slope: f64, base: f64) -> Self {
+        self.sources.push(Source::Computed { origin: origin.into(), slope, base });
         self
     }
 
-    /// The sum of these rows.
+    /// Makes the row the sum of earlier rows.
     pub fn sum_of(mut self, rows: &[&'static str]) -> Self {
         self.sum_of = rows.to_vec();
         self
     }
 
-    /// Its budget, and where that stands.
-    pub fn within(mut self, budget: f64, from: &'static str) -> Self {
-        self.budget = Some(RowBudget { limit: budget, from });
+    /// Sets the budget and the key or constant it comes from.
+    pub fn within(mut self, limit: f64, origin: &'static str) -> Self {
+        self.budget = Some(RowBudget { limit, origin });
         self
     }
 
-    /// The mechanism that carries it: file and type.
+    /// Sets the mechanism that carries the load, as file and item.
     pub fn by_mechanism(mut self, mechanism: &'static str) -> Self {
         self.mechanism = mechanism;
         self
     }
 
-    /// No mechanism carries it; `nearest` says what comes nearest.
+    /// Marks the row as one without a mechanism; `nearest` names the closest existing code, or `none`.
     pub fn no_mechanism(mut self, nearest: &'static str) -> Self {
-        (self.found, self.mechanism) = (Found::Nothing, nearest);
+        (self.mechanism_status, self.mechanism) = (MechanismStatus::Absent, nearest);
         self
     }
 
-    /// Rows that must hold first.
-    pub fn rests_on(mut self, rows: &[&'static str]) -> Self {
-        self.rests_on = rows.to_vec();
+    /// Sets the rows that must fit before this one can.
+    pub fn requires(mut self, rows: &[&'static str]) -> Self {
+        self.prerequisites = rows.to_vec();
         self
     }
 }
 
-/// The file with the size, the budgets and the assumptions.
-const FILE: &str = "docs/capacity/size.toml";
-/// Figures of the time until all servers have one view of the members.
-const AGREE: [&str; 2] = ["scale/members.agree_s", "scale/members.not_agreed_within_s"];
-// Mechanisms: file and type.
+/// File with the target size, the budgets and the assumptions.
+const SIZE_FILE: &str = "docs/capacity/size.toml";
+/// Figures of the time until all servers have the same view of the members, reached or given up.
+const AGREEMENT_FIGURES: [&str; 2] = ["scale/members.agree_s", "scale/members.not_agreed_within_s"];
+
+// Mechanisms, as file and item.
 
-/// The membership.
-const MEMBERS: &str = "crates/hazelspur-fleet/src/membership/state.rs Membership";
-/// The fleet's node.
-const JOINT: &str = "crates/hazelspur-fleet/src/node.rs FleetNode";
-/// The gossip transport.
-const TALK: &str = "crates/hazelspur-server/src/fleet/transport.rs GossipTransport";
-/// The quota.
-const SHARES: &str = "crates/hazelspur-fleet/src/quota/manager.rs QuotaManager";
-/// The quota's allocator.
-const DIVIDER: &str = "crates/hazelspur-fleet/src/quota/allocator.rs Allocator";
-/// Reports to the list of servers.
-const REPORT: &str = "crates/hazelspur-server/src/upstream/registry.rs HealthReporter";
-/// Reload on SIGHUP.
-const RELOAD: &str = "crates/hazelspur-server/src/config/reload.rs Reloader";
-/// The server's configuration.
-const CHECK: &str = "crates/hazelspur-server/src/config/server_config.rs ServerConfig";
+/// Membership of a server.
+const MEMBERSHIP: &str = "crates/hazelspur-fleet/src/membership/state.rs Membership";
+/// Membership, gossip and quota of one server.
+const FLEET_NODE: &str = "crates/hazelspur-fleet/src/node.rs FleetNode";
+/// Transport of the gossip datagrams.
+const GOSSIP_TRANSPORT: &str = "crates/hazelspur-server/src/fleet/transport.rs GossipTransport";
+/// Quota of one server.
+const QUOTA_MANAGER: &str = "crates/hazelspur-fleet/src/quota/manager.rs QuotaManager";
+/// Allocator of the quota.
+const ALLOCATOR: &str = "crates/hazelspur-fleet/src/quota/allocator.rs Allocator";
+/// Reports to the registry.
+const HEALTH_REPORTER: &str = "crates/hazelspur-server/src/upstream/registry.rs HealthReporter";
+/// Reload of the configuration on SIGHUP.
+const RELOADER: &str = "crates/hazelspur-server/src/config/reload.rs Reloader";
+/// Configuration of a server.
+const SERVER_CONFIG: &str = "crates/hazelspur-server/src/config/server_config.rs ServerConfig";
 /// Request classes and tenants in force.
 const CATALOG: &str = "src/config/catalog.rs Catalog";
-/// The table by name and id.
+/// Table of configuration entries by name and id.
 const TABLE: &str = "src/config/table.rs Table";
-/// The admission controller.
+/// Admission controller.
 const CONTROLLER: &str = "src/controller/mod.rs AdmissionController";
-/// Clients and sessions seen lately.
+/// Recently seen clients and sessions.
 const LAST_SEEN: &str = "src/last_seen.rs LastSeen";
-/// What is learned of classes and tenants.
+/// Learned samples of request classes and tenants.
 const RECENTLY_SEEN: &str = "src/recently_seen.rs RecentlySeen";
-/// Seconds of a day.
-const DAY_S: f64 = 86_400.0;
+/// Seconds per day.
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
-// Budgets of the size file.
+// Keys of budgets in the size file.
 
-/// Time until a change is in force.
-const IN_FORCE: &str = "budget.in_force_s";
-/// Processor time for control.
-const CPU: &str = "budget.control_cpu_share";
+/// Time until a change is in force on all servers.
+const IN_FORCE_BUDGET: &str = "budget.in_force_s";
+/// Share of a core for control.
+const CPU_BUDGET: &str = "budget.control_cpu_share";
 /// Memory for control.
-const MEMORY: &str = "budget.control_memory_bytes";
+const MEMORY_BUDGET: &str = "budget.control_memory_bytes";
 /// Traffic for control.
-const BYTES: &str = "budget.control_bytes_per_s";
+const TRAFFIC_BUDGET: &str = "budget.control_bytes_per_s";
 
-/// All rows, in the order of the page; a sum stands behind its parts.
-pub fn rows(size: &Size) -> Vec<Row> {
+/// Returns all rows, in the order of the page; a sum comes after its parts.
+pub fn rows(size: &SizeFile) -> Vec<Row> {
     let mut rows = server::server(size);
-    rows.extend(configuration::caller(size));
+    rows.extend(configuration::client(size));
     rows.extend(configuration::configuration(size));
     rows.extend(configuration::control_machine());
-    rows.extend(quota::keeper_and_divider(size));
-    rows.extend(network::list(size));
+    rows.extend(quota::voter_and_allocator(size));
+    rows.extend(network::registry(size));
     rows.extend(network::shared_dependency(size));
     rows.extend(network::links(size));
     rows.extend(events::events(size));
     rows
 }
 
-/// Where these constants stand.
-fn at(constants: &[&Constant]) -> String {
-    constants.iter().map(|constant| constant.from()).collect::<Vec<_>>().join(", ")
+/// Returns file and name of each constant, separated by commas.
+fn origins(constants: &[&Constant]) -> String {
+    constants.iter().map(|constant| constant.origin()).collect::<Vec<_>>().join(", ")
 }
--- a/crates/hazelspur-simulator/tests/capacity.rs
+++ b/crates/hazelspur-simulator/tests/capacity.rs
@@ -1,14 +1,17 @@
-//! The capacity model: the repository's page is in step, and what is planted is told.
+//! Tests of the capacity model: the tables of the repository's page match the report, and wrong pages, inputs
+//! and lists are reported.
 
 use expect_test::expect;
-use hazelspur_simulator::capacity::command::{Told, read_all, summary};
+use hazelspur_simulator::capacity::command::{CapacityInput, read_input, summary};
 use hazelspur_simulator::capacity::constants;
-use hazelspur_simulator::capacity::measured::{Measured, Study};
-use hazelspur_simulator::capacity::page::{blocks, differing, filled};
-use hazelspur_simulator::capacity::report::{Known, State, Stops, report, report_of};
+use hazelspur_simulator::capacity::measured::{Measurements, Study};
+use hazelspur_simulator::capacity::page::{generated_tables, replace_tables, stale_tables};
+use hazelspur_simulator::capacity::report::{
+    BudgetCrossing, MissingList, State, build_report, build_report_from_rows,
+};
 use hazelspur_simulator::capacity::rows::{Role, row, rows};
-use hazelspur_simulator::capacity::size::{Size, figures};
-use hazelspur_simulator::capacity::{digits, with_unit};
+use hazelspur_simulator::capacity::size::{SizeFile, figures};
+use hazelspur_simulator::capacity::{format_significant, format_with_unit};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -18,204 +21,231 @@
 }
 
 fn size_text() -> String {
-    std::fs::read_to_string(root().join("docs/capacity/size.toml")).expect("the size is there")
+    std::fs::read_to_string(root().join("docs/capacity/size.toml")).expect("size file can be read")
 }
 
 fn page_text() -> String {
-    std::fs::read_to_string(root().join("docs/CAPACITY.md")).expect("the page is there")
+    std::fs::read_to_string(root().join("docs/CAPACITY.md")).expect("page can be read")
 }
 
-fn told() -> Told {
-    read_all(&root().join("docs/capacity/size.toml"), &root().join("docs/capacity")).expect("all can be read")
+fn repository_input() -> CapacityInput {
+    read_input(&root().join("docs/capacity/size.toml"), &root().join("docs/capacity"))
+        .expect("all input files can be read")
 }
 
-fn studies(texts: &[&str]) -> Measured {
-    Measured::of(texts.iter().map(|text| Study::read(text).expect("a study")).collect())
+fn measurements(texts: &[&str]) -> Measurements {
+    Measurements::from_studies(texts.iter().map(|text| Study::parse(text).expect("study is valid")).collect())
 }
 
-/// The repository's size, with nothing known, and no study but these.
-fn with(measured: Measured) -> Told {
-    Told {
-        size: Size::read(&size_text()).expect("the size"),
-        figures: figures(&size_text()).expect("figures"),
-        measured,
-        before: Measured::default(),
-        known: Known::default(),
+/// Returns the repository's size file with the given measurements and an empty missing list.
+fn input_with(measurements: Measurements) -> CapacityInput {
+    CapacityInput {
+        size: SizeFile::parse(&size_text()).expect("size file is valid"),
+        figures: figures(&size_text()).expect("figures can be read"),
+        measurements,
+        earlier_measurements: Measurements::default(),
+        missing_list: MissingList::default(),
     }
 }
 
-/// The command's exit status, and what it said on standard error.
-fn run(arguments: &[&Path]) -> (Option<i32>, String) {
+/// Runs the subcommand in the repository's root; returns its exit status and standard error.
+fn run_capacity(arguments: &[&Path]) -> (Option<i32>, String) {
     let output = Command::new(env!("CARGO_BIN_EXE_hazelspur-simulator"))
         .arg("capacity")
         .args(arguments)
         .current_dir(root())
         .output()
-        .expect("the command starts");
+        .expect("command starts");
     (output.status.code(), String::from_utf8_lossy(&output.stderr).into())
 }
 
-/// A directory of its own for a test, empty.
-fn directory(name: &str) -> PathBuf {
-    let at = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    let _ = std::fs::remove_dir_all(&at);
-    std::fs::create_dir_all(&at).expect("a directory");
-    at
+/// Creates an empty directory for one test.
+fn empty_directory(name: &str) -> PathBuf {
+    let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    let _ = std::fs::remove_dir_all(&directory);
+    std::fs::create_dir_all(&directory).expect("directory is created");
+    directory
 }
 
 #[test]
-fn the_repositorys_page_is_in_step_with_its_slopes() {
-    let told = told();
-    let report = report(&told.size, &told.measured, &told.known);
+fn repository_page_matches_the_computed_tables() {
+    let input = repository_input();
+    let report = build_report(&input.size, &input.measurements, &input.missing_list);
     assert_eq!(report.faults, Vec::<String>::new());
     assert_eq!(report.unknown, Vec::<String>::new());
-    let blocks = blocks(&told, &report);
-    let differing = differing(&page_text(), &blocks).expect("all markers are there");
+    let tables = generated_tables(&input, &report);
+    let stale = stale_tables(&page_text(), &tables).expect("all markers are present");
     assert_eq!(
-        differing,
+        stale,
         Vec::<String>::new(),
-        "run `hazelspur-simulator capacity --page docs/CAPACITY.md` and read what changed"
+        "run `hazelspur-simulator capacity --page docs/CAPACITY.md` and review the changes"
     );
 }
 
 #[test]
-fn the_command_says_the_same_of_the_repository() {
-    let (status, said) = run(&["--page".as_ref(), "docs/CAPACITY.md".as_ref(), "--check".as_ref()]);
-    assert_eq!((status, said.as_str()), (Some(0), ""));
+fn command_accepts_the_repository_page() {
+    let (status, stderr) =
+        run_capacity(&["--page".as_ref(), "docs/CAPACITY.md".as_ref(), "--check".as_ref()]);
+    assert_eq!((status, stderr.as_str()), (Some(0), ""));
 }
 
 #[test]
-fn constants_stand_where_they_are_said_to() {
+fn constants_match_the_sources_they_name() {
     for constant in constants::ALL {
         let text = std::fs::read_to_string(root().join(constant.file)).expect(constant.file);
         assert!(
-            text.contains(constant.text),
-            "{} is not what {} says any more: mend crates/hazelspur-simulator/src/capacity/constants.rs",
-            constant.from(),
-            constant.text
+            text.contains(constant.excerpt),
+            "{} no longer contains {}: update crates/hazelspur-simulator/src/capacity/constants.rs",
+            constant.origin(),
+            constant.excerpt
         );
     }
 }
 
 #[test]
-fn mechanisms_are_in_the_files_that_rows_name() {
-    let size = Size::read(&size_text()).expect("the size");
+fn mechanisms_are_defined_in_the_files_rows_name() {
+    let size = SizeFile::parse(&size_text()).expect("size file is valid");
     for row in rows(&size) {
         let Some((file, name)) = row.mechanism.split_once(".rs ") else { continue };
         let file = format!("{}.rs", file.rsplit(' ').next().unwrap_or(file));
-        let text = std::fs::read_to_string(root().join(&file)).unwrap_or_else(|e| panic!("{file}: {e}"));
-        let kinds = ["pub struct", "pub(super) struct", "pub enum", "pub fn", "pub async fn"];
-        let there = kinds.iter().any(|kind| text.contains(&format!("{kind} {name}")));
-        // Names are made by a macro.
-        let made = text.lines().any(|line| line == format!("    {name}"));
-        assert!(there || made, "{}: no {name} in {file}", row.name);
+        let text = std::fs::read_to_string(root().join(&file))
+            .unwrap_or_else(|error| panic!("reading {file}: {error}"));
+        let keywords = ["pub struct", "pub(super) struct", "pub enum", "pub fn", "pub async fn"];
+        let has_item = keywords.iter().any(|keyword| text.contains(&format!("{keyword} {name}")));
+        // Name types are generated by a macro, of which the name is an argument on a line of its own.
+        let has_macro_argument = text.lines().any(|line| line == format!("    {name}"));
+        assert!(has_item || has_macro_argument, "row {}: {file} does not define {name}", row.name);
     }
 }
 
 #[test]
-fn rows_rest_on_rows_have_names_of_their_own_and_sums_stand_behind_their_parts() {
-    let rows = rows(&Size::read(&size_text()).expect("the size"));
+fn rows_are_unique_and_refer_to_existing_rows() {
+    let rows = rows(&SizeFile::parse(&size_text()).expect("size file is valid"));
     let mut names = BTreeSet::new();
     for row in &rows {
-        assert!(row.sum_of.iter().all(|part| names.contains(part)), "{}", row.name);
-        assert!(names.insert(row.name), "{} twice", row.name);
+        assert!(
+            row.sum_of.iter().all(|part| names.contains(part)),
+            "row {}: a part of its sum is not an earlier row",
+            row.name
+        );
+        assert!(names.insert(row.name), "row {} is defined twice", row.name);
     }
     for row in &rows {
-        assert!(row.rests_on.iter().all(|under| names.contains(under)), "{}: {:?}", row.name, row.rests_on);
-        assert!(!row.formula.is_empty() && !row.mechanism.is_empty(), "{}", row.name);
+        assert!(
+            row.prerequisites.iter().all(|required| names.contains(required)),
+            "row {}: an unknown row among {:?}",
+            row.name,
+            row.prerequisites
+        );
+        assert!(
+            !row.formula.is_empty() && !row.mechanism.is_empty(),
+            "row {}: no formula or no mechanism",
+            row.name
+        );
     }
 }
 
 #[test]
-fn ten_times_the_servers_pass_budgets_and_are_told_by_name() {
-    let at = directory("ten-times");
+fn ten_times_the_servers_is_reported_as_over_budget() {
+    let directory = empty_directory("ten-times");
     let text = size_text().replace("\nservers = 810\n", "\nservers = 8100\n");
     assert_ne!(text, size_text());
-    std::fs::write(at.join("size.toml"), text).expect("written");
-    std::fs::copy(root().join("docs/capacity/missing.toml"), at.join("missing.toml")).expect("copied");
-    let (status, said) = run(&["--size".as_ref(), &at.join("size.toml"), "--measured".as_ref(), &at]);
-    assert_eq!(status, Some(1), "{said}");
+    std::fs::write(directory.join("size.toml"), text).expect("file is written");
+    std::fs::copy(root().join("docs/capacity/missing.toml"), directory.join("missing.toml"))
+        .expect("file is copied");
+    let (status, stderr) =
+        run_capacity(&["--size".as_ref(), &directory.join("size.toml"), "--measured".as_ref(), &directory]);
+    assert_eq!(status, Some(1), "{stderr}");
     for row in ["list.reports: 10,100 1/s at the target", "server.talk.most: 10,100 entries at the target"] {
-        assert!(said.contains(row), "{said}");
+        assert!(stderr.contains(row), "{stderr}");
     }
 }
 
 #[test]
-fn a_table_changed_by_hand_is_told() {
-    let at = directory("by-hand");
-    let told = told();
-    let report = report(&told.size, &told.measured, &told.known);
+fn table_edited_by_hand_is_reported() {
+    let directory = empty_directory("by-hand");
+    let input = repository_input();
+    let report = build_report(&input.size, &input.measurements, &input.missing_list);
     let page = page_text();
-    // One digit of one slope.
-    let line = page.lines().find(|line| line.starts_with("| `list.reports` |")).expect("the row");
-    let planted = page.replace(line, &line.replacen("1.25", "1.24", 1));
-    assert_ne!(planted, page);
-    let blocks = blocks(&told, &report);
-    assert_eq!(differing(&planted, &blocks), Ok(vec!["list".to_string()]));
-    assert_eq!(filled(&planted, &blocks).expect("all markers"), filled(&page, &blocks).expect("all markers"));
-    std::fs::write(at.join("page.md"), planted).expect("written");
-    let (status, said) = run(&["--page".as_ref(), &at.join("page.md"), "--check".as_ref()]);
+    // One digit of a slope is changed.
+    let line = page.lines().find(|line| line.starts_with("| `list.reports` |")).expect("row is on the page");
+    let edited = page.replace(line, &line.replacen("1.25", "1.24", 1));
+    assert_ne!(edited, page);
+    let tables = generated_tables(&input, &report);
+    assert_eq!(stale_tables(&edited, &tables), Ok(vec!["list".to_string()]));
+    assert_eq!(
+        replace_tables(&edited, &tables).expect("all markers are present"),
+        replace_tables(&page, &tables).expect("all markers are present")
+    );
+    std::fs::write(directory.join("page.md"), edited).expect("file is written");
+    let (status, stderr) = run_capacity(&["--page".as_ref(), &directory.join("page.md"), "--check".as_ref()]);
     assert_eq!(status, Some(1));
-    assert!(said.contains("the table list is not what its slopes give"), "{said}");
+    assert!(stderr.contains("table list differs from the report"), "{stderr}");
 }
 
 #[test]
-fn markers_that_are_wrong_are_named() {
-    let told = told();
-    let report = report(&told.size, &told.measured, &told.known);
-    let blocks = blocks(&told, &report);
+fn wrong_page_markers_are_named_in_errors() {
+    let input = repository_input();
+    let report = build_report(&input.size, &input.measurements, &input.missing_list);
+    let tables = generated_tables(&input, &report);
     let page = page_text();
-    let wrong = |from: &str, to: &str| {
-        filled(&page.replacen(from, to, 1), &blocks).err().map(|error| error.to_string())
+    let error_after = |from: &str, to: &str| {
+        replace_tables(&page.replacen(from, to, 1), &tables).err().map(|error| error.to_string())
     };
     assert_eq!(
-        wrong("generated: list -->", "generated: lists -->"),
-        Some("generated: there is no table lists".into())
+        error_after("generated: list -->", "generated: lists -->"),
+        Some("generated: unknown table lists".into())
+    );
+    assert_eq!(
+        error_after("generated: list -->", "generated: server -->"),
+        Some("generated: table server is on the page twice".into())
     );
     assert_eq!(
-        wrong("generated: list -->", "generated: server -->"),
-        Some("generated: server stands there twice".into())
+        error_after("<!-- generated: list -->", ""),
+        Some("generated: table list is not on the page".into())
     );
-    assert_eq!(wrong("<!-- generated: list -->", ""), Some("generated: list is not on the page".into()));
-    assert_eq!(wrong("<!-- end -->", ""), Some("generated: size has no end".into()));
+    assert_eq!(error_after("<!-- end -->", ""), Some("generated: no end marker for table size".into()));
 }
 
 #[test]
-fn what_is_not_measured_is_said_to_be_so() {
-    let size = Size::read(&size_text()).expect("the size");
-    let report = report(&size, &Measured::default(), &Known::default());
-    let line = |name: &str| report.lines.iter().find(|line| line.row == name).expect("a row");
+fn rows_without_points_are_reported_as_not_measured() {
+    let size = SizeFile::parse(&size_text()).expect("size file is valid");
+    let report = build_report(&size, &Measurements::default(), &MissingList::default());
+    let line = |name: &str| report.lines.iter().find(|line| line.row == name).expect("row exists");
     assert_eq!(line("server.talk.bytes").state, State::NotMeasured);
     assert_eq!(line("server.bytes").state, State::NotMeasured);
     assert_eq!(line("server.bytes").ratio, None);
-    let blocks = blocks(&with(Measured::default()), &report);
-    let server = &blocks.iter().find(|block| block.name == "server").expect("a table").text;
-    let starts =
-        |name: &str| server.lines().find(|line| line.starts_with(&format!("| `{name}`"))).expect("a row");
-    assert!(starts("server.talk.bytes").contains("| not measured |"), "{server}");
-    assert!(starts("server.bytes").contains("| at least 875 B/s |"), "{server}");
+    let tables = generated_tables(&input_with(Measurements::default()), &report);
+    let server = &tables.iter().find(|table| table.name == "server").expect("table exists").text;
+    let line_of = |name: &str| {
+        server.lines().find(|line| line.starts_with(&format!("| `{name}`"))).expect("row exists")
+    };
+    assert!(line_of("server.talk.bytes").contains("| not measured |"), "{server}");
+    assert!(line_of("server.bytes").contains("| at least 875 B/s |"), "{server}");
 }
 
 #[test]
-fn one_size_is_no_slope_and_counts_at_the_target_only() {
+fn single_size_gives_no_slope_and_counts_only_at_target() {
     let point = |size: u32| {
         format!(
             r#"{{"study":"one","command":"c","points":[{{"figure":"members.bytes_out_per_s","case":"rest",
             "unit":"B/s","by":"servers","size":{size},"seed":1,"value":432.1}}]}}"#
         )
     };
-    let size = Size::read(&size_text()).expect("the size");
-    let seen = |studies: Measured| {
-        let report = report(&size, &studies, &Known::default());
-        let line = report.lines.into_iter().find(|line| line.row == "server.talk.bytes").expect("a row");
+    let size = SizeFile::parse(&size_text()).expect("size file is valid");
+    let outcome = |measurements: Measurements| {
+        let report = build_report(&size, &measurements, &MissingList::default());
+        let line = report.lines.into_iter().find(|line| line.row == "server.talk.bytes").expect("row exists");
         (line.state, line.target, line.twice, line.slope)
     };
-    assert_eq!(seen(studies(&[&point(100)])), (State::NotMeasured, None, None, None));
-    assert_eq!(seen(studies(&[&point(810)])), (State::Fits, Some(432.1), None, None));
+    assert_eq!(outcome(measurements(&[&point(100)])), (State::NotMeasured, None, None, None));
+    assert_eq!(outcome(measurements(&[&point(810)])), (State::Fits, Some(432.1), None, None));
 }
 
+/// One large value at the target size among small ones would vanish in a fitted line, although the target
+/// itself was measured over its budget.
 #[test]
-fn a_point_at_the_target_that_is_worse_than_the_line_counts() {
+fn point_at_target_above_the_fitted_line_counts() {
     let points: Vec<String> = [(100, 1.0), (400, 1.0), (810, 30.0), (1620, 1.0)]
         .map(|(size, value)| {
             format!(
@@ -224,76 +254,81 @@
         })
         .into();
     let study = format!(r#"{{"study":"scale","command":"c","points":[{}]}}"#, points.join(","));
-    let size = Size::read(&size_text()).expect("the size");
-    let report = report(&size, &studies(&[&study]), &Known::default());
-    let line = report.lines.iter().find(|line| line.row == "event.storm.agree").expect("a row");
+    let size = SizeFile::parse(&size_text()).expect("size file is valid");
+    let report = build_report(&size, &measurements(&[&study]), &MissingList::default());
+    let line = report.lines.iter().find(|line| line.row == "event.storm.agree").expect("row exists");
     assert_eq!((line.state, line.target), (State::Missing, Some(30.0)));
 }
 
 #[test]
-fn bad_input_is_refused_with_the_key_named() {
-    let refused = |from: &str, to: &str| {
+fn invalid_input_is_refused_with_the_key_named() {
+    let size_error = |from: &str, to: &str| {
         let text = size_text().replacen(from, to, 1);
         assert_ne!(text, size_text());
-        Size::read(&text).expect_err("refused").to_string()
+        SizeFile::parse(&text).expect_err("size file is refused").to_string()
     };
     expect![[r#"
         unknown field `severs`, expected one of `servers`, `callers`, `services`, `requests_per_s`, `op_types`, `tenants`, `regions`, `zones`, `changes_per_day`, `machines_failing_per_day`, `restarts_per_day`, `control_machines`
         missing field `lookup_ratio`
-        size.servers: nothing fits a size of 0
-        assumed.deploy_min: no number from 0 on
-        budget.lookup_ratio: no comment above it gives a reason"#]]
+        size.servers: must be greater than 0
+        assumed.deploy_min: must be a finite number of at least 0
+        budget.lookup_ratio: no comment above the key gives a reason"#]]
     .assert_eq(
         &[
-            refused("\nservers = ", "\nsevers = "),
-            refused("lookup_ratio = 1.2\n", "\n"),
-            refused("\nservers = 810", "\nservers = 0"),
-            refused("deploy_min = 10", "deploy_min = -10"),
-            refused("\nlookup_ratio = 1.2\n", "\n\nlookup_ratio = 1.2\n"),
+            size_error("\nservers = ", "\nsevers = "),
+            size_error("lookup_ratio = 1.2\n", "\n"),
+            size_error("\nservers = 810", "\nservers = 0"),
+            size_error("deploy_min = 10", "deploy_min = -10"),
+            size_error("\nlookup_ratio = 1.2\n", "\n\nlookup_ratio = 1.2\n"),
         ]
         .join("\n"),
     );
-    let at = directory("bad-input");
-    std::fs::write(at.join("size.toml"), size_text().replace("\nservers = ", "\nsevers = "))
-        .expect("written");
-    let (status, said) = run(&["--size".as_ref(), &at.join("size.toml"), "--measured".as_ref(), &at]);
+    let directory = empty_directory("bad-input");
+    std::fs::write(directory.join("size.toml"), size_text().replace("\nservers = ", "\nsevers = "))
+        .expect("file is written");
+    let (status, stderr) =
+        run_capacity(&["--size".as_ref(), &directory.join("size.toml"), "--measured".as_ref(), &directory]);
     assert_eq!(status, Some(2));
-    assert!(said.contains("size.toml: unknown field `severs`"), "{said}");
-    std::fs::write(at.join("size.toml"), size_text()).expect("written");
-    let named = "[[missing]]\nrow = \"no.such\"\nwhy = \"a test\"\nroadmap = \"none\"\n";
-    std::fs::write(at.join("missing.toml"), named).expect("written");
-    let (status, said) = run(&["--size".as_ref(), &at.join("size.toml"), "--measured".as_ref(), &at]);
+    assert!(stderr.contains("size.toml: unknown field `severs`"), "{stderr}");
+    std::fs::write(directory.join("size.toml"), size_text()).expect("file is written");
+    let list = "[[missing]]\nrow = \"no.such\"\nwhy = \"a test\"\nroadmap = \"none\"\n";
+    std::fs::write(directory.join("missing.toml"), list).expect("file is written");
+    let (status, stderr) =
+        run_capacity(&["--size".as_ref(), &directory.join("size.toml"), "--measured".as_ref(), &directory]);
     assert_eq!(status, Some(2));
-    assert!(said.contains("missing.toml: row: there is no row no.such"), "{said}");
-    std::fs::write(at.join("missing.toml"), "").expect("written");
-    std::fs::write(at.join("scale.json"), r#"{"study":"scale","points":[{"case":"rest"}]}"#)
-        .expect("written");
-    let (status, said) = run(&["--size".as_ref(), &at.join("size.toml"), "--measured".as_ref(), &at]);
+    assert!(stderr.contains("missing.toml: row: unknown row no.such"), "{stderr}");
+    std::fs::write(directory.join("missing.toml"), "").expect("file is written");
+    std::fs::write(directory.join("scale.json"), r#"{"study":"scale","points":[{"case":"rest"}]}"#)
+        .expect("file is written");
+    let (status, stderr) =
+        run_capacity(&["--size".as_ref(), &directory.join("size.toml"), "--measured".as_ref(), &directory]);
     assert_eq!(status, Some(2));
-    assert!(said.contains("scale.json: missing field `figure`"), "{said}");
+    assert!(stderr.contains("scale.json: missing field `figure`"), "{stderr}");
 }
 
 #[test]
-fn an_earlier_texts_study_goes_to_a_table_of_its_own() {
-    let at = directory("before");
-    std::fs::write(at.join("size.toml"), size_text()).expect("written");
-    let study = |text: &str, value: u32| {
+fn earlier_study_is_shown_in_a_separate_table() {
+    let directory = empty_directory("before");
+    std::fs::write(directory.join("size.toml"), size_text()).expect("file is written");
+    let study = |commit: &str, value: u32| {
         format!(
-            r#"{{"study":"server","text":"{text}","points":[{{"figure":"server.memory.anon_bytes","case":"any",
+            r#"{{"study":"server","text":"{commit}","points":[{{"figure":"server.memory.anon_bytes","case":"any",
             "unit":"B","by":"tenants","size":42000,"seed":1,"value":{value}}}]}}"#
         )
     };
-    std::fs::write(at.join("server.json"), study("new", 9_000_000)).expect("written");
-    std::fs::write(at.join("server-old.json"), study("old", 41_900_000)).expect("written");
-    let (status, said) = run(&["--size".as_ref(), &at.join("size.toml"), "--measured".as_ref(), &at]);
+    std::fs::write(directory.join("server.json"), study("new", 9_000_000)).expect("file is written");
+    std::fs::write(directory.join("server-old.json"), study("old", 41_900_000)).expect("file is written");
+    let (status, stderr) =
+        run_capacity(&["--size".as_ref(), &directory.join("size.toml"), "--measured".as_ref(), &directory]);
     assert_eq!(status, Some(2));
-    assert!(said.contains("server.json: study: server is in another file too"), "{said}");
-    std::fs::create_dir(at.join("before")).expect("a directory");
-    std::fs::rename(at.join("server-old.json"), at.join("before/server.json")).expect("moved");
-    let told = read_all(&at.join("size.toml"), &at).expect("all can be read");
-    let report = report(&told.size, &told.measured, &told.known);
-    let blocks = blocks(&told, &report);
-    let before = &blocks.iter().find(|block| block.name == "before").expect("a table").text;
+    assert!(stderr.contains("server.json: study: server is also in another file"), "{stderr}");
+    std::fs::create_dir(directory.join("before")).expect("directory is created");
+    std::fs::rename(directory.join("server-old.json"), directory.join("before/server.json"))
+        .expect("file is moved");
+    let input = read_input(&directory.join("size.toml"), &directory).expect("all input files can be read");
+    let report = build_report(&input.size, &input.measurements, &input.missing_list);
+    let tables = generated_tables(&input, &report);
+    let before = &tables.iter().find(|table| table.name == "before").expect("table exists").text;
     expect![[r#"
         | row | what | at the target, old | now | budget |
         | --- | --- | --- | --- | --- |
@@ -303,87 +338,93 @@
 }
 
 #[test]
-fn a_row_that_is_named_as_missing_and_fits_is_told() {
-    let size = Size::read(&size_text()).expect("the size");
-    let named = "[[missing]]\nrow = \"list.reports\"\nwhy = \"a test\"\nroadmap = \"none\"\n";
-    let known = Known::read(named).expect("a list");
-    let report = report(&size, &Measured::default(), &known);
+fn row_listed_as_missing_that_fits_is_a_fault() {
+    let size = SizeFile::parse(&size_text()).expect("size file is valid");
+    let list = "[[missing]]\nrow = \"list.reports\"\nwhy = \"a test\"\nroadmap = \"none\"\n";
+    let missing_list = MissingList::parse(list).expect("list is valid");
+    let report = build_report(&size, &Measurements::default(), &missing_list);
     assert!(report.faults.contains(&"list.reports: named as missing, and fits".to_string()));
 }
 
 #[test]
-fn a_tiny_model_is_printed() {
+fn small_model_gives_expected_tables() {
     let study = r#"{"study":"tiny","command":"measure it","text":"abc","machine":"none","points":[
-        {"figure":"bees","case":"rest","unit":"B/s","by":"servers","size":10,"seed":1,"value":30},
-        {"figure":"bees","case":"rest","unit":"B/s","by":"servers","size":10,"seed":2,"value":34},
-        {"figure":"bees","case":"rest","unit":"B/s","by":"servers","size":20,"seed":1,"value":52},
-        {"figure":"bees","case":"storm","unit":"B/s","by":"servers","size":20,"seed":1,"value":99}]}"#;
+        {"figure":"fitted","case":"rest","unit":"B/s","by":"servers","size":10,"seed":1,"value":30},
+        {"figure":"fitted","case":"rest","unit":"B/s","by":"servers","size":10,"seed":2,"value":34},
+        {"figure":"fitted","case":"rest","unit":"B/s","by":"servers","size":20,"seed":1,"value":52},
+        {"figure":"fitted","case":"storm","unit":"B/s","by":"servers","size":20,"seed":1,"value":99}]}"#;
     let servers = ("servers", 100.0);
-    let of = |name| {
-        row(Role::Server, name, "a test", "B/s", servers).formula("as measured").by_mechanism("a hive")
+    let server_row = |name| {
+        row(Role::Server, name, "a test", "B/s", servers)
+            .formula("as measured")
+            .by_mechanism("a test mechanism")
     };
     let rows = [
-        of("bees").measured(&["bees"], &["rest"]).within(250.0, "the hive"),
-        of("wasps").computed("a nest", 3.0, 0.0).within(250.0, "the hive").rests_on(&["hornets"]),
-        of("hornets").computed("a nest", 0.0, 260.0).within(250.0, "the hive"),
-        of("moths").measured(&["moths"], &[]).within(250.0, "the hive"),
-        of("ants").no_mechanism("none").rests_on(&["wasps"]),
-        of("all").sum_of(&["bees", "wasps"]).within(1000.0, "the hive"),
-        of("most").sum_of(&["bees", "moths"]).within(1000.0, "the hive"),
+        server_row("fitted").measured(&["fitted"], &["rest"]).within(250.0, "a test budget"),
+        server_row("slope_over")
+            .computed("test code", 3.0, 0.0)
+            .within(250.0, "a test budget")
+            .requires(&["base_over"]),
+        server_row("base_over").computed("test code", 0.0, 260.0).within(250.0, "a test budget"),
+        server_row("unmeasured").measured(&["unmeasured"], &[]).within(250.0, "a test budget"),
+        server_row("uncarried").no_mechanism("none").requires(&["slope_over"]),
+        server_row("sum").sum_of(&["fitted", "slope_over"]).within(1000.0, "a test budget"),
+        server_row("partial_sum").sum_of(&["fitted", "unmeasured"]).within(1000.0, "a test budget"),
     ];
-    let report = report_of(&rows, &studies(&[study]), &Known::default());
+    let report = build_report_from_rows(&rows, &measurements(&[study]), &MissingList::default());
     expect![[r#"
-        | role   | row     | at the target    | at twice  | budget  | ratio | state        |
-        |--------|---------|------------------|-----------|---------|-------|--------------|
-        | server | bees    | 212 B/s          | 412 B/s   | 250 B/s | 0.848 | fits         |
-        | server | wasps   | 300 B/s          | 600 B/s   | 250 B/s | 1.2   | missing      |
-        | server | hornets | 260 B/s          | 260 B/s   | 250 B/s | 1.04  | missing      |
-        | server | moths   | not measured     | -         | 250 B/s | -     | not measured |
-        | server | ants    | no mechanism     | -         | -       | -     | missing      |
-        | server | all     | 512 B/s          | 1.01 kB/s | 1 kB/s  | 0.512 | fits         |
-        | server | most    | at least 212 B/s | -         | 1 kB/s  | -     | not measured |
+        | role   | row         | at the target    | at twice  | budget  | ratio | state        |
+        |--------|-------------|------------------|-----------|---------|-------|--------------|
+        | server | fitted      | 212 B/s          | 412 B/s   | 250 B/s | 0.848 | fits         |
+        | server | slope_over  | 300 B/s          | 600 B/s   | 250 B/s | 1.2   | missing      |
+        | server | base_over   | 260 B/s          | 260 B/s   | 250 B/s | 1.04  | missing      |
+        | server | unmeasured  | not measured     | -         | 250 B/s | -     | not measured |
+        | server | uncarried   | no mechanism     | -         | -       | -     | missing      |
+        | server | sum         | 512 B/s          | 1.01 kB/s | 1 kB/s  | 0.512 | fits         |
+        | server | partial_sum | at least 212 B/s | -         | 1 kB/s  | -     | not measured |
 
         Missing, in the order in which they rest on each other:
-        1. hornets, carries 2
-        2. wasps, carries 1
-        3. ants, carries 0
+        1. base_over, carries 2
+        2. slope_over, carries 1
+        3. uncarried, carries 0
     "#]]
     .assert_eq(&summary(&report));
     expect![[r#"
-        wasps: 300 B/s at the target, over its budget of 250 B/s, 1.2 times; not named as missing
-        hornets: 260 B/s at the target, over its budget of 250 B/s, 1.04 times; not named as missing
-        ants: nothing carries it; not named as missing"#]]
+        slope_over: 300 B/s at the target, over its budget of 250 B/s, 1.2 times; not named as missing
+        base_over: 260 B/s at the target, over its budget of 250 B/s, 1.04 times; not named as missing
+        uncarried: nothing carries it; not named as missing"#]]
     .assert_eq(&report.faults.join("\n"));
-    assert_eq!(report.lines[0].stops_at, Stops::At(119.0));
-    let table = &blocks(&with(studies(&[study])), &report)[4];
+    assert_eq!(report.lines[0].budget_crossing, BudgetCrossing::At(119.0));
+    let table = &generated_tables(&input_with(measurements(&[study])), &report)[4];
     expect![[r#"
         | row | what | by | slope | base | off by | at the target | at twice | budget | ratio | stops at | state |
         | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |
-        | `bees` | a test | 100 servers | 2 | 12 | 3.85 % | 212 B/s | 412 B/s | 250 B/s | 0.848 | 119 servers | fits |
-        | `wasps` | a test | 100 servers | 3 | 0 | - | 300 B/s | 600 B/s | 250 B/s | 1.2 | 83.3 servers | missing |
-        | `hornets` | a test | 100 servers | 0 | 260 | - | 260 B/s | 260 B/s | 250 B/s | 1.04 | at any size | missing |
-        | `moths` | a test | 100 servers | - | - | - | not measured | - | 250 B/s | - | - | not measured |
-        | `ants` | a test | 100 servers | - | - | - | no mechanism | - | - | - | - | missing |
-        | `all` | a test | 100 servers | - | - | - | 512 B/s | 1.01 kB/s | 1 kB/s | 0.512 | - | fits |
-        | `most` | a test | 100 servers | - | - | - | at least 212 B/s | - | 1 kB/s | - | - | not measured |
+        | `fitted` | a test | 100 servers | 2 | 12 | 3.85 % | 212 B/s | 412 B/s | 250 B/s | 0.848 | 119 servers | fits |
+        | `slope_over` | a test | 100 servers | 3 | 0 | - | 300 B/s | 600 B/s | 250 B/s | 1.2 | 83.3 servers | missing |
+        | `base_over` | a test | 100 servers | 0 | 260 | - | 260 B/s | 260 B/s | 250 B/s | 1.04 | at any size | missing |
+        | `unmeasured` | a test | 100 servers | - | - | - | not measured | - | 250 B/s | - | - | not measured |
+        | `uncarried` | a test | 100 servers | - | - | - | no mechanism | - | - | - | - | missing |
+        | `sum` | a test | 100 servers | - | - | - | 512 B/s | 1.01 kB/s | 1 kB/s | 0.512 | - | fits |
+        | `partial_sum` | a test | 100 servers | - | - | - | at least 212 B/s | - | 1 kB/s | - | - | not measured |
 
         | row | formula | measured by, or computed from | budget from | carried by |
         | --- | --- | --- | --- | --- |
-        | `bees` | as measured | measure it (2 sizes from 10 to 20, 3 points) | the hive | a hive |
-        | `wasps` | as measured | computed from a nest | the hive | a hive |
-        | `hornets` | as measured | computed from a nest | the hive | a hive |
-        | `moths` | as measured | not measured | the hive | a hive |
-        | `ants` | as measured | not measured | - | none |
-        | `all` | as measured | the rows above | the hive | a hive |
-        | `most` | as measured | the rows above, without moths, which nobody measured | the hive | a hive |
+        | `fitted` | as measured | measure it (2 sizes from 10 to 20, 3 points) | a test budget | a test mechanism |
+        | `slope_over` | as measured | computed from test code | a test budget | a test mechanism |
+        | `base_over` | as measured | computed from test code | a test budget | a test mechanism |
+        | `unmeasured` | as measured | not measured | a test budget | a test mechanism |
+        | `uncarried` | as measured | not measured | - | none |
+        | `sum` | as measured | the rows above | a test budget | a test mechanism |
+        | `partial_sum` | as measured | the rows above, without unmeasured, which nobody measured | a test budget | a test mechanism |
     "#]].assert_eq(&table.text);
 }
 
 #[test]
-fn figures_have_three_digits() {
-    let seen: Vec<String> =
-        [0.0, 0.00012345, 0.99999, 1.2345, 13.0, 999.6, 1234.5, 469_800.0, -25.25].map(digits).into();
-    expect!["0 0.000123 1 1.23 13 1,000 1,230 470,000 -25.2"].assert_eq(&seen.join(" "));
-    let bytes = [12.0, 41.9e6, 875.0, 27_000.0].map(|value| with_unit(value, "B/s"));
+fn numbers_have_three_significant_digits() {
+    let formatted: Vec<String> = [0.0, 0.00012345, 0.99999, 1.2345, 13.0, 999.6, 1234.5, 469_800.0, -25.25]
+        .map(format_significant)
+        .into();
+    expect!["0 0.000123 1 1.23 13 1,000 1,230 470,000 -25.2"].assert_eq(&formatted.join(" "));
+    let bytes = [12.0, 41.9e6, 875.0, 27_000.0].map(|value| format_with_unit(value, "B/s"));
     expect!["12 B/s, 41.9 MB/s, 875 B/s, 27 kB/s"].assert_eq(&bytes.join(", "));
 }
