--- a/crates/hazelspur-simulator/src/membership_protocols/mod.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/mod.rs
@@ -2,7 +2,7 @@
 
 pub mod foca;
 pub mod heartbeat;
-pub mod lightweight;
+pub mod send_only;
 pub mod swim;
 pub mod zoned;
 
--- a/crates/hazelspur-simulator/src/models/mod.rs
+++ b/crates/hazelspur-simulator/src/models/mod.rs
@@ -1,6 +1,6 @@
 //! What lies round the real decision modules, one place each.
 
 pub mod cores;
+pub mod dependency;
 pub mod gateways;
-pub mod ledger;
-pub mod list;
+pub mod server_list;
--- a/crates/hazelspur-simulator/src/simulation/mod.rs
+++ b/crates/hazelspur-simulator/src/simulation/mod.rs
@@ -16,9 +16,9 @@
 pub use script::ScriptAction;
 
 use crate::event_queue::EventQueue;
+use crate::models::dependency::Ledger;
 use crate::models::gateways::Gateways;
-use crate::models::ledger::Ledger;
-use crate::models::list::List;
+use crate::models::server_list::List;
 use crate::network::Network;
 use crate::test_fleet::START;
 use config::{REQUEST_TIMEOUT, WORK_BY_CLASS_S};
--- a/crates/hazelspur-simulator/src/simulation/server.rs
+++ b/crates/hazelspur-simulator/src/simulation/server.rs
@@ -5,7 +5,7 @@
 use super::{ONE_WAY_LATENCY, Simulation};
 use crate::models::cores::Cores;
 use crate::models::gateways::Asked;
-use crate::models::list::REPORT_PERIOD;
+use crate::models::server_list::REPORT_PERIOD;
 use hazelspur::{
     AdmissionController, ClientId, NewRequest, Outcome, RequestClassId, RequestId, RuntimeGauges, TenantId,
     Timestamp,
--- a/crates/hazelspur-simulator/src/studies/scale/mod.rs
+++ b/crates/hazelspur-simulator/src/studies/scale/mod.rs
@@ -8,7 +8,7 @@
 pub use shares::{SharesCase, play_shares};
 
 use crate::membership_protocols::MembershipProtocol;
-use crate::membership_protocols::lightweight::{Lightweight, Rate};
+use crate::membership_protocols::send_only::{Lightweight, Rate};
 use crate::membership_protocols::zoned::{REGIONS, Together, ZONES, ZonedSwim};
 use crate::network::Network;
 use crate::test_fleet::{TestFleet, Traffic};
