--- a/crates/hazelspur-simulator/src/cli/choices.rs
+++ b/crates/hazelspur-simulator/src/cli/choices.rs
@@ -3,7 +3,7 @@
 use super::table::{interval, markdown_table};
 use clap::Args;
 use comfy_table::Table;
-use hazelspur_simulator::on_all_cores;
+use hazelspur_simulator::map_in_parallel;
 use hazelspur_simulator::simulation::Coordination;
 use hazelspur_simulator::studies::choices::{Case, Hard, Outcome, play};
 use std::time::Instant;
@@ -104,7 +104,7 @@
     let cases: Vec<Case> =
         (1..=arguments.seeds).map(|seed| Case { hard, way, servers, seed, floor: arguments.floor }).collect();
     let began = Instant::now();
-    let outcomes = on_all_cores(&cases, arguments.threads, play);
+    let outcomes = map_in_parallel(&cases, arguments.threads, play);
     let speed = RUN_S * (servers as u64 * arguments.seeds) as f64 / began.elapsed().as_secs_f64();
     if arguments.by_second {
         let by_second = &outcomes[0].figures.succeeded_by_second;
--- a/crates/hazelspur-simulator/src/cli/scale.rs
+++ b/crates/hazelspur-simulator/src/cli/scale.rs
@@ -3,7 +3,7 @@
 use clap::Args;
 use comfy_table::{Table, presets};
 use hazelspur::Duration;
-use hazelspur_simulator::on_all_cores;
+use hazelspur_simulator::map_in_parallel;
 use hazelspur_simulator::studies::scale::points::{Point, Study, lines};
 use hazelspur_simulator::studies::scale::{Between, Case, Machine, SharesCase, Situation, play, play_shares};
 use hazelspur_simulator::studies::shares::Trouble;
@@ -174,7 +174,7 @@
     arguments.check_names()?;
     let runs = arguments.runs();
     let began = Instant::now();
-    let outcomes = on_all_cores(&runs, arguments.threads, |run| {
+    let outcomes = map_in_parallel(&runs, arguments.threads, |run| {
         let in_time = began.elapsed().as_secs_f64() <= arguments.minutes * SECONDS_PER_MINUTE;
         in_time.then(|| run.play())
     });
--- a/crates/hazelspur-simulator/src/cli/shares.rs
+++ b/crates/hazelspur-simulator/src/cli/shares.rs
@@ -2,7 +2,7 @@
 
 use super::table::markdown_table;
 use clap::Args;
-use hazelspur_simulator::on_all_cores;
+use hazelspur_simulator::map_in_parallel;
 use hazelspur_simulator::studies::shares::{Case, Outcome, Trouble, play};
 
 #[derive(Args)]
@@ -33,7 +33,7 @@
             let cases: Vec<Case> = (1..=arguments.seeds)
                 .map(|seed| Case { servers: *size, trouble, seed, limits: 1, between: None })
                 .collect();
-            let all = on_all_cores(&cases, threads, play);
+            let all = map_in_parallel(&cases, threads, play);
             let mean =
                 |of: &dyn Fn(&Outcome) -> f64| all.iter().map(of).sum::<f64>() / all.len().max(1) as f64;
             let most = |of: &dyn Fn(&Outcome) -> f64| all.iter().map(of).fold(0.0, f64::max);
--- a/crates/hazelspur-simulator/src/cli/together.rs
+++ b/crates/hazelspur-simulator/src/cli/together.rs
@@ -3,7 +3,7 @@
 use super::table::markdown_table;
 use clap::Args;
 use hazelspur::Duration;
-use hazelspur_simulator::on_all_cores;
+use hazelspur_simulator::map_in_parallel;
 use hazelspur_simulator::simulation::Figures;
 use hazelspur_simulator::studies::together::{Case, play};
 use std::time::Instant;
@@ -50,7 +50,7 @@
         };
         let cases: Vec<_> = (1..=asked.seeds).map(case).collect();
         let began = Instant::now();
-        let all = on_all_cores(&cases, asked.threads, play);
+        let all = map_in_parallel(&cases, asked.threads, play);
         let speed = (asked.seconds * asked.seeds) as f64 * *servers as f64 / began.elapsed().as_secs_f64();
         let mean = |of: &dyn Fn(&Figures) -> f64| all.iter().map(of).sum::<f64>() / all.len().max(1) as f64;
         if let Some(first) = all.first().filter(|_| asked.by_second) {
@@ -59,7 +59,7 @@
         let slots = 8.0 * *servers as f64;
         table.add_row([
             servers.to_string(),
-            format!("{:.3}", mean(&|f| f.service())),
+            format!("{:.3}", mean(&|f| f.success_fraction())),
             format!("{:.3}", mean(&|f| f.rejected as f64 / f.requests.max(1) as f64)),
             format!("{:.2}", mean(&|f| f.max_concurrent_calls as f64 / slots)),
             format!("{speed:.0}"),
--- a/crates/hazelspur-simulator/src/cli/who_is_here.rs
+++ b/crates/hazelspur-simulator/src/cli/who_is_here.rs
@@ -3,11 +3,11 @@
 use clap::Args;
 use comfy_table::{Table, presets};
 use hazelspur::Duration;
+use hazelspur_simulator::map_in_parallel;
 use hazelspur_simulator::membership_protocols::MembershipProtocol;
 use hazelspur_simulator::membership_protocols::foca::FocaProtocol;
 use hazelspur_simulator::membership_protocols::heartbeat::Heartbeat;
 use hazelspur_simulator::membership_protocols::swim::Swim;
-use hazelspur_simulator::on_all_cores;
 use hazelspur_simulator::studies::who_is_here::{Case, Row, play};
 use std::time::Instant;
 
@@ -57,7 +57,7 @@
     let cases: Vec<Case> =
         (1..=asked.seeds).map(|seed| Case { size, seed, trouble, loss: asked.loss, stop }).collect();
     let began = Instant::now();
-    let outcomes = on_all_cores(&cases, asked.threads, play::<W>);
+    let outcomes = map_in_parallel(&cases, asked.threads, play::<W>);
     // Storm, rests, kills and halves take about eleven minutes besides.
     let simulated = (trouble.secs() + 660.0) * size as f64 * asked.seeds as f64;
     let speed = simulated / began.elapsed().as_secs_f64();
--- a/crates/hazelspur-simulator/src/heap.rs
+++ b/crates/hazelspur-simulator/src/heap.rs
@@ -10,7 +10,7 @@
 }
 
 /// The system's allocator, and a sum beside it.
-pub struct Counting;
+pub struct CountingAllocator;
 
 fn add(bytes: i64) {
     // A thread that ends may free after its own count is gone.
@@ -18,7 +18,7 @@
 }
 
 // SAFETY: each call goes on to the system's allocator as it came; the count touches no memory but its own.
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         add(layout.size() as i64);
         // SAFETY: the caller keeps the contract.
@@ -38,8 +38,9 @@
     }
 }
 
-/// What this thread asked for and has not given back; none where `Counting` is not the program's allocator.
-pub fn live() -> Option<i64> {
+/// What this thread asked for and has not given back; none where `CountingAllocator` is not the program's
+/// allocator.
+pub fn live_bytes() -> Option<i64> {
     let count = || LIVE.with(Cell::get);
     let before = count();
     let probe = std::hint::black_box(Box::new([0u8; 64]));
--- a/crates/hazelspur-simulator/src/lib.rs
+++ b/crates/hazelspur-simulator/src/lib.rs
@@ -28,7 +28,11 @@
 pub mod test_fleet;
 
 /// Plays each of `inputs` on the machine's cores; results in the order of the inputs.
-pub fn on_all_cores<T: Sync, R: Send>(inputs: &[T], threads: usize, play: impl Fn(&T) -> R + Sync) -> Vec<R> {
+pub fn map_in_parallel<T: Sync, R: Send>(
+    inputs: &[T],
+    threads: usize,
+    play: impl Fn(&T) -> R + Sync,
+) -> Vec<R> {
     let next = std::sync::atomic::AtomicUsize::new(0);
     let done = std::sync::Mutex::new(Vec::new());
     std::thread::scope(|scope| {
--- a/crates/hazelspur-simulator/src/main.rs
+++ b/crates/hazelspur-simulator/src/main.rs
@@ -9,7 +9,7 @@
 
 /// Counts the heap that a run uses.
 #[global_allocator]
-static HEAP: hazelspur_simulator::heap::Counting = hazelspur_simulator::heap::Counting;
+static HEAP: hazelspur_simulator::heap::CountingAllocator = hazelspur_simulator::heap::CountingAllocator;
 
 fn main() {
     cli::CommandLine::parse().run();
--- a/crates/hazelspur-simulator/src/membership_protocols/foca.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/foca.rs
@@ -15,12 +15,12 @@
 
 /// The identity of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Id {
+pub struct FocaIdentity {
     number: u16,
     generation: u64,
 }
 
-impl Identity for Id {
+impl Identity for FocaIdentity {
     type Addr = u16;
 
     fn renew(&self) -> Option<Self> {
@@ -37,9 +37,9 @@
 }
 
 /// The project's own chance, in the form that the library asks for.
-pub struct Chance(Pcg);
+pub struct PcgRng(Pcg);
 
-impl rand::TryRng for Chance {
+impl rand::TryRng for PcgRng {
     type Error = std::convert::Infallible;
 
     fn try_next_u32(&mut self) -> Result<u32, Self::Error> {
@@ -61,13 +61,13 @@
     now: Timestamp,
     out: VecDeque<(usize, Vec<u8>)>,
     timers: BinaryHeap<Reverse<(Timestamp, u64)>>,
-    set: std::collections::BTreeMap<u64, Timer<Id>>,
+    set: std::collections::BTreeMap<u64, Timer<FocaIdentity>>,
     number: u64,
     notices: VecDeque<MembershipNotice>,
 }
 
-impl Runtime<Id> for Host {
-    fn notify(&mut self, notification: Notification<'_, Id>) {
+impl Runtime<FocaIdentity> for Host {
+    fn notify(&mut self, notification: Notification<'_, FocaIdentity>) {
         match notification {
             Notification::MemberUp(id) => self.notices.push_back(MembershipNotice::Alive(id.number.into())),
             Notification::MemberDown(id) => self.notices.push_back(MembershipNotice::Dead(id.number.into())),
@@ -75,11 +75,11 @@
         }
     }
 
-    fn send_to(&mut self, to: Id, data: &[u8]) {
+    fn send_to(&mut self, to: FocaIdentity, data: &[u8]) {
         self.out.push_back((to.number.into(), data.to_vec()));
     }
 
-    fn submit_after(&mut self, event: Timer<Id>, after: StdDuration) {
+    fn submit_after(&mut self, event: Timer<FocaIdentity>, after: StdDuration) {
         self.number += 1;
         let at = self.now + Duration::from_us(after.as_micros() as u64);
         self.timers.push(Reverse((at, self.number)));
@@ -89,9 +89,9 @@
 
 /// A member by the `foca` crate.
 pub struct FocaProtocol {
-    foca: Foca<Id, PostcardCodec, Chance, NoCustomBroadcast>,
+    foca: Foca<FocaIdentity, PostcardCodec, PcgRng, NoCustomBroadcast>,
     host: Host,
-    me: Id,
+    me: FocaIdentity,
     announce: Timestamp,
     chance: Pcg,
 }
@@ -100,10 +100,11 @@
     fn announce_to_one(&mut self) {
         let contact = SEED_MEMBERS[self.chance.draw() as usize % SEED_MEMBERS.len()];
         if contact != usize::from(self.me.number) {
-            let to = Id { number: contact as u16, generation: 0 };
+            let to = FocaIdentity { number: contact as u16, generation: 0 };
             let _ = self.foca.announce(to, &mut self.host); // tried again
         }
-        self.announce = self.host.now + Duration::from_ms(if self.alive() == 0 { 1000 } else { 10_000 });
+        self.announce =
+            self.host.now + Duration::from_ms(if self.alive_count() == 0 { 1000 } else { 10_000 });
     }
 }
 
@@ -113,7 +114,7 @@
     type Packet = Vec<u8>;
 
     fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
-        let id = Id { number: me as u16, generation: now.us() / 1000 };
+        let id = FocaIdentity { number: me as u16, generation: now.us() / 1000 };
         let size = (most as f64 + 1.0).log10();
         let each = |ms, members: usize| {
             let num_members = NonZeroUsize::MIN.saturating_add(members - 1);
@@ -132,7 +133,7 @@
             periodic_announce_to_down_members: each(1000, 1),
             periodic_gossip: each(500, 2),
         };
-        let foca = Foca::new(id, config, Chance(Pcg::new(seed)), PostcardCodec);
+        let foca = Foca::new(id, config, PcgRng(Pcg::new(seed)), PostcardCodec);
         let mut way = Self {
             foca,
             host: Host { now, ..Host::default() },
@@ -180,7 +181,7 @@
         self.host.notices.pop_front()
     }
 
-    fn alive(&self) -> usize {
+    fn alive_count(&self) -> usize {
         self.foca.iter_members().count()
     }
 }
--- a/crates/hazelspur-simulator/src/membership_protocols/heartbeat.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/heartbeat.rs
@@ -154,7 +154,7 @@
         self.notices.pop_front()
     }
 
-    fn alive(&self) -> usize {
+    fn alive_count(&self) -> usize {
         self.seen.len()
     }
 }
--- a/crates/hazelspur-simulator/src/membership_protocols/mod.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/mod.rs
@@ -50,10 +50,10 @@
     /// Prepares the goodbye of an incarnation that ends in good order, where the protocol has one.
     fn leave(&mut self, _now: Timestamp) {}
     /// How many other members are considered alive.
-    fn alive(&self) -> usize;
+    fn alive_count(&self) -> usize;
     /// Entries in the membership table, in whatever state.
-    fn entries(&self) -> usize {
-        self.alive()
+    fn entry_count(&self) -> usize {
+        self.alive_count()
     }
 }
 
--- a/crates/hazelspur-simulator/src/membership_protocols/send_only.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/send_only.rs
@@ -1,7 +1,7 @@
 //! Talkers without a machine, that send as many datagrams of as many claims as asked for and forget what they
 //! hear: played to measure what the laboratory itself costs. They know nobody and hold nothing.
 
-use super::swim::{address, name};
+use super::swim::{member_address, member_name};
 use super::{MembershipNotice, MembershipProtocol, OutgoingPacket};
 use hazelspur::pcg::Pcg;
 use hazelspur::{Duration, Timestamp};
@@ -11,15 +11,15 @@
 
 /// What each sends.
 #[derive(Clone, Copy, Debug)]
-pub struct Rate {
+pub struct SendRate {
     pub servers: usize,
     /// A second.
-    pub datagrams: f64,
-    pub bytes: f64,
+    pub datagrams_per_s: f64,
+    pub bytes_per_s: f64,
 }
 
 /// A member that only sends.
-pub struct Lightweight {
+pub struct SendOnlyMember {
     chance: Pcg,
     servers: usize,
     every: Duration,
@@ -28,13 +28,13 @@
     packet: Datagram,
 }
 
-impl Lightweight {
+impl SendOnlyMember {
     /// Claims go along until the datagram is as long as is asked for.
-    pub fn new(me: usize, rate: Rate, seed: u64, now: Timestamp) -> Self {
+    pub fn new(me: usize, rate: SendRate, seed: u64, now: Timestamp) -> Self {
         let claim = |of: usize| MemberUpdate {
-            name: name(of),
+            name: member_name(of),
             site: SiteName::new("east-1").expect("a short name"),
-            address: address(of),
+            address: member_address(of),
             generation: Generation(now.us() / 1000),
             incarnation: Incarnation(0),
             state: MemberState::Alive,
@@ -48,26 +48,26 @@
             load_report: None,
             updates: Vec::new(),
         };
-        let long = rate.bytes / rate.datagrams.max(1e-9);
+        let long = rate.bytes_per_s / rate.datagrams_per_s.max(1e-9);
         while (datagram::encoded_length(&packet) as f64) < long
             && packet.updates.len() < datagram::MAX_UPDATES
         {
             packet.updates.push(claim(packet.updates.len()));
         }
-        let every = Duration::from_secs(1.0 / rate.datagrams.max(1e-3));
+        let every = Duration::from_secs(1.0 / rate.datagrams_per_s.max(1e-3));
         let mut chance = Pcg::new(seed);
         let next = now + every.scaled(chance.draw_fraction());
         Self { chance, servers: rate.servers, every, next, waits: false, packet }
     }
 }
 
-impl MembershipProtocol for Lightweight {
+impl MembershipProtocol for SendOnlyMember {
     /// How this protocol is named in the printed tables.
     const NAME: &'static str = "no machine";
     type Packet = Datagram;
 
     fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
-        Self::new(me, Rate { servers: most, datagrams: 10.0, bytes: 1000.0 }, seed, now)
+        Self::new(me, SendRate { servers: most, datagrams_per_s: 10.0, bytes_per_s: 1000.0 }, seed, now)
     }
 
     fn receive(&mut self, _now: Timestamp, _packet: &Datagram) {}
@@ -98,7 +98,7 @@
         None
     }
 
-    fn alive(&self) -> usize {
+    fn alive_count(&self) -> usize {
         0
     }
 }
--- a/crates/hazelspur-simulator/src/membership_protocols/swim.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/swim.rs
@@ -13,17 +13,17 @@
 pub struct Swim(pub Membership);
 
 /// The name of a server by its number.
-pub fn name(of: usize) -> MemberName {
+pub fn member_name(of: usize) -> MemberName {
     MemberName::new(&format!("n{of}")).expect("a short name")
 }
 
 /// The address of a server by its number.
-pub fn address(of: usize) -> SocketAddr {
+pub fn member_address(of: usize) -> SocketAddr {
     SocketAddr::from(([127, 1, (of >> 8) as u8, (of & 255) as u8], 7000))
 }
 
 /// The number of a server by its address; `usize::MAX` for an unknown one.
-pub fn number(at: SocketAddr) -> usize {
+pub fn server_number(at: SocketAddr) -> usize {
     match at {
         SocketAddr::V4(at) => usize::from(at.ip().octets()[2]) << 8 | usize::from(at.ip().octets()[3]),
         SocketAddr::V6(_) => usize::MAX,
@@ -35,13 +35,13 @@
 }
 
 /// The configuration of a member in a fleet of at most `most` servers.
-pub fn terms(me: usize, most: usize) -> NodeConfig {
+pub fn node_config(me: usize, most: usize) -> NodeConfig {
     NodeConfig {
         installation: Installation::new("lab").expect("a short name"),
-        name: name(me),
+        name: member_name(me),
         site: SiteName::new(["east", "west", "north"][me % 3]).expect("a short name"),
-        address: address(me),
-        seeds: SEED_MEMBERS.iter().map(|of| address(*of)).collect(),
+        address: member_address(me),
+        seeds: SEED_MEMBERS.iter().map(|of| member_address(*of)).collect(),
         max_servers: most,
         probe_period: Duration::from_ms(1000),
         retention: Duration::from_ms(900_000),
@@ -54,7 +54,7 @@
     type Packet = Datagram;
 
     fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
-        Self(Membership::new(terms(me, most), Generation(now.us() / 1000), seed, now))
+        Self(Membership::new(node_config(me, most), Generation(now.us() / 1000), seed, now))
     }
 
     fn receive(&mut self, now: Timestamp, packet: &Datagram) {
@@ -72,34 +72,34 @@
     fn next_packet(&mut self, now: Timestamp) -> Option<OutgoingPacket<Datagram>> {
         let OutgoingDatagram { address, datagram } = self.0.next_datagram(now)?;
         let bytes = datagram::encoded_length(&datagram);
-        Some(OutgoingPacket { receiver: number(address), packet: datagram, bytes })
+        Some(OutgoingPacket { receiver: server_number(address), packet: datagram, bytes })
     }
 
     fn next_notice(&mut self) -> Option<MembershipNotice> {
-        notice(&mut self.0)
+        next_notice(&mut self.0)
     }
 
     fn leave(&mut self, now: Timestamp) {
         self.0.announce_left(now);
     }
 
-    fn alive(&self) -> usize {
-        alive(&self.0)
+    fn alive_count(&self) -> usize {
+        count_alive(&self.0)
     }
 
-    fn entries(&self) -> usize {
+    fn entry_count(&self) -> usize {
         self.0.statuses().count()
     }
 }
 
 /// How many others these hold for alive, the suspected among them.
-pub fn alive(members: &Membership) -> usize {
+pub fn count_alive(members: &Membership) -> usize {
     let alive = |standing| matches!(standing, MemberStatus::Alive | MemberStatus::Suspected);
     members.statuses().filter(|(_, standing)| alive(*standing)).count()
 }
 
 /// The next event that concerns who is here.
-pub fn notice(members: &mut Membership) -> Option<MembershipNotice> {
+pub fn next_notice(members: &mut Membership) -> Option<MembershipNotice> {
     loop {
         match members.next_event()? {
             MembershipEvent::Joined(name) | MembershipEvent::Recovered(name) => {
--- a/crates/hazelspur-simulator/src/membership_protocols/zoned.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/zoned.rs
@@ -1,7 +1,7 @@
 //! The real machines in two regions of three zones each: members by themselves, and members, signals and shares
 //! together as one server has them. The studies of scale play them; nothing here decides.
 
-use super::swim::{Swim, alive, name, notice, number, terms as terms_of_three};
+use super::swim::{Swim, count_alive, member_name, next_notice, node_config, server_number};
 use super::{MembershipNotice, MembershipProtocol, OutgoingPacket};
 use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::membership::OutgoingDatagram;
@@ -33,13 +33,13 @@
 const VOTE_DURATION: Duration = Duration::from_ms(4000);
 
 /// As those of three sites, in its zone.
-pub fn terms(me: usize, most: usize) -> NodeConfig {
+pub fn zoned_node_config(me: usize, most: usize) -> NodeConfig {
     let site = SiteName::new(ZONE_NAMES[me % ZONES]).expect("a short name");
-    NodeConfig { site, ..terms_of_three(me, most) }
+    NodeConfig { site, ..node_config(me, most) }
 }
 
 /// So many limits alike over `servers`, divided among `most` at most.
-pub fn share_terms(servers: usize, most: usize, limits: usize) -> QuotaConfig {
+pub fn quota_config(servers: usize, most: usize, limits: usize) -> QuotaConfig {
     let limit = |at: usize| SharedLimit {
         name: LimitName::new(&format!("limit-{at}")).expect("a short name"),
         total: SLOTS_PER_SERVER * servers as f64,
@@ -47,7 +47,7 @@
         residual_duration: RESIDUAL_DURATION,
         max_turn: None,
     };
-    let voters = (0..VOTERS).map(name).collect();
+    let voters = (0..VOTERS).map(member_name).collect();
     QuotaConfig {
         voters,
         max_servers: most,
@@ -65,7 +65,7 @@
     type Packet = Datagram;
 
     fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
-        Self(Swim(Membership::new(terms(me, most), Generation(now.us() / 1000), seed, now)))
+        Self(Swim(Membership::new(zoned_node_config(me, most), Generation(now.us() / 1000), seed, now)))
     }
 
     fn receive(&mut self, now: Timestamp, packet: &Datagram) {
@@ -92,17 +92,17 @@
         self.0.leave(now);
     }
 
-    fn alive(&self) -> usize {
-        self.0.alive()
+    fn alive_count(&self) -> usize {
+        self.0.alive_count()
     }
 
-    fn entries(&self) -> usize {
-        self.0.entries()
+    fn entry_count(&self) -> usize {
+        self.0.entry_count()
     }
 }
 
 /// All that one server has together, with so many limits shared.
-pub struct Together<const LIMITS: usize> {
+pub struct ZonedFleetNode<const LIMITS: usize> {
     pub node: FleetNode,
     /// The last input was then.
     last: Timestamp,
@@ -114,16 +114,16 @@
     Clocks { wall: now, monotonic: now }
 }
 
-impl<const LIMITS: usize> MembershipProtocol for Together<LIMITS> {
+impl<const LIMITS: usize> MembershipProtocol for ZonedFleetNode<LIMITS> {
     /// How this protocol is named in the printed tables.
     const NAME: &'static str = "members, signals and shares";
     type Packet = Datagram;
 
     /// A fifth of `most` is room for more servers than there are.
     fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
-        let shares = share_terms(most * 4 / 5, most, LIMITS);
+        let shares = quota_config(most * 4 / 5, most, LIMITS);
         let generation = Generation(now.us() / 1000);
-        let mut node = FleetNode::new(terms(me, most), Some(shares), generation, seed, at(now));
+        let mut node = FleetNode::new(zoned_node_config(me, most), Some(shares), generation, seed, at(now));
         for limit in 0..LIMITS {
             // Some want half of what an equal share were, some twice that.
             let want = SLOTS_PER_SERVER * [0.5, 0.8, 1.2, 2.0][(me + limit) % 4];
@@ -154,11 +154,11 @@
     fn next_packet(&mut self, now: Timestamp) -> Option<OutgoingPacket<Datagram>> {
         let OutgoingDatagram { address, datagram } = self.node.next_datagram(at(now))?;
         let bytes = datagram::encoded_length(&datagram);
-        Some(OutgoingPacket { receiver: number(address), packet: datagram, bytes })
+        Some(OutgoingPacket { receiver: server_number(address), packet: datagram, bytes })
     }
 
     fn next_notice(&mut self) -> Option<MembershipNotice> {
-        notice(&mut self.node.membership)
+        next_notice(&mut self.node.membership)
     }
 
     fn leave(&mut self, now: Timestamp) {
@@ -166,18 +166,18 @@
         self.node.membership.announce_left(now);
     }
 
-    fn alive(&self) -> usize {
-        alive(&self.node.membership)
+    fn alive_count(&self) -> usize {
+        count_alive(&self.node.membership)
     }
 
-    fn entries(&self) -> usize {
+    fn entry_count(&self) -> usize {
         self.node.membership.statuses().count()
     }
 }
 
-impl<const LIMITS: usize> Together<LIMITS> {
+impl<const LIMITS: usize> ZonedFleetNode<LIMITS> {
     /// What it may use of a limit.
-    pub fn share(&self, now: Timestamp, limit: LimitId) -> f64 {
+    pub fn usable_quota(&self, now: Timestamp, limit: LimitId) -> f64 {
         self.node.quota.as_ref().map_or(0.0, |shares| shares.share(now, limit).amount)
     }
 }
--- a/crates/hazelspur-simulator/src/models/dependency.rs
+++ b/crates/hazelspur-simulator/src/models/dependency.rs
@@ -5,37 +5,45 @@
 
 /// The shared dependency of all servers.
 #[derive(Clone, Debug)]
-pub struct Ledger {
+pub struct SharedDependency {
     pub slots: f64,
-    pub call: Duration,
+    pub call_duration: Duration,
     /// By how many times all calls are slower now.
-    pub slow: f64,
+    pub slowdown: f64,
     pub down: bool,
-    out: usize,
-    pub most_out: usize,
+    concurrent_calls: usize,
+    pub max_concurrent_calls: usize,
     pub calls: u64,
 }
 
-impl Ledger {
+impl SharedDependency {
     /// A healthy ledger without calls.
-    pub fn new(slots: f64, call: Duration) -> Self {
-        Self { slots, call, slow: 1.0, down: false, out: 0, most_out: 0, calls: 0 }
+    pub fn new(slots: f64, call_duration: Duration) -> Self {
+        Self {
+            slots,
+            call_duration,
+            slowdown: 1.0,
+            down: false,
+            concurrent_calls: 0,
+            max_concurrent_calls: 0,
+            calls: 0,
+        }
     }
 
     /// How long a call that begins now takes; `None` while nobody answers.
-    pub fn begin(&mut self) -> Option<Duration> {
+    pub fn begin_call(&mut self) -> Option<Duration> {
         if self.down {
             return None;
         }
-        self.out += 1;
+        self.concurrent_calls += 1;
         self.calls += 1;
-        self.most_out = self.most_out.max(self.out);
-        let crowd = (self.out as f64 / self.slots).max(1.0);
-        Some(self.call.scaled(self.slow * crowd * crowd))
+        self.max_concurrent_calls = self.max_concurrent_calls.max(self.concurrent_calls);
+        let crowd = (self.concurrent_calls as f64 / self.slots).max(1.0);
+        Some(self.call_duration.scaled(self.slowdown * crowd * crowd))
     }
 
     /// Ends one call.
-    pub fn end(&mut self) {
-        self.out = self.out.saturating_sub(1);
+    pub fn end_call(&mut self) {
+        self.concurrent_calls = self.concurrent_calls.saturating_sub(1);
     }
 }
--- a/crates/hazelspur-simulator/src/models/gateways.rs
+++ b/crates/hazelspur-simulator/src/models/gateways.rs
@@ -6,44 +6,44 @@
 
 /// How a gateway treats rejected requests.
 #[derive(Clone, Copy, Debug)]
-pub struct Habits {
+pub struct RetryPolicy {
     /// Tries after the first.
-    pub retries: u32,
+    pub max_retries: u32,
     /// A refused request goes on to the next server; otherwise it is over.
-    pub walk_on: bool,
+    pub retries_elsewhere: bool,
     /// It stays away as long as it is told to.
-    pub heed: bool,
+    pub obeys_server: bool,
 }
 
-impl Habits {
+impl RetryPolicy {
     /// A mixture, by the gateway's number.
-    pub fn of(gateway: usize) -> Self {
+    pub fn of_gateway(gateway: usize) -> Self {
         Self {
-            retries: [0, 1, 2, 4][gateway % 4],
-            walk_on: !gateway.is_multiple_of(3),
-            heed: gateway % 4 < 2,
+            max_retries: [0, 1, 2, 4][gateway % 4],
+            retries_elsewhere: !gateway.is_multiple_of(3),
+            obeys_server: gateway % 4 < 2,
         }
     }
 }
 
 /// A request as its client sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked {
+pub struct ClientRequest {
     pub gateway: usize,
     pub request_class: usize,
-    pub begun: Timestamp,
-    pub due: Timestamp,
-    pub work: f64,
-    pub left: u32,
+    pub first_sent: Timestamp,
+    pub deadline: Timestamp,
+    pub work_s: f64,
+    pub retries_left: u32,
 }
 
 /// All gateways and their arrival process.
 pub struct Gateways {
     pub count: usize,
-    pub rate: f64,
+    pub requests_per_s: f64,
     pub timeout: Duration,
     /// Mean seconds of work of each request class.
-    pub work: Vec<f64>,
+    pub mean_work_s: Vec<f64>,
     /// Servers there may be.
     all: usize,
     turn: usize,
@@ -52,27 +52,40 @@
 }
 
 impl Gateways {
-    /// Gateways that send `rate` requests a second in all.
-    pub fn new(count: usize, all: usize, rate: f64, timeout: Duration, work: Vec<f64>) -> Self {
-        Self { count, rate, timeout, work, all, turn: 0, first_turn: 0 }
+    /// Gateways that send `requests_per_s` requests a second in all.
+    pub fn new(
+        count: usize,
+        all: usize,
+        requests_per_s: f64,
+        timeout: Duration,
+        mean_work_s: Vec<f64>,
+    ) -> Self {
+        Self { count, requests_per_s, timeout, mean_work_s, all, turn: 0, first_turn: 0 }
     }
 
     /// Draws the time until the next request.
-    pub fn gap(&self, chance: &mut Pcg) -> Duration {
-        Duration::from_secs(-(1.0 - chance.draw_fraction()).ln() / self.rate.max(1e-9))
+    pub fn draw_interval(&self, chance: &mut Pcg) -> Duration {
+        Duration::from_secs(-(1.0 - chance.draw_fraction()).ln() / self.requests_per_s.max(1e-9))
     }
 
     /// Draws the next request.
-    pub fn next(&mut self, now: Timestamp, chance: &mut Pcg) -> Asked {
+    pub fn draw_request(&mut self, now: Timestamp, chance: &mut Pcg) -> ClientRequest {
         let gateway = chance.draw() as usize % self.count;
-        let request_class = chance.draw() as usize % self.work.len();
-        let work = self.work[request_class] * (0.5 + chance.draw_fraction());
-        let due = now + self.timeout;
-        Asked { gateway, request_class, begun: now, due, work, left: Habits::of(gateway).retries }
+        let request_class = chance.draw() as usize % self.mean_work_s.len();
+        let work_s = self.mean_work_s[request_class] * (0.5 + chance.draw_fraction());
+        let deadline = now + self.timeout;
+        ClientRequest {
+            gateway,
+            request_class,
+            first_sent: now,
+            deadline,
+            work_s,
+            retries_left: RetryPolicy::of_gateway(gateway).max_retries,
+        }
     }
 
     /// The next listed server in turn among the first `servers`, other than the one that was just tried.
-    pub fn pick(
+    pub fn pick_server(
         &mut self,
         servers: usize,
         not: Option<usize>,
--- a/crates/hazelspur-simulator/src/models/server_list.rs
+++ b/crates/hazelspur-simulator/src/models/server_list.rs
@@ -12,19 +12,19 @@
 
 /// The server list as gateways read it.
 #[derive(Clone, Debug)]
-pub struct List {
+pub struct ServerList {
     reports: Vec<VecDeque<Timestamp>>,
-    pub late: Duration,
+    pub delay: Duration,
 }
 
-impl List {
-    /// A list that gateways read `late` later.
-    pub fn new(servers: usize, late: Duration) -> Self {
-        Self { reports: vec![VecDeque::new(); servers], late }
+impl ServerList {
+    /// A list that gateways read `delay` later.
+    pub fn new(servers: usize, delay: Duration) -> Self {
+        Self { reports: vec![VecDeque::new(); servers], delay }
     }
 
     /// Records a server's report.
-    pub fn report(&mut self, now: Timestamp, server: usize) {
+    pub fn record_report(&mut self, now: Timestamp, server: usize) {
         let reports = &mut self.reports[server];
         reports.push_back(now);
         if reports.len() > MAX_REPORTS {
@@ -33,8 +33,8 @@
     }
 
     /// Whether gateways see it now.
-    pub fn shows(&self, now: Timestamp, server: usize) -> bool {
-        let at = now.saturating_sub(self.late);
+    pub fn is_listed(&self, now: Timestamp, server: usize) -> bool {
+        let at = now.saturating_sub(self.delay);
         self.reports[server].iter().any(|report| *report <= at && *report + LISTING_DURATION > at)
     }
 }
--- a/crates/hazelspur-simulator/src/network.rs
+++ b/crates/hazelspur-simulator/src/network.rs
@@ -1,5 +1,5 @@
 //! Datagrams between servers. Times are those of a network within a city: a base with an exponential tail,
-//! which reorders by itself. Loss is by chance and independent; a cut is a rule over sender and receiver.
+//! which reorders by itself. Loss is by chance and independent; a partition is a rule over sender and receiver.
 //! Sites may lie in regions, with a lag and a loss of their own between these; there is one region unless told
 //! otherwise.
 
@@ -14,7 +14,7 @@
 const TAIL_MS: f64 = 0.1;
 
 /// Which links carry nothing: by number and site of sender and receiver.
-pub type Cut = fn(from: usize, to: usize) -> bool;
+pub type Partition = fn(from: usize, to: usize) -> bool;
 
 /// The links between all servers.
 #[derive(Clone)]
@@ -23,20 +23,28 @@
     /// Site and region of a server go round by its number, so that each region has as many sites.
     pub regions: usize,
     /// One way, from region to region; in place of what is usual from site to site.
-    pub region_lag: Duration,
+    pub region_latency: Duration,
     /// The share of datagrams lost from region to region, besides `loss`.
     pub region_loss: f64,
     /// Shares of datagrams.
     pub loss: f64,
-    pub doubled: f64,
-    pub cut: Option<Cut>,
+    pub duplicated: f64,
+    pub partition: Option<Partition>,
 }
 
 impl Network {
     /// A healthy network of one region.
     pub fn new(sites: usize) -> Self {
-        let region_lag = Duration::from_us((ACROSS_MS * 1000.0) as u64);
-        Self { sites, regions: 1, region_lag, region_loss: 0.0, loss: 0.0, doubled: 0.0, cut: None }
+        let region_latency = Duration::from_us((ACROSS_MS * 1000.0) as u64);
+        Self {
+            sites,
+            regions: 1,
+            region_latency,
+            region_loss: 0.0,
+            loss: 0.0,
+            duplicated: 0.0,
+            partition: None,
+        }
     }
 
     /// The site of a server.
@@ -50,18 +58,18 @@
     }
 
     /// After how long each copy arrives; none where it is lost.
-    pub fn carry(&self, chance: &mut Pcg, from: usize, to: usize) -> Vec<Duration> {
-        if self.cut.is_some_and(|cut| cut(from, to)) {
+    pub fn draw_delays(&self, chance: &mut Pcg, from: usize, to: usize) -> Vec<Duration> {
+        if self.partition.is_some_and(|partition| partition(from, to)) {
             return Vec::new();
         }
         let apart = self.region(from) != self.region(to);
         let base = match () {
-            () if apart => self.region_lag.secs() * 1000.0,
+            () if apart => self.region_latency.secs() * 1000.0,
             () if self.site(from) == self.site(to) => WITHIN_MS,
             () => ACROSS_MS,
         };
         let loss = if apart { 1.0 - (1.0 - self.loss) * (1.0 - self.region_loss) } else { self.loss };
-        let copies = 1 + usize::from(self.doubled > 0.0 && chance.draw_fraction() < self.doubled);
+        let copies = 1 + usize::from(self.duplicated > 0.0 && chance.draw_fraction() < self.duplicated);
         let mut arrive = Vec::with_capacity(copies);
         for _ in 0..copies {
             let lost = loss > 0.0 && chance.draw_fraction() < loss;
--- a/crates/hazelspur-simulator/src/simulation/client.rs
+++ b/crates/hazelspur-simulator/src/simulation/client.rs
@@ -2,7 +2,7 @@
 
 use super::event::Event;
 use super::{ONE_WAY_LATENCY, Simulation};
-use crate::models::gateways::{Asked, Habits};
+use crate::models::gateways::{ClientRequest, RetryPolicy};
 use hazelspur::{Duration, RequestId};
 
 /// Skewed requests go to one server in so many, the first ones.
@@ -12,19 +12,19 @@
     /// Sends a new request, and schedules the one after it.
     pub(super) fn next_request(&mut self) {
         let now = self.queue.now;
-        let request = self.gateways.next(now, &mut self.random);
+        let request = self.gateways.draw_request(now, &mut self.random);
         self.figures.requests += 1;
         self.send(request, None);
-        let gap = self.gateways.gap(&mut self.random);
+        let gap = self.gateways.draw_interval(&mut self.random);
         self.queue.schedule(now + gap, Event::NextRequest);
     }
 
     /// Sends one attempt to a listed server other than the one that rejected the last.
-    pub(super) fn send(&mut self, request: Asked, rejected_by: Option<usize>) {
+    pub(super) fn send(&mut self, request: ClientRequest, rejected_by: Option<usize>) {
         let now = self.queue.now;
         let candidates = self.candidates(rejected_by.is_none());
         let list = &self.list;
-        let picked = self.gateways.pick(candidates, rejected_by, |server| list.shows(now, server));
+        let picked = self.gateways.pick_server(candidates, rejected_by, |server| list.is_listed(now, server));
         let Some(server) = picked else {
             self.figures.failed += 1;
             return;
@@ -49,10 +49,13 @@
     }
 
     /// Retries a rejected request elsewhere, if its gateway does that and its deadline allows it.
-    pub(super) fn retry(&mut self, rejected_by: usize, mut request: Asked, wait: Duration) {
+    pub(super) fn retry(&mut self, rejected_by: usize, mut request: ClientRequest, wait: Duration) {
         let at = self.queue.now + wait + ONE_WAY_LATENCY;
-        if Habits::of(request.gateway).walk_on && request.left > 0 && at < request.due {
-            request.left -= 1;
+        if RetryPolicy::of_gateway(request.gateway).retries_elsewhere
+            && request.retries_left > 0
+            && at < request.deadline
+        {
+            request.retries_left -= 1;
             self.queue.schedule(at, Event::Retry { rejected_by, request });
         } else {
             self.figures.rejected += 1;
@@ -60,9 +63,9 @@
     }
 
     /// Counts a response on its arrival at the client.
-    pub(super) fn answered(&mut self, request: &Asked) {
+    pub(super) fn answered(&mut self, request: &ClientRequest) {
         let arrival = self.queue.now + ONE_WAY_LATENCY;
-        if arrival > request.due {
+        if arrival > request.deadline {
             self.figures.late += 1;
             return;
         }
--- a/crates/hazelspur-simulator/src/simulation/config.rs
+++ b/crates/hazelspur-simulator/src/simulation/config.rs
@@ -13,7 +13,7 @@
 pub(super) const CROWD_PER_CORE: f64 = 8.0;
 /// Cores of one server unless a study says otherwise.
 const DEFAULT_CORES: f64 = 2.0;
-/// Ledger slots for each server unless a study says otherwise.
+/// Dependency slots for each server unless a study says otherwise.
 const DEFAULT_SLOTS_PER_SERVER: f64 = 8.0;
 /// Duration of an unhindered ledger call unless a study says otherwise.
 const DEFAULT_CALL_DURATION: Duration = Duration::from_ms(10);
@@ -37,7 +37,7 @@
     pub seed: u64,
     /// Demand over the capacity of all servers' cores, without the time at calls.
     pub load: f64,
-    /// Ledger slots for each server, and the configured call concurrency limit of each.
+    /// Dependency slots for each server, and the configured call concurrency limit of each.
     pub slots_per_server: f64,
     /// Duration of an unhindered call.
     pub call_duration: Duration,
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Ledger slots of the whole fleet.
-    pub fn ledger_slots(&self) -> f64 {
+    /// Dependency slots of the whole fleet.
+    pub fn dependency_slots(&self) -> f64 {
         self.slots_per_server * self.servers as f64
     }
 
--- a/crates/hazelspur-simulator/src/simulation/coordination.rs
+++ b/crates/hazelspur-simulator/src/simulation/coordination.rs
@@ -3,7 +3,7 @@
 
 use super::event::Event;
 use super::{Coordination, Simulation, SimulationConfig};
-use crate::membership_protocols::swim::{address, name, number, terms};
+use crate::membership_protocols::swim::{member_address, member_name, node_config, server_number};
 use hazelspur::{Duration, GuidanceKey, LoadReport, Timestamp};
 use hazelspur_fleet::guidance::{Guidance, GuidanceUpdate, GuidedLimit, LeaseExpiry};
 use hazelspur_fleet::membership::OutgoingDatagram;
@@ -69,15 +69,15 @@
     let servers = config.servers;
     let calls = SharedLimit {
         name: LimitName::new(CALL_LIMIT_NAME).expect("a short name"),
-        total: config.ledger_slots(),
+        total: config.dependency_slots(),
         guaranteed_fraction: config.guaranteed_fraction,
         residual_duration: RESIDUAL_DURATION,
         max_turn: None,
     };
     let voters = if servers < VOTERS {
-        vec![name(0)]
+        vec![member_name(0)]
     } else {
-        (0..VOTERS).map(|voter| name(voter * servers / VOTERS)).collect()
+        (0..VOTERS).map(|voter| member_name(voter * servers / VOTERS)).collect()
     };
     QuotaConfig {
         voters,
@@ -98,9 +98,9 @@
 impl Coordinator {
     fn new(config: &SimulationConfig, server: usize, seed: u64, clocks: Clocks) -> Self {
         let gossips = config.coordination == Coordination::Gossip;
-        let mut membership = terms(server, max_servers(config.servers));
+        let mut membership = node_config(server, max_servers(config.servers));
         if !gossips {
-            membership.seeds = vec![address(server)];
+            membership.seeds = vec![member_address(server)];
         }
         let quota = gossips.then(|| quota_config(config));
         let limits =
@@ -194,7 +194,7 @@
         let Some(coordinator) = &mut self.coordinators[server] else { return };
         if coordinator.node.breaker.next_probe().is_some_and(|next| next <= clocks.wall) {
             coordinator.node.breaker.probe_sent(clocks.wall);
-            let reached = !self.ledger.down && !self.links[server].down;
+            let reached = !self.dependency.down && !self.links[server].down;
             self.figures.unreachable_calls += u64::from(!reached);
             coordinator.node.call_finished(clocks, reached);
         }
@@ -214,12 +214,12 @@
         let clocks = self.clocks();
         let Some(coordinator) = &mut self.coordinators[server] else { return };
         while let Some(OutgoingDatagram { address, datagram }) = coordinator.node.next_datagram(clocks) {
-            let receiver = number(address);
+            let receiver = server_number(address);
             if receiver >= self.servers.len() {
                 continue;
             }
             self.figures.datagrams += 1;
-            for delay in self.network.carry(&mut self.random, server, receiver) {
+            for delay in self.network.draw_delays(&mut self.random, server, receiver) {
                 let datagram = Box::new(datagram.clone());
                 let received = Event::DatagramReceived { server: receiver, datagram };
                 self.queue.schedule(clocks.wall + delay, received);
@@ -271,7 +271,7 @@
     pub(super) fn guide_by_oracle(&mut self) {
         let now = self.queue.now;
         let state = std::mem::take(&mut self.oracle_state);
-        let level = fair_level(self.config.ledger_slots(), state.demands.clone());
+        let level = fair_level(self.config.dependency_slots(), state.demands.clone());
         for server in 0..self.servers.len() {
             let Some(controller) = &mut self.servers[server].controller else { continue };
             if let Some(demand) = state.demands.get(server) {
@@ -296,7 +296,7 @@
         FleetState {
             demands: reports.iter().map(|report| report.as_ref().map_or(0.0, call_demand)).collect(),
             rejected_fraction: rejected / running,
-            ledger_down: self.ledger.down,
+            ledger_down: self.dependency.down,
         }
     }
 
@@ -310,6 +310,6 @@
             sum += share.amount;
             lessees += usize::from(share.expires.is_some());
         }
-        QuotaInForce { fraction: sum / self.config.ledger_slots(), lessees }
+        QuotaInForce { fraction: sum / self.config.dependency_slots(), lessees }
     }
 }
--- a/crates/hazelspur-simulator/src/simulation/decisions.rs
+++ b/crates/hazelspur-simulator/src/simulation/decisions.rs
@@ -2,7 +2,7 @@
 
 use super::event::{CallEnd, Event};
 use super::{Simulation, WORK_BEFORE_CALL};
-use crate::models::gateways::Habits;
+use crate::models::gateways::RetryPolicy;
 use hazelspur::{Decision, Duration, Outcome, RequestId};
 
 impl Simulation {
@@ -40,13 +40,13 @@
     fn put_on_cores(&mut self, server: usize, id: RequestId, fraction: f64) {
         let running = &mut self.servers[server];
         if let Some(request) = running.requests.get(&id) {
-            running.cores.put(self.queue.now, id, request.request.work * fraction);
+            running.cores.start(self.queue.now, id, request.request.work_s * fraction);
         }
     }
 
     fn preempt(&mut self, server: usize, id: RequestId) {
         let preempted = &mut self.servers[server];
-        preempted.cores.take(self.queue.now, id);
+        preempted.cores.remove(self.queue.now, id);
         if preempted.requests.get(&id).is_some_and(|request| request.answered) {
             preempted.requests.remove(&id);
         }
@@ -61,7 +61,7 @@
 
     fn reject(&mut self, server: usize, id: RequestId, retry_after: Duration, do_not_retry_elsewhere: bool) {
         let Some(rejected) = self.servers[server].requests.remove(&id) else { return };
-        let obeys = Habits::of(rejected.request.gateway).heed;
+        let obeys = RetryPolicy::of_gateway(rejected.request.gateway).obeys_server;
         if obeys && do_not_retry_elsewhere {
             self.figures.rejected += 1;
         } else {
@@ -72,7 +72,7 @@
     fn fail(&mut self, server: usize, id: RequestId) {
         let failing = &mut self.servers[server];
         let Some(request) = failing.requests.get_mut(&id) else { return };
-        let is_waiting = !failing.cores.has(id) && request.call_started.is_none();
+        let is_waiting = !failing.cores.is_running(id) && request.call_started.is_none();
         if !std::mem::replace(&mut request.answered, true) {
             self.figures.failed += 1;
         }
@@ -86,7 +86,7 @@
         let Some(request) = self.servers[server].requests.get_mut(&id) else { return };
         let now = self.queue.now;
         let link = self.links[server];
-        let begun = if link.down { None } else { self.ledger.begin() };
+        let begun = if link.down { None } else { self.dependency.begin_call() };
         let Some(duration) = begun.map(|duration| duration.scaled(link.slowdown)) else {
             return self.call_unreachable(server, id);
         };
@@ -109,7 +109,7 @@
     pub(super) fn call_finished(&mut self, end: &CallEnd) {
         let now = self.queue.now;
         let CallEnd { server, incarnation, id, started, outcome } = *end;
-        self.ledger.end();
+        self.dependency.end_call();
         if outcome == Outcome::Ok && self.is_current(server, incarnation) {
             self.record_call(server, true);
         }
--- a/crates/hazelspur-simulator/src/simulation/event.rs
+++ b/crates/hazelspur-simulator/src/simulation/event.rs
@@ -1,19 +1,19 @@
 //! The events of a simulation, and which server's process each needs.
 
 use super::script::ScriptAction;
-use crate::models::gateways::Asked;
+use crate::models::gateways::ClientRequest;
 use hazelspur::{Outcome, RequestId, Timestamp};
 use hazelspur_fleet::Datagram;
 
 /// One event; those of an earlier incarnation of a server have no effect.
 pub(super) enum Event {
     NextRequest,
-    RequestReceived { server: usize, incarnation: u64, id: RequestId, request: Asked },
+    RequestReceived { server: usize, incarnation: u64, id: RequestId, request: ClientRequest },
     ControllerTimer { server: usize, incarnation: u64 },
     CoreCheck { server: usize, incarnation: u64, at: Timestamp },
     CallFinished(CallEnd),
     Report { server: usize, incarnation: u64 },
-    Retry { rejected_by: usize, request: Asked },
+    Retry { rejected_by: usize, request: ClientRequest },
     Script(ScriptAction),
     FleetTick { server: usize, incarnation: u64, at: Timestamp },
     DatagramReceived { server: usize, datagram: Box<Datagram> },
--- a/crates/hazelspur-simulator/src/simulation/figures.rs
+++ b/crates/hazelspur-simulator/src/simulation/figures.rs
@@ -35,7 +35,7 @@
 
 impl Figures {
     /// Fraction of all requests that succeeded.
-    pub fn service(&self) -> f64 {
+    pub fn success_fraction(&self) -> f64 {
         self.succeeded as f64 / self.requests.max(1) as f64
     }
 
--- a/crates/hazelspur-simulator/src/simulation/mod.rs
+++ b/crates/hazelspur-simulator/src/simulation/mod.rs
@@ -16,9 +16,9 @@
 pub use script::ScriptAction;
 
 use crate::event_queue::EventQueue;
-use crate::models::dependency::Ledger;
+use crate::models::dependency::SharedDependency;
 use crate::models::gateways::Gateways;
-use crate::models::server_list::List;
+use crate::models::server_list::ServerList;
 use crate::network::Network;
 use crate::test_fleet::START;
 use config::{REQUEST_TIMEOUT, WORK_BY_CLASS_S};
@@ -50,8 +50,8 @@
     servers: Vec<Server>,
     gateways: Gateways,
     /// The shared dependency of all servers.
-    pub ledger: Ledger,
-    list: List,
+    pub dependency: SharedDependency,
+    list: ServerList,
     last_request_number: u64,
     coordinators: Vec<Option<Coordinator>>,
     links: Vec<LedgerLink>,
@@ -83,8 +83,8 @@
             random: Pcg::new(config.seed),
             servers: (0..servers).map(|_| Server::down(&config)).collect(),
             gateways: Gateways::new(gateways, servers, config.request_rate(), REQUEST_TIMEOUT, work),
-            ledger: Ledger::new(config.ledger_slots(), config.call_duration),
-            list: List::new(servers, LIST_DELAY),
+            dependency: SharedDependency::new(config.dependency_slots(), config.call_duration),
+            list: ServerList::new(servers, LIST_DELAY),
             last_request_number: 0,
             coordinators: (0..servers).map(|_| None).collect(),
             links: vec![LedgerLink { slowdown: 1.0, down: false }; servers],
@@ -104,7 +104,7 @@
     pub fn reset_figures(&mut self) {
         let succeeded_by_second = std::mem::take(&mut self.figures).succeeded_by_second;
         self.figures.succeeded_by_second = succeeded_by_second;
-        (self.ledger.calls, self.ledger.most_out) = (0, 0);
+        (self.dependency.calls, self.dependency.max_concurrent_calls) = (0, 0);
     }
 
     /// Runs for this long in virtual time.
@@ -113,8 +113,8 @@
         while let Some(event) = self.queue.next(end) {
             self.handle(event);
         }
-        self.figures.calls = self.ledger.calls;
-        self.figures.max_concurrent_calls = self.ledger.most_out;
+        self.figures.calls = self.dependency.calls;
+        self.figures.max_concurrent_calls = self.dependency.max_concurrent_calls;
     }
 
     /// Handles an event, or puts it off while its server is paused.
--- a/crates/hazelspur-simulator/src/simulation/script.rs
+++ b/crates/hazelspur-simulator/src/simulation/script.rs
@@ -1,16 +1,16 @@
 //! Scripted changes of servers, links and ledger: faults, restarts and recoveries.
 
 use super::Simulation;
-use crate::network::Cut;
+use crate::network::Partition;
 use hazelspur::Duration;
 
 /// One scripted change.
 #[derive(Clone, Copy, Debug)]
 pub enum ScriptAction {
     /// Makes the ledger unreachable, or reachable again.
-    SetLedgerDown(bool),
+    SetDependencyDown(bool),
     /// Sets the factor by which all calls are slower.
-    SetLedgerSlowdown(f64),
+    SetDependencySlowdown(f64),
     /// Ends a server at once; its requests are lost.
     Kill(usize),
     /// Starts a new, cold incarnation of a server.
@@ -24,7 +24,7 @@
     /// Takes a server's own link to the ledger down, or up again.
     SetLinkDown(usize, bool),
     /// Sets which servers' datagrams do not reach which others.
-    SetPartition(Option<Cut>),
+    SetPartition(Option<Partition>),
 }
 
 /// A server's own link to the ledger.
@@ -38,8 +38,8 @@
 impl Simulation {
     pub(super) fn apply(&mut self, action: ScriptAction) {
         match action {
-            ScriptAction::SetLedgerDown(down) => self.ledger.down = down,
-            ScriptAction::SetLedgerSlowdown(factor) => self.ledger.slow = factor,
+            ScriptAction::SetDependencyDown(down) => self.dependency.down = down,
+            ScriptAction::SetDependencySlowdown(factor) => self.dependency.slowdown = factor,
             ScriptAction::SetCoreSpeed(server, speed) => self.set_core_speed(server, speed),
             ScriptAction::Kill(server) => self.kill(server),
             ScriptAction::Start(server) => self.start(server, true),
@@ -48,13 +48,13 @@
             }
             ScriptAction::SetLinkSlowdown(server, factor) => self.links[server].slowdown = factor,
             ScriptAction::SetLinkDown(server, down) => self.links[server].down = down,
-            ScriptAction::SetPartition(cut) => self.network.cut = cut,
+            ScriptAction::SetPartition(cut) => self.network.partition = cut,
         }
     }
 
     fn set_core_speed(&mut self, server: usize, speed: f64) {
         // Work until now counts at the earlier speed.
-        let _ = self.servers[server].cores.done(self.queue.now);
+        let _ = self.servers[server].cores.take_finished(self.queue.now);
         self.servers[server].cores.speed = speed;
         self.schedule_core_check(server);
     }
--- a/crates/hazelspur-simulator/src/simulation/server.rs
+++ b/crates/hazelspur-simulator/src/simulation/server.rs
@@ -4,7 +4,7 @@
 use super::event::Event;
 use super::{ONE_WAY_LATENCY, Simulation};
 use crate::models::cores::Cores;
-use crate::models::gateways::Asked;
+use crate::models::gateways::ClientRequest;
 use crate::models::server_list::REPORT_PERIOD;
 use hazelspur::{
     AdmissionController, ClientId, NewRequest, Outcome, RequestClassId, RequestId, RuntimeGauges, TenantId,
@@ -17,7 +17,7 @@
 
 /// A request at its server.
 pub(super) struct ServerRequest {
-    pub(super) request: Asked,
+    pub(super) request: ClientRequest,
     /// The work before the call is done.
     pub(super) call_requested: bool,
     /// The client has its answer.
@@ -93,7 +93,7 @@
         server: usize,
         incarnation: u64,
         id: RequestId,
-        request: Asked,
+        request: ClientRequest,
     ) {
         if !self.is_current(server, incarnation) || self.servers[server].controller.is_none() {
             // A refused connection proves that nothing ran.
@@ -110,7 +110,7 @@
             return;
         }
         let now = self.queue.now;
-        let gauges = RuntimeGauges::with_requests_on_cores(self.servers[server].cores.on() as f64);
+        let gauges = RuntimeGauges::with_requests_on_cores(self.servers[server].cores.running_count() as f64);
         self.input(server, |controller| controller.timer_tick(now, gauges));
     }
 
@@ -120,7 +120,7 @@
             return;
         }
         self.servers[server].core_check = None;
-        for id in self.servers[server].cores.done(self.queue.now) {
+        for id in self.servers[server].cores.take_finished(self.queue.now) {
             self.work_done(server, id);
         }
         self.schedule_core_check(server);
@@ -143,7 +143,7 @@
 
     pub(super) fn schedule_core_check(&mut self, server: usize) {
         let checked = &mut self.servers[server];
-        if let Some(at) = checked.cores.next_done()
+        if let Some(at) = checked.cores.next_finish()
             && checked.core_check != Some(at)
         {
             checked.core_check = Some(at);
@@ -156,20 +156,20 @@
     pub(super) fn report(&mut self, server: usize, incarnation: u64) {
         if self.is_current(server, incarnation) && self.servers[server].controller.is_some() {
             let now = self.queue.now;
-            self.list.report(now, server);
+            self.list.record_report(now, server);
             self.queue.schedule(now + REPORT_PERIOD, Event::Report { server, incarnation });
         }
     }
 }
 
-fn new_request(id: RequestId, request: &Asked) -> NewRequest {
+fn new_request(id: RequestId, request: &ClientRequest) -> NewRequest {
     NewRequest {
         id,
         class: RequestClassId(request.request_class),
         tenant: TenantId(0),
         session: None,
         client: ClientId(request.gateway as u64),
-        deadline: Some(request.due),
+        deadline: Some(request.deadline),
         cost: None,
         size_kb: REQUEST_SIZE_KB,
         age: ONE_WAY_LATENCY,
--- a/crates/hazelspur-simulator/src/studies/choices.rs
+++ b/crates/hazelspur-simulator/src/studies/choices.rs
@@ -86,7 +86,7 @@
 impl Outcome {
     /// Fraction of all requests that succeeded.
     pub fn service(&self) -> f64 {
-        self.figures.service()
+        self.figures.success_fraction()
     }
 
     /// The least second that was served over the mean one, from `WARM` on and without the last second.
@@ -134,12 +134,12 @@
     match hard {
         Hard::Uneven | Hard::Crowded => {}
         Hard::LedgerGone => {
-            simulation.script(at(3000), ScriptAction::SetLedgerDown(true));
-            simulation.script(at(7000), ScriptAction::SetLedgerDown(false));
+            simulation.script(at(3000), ScriptAction::SetDependencyDown(true));
+            simulation.script(at(7000), ScriptAction::SetDependencyDown(false));
         }
         Hard::LedgerSlow => {
-            simulation.script(at(3000), ScriptAction::SetLedgerSlowdown(3.0));
-            simulation.script(at(13_000), ScriptAction::SetLedgerSlowdown(1.0));
+            simulation.script(at(3000), ScriptAction::SetDependencySlowdown(3.0));
+            simulation.script(at(13_000), ScriptAction::SetDependencySlowdown(1.0));
         }
         Hard::LinksSlow => {
             for of in every(10) {
--- a/crates/hazelspur-simulator/src/studies/scale/mod.rs
+++ b/crates/hazelspur-simulator/src/studies/scale/mod.rs
@@ -8,8 +8,8 @@
 pub use shares::{SharesCase, play_shares};
 
 use crate::membership_protocols::MembershipProtocol;
-use crate::membership_protocols::send_only::{Lightweight, Rate};
-use crate::membership_protocols::zoned::{REGIONS, Together, ZONES, ZonedSwim};
+use crate::membership_protocols::send_only::{SendOnlyMember, SendRate};
+use crate::membership_protocols::zoned::{REGIONS, ZONES, ZonedFleetNode, ZonedSwim};
 use crate::network::Network;
 use crate::test_fleet::{TestFleet, Traffic};
 use crate::{cpu, heap};
@@ -63,7 +63,7 @@
     pub fn network(&self) -> Network {
         let mut network = Network::new(ZONES);
         network.regions = REGIONS;
-        (network.region_lag, network.region_loss, network.loss) = (self.lag, self.region_loss, self.loss);
+        (network.region_latency, network.region_loss, network.loss) = (self.lag, self.region_loss, self.loss);
         network
     }
 }
@@ -131,7 +131,7 @@
 pub fn play(case: &Case) -> Vec<Point> {
     match case.machine {
         Machine::Members => play_as::<ZonedSwim>(case),
-        Machine::Joint => play_as::<Together<1>>(case),
+        Machine::Joint => play_as::<ZonedFleetNode<1>>(case),
     }
 }
 
@@ -158,11 +158,11 @@
         let most = |of: fn(&Traffic) -> u64| each.iter().map(of).max().unwrap_or(0) as f64 / secs;
         let mean = |of: fn(&Traffic) -> u64| each.iter().map(of).sum::<u64>() as f64 / servers as f64 / secs;
         Self {
-            datagrams_out: mean(|t| t.out),
+            datagrams_out: mean(|t| t.datagrams_out),
             bytes_out: mean(|t| t.bytes_out),
-            busiest_datagrams_out: most(|t| t.out),
+            busiest_datagrams_out: most(|t| t.datagrams_out),
             busiest_bytes_out: most(|t| t.bytes_out),
-            busiest_datagrams_in: most(|t| t.came),
+            busiest_datagrams_in: most(|t| t.datagrams_in),
             busiest_bytes_in: most(|t| t.bytes_in),
             worst_second: worst_second as f64,
         }
@@ -185,7 +185,7 @@
     let (mut agreed, mut load, mut looks) = (None, None, 0);
     loop {
         let passed = fleet.now() - from;
-        if agreed.is_none() && fleet.agree() {
+        if agreed.is_none() && fleet.members_agree() {
             agreed = Some(passed.secs());
         }
         if load.is_none() && passed >= window {
@@ -197,7 +197,7 @@
         {
             return Watched { load, agreed };
         }
-        fleet.play(LOOK);
+        fleet.run(LOOK);
         looks += 1;
         if looks % LOOKS_A_SECOND == 0 {
             let after: Vec<Traffic> = fleet.traffic().collect();
@@ -218,7 +218,7 @@
     let part = Duration::from_us(STORM.us() / numbers.len().max(1) as u64);
     for of in numbers {
         fleet.start(of);
-        fleet.play(part);
+        fleet.run(part);
     }
 }
 
@@ -227,10 +227,10 @@
     let mut fleet = TestFleet::new(between.network(), most(size), seed);
     start_all(&mut fleet, 0..size);
     let from = fleet.now();
-    while !fleet.agree() && fleet.now() - from < LONGEST {
-        fleet.play(LOOK);
+    while !fleet.members_agree() && fleet.now() - from < LONGEST {
+        fleet.run(LOOK);
     }
-    fleet.play(SETTLE);
+    fleet.run(SETTLE);
     fleet
 }
 
@@ -248,14 +248,14 @@
     let before: Vec<Traffic> = fleet.traffic().collect();
     let (mut second, mut worst, from) = (before.clone(), 0, fleet.now());
     while fleet.now() - from < window {
-        fleet.play(Duration::from_ms(1000));
+        fleet.run(Duration::from_ms(1000));
         let after: Vec<Traffic> = fleet.traffic().collect();
         let sent = after.iter().zip(&second).map(|(after, before)| after.bytes_out - before.bytes_out);
         worst = sent.max().unwrap_or(0).max(worst);
         second = after;
     }
     let load = Load::of(&before, &second, worst, (fleet.now() - from).secs(), size);
-    let entries: Vec<usize> = fleet.members().map(|(_, way)| way.entries()).collect();
+    let entries: Vec<usize> = fleet.members().map(|(_, way)| way.entry_count()).collect();
     let sum: usize = entries.iter().sum();
     let mean = sum as f64 / entries.len().max(1) as f64;
     Rest { load, entries: mean, most_entries: entries.into_iter().max().unwrap_or(0) }
@@ -284,7 +284,7 @@
     out.watched("storm", &watched);
     out.point("datagrams_out_per_s", "first second of the storm", "1/s", first.datagrams_out);
     out.point("bytes_out_per_s", "first second of the storm", "B/s", first.bytes_out);
-    fleet.play(SETTLE);
+    fleet.run(SETTLE);
     rest_points(out, &mut fleet);
 }
 
@@ -302,9 +302,9 @@
 
 fn regions_apart<W: MembershipProtocol>(case: &Case, out: &mut Sheet) {
     let mut fleet: TestFleet<W> = at_rest(case.size, case.seed, &case.between);
-    fleet.network.cut = Some(|from, to| from % ZONES % REGIONS != to % ZONES % REGIONS);
-    fleet.play(APART);
-    fleet.network.cut = None;
+    fleet.network.partition = Some(|from, to| from % ZONES % REGIONS != to % ZONES % REGIONS);
+    fleet.run(APART);
+    fleet.network.partition = None;
     let healed = watch(&mut fleet, case.window, case.size);
     out.watched("regions healed", &healed);
 }
@@ -347,13 +347,13 @@
         while let Some(restart) = away.pop_front_if(|restart| restart.at <= next) {
             start_again(fleet, restart);
         }
-        fleet.play(next - fleet.now());
+        fleet.run(next - fleet.now());
     }
     away.into_iter().for_each(|restart| start_again(fleet, restart));
 }
 
 fn start_again<W: MembershipProtocol>(fleet: &mut TestFleet<W>, restart: Restart) {
-    fleet.play(restart.at - fleet.now());
+    fleet.run(restart.at - fleet.now());
     fleet.start(restart.server);
 }
 
@@ -364,15 +364,15 @@
     let rest = rest(fleet, case.window, case.size);
     // The kernel counts in steps of some milliseconds: a small fleet is played for longer.
     let long = case.window.max(Duration::from_secs(CPU_SERVER_SECS / case.size as f64));
-    let before = cpu::of_this_thread();
-    fleet.play(long);
-    let spent = before.zip(cpu::of_this_thread()).map(|(before, after)| after - before);
+    let before = cpu::thread_cpu_time();
+    fleet.run(long);
+    let spent = before.zip(cpu::thread_cpu_time()).map(|(before, after)| after - before);
     out.load("rest", &rest.load);
     out.point("entries", "rest", "entries", rest.entries);
-    let held = heap::live();
+    let held = heap::live_bytes();
     let zone: Vec<usize> = (0..case.size).filter(|of| of % ZONES == LOST_ZONE).collect();
     zone.iter().for_each(|of| fleet.kill(*of));
-    if let Some((before, after)) = held.zip(heap::live()) {
+    if let Some((before, after)) = held.zip(heap::live_bytes()) {
         let each = (before - after) as f64 / zone.len().max(1) as f64 + size_of::<W>() as f64;
         out.point("state_bytes", "rest", "B", each);
     }
@@ -388,17 +388,18 @@
 
 /// CPU of the laboratory's own queue and network for the same traffic, in microseconds a server-second.
 fn queue_alone(case: &Case, load: &Load, long: Duration) -> Option<f64> {
-    let rate = Rate { servers: case.size, datagrams: load.datagrams_out, bytes: load.bytes_out };
-    let mut fleet: TestFleet<Lightweight> = TestFleet::new(case.between.network(), case.size, case.seed);
+    let rate =
+        SendRate { servers: case.size, datagrams_per_s: load.datagrams_out, bytes_per_s: load.bytes_out };
+    let mut fleet: TestFleet<SendOnlyMember> = TestFleet::new(case.between.network(), case.size, case.seed);
     for of in 0..case.size {
         let lightweight =
-            Lightweight::new(of, rate, case.seed.wrapping_mul(1_000_003) + of as u64, fleet.now());
-        fleet.start_as(of, lightweight);
+            SendOnlyMember::new(of, rate, case.seed.wrapping_mul(1_000_003) + of as u64, fleet.now());
+        fleet.start_member(of, lightweight);
     }
-    fleet.play(Duration::from_ms(2000));
-    let before = cpu::of_this_thread()?;
-    fleet.play(long);
-    let spent = cpu::of_this_thread()? - before;
+    fleet.run(Duration::from_ms(2000));
+    let before = cpu::thread_cpu_time()?;
+    fleet.run(long);
+    let spent = cpu::thread_cpu_time()? - before;
     Some(spent.us() as f64 / (long.secs() * case.size as f64))
 }
 
--- a/crates/hazelspur-simulator/src/studies/shares/fleet.rs
+++ b/crates/hazelspur-simulator/src/studies/shares/fleet.rs
@@ -2,8 +2,8 @@
 //! end and pause them. Its output is what they may use of the first limit, and the allocator's traffic.
 
 use crate::event_queue::EventQueue;
-use crate::membership_protocols::swim::{address, name};
-use crate::network::{Cut, Network};
+use crate::membership_protocols::swim::{member_address, member_name};
+use crate::network::{Network, Partition};
 use crate::test_fleet::START;
 use hazelspur::pcg::Pcg;
 use hazelspur::{Duration, Timestamp};
@@ -72,7 +72,7 @@
     End(usize),
     EndAllocator,
     Pause(usize, Duration),
-    SetPartition(Option<Cut>),
+    SetPartition(Option<Partition>),
 }
 
 struct Node {
@@ -126,9 +126,9 @@
 /// A datagram without updates, to measure the encoded length of messages.
 fn typical_datagram(fingerprint: ConfigFingerprint) -> Datagram {
     let sender = MemberUpdate {
-        name: name(TYPICAL_MEMBER),
+        name: member_name(TYPICAL_MEMBER),
         site: SiteName::new("east-1").expect("a short name"),
-        address: address(TYPICAL_MEMBER),
+        address: member_address(TYPICAL_MEMBER),
         generation: Generation(START.us() / US_PER_MS),
         incarnation: Incarnation(0),
         state: MemberState::Alive,
@@ -154,7 +154,7 @@
 impl QuotaFleet {
     /// A fleet of `config.max_servers` servers, none of which runs.
     pub(super) fn new(config: QuotaConfig, network: Network, seed: u64) -> Self {
-        let never = || ProcessIncarnation { name: name(0), generation: Generation(0) };
+        let never = || ProcessIncarnation { name: member_name(0), generation: Generation(0) };
         Self {
             queue: EventQueue::new(START),
             network,
@@ -182,7 +182,8 @@
     pub(super) fn start(&mut self, server: usize) {
         let now = self.queue.now;
         self.last_generation += 1;
-        let process = ProcessIncarnation { name: name(server), generation: Generation(self.last_generation) };
+        let process =
+            ProcessIncarnation { name: member_name(server), generation: Generation(self.last_generation) };
         let seed = u64::from(self.random.draw());
         let mut quota = QuotaManager::new(self.config.clone(), process, seed, now);
         for (at, limit) in self.config.limits.iter().enumerate() {
@@ -204,7 +205,7 @@
                 self.allocator.messages += 1;
                 self.allocator.bytes += encoded_length(&mut self.datagram, &message);
             }
-            for delay in self.network.carry(&mut self.random, server, receiver) {
+            for delay in self.network.draw_delays(&mut self.random, server, receiver) {
                 let message = message.clone();
                 let received = Event::Message { receiver, sender: node.process, message };
                 self.queue.schedule(now + delay, received);
@@ -228,7 +229,7 @@
             Event::End(server) => self.nodes[server].quota = None,
             Event::EndAllocator => self.end_allocator(),
             Event::Pause(server, duration) => self.nodes[server].paused_until = now + duration,
-            Event::SetPartition(cut) => self.network.cut = cut,
+            Event::SetPartition(cut) => self.network.partition = cut,
         }
     }
 
--- a/crates/hazelspur-simulator/src/studies/shares/mod.rs
+++ b/crates/hazelspur-simulator/src/studies/shares/mod.rs
@@ -3,9 +3,9 @@
 
 mod fleet;
 
-use crate::membership_protocols::swim::name;
+use crate::membership_protocols::swim::member_name;
 use crate::membership_protocols::zoned::{REGIONS, ZONES};
-use crate::network::{Cut, Network};
+use crate::network::{Network, Partition};
 use crate::studies::scale::Between;
 use crate::test_fleet::START;
 use fleet::{AllocatorTraffic, Event, OBSERVATION_PERIOD, Observation, Quota, QuotaFleet, RESIDUAL_DURATION};
@@ -148,7 +148,7 @@
         max_turn: None,
     };
     QuotaConfig {
-        voters: (0..VOTERS).map(name).collect(),
+        voters: (0..VOTERS).map(member_name).collect(),
         max_servers: servers + servers.div_ceil(4),
         vote_duration: VOTE_DURATION,
         limits: (0..case.limits).map(limit).collect(),
@@ -194,7 +194,7 @@
             Duration::from_ms(20_000)
         }
         Trouble::RegionsApart => {
-            let cut: Cut = |from, to| from % ZONES % REGIONS != to % ZONES % REGIONS;
+            let cut: Partition = |from, to| from % ZONES % REGIONS != to % ZONES % REGIONS;
             at(0, Event::SetPartition(Some(cut)));
             at(REGIONS_APART.us() / 1000, Event::SetPartition(None));
             REGIONS_APART
--- a/crates/hazelspur-simulator/src/studies/together.rs
+++ b/crates/hazelspur-simulator/src/studies/together.rs
@@ -20,8 +20,8 @@
     let mut simulation = Simulation::new(plan);
     if case.ledger_down > Duration::ZERO {
         let from = Duration::from_ms(10_000);
-        simulation.script(from, ScriptAction::SetLedgerDown(true));
-        simulation.script(from + case.ledger_down, ScriptAction::SetLedgerDown(false));
+        simulation.script(from, ScriptAction::SetDependencyDown(true));
+        simulation.script(from + case.ledger_down, ScriptAction::SetDependencyDown(false));
     }
     simulation.run(Duration::from_ms(case.seconds * 1000));
     simulation.figures
--- a/crates/hazelspur-simulator/src/studies/who_is_here.rs
+++ b/crates/hazelspur-simulator/src/studies/who_is_here.rs
@@ -64,10 +64,10 @@
     let mut random = Pcg::new(case.seed ^ FAULT_SEED_MASK);
     let mut fleet: TestFleet<W> = TestFleet::new(Network::new(SITES), case.size * 2, case.seed);
     let storm = start_storm(&mut fleet, case.size);
-    fleet.play(SETTLE);
+    fleet.run(SETTLE);
     let rest = rest(&mut fleet, case.size);
     let deaths = pauses_with_loss(&mut fleet, &mut random, case);
-    fleet.play(SETTLE);
+    fleet.run(SETTLE);
     let (notice_ms, unnoticed) = killed(&mut fleet, &mut random, case.size);
     let together_s = halves(&mut fleet);
     Outcome {
@@ -95,7 +95,7 @@
 fn start_storm<W: MembershipProtocol>(fleet: &mut TestFleet<W>, size: usize) -> Storm {
     for server in 0..size {
         fleet.start(server);
-        fleet.play(Duration::from_us(US_PER_SECOND / size as u64));
+        fleet.run(Duration::from_us(US_PER_SECOND / size as u64));
     }
     let duration_s = until_agreed(fleet, MAX_STORM_S);
     let datagrams = rate(fleet.datagrams, size, duration_s.unwrap_or(MAX_STORM_S) + 1.0);
@@ -110,7 +110,7 @@
 
 fn rest<W: MembershipProtocol>(fleet: &mut TestFleet<W>, size: usize) -> Rest {
     let (datagrams, bytes) = (fleet.datagrams, fleet.bytes);
-    fleet.play(REST);
+    fleet.run(REST);
     Rest {
         datagrams: rate(fleet.datagrams - datagrams, size, REST.secs()),
         bytes: rate(fleet.bytes - bytes, size, REST.secs()),
@@ -128,10 +128,10 @@
 impl FalseDeaths {
     fn add<W: MembershipProtocol>(&mut self, fleet: &TestFleet<W>, observation: &Observation) {
         if let MembershipNotice::Dead(server) = observation.notice
-            && fleet.runs(server)
+            && fleet.is_running(server)
         {
             self.all += 1;
-            let since_pause = observation.at - fleet.last_stop(server);
+            let since_pause = observation.at - fleet.last_pause_end(server);
             self.without_cause += u64::from(since_pause > MAX_PAUSE_EFFECT);
         }
     }
@@ -150,9 +150,9 @@
     while fleet.now() < end {
         for _ in 0..(case.size / PAUSED_DIVISOR).max(1) {
             let server = random.draw() as usize % case.size;
-            fleet.stop(server, case.stop);
+            fleet.pause(server, case.stop);
         }
-        fleet.play(PAUSE_PERIOD);
+        fleet.run(PAUSE_PERIOD);
         for observation in std::mem::take(&mut fleet.observations) {
             deaths.add(fleet, &observation);
         }
@@ -169,13 +169,13 @@
     let from = fleet.now();
     loop {
         let passed = (fleet.now() - from).secs();
-        if fleet.agree() {
+        if fleet.members_agree() {
             return Some(passed);
         }
         if passed >= most_s {
             return None;
         }
-        fleet.play(Duration::from_ms(250));
+        fleet.run(Duration::from_ms(250));
     }
 }
 
@@ -190,32 +190,32 @@
     for _ in 0..3 {
         let of = loop {
             let of = chance.draw() as usize % size;
-            if fleet.runs(of) && !crate::membership_protocols::SEED_MEMBERS.contains(&of) {
+            if fleet.is_running(of) && !crate::membership_protocols::SEED_MEMBERS.contains(&of) {
                 break of;
             }
         };
         fleet.observations.clear();
         fleet.kill(of);
         let at = fleet.now();
-        fleet.play(Duration::from_ms(120_000));
+        fleet.run(Duration::from_ms(120_000));
         let noticed = |said: &&Observation| said.notice == MembershipNotice::Dead(of);
         let mut by: Vec<(usize, Timestamp)> =
-            fleet.observations.iter().filter(noticed).map(|said| (said.by, said.at)).collect();
+            fleet.observations.iter().filter(noticed).map(|said| (said.observer, said.at)).collect();
         by.sort_unstable();
         by.dedup_by_key(|(by, _)| *by);
-        unnoticed += (fleet.running() - by.len().min(fleet.running())) as u64;
+        unnoticed += (fleet.running_count() - by.len().min(fleet.running_count())) as u64;
         by.iter().for_each(|(_, when)| notice_ms.saturating_record((*when - at).us() / 1000));
         fleet.start(of);
-        fleet.play(Duration::from_ms(30_000));
+        fleet.run(Duration::from_ms(30_000));
     }
     (notice_ms, unnoticed)
 }
 
 /// Two halves don't hear each other for a minute; how long after it all agree.
 fn halves<W: MembershipProtocol>(fleet: &mut TestFleet<W>) -> Option<f64> {
-    fleet.network.cut = Some(|from, to| from % 2 != to % 2);
-    fleet.play(Duration::from_ms(60_000));
-    fleet.network.cut = None;
+    fleet.network.partition = Some(|from, to| from % 2 != to % 2);
+    fleet.run(Duration::from_ms(60_000));
+    fleet.network.partition = None;
     until_agreed(fleet, 180.0)
 }
 
--- a/crates/hazelspur-simulator/src/test_fleet.rs
+++ b/crates/hazelspur-simulator/src/test_fleet.rs
@@ -53,11 +53,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Datagrams sent.
-    pub out: u64,
+    pub datagrams_out: u64,
     /// Bytes sent.
     pub bytes_out: u64,
     /// Datagrams received.
-    pub came: u64,
+    pub datagrams_in: u64,
     /// Bytes received.
     pub bytes_in: u64,
 }
@@ -66,9 +66,9 @@
     /// The traffic since an earlier count.
     pub fn since(self, before: Self) -> Self {
         Self {
-            out: self.out - before.out,
+            datagrams_out: self.datagrams_out - before.datagrams_out,
             bytes_out: self.bytes_out - before.bytes_out,
-            came: self.came - before.came,
+            datagrams_in: self.datagrams_in - before.datagrams_in,
             bytes_in: self.bytes_in - before.bytes_in,
         }
     }
@@ -80,7 +80,7 @@
     /// When it concluded that.
     pub at: Timestamp,
     /// Number of the member that observed.
-    pub by: usize,
+    pub observer: usize,
     /// What it concluded.
     pub notice: MembershipNotice,
 }
@@ -126,11 +126,11 @@
         let now = self.now();
         let seed = u64::from(self.random.draw()) << 32 | u64::from(self.random.draw());
         let member = W::start(server, self.max_servers, seed, now);
-        self.start_as(server, member);
+        self.start_member(server, member);
     }
 
     /// Starts a new incarnation of a server with a given member.
-    pub fn start_as(&mut self, server: usize, member: W) {
+    pub fn start_member(&mut self, server: usize, member: W) {
         while self.nodes.len() <= server {
             self.nodes.push(Node::down());
         }
@@ -160,7 +160,7 @@
     }
 
     /// Pauses a server's process for this long.
-    pub fn stop(&mut self, server: usize, duration: Duration) {
+    pub fn pause(&mut self, server: usize, duration: Duration) {
         let until = self.now() + duration;
         let node = &mut self.nodes[server];
         if node.member.is_some() && node.paused_until.is_none_or(|at| at < until) {
@@ -171,17 +171,17 @@
     }
 
     /// Whether a server runs.
-    pub fn runs(&self, server: usize) -> bool {
+    pub fn is_running(&self, server: usize) -> bool {
         self.nodes.get(server).is_some_and(|node| node.member.is_some())
     }
 
     /// How many servers run.
-    pub fn running(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.nodes.iter().filter(|node| node.member.is_some()).count()
     }
 
     /// The end of a server's last pause; zero if there was none.
-    pub fn last_stop(&self, server: usize) -> Timestamp {
+    pub fn last_pause_end(&self, server: usize) -> Timestamp {
         self.nodes[server].last_pause_end
     }
 
@@ -196,13 +196,13 @@
     }
 
     /// Whether each member considers as many others alive as run.
-    pub fn agree(&self) -> bool {
-        let others = self.running().saturating_sub(1);
-        self.members().all(|(_, member)| member.alive() == others)
+    pub fn members_agree(&self) -> bool {
+        let others = self.running_count().saturating_sub(1);
+        self.members().all(|(_, member)| member.alive_count() == others)
     }
 
     /// Runs for this long in virtual time.
-    pub fn play(&mut self, duration: Duration) {
+    pub fn run(&mut self, duration: Duration) {
         let end = self.now() + duration;
         while let Some(event) = self.queue.next(end) {
             match event {
@@ -228,7 +228,7 @@
         let now = self.now();
         let Some(node) = self.nodes.get_mut(server) else { return };
         let Some(member) = &mut node.member else { return };
-        node.traffic.came += 1;
+        node.traffic.datagrams_in += 1;
         node.traffic.bytes_in += bytes as u64;
         if node.paused_until.is_some() {
             if node.unread.len() < MAX_UNREAD {
@@ -264,15 +264,15 @@
         while let Some(OutgoingPacket { receiver, packet, bytes }) = member.next_packet(now) {
             self.datagrams += 1;
             self.bytes += bytes as u64;
-            node.traffic.out += 1;
+            node.traffic.datagrams_out += 1;
             node.traffic.bytes_out += bytes as u64;
-            for delay in self.network.carry(&mut self.random, server, receiver) {
+            for delay in self.network.draw_delays(&mut self.random, server, receiver) {
                 let received = Event::Received { server: receiver, packet: packet.clone(), bytes };
                 self.queue.schedule(now + delay, received);
             }
         }
         while let Some(notice) = member.next_notice() {
-            self.observations.push(Observation { at: now, by: server, notice });
+            self.observations.push(Observation { at: now, observer: server, notice });
         }
         let next = member.next_tick();
         if next != node.next_tick || next <= now {
--- a/crates/hazelspur-simulator/tests/runs.rs
+++ b/crates/hazelspur-simulator/tests/runs.rs
@@ -1,11 +1,11 @@
 //! What the laboratory promises of its runs.
 
 use hazelspur::Duration;
+use hazelspur_simulator::map_in_parallel;
 use hazelspur_simulator::membership_protocols::MembershipProtocol;
 use hazelspur_simulator::membership_protocols::foca::FocaProtocol;
 use hazelspur_simulator::membership_protocols::heartbeat::Heartbeat;
 use hazelspur_simulator::membership_protocols::swim::Swim;
-use hazelspur_simulator::on_all_cores;
 use hazelspur_simulator::simulation::{Coordination, Figures, ScriptAction, Simulation, SimulationConfig};
 use hazelspur_simulator::studies::choices::{self, Hard};
 use hazelspur_simulator::studies::sums::{self, Reports, Subsets};
@@ -19,7 +19,7 @@
 }
 
 fn row<W: MembershipProtocol>(size: usize, seeds: u64, threads: usize) -> Row {
-    Row { way: W::NAME, size, outcomes: on_all_cores(&cases(size, seeds), threads, play::<W>) }
+    Row { way: W::NAME, size, outcomes: map_in_parallel(&cases(size, seeds), threads, play::<W>) }
 }
 
 #[test]
@@ -54,7 +54,8 @@
 #[test]
 fn the_real_modules_of_many_servers_play_one_run_for_one_seed() {
     let cases: Vec<_> = (1..=3).map(|seed| together(4, seed, 0.5, 2000)).collect();
-    let (one, four) = (on_all_cores(&cases, 1, together::play), on_all_cores(&cases, 4, together::play));
+    let (one, four) =
+        (map_in_parallel(&cases, 1, together::play), map_in_parallel(&cases, 4, together::play));
     assert_eq!(one, four);
     assert_ne!(one[0], one[1]);
 }
@@ -62,9 +63,9 @@
 #[test]
 fn models_and_modules_serve_what_fits_and_refuse_what_does_not() {
     let quiet = together::play(&together(6, 1, 0.4, 0));
-    assert!(quiet.service() > 0.99, "{quiet:?}");
+    assert!(quiet.success_fraction() > 0.99, "{quiet:?}");
     let crowded = together::play(&together(2, 1, 1.6, 0));
-    assert!((0.3..0.75).contains(&crowded.service()) && crowded.rejected > 0, "{crowded:?}");
+    assert!((0.3..0.75).contains(&crowded.success_fraction()) && crowded.rejected > 0, "{crowded:?}");
     let down = together::play(&together(6, 1, 0.4, 5000));
     let second = |at: usize| down.succeeded_by_second.get(at).copied().unwrap_or(0);
     assert!(second(12) < 30 && second(16) > 400, "{:?}", down.succeeded_by_second);
@@ -91,10 +92,13 @@
     let slow = run(&[
         (8000, ScriptAction::SetCoreSpeed(0, 0.2)),
         (13_000, ScriptAction::SetCoreSpeed(0, 1.0)),
-        (8000, ScriptAction::SetLedgerSlowdown(2.0)),
+        (8000, ScriptAction::SetDependencySlowdown(2.0)),
     ]);
-    assert!(whole.service() > 0.99 && slow.service() < whole.service(), "{whole:?}\n{slow:?}");
-    assert!((0.5..0.99).contains(&killed.service()), "{killed:?}");
+    assert!(
+        whole.success_fraction() > 0.99 && slow.success_fraction() < whole.success_fraction(),
+        "{whole:?}\n{slow:?}"
+    );
+    assert!((0.5..0.99).contains(&killed.success_fraction()), "{killed:?}");
     let second = |of: &Figures, at: usize| of.succeeded_by_second.get(at).copied().unwrap_or(0);
     assert!(second(&killed, 19) * 10 > second(&whole, 19) * 9, "{:?}", killed.succeeded_by_second);
 }
@@ -107,7 +111,7 @@
 fn talk_and_modules_play_one_run_for_one_seed() {
     let cases =
         [choice(Hard::Halves, Coordination::Gossip, 1), choice(Hard::Halves, Coordination::Gossip, 2)];
-    let (one, two) = (on_all_cores(&cases, 1, choices::play), on_all_cores(&cases, 2, choices::play));
+    let (one, two) = (map_in_parallel(&cases, 1, choices::play), map_in_parallel(&cases, 2, choices::play));
     assert!(one == two && one[0] != one[1]);
     let spent = one[0].figures.datagrams as f64 / 24.0 / 12.0;
     assert!((2.0..15.0).contains(&spent), "{spent} datagrams a second and server");
@@ -118,7 +122,7 @@
     let hards = [Hard::Uneven, Hard::Stopped, Hard::Replaced];
     let kinds = [Coordination::None, Coordination::Gossip, Coordination::Oracle];
     let cases: Vec<_> = hards.iter().flat_map(|hard| kinds.map(|way| choice(*hard, way, 1))).collect();
-    let all = on_all_cores(&cases, 4, choices::play);
+    let all = map_in_parallel(&cases, 4, choices::play);
     for (hard, of) in hards.iter().zip(all.chunks(3)) {
         let service: Vec<f64> = of.iter().map(choices::Outcome::service).collect();
         let figures = format!("{}: {service:.3?}, {:.3} in force", hard.name(), of[1].most_in_force);
@@ -131,7 +135,7 @@
 fn a_ledger_that_is_gone_is_tried_by_few_and_served_from_again() {
     let cases = [Coordination::None, Coordination::Local, Coordination::Gossip]
         .map(|way| choice(Hard::LedgerGone, way, 1));
-    let all = on_all_cores(&cases, 3, choices::play);
+    let all = map_in_parallel(&cases, 3, choices::play);
     let vain: Vec<u64> = all.iter().map(|outcome| outcome.figures.unreachable_calls).collect();
     assert!(vain[1] * 3 < vain[0] && vain[2] * 3 < vain[0], "{vain:?}");
     for outcome in &all {
--- a/crates/hazelspur-simulator/tests/slopes.rs
+++ b/crates/hazelspur-simulator/tests/slopes.rs
@@ -4,7 +4,7 @@
 use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::{Datagram, Generation, Membership};
 use hazelspur_simulator::membership_protocols::swim::Swim;
-use hazelspur_simulator::membership_protocols::zoned::{Together, ZonedSwim, terms};
+use hazelspur_simulator::membership_protocols::zoned::{ZonedFleetNode, ZonedSwim, zoned_node_config};
 use hazelspur_simulator::membership_protocols::{MembershipNotice, MembershipProtocol, OutgoingPacket};
 use hazelspur_simulator::studies::scale::{
     Between, Rest, SharesCase, at_rest, most, play_shares, rest, start_all,
@@ -23,10 +23,10 @@
 fn at_sizes<W: MembershipProtocol>(sizes: &[usize]) -> Vec<(usize, Rest)> {
     let plays = |size: &usize| {
         let mut fleet: TestFleet<W> = at_rest(*size, 1, &between());
-        assert!(fleet.agree(), "{size} servers don't agree at rest");
+        assert!(fleet.members_agree(), "{size} servers don't agree at rest");
         (*size, rest(&mut fleet, WINDOW, *size))
     };
-    hazelspur_simulator::on_all_cores(sizes, 4, plays)
+    hazelspur_simulator::map_in_parallel(sizes, 4, plays)
 }
 
 /// What a growing fleet at rest may cost, against the smallest of the sizes.
@@ -72,7 +72,7 @@
 
 #[test]
 fn members_signals_and_shares_together_cost_a_mean_server_as_much_in_a_large_fleet() {
-    check_rest(&at_sizes::<Together<1>>(&SIZES), &Bound { busiest: None, ..MEMBERS }).unwrap();
+    check_rest(&at_sizes::<ZonedFleetNode<1>>(&SIZES), &Bound { busiest: None, ..MEMBERS }).unwrap();
 }
 
 /// Planted: probes all of its table in each period.
@@ -87,7 +87,7 @@
     type Packet = Datagram;
 
     fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
-        let terms = terms(me, most);
+        let terms = zoned_node_config(me, most);
         let period = terms.probe_period;
         let own = Swim(Membership::new(terms, Generation(now.us() / 1000), seed, now));
         Self { own, period, next: now + period }
@@ -120,12 +120,12 @@
         self.own.next_notice()
     }
 
-    fn alive(&self) -> usize {
-        self.own.alive()
+    fn alive_count(&self) -> usize {
+        self.own.alive_count()
     }
 
-    fn entries(&self) -> usize {
-        self.own.entries()
+    fn entry_count(&self) -> usize {
+        self.own.entry_count()
     }
 }
 
@@ -159,12 +159,12 @@
             End::Killed => fleet.kill(of),
         }
     }
-    fleet.play(terms(0, most(size)).retention + MARGIN);
+    fleet.run(zoned_node_config(0, most(size)).retention + MARGIN);
     let left = size - ENDS - 1;
-    let all: Vec<usize> = fleet.members().map(|(_, way)| way.entries()).collect();
+    let all: Vec<usize> = fleet.members().map(|(_, way)| way.entry_count()).collect();
     let wrong = all.iter().filter(|entries| **entries != left).count();
     let fullest = all.iter().max().copied().unwrap_or(0);
-    if wrong == 0 && fleet.agree() {
+    if wrong == 0 && fleet.members_agree() {
         return Ok(());
     }
     Err(format!("{wrong} of {} tables don't hold the {left} that are left; the fullest {fullest}", all.len()))
@@ -173,7 +173,7 @@
 #[test]
 fn who_leaves_is_gone_from_all_tables_once_it_need_not_be_remembered() {
     check_forgotten::<ZonedSwim>(End::Leaves).unwrap();
-    check_forgotten::<Together<1>>(End::Leaves).unwrap();
+    check_forgotten::<ZonedFleetNode<1>>(End::Leaves).unwrap();
 }
 
 #[test]
@@ -222,11 +222,11 @@
         self.own.leave(now);
     }
 
-    fn alive(&self) -> usize {
-        self.own.alive()
+    fn alive_count(&self) -> usize {
+        self.own.alive_count()
     }
 
-    fn entries(&self) -> usize {
+    fn entry_count(&self) -> usize {
         self.names.len()
     }
 }
@@ -259,7 +259,7 @@
             let messages = points.iter().find(|point| point.figure.ends_with("divider_messages_per_s"));
             (*servers, messages.expect("it is measured").value)
         };
-        let of = hazelspur_simulator::on_all_cores(&SIZES, 4, plays);
+        let of = hazelspur_simulator::map_in_parallel(&SIZES, 4, plays);
         assert!(of.iter().all(|(size, is)| *is > *size as f64), "few ask: {of:?}");
         check_line(&of, DIVIDER.0, DIVIDER.1).unwrap();
     }
@@ -280,9 +280,9 @@
     let mut fleet: TestFleet<ZonedSwim> = at_rest(size, 2, &between());
     let zone: Vec<usize> = (0..size).filter(|of| of % 6 == 0).collect();
     zone.iter().for_each(|of| fleet.kill(*of));
-    fleet.play(NOTICED);
-    assert!(fleet.agree(), "a zone that is gone is not noticed by all");
+    fleet.run(NOTICED);
+    assert!(fleet.members_agree(), "a zone that is gone is not noticed by all");
     start_all(&mut fleet, zone.into_iter());
-    fleet.play(Duration::from_ms(30_000));
-    assert!(fleet.agree(), "a zone that is back is not known to all");
+    fleet.run(Duration::from_ms(30_000));
+    assert!(fleet.members_agree(), "a zone that is back is not known to all");
 }
