--- a/crates/hazelspur-simulator/src/event_queue.rs
+++ b/crates/hazelspur-simulator/src/event_queue.rs
@@ -6,13 +6,13 @@
 
 struct Entry<E> {
     at: Timestamp,
-    number: u64,
+    sequence_number: u64,
     event: E,
 }
 
 impl<E> PartialEq for Entry<E> {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.number) == (other.at, other.number)
+        (self.at, self.sequence_number) == (other.at, other.sequence_number)
     }
 }
 
@@ -26,7 +26,7 @@
 
 impl<E> Ord for Entry<E> {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
+        (self.at, self.sequence_number).cmp(&(other.at, other.sequence_number))
     }
 }
 
@@ -35,19 +35,23 @@
     /// The virtual time.
     pub now: Timestamp,
     entries: BinaryHeap<Reverse<Entry<E>>>,
-    number: u64,
+    sequence_number: u64,
 }
 
 impl<E> EventQueue<E> {
     /// An empty queue whose virtual time begins at `now`.
     pub fn new(now: Timestamp) -> Self {
-        Self { now, entries: BinaryHeap::new(), number: 0 }
+        Self { now, entries: BinaryHeap::new(), sequence_number: 0 }
     }
 
     /// Schedules an event; one for the past happens now.
     pub fn schedule(&mut self, at: Timestamp, event: E) {
-        self.number += 1;
-        self.entries.push(Reverse(Entry { at: at.max(self.now), number: self.number, event }));
+        self.sequence_number += 1;
+        self.entries.push(Reverse(Entry {
+            at: at.max(self.now),
+            sequence_number: self.sequence_number,
+            event,
+        }));
     }
 
     /// Takes the next event up to `end` and advances the time to it, or to `end` where there is none.
--- a/crates/hazelspur-simulator/src/lib.rs
+++ b/crates/hazelspur-simulator/src/lib.rs
@@ -31,7 +31,7 @@
 pub fn map_in_parallel<T: Sync, R: Send>(
     inputs: &[T],
     threads: usize,
-    play: impl Fn(&T) -> R + Sync,
+    run: impl Fn(&T) -> R + Sync,
 ) -> Vec<R> {
     let next = std::sync::atomic::AtomicUsize::new(0);
     let done = std::sync::Mutex::new(Vec::new());
@@ -39,15 +39,15 @@
         for _ in 0..threads.clamp(1, inputs.len().max(1)) {
             scope.spawn(|| {
                 loop {
-                    let at = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-                    let Some(input) = inputs.get(at) else { break };
-                    let result = play(input);
-                    done.lock().expect("no panic before").push((at, result));
+                    let index = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+                    let Some(input) = inputs.get(index) else { break };
+                    let result = run(input);
+                    done.lock().expect("no panic before").push((index, result));
                 }
             });
         }
     });
     let mut done = done.into_inner().expect("no panic before");
-    done.sort_by_key(|(at, _)| *at);
+    done.sort_by_key(|(index, _)| *index);
     done.into_iter().map(|(_, result)| result).collect()
 }
--- a/crates/hazelspur-simulator/src/membership_protocols/foca.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/foca.rs
@@ -50,23 +50,23 @@
         Ok(u64::from(self.0.draw()) << 32 | u64::from(self.0.draw()))
     }
 
-    fn try_fill_bytes(&mut self, to: &mut [u8]) -> Result<(), Self::Error> {
-        to.iter_mut().for_each(|byte| *byte = self.0.draw() as u8);
+    fn try_fill_bytes(&mut self, bytes: &mut [u8]) -> Result<(), Self::Error> {
+        bytes.iter_mut().for_each(|byte| *byte = self.0.draw() as u8);
         Ok(())
     }
 }
 
 #[derive(Default)]
-struct Host {
+struct FocaRuntime {
     now: Timestamp,
-    out: VecDeque<(usize, Vec<u8>)>,
-    timers: BinaryHeap<Reverse<(Timestamp, u64)>>,
-    set: std::collections::BTreeMap<u64, Timer<FocaIdentity>>,
-    number: u64,
+    outgoing: VecDeque<(usize, Vec<u8>)>,
+    timer_queue: BinaryHeap<Reverse<(Timestamp, u64)>>,
+    timers_by_number: std::collections::BTreeMap<u64, Timer<FocaIdentity>>,
+    last_timer_number: u64,
     notices: VecDeque<MembershipNotice>,
 }
 
-impl Runtime<FocaIdentity> for Host {
+impl Runtime<FocaIdentity> for FocaRuntime {
     fn notify(&mut self, notification: Notification<'_, FocaIdentity>) {
         match notification {
             Notification::MemberUp(id) => self.notices.push_back(MembershipNotice::Alive(id.number.into())),
@@ -76,35 +76,35 @@
     }
 
     fn send_to(&mut self, to: FocaIdentity, data: &[u8]) {
-        self.out.push_back((to.number.into(), data.to_vec()));
+        self.outgoing.push_back((to.number.into(), data.to_vec()));
     }
 
     fn submit_after(&mut self, event: Timer<FocaIdentity>, after: StdDuration) {
-        self.number += 1;
+        self.last_timer_number += 1;
         let at = self.now + Duration::from_us(after.as_micros() as u64);
-        self.timers.push(Reverse((at, self.number)));
-        self.set.insert(self.number, event);
+        self.timer_queue.push(Reverse((at, self.last_timer_number)));
+        self.timers_by_number.insert(self.last_timer_number, event);
     }
 }
 
 /// A member by the `foca` crate.
 pub struct FocaProtocol {
     foca: Foca<FocaIdentity, PostcardCodec, PcgRng, NoCustomBroadcast>,
-    host: Host,
-    me: FocaIdentity,
-    announce: Timestamp,
-    chance: Pcg,
+    runtime: FocaRuntime,
+    own_identity: FocaIdentity,
+    next_announcement: Timestamp,
+    random: Pcg,
 }
 
 impl FocaProtocol {
-    fn announce_to_one(&mut self) {
-        let contact = SEED_MEMBERS[self.chance.draw() as usize % SEED_MEMBERS.len()];
-        if contact != usize::from(self.me.number) {
-            let to = FocaIdentity { number: contact as u16, generation: 0 };
-            let _ = self.foca.announce(to, &mut self.host); // tried again
+    fn announce_to_seed_member(&mut self) {
+        let seed_member = SEED_MEMBERS[self.random.draw() as usize % SEED_MEMBERS.len()];
+        if seed_member != usize::from(self.own_identity.number) {
+            let to = FocaIdentity { number: seed_member as u16, generation: 0 };
+            let _ = self.foca.announce(to, &mut self.runtime); // tried again
         }
-        self.announce =
-            self.host.now + Duration::from_ms(if self.alive_count() == 0 { 1000 } else { 10_000 });
+        self.next_announcement =
+            self.runtime.now + Duration::from_ms(if self.alive_count() == 0 { 1000 } else { 10_000 });
     }
 }
 
@@ -113,10 +113,10 @@
     const NAME: &'static str = "foca";
     type Packet = Vec<u8>;
 
-    fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
-        let id = FocaIdentity { number: me as u16, generation: now.us() / 1000 };
-        let size = (most as f64 + 1.0).log10();
-        let each = |ms, members: usize| {
+    fn start(server: usize, max_servers: usize, seed: u64, now: Timestamp) -> Self {
+        let identity = FocaIdentity { number: server as u16, generation: now.us() / 1000 };
+        let log_size = (max_servers as f64 + 1.0).log10();
+        let periodic = |ms, members: usize| {
             let num_members = NonZeroUsize::MIN.saturating_add(members - 1);
             Some(PeriodicParams { frequency: StdDuration::from_millis(ms), num_members })
         };
@@ -124,61 +124,64 @@
             probe_period: StdDuration::from_millis(1000),
             probe_rtt: StdDuration::from_millis(400),
             num_indirect_probes: NonZeroUsize::MIN.saturating_add(2),
-            max_transmissions: NonZeroU8::MIN.saturating_add((4.0 * size.ceil()) as u8 - 1),
-            suspect_to_down_after: StdDuration::from_secs_f64(4.0 * size.max(1.0)),
+            max_transmissions: NonZeroU8::MIN.saturating_add((4.0 * log_size.ceil()) as u8 - 1),
+            suspect_to_down_after: StdDuration::from_secs_f64(4.0 * log_size.max(1.0)),
             remove_down_after: Some(StdDuration::from_secs(900)),
             max_packet_size: NonZeroUsize::MIN.saturating_add(1182),
             notify_down_members: true,
-            periodic_announce: each(10_000, 1),
-            periodic_announce_to_down_members: each(1000, 1),
-            periodic_gossip: each(500, 2),
+            periodic_announce: periodic(10_000, 1),
+            periodic_announce_to_down_members: periodic(1000, 1),
+            periodic_gossip: periodic(500, 2),
         };
-        let foca = Foca::new(id, config, PcgRng(Pcg::new(seed)), PostcardCodec);
-        let mut way = Self {
+        let foca = Foca::new(identity, config, PcgRng(Pcg::new(seed)), PostcardCodec);
+        let mut protocol = Self {
             foca,
-            host: Host { now, ..Host::default() },
-            me: id,
-            announce: now,
-            chance: Pcg::new(seed ^ 0x5eed),
+            runtime: FocaRuntime { now, ..FocaRuntime::default() },
+            own_identity: identity,
+            next_announcement: now,
+            random: Pcg::new(seed ^ 0x5eed),
         };
-        way.announce_to_one();
-        way
+        protocol.announce_to_seed_member();
+        protocol
     }
 
     fn receive(&mut self, now: Timestamp, packet: &Vec<u8>) {
-        self.host.now = now;
-        let _ = self.foca.handle_data(packet, &mut self.host); // what is dropped is dropped
+        self.runtime.now = now;
+        let _ = self.foca.handle_data(packet, &mut self.runtime); // what is dropped is dropped
     }
 
     fn tick(&mut self, now: Timestamp) {
-        self.host.now = now;
-        while let Some(Reverse((at, number))) = self.host.timers.peek().copied() {
+        self.runtime.now = now;
+        while let Some(Reverse((at, number))) = self.runtime.timer_queue.peek().copied() {
             if at > now {
                 break;
             }
-            self.host.timers.pop();
-            if let Some(timer) = self.host.set.remove(&number) {
-                let _ = self.foca.handle_timer(timer, &mut self.host);
+            self.runtime.timer_queue.pop();
+            if let Some(timer) = self.runtime.timers_by_number.remove(&number) {
+                let _ = self.foca.handle_timer(timer, &mut self.runtime);
             }
         }
-        if self.announce <= now {
-            self.announce_to_one();
+        if self.next_announcement <= now {
+            self.announce_to_seed_member();
         }
     }
 
     fn next_tick(&self) -> Timestamp {
-        self.host.timers.peek().map_or(self.announce, |Reverse((at, _))| (*at).min(self.announce))
+        self.runtime
+            .timer_queue
+            .peek()
+            .map_or(self.next_announcement, |Reverse((at, _))| (*at).min(self.next_announcement))
     }
 
     fn next_packet(&mut self, _now: Timestamp) -> Option<OutgoingPacket<Vec<u8>>> {
-        let (to, data) = self.host.out.pop_front()?;
+        let (receiver, data) = self.runtime.outgoing.pop_front()?;
         // The same version octet and tag as ours would go before it.
         let bytes = data.len() + 17;
-        Some(OutgoingPacket { receiver: to, packet: data, bytes })
+        Some(OutgoingPacket { receiver, packet: data, bytes })
     }
 
     fn next_notice(&mut self) -> Option<MembershipNotice> {
-        self.host.notices.pop_front()
+        self.runtime.notices.pop_front()
     }
 
     fn alive_count(&self) -> usize {
--- a/crates/hazelspur-simulator/src/membership_protocols/heartbeat.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/heartbeat.rs
@@ -27,51 +27,52 @@
 /// Who was alive how long ago, by the sender's account.
 #[derive(Clone)]
 pub struct HeartbeatMessage {
-    from: usize,
-    list: Rc<Vec<(usize, Duration)>>,
+    sender: usize,
+    ages: Rc<Vec<(usize, Duration)>>,
 }
 
 /// A member by heartbeats.
 pub struct Heartbeat {
-    me: usize,
-    silence: Duration,
-    next: Timestamp,
+    own_number: usize,
+    failure_timeout: Duration,
+    next_heartbeat: Timestamp,
     /// When each was last known to be alive, and when it was first heard of.
-    seen: BTreeMap<usize, Timestamp>,
-    met: BTreeMap<usize, Timestamp>,
+    last_alive: BTreeMap<usize, Timestamp>,
+    first_heard: BTreeMap<usize, Timestamp>,
     now: Timestamp,
-    out: VecDeque<OutgoingPacket<HeartbeatMessage>>,
+    outgoing: VecDeque<OutgoingPacket<HeartbeatMessage>>,
     notices: VecDeque<MembershipNotice>,
 }
 
 impl Heartbeat {
-    fn note(&mut self, of: usize, at: Timestamp) {
-        if of == self.me {
+    fn record_alive(&mut self, server: usize, at: Timestamp) {
+        if server == self.own_number {
             return;
         }
-        match self.seen.get_mut(&of) {
-            Some(seen) => *seen = at.max(*seen),
+        match self.last_alive.get_mut(&server) {
+            Some(last_alive) => *last_alive = at.max(*last_alive),
             None => {
-                self.seen.insert(of, at);
-                self.met.insert(of, self.now);
-                self.notices.push_back(MembershipNotice::Alive(of));
+                self.last_alive.insert(server, at);
+                self.first_heard.insert(server, self.now);
+                self.notices.push_back(MembershipNotice::Alive(server));
             }
         }
     }
 
     fn speakers(&self, site: usize) -> Vec<usize> {
-        let here = self.seen.keys().copied().chain([self.me]).filter(|of| of % SITES == site);
-        let mut here: Vec<usize> = here.collect();
-        here.sort_unstable();
-        here.truncate(SPEAKERS_PER_SITE);
-        here
+        let numbers =
+            self.last_alive.keys().copied().chain([self.own_number]).filter(|server| server % SITES == site);
+        let mut numbers: Vec<usize> = numbers.collect();
+        numbers.sort_unstable();
+        numbers.truncate(SPEAKERS_PER_SITE);
+        numbers
     }
 
-    fn send(&mut self, to: usize, list: Rc<Vec<(usize, Duration)>>) {
-        let datagrams = (list.len() * ENTRY_BYTES).div_ceil(MAX_DATAGRAM_BYTES - HEADER_BYTES).max(1);
-        let bytes = datagrams * HEADER_BYTES + list.len() * ENTRY_BYTES;
-        let packet = HeartbeatMessage { from: self.me, list };
-        self.out.push_back(OutgoingPacket { receiver: to, packet, bytes });
+    fn send(&mut self, receiver: usize, ages: Rc<Vec<(usize, Duration)>>) {
+        let datagrams = (ages.len() * ENTRY_BYTES).div_ceil(MAX_DATAGRAM_BYTES - HEADER_BYTES).max(1);
+        let bytes = datagrams * HEADER_BYTES + ages.len() * ENTRY_BYTES;
+        let packet = HeartbeatMessage { sender: self.own_number, ages };
+        self.outgoing.push_back(OutgoingPacket { receiver, packet, bytes });
     }
 }
 
@@ -80,74 +81,94 @@
     const NAME: &'static str = "heartbeats, two speakers a site";
     type Packet = HeartbeatMessage;
 
-    fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
-        let silence = Duration::from_secs(4.0 * (most as f64 + 1.0).log10().max(1.0));
-        let next = now + Duration::from_us(seed % HEARTBEAT_PERIOD.us());
-        let (seen, met) = (BTreeMap::new(), BTreeMap::new());
-        let (out, notices) = (VecDeque::new(), VecDeque::new());
-        Self { me, silence, next, seen, met, now, out, notices }
+    fn start(server: usize, max_servers: usize, seed: u64, now: Timestamp) -> Self {
+        let failure_timeout = Duration::from_secs(4.0 * (max_servers as f64 + 1.0).log10().max(1.0));
+        let next_heartbeat = now + Duration::from_us(seed % HEARTBEAT_PERIOD.us());
+        let (last_alive, first_heard) = (BTreeMap::new(), BTreeMap::new());
+        let (outgoing, notices) = (VecDeque::new(), VecDeque::new());
+        Self {
+            own_number: server,
+            failure_timeout,
+            next_heartbeat,
+            last_alive,
+            first_heard,
+            now,
+            outgoing,
+            notices,
+        }
     }
 
     fn receive(&mut self, now: Timestamp, packet: &HeartbeatMessage) {
         self.now = now;
-        self.note(packet.from, now);
-        let (list, silence) = (packet.list.clone(), self.silence);
-        for (of, age) in list.iter().filter(|(_, age)| *age < silence) {
-            self.note(*of, now.saturating_sub(*age));
+        self.record_alive(packet.sender, now);
+        let (ages, failure_timeout) = (packet.ages.clone(), self.failure_timeout);
+        for (server, age) in ages.iter().filter(|(_, age)| *age < failure_timeout) {
+            self.record_alive(*server, now.saturating_sub(*age));
         }
     }
 
     fn tick(&mut self, now: Timestamp) {
-        if now < self.next {
+        if now < self.next_heartbeat {
             return;
         }
-        (self.next, self.now) = (now + HEARTBEAT_PERIOD, now);
-        let silence = self.silence;
-        let gone: Vec<usize> =
-            self.seen.iter().filter(|(_, at)| now - **at > silence).map(|(of, _)| *of).collect();
-        for of in gone {
-            self.seen.remove(&of);
-            self.met.remove(&of);
-            self.notices.push_back(MembershipNotice::Dead(of));
+        (self.next_heartbeat, self.now) = (now + HEARTBEAT_PERIOD, now);
+        let failure_timeout = self.failure_timeout;
+        let silent: Vec<usize> = self
+            .last_alive
+            .iter()
+            .filter(|(_, at)| now - **at > failure_timeout)
+            .map(|(server, _)| *server)
+            .collect();
+        for server in silent {
+            self.last_alive.remove(&server);
+            self.first_heard.remove(&server);
+            self.notices.push_back(MembershipNotice::Dead(server));
         }
-        let site = self.me % SITES;
-        let ages = |mine: bool| -> Rc<Vec<(usize, Duration)>> {
-            let listed = self.seen.iter().filter(|(of, _)| (**of % SITES == site) == mine);
-            Rc::new(listed.map(|(of, at)| (*of, now - *at)).collect())
+        let site = self.own_number % SITES;
+        let ages_where = |in_own_site: bool| -> Rc<Vec<(usize, Duration)>> {
+            let listed =
+                self.last_alive.iter().filter(|(server, _)| (**server % SITES == site) == in_own_site);
+            Rc::new(listed.map(|(server, at)| (*server, now - *at)).collect())
+        };
+        let (own_site, other_sites) = (ages_where(true), ages_where(false));
+        let is_speaker = self.speakers(site).contains(&self.own_number);
+        let site_members: Vec<usize> =
+            self.last_alive.keys().copied().filter(|server| server % SITES == site).collect();
+        let is_newcomer = |server: &usize| {
+            self.first_heard.get(server).is_some_and(|first_heard| now - *first_heard < NEWCOMER_DURATION)
         };
-        let (home, away) = (ages(true), ages(false));
-        let speaks = self.speakers(site).contains(&self.me);
-        let neighbours: Vec<usize> = self.seen.keys().copied().filter(|of| of % SITES == site).collect();
-        let fresh = |of: &usize| self.met.get(of).is_some_and(|met| now - *met < NEWCOMER_DURATION);
-        let new: Vec<(usize, Duration)> = home.iter().filter(|(of, _)| fresh(of)).copied().collect();
+        let newcomers: Vec<(usize, Duration)> =
+            own_site.iter().filter(|(server, _)| is_newcomer(server)).copied().collect();
         // All hear of newcomers, and newcomers of all.
-        let rest = if speaks { away.iter() } else { [].iter() };
-        let usual: Rc<Vec<(usize, Duration)>> = Rc::new(rest.chain(&new).copied().collect());
-        let all: Rc<Vec<(usize, Duration)>> = Rc::new(home.iter().chain(away.iter()).copied().collect());
-        let lists: Vec<(usize, bool)> = neighbours.into_iter().map(|of| (of, fresh(&of))).collect();
-        for (of, newcomer) in lists {
-            self.send(of, if newcomer { all.clone() } else { usual.clone() });
+        let rest = if is_speaker { other_sites.iter() } else { [].iter() };
+        let usual_ages: Rc<Vec<(usize, Duration)>> = Rc::new(rest.chain(&newcomers).copied().collect());
+        let all_ages: Rc<Vec<(usize, Duration)>> =
+            Rc::new(own_site.iter().chain(other_sites.iter()).copied().collect());
+        let recipients: Vec<(usize, bool)> =
+            site_members.into_iter().map(|server| (server, is_newcomer(&server))).collect();
+        for (server, newcomer) in recipients {
+            self.send(server, if newcomer { all_ages.clone() } else { usual_ages.clone() });
         }
-        if speaks {
+        if is_speaker {
             let others = (0..SITES).filter(|other| *other != site);
-            let to: Vec<usize> = others.flat_map(|other| self.speakers(other)).collect();
-            to.into_iter().for_each(|of| self.send(of, home.clone()));
+            let speakers: Vec<usize> = others.flat_map(|other| self.speakers(other)).collect();
+            speakers.into_iter().for_each(|server| self.send(server, own_site.clone()));
         }
-        for contact in SEED_MEMBERS {
-            if contact != self.me && !self.seen.contains_key(&contact) {
-                self.send(contact, home.clone());
-            } else if self.seen.len() < 3 && contact != self.me {
-                self.send(contact, Rc::default());
+        for seed_member in SEED_MEMBERS {
+            if seed_member != self.own_number && !self.last_alive.contains_key(&seed_member) {
+                self.send(seed_member, own_site.clone());
+            } else if self.last_alive.len() < 3 && seed_member != self.own_number {
+                self.send(seed_member, Rc::default());
             }
         }
     }
 
     fn next_tick(&self) -> Timestamp {
-        self.next
+        self.next_heartbeat
     }
 
     fn next_packet(&mut self, _now: Timestamp) -> Option<OutgoingPacket<HeartbeatMessage>> {
-        self.out.pop_front()
+        self.outgoing.pop_front()
     }
 
     fn next_notice(&mut self) -> Option<MembershipNotice> {
@@ -155,6 +176,6 @@
     }
 
     fn alive_count(&self) -> usize {
-        self.seen.len()
+        self.last_alive.len()
     }
 }
--- a/crates/hazelspur-simulator/src/membership_protocols/mod.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/mod.rs
@@ -35,8 +35,8 @@
     /// What members send each other.
     type Packet: Clone;
 
-    /// Starts a new incarnation; `most` is the greatest size of the fleet.
-    fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self;
+    /// Starts a new incarnation; `max_servers` is the greatest size of the fleet.
+    fn start(server: usize, max_servers: usize, seed: u64, now: Timestamp) -> Self;
     /// Handles a packet.
     fn receive(&mut self, now: Timestamp, packet: &Self::Packet);
     /// Handles the timers that are due.
--- a/crates/hazelspur-simulator/src/membership_protocols/send_only.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/send_only.rs
@@ -20,44 +20,44 @@
 
 /// A member that only sends.
 pub struct SendOnlyMember {
-    chance: Pcg,
+    random: Pcg,
     servers: usize,
-    every: Duration,
-    next: Timestamp,
-    waits: bool,
+    period: Duration,
+    next_send: Timestamp,
+    is_due: bool,
     packet: Datagram,
 }
 
 impl SendOnlyMember {
     /// Claims go along until the datagram is as long as is asked for.
-    pub fn new(me: usize, rate: SendRate, seed: u64, now: Timestamp) -> Self {
-        let claim = |of: usize| MemberUpdate {
-            name: member_name(of),
+    pub fn new(server: usize, rate: SendRate, seed: u64, now: Timestamp) -> Self {
+        let update = |server: usize| MemberUpdate {
+            name: member_name(server),
             site: SiteName::new("east-1").expect("a short name"),
-            address: member_address(of),
+            address: member_address(server),
             generation: Generation(now.us() / 1000),
             incarnation: Incarnation(0),
             state: MemberState::Alive,
         };
         let mut packet = Datagram {
             installation: Installation::new("lab").expect("a short name"),
-            sender: claim(me),
+            sender: update(server),
             sequence: 1,
             sent_ms: now.us() / 1000,
             body: Body::Gossip,
             load_report: None,
             updates: Vec::new(),
         };
-        let long = rate.bytes_per_s / rate.datagrams_per_s.max(1e-9);
-        while (datagram::encoded_length(&packet) as f64) < long
+        let target_bytes = rate.bytes_per_s / rate.datagrams_per_s.max(1e-9);
+        while (datagram::encoded_length(&packet) as f64) < target_bytes
             && packet.updates.len() < datagram::MAX_UPDATES
         {
-            packet.updates.push(claim(packet.updates.len()));
+            packet.updates.push(update(packet.updates.len()));
         }
-        let every = Duration::from_secs(1.0 / rate.datagrams_per_s.max(1e-3));
-        let mut chance = Pcg::new(seed);
-        let next = now + every.scaled(chance.draw_fraction());
-        Self { chance, servers: rate.servers, every, next, waits: false, packet }
+        let period = Duration::from_secs(1.0 / rate.datagrams_per_s.max(1e-3));
+        let mut random = Pcg::new(seed);
+        let next_send = now + period.scaled(random.draw_fraction());
+        Self { random, servers: rate.servers, period, next_send, is_due: false, packet }
     }
 }
 
@@ -66,29 +66,34 @@
     const NAME: &'static str = "no machine";
     type Packet = Datagram;
 
-    fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
-        Self::new(me, SendRate { servers: most, datagrams_per_s: 10.0, bytes_per_s: 1000.0 }, seed, now)
+    fn start(server: usize, max_servers: usize, seed: u64, now: Timestamp) -> Self {
+        Self::new(
+            server,
+            SendRate { servers: max_servers, datagrams_per_s: 10.0, bytes_per_s: 1000.0 },
+            seed,
+            now,
+        )
     }
 
     fn receive(&mut self, _now: Timestamp, _packet: &Datagram) {}
 
     fn tick(&mut self, now: Timestamp) {
-        if now >= self.next {
-            (self.next, self.waits) = (self.next + self.every, true);
+        if now >= self.next_send {
+            (self.next_send, self.is_due) = (self.next_send + self.period, true);
         }
     }
 
     fn next_tick(&self) -> Timestamp {
-        self.next
+        self.next_send
     }
 
     fn next_packet(&mut self, _now: Timestamp) -> Option<OutgoingPacket<Datagram>> {
-        if !std::mem::take(&mut self.waits) {
+        if !std::mem::take(&mut self.is_due) {
             return None;
         }
-        let to = self.chance.draw() as usize % self.servers.max(1);
+        let receiver = self.random.draw() as usize % self.servers.max(1);
         Some(OutgoingPacket {
-            receiver: to,
+            receiver,
             packet: self.packet.clone(),
             bytes: datagram::encoded_length(&self.packet),
         })
--- a/crates/hazelspur-simulator/src/membership_protocols/swim.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/swim.rs
@@ -13,36 +13,36 @@
 pub struct Swim(pub Membership);
 
 /// The name of a server by its number.
-pub fn member_name(of: usize) -> MemberName {
-    MemberName::new(&format!("n{of}")).expect("a short name")
+pub fn member_name(server: usize) -> MemberName {
+    MemberName::new(&format!("n{server}")).expect("a short name")
 }
 
 /// The address of a server by its number.
-pub fn member_address(of: usize) -> SocketAddr {
-    SocketAddr::from(([127, 1, (of >> 8) as u8, (of & 255) as u8], 7000))
+pub fn member_address(server: usize) -> SocketAddr {
+    SocketAddr::from(([127, 1, (server >> 8) as u8, (server & 255) as u8], 7000))
 }
 
 /// The number of a server by its address; `usize::MAX` for an unknown one.
-pub fn server_number(at: SocketAddr) -> usize {
-    match at {
+pub fn server_number(address: SocketAddr) -> usize {
+    match address {
         SocketAddr::V4(at) => usize::from(at.ip().octets()[2]) << 8 | usize::from(at.ip().octets()[3]),
         SocketAddr::V6(_) => usize::MAX,
     }
 }
 
-fn number_of(name: MemberName) -> usize {
+fn number_from_name(name: MemberName) -> usize {
     name.as_str()[1..].parse().unwrap_or(usize::MAX)
 }
 
-/// The configuration of a member in a fleet of at most `most` servers.
-pub fn node_config(me: usize, most: usize) -> NodeConfig {
+/// The configuration of a member in a fleet of at most `max_servers` servers.
+pub fn node_config(server: usize, max_servers: usize) -> NodeConfig {
     NodeConfig {
         installation: Installation::new("lab").expect("a short name"),
-        name: member_name(me),
-        site: SiteName::new(["east", "west", "north"][me % 3]).expect("a short name"),
-        address: member_address(me),
-        seeds: SEED_MEMBERS.iter().map(|of| member_address(*of)).collect(),
-        max_servers: most,
+        name: member_name(server),
+        site: SiteName::new(["east", "west", "north"][server % 3]).expect("a short name"),
+        address: member_address(server),
+        seeds: SEED_MEMBERS.iter().map(|server| member_address(*server)).collect(),
+        max_servers,
         probe_period: Duration::from_ms(1000),
         retention: Duration::from_ms(900_000),
     }
@@ -53,8 +53,8 @@
     const NAME: &'static str = "own machine";
     type Packet = Datagram;
 
-    fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
-        Self(Membership::new(node_config(me, most), Generation(now.us() / 1000), seed, now))
+    fn start(server: usize, max_servers: usize, seed: u64, now: Timestamp) -> Self {
+        Self(Membership::new(node_config(server, max_servers), Generation(now.us() / 1000), seed, now))
     }
 
     fn receive(&mut self, now: Timestamp, packet: &Datagram) {
@@ -94,8 +94,8 @@
 
 /// How many others these hold for alive, the suspected among them.
 pub fn count_alive(members: &Membership) -> usize {
-    let alive = |standing| matches!(standing, MemberStatus::Alive | MemberStatus::Suspected);
-    members.statuses().filter(|(_, standing)| alive(*standing)).count()
+    let is_alive = |status| matches!(status, MemberStatus::Alive | MemberStatus::Suspected);
+    members.statuses().filter(|(_, status)| is_alive(*status)).count()
 }
 
 /// The next event that concerns who is here.
@@ -103,10 +103,10 @@
     loop {
         match members.next_event()? {
             MembershipEvent::Joined(name) | MembershipEvent::Recovered(name) => {
-                return Some(MembershipNotice::Alive(number_of(name)));
+                return Some(MembershipNotice::Alive(number_from_name(name)));
             }
             MembershipEvent::Died(name) | MembershipEvent::Left(name) => {
-                return Some(MembershipNotice::Dead(number_of(name)));
+                return Some(MembershipNotice::Dead(number_from_name(name)));
             }
             _ => {}
         }
--- a/crates/hazelspur-simulator/src/membership_protocols/zoned.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/zoned.rs
@@ -22,7 +22,7 @@
 /// A server looks at its own work so often, as the program does.
 const OBSERVATION_PERIOD: Duration = Duration::from_ms(200);
 /// What it sees there: calls of so many seconds, and nothing refused.
-const CALL_DURATION_S: f64 = 0.02;
+const OBSERVED_CALL_S: f64 = 0.02;
 /// Slots of each shared limit for a server.
 const SLOTS_PER_SERVER: f64 = 4.0;
 /// Fraction of each limit that is guaranteed without a lease.
@@ -33,13 +33,13 @@
 const VOTE_DURATION: Duration = Duration::from_ms(4000);
 
 /// As those of three sites, in its zone.
-pub fn zoned_node_config(me: usize, most: usize) -> NodeConfig {
-    let site = SiteName::new(ZONE_NAMES[me % ZONES]).expect("a short name");
-    NodeConfig { site, ..node_config(me, most) }
+pub fn zoned_node_config(server: usize, max_servers: usize) -> NodeConfig {
+    let site = SiteName::new(ZONE_NAMES[server % ZONES]).expect("a short name");
+    NodeConfig { site, ..node_config(server, max_servers) }
 }
 
-/// So many limits alike over `servers`, divided among `most` at most.
-pub fn quota_config(servers: usize, most: usize, limits: usize) -> QuotaConfig {
+/// So many limits alike over `servers`, divided among `max_servers` at most.
+pub fn quota_config(servers: usize, max_servers: usize, limits: usize) -> QuotaConfig {
     let limit = |at: usize| SharedLimit {
         name: LimitName::new(&format!("limit-{at}")).expect("a short name"),
         total: SLOTS_PER_SERVER * servers as f64,
@@ -50,7 +50,7 @@
     let voters = (0..VOTERS).map(member_name).collect();
     QuotaConfig {
         voters,
-        max_servers: most,
+        max_servers,
         vote_duration: VOTE_DURATION,
         limits: (0..limits).map(limit).collect(),
     }
@@ -64,8 +64,13 @@
     const NAME: &'static str = "members";
     type Packet = Datagram;
 
-    fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
-        Self(Swim(Membership::new(zoned_node_config(me, most), Generation(now.us() / 1000), seed, now)))
+    fn start(server: usize, max_servers: usize, seed: u64, now: Timestamp) -> Self {
+        Self(Swim(Membership::new(
+            zoned_node_config(server, max_servers),
+            Generation(now.us() / 1000),
+            seed,
+            now,
+        )))
     }
 
     fn receive(&mut self, now: Timestamp, packet: &Datagram) {
@@ -105,12 +110,12 @@
 pub struct ZonedFleetNode<const LIMITS: usize> {
     pub node: FleetNode,
     /// The last input was then.
-    last: Timestamp,
-    next_look: Timestamp,
+    last_input: Timestamp,
+    next_observation: Timestamp,
 }
 
 /// The laboratory's servers agree on the time.
-fn at(now: Timestamp) -> Clocks {
+fn clocks(now: Timestamp) -> Clocks {
     Clocks { wall: now, monotonic: now }
 }
 
@@ -119,40 +124,50 @@
     const NAME: &'static str = "members, signals and shares";
     type Packet = Datagram;
 
-    /// A fifth of `most` is room for more servers than there are.
-    fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
-        let shares = quota_config(most * 4 / 5, most, LIMITS);
+    /// A fifth of `max_servers` is room for more servers than there are.
+    fn start(server: usize, max_servers: usize, seed: u64, now: Timestamp) -> Self {
+        let quota = quota_config(max_servers * 4 / 5, max_servers, LIMITS);
         let generation = Generation(now.us() / 1000);
-        let mut node = FleetNode::new(zoned_node_config(me, most), Some(shares), generation, seed, at(now));
+        let mut node = FleetNode::new(
+            zoned_node_config(server, max_servers),
+            Some(quota),
+            generation,
+            seed,
+            clocks(now),
+        );
         for limit in 0..LIMITS {
             // Some want half of what an equal share were, some twice that.
-            let want = SLOTS_PER_SERVER * [0.5, 0.8, 1.2, 2.0][(me + limit) % 4];
-            node.set_demand(&format!("limit-{limit}"), want);
+            let demand = SLOTS_PER_SERVER * [0.5, 0.8, 1.2, 2.0][(server + limit) % 4];
+            node.set_demand(&format!("limit-{limit}"), demand);
+        }
+        Self {
+            node,
+            last_input: now,
+            next_observation: now + OBSERVATION_PERIOD.scaled((seed % 1000) as f64 / 1000.0),
         }
-        Self { node, last: now, next_look: now + OBSERVATION_PERIOD.scaled((seed % 1000) as f64 / 1000.0) }
     }
 
     fn receive(&mut self, now: Timestamp, packet: &Datagram) {
-        self.last = now;
-        let _ = self.node.receive(at(now), packet); // what is dropped is dropped
+        self.last_input = now;
+        let _ = self.node.receive(clocks(now), packet); // what is dropped is dropped
     }
 
     fn tick(&mut self, now: Timestamp) {
-        self.last = now;
-        if now >= self.next_look {
-            self.next_look = now + OBSERVATION_PERIOD;
+        self.last_input = now;
+        if now >= self.next_observation {
+            self.next_observation = now + OBSERVATION_PERIOD;
             self.node
-                .observe(at(now), LocalLoad { call_secs: Some(CALL_DURATION_S), rejected_fraction: 0.0 });
+                .observe(clocks(now), LocalLoad { call_secs: Some(OBSERVED_CALL_S), rejected_fraction: 0.0 });
         }
-        self.node.tick(at(now));
+        self.node.tick(clocks(now));
     }
 
     fn next_tick(&self) -> Timestamp {
-        self.next_look.min(self.last + self.node.time_to_next_tick(at(self.last)))
+        self.next_observation.min(self.last_input + self.node.time_to_next_tick(clocks(self.last_input)))
     }
 
     fn next_packet(&mut self, now: Timestamp) -> Option<OutgoingPacket<Datagram>> {
-        let OutgoingDatagram { address, datagram } = self.node.next_datagram(at(now))?;
+        let OutgoingDatagram { address, datagram } = self.node.next_datagram(clocks(now))?;
         let bytes = datagram::encoded_length(&datagram);
         Some(OutgoingPacket { receiver: server_number(address), packet: datagram, bytes })
     }
@@ -162,7 +177,7 @@
     }
 
     fn leave(&mut self, now: Timestamp) {
-        self.node.leave(at(now));
+        self.node.leave(clocks(now));
         self.node.membership.announce_left(now);
     }
 
@@ -178,6 +193,6 @@
 impl<const LIMITS: usize> ZonedFleetNode<LIMITS> {
     /// What it may use of a limit.
     pub fn usable_quota(&self, now: Timestamp, limit: LimitId) -> f64 {
-        self.node.quota.as_ref().map_or(0.0, |shares| shares.share(now, limit).amount)
+        self.node.quota.as_ref().map_or(0.0, |quota| quota.share(now, limit).amount)
     }
 }
--- a/crates/hazelspur-simulator/src/models/dependency.rs
+++ b/crates/hazelspur-simulator/src/models/dependency.rs
@@ -38,8 +38,8 @@
         self.concurrent_calls += 1;
         self.calls += 1;
         self.max_concurrent_calls = self.max_concurrent_calls.max(self.concurrent_calls);
-        let crowd = (self.concurrent_calls as f64 / self.slots).max(1.0);
-        Some(self.call_duration.scaled(self.slowdown * crowd * crowd))
+        let contention = (self.concurrent_calls as f64 / self.slots).max(1.0);
+        Some(self.call_duration.scaled(self.slowdown * contention * contention))
     }
 
     /// Ends one call.
--- a/crates/hazelspur-simulator/src/models/gateways.rs
+++ b/crates/hazelspur-simulator/src/models/gateways.rs
@@ -45,34 +45,42 @@
     /// Mean seconds of work of each request class.
     pub mean_work_s: Vec<f64>,
     /// Servers there may be.
-    all: usize,
-    turn: usize,
+    server_count: usize,
+    last_picked: usize,
     /// The same among the first ones only.
-    first_turn: usize,
+    last_picked_among_first: usize,
 }
 
 impl Gateways {
     /// Gateways that send `requests_per_s` requests a second in all.
     pub fn new(
         count: usize,
-        all: usize,
+        server_count: usize,
         requests_per_s: f64,
         timeout: Duration,
         mean_work_s: Vec<f64>,
     ) -> Self {
-        Self { count, requests_per_s, timeout, mean_work_s, all, turn: 0, first_turn: 0 }
+        Self {
+            count,
+            requests_per_s,
+            timeout,
+            mean_work_s,
+            server_count,
+            last_picked: 0,
+            last_picked_among_first: 0,
+        }
     }
 
     /// Draws the time until the next request.
-    pub fn draw_interval(&self, chance: &mut Pcg) -> Duration {
-        Duration::from_secs(-(1.0 - chance.draw_fraction()).ln() / self.requests_per_s.max(1e-9))
+    pub fn draw_interval(&self, random: &mut Pcg) -> Duration {
+        Duration::from_secs(-(1.0 - random.draw_fraction()).ln() / self.requests_per_s.max(1e-9))
     }
 
     /// Draws the next request.
-    pub fn draw_request(&mut self, now: Timestamp, chance: &mut Pcg) -> ClientRequest {
-        let gateway = chance.draw() as usize % self.count;
-        let request_class = chance.draw() as usize % self.mean_work_s.len();
-        let work_s = self.mean_work_s[request_class] * (0.5 + chance.draw_fraction());
+    pub fn draw_request(&mut self, now: Timestamp, random: &mut Pcg) -> ClientRequest {
+        let gateway = random.draw() as usize % self.count;
+        let request_class = random.draw() as usize % self.mean_work_s.len();
+        let work_s = self.mean_work_s[request_class] * (0.5 + random.draw_fraction());
         let deadline = now + self.timeout;
         ClientRequest {
             gateway,
@@ -88,14 +96,18 @@
     pub fn pick_server(
         &mut self,
         servers: usize,
-        not: Option<usize>,
-        shows: impl Fn(usize) -> bool,
+        excluded: Option<usize>,
+        is_listed: impl Fn(usize) -> bool,
     ) -> Option<usize> {
-        let turn = if servers == self.all { &mut self.turn } else { &mut self.first_turn };
+        let last_picked = if servers == self.server_count {
+            &mut self.last_picked
+        } else {
+            &mut self.last_picked_among_first
+        };
         for _ in 0..servers {
-            *turn = (*turn + 1) % servers;
-            if Some(*turn) != not && shows(*turn) {
-                return Some(*turn);
+            *last_picked = (*last_picked + 1) % servers;
+            if Some(*last_picked) != excluded && is_listed(*last_picked) {
+                return Some(*last_picked);
             }
         }
         None
--- a/crates/hazelspur-simulator/src/models/server_list.rs
+++ b/crates/hazelspur-simulator/src/models/server_list.rs
@@ -34,7 +34,7 @@
 
     /// Whether gateways see it now.
     pub fn is_listed(&self, now: Timestamp, server: usize) -> bool {
-        let at = now.saturating_sub(self.delay);
-        self.reports[server].iter().any(|report| *report <= at && *report + LISTING_DURATION > at)
+        let read_at = now.saturating_sub(self.delay);
+        self.reports[server].iter().any(|report| *report <= read_at && *report + LISTING_DURATION > read_at)
     }
 }
--- a/crates/hazelspur-simulator/src/network.rs
+++ b/crates/hazelspur-simulator/src/network.rs
@@ -7,11 +7,11 @@
 use hazelspur::pcg::Pcg;
 
 /// One-way latency within a site, in ms.
-const WITHIN_MS: f64 = 0.2;
+const LATENCY_WITHIN_SITE_MS: f64 = 0.2;
 /// One-way latency from site to site, in ms.
-const ACROSS_MS: f64 = 1.0;
+const LATENCY_BETWEEN_SITES_MS: f64 = 1.0;
 /// Mean of the exponential latency tail, in ms.
-const TAIL_MS: f64 = 0.1;
+const MEAN_LATENCY_TAIL_MS: f64 = 0.1;
 
 /// Which links carry nothing: by number and site of sender and receiver.
 pub type Partition = fn(from: usize, to: usize) -> bool;
@@ -35,7 +35,7 @@
 impl Network {
     /// A healthy network of one region.
     pub fn new(sites: usize) -> Self {
-        let region_latency = Duration::from_us((ACROSS_MS * 1000.0) as u64);
+        let region_latency = Duration::from_us((LATENCY_BETWEEN_SITES_MS * 1000.0) as u64);
         Self {
             sites,
             regions: 1,
@@ -48,36 +48,37 @@
     }
 
     /// The site of a server.
-    pub fn site(&self, of: usize) -> usize {
-        of % self.sites.max(1)
+    pub fn site(&self, server: usize) -> usize {
+        server % self.sites.max(1)
     }
 
     /// The region of a server.
-    pub fn region(&self, of: usize) -> usize {
-        self.site(of) % self.regions.max(1)
+    pub fn region(&self, server: usize) -> usize {
+        self.site(server) % self.regions.max(1)
     }
 
     /// After how long each copy arrives; none where it is lost.
-    pub fn draw_delays(&self, chance: &mut Pcg, from: usize, to: usize) -> Vec<Duration> {
+    pub fn draw_delays(&self, random: &mut Pcg, from: usize, to: usize) -> Vec<Duration> {
         if self.partition.is_some_and(|partition| partition(from, to)) {
             return Vec::new();
         }
-        let apart = self.region(from) != self.region(to);
+        let crosses_regions = self.region(from) != self.region(to);
         let base = match () {
-            () if apart => self.region_latency.secs() * 1000.0,
-            () if self.site(from) == self.site(to) => WITHIN_MS,
-            () => ACROSS_MS,
+            () if crosses_regions => self.region_latency.secs() * 1000.0,
+            () if self.site(from) == self.site(to) => LATENCY_WITHIN_SITE_MS,
+            () => LATENCY_BETWEEN_SITES_MS,
         };
-        let loss = if apart { 1.0 - (1.0 - self.loss) * (1.0 - self.region_loss) } else { self.loss };
-        let copies = 1 + usize::from(self.duplicated > 0.0 && chance.draw_fraction() < self.duplicated);
-        let mut arrive = Vec::with_capacity(copies);
+        let loss =
+            if crosses_regions { 1.0 - (1.0 - self.loss) * (1.0 - self.region_loss) } else { self.loss };
+        let copies = 1 + usize::from(self.duplicated > 0.0 && random.draw_fraction() < self.duplicated);
+        let mut delays = Vec::with_capacity(copies);
         for _ in 0..copies {
-            let lost = loss > 0.0 && chance.draw_fraction() < loss;
-            let tail = -TAIL_MS * (1.0 - chance.draw_fraction()).ln();
+            let lost = loss > 0.0 && random.draw_fraction() < loss;
+            let tail = -MEAN_LATENCY_TAIL_MS * (1.0 - random.draw_fraction()).ln();
             if !lost {
-                arrive.push(Duration::from_us(((base + tail) * 1000.0) as u64));
+                delays.push(Duration::from_us(((base + tail) * 1000.0) as u64));
             }
         }
-        arrive
+        delays
     }
 }
--- a/crates/hazelspur-simulator/src/simulation/client.rs
+++ b/crates/hazelspur-simulator/src/simulation/client.rs
@@ -10,21 +10,22 @@
 
 impl Simulation {
     /// Sends a new request, and schedules the one after it.
-    pub(super) fn next_request(&mut self) {
+    pub(super) fn send_next_request(&mut self) {
         let now = self.queue.now;
         let request = self.gateways.draw_request(now, &mut self.random);
         self.figures.requests += 1;
-        self.send(request, None);
+        self.send_attempt(request, None);
         let gap = self.gateways.draw_interval(&mut self.random);
         self.queue.schedule(now + gap, Event::NextRequest);
     }
 
     /// Sends one attempt to a listed server other than the one that rejected the last.
-    pub(super) fn send(&mut self, request: ClientRequest, rejected_by: Option<usize>) {
+    pub(super) fn send_attempt(&mut self, request: ClientRequest, rejected_by: Option<usize>) {
         let now = self.queue.now;
         let candidates = self.candidates(rejected_by.is_none());
-        let list = &self.list;
-        let picked = self.gateways.pick_server(candidates, rejected_by, |server| list.is_listed(now, server));
+        let server_list = &self.server_list;
+        let picked =
+            self.gateways.pick_server(candidates, rejected_by, |server| server_list.is_listed(now, server));
         let Some(server) = picked else {
             self.figures.failed += 1;
             return;
@@ -63,7 +64,7 @@
     }
 
     /// Counts a response on its arrival at the client.
-    pub(super) fn answered(&mut self, request: &ClientRequest) {
+    pub(super) fn count_response(&mut self, request: &ClientRequest) {
         let arrival = self.queue.now + ONE_WAY_LATENCY;
         if arrival > request.deadline {
             self.figures.late += 1;
--- a/crates/hazelspur-simulator/src/simulation/config.rs
+++ b/crates/hazelspur-simulator/src/simulation/config.rs
@@ -10,7 +10,7 @@
 /// Time from a request's first attempt to its deadline.
 pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_ms(2000);
 /// Running requests for each core past which every request slows down.
-pub(super) const CROWD_PER_CORE: f64 = 8.0;
+pub(super) const CONTENTION_THRESHOLD_PER_CORE: f64 = 8.0;
 /// Cores of one server unless a study says otherwise.
 const DEFAULT_CORES: f64 = 2.0;
 /// Dependency slots for each server unless a study says otherwise.
--- a/crates/hazelspur-simulator/src/simulation/coordination.rs
+++ b/crates/hazelspur-simulator/src/simulation/coordination.rs
@@ -52,7 +52,7 @@
     demands: Vec<f64>,
     /// Mean rejected fraction of all running servers.
     rejected_fraction: f64,
-    ledger_down: bool,
+    dependency_down: bool,
 }
 
 /// What all servers may use of the ledger's slots.
@@ -183,13 +183,13 @@
         }
         coordinator.next_tick = Timestamp::default();
         coordinator.node.tick(clocks);
-        self.probe_ledger(server);
+        self.probe_dependency(server);
         self.send_datagrams(server);
         self.update_guidance(server);
     }
 
     /// Probes the ledger where the circuit breaker asks for it.
-    fn probe_ledger(&mut self, server: usize) {
+    fn probe_dependency(&mut self, server: usize) {
         let clocks = self.clocks();
         let Some(coordinator) = &mut self.coordinators[server] else { return };
         if coordinator.node.breaker.next_probe().is_some_and(|next| next <= clocks.wall) {
@@ -279,11 +279,11 @@
                 controller.set_guidance(now, GUIDED_SETTING, Some(limit));
             }
             controller.set_guidance(now, GuidanceKey::RejectedShare, Some(state.rejected_fraction));
-            controller.set_guidance(now, GuidanceKey::BreakerOpen, state.ledger_down.then_some(1.0));
+            controller.set_guidance(now, GuidanceKey::BreakerOpen, state.dependency_down.then_some(1.0));
             self.carry_out_decisions(server);
         }
         self.oracle_state = self.true_state();
-        self.queue.schedule(now + ORACLE_PERIOD, Event::Oracle);
+        self.queue.schedule(now + ORACLE_PERIOD, Event::OracleRound);
     }
 
     fn true_state(&self) -> FleetState {
@@ -296,7 +296,7 @@
         FleetState {
             demands: reports.iter().map(|report| report.as_ref().map_or(0.0, call_demand)).collect(),
             rejected_fraction: rejected / running,
-            ledger_down: self.dependency.down,
+            dependency_down: self.dependency.down,
         }
     }
 
--- a/crates/hazelspur-simulator/src/simulation/decisions.rs
+++ b/crates/hazelspur-simulator/src/simulation/decisions.rs
@@ -20,8 +20,8 @@
 
     fn carry_out(&mut self, server: usize, decision: Decision) {
         match decision {
-            Decision::Run(id) => self.put_on_cores(server, id, WORK_BEFORE_CALL),
-            Decision::SkipCall(id) => self.put_on_cores(server, id, 1.0 - WORK_BEFORE_CALL),
+            Decision::Run(id) => self.start_work(server, id, WORK_BEFORE_CALL),
+            Decision::SkipCall(id) => self.start_work(server, id, 1.0 - WORK_BEFORE_CALL),
             Decision::Preempt(id) => self.preempt(server, id),
             Decision::Reject { request, retry_after, do_not_retry_elsewhere } => {
                 self.reject(server, request, retry_after, do_not_retry_elsewhere);
@@ -37,10 +37,10 @@
     }
 
     /// Puts this part of a request's work on the server's cores.
-    fn put_on_cores(&mut self, server: usize, id: RequestId, fraction: f64) {
+    fn start_work(&mut self, server: usize, id: RequestId, fraction: f64) {
         let running = &mut self.servers[server];
         if let Some(request) = running.requests.get(&id) {
-            running.cores.start(self.queue.now, id, request.request.work_s * fraction);
+            running.cores.start(self.queue.now, id, request.client_request.work_s * fraction);
         }
     }
 
@@ -61,11 +61,15 @@
 
     fn reject(&mut self, server: usize, id: RequestId, retry_after: Duration, do_not_retry_elsewhere: bool) {
         let Some(rejected) = self.servers[server].requests.remove(&id) else { return };
-        let obeys = RetryPolicy::of_gateway(rejected.request.gateway).obeys_server;
-        if obeys && do_not_retry_elsewhere {
+        let obeys_server = RetryPolicy::of_gateway(rejected.client_request.gateway).obeys_server;
+        if obeys_server && do_not_retry_elsewhere {
             self.figures.rejected += 1;
         } else {
-            self.retry(server, rejected.request, if obeys { retry_after } else { Duration::ZERO });
+            self.retry(
+                server,
+                rejected.client_request,
+                if obeys_server { retry_after } else { Duration::ZERO },
+            );
         }
     }
 
@@ -125,9 +129,9 @@
             return self.end_abandoned_run(server, id, outcome);
         }
         if outcome == Outcome::Ok {
-            self.put_on_cores(server, id, 1.0 - WORK_BEFORE_CALL);
+            self.start_work(server, id, 1.0 - WORK_BEFORE_CALL);
         }
-        self.input(server, |controller| controller.call_finished(now, id, outcome));
+        self.apply_input(server, |controller| controller.call_finished(now, id, outcome));
         self.schedule_core_check(server);
     }
 
@@ -135,7 +139,7 @@
     fn end_abandoned_run(&mut self, server: usize, id: RequestId, outcome: Outcome) {
         let now = self.queue.now;
         self.servers[server].requests.remove(&id);
-        self.input(server, |controller| {
+        self.apply_input(server, |controller| {
             controller.call_finished(now, id, outcome);
             controller.run_finished(now, id, Outcome::Preempted);
         });
--- a/crates/hazelspur-simulator/src/simulation/event.rs
+++ b/crates/hazelspur-simulator/src/simulation/event.rs
@@ -12,13 +12,13 @@
     ControllerTimer { server: usize, incarnation: u64 },
     CoreCheck { server: usize, incarnation: u64, at: Timestamp },
     CallFinished(CallEnd),
-    Report { server: usize, incarnation: u64 },
+    ServerListReport { server: usize, incarnation: u64 },
     Retry { rejected_by: usize, request: ClientRequest },
     Script(ScriptAction),
     FleetTick { server: usize, incarnation: u64, at: Timestamp },
     DatagramReceived { server: usize, datagram: Box<Datagram> },
     LoadObservation { server: usize, incarnation: u64 },
-    Oracle,
+    OracleRound,
 }
 
 /// The end of one dependency call.
@@ -38,11 +38,11 @@
             | Self::ControllerTimer { server, .. }
             | Self::CoreCheck { server, .. }
             | Self::CallFinished(CallEnd { server, .. })
-            | Self::Report { server, .. }
+            | Self::ServerListReport { server, .. }
             | Self::FleetTick { server, .. }
             | Self::DatagramReceived { server, .. }
             | Self::LoadObservation { server, .. } => Some(*server),
-            Self::NextRequest | Self::Retry { .. } | Self::Script(_) | Self::Oracle => None,
+            Self::NextRequest | Self::Retry { .. } | Self::Script(_) | Self::OracleRound => None,
         }
     }
 }
--- a/crates/hazelspur-simulator/src/simulation/mod.rs
+++ b/crates/hazelspur-simulator/src/simulation/mod.rs
@@ -26,7 +26,7 @@
 use event::Event;
 use hazelspur::Duration;
 use hazelspur::pcg::Pcg;
-use script::LedgerLink;
+use script::DependencyLink;
 use server::Server;
 
 /// Fraction of a request's work that comes before its call.
@@ -51,10 +51,10 @@
     gateways: Gateways,
     /// The shared dependency of all servers.
     pub dependency: SharedDependency,
-    list: ServerList,
+    server_list: ServerList,
     last_request_number: u64,
     coordinators: Vec<Option<Coordinator>>,
-    links: Vec<LedgerLink>,
+    links: Vec<DependencyLink>,
     /// Carries datagrams between servers.
     pub network: Network,
     oracle_state: FleetState,
@@ -68,7 +68,7 @@
         let mut simulation = Self::without_servers_running(config);
         (0..config.initial_servers.min(config.servers)).for_each(|server| simulation.start(server, false));
         if config.coordination == Coordination::Oracle {
-            simulation.queue.schedule(START + ORACLE_PERIOD, Event::Oracle);
+            simulation.queue.schedule(START + ORACLE_PERIOD, Event::OracleRound);
         }
         simulation.queue.schedule(START + FIRST_REQUEST_AFTER, Event::NextRequest);
         simulation
@@ -84,10 +84,10 @@
             servers: (0..servers).map(|_| Server::down(&config)).collect(),
             gateways: Gateways::new(gateways, servers, config.request_rate(), REQUEST_TIMEOUT, work),
             dependency: SharedDependency::new(config.dependency_slots(), config.call_duration),
-            list: ServerList::new(servers, LIST_DELAY),
+            server_list: ServerList::new(servers, LIST_DELAY),
             last_request_number: 0,
             coordinators: (0..servers).map(|_| None).collect(),
-            links: vec![LedgerLink { slowdown: 1.0, down: false }; servers],
+            links: vec![DependencyLink { slowdown: 1.0, down: false }; servers],
             network: Network::new(SITES),
             oracle_state: FleetState::default(),
             figures: Figures::default(),
@@ -125,20 +125,22 @@
             return self.queue.schedule(until, event);
         }
         match event {
-            Event::NextRequest => self.next_request(),
-            Event::Retry { rejected_by, request } => self.send(request, Some(rejected_by)),
+            Event::NextRequest => self.send_next_request(),
+            Event::Retry { rejected_by, request } => self.send_attempt(request, Some(rejected_by)),
             Event::RequestReceived { server, incarnation, id, request } => {
                 self.request_received(server, incarnation, id, request);
             }
             Event::ControllerTimer { server, incarnation } => self.controller_timer(server, incarnation),
             Event::CoreCheck { server, incarnation, at } => self.check_cores(server, incarnation, at),
             Event::CallFinished(end) => self.call_finished(&end),
-            Event::Report { server, incarnation } => self.report(server, incarnation),
-            Event::Script(action) => self.apply(action),
+            Event::ServerListReport { server, incarnation } => {
+                self.report_to_server_list(server, incarnation)
+            }
+            Event::Script(action) => self.apply_action(action),
             Event::FleetTick { server, incarnation, at } => self.fleet_tick(server, incarnation, at),
             Event::DatagramReceived { server, datagram } => self.datagram_received(server, &datagram),
             Event::LoadObservation { server, incarnation } => self.load_observation(server, incarnation),
-            Event::Oracle => self.guide_by_oracle(),
+            Event::OracleRound => self.guide_by_oracle(),
         }
     }
 }
--- a/crates/hazelspur-simulator/src/simulation/script.rs
+++ b/crates/hazelspur-simulator/src/simulation/script.rs
@@ -29,14 +29,14 @@
 
 /// A server's own link to the ledger.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct LedgerLink {
+pub(super) struct DependencyLink {
     /// Factor by which calls are slower.
     pub(super) slowdown: f64,
     pub(super) down: bool,
 }
 
 impl Simulation {
-    pub(super) fn apply(&mut self, action: ScriptAction) {
+    pub(super) fn apply_action(&mut self, action: ScriptAction) {
         match action {
             ScriptAction::SetDependencyDown(down) => self.dependency.down = down,
             ScriptAction::SetDependencySlowdown(factor) => self.dependency.slowdown = factor,
@@ -48,7 +48,7 @@
             }
             ScriptAction::SetLinkSlowdown(server, factor) => self.links[server].slowdown = factor,
             ScriptAction::SetLinkDown(server, down) => self.links[server].down = down,
-            ScriptAction::SetPartition(cut) => self.network.partition = cut,
+            ScriptAction::SetPartition(partition) => self.network.partition = partition,
         }
     }
 
--- a/crates/hazelspur-simulator/src/simulation/server.rs
+++ b/crates/hazelspur-simulator/src/simulation/server.rs
@@ -1,6 +1,6 @@
 //! One simulated server: its admission controller, its cores and its requests; inputs to it and its timers.
 
-use super::config::{CROWD_PER_CORE, SimulationConfig, catalog};
+use super::config::{CONTENTION_THRESHOLD_PER_CORE, SimulationConfig, catalog};
 use super::event::Event;
 use super::{ONE_WAY_LATENCY, Simulation};
 use crate::models::cores::Cores;
@@ -17,7 +17,7 @@
 
 /// A request at its server.
 pub(super) struct ServerRequest {
-    pub(super) request: ClientRequest,
+    pub(super) client_request: ClientRequest,
     /// The work before the call is done.
     pub(super) call_requested: bool,
     /// The client has its answer.
@@ -43,7 +43,7 @@
         Self {
             controller: None,
             incarnation: 0,
-            cores: Cores::new(config.cores, CROWD_PER_CORE),
+            cores: Cores::new(config.cores, CONTENTION_THRESHOLD_PER_CORE),
             requests: BTreeMap::new(),
             core_check: None,
             paused_until: None,
@@ -68,7 +68,7 @@
         self.start_coordinator(server, seed);
         let first_report = REPORT_PERIOD.scaled(self.random.draw_fraction());
         let incarnation = self.servers[server].incarnation;
-        self.queue.schedule(now + first_report, Event::Report { server, incarnation });
+        self.queue.schedule(now + first_report, Event::ServerListReport { server, incarnation });
         self.carry_out_decisions(server);
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// Gives the controller an input, then carries out what it decides.
-    pub(super) fn input(&mut self, server: usize, input: impl FnOnce(&mut AdmissionController)) {
+    pub(super) fn apply_input(&mut self, server: usize, input: impl FnOnce(&mut AdmissionController)) {
         if let Some(controller) = &mut self.servers[server].controller {
             input(controller);
         }
@@ -99,10 +99,15 @@
             // A refused connection proves that nothing ran.
             return self.retry(server, request, hazelspur::Duration::ZERO);
         }
-        let received = ServerRequest { request, call_requested: false, answered: false, call_started: None };
+        let received = ServerRequest {
+            client_request: request,
+            call_requested: false,
+            answered: false,
+            call_started: None,
+        };
         self.servers[server].requests.insert(id, received);
         let now = self.queue.now;
-        self.input(server, |controller| controller.request_received(now, new_request(id, &request)));
+        self.apply_input(server, |controller| controller.request_received(now, new_request(id, &request)));
     }
 
     pub(super) fn controller_timer(&mut self, server: usize, incarnation: u64) {
@@ -111,7 +116,7 @@
         }
         let now = self.queue.now;
         let gauges = RuntimeGauges::with_requests_on_cores(self.servers[server].cores.running_count() as f64);
-        self.input(server, |controller| controller.timer_tick(now, gauges));
+        self.apply_input(server, |controller| controller.timer_tick(now, gauges));
     }
 
     /// Handles the requests whose work on the cores is done.
@@ -132,13 +137,13 @@
         let Some(request) = self.servers[server].requests.get_mut(&id) else { return };
         if !request.call_requested {
             request.call_requested = true;
-            return self.input(server, |controller| controller.call_requested(now, id));
+            return self.apply_input(server, |controller| controller.call_requested(now, id));
         }
         let finished = self.servers[server].requests.remove(&id);
         if let Some(finished) = finished.filter(|request| !request.answered) {
-            self.answered(&finished.request);
+            self.count_response(&finished.client_request);
         }
-        self.input(server, |controller| controller.run_finished(now, id, Outcome::Ok));
+        self.apply_input(server, |controller| controller.run_finished(now, id, Outcome::Ok));
     }
 
     pub(super) fn schedule_core_check(&mut self, server: usize) {
@@ -153,11 +158,11 @@
     }
 
     /// Reports to the control plane, and schedules the next report.
-    pub(super) fn report(&mut self, server: usize, incarnation: u64) {
+    pub(super) fn report_to_server_list(&mut self, server: usize, incarnation: u64) {
         if self.is_current(server, incarnation) && self.servers[server].controller.is_some() {
             let now = self.queue.now;
-            self.list.record_report(now, server);
-            self.queue.schedule(now + REPORT_PERIOD, Event::Report { server, incarnation });
+            self.server_list.record_report(now, server);
+            self.queue.schedule(now + REPORT_PERIOD, Event::ServerListReport { server, incarnation });
         }
     }
 }
--- a/crates/hazelspur-simulator/src/test_fleet.rs
+++ b/crates/hazelspur-simulator/src/test_fleet.rs
@@ -21,27 +21,27 @@
     Resumed { server: usize, incarnation: u64 },
 }
 
-struct Node<W: MembershipProtocol> {
+struct Node<P: MembershipProtocol> {
     /// `None` while the server is down.
-    member: Option<W>,
+    member: Option<P>,
     incarnation: u64,
     /// Packets that arrive before then wait unread.
     paused_until: Option<Timestamp>,
-    unread: VecDeque<W::Packet>,
+    unread: VecDeque<P::Packet>,
     /// The tick that is scheduled.
-    next_tick: Timestamp,
+    scheduled_tick: Timestamp,
     last_pause_end: Timestamp,
     traffic: Traffic,
 }
 
-impl<W: MembershipProtocol> Node<W> {
+impl<P: MembershipProtocol> Node<P> {
     fn down() -> Self {
         Self {
             member: None,
             incarnation: 0,
             paused_until: None,
             unread: VecDeque::new(),
-            next_tick: Timestamp::default(),
+            scheduled_tick: Timestamp::default(),
             last_pause_end: Timestamp::default(),
             traffic: Traffic::default(),
         }
@@ -86,11 +86,11 @@
 }
 
 /// A fleet of members of one protocol.
-pub struct TestFleet<W: MembershipProtocol> {
+pub struct TestFleet<P: MembershipProtocol> {
     /// Carries the members' packets.
     pub network: Network,
-    queue: EventQueue<Event<W::Packet>>,
-    nodes: Vec<Node<W>>,
+    queue: EventQueue<Event<P::Packet>>,
+    nodes: Vec<Node<P>>,
     random: Pcg,
     max_servers: usize,
     /// What members observed, in the order of time.
@@ -101,7 +101,7 @@
     pub bytes: u64,
 }
 
-impl<W: MembershipProtocol> TestFleet<W> {
+impl<P: MembershipProtocol> TestFleet<P> {
     /// A fleet without members, of at most `max_servers` servers.
     pub fn new(network: Network, max_servers: usize, seed: u64) -> Self {
         Self {
@@ -125,12 +125,12 @@
     pub fn start(&mut self, server: usize) {
         let now = self.now();
         let seed = u64::from(self.random.draw()) << 32 | u64::from(self.random.draw());
-        let member = W::start(server, self.max_servers, seed, now);
+        let member = P::start(server, self.max_servers, seed, now);
         self.start_member(server, member);
     }
 
     /// Starts a new incarnation of a server with a given member.
-    pub fn start_member(&mut self, server: usize, member: W) {
+    pub fn start_member(&mut self, server: usize, member: P) {
         while self.nodes.len() <= server {
             self.nodes.push(Node::down());
         }
@@ -139,7 +139,7 @@
         node.paused_until = None;
         node.unread.clear();
         node.member = Some(member);
-        self.carry_out(server);
+        self.send_and_schedule(server);
     }
 
     /// Ends a server at once.
@@ -154,7 +154,7 @@
         let now = self.now();
         if let Some(member) = &mut self.nodes[server].member {
             member.leave(now);
-            self.carry_out(server);
+            self.send_and_schedule(server);
         }
         self.kill(server);
     }
@@ -186,7 +186,7 @@
     }
 
     /// Number and member of each running server.
-    pub fn members(&self) -> impl Iterator<Item = (usize, &W)> {
+    pub fn members(&self) -> impl Iterator<Item = (usize, &P)> {
         self.nodes.iter().enumerate().filter_map(|(server, node)| Some((server, node.member.as_ref()?)))
     }
 
@@ -216,15 +216,15 @@
     fn tick(&mut self, server: usize, incarnation: u64) {
         let now = self.now();
         let node = &mut self.nodes[server];
-        if node.incarnation != incarnation || node.paused_until.is_some() || node.next_tick > now {
+        if node.incarnation != incarnation || node.paused_until.is_some() || node.scheduled_tick > now {
             return;
         }
         let Some(member) = &mut node.member else { return };
         member.tick(now);
-        self.carry_out(server);
+        self.send_and_schedule(server);
     }
 
-    fn received(&mut self, server: usize, packet: W::Packet, bytes: usize) {
+    fn received(&mut self, server: usize, packet: P::Packet, bytes: usize) {
         let now = self.now();
         let Some(node) = self.nodes.get_mut(server) else { return };
         let Some(member) = &mut node.member else { return };
@@ -237,7 +237,7 @@
             return;
         }
         member.receive(now, &packet);
-        self.carry_out(server);
+        self.send_and_schedule(server);
     }
 
     fn resumed(&mut self, server: usize, incarnation: u64) {
@@ -253,11 +253,11 @@
         for packet in std::mem::take(&mut node.unread) {
             member.receive(now, &packet);
         }
-        self.carry_out(server);
+        self.send_and_schedule(server);
     }
 
     /// Sends a member's packets, records its notices, and schedules its next tick.
-    fn carry_out(&mut self, server: usize) {
+    fn send_and_schedule(&mut self, server: usize) {
         let now = self.now();
         let Some(node) = self.nodes.get_mut(server) else { return };
         let Some(member) = &mut node.member else { return };
@@ -275,8 +275,8 @@
             self.observations.push(Observation { at: now, observer: server, notice });
         }
         let next = member.next_tick();
-        if next != node.next_tick || next <= now {
-            node.next_tick = next;
+        if next != node.scheduled_tick || next <= now {
+            node.scheduled_tick = next;
             let tick = Event::Tick { server, incarnation: node.incarnation };
             self.queue.schedule(next.max(now + MIN_TICK_WAIT), tick);
         }
