--- a/crates/hazelspur-simulator/src/event_queue.rs
+++ b/crates/hazelspur-simulator/src/event_queue.rs
@@ -6,6 +6,7 @@
 
 struct Entry<E> {
     at: Timestamp,
+    /// Number of events scheduled up to this one, which orders events of the same time.
     sequence_number: u64,
     event: E,
 }
@@ -30,21 +31,22 @@
     }
 }
 
-/// Events to come, and the virtual time.
+/// Scheduled events and the current virtual time.
 pub struct EventQueue<E> {
-    /// The virtual time.
+    /// Current virtual time; it never goes back.
     pub now: Timestamp,
     entries: BinaryHeap<Reverse<Entry<E>>>,
+    /// Sequence number of the event that was scheduled last.
     sequence_number: u64,
 }
 
 impl<E> EventQueue<E> {
-    /// An empty queue whose virtual time begins at `now`.
+    /// Returns an empty queue whose virtual time begins at `now`.
     pub fn new(now: Timestamp) -> Self {
         Self { now, entries: BinaryHeap::new(), sequence_number: 0 }
     }
 
-    /// Schedules an event; one for the past happens now.
+    /// Schedules an event; a time in the past counts as the current time.
     pub fn schedule(&mut self, at: Timestamp, event: E) {
         self.sequence_number += 1;
         self.entries.push(Reverse(Entry {
@@ -54,7 +56,8 @@
         }));
     }
 
-    /// Takes the next event up to `end` and advances the time to it, or to `end` where there is none.
+    /// Takes the next event up to `end` and advances the virtual time to it; if there is none, advances the
+    /// time to `end` and returns `None`.
     pub fn next(&mut self, end: Timestamp) -> Option<E> {
         match self.entries.peek() {
             Some(Reverse(entry)) if entry.at <= end => {
--- a/crates/hazelspur-simulator/src/heap.rs
+++ b/crates/hazelspur-simulator/src/heap.rs
@@ -1,45 +1,46 @@
-//! Bytes that live on the heap, counted for each thread: a run is played by one, so what a run holds is what its
-//! thread holds. The laboratory's program installs it; where nobody did, nothing is said. It counts what was
-//! asked for, without the allocator's own heads and holes.
+//! Counts the bytes that each thread holds on the heap. One thread executes a whole run, so the count of the
+//! thread is that of the run. The program installs `CountingAllocator` as its global allocator; without it
+//! there is no count. Requested bytes are counted, without the allocator's headers and fragmentation.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
 
 thread_local! {
+    /// Bytes that the thread requested less those that it freed.
     static LIVE: Cell<i64> = const { Cell::new(0) };
 }
 
-/// The system's allocator, and a sum beside it.
+/// The system allocator, which also counts the bytes of each thread.
 pub struct CountingAllocator;
 
 fn add(bytes: i64) {
-    // A thread that ends may free after its own count is gone.
+    // A thread that ends may free memory after its thread-local count was destroyed.
     let _ = LIVE.try_with(|live| live.set(live.get() + bytes));
 }
 
-// SAFETY: each call goes on to the system's allocator as it came; the count touches no memory but its own.
+// SAFETY: each call is forwarded unchanged to the system allocator; the count uses no memory of the caller.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         add(layout.size() as i64);
-        // SAFETY: the caller keeps the contract.
+        // SAFETY: the caller upholds the contract of `GlobalAlloc`.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
         add(-(layout.size() as i64));
-        // SAFETY: the caller keeps the contract.
+        // SAFETY: the caller upholds the contract of `GlobalAlloc`.
         unsafe { System.dealloc(at, layout) }
     }
 
     unsafe fn realloc(&self, at: *mut u8, layout: Layout, new: usize) -> *mut u8 {
         add(new as i64 - layout.size() as i64);
-        // SAFETY: the caller keeps the contract.
+        // SAFETY: the caller upholds the contract of `GlobalAlloc`.
         unsafe { System.realloc(at, layout, new) }
     }
 }
 
-/// What this thread asked for and has not given back; none where `CountingAllocator` is not the program's
-/// allocator.
+/// Returns the bytes that the calling thread requested less those that it freed, negative if it freed memory
+/// of other threads. `None` if `CountingAllocator` is not the program's global allocator.
 pub fn live_bytes() -> Option<i64> {
     let count = || LIVE.with(Cell::get);
     let before = count();
--- a/crates/hazelspur-simulator/src/lib.rs
+++ b/crates/hazelspur-simulator/src/lib.rs
@@ -1,16 +1,18 @@
-//! Many servers in virtual time: the real decision modules, and models of what lies between them, one place
-//! each. One seed gives one run; a run is played by one thread, so the bytes don't depend on how many there
-//! are.
+//! Simulates many servers in virtual time: the real decision modules run unchanged, and models stand in for
+//! everything between them. A seed determines a run completely. One thread executes a whole run, so the
+//! results do not depend on the number of threads that execute runs in parallel.
 //!
 //! - `event_queue`: events in the order of virtual time;
-//! - `network`: datagrams lost, late, doubled, cut one way;
-//! - `test_fleet`: many members over that network, paused, killed and started by a study;
-//! - `simulation`: the real `AdmissionController` of many servers between `models` of cores, ledger, list and gateways;
+//! - `network`: datagrams that are delayed, lost, duplicated, or stopped by a partition;
+//! - `test_fleet`: members of one membership protocol over that network, which a study starts, pauses and
+//!   kills;
+//! - `simulation`: the real `AdmissionController` of many servers between the `models`;
+//! - `models`: cores, gateways, server list and shared dependency;
 //! - `membership_protocols`: the membership protocols that are compared;
-//! - `studies`: what is measured, as tables;
-//! - `cpu`, `heap`: what a run cost the machine that played it;
-//! - `capacity`: what was measured against budgets, for a size that a file names;
-//! - `path`: beside all that, one real server as a process, its own path and its cost.
+//! - `studies`: scenarios that run on the test fleet or the simulation, and their results;
+//! - `cpu`, `heap`: CPU time and heap that a run takes on the machine that executes it;
+//! - `capacity`: measured figures compared with budgets, for a fleet size that a file gives;
+//! - `path`: latency and cost of one real server process, outside virtual time.
 
 #![warn(unreachable_pub)]
 #![warn(clippy::too_many_lines, clippy::too_many_arguments, clippy::type_complexity)]
@@ -27,7 +29,11 @@
 pub mod studies;
 pub mod test_fleet;
 
-/// Plays each of `inputs` on the machine's cores; results in the order of the inputs.
+/// Calls `run` for each of `inputs` on at most `threads` threads; returns the results in the order of the
+/// inputs.
+///
+/// # Panics
+/// If `run` panics for one of the inputs.
 pub fn map_in_parallel<T: Sync, R: Send>(
     inputs: &[T],
     threads: usize,
@@ -42,12 +48,12 @@
                     let index = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
                     let Some(input) = inputs.get(index) else { break };
                     let result = run(input);
-                    done.lock().expect("no panic before").push((index, result));
+                    done.lock().expect("no thread panicked").push((index, result));
                 }
             });
         }
     });
-    let mut done = done.into_inner().expect("no panic before");
+    let mut done = done.into_inner().expect("no thread panicked");
     done.sort_by_key(|(index, _)| *index);
     done.into_iter().map(|(_, result)| result).collect()
 }
--- a/crates/hazelspur-simulator/src/main.rs
+++ b/crates/hazelspur-simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! The simulator's program: runs the subcommand that the command line names.
+//! The program `hazelspur-simulator`: runs the subcommand that the command line names.
 
 #![warn(missing_docs, unreachable_pub)]
 #![warn(clippy::too_many_lines, clippy::too_many_arguments, clippy::type_complexity)]
@@ -7,7 +7,7 @@
 
 use clap::Parser;
 
-/// Counts the heap that a run uses.
+/// Counts the heap bytes of each thread, from which the study `scale` takes a server's state.
 #[global_allocator]
 static HEAP: hazelspur_simulator::heap::CountingAllocator = hazelspur_simulator::heap::CountingAllocator;
 
--- a/crates/hazelspur-simulator/src/membership_protocols/foca.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/foca.rs
@@ -1,5 +1,6 @@
-//! The `foca` crate: SWIM as a machine without I/O. Its suspicion lasts as long as the own machine's
-//! shortest, its probes come as often, so that the two differ by what they do and not by their figures.
+//! The SWIM implementation of the `foca` crate, which does no I/O. Its probe period and its suspicion timeout
+//! equal the probe period and the shortest suspicion timeout of `swim`, so that the comparison shows the
+//! difference between the protocols and not between their settings.
 
 use super::{MembershipNotice, MembershipProtocol, OutgoingPacket, SEED_MEMBERS};
 use foca::{
@@ -13,7 +14,7 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration as StdDuration;
 
-/// The identity of a member.
+/// The identity of a member: the number of its server and the generation of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct FocaIdentity {
     number: u16,
@@ -36,7 +37,7 @@
     }
 }
 
-/// The project's own chance, in the form that the library asks for.
+/// The project's random number generator behind the trait that `foca` requires.
 pub struct PcgRng(Pcg);
 
 impl rand::TryRng for PcgRng {
@@ -56,10 +57,14 @@
     }
 }
 
+/// Outputs of `foca`: packets to send, timers to set, and conclusions about members.
 #[derive(Default)]
 struct FocaRuntime {
     now: Timestamp,
+    /// Number of the receiving server, and the packet.
     outgoing: VecDeque<(usize, Vec<u8>)>,
+    /// Expiry and number of each timer, the earliest first; equal expiries in the order in which they were
+    /// set.
     timer_queue: BinaryHeap<Reverse<(Timestamp, u64)>>,
     timers_by_number: std::collections::BTreeMap<u64, Timer<FocaIdentity>>,
     last_timer_number: u64,
@@ -87,7 +92,7 @@
     }
 }
 
-/// A member by the `foca` crate.
+/// A member that runs the `foca` crate.
 pub struct FocaProtocol {
     foca: Foca<FocaIdentity, PostcardCodec, PcgRng, NoCustomBroadcast>,
     runtime: FocaRuntime,
@@ -97,11 +102,14 @@
 }
 
 impl FocaProtocol {
+    /// Announces this member to a random seed member, and schedules the next announcement: after 1 s while no
+    /// other member is known, otherwise after 10 s.
     fn announce_to_seed_member(&mut self) {
         let seed_member = SEED_MEMBERS[self.random.draw() as usize % SEED_MEMBERS.len()];
         if seed_member != usize::from(self.own_identity.number) {
             let to = FocaIdentity { number: seed_member as u16, generation: 0 };
-            let _ = self.foca.announce(to, &mut self.runtime); // tried again
+            // A failed announcement is repeated with the next one.
+            let _ = self.foca.announce(to, &mut self.runtime);
         }
         self.next_announcement =
             self.runtime.now + Duration::from_ms(if self.alive_count() == 0 { 1000 } else { 10_000 });
@@ -109,7 +117,7 @@
 }
 
 impl MembershipProtocol for FocaProtocol {
-    /// How this protocol is named in the printed tables.
+    /// Name of this protocol in the printed tables.
     const NAME: &'static str = "foca";
     type Packet = Vec<u8>;
 
@@ -147,7 +155,8 @@
 
     fn receive(&mut self, now: Timestamp, packet: &Vec<u8>) {
         self.runtime.now = now;
-        let _ = self.foca.handle_data(packet, &mut self.runtime); // what is dropped is dropped
+        // A rejected packet is dropped.
+        let _ = self.foca.handle_data(packet, &mut self.runtime);
     }
 
     fn tick(&mut self, now: Timestamp) {
@@ -175,7 +184,8 @@
 
     fn next_packet(&mut self, _now: Timestamp) -> Option<OutgoingPacket<Vec<u8>>> {
         let (receiver, data) = self.runtime.outgoing.pop_front()?;
-        // The same version octet and tag as ours would go before it.
+        // A version octet and an authentication tag of 16 bytes would precede it, as in the datagrams of
+        // `swim`.
         let bytes = data.len() + 17;
         Some(OutgoingPacket { receiver, packet: data, bytes })
     }
--- a/crates/hazelspur-simulator/src/membership_protocols/heartbeat.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/heartbeat.rs
@@ -1,43 +1,45 @@
-//! Heartbeats from each to all of its site, and from site to site by two speakers each, who are the two
-//! lowest numbers alive there. A speaker says who is alive in its site; what it hears of others goes with its
-//! heartbeats at home. The plainest thing that could serve: silence for as long as the others' shortest
-//! suspicion means gone.
+//! A plain heartbeat protocol, as the baseline of the comparison. Each member sends heartbeats to all members
+//! of its site. Between sites only the speakers of each site do, which are the two members with the lowest
+//! numbers that are considered alive there. A speaker tells the speakers of other sites who is alive in its
+//! own, and passes on what it hears of other sites with the heartbeats to its own. A member that is silent
+//! for as long as the shortest suspicion of the other protocols is considered dead.
 
 use super::{MembershipNotice, MembershipProtocol, OutgoingPacket, SEED_MEMBERS};
 use hazelspur::{Duration, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// Between two heartbeats.
+/// Time between two heartbeats of a member.
 const HEARTBEAT_PERIOD: Duration = Duration::from_ms(1000);
-/// Sites of the fleet.
+/// Number of sites of the fleet.
 const SITES: usize = 3;
-/// Members of a site that exchange heartbeats with other sites.
+/// Number of members of a site that exchange heartbeats with other sites.
 const SPEAKERS_PER_SITE: usize = 2;
-/// A newcomer is news for so long.
+/// Time for which a member counts as a newcomer after it was first heard of.
 const NEWCOMER_DURATION: Duration = Duration::from_ms(5000);
-/// Bytes of a datagram's head (tag, installation, sender) and of one in a list, by the own machine's
-/// encoding.
+/// Bytes of a datagram's header (tag, installation, sender) in the encoding of `hazelspur_fleet`.
 const HEADER_BYTES: usize = 60;
-/// Encoded bytes of one listed member.
+/// Bytes of one listed member in the encoding of `hazelspur_fleet`.
 const ENTRY_BYTES: usize = 12;
-/// The longest datagram, in bytes.
+/// Maximum length of a datagram, in bytes; a longer list is counted as several datagrams.
 const MAX_DATAGRAM_BYTES: usize = 1200;
 
-/// Who was alive how long ago, by the sender's account.
+/// A heartbeat: its sender, and the time since each listed member was last known to be alive.
 #[derive(Clone)]
 pub struct HeartbeatMessage {
     sender: usize,
     ages: Rc<Vec<(usize, Duration)>>,
 }
 
-/// A member by heartbeats.
+/// A member of the heartbeat protocol.
 pub struct Heartbeat {
     own_number: usize,
+    /// Silence after which a member is considered dead.
     failure_timeout: Duration,
     next_heartbeat: Timestamp,
-    /// When each was last known to be alive, and when it was first heard of.
+    /// Time at which each other member was last known to be alive.
     last_alive: BTreeMap<usize, Timestamp>,
+    /// Time at which each other member was first heard of.
     first_heard: BTreeMap<usize, Timestamp>,
     now: Timestamp,
     outgoing: VecDeque<OutgoingPacket<HeartbeatMessage>>,
@@ -59,6 +61,7 @@
         }
     }
 
+    /// Returns the speakers of a site: its members with the lowest numbers that are considered alive.
     fn speakers(&self, site: usize) -> Vec<usize> {
         let numbers =
             self.last_alive.keys().copied().chain([self.own_number]).filter(|server| server % SITES == site);
@@ -77,7 +80,7 @@
 }
 
 impl MembershipProtocol for Heartbeat {
-    /// How this protocol is named in the printed tables.
+    /// Name of this protocol in the printed tables.
     const NAME: &'static str = "heartbeats, two speakers a site";
     type Packet = HeartbeatMessage;
 
@@ -139,7 +142,7 @@
         };
         let newcomers: Vec<(usize, Duration)> =
             own_site.iter().filter(|(server, _)| is_newcomer(server)).copied().collect();
-        // All hear of newcomers, and newcomers of all.
+        // Members of the own site hear of newcomers, and newcomers hear of all members.
         let rest = if is_speaker { other_sites.iter() } else { [].iter() };
         let usual_ages: Rc<Vec<(usize, Duration)>> = Rc::new(rest.chain(&newcomers).copied().collect());
         let all_ages: Rc<Vec<(usize, Duration)>> =
--- a/crates/hazelspur-simulator/src/membership_protocols/mod.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/mod.rs
@@ -8,12 +8,12 @@
 
 use hazelspur::Timestamp;
 
-/// What a member concludes about another, by its number.
+/// A conclusion of a member about another one, with the other's number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipNotice {
-    /// The other joined or recovered.
+    /// The other member joined or recovered.
     Alive(usize),
-    /// The other died or left.
+    /// The other member left, or did not answer for so long that it is considered dead.
     Dead(usize),
 }
 
@@ -22,40 +22,40 @@
 pub struct OutgoingPacket<P> {
     /// Number of the receiving server.
     pub receiver: usize,
-    /// The packet itself.
+    /// Content of the packet.
     pub packet: P,
-    /// Its size on the wire without the UDP header.
+    /// Size of the packet on the wire, without IP and UDP headers.
     pub bytes: usize,
 }
 
-/// One server's member of a protocol. Servers go by their numbers from 0.
+/// One server's member of a membership protocol. Servers are identified by their numbers from 0.
 pub trait MembershipProtocol: Sized {
-    /// The protocol's name in tables.
+    /// Name of the protocol in the printed tables.
     const NAME: &'static str;
-    /// What members send each other.
+    /// Packet that the members exchange.
     type Packet: Clone;
 
-    /// Starts a new incarnation; `max_servers` is the greatest size of the fleet.
+    /// Starts a new incarnation of a server's member, in a fleet of at most `max_servers` servers.
     fn start(server: usize, max_servers: usize, seed: u64, now: Timestamp) -> Self;
-    /// Handles a packet.
+    /// Handles a received packet.
     fn receive(&mut self, now: Timestamp, packet: &Self::Packet);
     /// Handles the timers that are due.
     fn tick(&mut self, now: Timestamp);
-    /// When the member needs its next tick.
+    /// Returns when the member needs its next tick.
     fn next_tick(&self) -> Timestamp;
-    /// The next packet to send, if any.
+    /// Takes the next packet to send; `None` if there is none.
     fn next_packet(&mut self, now: Timestamp) -> Option<OutgoingPacket<Self::Packet>>;
-    /// The next conclusion about another member, if any.
+    /// Takes the next conclusion about another member; `None` if there is none.
     fn next_notice(&mut self) -> Option<MembershipNotice>;
-    /// Prepares the goodbye of an incarnation that ends in good order, where the protocol has one.
+    /// Prepares the goodbye message of a member that ends, if the protocol has one.
     fn leave(&mut self, _now: Timestamp) {}
-    /// How many other members are considered alive.
+    /// Returns the number of other members that are considered alive.
     fn alive_count(&self) -> usize;
-    /// Entries in the membership table, in whatever state.
+    /// Returns the number of entries in the membership table, in any state.
     fn entry_count(&self) -> usize {
         self.alive_count()
     }
 }
 
-/// Seed members, which newcomers contact first.
+/// Numbers of the seed members, which newcomers contact first.
 pub const SEED_MEMBERS: [usize; 3] = [0, 1, 2];
--- a/crates/hazelspur-simulator/src/membership_protocols/send_only.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/send_only.rs
@@ -1,5 +1,5 @@
-//! Talkers without a machine, that send as many datagrams of as many claims as asked for and forget what they
-//! hear: played to measure what the laboratory itself costs. They know nobody and hold nothing.
+//! Members that send datagrams at a given rate and ignore what they receive. They run no membership protocol
+//! and hold no state, so that a run with them measures the cost of the simulator itself.
 
 use super::swim::{member_address, member_name};
 use super::{MembershipNotice, MembershipProtocol, OutgoingPacket};
@@ -9,38 +9,41 @@
     Body, Datagram, Generation, Incarnation, Installation, MemberState, MemberUpdate, SiteName, datagram,
 };
 
-/// What each sends.
+/// The traffic that each member sends.
 #[derive(Clone, Copy, Debug)]
 pub struct SendRate {
+    /// Number of servers among which the receivers are drawn.
     pub servers: usize,
-    /// A second.
+    /// Datagrams that one member sends in a second.
     pub datagrams_per_s: f64,
+    /// Bytes that one member sends in a second.
     pub bytes_per_s: f64,
 }
 
-/// A member that only sends.
+/// A member that only sends, always the same datagram.
 pub struct SendOnlyMember {
     random: Pcg,
     servers: usize,
     period: Duration,
     next_send: Timestamp,
+    /// Whether the datagram of the current period is still to be sent.
     is_due: bool,
     packet: Datagram,
 }
 
 impl SendOnlyMember {
-    /// Claims go along until the datagram is as long as is asked for.
+    /// Returns a member whose datagram carries as many updates as it takes to reach the byte rate.
     pub fn new(server: usize, rate: SendRate, seed: u64, now: Timestamp) -> Self {
         let update = |server: usize| MemberUpdate {
             name: member_name(server),
-            site: SiteName::new("east-1").expect("a short name"),
+            site: SiteName::new("east-1").expect("the name is within the length bound"),
             address: member_address(server),
             generation: Generation(now.us() / 1000),
             incarnation: Incarnation(0),
             state: MemberState::Alive,
         };
         let mut packet = Datagram {
-            installation: Installation::new("lab").expect("a short name"),
+            installation: Installation::new("lab").expect("the name is within the length bound"),
             sender: update(server),
             sequence: 1,
             sent_ms: now.us() / 1000,
@@ -62,7 +65,7 @@
 }
 
 impl MembershipProtocol for SendOnlyMember {
-    /// How this protocol is named in the printed tables.
+    /// Name of this protocol in the printed tables.
     const NAME: &'static str = "no machine";
     type Packet = Datagram;
 
--- a/crates/hazelspur-simulator/src/membership_protocols/swim.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/swim.rs
@@ -1,4 +1,5 @@
-//! `hazelspur_fleet::Membership`, as the program runs it.
+//! The SWIM implementation of this project, `hazelspur_fleet::Membership`, as `hazelspur-server` runs it, in
+//! a fleet of three sites; also the names and addresses of simulated servers.
 
 use super::{MembershipNotice, MembershipProtocol, OutgoingPacket, SEED_MEMBERS};
 use hazelspur::{Duration, Timestamp};
@@ -9,20 +10,20 @@
 };
 use std::net::SocketAddr;
 
-/// A member by the project's SWIM implementation.
+/// A member that runs `hazelspur_fleet::Membership`.
 pub struct Swim(pub Membership);
 
-/// The name of a server by its number.
+/// Returns the member name of a server.
 pub fn member_name(server: usize) -> MemberName {
-    MemberName::new(&format!("n{server}")).expect("a short name")
+    MemberName::new(&format!("n{server}")).expect("the name is within the length bound")
 }
 
-/// The address of a server by its number.
+/// Returns the address of a server, which encodes its number.
 pub fn member_address(server: usize) -> SocketAddr {
     SocketAddr::from(([127, 1, (server >> 8) as u8, (server & 255) as u8], 7000))
 }
 
-/// The number of a server by its address; `usize::MAX` for an unknown one.
+/// Returns the number of the server with this address; `usize::MAX` for an IPv6 address, which no server has.
 pub fn server_number(address: SocketAddr) -> usize {
     match address {
         SocketAddr::V4(at) => usize::from(at.ip().octets()[2]) << 8 | usize::from(at.ip().octets()[3]),
@@ -30,16 +31,18 @@
     }
 }
 
+/// Returns the number of the server with this name; `usize::MAX` if no server can have it.
 fn number_from_name(name: MemberName) -> usize {
     name.as_str()[1..].parse().unwrap_or(usize::MAX)
 }
 
-/// The configuration of a member in a fleet of at most `max_servers` servers.
+/// Returns the configuration of a member in a fleet of three sites and at most `max_servers` servers.
 pub fn node_config(server: usize, max_servers: usize) -> NodeConfig {
     NodeConfig {
-        installation: Installation::new("lab").expect("a short name"),
+        installation: Installation::new("lab").expect("the name is within the length bound"),
         name: member_name(server),
-        site: SiteName::new(["east", "west", "north"][server % 3]).expect("a short name"),
+        site: SiteName::new(["east", "west", "north"][server % 3])
+            .expect("the name is within the length bound"),
         address: member_address(server),
         seeds: SEED_MEMBERS.iter().map(|server| member_address(*server)).collect(),
         max_servers,
@@ -49,7 +52,7 @@
 }
 
 impl MembershipProtocol for Swim {
-    /// How this protocol is named in the printed tables.
+    /// Name of this protocol in the printed tables.
     const NAME: &'static str = "own machine";
     type Packet = Datagram;
 
@@ -58,7 +61,8 @@
     }
 
     fn receive(&mut self, now: Timestamp, packet: &Datagram) {
-        let _ = self.0.receive(now, packet); // what is dropped is dropped
+        // A rejected datagram is dropped.
+        let _ = self.0.receive(now, packet);
     }
 
     fn tick(&mut self, now: Timestamp) {
@@ -92,13 +96,13 @@
     }
 }
 
-/// How many others these hold for alive, the suspected among them.
+/// Returns the number of other members that are considered alive, suspected ones included.
 pub fn count_alive(members: &Membership) -> usize {
     let is_alive = |status| matches!(status, MemberStatus::Alive | MemberStatus::Suspected);
     members.statuses().filter(|(_, status)| is_alive(*status)).count()
 }
 
-/// The next event that concerns who is here.
+/// Takes the next event that tells whether a member is alive, skipping all others; `None` if there is none.
 pub fn next_notice(members: &mut Membership) -> Option<MembershipNotice> {
     loop {
         match members.next_event()? {
--- a/crates/hazelspur-simulator/src/membership_protocols/zoned.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/zoned.rs
@@ -1,5 +1,5 @@
-//! The real machines in two regions of three zones each: members by themselves, and members, signals and shares
-//! together as one server has them. The studies of scale play them; nothing here decides.
+//! The real fleet modules in two regions of three zones each: membership alone, and the whole `FleetNode` of
+//! a server with membership, load reports and quota. The study `scale` runs them.
 
 use super::swim::{Swim, count_alive, member_name, next_notice, node_config, server_number};
 use super::{MembershipNotice, MembershipProtocol, OutgoingPacket};
@@ -11,37 +11,38 @@
     Clocks, Datagram, FleetNode, Generation, LimitName, Membership, NodeConfig, SiteName, datagram,
 };
 
-/// Regions of the fleet.
+/// Number of regions of the fleet.
 pub const REGIONS: usize = 2;
-/// Zones of all regions.
+/// Number of zones of all regions; each zone is a site.
 pub const ZONES: usize = 6;
-/// Names of the zones, by number.
+/// Names of the zones by their numbers.
 const ZONE_NAMES: [&str; ZONES] = ["east-1", "west-1", "east-2", "west-2", "east-3", "west-3"];
-/// Voters, one in each of so many zones.
+/// Number of voters that elect the quota allocator, each in another zone.
 pub const VOTERS: usize = 5;
-/// A server looks at its own work so often, as the program does.
+/// Time between two observations of a server's own load, as in `hazelspur-server`.
 const OBSERVATION_PERIOD: Duration = Duration::from_ms(200);
-/// What it sees there: calls of so many seconds, and nothing refused.
+/// Mean call latency that each server observes, in seconds; it observes no rejections.
 const OBSERVED_CALL_S: f64 = 0.02;
-/// Slots of each shared limit for a server.
+/// Total of each shared limit, divided by the number of servers.
 const SLOTS_PER_SERVER: f64 = 4.0;
-/// Fraction of each limit that is guaranteed without a lease.
+/// Fraction of each limit that is guaranteed to servers without a lease.
 const GUARANTEED_FRACTION: f64 = 0.2;
-/// How long quota may be in use after its lease ended.
+/// Time for which quota may still be in use after its lease ended.
 const RESIDUAL_DURATION: Duration = Duration::from_ms(500);
-/// How long a vote is valid.
+/// Time for which a vote is valid.
 const VOTE_DURATION: Duration = Duration::from_ms(4000);
 
-/// As those of three sites, in its zone.
+/// Returns the configuration of a member as `swim::node_config` does, with the server's zone as its site.
 pub fn zoned_node_config(server: usize, max_servers: usize) -> NodeConfig {
-    let site = SiteName::new(ZONE_NAMES[server % ZONES]).expect("a short name");
+    let site = SiteName::new(ZONE_NAMES[server % ZONES]).expect("the name is within the length bound");
     NodeConfig { site, ..node_config(server, max_servers) }
 }
 
-/// So many limits alike over `servers`, divided among `max_servers` at most.
+/// Returns a configuration of `limits` equal limits, whose totals are for `servers` servers, in a fleet of at
+/// most `max_servers`.
 pub fn quota_config(servers: usize, max_servers: usize, limits: usize) -> QuotaConfig {
     let limit = |at: usize| SharedLimit {
-        name: LimitName::new(&format!("limit-{at}")).expect("a short name"),
+        name: LimitName::new(&format!("limit-{at}")).expect("the name is within the length bound"),
         total: SLOTS_PER_SERVER * servers as f64,
         guaranteed_fraction: GUARANTEED_FRACTION,
         residual_duration: RESIDUAL_DURATION,
@@ -56,11 +57,11 @@
     }
 }
 
-/// Membership alone.
+/// A member that runs membership alone.
 pub struct ZonedSwim(pub Swim);
 
 impl MembershipProtocol for ZonedSwim {
-    /// How this protocol is named in the printed tables.
+    /// Name of this protocol in the printed tables.
     const NAME: &'static str = "members";
     type Packet = Datagram;
 
@@ -106,25 +107,26 @@
     }
 }
 
-/// All that one server has together, with so many limits shared.
+/// A member that runs a whole fleet node, with `LIMITS` shared limits.
 pub struct ZonedFleetNode<const LIMITS: usize> {
+    /// Membership, load reports and quota of the server.
     pub node: FleetNode,
-    /// The last input was then.
+    /// Time of the last input to the node.
     last_input: Timestamp,
     next_observation: Timestamp,
 }
 
-/// The laboratory's servers agree on the time.
+/// Returns both clocks of a server at this virtual time; the clocks of all simulated servers agree.
 fn clocks(now: Timestamp) -> Clocks {
     Clocks { wall: now, monotonic: now }
 }
 
 impl<const LIMITS: usize> MembershipProtocol for ZonedFleetNode<LIMITS> {
-    /// How this protocol is named in the printed tables.
+    /// Name of this protocol in the printed tables.
     const NAME: &'static str = "members, signals and shares";
     type Packet = Datagram;
 
-    /// A fifth of `max_servers` is room for more servers than there are.
+    /// Starts a member of a fleet that runs four fifths of `max_servers`; the rest is room for growth.
     fn start(server: usize, max_servers: usize, seed: u64, now: Timestamp) -> Self {
         let quota = quota_config(max_servers * 4 / 5, max_servers, LIMITS);
         let generation = Generation(now.us() / 1000);
@@ -136,7 +138,7 @@
             clocks(now),
         );
         for limit in 0..LIMITS {
-            // Some want half of what an equal share were, some twice that.
+            // Demands are between a half and twice an equal share of the limit.
             let demand = SLOTS_PER_SERVER * [0.5, 0.8, 1.2, 2.0][(server + limit) % 4];
             node.set_demand(&format!("limit-{limit}"), demand);
         }
@@ -149,7 +151,8 @@
 
     fn receive(&mut self, now: Timestamp, packet: &Datagram) {
         self.last_input = now;
-        let _ = self.node.receive(clocks(now), packet); // what is dropped is dropped
+        // A rejected datagram is dropped; the node counts it.
+        let _ = self.node.receive(clocks(now), packet);
     }
 
     fn tick(&mut self, now: Timestamp) {
@@ -191,7 +194,7 @@
 }
 
 impl<const LIMITS: usize> ZonedFleetNode<LIMITS> {
-    /// What it may use of a limit.
+    /// Returns how much of a limit the server may use now.
     pub fn usable_quota(&self, now: Timestamp, limit: LimitId) -> f64 {
         self.node.quota.as_ref().map_or(0.0, |quota| quota.share(now, limit).amount)
     }
--- a/crates/hazelspur-simulator/src/models/cores.rs
+++ b/crates/hazelspur-simulator/src/models/cores.rs
@@ -1,5 +1,5 @@
-//! A server's cores: what runs shares them equally (processor sharing), and past a crowd of so many times the
-//! cores less gets done, by the crowd over that bound.
+//! Model of a server's cores. Running requests share the cores equally (processor sharing). Above a threshold
+//! of running requests for each core, total throughput is divided by running requests over that threshold.
 
 use hazelspur::{RequestId, Timestamp};
 use std::collections::BTreeMap;
@@ -7,18 +7,19 @@
 /// The cores of one server and the requests on them.
 #[derive(Clone, Debug)]
 pub struct Cores {
+    /// Number of cores.
     pub cores: f64,
-    /// Past so many running requests for each core everything gets slower.
+    /// Running requests for each core above which all requests slow down.
     pub contention_threshold_per_core: f64,
-    /// 1 for a well machine; 0.2 for one that is slow by 5.
+    /// Speed factor of the cores: 1 for a healthy machine, 0.2 for one that is five times slower.
     pub speed: f64,
-    /// Seconds of work left of each.
+    /// Core seconds of work left of each running request, as of `advanced_to`.
     work_left_s: BTreeMap<RequestId, f64>,
     advanced_to: Timestamp,
 }
 
 impl Cores {
-    /// Idle cores at full speed.
+    /// Returns idle cores at full speed.
     pub fn new(cores: f64, contention_threshold_per_core: f64) -> Self {
         Self {
             cores,
@@ -29,42 +30,43 @@
         }
     }
 
-    /// How many requests run.
+    /// Returns the number of running requests.
     pub fn running_count(&self) -> usize {
         self.work_left_s.len()
     }
 
-    /// Whether a request runs.
+    /// Returns whether a request is running.
     pub fn is_running(&self, request: RequestId) -> bool {
         self.work_left_s.contains_key(&request)
     }
 
-    /// Work done for each running request in a second.
+    /// Returns the core seconds of work done for each running request in a second.
     fn speed_per_request(&self) -> f64 {
         let running = self.work_left_s.len().max(1) as f64;
         let contention = (running / (self.cores * self.contention_threshold_per_core)).max(1.0);
         (self.cores / running).min(1.0) * self.speed / contention
     }
 
+    /// Subtracts the work done up to `now`.
     fn advance(&mut self, now: Timestamp) {
         let done = (now - self.advanced_to).secs() * self.speed_per_request();
         self.work_left_s.values_mut().for_each(|left| *left -= done);
         self.advanced_to = now;
     }
 
-    /// Starts this many core seconds of work for a request.
+    /// Starts `work_s` core seconds of work for a request.
     pub fn start(&mut self, now: Timestamp, request: RequestId, work_s: f64) {
         self.advance(now);
         self.work_left_s.insert(request, work_s);
     }
 
-    /// Takes a request off the cores; returns whether it ran.
+    /// Removes a request from the cores, and returns whether it was running.
     pub fn remove(&mut self, now: Timestamp, request: RequestId) -> bool {
         self.advance(now);
         self.work_left_s.remove(&request).is_some()
     }
 
-    /// Those whose work is done.
+    /// Removes the requests whose work is done, and returns them.
     pub fn take_finished(&mut self, now: Timestamp) -> Vec<RequestId> {
         self.advance(now);
         let done: Vec<RequestId> =
@@ -75,10 +77,10 @@
         done
     }
 
-    /// When the next one is done, if nothing changes.
+    /// Returns when the next request finishes if nothing changes until then; `None` while the cores are idle.
     pub fn next_finish(&self) -> Option<Timestamp> {
         let least_work_s = self.work_left_s.values().copied().min_by(f64::total_cmp)?;
-        // A microsecond more, so that it is over then.
+        // One microsecond more, so that rounding leaves no work at that time.
         let after_us =
             (least_work_s.max(0.0) / self.speed_per_request().max(1e-9) * 1e6).ceil().min(1e15) as u64 + 1;
         Some(self.advanced_to + hazelspur::Duration::from_us(after_us))
--- a/crates/hazelspur-simulator/src/models/dependency.rs
+++ b/crates/hazelspur-simulator/src/models/dependency.rs
@@ -1,23 +1,29 @@
-//! The shared ledger: so many slots; past them a call takes the square of the crowd over the slots as long,
-//! by the crowd at its beginning. The law is that of `hazelspur_test_doubles::dependency`.
+//! Model of the dependency that all servers call. With at most as many concurrent calls as it has slots, a
+//! call takes its usual time. Above that, the time grows with the square of concurrent calls divided by
+//! slots, taken at the beginning of the call. `hazelspur_test_doubles::dependency` follows the same law.
 
 use hazelspur::Duration;
 
 /// The shared dependency of all servers.
 #[derive(Clone, Debug)]
 pub struct SharedDependency {
+    /// Number of concurrent calls that are served without slowing down.
     pub slots: f64,
+    /// Usual time of a call.
     pub call_duration: Duration,
-    /// By how many times all calls are slower now.
+    /// Factor on the time of calls that begin from now on; 1 stands for the usual time.
     pub slowdown: f64,
+    /// Whether the dependency is unreachable.
     pub down: bool,
     concurrent_calls: usize,
+    /// Highest number of concurrent calls since the last reset.
     pub max_concurrent_calls: usize,
+    /// Number of calls that began since the last reset.
     pub calls: u64,
 }
 
 impl SharedDependency {
-    /// A healthy ledger without calls.
+    /// Returns a healthy dependency without calls.
     pub fn new(slots: f64, call_duration: Duration) -> Self {
         Self {
             slots,
@@ -30,7 +36,7 @@
         }
     }
 
-    /// How long a call that begins now takes; `None` while nobody answers.
+    /// Begins a call and returns its duration; `None` while the dependency is unreachable.
     pub fn begin_call(&mut self) -> Option<Duration> {
         if self.down {
             return None;
--- a/crates/hazelspur-simulator/src/models/mod.rs
+++ b/crates/hazelspur-simulator/src/models/mod.rs
@@ -1,4 +1,5 @@
-//! What lies round the real decision modules, one place each.
+//! Models of what surrounds the real decision modules in a simulation: the cores of a server, the gateways
+//! with their clients, the server list that gateways read, and the dependency that all servers call.
 
 pub mod cores;
 pub mod dependency;
--- a/crates/hazelspur-simulator/src/network.rs
+++ b/crates/hazelspur-simulator/src/network.rs
@@ -1,39 +1,44 @@
-//! Datagrams between servers. Times are those of a network within a city: a base with an exponential tail,
-//! which reorders by itself. Loss is by chance and independent; a partition is a rule over sender and receiver.
-//! Sites may lie in regions, with a lag and a loss of their own between these; there is one region unless told
-//! otherwise.
+//! Model of the network between servers: draws which copies of a datagram arrive, and after which delay.
+//! Latency is that of a network within a city, a constant plus an exponentially distributed tail, which
+//! reorders datagrams. Losses are random and independent; a partition is a rule on sender and receiver. Sites
+//! are grouped into regions, and datagrams between regions have a latency and an additional loss of their
+//! own.
 
 use hazelspur::Duration;
 use hazelspur::pcg::Pcg;
 
-/// One-way latency within a site, in ms.
+/// One-way latency within a site without its tail, in ms.
 const LATENCY_WITHIN_SITE_MS: f64 = 0.2;
-/// One-way latency from site to site, in ms.
+/// One-way latency between two sites of a region without its tail, in ms.
 const LATENCY_BETWEEN_SITES_MS: f64 = 1.0;
-/// Mean of the exponential latency tail, in ms.
+/// Mean of the exponentially distributed tail of each latency, in ms.
 const MEAN_LATENCY_TAIL_MS: f64 = 0.1;
 
-/// Which links carry nothing: by number and site of sender and receiver.
+/// A rule that returns true for each link that carries nothing, by the numbers of sending and receiving
+/// server.
 pub type Partition = fn(from: usize, to: usize) -> bool;
 
 /// The links between all servers.
 #[derive(Clone)]
 pub struct Network {
+    /// Number of sites; servers are assigned to sites round-robin by their numbers.
     pub sites: usize,
-    /// Site and region of a server go round by its number, so that each region has as many sites.
+    /// Number of regions; sites are assigned to regions round-robin by their numbers.
     pub regions: usize,
-    /// One way, from region to region; in place of what is usual from site to site.
+    /// One-way latency between regions without its tail; it replaces the latency between sites.
     pub region_latency: Duration,
-    /// The share of datagrams lost from region to region, besides `loss`.
+    /// Fraction of datagrams between regions that are lost in addition to `loss`.
     pub region_loss: f64,
-    /// Shares of datagrams.
+    /// Fraction of all datagrams that are lost.
     pub loss: f64,
+    /// Fraction of all datagrams that are sent twice.
     pub duplicated: f64,
+    /// Links that carry nothing at present; `None` if all links work.
     pub partition: Option<Partition>,
 }
 
 impl Network {
-    /// A healthy network of one region.
+    /// Returns a network of one region that loses and duplicates nothing.
     pub fn new(sites: usize) -> Self {
         let region_latency = Duration::from_us((LATENCY_BETWEEN_SITES_MS * 1000.0) as u64);
         Self {
@@ -47,17 +52,17 @@
         }
     }
 
-    /// The site of a server.
+    /// Returns the site of a server.
     pub fn site(&self, server: usize) -> usize {
         server % self.sites.max(1)
     }
 
-    /// The region of a server.
+    /// Returns the region of a server.
     pub fn region(&self, server: usize) -> usize {
         self.site(server) % self.regions.max(1)
     }
 
-    /// After how long each copy arrives; none where it is lost.
+    /// Draws the delay of each copy of a datagram that arrives; the result is empty if none arrives.
     pub fn draw_delays(&self, random: &mut Pcg, from: usize, to: usize) -> Vec<Duration> {
         if self.partition.is_some_and(|partition| partition(from, to)) {
             return Vec::new();
--- a/crates/hazelspur-simulator/src/simulation/config.rs
+++ b/crates/hazelspur-simulator/src/simulation/config.rs
@@ -1,58 +1,60 @@
-//! What one simulation plays: the fleet's size, its load, and how its servers coordinate.
+//! Configuration of a simulation: size and load of the fleet, the coordination of its servers, and the
+//! controller settings of each server.
 
 use hazelspur::config::entries::EntryVisitor;
 use hazelspur::{Catalog, ControllerSettings, Duration, Idempotency, RequestClass};
 
-/// Mean work of one request over both request classes, in core seconds.
+/// Mean work of a request over both request classes, in core seconds.
 pub(super) const MEAN_WORK_S: f64 = 0.010;
 /// Mean work of a request of each request class, in core seconds.
 pub(super) const WORK_BY_CLASS_S: [f64; 2] = [0.008, 0.012];
 /// Time from a request's first attempt to its deadline.
 pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_ms(2000);
-/// Running requests for each core past which every request slows down.
+/// Running requests for each core above which all requests of a server slow down.
 pub(super) const CONTENTION_THRESHOLD_PER_CORE: f64 = 8.0;
-/// Cores of one server unless a study says otherwise.
+/// Default number of cores of a server.
 const DEFAULT_CORES: f64 = 2.0;
-/// Dependency slots for each server unless a study says otherwise.
+/// Default number of dependency slots for each server.
 const DEFAULT_SLOTS_PER_SERVER: f64 = 8.0;
-/// Duration of an unhindered ledger call unless a study says otherwise.
+/// Default duration of a dependency call without contention.
 const DEFAULT_CALL_DURATION: Duration = Duration::from_ms(10);
-/// Guaranteed part of shared limits unless a study says otherwise.
+/// Default fraction of shared limits that is guaranteed to servers without a lease.
 const DEFAULT_GUARANTEED_FRACTION: f64 = 0.2;
-/// Memory that the configuration grants a server, in kB.
+/// Configured memory of a server, in kB.
 const MEMORY_KB: f64 = 1e6;
 /// Priority weight of the idempotent request class.
 const IDEMPOTENT_WEIGHT: f64 = 1.0;
 /// Priority weight of the non-idempotent request class.
 const NON_IDEMPOTENT_WEIGHT: f64 = 3.0;
 
-/// What one simulation plays.
+/// Configuration of one simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct SimulationConfig {
-    /// Servers of the fleet, those that start later included.
+    /// Number of servers of the fleet, those that start later included.
     pub servers: usize,
-    /// Cores of each server.
+    /// Number of cores of each server.
     pub cores: f64,
-    /// Seed of all random draws.
+    /// Seed of all random draws of the simulation.
     pub seed: u64,
-    /// Demand over the capacity of all servers' cores, without the time at calls.
+    /// Demand divided by the capacity of all servers' cores; time in dependency calls does not count.
     pub load: f64,
-    /// Dependency slots for each server, and the configured call concurrency limit of each.
+    /// Dependency slots for each server, which is also the configured call concurrency limit of each server.
     pub slots_per_server: f64,
-    /// Duration of an unhindered call.
+    /// Duration of a dependency call without contention.
     pub call_duration: Duration,
-    /// Fraction of all requests that go to the first third of the servers only.
+    /// Fraction of requests whose first attempt goes to the first third of the servers.
     pub skewed_fraction: f64,
-    /// How servers coordinate.
+    /// Coordination of the servers.
     pub coordination: Coordination,
     /// Fraction of shared limits that is guaranteed to servers without a lease.
     pub guaranteed_fraction: f64,
-    /// Servers that run from the start; a script starts the others.
+    /// Number of servers that run from the start; the script may start the others.
     pub initial_servers: usize,
 }
 
 impl SimulationConfig {
-    /// A fleet of two-core servers that all run from the start and do not coordinate.
+    /// Returns the configuration of a fleet of two-core servers that all run from the start and do not
+    /// coordinate.
     pub fn new(servers: usize, seed: u64, load: f64) -> Self {
         Self {
             servers,
@@ -68,35 +70,35 @@
         }
     }
 
-    /// Dependency slots of the whole fleet.
+    /// Returns the dependency slots of the whole fleet.
     pub fn dependency_slots(&self) -> f64 {
         self.slots_per_server * self.servers as f64
     }
 
-    /// Requests a second that put `load` on all cores.
+    /// Returns the requests a second that put `load` on all cores.
     pub(super) fn request_rate(&self) -> f64 {
         self.load * self.cores * self.servers as f64 / MEAN_WORK_S
     }
 }
 
-/// How servers coordinate.
+/// Coordination of the servers of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Coordination {
-    /// Each server uses its configuration and its own observations only.
+    /// None: each server uses only its configuration and its own observations.
     None,
-    /// Each server has fleet guidance of its own, without gossip.
+    /// Guidance that each server derives from its own observations, without gossip.
     Local,
-    /// Servers gossip and lease quota.
+    /// Guidance from gossip and leased quota, as in `hazelspur-server`.
     Gossip,
-    /// An oracle guides all servers by the true state, a little late.
+    /// Guidance from an oracle that knows the true state of the fleet a quarter of a second late.
     Oracle,
 }
 
 impl Coordination {
-    /// All kinds, in the order of the tables.
+    /// All kinds in the order of the printed tables.
     pub const ALL: [Self; 4] = [Self::None, Self::Local, Self::Gossip, Self::Oracle];
 
-    /// Its name in tables and on the command line.
+    /// Returns the name in the printed tables and on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Self::None => "apart",
@@ -107,7 +109,7 @@
     }
 }
 
-/// The configuration of each simulated server: two request classes, one idempotent and one not.
+/// Returns the catalog of each simulated server, with one idempotent and one non-idempotent request class.
 pub(super) fn catalog(config: &SimulationConfig, starts_cold: bool) -> Catalog {
     let mut catalog = Catalog::with_settings(controller_settings(config, starts_cold));
     let classes = [
@@ -115,7 +117,7 @@
         request_class(NON_IDEMPOTENT_WEIGHT, Idempotency::NonIdempotent),
     ];
     for class in classes {
-        catalog.visit_request_class(class).expect("two request classes are within the bound");
+        catalog.visit_request_class(class).expect("a catalog takes at least two request classes");
     }
     catalog
 }
--- a/crates/hazelspur-simulator/src/simulation/coordination.rs
+++ b/crates/hazelspur-simulator/src/simulation/coordination.rs
@@ -1,5 +1,6 @@
-//! What servers decide together in a simulation: the `FleetNode` of each over the simulated network, or an oracle
-//! that sees the true state of all a little late. Its output is guidance for each server's controller.
+//! Coordination of the simulated servers: the real `FleetNode` of each server over the simulated network, or
+//! an oracle that knows the true state of all servers with a short delay. The output is guidance for the
+//! controller of each server.
 
 use super::event::Event;
 use super::{Coordination, Simulation, SimulationConfig};
@@ -11,37 +12,38 @@
 use hazelspur_fleet::quota::{LimitId, QuotaConfig, SharedLimit, fair_level};
 use hazelspur_fleet::{Clocks, Datagram, FleetNode, Generation, LimitName};
 
-/// Between two observations of a server's own load.
+/// Time between two observations of a server's own load.
 const OBSERVATION_PERIOD: Duration = Duration::from_ms(200);
-/// Between two rounds of the oracle, which uses the state of the round before.
+/// Time between two rounds of the oracle; each round uses the state of the round before.
 pub(super) const ORACLE_PERIOD: Duration = Duration::from_ms(250);
 /// Name of the shared limit of concurrent calls.
 const CALL_LIMIT_NAME: &str = "calls";
-/// The setting that the shared limit guides.
+/// Controller setting that the shared limit determines.
 const GUIDED_SETTING: GuidanceKey = GuidanceKey::CallConcurrencyLimit;
-/// Call concurrency that a server without a measured demand asks for.
+/// Call concurrency that a server requests before it has measured its demand.
 const DEFAULT_CALL_DEMAND: f64 = 1.0;
-/// The least call concurrency limit that the oracle sets.
+/// Lowest call concurrency limit that the oracle sets.
 const MIN_ORACLE_LIMIT: f64 = 0.05;
-/// Voters of the quota allocator.
+/// Number of voters that elect the quota allocator.
 const VOTERS: usize = 5;
-/// How long a vote is valid.
+/// Time for which a vote is valid.
 const VOTE_DURATION: Duration = Duration::from_ms(4000);
-/// How long calls may use the ledger after the lease for them ended.
+/// Time for which calls may still use the dependency after their lease ended.
 const RESIDUAL_DURATION: Duration = Duration::from_ms(500);
-/// The fleet may grow by one server in so many.
+/// Divisor of the fleet size that gives the number of servers by which the fleet may grow.
 const GROWTH_DIVISOR: usize = 4;
-/// Milliseconds are the unit of a process generation.
+/// Microseconds in a millisecond, which is the unit of a process generation.
 const US_PER_MS: u64 = 1000;
-/// The shortest wait for the next tick.
+/// Shortest time until the next tick.
 const MIN_TICK_WAIT: Duration = Duration::from_us(1);
 
-/// One server's fleet node and what it guides.
+/// One server's fleet node, and the guidance that the server's controller gets from it.
 pub(super) struct Coordinator {
     node: FleetNode,
     guidance: Guidance,
-    /// The tick that is scheduled.
+    /// Time of the scheduled tick; the zero timestamp if none is scheduled.
     next_tick: Timestamp,
+    /// End of the current lease and the values that apply from then on; `None` without a lease.
     expiry: Option<LeaseExpiry>,
 }
 
@@ -52,23 +54,25 @@
     demands: Vec<f64>,
     /// Mean rejected fraction of all running servers.
     rejected_fraction: f64,
+    /// Whether the dependency is unreachable for all servers.
     dependency_down: bool,
 }
 
-/// What all servers may use of the ledger's slots.
+/// The quotas that are in force over all servers.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaInForce {
-    /// Sum of all quotas over the slots.
+    /// Sum of all quotas divided by the dependency's slots; above 1 if the slots are overcommitted.
     pub fraction: f64,
-    /// Servers with a lease.
+    /// Number of servers with a lease.
     pub lessees: usize,
 }
 
-/// The quota configuration of a fleet: five voters that lie apart, and one limit of concurrent calls.
+/// Returns the quota configuration of a fleet: one limit of concurrent calls, and five voters spread evenly
+/// over the server numbers, or the first server alone in a smaller fleet.
 fn quota_config(config: &SimulationConfig) -> QuotaConfig {
     let servers = config.servers;
     let calls = SharedLimit {
-        name: LimitName::new(CALL_LIMIT_NAME).expect("a short name"),
+        name: LimitName::new(CALL_LIMIT_NAME).expect("the name is within the length bound"),
         total: config.dependency_slots(),
         guaranteed_fraction: config.guaranteed_fraction,
         residual_duration: RESIDUAL_DURATION,
@@ -87,10 +91,12 @@
     }
 }
 
+/// Returns the number of servers to which the fleet may grow.
 fn max_servers(servers: usize) -> usize {
     servers + servers.div_ceil(GROWTH_DIVISOR)
 }
 
+/// Returns the call concurrency that a server requests.
 fn call_demand(report: &LoadReport) -> f64 {
     report.needed_call_concurrency.unwrap_or(DEFAULT_CALL_DEMAND)
 }
@@ -114,7 +120,7 @@
         }
     }
 
-    /// When the node needs its next tick, by its timers and its circuit breaker.
+    /// Returns when the node needs its next tick, for its timers or for a probe of its circuit breaker.
     fn time_of_next_tick(&mut self, clocks: Clocks) -> Timestamp {
         let until_probe = self.node.breaker.next_probe().map(|next| next - clocks.wall);
         let wait = until_probe.into_iter().fold(self.node.time_to_next_tick(clocks), Duration::min);
@@ -124,10 +130,11 @@
 
 impl Simulation {
     fn clocks(&self) -> Clocks {
-        // The simulated servers agree on the time; leases need only a steady monotonic clock.
+        // The clocks of all simulated servers agree; leases need only a monotonic clock.
         Clocks { wall: self.queue.now, monotonic: self.queue.now }
     }
 
+    /// Starts the fleet node of a new incarnation, if the servers coordinate themselves.
     pub(super) fn start_coordinator(&mut self, server: usize, seed: u64) {
         let clocks = self.clocks();
         self.coordinators[server] = match self.config.coordination {
@@ -144,7 +151,7 @@
         }
     }
 
-    /// Gives the node its server's load, and the controller the guidance that results.
+    /// Passes the server's load and demand to its fleet node, and the resulting guidance to its controller.
     pub(super) fn load_observation(&mut self, server: usize, incarnation: u64) {
         if !self.is_current(server, incarnation) {
             return;
@@ -166,12 +173,13 @@
     pub(super) fn datagram_received(&mut self, server: usize, datagram: &Datagram) {
         let clocks = self.clocks();
         let Some(coordinator) = &mut self.coordinators[server] else { return };
-        let _ = coordinator.node.receive(clocks, datagram); // the node counts what it drops
+        // A rejected datagram is dropped; the node counts it.
+        let _ = coordinator.node.receive(clocks, datagram);
         self.send_datagrams(server);
         self.update_guidance(server);
     }
 
-    /// Handles the scheduled tick; one that was rescheduled since has no effect.
+    /// Handles the scheduled tick; one that was rescheduled has no effect.
     pub(super) fn fleet_tick(&mut self, server: usize, incarnation: u64, at: Timestamp) {
         if !self.is_current(server, incarnation) {
             return;
@@ -188,7 +196,7 @@
         self.update_guidance(server);
     }
 
-    /// Probes the ledger where the circuit breaker asks for it.
+    /// Probes the dependency if a probe of the circuit breaker is due.
     fn probe_dependency(&mut self, server: usize) {
         let clocks = self.clocks();
         let Some(coordinator) = &mut self.coordinators[server] else { return };
@@ -200,7 +208,7 @@
         }
     }
 
-    /// Records a call that ended in time, or one that did not reach the ledger.
+    /// Records a call that ended in time, or one that did not reach the dependency.
     pub(super) fn record_call(&mut self, server: usize, reached: bool) {
         let clocks = self.clocks();
         self.figures.unreachable_calls += u64::from(!reached);
@@ -241,7 +249,7 @@
         }
     }
 
-    /// Gives the controller the guidance that changed.
+    /// Passes guidance that changed to the controller.
     fn update_guidance(&mut self, server: usize) {
         let (clocks, now) = (self.clocks(), self.queue.now);
         let Some(coordinator) = &mut self.coordinators[server] else { return };
@@ -256,7 +264,8 @@
         self.carry_out_decisions(server);
     }
 
-    /// Ends a lease at its expiry, whatever else is late.
+    /// Ends a lease that has expired. Called whenever decisions are carried out, so that a late tick of the fleet
+    /// node does not prolong the lease.
     pub(super) fn expire_lease(&mut self, server: usize) {
         let now = self.queue.now;
         let Some(coordinator) = &mut self.coordinators[server] else { return };
@@ -267,7 +276,7 @@
         }
     }
 
-    /// Guides all servers by the state of the round before, and observes the state now.
+    /// Guides all servers by the state of the round before, and records the current state for the next round.
     pub(super) fn guide_by_oracle(&mut self) {
         let now = self.queue.now;
         let state = std::mem::take(&mut self.oracle_state);
@@ -300,7 +309,7 @@
         }
     }
 
-    /// What all servers may use of the ledger's slots now.
+    /// Returns the quotas that all servers may use now.
     pub fn quota_in_force(&self) -> QuotaInForce {
         let clocks = self.clocks();
         let coordinators = self.coordinators.iter().flatten();
--- a/crates/hazelspur-simulator/src/simulation/decisions.rs
+++ b/crates/hazelspur-simulator/src/simulation/decisions.rs
@@ -6,7 +6,7 @@
 use hazelspur::{Decision, Duration, Outcome, RequestId};
 
 impl Simulation {
-    /// Carries out decisions until the controller has none.
+    /// Carries out decisions until the controller has no more.
     pub(super) fn carry_out_decisions(&mut self, server: usize) {
         let now = self.queue.now;
         self.expire_lease(server);
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Puts this part of a request's work on the server's cores.
+    /// Starts this fraction of a request's work on the server's cores.
     fn start_work(&mut self, server: usize, id: RequestId, fraction: f64) {
         let running = &mut self.servers[server];
         if let Some(request) = running.requests.get(&id) {
@@ -73,6 +73,8 @@
         }
     }
 
+    /// Counts a request as failed. One that neither runs nor calls ends at once; otherwise its work goes on,
+    /// but its response no longer counts.
     fn fail(&mut self, server: usize, id: RequestId) {
         let failing = &mut self.servers[server];
         let Some(request) = failing.requests.get_mut(&id) else { return };
@@ -95,7 +97,7 @@
             return self.call_unreachable(server, id);
         };
         request.call_started = Some(now);
-        // A call's slot is free when its timeout is over.
+        // A call that times out frees its slot at the dependency.
         let outcome = if duration <= timeout { Outcome::Ok } else { Outcome::TimedOut };
         let incarnation = self.servers[server].incarnation;
         let end = CallEnd { server, incarnation, id, started: now, outcome };
@@ -109,7 +111,7 @@
         self.record_call(server, false);
     }
 
-    /// Ends a call: its request goes on with the work after it, unless it was failed meanwhile.
+    /// Ends a call. Its request continues with the work after the call, unless it was failed meanwhile.
     pub(super) fn call_finished(&mut self, end: &CallEnd) {
         let now = self.queue.now;
         let CallEnd { server, incarnation, id, started, outcome } = *end;
@@ -135,7 +137,7 @@
         self.schedule_core_check(server);
     }
 
-    /// Ends a run at its call because no client waits for its answer.
+    /// Ends a request at the end of its call because its client already has a response.
     fn end_abandoned_run(&mut self, server: usize, id: RequestId, outcome: Outcome) {
         let now = self.queue.now;
         self.servers[server].requests.remove(&id);
--- a/crates/hazelspur-simulator/src/simulation/mod.rs
+++ b/crates/hazelspur-simulator/src/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! Simulates many servers in virtual time: the real `AdmissionController` of each, between models of cores, ledger,
-//! server list and gateways. Its inputs are a configuration and a script, its output is `Figures`; one seed gives
-//! one run.
+//! Simulates many servers in virtual time: each runs the real `AdmissionController` between models of its
+//! cores, the gateways, the server list and the shared dependency. Inputs are a configuration and a script of
+//! faults, the output is `Figures`. The seed in the configuration determines the run completely.
 
 mod client;
 mod config;
@@ -29,20 +29,20 @@
 use script::DependencyLink;
 use server::Server;
 
-/// Fraction of a request's work that comes before its call.
+/// Fraction of a request's work that is done before its dependency call.
 const WORK_BEFORE_CALL: f64 = 0.5;
-/// Latency from a gateway to a server, and back.
+/// One-way latency between a gateway and a server.
 const ONE_WAY_LATENCY: Duration = Duration::from_us(500);
-/// When the first request arrives after the start.
+/// Time from the start to the first request.
 const FIRST_REQUEST_AFTER: Duration = Duration::from_ms(2000);
 /// Age of the server list that gateways read.
 const LIST_DELAY: Duration = Duration::from_ms(1200);
-/// The least number of gateways.
+/// Minimum number of gateways; a larger fleet has one for every two servers.
 const MIN_GATEWAYS: usize = 4;
-/// Sites over which the servers are spread.
+/// Number of sites over which the servers are spread.
 const SITES: usize = 3;
 
-/// A fleet in virtual time.
+/// A simulated fleet with its clients and its dependency.
 pub struct Simulation {
     config: SimulationConfig,
     queue: EventQueue<Event>,
@@ -53,17 +53,20 @@
     pub dependency: SharedDependency,
     server_list: ServerList,
     last_request_number: u64,
+    /// Coordinator of each server; `None` while the server is down, or without coordination among servers.
     coordinators: Vec<Option<Coordinator>>,
+    /// Link of each server to the shared dependency.
     links: Vec<DependencyLink>,
-    /// Carries datagrams between servers.
+    /// The network between the servers.
     pub network: Network,
+    /// State that guides the servers in the oracle's next round.
     oracle_state: FleetState,
-    /// Counts so far.
+    /// Counts since the start or the last reset.
     pub figures: Figures,
 }
 
 impl Simulation {
-    /// Starts the initial servers and schedules the first request.
+    /// Returns a simulation whose initial servers run and whose first request is scheduled.
     pub fn new(config: SimulationConfig) -> Self {
         let mut simulation = Self::without_servers_running(config);
         (0..config.initial_servers.min(config.servers)).for_each(|server| simulation.start(server, false));
@@ -95,19 +98,19 @@
         }
     }
 
-    /// Schedules an action for this long after the start.
+    /// Schedules a scripted action for this long after the start of the simulation.
     pub fn script(&mut self, after: Duration, action: ScriptAction) {
         self.queue.schedule(START + after, Event::Script(action));
     }
 
-    /// Resets all counts but those by second.
+    /// Resets all counts but those of each second.
     pub fn reset_figures(&mut self) {
         let succeeded_by_second = std::mem::take(&mut self.figures).succeeded_by_second;
         self.figures.succeeded_by_second = succeeded_by_second;
         (self.dependency.calls, self.dependency.max_concurrent_calls) = (0, 0);
     }
 
-    /// Runs for this long in virtual time.
+    /// Runs the simulation for this long in virtual time.
     pub fn run(&mut self, duration: Duration) {
         let end = self.queue.now + duration;
         while let Some(event) = self.queue.next(end) {
@@ -117,7 +120,7 @@
         self.figures.max_concurrent_calls = self.dependency.max_concurrent_calls;
     }
 
-    /// Handles an event, or puts it off while its server is paused.
+    /// Handles an event, or postpones it to the end of the pause if its server is paused.
     fn handle(&mut self, event: Event) {
         let now = self.queue.now;
         let paused_until = event.server().and_then(|server| self.servers[server].paused_until);
--- a/crates/hazelspur-simulator/src/simulation/script.rs
+++ b/crates/hazelspur-simulator/src/simulation/script.rs
@@ -1,37 +1,38 @@
-//! Scripted changes of servers, links and ledger: faults, restarts and recoveries.
+//! Scripted changes of servers, links, network and dependency: faults, restarts and recoveries.
 
 use super::Simulation;
 use crate::network::Partition;
 use hazelspur::Duration;
 
-/// One scripted change.
+/// A scripted change.
 #[derive(Clone, Copy, Debug)]
 pub enum ScriptAction {
-    /// Makes the ledger unreachable, or reachable again.
+    /// Makes the dependency unreachable, or reachable again.
     SetDependencyDown(bool),
-    /// Sets the factor by which all calls are slower.
+    /// Sets the factor on the time of all dependency calls; 1 is the usual time.
     SetDependencySlowdown(f64),
     /// Ends a server at once; its requests are lost.
     Kill(usize),
     /// Starts a new, cold incarnation of a server.
     Start(usize),
-    /// Sets the speed factor of a server's cores.
+    /// Sets the speed factor of a server's cores; 1 is full speed.
     SetCoreSpeed(usize, f64),
-    /// Pauses a server's process for this long; its runs go on.
+    /// Pauses the process of a server for this long; its requests keep running on the cores.
     Pause(usize, Duration),
-    /// Sets the factor by which calls over a server's own link are slower.
+    /// Sets the factor on the time of one server's dependency calls; 1 is the usual time.
     SetLinkSlowdown(usize, f64),
-    /// Takes a server's own link to the ledger down, or up again.
+    /// Makes the dependency unreachable for one server, or reachable again.
     SetLinkDown(usize, bool),
-    /// Sets which servers' datagrams do not reach which others.
+    /// Sets the links between servers that carry no datagrams, or none.
     SetPartition(Option<Partition>),
 }
 
-/// A server's own link to the ledger.
+/// One server's link to the dependency.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DependencyLink {
-    /// Factor by which calls are slower.
+    /// Factor on the time of the server's calls; 1 is the usual time.
     pub(super) slowdown: f64,
+    /// Whether the server's calls do not reach the dependency.
     pub(super) down: bool,
 }
 
@@ -53,7 +54,7 @@
     }
 
     fn set_core_speed(&mut self, server: usize, speed: f64) {
-        // Work until now counts at the earlier speed.
+        // Work up to now is done at the earlier speed.
         let _ = self.servers[server].cores.take_finished(self.queue.now);
         self.servers[server].cores.speed = speed;
         self.schedule_core_check(server);
--- a/crates/hazelspur-simulator/src/simulation/server.rs
+++ b/crates/hazelspur-simulator/src/simulation/server.rs
@@ -1,4 +1,5 @@
-//! One simulated server: its admission controller, its cores and its requests; inputs to it and its timers.
+//! One simulated server: its admission controller, its cores and its requests, and the inputs and timers that
+//! it handles.
 
 use super::config::{CONTENTION_THRESHOLD_PER_CORE, SimulationConfig, catalog};
 use super::event::Event;
@@ -15,14 +16,14 @@
 /// Size of every request, in kB.
 const REQUEST_SIZE_KB: f64 = 20.0;
 
-/// A request at its server.
+/// A request that a server received and has not finished.
 pub(super) struct ServerRequest {
     pub(super) client_request: ClientRequest,
-    /// The work before the call is done.
+    /// Whether the work before the dependency call is done and the call was requested.
     pub(super) call_requested: bool,
-    /// The client has its answer.
+    /// Whether the client has a response, so that the rest of the run is of no use.
     pub(super) answered: bool,
-    /// When the call under way started.
+    /// Start of the current dependency call; `None` while there is none.
     pub(super) call_started: Option<Timestamp>,
 }
 
@@ -30,11 +31,13 @@
 pub(super) struct Server {
     /// `None` while the server is down.
     pub(super) controller: Option<AdmissionController>,
+    /// Number of starts and ends of the server so far.
     pub(super) incarnation: u64,
     pub(super) cores: Cores,
     pub(super) requests: BTreeMap<RequestId, ServerRequest>,
-    /// When its cores are checked next.
+    /// Time of the next scheduled check for finished requests on the cores.
     pub(super) core_check: Option<Timestamp>,
+    /// End of the last pause, which may be over; `None` if there was none in this incarnation.
     pub(super) paused_until: Option<Timestamp>,
 }
 
@@ -50,7 +53,7 @@
         }
     }
 
-    /// Begins a new incarnation, at the speed that its cores had.
+    /// Begins a new incarnation; the cores keep their speed.
     fn restart(&mut self, config: &SimulationConfig, controller: AdmissionController) {
         let speed = self.cores.speed;
         *self =
@@ -60,6 +63,7 @@
 }
 
 impl Simulation {
+    /// Starts a new incarnation of a server, which warms up if it starts cold.
     pub(super) fn start(&mut self, server: usize, starts_cold: bool) {
         let now = self.queue.now;
         let seed = self.draw_seed();
@@ -76,11 +80,12 @@
         u64::from(self.random.draw()) << u32::BITS | u64::from(self.random.draw())
     }
 
+    /// Returns whether this is the current incarnation of the server.
     pub(super) fn is_current(&self, server: usize, incarnation: u64) -> bool {
         self.servers[server].incarnation == incarnation
     }
 
-    /// Gives the controller an input, then carries out what it decides.
+    /// Passes an input to the server's controller, then carries out its decisions.
     pub(super) fn apply_input(&mut self, server: usize, input: impl FnOnce(&mut AdmissionController)) {
         if let Some(controller) = &mut self.servers[server].controller {
             input(controller);
@@ -88,6 +93,7 @@
         self.carry_out_decisions(server);
     }
 
+    /// Handles the arrival of an attempt.
     pub(super) fn request_received(
         &mut self,
         server: usize,
@@ -96,7 +102,8 @@
         request: ClientRequest,
     ) {
         if !self.is_current(server, incarnation) || self.servers[server].controller.is_none() {
-            // A refused connection proves that nothing ran.
+            // A refused connection proves that the server did not run the request, so any request may be
+            // retried.
             return self.retry(server, request, hazelspur::Duration::ZERO);
         }
         let received = ServerRequest {
@@ -119,7 +126,8 @@
         self.apply_input(server, |controller| controller.timer_tick(now, gauges));
     }
 
-    /// Handles the requests whose work on the cores is done.
+    /// Handles the scheduled check for requests whose work on the cores is done; one that was rescheduled has
+    /// no effect.
     pub(super) fn check_cores(&mut self, server: usize, incarnation: u64, at: Timestamp) {
         if !self.is_current(server, incarnation) || self.servers[server].core_check != Some(at) {
             return;
@@ -131,7 +139,7 @@
         self.schedule_core_check(server);
     }
 
-    /// Requests the call of a request, or finishes its run when the call is behind it.
+    /// Requests the dependency call of a request, or finishes the request if its call was requested before.
     fn work_done(&mut self, server: usize, id: RequestId) {
         let now = self.queue.now;
         let Some(request) = self.servers[server].requests.get_mut(&id) else { return };
@@ -146,6 +154,7 @@
         self.apply_input(server, |controller| controller.run_finished(now, id, Outcome::Ok));
     }
 
+    /// Schedules a check of the cores for the time at which the next request is done.
     pub(super) fn schedule_core_check(&mut self, server: usize) {
         let checked = &mut self.servers[server];
         if let Some(at) = checked.cores.next_finish()
@@ -157,7 +166,7 @@
         }
     }
 
-    /// Reports to the control plane, and schedules the next report.
+    /// Reports a running server to the server list, and schedules its next report.
     pub(super) fn report_to_server_list(&mut self, server: usize, incarnation: u64) {
         if self.is_current(server, incarnation) && self.servers[server].controller.is_some() {
             let now = self.queue.now;
--- a/crates/hazelspur-simulator/src/test_fleet.rs
+++ b/crates/hazelspur-simulator/src/test_fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of members of one membership protocol over the simulated network; a study starts, pauses and kills them.
-//! Outputs are what the members observe of each other, and their traffic.
+//! A fleet of members of one membership protocol over the simulated network. A study starts, pauses and kills
+//! the members; the fleet returns which members they consider alive or dead, and their traffic.
 
 use crate::event_queue::EventQueue;
 use crate::membership_protocols::{MembershipNotice, MembershipProtocol, OutgoingPacket};
@@ -8,27 +8,32 @@
 use hazelspur::{Duration, Timestamp};
 use std::collections::VecDeque;
 
-/// When every simulation starts, in virtual time.
+/// Virtual time at which every simulation starts.
 pub const START: Timestamp = Timestamp::from_us(1_700_000_000_000_000);
-/// Datagrams that a host buffers for a process that does not read.
+/// Number of datagrams that a host buffers for a paused process; further ones are lost.
 const MAX_UNREAD: usize = 256;
-/// The shortest wait for the next tick.
+/// Shortest time between handling an event and the next tick of the member.
 const MIN_TICK_WAIT: Duration = Duration::from_us(1);
 
 enum Event<P> {
+    /// The member's timers are due.
     Tick { server: usize, incarnation: u64 },
+    /// A packet arrives at the server's host.
     Received { server: usize, packet: P, bytes: usize },
+    /// A pause of the server's process ends.
     Resumed { server: usize, incarnation: u64 },
 }
 
+/// One server of the fleet.
 struct Node<P: MembershipProtocol> {
     /// `None` while the server is down.
     member: Option<P>,
+    /// Number of starts and ends of the server so far; an event of an earlier incarnation has no effect.
     incarnation: u64,
-    /// Packets that arrive before then wait unread.
+    /// End of the current pause, until which packets are buffered unread; `None` while the process runs.
     paused_until: Option<Timestamp>,
     unread: VecDeque<P::Packet>,
-    /// The tick that is scheduled.
+    /// Time of the scheduled tick; events of other ticks have no effect if it is later.
     scheduled_tick: Timestamp,
     last_pause_end: Timestamp,
     traffic: Traffic,
@@ -48,22 +53,22 @@
     }
 }
 
-/// Traffic of one server since the start, over all its incarnations. Bytes are those of datagrams without their
-/// IP and UDP headers.
+/// Traffic of one server since the start of the simulation, over all its incarnations. Bytes are those of
+/// datagrams without IP and UDP headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub datagrams_out: u64,
     /// Bytes sent.
     pub bytes_out: u64,
-    /// Datagrams received.
+    /// Number of datagrams that arrived, those that were lost during a pause included.
     pub datagrams_in: u64,
     /// Bytes received.
     pub bytes_in: u64,
 }
 
 impl Traffic {
-    /// The traffic since an earlier count.
+    /// Returns the difference from an earlier count of the same server.
     pub fn since(self, before: Self) -> Self {
         Self {
             datagrams_out: self.datagrams_out - before.datagrams_out,
@@ -74,35 +79,35 @@
     }
 }
 
-/// What one member concluded about another.
+/// A conclusion of one member about another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Observation {
-    /// When it concluded that.
+    /// Virtual time of the conclusion.
     pub at: Timestamp,
-    /// Number of the member that observed.
+    /// Number of the member that came to the conclusion.
     pub observer: usize,
-    /// What it concluded.
+    /// The conclusion and the member that it is about.
     pub notice: MembershipNotice,
 }
 
-/// A fleet of members of one protocol.
+/// A fleet of members of one membership protocol.
 pub struct TestFleet<P: MembershipProtocol> {
-    /// Carries the members' packets.
+    /// The network between the members.
     pub network: Network,
     queue: EventQueue<Event<P::Packet>>,
     nodes: Vec<Node<P>>,
     random: Pcg,
     max_servers: usize,
-    /// What members observed, in the order of time.
+    /// Conclusions of all members, in the order of time; a study may clear them.
     pub observations: Vec<Observation>,
-    /// Datagrams sent by all members.
+    /// Number of datagrams that all members sent.
     pub datagrams: u64,
-    /// Bytes sent by all members.
+    /// Bytes that all members sent, without IP and UDP headers.
     pub bytes: u64,
 }
 
 impl<P: MembershipProtocol> TestFleet<P> {
-    /// A fleet without members, of at most `max_servers` servers.
+    /// Returns a fleet without members that is to have at most `max_servers` servers.
     pub fn new(network: Network, max_servers: usize, seed: u64) -> Self {
         Self {
             network,
@@ -116,7 +121,7 @@
         }
     }
 
-    /// The virtual time.
+    /// Returns the current virtual time.
     pub fn now(&self) -> Timestamp {
         self.queue.now
     }
@@ -129,7 +134,7 @@
         self.start_member(server, member);
     }
 
-    /// Starts a new incarnation of a server with a given member.
+    /// Starts a new incarnation of a server with the given member.
     pub fn start_member(&mut self, server: usize, member: P) {
         while self.nodes.len() <= server {
             self.nodes.push(Node::down());
@@ -142,14 +147,14 @@
         self.send_and_schedule(server);
     }
 
-    /// Ends a server at once.
+    /// Ends a server's process at once, without a goodbye message.
     pub fn kill(&mut self, server: usize) {
         let node = &mut self.nodes[server];
         node.member = None;
         node.incarnation += 1;
     }
 
-    /// Ends a server in good order, after its goodbye.
+    /// Ends a server's process after its goodbye message, if the protocol has one.
     pub fn leave(&mut self, server: usize) {
         let now = self.now();
         if let Some(member) = &mut self.nodes[server].member {
@@ -159,7 +164,7 @@
         self.kill(server);
     }
 
-    /// Pauses a server's process for this long.
+    /// Pauses the process of a running server for this long; a pause that ends earlier is extended.
     pub fn pause(&mut self, server: usize, duration: Duration) {
         let until = self.now() + duration;
         let node = &mut self.nodes[server];
@@ -170,38 +175,39 @@
         }
     }
 
-    /// Whether a server runs.
+    /// Returns whether a server runs; a paused one counts as running.
     pub fn is_running(&self, server: usize) -> bool {
         self.nodes.get(server).is_some_and(|node| node.member.is_some())
     }
 
-    /// How many servers run.
+    /// Returns the number of running servers.
     pub fn running_count(&self) -> usize {
         self.nodes.iter().filter(|node| node.member.is_some()).count()
     }
 
-    /// The end of a server's last pause; zero if there was none.
+    /// Returns the end of a server's last pause, which may be in the future; the zero timestamp if there was
+    /// none.
     pub fn last_pause_end(&self, server: usize) -> Timestamp {
         self.nodes[server].last_pause_end
     }
 
-    /// Number and member of each running server.
+    /// Returns number and member of each running server.
     pub fn members(&self) -> impl Iterator<Item = (usize, &P)> {
         self.nodes.iter().enumerate().filter_map(|(server, node)| Some((server, node.member.as_ref()?)))
     }
 
-    /// Traffic by server number, of all that ever ran.
+    /// Returns the traffic of each server in the order of their numbers, those that have ended included.
     pub fn traffic(&self) -> impl Iterator<Item = Traffic> {
         self.nodes.iter().map(|node| node.traffic)
     }
 
-    /// Whether each member considers as many others alive as run.
+    /// Returns whether each running member considers as many others alive as are running.
     pub fn members_agree(&self) -> bool {
         let others = self.running_count().saturating_sub(1);
         self.members().all(|(_, member)| member.alive_count() == others)
     }
 
-    /// Runs for this long in virtual time.
+    /// Runs the simulation for this long in virtual time.
     pub fn run(&mut self, duration: Duration) {
         let end = self.now() + duration;
         while let Some(event) = self.queue.next(end) {
@@ -248,7 +254,8 @@
         }
         node.paused_until = None;
         let Some(member) = &mut node.member else { return };
-        // Timer or socket may come first after a pause; the timer first is the worse case.
+        // After a pause, a process may handle its timers or its socket first. Timers first is the worse case:
+        // they expire before the answers that wait in the socket are read.
         member.tick(now);
         for packet in std::mem::take(&mut node.unread) {
             member.receive(now, &packet);
@@ -256,7 +263,7 @@
         self.send_and_schedule(server);
     }
 
-    /// Sends a member's packets, records its notices, and schedules its next tick.
+    /// Sends a member's packets, records its conclusions, and schedules its next tick.
     fn send_and_schedule(&mut self, server: usize) {
         let now = self.now();
         let Some(node) = self.nodes.get_mut(server) else { return };
