--- a/crates/hazelspur-simulator/src/simulation/coordination.rs
+++ b/crates/hazelspur-simulator/src/simulation/coordination.rs
@@ -264,8 +264,8 @@
         self.carry_out_decisions(server);
     }
 
-    /// Ends a lease that has expired. Called whenever decisions are carried out, so that a late tick of the fleet
-    /// node does not prolong the lease.
+    /// Ends a lease that has expired. Called whenever decisions are carried out, so that a late tick of the
+    /// fleet node does not prolong the lease.
     pub(super) fn expire_lease(&mut self, server: usize) {
         let now = self.queue.now;
         let Some(coordinator) = &mut self.coordinators[server] else { return };
