--- a/crates/hazelspur-simulator/src/event_queue.rs
+++ b/crates/hazelspur-simulator/src/event_queue.rs
@@ -6,13 +6,14 @@
 
 struct Entry<E> {
     at: Timestamp,
-    number: u64,
+    /// Number of events scheduled up to this one, which orders events of the same time.
+    sequence_number: u64,
     event: E,
 }
 
 impl<E> PartialEq for Entry<E> {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.number) == (other.at, other.number)
+        (self.at, self.sequence_number) == (other.at, other.sequence_number)
     }
 }
 
@@ -26,31 +27,37 @@
 
 impl<E> Ord for Entry<E> {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
+        (self.at, self.sequence_number).cmp(&(other.at, other.sequence_number))
     }
 }
 
-/// Events to come, and the virtual time.
+/// Scheduled events and the current virtual time.
 pub struct EventQueue<E> {
-    /// The virtual time.
+    /// Current virtual time; it never goes back.
     pub now: Timestamp,
     entries: BinaryHeap<Reverse<Entry<E>>>,
-    number: u64,
+    /// Sequence number of the event that was scheduled last.
+    sequence_number: u64,
 }
 
 impl<E> EventQueue<E> {
-    /// An empty queue whose virtual time begins at `now`.
+    /// Returns an empty queue whose virtual time begins at `now`.
     pub fn new(now: Timestamp) -> Self {
-        Self { now, entries: BinaryHeap::new(), number: 0 }
+        Self { now, entries: BinaryHeap::new(), sequence_number: 0 }
     }
 
-    /// Schedules an event; one for the past happens now.
+    /// Schedules an event; a time in the past counts as the current time.
     pub fn schedule(&mut self, at: Timestamp, event: E) {
-        self.number += 1;
-        self.entries.push(Reverse(Entry { at: at.max(self.now), number: self.number, event }));
+        self.sequence_number += 1;
+        self.entries.push(Reverse(Entry {
+            at: at.max(self.now),
+            sequence_number: self.sequence_number,
+            event,
+        }));
     }
 
-    /// Takes the next event up to `end` and advances the time to it, or to `end` where there is none.
+    /// Takes the next event up to `end` and advances the virtual time to it; if there is none, advances the
+    /// time to `end` and returns `None`.
     pub fn next(&mut self, end: Timestamp) -> Option<E> {
         match self.entries.peek() {
             Some(Reverse(entry)) if entry.at <= end => {
--- a/crates/hazelspur-simulator/src/membership_protocols/swim.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/swim.rs
@@ -1,4 +1,5 @@
-//! `hazelspur_fleet::Membership`, as the program runs it.
+//! The SWIM implementation of this project, `hazelspur_fleet::Membership`, as `hazelspur-server` runs it, in
+//! a fleet of three sites; also the names and addresses of simulated servers.
 
 use super::{MembershipNotice, MembershipProtocol, OutgoingPacket, SEED_MEMBERS};
 use hazelspur::{Duration, Timestamp};
@@ -9,56 +10,59 @@
 };
 use std::net::SocketAddr;
 
-/// A member by the project's SWIM implementation.
+/// A member that runs `hazelspur_fleet::Membership`.
 pub struct Swim(pub Membership);
 
-/// The name of a server by its number.
-pub fn name(of: usize) -> MemberName {
-    MemberName::new(&format!("n{of}")).expect("a short name")
+/// Returns the member name of a server.
+pub fn member_name(server: usize) -> MemberName {
+    MemberName::new(&format!("n{server}")).expect("the name is within the length bound")
 }
 
-/// The address of a server by its number.
-pub fn address(of: usize) -> SocketAddr {
-    SocketAddr::from(([127, 1, (of >> 8) as u8, (of & 255) as u8], 7000))
+/// Returns the address of a server, which encodes its number.
+pub fn member_address(server: usize) -> SocketAddr {
+    SocketAddr::from(([127, 1, (server >> 8) as u8, (server & 255) as u8], 7000))
 }
 
-/// The number of a server by its address; `usize::MAX` for an unknown one.
-pub fn number(at: SocketAddr) -> usize {
-    match at {
+/// Returns the number of the server with this address; `usize::MAX` for an IPv6 address, which no server has.
+pub fn server_number(address: SocketAddr) -> usize {
+    match address {
         SocketAddr::V4(at) => usize::from(at.ip().octets()[2]) << 8 | usize::from(at.ip().octets()[3]),
         SocketAddr::V6(_) => usize::MAX,
     }
 }
 
-fn number_of(name: MemberName) -> usize {
+/// Returns the number of the server with this name; `usize::MAX` if no server can have it.
+fn number_from_name(name: MemberName) -> usize {
     name.as_str()[1..].parse().unwrap_or(usize::MAX)
 }
 
-/// The configuration of a member in a fleet of at most `most` servers.
-pub fn terms(me: usize, most: usize) -> NodeConfig {
+/// Returns the configuration of a member in a fleet of three sites and at most `max_servers` servers.
+pub fn node_config(server: usize, max_servers: usize) -> NodeConfig {
     NodeConfig {
-        installation: Installation::new("lab").expect("a short name"),
-        name: name(me),
-        site: SiteName::new(["east", "west", "north"][me % 3]).expect("a short name"),
-        address: address(me),
-        seeds: SEED_MEMBERS.iter().map(|of| address(*of)).collect(),
-        max_servers: most,
+        installation: Installation::new("lab").expect("the name is within the length bound"),
+        name: member_name(server),
+        site: SiteName::new(["east", "west", "north"][server % 3])
+            .expect("the name is within the length bound"),
+        address: member_address(server),
+        seeds: SEED_MEMBERS.iter().map(|server| member_address(*server)).collect(),
+        max_servers,
         probe_period: Duration::from_ms(1000),
         retention: Duration::from_ms(900_000),
     }
 }
 
 impl MembershipProtocol for Swim {
-    /// How this protocol is named in the printed tables.
+    /// Name of this protocol in the printed tables.
     const NAME: &'static str = "own machine";
     type Packet = Datagram;
 
-    fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
-        Self(Membership::new(terms(me, most), Generation(now.us() / 1000), seed, now))
+    fn start(server: usize, max_servers: usize, seed: u64, now: Timestamp) -> Self {
+        Self(Membership::new(node_config(server, max_servers), Generation(now.us() / 1000), seed, now))
     }
 
     fn receive(&mut self, now: Timestamp, packet: &Datagram) {
-        let _ = self.0.receive(now, packet); // what is dropped is dropped
+        // A rejected datagram is dropped.
+        let _ = self.0.receive(now, packet);
     }
 
     fn tick(&mut self, now: Timestamp) {
@@ -72,41 +76,41 @@
     fn next_packet(&mut self, now: Timestamp) -> Option<OutgoingPacket<Datagram>> {
         let OutgoingDatagram { address, datagram } = self.0.next_datagram(now)?;
         let bytes = datagram::encoded_length(&datagram);
-        Some(OutgoingPacket { receiver: number(address), packet: datagram, bytes })
+        Some(OutgoingPacket { receiver: server_number(address), packet: datagram, bytes })
     }
 
     fn next_notice(&mut self) -> Option<MembershipNotice> {
-        notice(&mut self.0)
+        next_notice(&mut self.0)
     }
 
     fn leave(&mut self, now: Timestamp) {
         self.0.announce_left(now);
     }
 
-    fn alive(&self) -> usize {
-        alive(&self.0)
+    fn alive_count(&self) -> usize {
+        count_alive(&self.0)
     }
 
-    fn entries(&self) -> usize {
+    fn entry_count(&self) -> usize {
         self.0.statuses().count()
     }
 }
 
-/// How many others these hold for alive, the suspected among them.
-pub fn alive(members: &Membership) -> usize {
-    let alive = |standing| matches!(standing, MemberStatus::Alive | MemberStatus::Suspected);
-    members.statuses().filter(|(_, standing)| alive(*standing)).count()
+/// Returns the number of other members that are considered alive, suspected ones included.
+pub fn count_alive(members: &Membership) -> usize {
+    let is_alive = |status| matches!(status, MemberStatus::Alive | MemberStatus::Suspected);
+    members.statuses().filter(|(_, status)| is_alive(*status)).count()
 }
 
-/// The next event that concerns who is here.
-pub fn notice(members: &mut Membership) -> Option<MembershipNotice> {
+/// Takes the next event that tells whether a member is alive, skipping all others; `None` if there is none.
+pub fn next_notice(members: &mut Membership) -> Option<MembershipNotice> {
     loop {
         match members.next_event()? {
             MembershipEvent::Joined(name) | MembershipEvent::Recovered(name) => {
-                return Some(MembershipNotice::Alive(number_of(name)));
+                return Some(MembershipNotice::Alive(number_from_name(name)));
             }
             MembershipEvent::Died(name) | MembershipEvent::Left(name) => {
-                return Some(MembershipNotice::Dead(number_of(name)));
+                return Some(MembershipNotice::Dead(number_from_name(name)));
             }
             _ => {}
         }
--- a/crates/hazelspur-simulator/src/membership_protocols/zoned.rs
+++ b/crates/hazelspur-simulator/src/membership_protocols/zoned.rs
@@ -1,7 +1,7 @@
-//! The real machines in two regions of three zones each: members by themselves, and members, signals and shares
-//! together as one server has them. The studies of scale play them; nothing here decides.
+//! The real fleet modules in two regions of three zones each: membership alone, and the whole `FleetNode` of
+//! a server with membership, load reports and quota. The study `scale` runs them.
 
-use super::swim::{Swim, alive, name, notice, number, terms as terms_of_three};
+use super::swim::{Swim, count_alive, member_name, next_notice, node_config, server_number};
 use super::{MembershipNotice, MembershipProtocol, OutgoingPacket};
 use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::membership::OutgoingDatagram;
@@ -11,61 +11,67 @@
     Clocks, Datagram, FleetNode, Generation, LimitName, Membership, NodeConfig, SiteName, datagram,
 };
 
-/// Regions of the fleet.
+/// Number of regions of the fleet.
 pub const REGIONS: usize = 2;
-/// Zones of all regions.
+/// Number of zones of all regions; each zone is a site.
 pub const ZONES: usize = 6;
-/// Names of the zones, by number.
+/// Names of the zones by their numbers.
 const ZONE_NAMES: [&str; ZONES] = ["east-1", "west-1", "east-2", "west-2", "east-3", "west-3"];
-/// Voters, one in each of so many zones.
+/// Number of voters that elect the quota allocator, each in another zone.
 pub const VOTERS: usize = 5;
-/// A server looks at its own work so often, as the program does.
+/// Time between two observations of a server's own load, as in `hazelspur-server`.
 const OBSERVATION_PERIOD: Duration = Duration::from_ms(200);
-/// What it sees there: calls of so many seconds, and nothing refused.
-const CALL_DURATION_S: f64 = 0.02;
-/// Slots of each shared limit for a server.
+/// Mean call latency that each server observes, in seconds; it observes no rejections.
+const OBSERVED_CALL_S: f64 = 0.02;
+/// Total of each shared limit, divided by the number of servers.
 const SLOTS_PER_SERVER: f64 = 4.0;
-/// Fraction of each limit that is guaranteed without a lease.
+/// Fraction of each limit that is guaranteed to servers without a lease.
 const GUARANTEED_FRACTION: f64 = 0.2;
-/// How long quota may be in use after its lease ended.
+/// Time for which quota may still be in use after its lease ended.
 const RESIDUAL_DURATION: Duration = Duration::from_ms(500);
-/// How long a vote is valid.
+/// Time for which a vote is valid.
 const VOTE_DURATION: Duration = Duration::from_ms(4000);
 
-/// As those of three sites, in its zone.
-pub fn terms(me: usize, most: usize) -> NodeConfig {
-    let site = SiteName::new(ZONE_NAMES[me % ZONES]).expect("a short name");
-    NodeConfig { site, ..terms_of_three(me, most) }
+/// Returns the configuration of a member as `swim::node_config` does, with the server's zone as its site.
+pub fn zoned_node_config(server: usize, max_servers: usize) -> NodeConfig {
+    let site = SiteName::new(ZONE_NAMES[server % ZONES]).expect("the name is within the length bound");
+    NodeConfig { site, ..node_config(server, max_servers) }
 }
 
-/// So many limits alike over `servers`, divided among `most` at most.
-pub fn share_terms(servers: usize, most: usize, limits: usize) -> QuotaConfig {
+/// Returns a configuration of `limits` equal limits, whose totals are for `servers` servers, in a fleet of at
+/// most `max_servers`.
+pub fn quota_config(servers: usize, max_servers: usize, limits: usize) -> QuotaConfig {
     let limit = |at: usize| SharedLimit {
-        name: LimitName::new(&format!("limit-{at}")).expect("a short name"),
+        name: LimitName::new(&format!("limit-{at}")).expect("the name is within the length bound"),
         total: SLOTS_PER_SERVER * servers as f64,
         guaranteed_fraction: GUARANTEED_FRACTION,
         residual_duration: RESIDUAL_DURATION,
         max_turn: None,
     };
-    let voters = (0..VOTERS).map(name).collect();
+    let voters = (0..VOTERS).map(member_name).collect();
     QuotaConfig {
         voters,
-        max_servers: most,
+        max_servers,
         vote_duration: VOTE_DURATION,
         limits: (0..limits).map(limit).collect(),
     }
 }
 
-/// Membership alone.
+/// A member that runs membership alone.
 pub struct ZonedSwim(pub Swim);
 
 impl MembershipProtocol for ZonedSwim {
-    /// How this protocol is named in the printed tables.
+    /// Name of this protocol in the printed tables.
     const NAME: &'static str = "members";
     type Packet = Datagram;
 
-    fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
-        Self(Swim(Membership::new(terms(me, most), Generation(now.us() / 1000), seed, now)))
+    fn start(server: usize, max_servers: usize, seed: u64, now: Timestamp) -> Self {
+        Self(Swim(Membership::new(
+            zoned_node_config(server, max_servers),
+            Generation(now.us() / 1000),
+            seed,
+            now,
+        )))
     }
 
     fn receive(&mut self, now: Timestamp, packet: &Datagram) {
@@ -92,92 +98,104 @@
         self.0.leave(now);
     }
 
-    fn alive(&self) -> usize {
-        self.0.alive()
+    fn alive_count(&self) -> usize {
+        self.0.alive_count()
     }
 
-    fn entries(&self) -> usize {
-        self.0.entries()
+    fn entry_count(&self) -> usize {
+        self.0.entry_count()
     }
 }
 
-/// All that one server has together, with so many limits shared.
-pub struct Together<const LIMITS: usize> {
+/// A member that runs a whole fleet node, with `LIMITS` shared limits.
+pub struct ZonedFleetNode<const LIMITS: usize> {
+    /// Membership, load reports and quota of the server.
     pub node: FleetNode,
-    /// The last input was then.
-    last: Timestamp,
-    next_look: Timestamp,
+    /// Time of the last input to the node.
+    last_input: Timestamp,
+    next_observation: Timestamp,
 }
 
-/// The laboratory's servers agree on the time.
-fn at(now: Timestamp) -> Clocks {
+/// Returns both clocks of a server at this virtual time; the clocks of all simulated servers agree.
+fn clocks(now: Timestamp) -> Clocks {
     Clocks { wall: now, monotonic: now }
 }
 
-impl<const LIMITS: usize> MembershipProtocol for Together<LIMITS> {
-    /// How this protocol is named in the printed tables.
+impl<const LIMITS: usize> MembershipProtocol for ZonedFleetNode<LIMITS> {
+    /// Name of this protocol in the printed tables.
     const NAME: &'static str = "members, signals and shares";
     type Packet = Datagram;
 
-    /// A fifth of `most` is room for more servers than there are.
-    fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
-        let shares = share_terms(most * 4 / 5, most, LIMITS);
+    /// Starts a member of a fleet that runs four fifths of `max_servers`; the rest is room for growth.
+    fn start(server: usize, max_servers: usize, seed: u64, now: Timestamp) -> Self {
+        let quota = quota_config(max_servers * 4 / 5, max_servers, LIMITS);
         let generation = Generation(now.us() / 1000);
-        let mut node = FleetNode::new(terms(me, most), Some(shares), generation, seed, at(now));
+        let mut node = FleetNode::new(
+            zoned_node_config(server, max_servers),
+            Some(quota),
+            generation,
+            seed,
+            clocks(now),
+        );
         for limit in 0..LIMITS {
-            // Some want half of what an equal share were, some twice that.
-            let want = SLOTS_PER_SERVER * [0.5, 0.8, 1.2, 2.0][(me + limit) % 4];
-            node.set_demand(&format!("limit-{limit}"), want);
+            // Demands are between a half and twice an equal share of the limit.
+            let demand = SLOTS_PER_SERVER * [0.5, 0.8, 1.2, 2.0][(server + limit) % 4];
+            node.set_demand(&format!("limit-{limit}"), demand);
+        }
+        Self {
+            node,
+            last_input: now,
+            next_observation: now + OBSERVATION_PERIOD.scaled((seed % 1000) as f64 / 1000.0),
         }
-        Self { node, last: now, next_look: now + OBSERVATION_PERIOD.scaled((seed % 1000) as f64 / 1000.0) }
     }
 
     fn receive(&mut self, now: Timestamp, packet: &Datagram) {
-        self.last = now;
-        let _ = self.node.receive(at(now), packet); // what is dropped is dropped
+        self.last_input = now;
+        // A rejected datagram is dropped; the node counts it.
+        let _ = self.node.receive(clocks(now), packet);
     }
 
     fn tick(&mut self, now: Timestamp) {
-        self.last = now;
-        if now >= self.next_look {
-            self.next_look = now + OBSERVATION_PERIOD;
+        self.last_input = now;
+        if now >= self.next_observation {
+            self.next_observation = now + OBSERVATION_PERIOD;
             self.node
-                .observe(at(now), LocalLoad { call_secs: Some(CALL_DURATION_S), rejected_fraction: 0.0 });
+                .observe(clocks(now), LocalLoad { call_secs: Some(OBSERVED_CALL_S), rejected_fraction: 0.0 });
         }
-        self.node.tick(at(now));
+        self.node.tick(clocks(now));
     }
 
     fn next_tick(&self) -> Timestamp {
-        self.next_look.min(self.last + self.node.time_to_next_tick(at(self.last)))
+        self.next_observation.min(self.last_input + self.node.time_to_next_tick(clocks(self.last_input)))
     }
 
     fn next_packet(&mut self, now: Timestamp) -> Option<OutgoingPacket<Datagram>> {
-        let OutgoingDatagram { address, datagram } = self.node.next_datagram(at(now))?;
+        let OutgoingDatagram { address, datagram } = self.node.next_datagram(clocks(now))?;
         let bytes = datagram::encoded_length(&datagram);
-        Some(OutgoingPacket { receiver: number(address), packet: datagram, bytes })
+        Some(OutgoingPacket { receiver: server_number(address), packet: datagram, bytes })
     }
 
     fn next_notice(&mut self) -> Option<MembershipNotice> {
-        notice(&mut self.node.membership)
+        next_notice(&mut self.node.membership)
     }
 
     fn leave(&mut self, now: Timestamp) {
-        self.node.leave(at(now));
+        self.node.leave(clocks(now));
         self.node.membership.announce_left(now);
     }
 
-    fn alive(&self) -> usize {
-        alive(&self.node.membership)
+    fn alive_count(&self) -> usize {
+        count_alive(&self.node.membership)
     }
 
-    fn entries(&self) -> usize {
+    fn entry_count(&self) -> usize {
         self.node.membership.statuses().count()
     }
 }
 
-impl<const LIMITS: usize> Together<LIMITS> {
-    /// What it may use of a limit.
-    pub fn share(&self, now: Timestamp, limit: LimitId) -> f64 {
-        self.node.quota.as_ref().map_or(0.0, |shares| shares.share(now, limit).amount)
+impl<const LIMITS: usize> ZonedFleetNode<LIMITS> {
+    /// Returns how much of a limit the server may use now.
+    pub fn usable_quota(&self, now: Timestamp, limit: LimitId) -> f64 {
+        self.node.quota.as_ref().map_or(0.0, |quota| quota.share(now, limit).amount)
     }
 }
--- a/crates/hazelspur-simulator/src/models/cores.rs
+++ b/crates/hazelspur-simulator/src/models/cores.rs
@@ -1,5 +1,5 @@
-//! A server's cores: what runs shares them equally (processor sharing), and past a crowd of so many times the
-//! cores less gets done, by the crowd over that bound.
+//! Model of a server's cores. Running requests share the cores equally (processor sharing). Above a threshold
+//! of running requests for each core, total throughput is divided by running requests over that threshold.
 
 use hazelspur::{RequestId, Timestamp};
 use std::collections::BTreeMap;
@@ -7,73 +7,82 @@
 /// The cores of one server and the requests on them.
 #[derive(Clone, Debug)]
 pub struct Cores {
+    /// Number of cores.
     pub cores: f64,
-    /// Past so many running requests for each core everything gets slower.
-    pub crowd_multiple: f64,
-    /// 1 for a well machine; 0.2 for one that is slow by 5.
+    /// Running requests for each core above which all requests slow down.
+    pub contention_threshold_per_core: f64,
+    /// Speed factor of the cores: 1 for a healthy machine, 0.2 for one that is five times slower.
     pub speed: f64,
-    /// Seconds of work left of each.
-    running: BTreeMap<RequestId, f64>,
-    since: Timestamp,
+    /// Core seconds of work left of each running request, as of `advanced_to`.
+    work_left_s: BTreeMap<RequestId, f64>,
+    advanced_to: Timestamp,
 }
 
 impl Cores {
-    /// Idle cores at full speed.
-    pub fn new(cores: f64, crowd_multiple: f64) -> Self {
-        Self { cores, crowd_multiple, speed: 1.0, running: BTreeMap::new(), since: Timestamp::default() }
+    /// Returns idle cores at full speed.
+    pub fn new(cores: f64, contention_threshold_per_core: f64) -> Self {
+        Self {
+            cores,
+            contention_threshold_per_core,
+            speed: 1.0,
+            work_left_s: BTreeMap::new(),
+            advanced_to: Timestamp::default(),
+        }
     }
 
-    /// How many requests run.
-    pub fn on(&self) -> usize {
-        self.running.len()
+    /// Returns the number of running requests.
+    pub fn running_count(&self) -> usize {
+        self.work_left_s.len()
     }
 
-    /// Whether a request runs.
-    pub fn has(&self, request: RequestId) -> bool {
-        self.running.contains_key(&request)
+    /// Returns whether a request is running.
+    pub fn is_running(&self, request: RequestId) -> bool {
+        self.work_left_s.contains_key(&request)
     }
 
-    /// Work done for each running request in a second.
-    fn share(&self) -> f64 {
-        let running = self.running.len().max(1) as f64;
-        let crowd = (running / (self.cores * self.crowd_multiple)).max(1.0);
-        (self.cores / running).min(1.0) * self.speed / crowd
+    /// Returns the core seconds of work done for each running request in a second.
+    fn speed_per_request(&self) -> f64 {
+        let running = self.work_left_s.len().max(1) as f64;
+        let contention = (running / (self.cores * self.contention_threshold_per_core)).max(1.0);
+        (self.cores / running).min(1.0) * self.speed / contention
     }
 
-    fn pass(&mut self, now: Timestamp) {
-        let done = (now - self.since).secs() * self.share();
-        self.running.values_mut().for_each(|left| *left -= done);
-        self.since = now;
+    /// Subtracts the work done up to `now`.
+    fn advance(&mut self, now: Timestamp) {
+        let done = (now - self.advanced_to).secs() * self.speed_per_request();
+        self.work_left_s.values_mut().for_each(|left| *left -= done);
+        self.advanced_to = now;
     }
 
-    /// Starts this many core seconds of work for a request.
-    pub fn put(&mut self, now: Timestamp, request: RequestId, work: f64) {
-        self.pass(now);
-        self.running.insert(request, work);
+    /// Starts `work_s` core seconds of work for a request.
+    pub fn start(&mut self, now: Timestamp, request: RequestId, work_s: f64) {
+        self.advance(now);
+        self.work_left_s.insert(request, work_s);
     }
 
-    /// Takes a request off the cores; returns whether it ran.
-    pub fn take(&mut self, now: Timestamp, request: RequestId) -> bool {
-        self.pass(now);
-        self.running.remove(&request).is_some()
+    /// Removes a request from the cores, and returns whether it was running.
+    pub fn remove(&mut self, now: Timestamp, request: RequestId) -> bool {
+        self.advance(now);
+        self.work_left_s.remove(&request).is_some()
     }
 
-    /// Those whose work is done.
-    pub fn done(&mut self, now: Timestamp) -> Vec<RequestId> {
-        self.pass(now);
+    /// Removes the requests whose work is done, and returns them.
+    pub fn take_finished(&mut self, now: Timestamp) -> Vec<RequestId> {
+        self.advance(now);
         let done: Vec<RequestId> =
-            self.running.iter().filter(|(_, left)| **left <= 1e-9).map(|(request, _)| *request).collect();
+            self.work_left_s.iter().filter(|(_, left)| **left <= 1e-9).map(|(request, _)| *request).collect();
         for request in &done {
-            self.running.remove(request);
+            self.work_left_s.remove(request);
         }
         done
     }
 
-    /// When the next one is done, if nothing changes.
-    pub fn next_done(&self) -> Option<Timestamp> {
-        let least = self.running.values().copied().min_by(f64::total_cmp)?;
-        // A microsecond more, so that it is over then.
-        let after = (least.max(0.0) / self.share().max(1e-9) * 1e6).ceil().min(1e15) as u64 + 1;
-        Some(self.since + hazelspur::Duration::from_us(after))
+    /// Returns when the next request finishes if nothing changes until then; `None` while the cores are idle.
+    pub fn next_finish(&self) -> Option<Timestamp> {
+        let least_work_s = self.work_left_s.values().copied().min_by(f64::total_cmp)?;
+        // One microsecond more, so that rounding leaves no work at that time.
+        let after_us =
+            (least_work_s.max(0.0) / self.speed_per_request().max(1e-9) * 1e6).ceil().min(1e15) as u64 + 1;
+        Some(self.advanced_to + hazelspur::Duration::from_us(after_us))
     }
 }
--- a/crates/hazelspur-simulator/src/models/gateways.rs
+++ b/crates/hazelspur-simulator/src/models/gateways.rs
@@ -1,88 +1,125 @@
-//! Gateways with habits: requests come by chance (a Poisson process), go to listed servers in turn or by what they
-//! are about, and are tried again where they are refused.
+//! Model of the gateways and their clients. Requests arrive as a Poisson process, go to the listed servers
+//! round-robin, and are retried according to the policy of their gateway.
 
 use hazelspur::pcg::Pcg;
 use hazelspur::{Duration, Timestamp};
 
-/// How a gateway treats rejected requests.
+/// The treatment of rejected requests by a gateway.
 #[derive(Clone, Copy, Debug)]
-pub struct Habits {
-    /// Tries after the first.
-    pub retries: u32,
-    /// A refused request goes on to the next server; otherwise it is over.
-    pub walk_on: bool,
-    /// It stays away as long as it is told to.
-    pub heed: bool,
+pub struct RetryPolicy {
+    /// Maximum number of retries of a request.
+    pub max_retries: u32,
+    /// Whether a rejected request is retried at another server; otherwise it ends as rejected.
+    pub retries_elsewhere: bool,
+    /// Whether the gateway waits for the time in Retry-After and does not retry when a server forbids it.
+    pub obeys_server: bool,
 }
 
-impl Habits {
-    /// A mixture, by the gateway's number.
-    pub fn of(gateway: usize) -> Self {
+impl RetryPolicy {
+    /// Returns the policy of a gateway; the gateways' numbers give a mixture of all kinds.
+    pub fn of_gateway(gateway: usize) -> Self {
         Self {
-            retries: [0, 1, 2, 4][gateway % 4],
-            walk_on: !gateway.is_multiple_of(3),
-            heed: gateway % 4 < 2,
+            max_retries: [0, 1, 2, 4][gateway % 4],
+            retries_elsewhere: !gateway.is_multiple_of(3),
+            obeys_server: gateway % 4 < 2,
         }
     }
 }
 
-/// A request as its client sees it.
+/// A request as its client sends it.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked {
+pub struct ClientRequest {
+    /// Number of the gateway that sends it.
     pub gateway: usize,
+    /// Number of its request class.
     pub request_class: usize,
-    pub begun: Timestamp,
-    pub due: Timestamp,
-    pub work: f64,
-    pub left: u32,
+    /// Time of the first attempt.
+    pub first_sent: Timestamp,
+    /// Time after which a response is of no use to the client.
+    pub deadline: Timestamp,
+    /// Work that it takes, in core seconds.
+    pub work_s: f64,
+    /// Retries that its gateway may still make.
+    pub retries_left: u32,
 }
 
 /// All gateways and their arrival process.
 pub struct Gateways {
+    /// Number of gateways.
     pub count: usize,
-    pub rate: f64,
+    /// Mean arrival rate over all gateways.
+    pub requests_per_s: f64,
+    /// Time from the first attempt of a request to its deadline.
     pub timeout: Duration,
-    /// Mean seconds of work of each request class.
-    pub work: Vec<f64>,
-    /// Servers there may be.
-    all: usize,
-    turn: usize,
-    /// The same among the first ones only.
-    first_turn: usize,
+    /// Mean work of a request of each request class, in core seconds.
+    pub mean_work_s: Vec<f64>,
+    /// Number of servers of the fleet, those that do not run included.
+    server_count: usize,
+    /// Server that was picked last among all servers.
+    last_picked: usize,
+    /// Server that was picked last among the first servers only.
+    last_picked_among_first: usize,
 }
 
 impl Gateways {
-    /// Gateways that send `rate` requests a second in all.
-    pub fn new(count: usize, all: usize, rate: f64, timeout: Duration, work: Vec<f64>) -> Self {
-        Self { count, rate, timeout, work, all, turn: 0, first_turn: 0 }
+    /// Returns gateways that together send `requests_per_s` requests a second to a fleet of `server_count`
+    /// servers.
+    pub fn new(
+        count: usize,
+        server_count: usize,
+        requests_per_s: f64,
+        timeout: Duration,
+        mean_work_s: Vec<f64>,
+    ) -> Self {
+        Self {
+            count,
+            requests_per_s,
+            timeout,
+            mean_work_s,
+            server_count,
+            last_picked: 0,
+            last_picked_among_first: 0,
+        }
     }
 
-    /// Draws the time until the next request.
-    pub fn gap(&self, chance: &mut Pcg) -> Duration {
-        Duration::from_secs(-(1.0 - chance.draw_fraction()).ln() / self.rate.max(1e-9))
+    /// Draws the time until the next request, which is exponentially distributed.
+    pub fn draw_interval(&self, random: &mut Pcg) -> Duration {
+        Duration::from_secs(-(1.0 - random.draw_fraction()).ln() / self.requests_per_s.max(1e-9))
     }
 
-    /// Draws the next request.
-    pub fn next(&mut self, now: Timestamp, chance: &mut Pcg) -> Asked {
-        let gateway = chance.draw() as usize % self.count;
-        let request_class = chance.draw() as usize % self.work.len();
-        let work = self.work[request_class] * (0.5 + chance.draw_fraction());
-        let due = now + self.timeout;
-        Asked { gateway, request_class, begun: now, due, work, left: Habits::of(gateway).retries }
+    /// Draws gateway, request class and work of a new request.
+    pub fn draw_request(&mut self, now: Timestamp, random: &mut Pcg) -> ClientRequest {
+        let gateway = random.draw() as usize % self.count;
+        let request_class = random.draw() as usize % self.mean_work_s.len();
+        let work_s = self.mean_work_s[request_class] * (0.5 + random.draw_fraction());
+        let deadline = now + self.timeout;
+        ClientRequest {
+            gateway,
+            request_class,
+            first_sent: now,
+            deadline,
+            work_s,
+            retries_left: RetryPolicy::of_gateway(gateway).max_retries,
+        }
     }
 
-    /// The next listed server in turn among the first `servers`, other than the one that was just tried.
-    pub fn pick(
+    /// Returns the next listed server, round-robin among the first `servers`, other than `excluded`; `None`
+    /// if there is none.
+    pub fn pick_server(
         &mut self,
         servers: usize,
-        not: Option<usize>,
-        shows: impl Fn(usize) -> bool,
+        excluded: Option<usize>,
+        is_listed: impl Fn(usize) -> bool,
     ) -> Option<usize> {
-        let turn = if servers == self.all { &mut self.turn } else { &mut self.first_turn };
+        let last_picked = if servers == self.server_count {
+            &mut self.last_picked
+        } else {
+            &mut self.last_picked_among_first
+        };
         for _ in 0..servers {
-            *turn = (*turn + 1) % servers;
-            if Some(*turn) != not && shows(*turn) {
-                return Some(*turn);
+            *last_picked = (*last_picked + 1) % servers;
+            if Some(*last_picked) != excluded && is_listed(*last_picked) {
+                return Some(*last_picked);
             }
         }
         None
--- a/crates/hazelspur-simulator/src/simulation/decisions.rs
+++ b/crates/hazelspur-simulator/src/simulation/decisions.rs
@@ -2,11 +2,11 @@
 
 use super::event::{CallEnd, Event};
 use super::{Simulation, WORK_BEFORE_CALL};
-use crate::models::gateways::Habits;
+use crate::models::gateways::RetryPolicy;
 use hazelspur::{Decision, Duration, Outcome, RequestId};
 
 impl Simulation {
-    /// Carries out decisions until the controller has none.
+    /// Carries out decisions until the controller has no more.
     pub(super) fn carry_out_decisions(&mut self, server: usize) {
         let now = self.queue.now;
         self.expire_lease(server);
@@ -20,8 +20,8 @@
 
     fn carry_out(&mut self, server: usize, decision: Decision) {
         match decision {
-            Decision::Run(id) => self.put_on_cores(server, id, WORK_BEFORE_CALL),
-            Decision::SkipCall(id) => self.put_on_cores(server, id, 1.0 - WORK_BEFORE_CALL),
+            Decision::Run(id) => self.start_work(server, id, WORK_BEFORE_CALL),
+            Decision::SkipCall(id) => self.start_work(server, id, 1.0 - WORK_BEFORE_CALL),
             Decision::Preempt(id) => self.preempt(server, id),
             Decision::Reject { request, retry_after, do_not_retry_elsewhere } => {
                 self.reject(server, request, retry_after, do_not_retry_elsewhere);
@@ -36,17 +36,17 @@
         }
     }
 
-    /// Puts this part of a request's work on the server's cores.
-    fn put_on_cores(&mut self, server: usize, id: RequestId, fraction: f64) {
+    /// Starts this fraction of a request's work on the server's cores.
+    fn start_work(&mut self, server: usize, id: RequestId, fraction: f64) {
         let running = &mut self.servers[server];
         if let Some(request) = running.requests.get(&id) {
-            running.cores.put(self.queue.now, id, request.request.work * fraction);
+            running.cores.start(self.queue.now, id, request.client_request.work_s * fraction);
         }
     }
 
     fn preempt(&mut self, server: usize, id: RequestId) {
         let preempted = &mut self.servers[server];
-        preempted.cores.take(self.queue.now, id);
+        preempted.cores.remove(self.queue.now, id);
         if preempted.requests.get(&id).is_some_and(|request| request.answered) {
             preempted.requests.remove(&id);
         }
@@ -61,18 +61,24 @@
 
     fn reject(&mut self, server: usize, id: RequestId, retry_after: Duration, do_not_retry_elsewhere: bool) {
         let Some(rejected) = self.servers[server].requests.remove(&id) else { return };
-        let obeys = Habits::of(rejected.request.gateway).heed;
-        if obeys && do_not_retry_elsewhere {
+        let obeys_server = RetryPolicy::of_gateway(rejected.client_request.gateway).obeys_server;
+        if obeys_server && do_not_retry_elsewhere {
             self.figures.rejected += 1;
         } else {
-            self.retry(server, rejected.request, if obeys { retry_after } else { Duration::ZERO });
+            self.retry(
+                server,
+                rejected.client_request,
+                if obeys_server { retry_after } else { Duration::ZERO },
+            );
         }
     }
 
+    /// Counts a request as failed. One that neither runs nor calls ends at once; otherwise its work goes on,
+    /// but its response no longer counts.
     fn fail(&mut self, server: usize, id: RequestId) {
         let failing = &mut self.servers[server];
         let Some(request) = failing.requests.get_mut(&id) else { return };
-        let is_waiting = !failing.cores.has(id) && request.call_started.is_none();
+        let is_waiting = !failing.cores.is_running(id) && request.call_started.is_none();
         if !std::mem::replace(&mut request.answered, true) {
             self.figures.failed += 1;
         }
@@ -86,12 +92,12 @@
         let Some(request) = self.servers[server].requests.get_mut(&id) else { return };
         let now = self.queue.now;
         let link = self.links[server];
-        let begun = if link.down { None } else { self.ledger.begin() };
+        let begun = if link.down { None } else { self.dependency.begin_call() };
         let Some(duration) = begun.map(|duration| duration.scaled(link.slowdown)) else {
             return self.call_unreachable(server, id);
         };
         request.call_started = Some(now);
-        // A call's slot is free when its timeout is over.
+        // A call that times out frees its slot at the dependency.
         let outcome = if duration <= timeout { Outcome::Ok } else { Outcome::TimedOut };
         let incarnation = self.servers[server].incarnation;
         let end = CallEnd { server, incarnation, id, started: now, outcome };
@@ -105,11 +111,11 @@
         self.record_call(server, false);
     }
 
-    /// Ends a call: its request goes on with the work after it, unless it was failed meanwhile.
+    /// Ends a call. Its request continues with the work after the call, unless it was failed meanwhile.
     pub(super) fn call_finished(&mut self, end: &CallEnd) {
         let now = self.queue.now;
         let CallEnd { server, incarnation, id, started, outcome } = *end;
-        self.ledger.end();
+        self.dependency.end_call();
         if outcome == Outcome::Ok && self.is_current(server, incarnation) {
             self.record_call(server, true);
         }
@@ -125,17 +131,17 @@
             return self.end_abandoned_run(server, id, outcome);
         }
         if outcome == Outcome::Ok {
-            self.put_on_cores(server, id, 1.0 - WORK_BEFORE_CALL);
+            self.start_work(server, id, 1.0 - WORK_BEFORE_CALL);
         }
-        self.input(server, |controller| controller.call_finished(now, id, outcome));
+        self.apply_input(server, |controller| controller.call_finished(now, id, outcome));
         self.schedule_core_check(server);
     }
 
-    /// Ends a run at its call because no client waits for its answer.
+    /// Ends a request at the end of its call because its client already has a response.
     fn end_abandoned_run(&mut self, server: usize, id: RequestId, outcome: Outcome) {
         let now = self.queue.now;
         self.servers[server].requests.remove(&id);
-        self.input(server, |controller| {
+        self.apply_input(server, |controller| {
             controller.call_finished(now, id, outcome);
             controller.run_finished(now, id, Outcome::Preempted);
         });
--- a/crates/hazelspur-simulator/src/simulation/mod.rs
+++ b/crates/hazelspur-simulator/src/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! Simulates many servers in virtual time: the real `AdmissionController` of each, between models of cores, ledger,
-//! server list and gateways. Its inputs are a configuration and a script, its output is `Figures`; one seed gives
-//! one run.
+//! Simulates many servers in virtual time: each runs the real `AdmissionController` between models of its
+//! cores, the gateways, the server list and the shared dependency. Inputs are a configuration and a script of
+//! faults, the output is `Figures`. The seed in the configuration determines the run completely.
 
 mod client;
 mod config;
@@ -16,9 +16,9 @@
 pub use script::ScriptAction;
 
 use crate::event_queue::EventQueue;
+use crate::models::dependency::SharedDependency;
 use crate::models::gateways::Gateways;
-use crate::models::ledger::Ledger;
-use crate::models::list::List;
+use crate::models::server_list::ServerList;
 use crate::network::Network;
 use crate::test_fleet::START;
 use config::{REQUEST_TIMEOUT, WORK_BY_CLASS_S};
@@ -26,23 +26,23 @@
 use event::Event;
 use hazelspur::Duration;
 use hazelspur::pcg::Pcg;
-use script::LedgerLink;
+use script::DependencyLink;
 use server::Server;
 
-/// Fraction of a request's work that comes before its call.
+/// Fraction of a request's work that is done before its dependency call.
 const WORK_BEFORE_CALL: f64 = 0.5;
-/// Latency from a gateway to a server, and back.
+/// One-way latency between a gateway and a server.
 const ONE_WAY_LATENCY: Duration = Duration::from_us(500);
-/// When the first request arrives after the start.
+/// Time from the start to the first request.
 const FIRST_REQUEST_AFTER: Duration = Duration::from_ms(2000);
 /// Age of the server list that gateways read.
 const LIST_DELAY: Duration = Duration::from_ms(1200);
-/// The least number of gateways.
+/// Minimum number of gateways; a larger fleet has one for every two servers.
 const MIN_GATEWAYS: usize = 4;
-/// Sites over which the servers are spread.
+/// Number of sites over which the servers are spread.
 const SITES: usize = 3;
 
-/// A fleet in virtual time.
+/// A simulated fleet with its clients and its dependency.
 pub struct Simulation {
     config: SimulationConfig,
     queue: EventQueue<Event>,
@@ -50,25 +50,28 @@
     servers: Vec<Server>,
     gateways: Gateways,
     /// The shared dependency of all servers.
-    pub ledger: Ledger,
-    list: List,
+    pub dependency: SharedDependency,
+    server_list: ServerList,
     last_request_number: u64,
+    /// Coordinator of each server; `None` while the server is down, or without coordination among servers.
     coordinators: Vec<Option<Coordinator>>,
-    links: Vec<LedgerLink>,
-    /// Carries datagrams between servers.
+    /// Link of each server to the shared dependency.
+    links: Vec<DependencyLink>,
+    /// The network between the servers.
     pub network: Network,
+    /// State that guides the servers in the oracle's next round.
     oracle_state: FleetState,
-    /// Counts so far.
+    /// Counts since the start or the last reset.
     pub figures: Figures,
 }
 
 impl Simulation {
-    /// Starts the initial servers and schedules the first request.
+    /// Returns a simulation whose initial servers run and whose first request is scheduled.
     pub fn new(config: SimulationConfig) -> Self {
         let mut simulation = Self::without_servers_running(config);
         (0..config.initial_servers.min(config.servers)).for_each(|server| simulation.start(server, false));
         if config.coordination == Coordination::Oracle {
-            simulation.queue.schedule(START + ORACLE_PERIOD, Event::Oracle);
+            simulation.queue.schedule(START + ORACLE_PERIOD, Event::OracleRound);
         }
         simulation.queue.schedule(START + FIRST_REQUEST_AFTER, Event::NextRequest);
         simulation
@@ -83,11 +86,11 @@
             random: Pcg::new(config.seed),
             servers: (0..servers).map(|_| Server::down(&config)).collect(),
             gateways: Gateways::new(gateways, servers, config.request_rate(), REQUEST_TIMEOUT, work),
-            ledger: Ledger::new(config.ledger_slots(), config.call_duration),
-            list: List::new(servers, LIST_DELAY),
+            dependency: SharedDependency::new(config.dependency_slots(), config.call_duration),
+            server_list: ServerList::new(servers, LIST_DELAY),
             last_request_number: 0,
             coordinators: (0..servers).map(|_| None).collect(),
-            links: vec![LedgerLink { slowdown: 1.0, down: false }; servers],
+            links: vec![DependencyLink { slowdown: 1.0, down: false }; servers],
             network: Network::new(SITES),
             oracle_state: FleetState::default(),
             figures: Figures::default(),
@@ -95,29 +98,29 @@
         }
     }
 
-    /// Schedules an action for this long after the start.
+    /// Schedules a scripted action for this long after the start of the simulation.
     pub fn script(&mut self, after: Duration, action: ScriptAction) {
         self.queue.schedule(START + after, Event::Script(action));
     }
 
-    /// Resets all counts but those by second.
+    /// Resets all counts but those of each second.
     pub fn reset_figures(&mut self) {
         let succeeded_by_second = std::mem::take(&mut self.figures).succeeded_by_second;
         self.figures.succeeded_by_second = succeeded_by_second;
-        (self.ledger.calls, self.ledger.most_out) = (0, 0);
+        (self.dependency.calls, self.dependency.max_concurrent_calls) = (0, 0);
     }
 
-    /// Runs for this long in virtual time.
+    /// Runs the simulation for this long in virtual time.
     pub fn run(&mut self, duration: Duration) {
         let end = self.queue.now + duration;
         while let Some(event) = self.queue.next(end) {
             self.handle(event);
         }
-        self.figures.calls = self.ledger.calls;
-        self.figures.max_concurrent_calls = self.ledger.most_out;
+        self.figures.calls = self.dependency.calls;
+        self.figures.max_concurrent_calls = self.dependency.max_concurrent_calls;
     }
 
-    /// Handles an event, or puts it off while its server is paused.
+    /// Handles an event, or postpones it to the end of the pause if its server is paused.
     fn handle(&mut self, event: Event) {
         let now = self.queue.now;
         let paused_until = event.server().and_then(|server| self.servers[server].paused_until);
@@ -125,20 +128,22 @@
             return self.queue.schedule(until, event);
         }
         match event {
-            Event::NextRequest => self.next_request(),
-            Event::Retry { rejected_by, request } => self.send(request, Some(rejected_by)),
+            Event::NextRequest => self.send_next_request(),
+            Event::Retry { rejected_by, request } => self.send_attempt(request, Some(rejected_by)),
             Event::RequestReceived { server, incarnation, id, request } => {
                 self.request_received(server, incarnation, id, request);
             }
             Event::ControllerTimer { server, incarnation } => self.controller_timer(server, incarnation),
             Event::CoreCheck { server, incarnation, at } => self.check_cores(server, incarnation, at),
             Event::CallFinished(end) => self.call_finished(&end),
-            Event::Report { server, incarnation } => self.report(server, incarnation),
-            Event::Script(action) => self.apply(action),
+            Event::ServerListReport { server, incarnation } => {
+                self.report_to_server_list(server, incarnation)
+            }
+            Event::Script(action) => self.apply_action(action),
             Event::FleetTick { server, incarnation, at } => self.fleet_tick(server, incarnation, at),
             Event::DatagramReceived { server, datagram } => self.datagram_received(server, &datagram),
             Event::LoadObservation { server, incarnation } => self.load_observation(server, incarnation),
-            Event::Oracle => self.guide_by_oracle(),
+            Event::OracleRound => self.guide_by_oracle(),
         }
     }
 }
