--- a/crates/hazelspur-fault-harness/src/link_faults.rs
+++ b/crates/hazelspur-fault-harness/src/link_faults.rs
@@ -1,12 +1,12 @@
 //! Which rule holds between two parties now.
 
-use crate::script::{Kind, Party, Script};
+use crate::script::{FaultKind, Party, Script};
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
 /// What holds one way of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Rule {
+pub struct LinkCondition {
     /// Connections end and none is made.
     pub cut: bool,
     /// They end with a reset.
@@ -20,11 +20,11 @@
     /// Everything is late by so much, in milliseconds.
     pub delay_ms: u64,
     /// Datagrams are late by up to so much, in milliseconds.
-    pub shuffle_ms: u64,
+    pub reorder_ms: u64,
     /// Hundredths.
-    pub lose: u64,
+    pub loss_percent: u64,
     /// Datagrams sent twice, in hundredths.
-    pub double: u64,
+    pub duplicate_percent: u64,
 }
 
 /// The faults of links at each moment of a run.
@@ -41,37 +41,39 @@
     }
 
     /// Starts the script now.
-    pub fn begin(&self) {
+    pub fn start(&self) {
         *self.began.lock().expect("no panic before") = Some(Instant::now());
     }
 
     /// Milliseconds since the script began.
-    pub fn at_ms(&self) -> Option<u64> {
+    pub fn elapsed_ms(&self) -> Option<u64> {
         let began = *self.began.lock().expect("no panic before");
         began.map(|began| began.elapsed().as_millis() as u64)
     }
 
     /// The rule from one to the other now.
-    pub fn rule(&self, from: Party, to: Party) -> Rule {
-        let Some(now) = self.at_ms() else { return Rule::default() };
-        let mut rule = Rule::default();
+    pub fn condition_between(&self, from: Party, to: Party) -> LinkCondition {
+        let Some(now) = self.elapsed_ms() else { return LinkCondition::default() };
+        let mut rule = LinkCondition::default();
         for fault in &self.script.0 {
-            let Some(end) = fault.to else { continue };
-            let ahead = fault.of.covers(from) && end.covers(to);
-            let either = ahead || fault.of.covers(to) && end.covers(from);
-            if !(fault.from_ms..fault.end_ms()).contains(&now) || !either {
+            let Some(end) = fault.peer else { continue };
+            let ahead = fault.target.covers(from) && end.covers(to);
+            let either = ahead || fault.target.covers(to) && end.covers(from);
+            if !(fault.start_ms..fault.end_ms()).contains(&now) || !either {
                 continue;
             }
             match fault.kind {
-                Kind::Cut => rule.cut = true,
-                Kind::Reset => (rule.cut, rule.reset) = (true, true),
-                Kind::Mute => rule.mute |= ahead,
-                Kind::Swallow => rule.swallow |= ahead,
-                Kind::Slow => rule.slow |= ahead,
-                Kind::Delay(ms) if ahead => rule.delay_ms += ms,
-                Kind::Shuffle(ms) if ahead => rule.shuffle_ms += ms,
-                Kind::Lose(part) if ahead => rule.lose = rule.lose.max(part),
-                Kind::Double(part) if ahead => rule.double = rule.double.max(part),
+                FaultKind::Cut => rule.cut = true,
+                FaultKind::Reset => (rule.cut, rule.reset) = (true, true),
+                FaultKind::Mute => rule.mute |= ahead,
+                FaultKind::Swallow => rule.swallow |= ahead,
+                FaultKind::Slow => rule.slow |= ahead,
+                FaultKind::Delay(ms) if ahead => rule.delay_ms += ms,
+                FaultKind::Reorder(ms) if ahead => rule.reorder_ms += ms,
+                FaultKind::Loss(part) if ahead => rule.loss_percent = rule.loss_percent.max(part),
+                FaultKind::Duplicate(part) if ahead => {
+                    rule.duplicate_percent = rule.duplicate_percent.max(part)
+                }
                 _ => {}
             }
         }
--- a/crates/hazelspur-fault-harness/src/main.rs
+++ b/crates/hazelspur-fault-harness/src/main.rs
@@ -124,9 +124,9 @@
         match (&self.script, self.seed) {
             (Some(text), _) => Ok(vec![(1, text.parse().map_err(anyhow::Error::msg).context("--script")?)]),
             (None, Some(first)) => {
-                let drawn =
-                    |seed| (seed, Script::drawn(seed, self.servers, self.gateways, self.seconds * 1000));
-                Ok((first..first + self.seeds).map(drawn).collect())
+                let random =
+                    |seed| (seed, Script::random(seed, self.servers, self.gateways, self.seconds * 1000));
+                Ok((first..first + self.seeds).map(random).collect())
             }
             (None, None) => Ok(vec![(1, SHOW.parse().map_err(anyhow::Error::msg)?)]),
         }
@@ -140,16 +140,16 @@
             script,
             seed,
             rate: self.rate,
-            most: self.servers * 2,
-            calls: hazelspur_fault_harness::test_fleet::CALLS,
-            joint: self.joint,
+            max_servers: self.servers * 2,
+            calls_per_server: hazelspur_fault_harness::test_fleet::CALLS_PER_SERVER,
+            coordinated: self.joint,
         }
     }
 
     /// Plays a plan and prints the views of the fleet as they change, and its figures.
     fn play_and_show(&self, plan: Plan) -> anyhow::Result<Verdict> {
         let mut before = String::new();
-        let mut tell = |at: u64, views: &[Option<hazelspur_fault_harness::observer::View>]| {
+        let mut tell = |at: u64, views: &[Option<hazelspur_fault_harness::observer::FleetView>]| {
             let now = summary(views);
             if !self.quiet && now != before {
                 println!("{:6.1} s  {now}", at as f64 / 1000.0);
--- a/crates/hazelspur-fault-harness/src/observer.rs
+++ b/crates/hazelspur-fault-harness/src/observer.rs
@@ -11,17 +11,17 @@
 
 /// One picture, as far as it matters here.
 #[derive(Clone, Debug, PartialEq)]
-pub struct View {
+pub struct FleetView {
     /// The server.
     pub server: usize,
     /// Milliseconds since 1970 of the answer.
     pub at_ms: u64,
     /// What it says of itself.
-    pub condition: LocalStatus,
+    pub local_status: LocalStatus,
     /// What it says of the fleet's size.
-    pub fleet: FleetSize,
+    pub fleet_size: FleetSize,
     /// Name and standing of all others.
-    pub others: Vec<(String, MemberStatus)>,
+    pub other_members: Vec<(String, MemberStatus)>,
 }
 
 /// Queries servers for their views of the fleet.
@@ -45,10 +45,10 @@
     }
 
     /// Asks one server at the address where it listens; `None` where it does not answer within that time.
-    pub fn ask(&mut self, server: usize, at: SocketAddr, within: Duration) -> Option<View> {
+    pub fn query(&mut self, server: usize, at: SocketAddr, within: Duration) -> Option<FleetView> {
         let until = Instant::now() + within;
         let mut after = None;
-        let mut view: Option<View> = None;
+        let mut view: Option<FleetView> = None;
         let mut bytes = vec![0; datagram::MAX_DATAGRAM_BYTES + 1];
         loop {
             self.number += 1;
@@ -82,12 +82,20 @@
                     break came.body;
                 }
             };
-            let Body::FleetReply { status: condition, fleet, members, next, .. } = answer else {
+            let Body::FleetReply { status: local_status, fleet: fleet_size, members, next, .. } = answer
+            else {
                 return None;
             };
             let at_ms = hazelspur_test_doubles::now_ms();
-            let view = view.get_or_insert(View { server, at_ms, condition, fleet, others: Vec::new() });
-            view.others.extend(members.into_iter().map(|row| (row.update.name.to_string(), row.status)));
+            let view = view.get_or_insert(FleetView {
+                server,
+                at_ms,
+                local_status,
+                fleet_size,
+                other_members: Vec::new(),
+            });
+            view.other_members
+                .extend(members.into_iter().map(|row| (row.update.name.to_string(), row.status)));
             if next.is_none() || next <= after {
                 break;
             }
--- a/crates/hazelspur-fault-harness/src/relay.rs
+++ b/crates/hazelspur-fault-harness/src/relay.rs
@@ -51,7 +51,7 @@
     target: SocketAddr,
     refusals: Refusals,
 ) {
-    let rule = link_faults.rule(client, server);
+    let rule = link_faults.condition_between(client, server);
     if rule.cut {
         return end(&stream, rule.reset);
     }
@@ -97,7 +97,7 @@
 ) -> bool {
     let mut part = vec![0; PART];
     loop {
-        let rule = link_faults.rule(from, to);
+        let rule = link_faults.condition_between(from, to);
         if rule.cut {
             return rule.reset;
         }
@@ -113,12 +113,12 @@
             },
             () = sleep(LOOK) => continue,
         };
-        let rule = link_faults.rule(from, to);
+        let rule = link_faults.condition_between(from, to);
         if rule.delay_ms > 0 {
             sleep(Duration::from_millis(rule.delay_ms)).await;
         }
         // What was read just before a mute arrives after it.
-        while link_faults.rule(from, to).mute {
+        while link_faults.condition_between(from, to).mute {
             sleep(LOOK).await;
         }
         let step = if rule.slow { 1 } else { PART };
@@ -151,14 +151,14 @@
             let Ok((length, sender)) = socket.recv_from(&mut bytes).await else { continue };
             let from = senders.lock().expect("no panic before").get(&sender).copied();
             let Some(from) = from else { continue };
-            let rule = link_faults.rule(from, to);
-            let drawn = |chance: &mut Pcg, part: u64| u64::from(chance.draw() % 100) < part;
-            if rule.cut || rule.mute || rule.swallow || drawn(&mut chance, rule.lose) {
+            let rule = link_faults.condition_between(from, to);
+            let random = |chance: &mut Pcg, part: u64| u64::from(chance.draw() % 100) < part;
+            if rule.cut || rule.mute || rule.swallow || random(&mut chance, rule.loss_percent) {
                 continue;
             }
-            let copies = 1 + usize::from(drawn(&mut chance, rule.double));
+            let copies = 1 + usize::from(random(&mut chance, rule.duplicate_percent));
             for _ in 0..copies {
-                let late = rule.delay_ms + u64::from(chance.draw()) % (rule.shuffle_ms + 1);
+                let late = rule.delay_ms + u64::from(chance.draw()) % (rule.reorder_ms + 1);
                 if late == 0 {
                     let _ = socket.send_to(&bytes[..length], target).await;
                 } else if held.load(std::sync::atomic::Ordering::Relaxed) < MAX_HELD {
--- a/crates/hazelspur-fault-harness/src/script.rs
+++ b/crates/hazelspur-fault-harness/src/script.rs
@@ -28,7 +28,7 @@
     NotWholeNumber(String),
     /// A fault's figure is missing or out of range.
     #[error("{text}: needs a number from 0 to {max}, as in {word}:5")]
-    FigureOutOfRange {
+    ValueOutOfRange {
         /// The fault as written.
         text: String,
         /// The largest figure.
@@ -38,10 +38,10 @@
     },
     /// A clock is to be too far apart.
     #[error("apart:MS up to {MAX_APART_MS}")]
-    ApartOutOfRange,
+    ClockOffsetOutOfRange,
     /// A fault takes no figure.
     #[error("{0}: takes no number")]
-    UnexpectedFigure(String),
+    UnexpectedValue(String),
     /// A fault has too few words.
     #[error("{0:?}: as in 2+5 cut east west")]
     Incomplete(String),
@@ -89,11 +89,11 @@
     /// All gateways.
     Gateways,
     /// The worker of a server.
-    Runtime(usize),
+    Worker(usize),
     /// The shared dependency.
-    Ledger,
+    Dependency,
     /// The list of servers.
-    Control,
+    Registry,
 }
 
 /// Sites of the fleet.
@@ -123,9 +123,9 @@
             Self::Servers => f.write_str("servers"),
             Self::Gateway(of) => write!(f, "g{of}"),
             Self::Gateways => f.write_str("gateways"),
-            Self::Runtime(of) => write!(f, "r{of}"),
-            Self::Ledger => f.write_str("ledger"),
-            Self::Control => f.write_str("list"),
+            Self::Worker(of) => write!(f, "r{of}"),
+            Self::Dependency => f.write_str("ledger"),
+            Self::Registry => f.write_str("list"),
         }
     }
 }
@@ -141,13 +141,13 @@
         let numbered = [
             text.strip_prefix('n').and_then(number).map(Self::Server),
             text.strip_prefix('g').and_then(number).map(Self::Gateway),
-            text.strip_prefix('r').and_then(number).map(Self::Runtime),
+            text.strip_prefix('r').and_then(number).map(Self::Worker),
         ];
         match text {
             "servers" => Ok(Self::Servers),
             "gateways" => Ok(Self::Gateways),
-            "ledger" => Ok(Self::Ledger),
-            "list" => Ok(Self::Control),
+            "ledger" => Ok(Self::Dependency),
+            "list" => Ok(Self::Registry),
             _ => numbered.into_iter().flatten().next().ok_or_else(|| ScriptError::UnknownParty(text.into())),
         }
     }
@@ -155,7 +155,7 @@
 
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kind {
+pub enum FaultKind {
     // ---- on a link ----
     /// Connections end without a word and none is made; datagrams are lost.
     Cut,
@@ -170,34 +170,34 @@
     /// A byte each millisecond.
     Slow,
     /// A share of datagrams, in hundredths, is lost, or comes twice.
-    Lose(u64),
+    Loss(u64),
     /// A share of datagrams, in hundredths, is sent twice.
-    Double(u64),
+    Duplicate(u64),
     /// Datagrams come in another order, up to so many ms late.
-    Shuffle(u64),
+    Reorder(u64),
     // ---- on a process ----
     /// SIGKILL; started again cold at the end.
     Kill,
     /// SIGSTOP, SIGCONT at the end.
-    Stop,
+    Suspend,
     /// SIGTERM; started again at the end.
-    Term,
+    Terminate,
     /// The wall clock of the whole run is so many ms apart, from its start on.
-    Apart(i64),
+    ClockOffset(i64),
     // ---- on what all share ----
     /// The ledger takes so many times as long.
-    Slower(u64),
+    Slowdown(u64),
 }
 
-impl Kind {
+impl FaultKind {
     /// Whether it is a fault of processes.
-    pub fn on_process(self) -> bool {
-        matches!(self, Self::Kill | Self::Stop | Self::Term | Self::Apart(_))
+    pub fn targets_process(self) -> bool {
+        matches!(self, Self::Kill | Self::Suspend | Self::Terminate | Self::ClockOffset(_))
     }
 
     /// Whether it is a fault of links.
-    pub fn on_link(self) -> bool {
-        !self.on_process() && !matches!(self, Self::Slower(_))
+    pub fn targets_link(self) -> bool {
+        !self.targets_process() && !matches!(self, Self::Slowdown(_))
     }
 
     fn parts(self) -> (&'static str, Option<i64>) {
@@ -208,14 +208,14 @@
             Self::Swallow => ("swallow", None),
             Self::Delay(ms) => ("delay", Some(ms as i64)),
             Self::Slow => ("slow", None),
-            Self::Lose(part) => ("lose", Some(part as i64)),
-            Self::Double(part) => ("double", Some(part as i64)),
-            Self::Shuffle(ms) => ("shuffle", Some(ms as i64)),
+            Self::Loss(part) => ("lose", Some(part as i64)),
+            Self::Duplicate(part) => ("double", Some(part as i64)),
+            Self::Reorder(ms) => ("shuffle", Some(ms as i64)),
             Self::Kill => ("kill", None),
-            Self::Stop => ("stop", None),
-            Self::Term => ("term", None),
-            Self::Apart(ms) => ("apart", Some(ms)),
-            Self::Slower(by) => ("slower", Some(by as i64)),
+            Self::Suspend => ("stop", None),
+            Self::Terminate => ("term", None),
+            Self::ClockOffset(ms) => ("apart", Some(ms)),
+            Self::Slowdown(by) => ("slower", Some(by as i64)),
         }
     }
 
@@ -229,9 +229,9 @@
         };
         let up = |max: u64| {
             let n = figure.and_then(|n| u64::try_from(n).ok()).filter(|n| *n <= max);
-            n.ok_or_else(|| ScriptError::FigureOutOfRange { text: text.into(), max, word: word.into() })
+            n.ok_or_else(|| ScriptError::ValueOutOfRange { text: text.into(), max, word: word.into() })
         };
-        let apart = || figure.filter(|ms| ms.abs() <= MAX_APART_MS).ok_or(ScriptError::ApartOutOfRange);
+        let apart = || figure.filter(|ms| ms.abs() <= MAX_APART_MS).ok_or(ScriptError::ClockOffsetOutOfRange);
         let kind = match word {
             "cut" => Self::Cut,
             "reset" => Self::Reset,
@@ -239,18 +239,18 @@
             "swallow" => Self::Swallow,
             "slow" => Self::Slow,
             "kill" => Self::Kill,
-            "stop" => Self::Stop,
-            "term" => Self::Term,
+            "stop" => Self::Suspend,
+            "term" => Self::Terminate,
             "delay" => Self::Delay(up(10_000)?),
-            "lose" => Self::Lose(up(100)?),
-            "double" => Self::Double(up(100)?),
-            "shuffle" => Self::Shuffle(up(10_000)?),
-            "slower" => Self::Slower(up(100)?),
-            "apart" => Self::Apart(apart()?),
+            "lose" => Self::Loss(up(100)?),
+            "double" => Self::Duplicate(up(100)?),
+            "shuffle" => Self::Reorder(up(10_000)?),
+            "slower" => Self::Slowdown(up(100)?),
+            "apart" => Self::ClockOffset(apart()?),
             _ => return Err(ScriptError::UnknownFault(text.into())),
         };
         if kind.parts().1.is_none() && figure.is_some() {
-            return Err(ScriptError::UnexpectedFigure(text.into()));
+            return Err(ScriptError::UnexpectedValue(text.into()));
         }
         Ok(kind)
     }
@@ -260,33 +260,33 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
     /// When it begins, in milliseconds from the script's beginning.
-    pub from_ms: u64,
+    pub start_ms: u64,
     /// How long it lasts, in milliseconds.
-    pub for_ms: u64,
+    pub duration_ms: u64,
     /// What goes wrong.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// With whom; the first end of a link.
-    pub of: Party,
+    pub target: Party,
     /// The other end of a link.
-    pub to: Option<Party>,
+    pub peer: Option<Party>,
 }
 
 impl Fault {
     /// When it ends, in milliseconds from the script's beginning.
     pub fn end_ms(&self) -> u64 {
-        self.from_ms + self.for_ms
+        self.start_ms + self.duration_ms
     }
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let secs = |ms: u64| ms as f64 / 1000.0;
-        write!(f, "{}+{} ", secs(self.from_ms), secs(self.for_ms))?;
+        write!(f, "{}+{} ", secs(self.start_ms), secs(self.duration_ms))?;
         match self.kind.parts() {
-            (word, None) => write!(f, "{word} {}", self.of)?,
-            (word, Some(figure)) => write!(f, "{word}:{figure} {}", self.of)?,
+            (word, None) => write!(f, "{word} {}", self.target)?,
+            (word, Some(figure)) => write!(f, "{word}:{figure} {}", self.target)?,
         }
-        self.to.map_or(Ok(()), |to| write!(f, " {to}"))
+        self.peer.map_or(Ok(()), |to| write!(f, " {to}"))
     }
 }
 
@@ -304,22 +304,24 @@
         };
         let (from, lasts) =
             times.split_once('+').ok_or_else(|| ScriptError::InvalidTimes((*times).into()))?;
-        let kind = Kind::read(kind)?;
+        let kind = FaultKind::read(kind)?;
         let to = match to {
             [] => None,
             [to] => Some(to.parse()?),
             _ => return Err(ScriptError::TooManyWords(text.into())),
         };
-        if kind.on_link() != to.is_some() {
-            let wanted = if kind.on_link() { "a link has two ends" } else { "one party is enough" };
+        if kind.targets_link() != to.is_some() {
+            let wanted = if kind.targets_link() { "a link has two ends" } else { "one party is enough" };
             return Err(ScriptError::WrongParties { text: text.into(), wanted });
         }
         let of: Party = of.parse()?;
         let servers = matches!(of, Party::Server(_) | Party::Site(_) | Party::Servers);
-        if kind.on_process() && !servers || matches!(kind, Kind::Slower(_)) && of != Party::Ledger {
+        if kind.targets_process() && !servers
+            || matches!(kind, FaultKind::Slowdown(_)) && of != Party::Dependency
+        {
             return Err(ScriptError::UnsuitableParty { text: text.into(), party: of });
         }
-        Ok(Self { from_ms: secs(from)?, for_ms: secs(lasts)?, kind, of, to })
+        Ok(Self { start_ms: secs(from)?, duration_ms: secs(lasts)?, kind, target: of, peer: to })
     }
 }
 
@@ -350,18 +352,18 @@
 impl Script {
     /// When its last fault ends, in milliseconds.
     pub fn end_ms(&self) -> u64 {
-        let lasting = self.0.iter().filter(|fault| !matches!(fault.kind, Kind::Apart(_)));
+        let lasting = self.0.iter().filter(|fault| !matches!(fault.kind, FaultKind::ClockOffset(_)));
         lasting.map(Fault::end_ms).max().unwrap_or(0)
     }
 
     /// Up to six faults within so many ms, on so many servers and gateways.
-    pub fn drawn(seed: u64, servers: usize, gateways: usize, within_ms: u64) -> Self {
+    pub fn random(seed: u64, servers: usize, gateways: usize, within_ms: u64) -> Self {
         let mut chance = Pcg::new(seed);
         let mut pick = |n: usize| chance.draw() as usize % n.max(1);
         let count = 1 + pick(6);
         let faults = (0..count).map(|_| {
             let from_ms = pick((within_ms * 6 / 10) as usize) as u64;
-            let for_ms = (500 + pick(6000) as u64).min(within_ms - from_ms);
+            let duration_ms = (500 + pick(6000) as u64).min(within_ms - from_ms);
             let server = Party::Server(pick(servers));
             let some = if pick(3) == 0 { Party::Site(pick(SITES.len())) } else { server };
             let other =
@@ -369,33 +371,33 @@
             let ends = [
                 (some, other),
                 (other, some),
-                (some, Party::Ledger),
-                (Party::Ledger, some),
-                (some, Party::Control),
+                (some, Party::Dependency),
+                (Party::Dependency, some),
+                (some, Party::Registry),
                 (Party::Gateway(pick(gateways)), some),
                 (some, Party::Gateway(pick(gateways))),
             ][pick(7)];
-            let on_link = [
-                Kind::Cut,
-                Kind::Reset,
-                Kind::Mute,
-                Kind::Mute,
-                Kind::Swallow,
-                Kind::Delay(50 + pick(800) as u64),
-                Kind::Slow,
-                Kind::Lose(10 + pick(60) as u64),
-                Kind::Double(30),
-                Kind::Shuffle(300),
+            let targets_link = [
+                FaultKind::Cut,
+                FaultKind::Reset,
+                FaultKind::Mute,
+                FaultKind::Mute,
+                FaultKind::Swallow,
+                FaultKind::Delay(50 + pick(800) as u64),
+                FaultKind::Slow,
+                FaultKind::Loss(10 + pick(60) as u64),
+                FaultKind::Duplicate(30),
+                FaultKind::Reorder(300),
             ][pick(10)];
             let (kind, of, to) = match pick(12) {
-                0 | 1 => (Kind::Kill, some, None),
-                2 | 3 => (Kind::Stop, some, None),
-                4 => (Kind::Term, server, None),
-                5 => (Kind::Apart(pick(6000) as i64 - 3000), server, None),
-                6 => (Kind::Slower(2 + pick(6) as u64), Party::Ledger, None),
-                _ => (on_link, ends.0, Some(ends.1)),
+                0 | 1 => (FaultKind::Kill, some, None),
+                2 | 3 => (FaultKind::Suspend, some, None),
+                4 => (FaultKind::Terminate, server, None),
+                5 => (FaultKind::ClockOffset(pick(6000) as i64 - 3000), server, None),
+                6 => (FaultKind::Slowdown(2 + pick(6) as u64), Party::Dependency, None),
+                _ => (targets_link, ends.0, Some(ends.1)),
             };
-            Fault { from_ms, for_ms, kind, of, to }
+            Fault { start_ms: from_ms, duration_ms, kind, target: of, peer: to }
         });
         Self(faults.collect())
     }
--- a/crates/hazelspur-fault-harness/src/test_fleet.rs
+++ b/crates/hazelspur-fault-harness/src/test_fleet.rs
@@ -2,10 +2,10 @@
 //! datagram relays in .2, workers in .3, dependency in .4 and list in .5 as each server reaches them, and each gateway's
 //! addresses of the servers from .10 on.
 
-use crate::checker::Life;
+use crate::checker::ProcessIncarnation;
 use crate::link_faults::LinkFaults;
 use crate::relay::{self, Refusals};
-use crate::script::{Fault, Kind, Party, SITES, Script, site};
+use crate::script::{Fault, FaultKind, Party, SITES, Script, site};
 use anyhow::Context;
 use hazelspur_test_doubles::dependency::Dependency;
 use hazelspur_test_doubles::gateway::{Gateway, GatewaySettings};
@@ -35,11 +35,11 @@
 /// Cores of each worker.
 pub const CORES: usize = 2;
 /// Concurrency limit of a worker, by core.
-pub const CROWD_MULTIPLE: usize = 8;
+pub const RUNS_PER_CORE: usize = 8;
 /// Calls that a server may have out, where nothing else is planned, and the time over which they are averaged.
-pub const CALLS: f64 = 8.0;
+pub const CALLS_PER_SERVER: f64 = 8.0;
 /// The time over which concurrent calls are averaged.
-pub const CALLS_OVER: Duration = Duration::from_secs(5);
+pub const CALL_AVERAGING_WINDOW: Duration = Duration::from_secs(5);
 /// The most servers of a run.
 const MAX_SERVERS: usize = 200;
 /// The most gateways of a run.
@@ -63,11 +63,11 @@
     /// Requests a second of all gateways together.
     pub rate: f64,
     /// What the operator's file says is the most servers.
-    pub most: usize,
+    pub max_servers: usize,
     /// A server's part of the calls that the ledger takes, by its settings.
-    pub calls: f64,
+    pub calls_per_server: f64,
     /// Servers go by what they hear of each other, and share the ledger's slots.
-    pub joint: bool,
+    pub coordinated: bool,
 }
 
 impl Plan {
@@ -96,15 +96,15 @@
     /// Connections that were refused behind a relay.
     pub refusals: Refusals,
     /// The worker of each server.
-    pub runtimes: Vec<Worker>,
+    pub workers: Vec<Worker>,
     /// The shared dependency.
-    pub ledger: Dependency,
+    pub dependency: Dependency,
     /// The list of servers.
-    pub control: Registry,
+    pub registry: Registry,
     processes: Vec<Option<Child>>,
     stopped: Vec<Option<u64>>,
     /// All lives so far; the last one of a server is the one that runs.
-    pub lives: Vec<Life>,
+    pub process_incarnations: Vec<ProcessIncarnation>,
     /// The gateways.
     pub gateways: Vec<Gateway>,
     relays: tokio::runtime::Runtime,
@@ -136,12 +136,12 @@
         };
         let link_faults = LinkFaults::new(plan.script.clone());
         let mut bed = Self {
-            runtimes: (0..plan.servers).map(|_| Worker::start("127.0.0.1:0", pace)).collect(),
-            ledger: Dependency::start("127.0.0.1:0", plan.slots(), 10.0),
-            control: Registry::start("127.0.0.1:0"),
+            workers: (0..plan.servers).map(|_| Worker::start("127.0.0.1:0", pace)).collect(),
+            dependency: Dependency::start("127.0.0.1:0", plan.slots(), 10.0),
+            registry: Registry::start("127.0.0.1:0"),
             processes: (0..plan.servers).map(|_| None).collect(),
             stopped: vec![None; plan.servers],
-            lives: Vec::new(),
+            process_incarnations: Vec::new(),
             gateways: Vec::new(),
             net,
             _claim: claim,
@@ -162,9 +162,9 @@
         for of in 0..self.plan.servers {
             let server = Party::Server(of);
             let mut links = vec![
-                ((server, Party::Runtime(of)), self.at(3, of, 7300), self.runtimes[of].address),
-                ((server, Party::Ledger), self.at(4, of, 9042), self.ledger.address),
-                ((server, Party::Control), self.at(5, of, 7946), self.control.address),
+                ((server, Party::Worker(of)), self.at(3, of, 7300), self.workers[of].address),
+                ((server, Party::Dependency), self.at(4, of, 9042), self.dependency.address),
+                ((server, Party::Registry), self.at(5, of, 7946), self.registry.address),
             ];
             links.extend((0..self.plan.gateways).map(|gateway| {
                 let ends = (Party::Gateway(gateway), server);
@@ -183,27 +183,27 @@
     }
 
     /// Where a server listens for datagrams itself, past all relays.
-    pub fn talks_at(&self, of: usize) -> SocketAddr {
+    pub fn membership_address(&self, of: usize) -> SocketAddr {
         self.at(1, of, 7946)
     }
 
     /// The operator's file of a server.
-    pub fn file(&self, of: usize) -> PathBuf {
+    pub fn operator_file(&self, of: usize) -> PathBuf {
         self.folder.join(format!("n{of}.star"))
     }
 
     /// The log of a server.
-    pub fn log(&self, of: usize) -> PathBuf {
+    pub fn log_file(&self, of: usize) -> PathBuf {
         self.folder.join(format!("n{of}.log"))
     }
 
     /// Whether a server's process runs.
-    pub fn runs(&self, of: usize) -> bool {
+    pub fn is_running(&self, of: usize) -> bool {
         self.processes[of].is_some()
     }
 
     /// A new life.
-    pub fn start(&mut self, of: usize) -> anyhow::Result<()> {
+    pub fn start_server(&mut self, of: usize) -> anyhow::Result<()> {
         if self.processes[of].is_some() {
             return Ok(());
         }
@@ -212,7 +212,7 @@
         std::fs::write(&json, self.settings(of))?;
         let contacts: Vec<String> =
             (0..self.plan.servers.min(3)).map(|of| self.at(2, of, 7946).to_string()).collect();
-        let joint = if self.plan.joint {
+        let joint = if self.plan.coordinated {
             format!(
                 "    together = True,\n    keepers = {:?},\n    lease_s = 4,\n    shares = [{{\"limit\": \"calls\", \"total\": {}}}],\n",
                 self.plan.keepers(),
@@ -226,35 +226,39 @@
             SITES[site(of)],
             self.at(2, of, 7946),
             self.at(1, of, 7946),
-            self.plan.most,
+            self.plan.max_servers,
         );
-        std::fs::write(self.file(of), star)?;
-        let apart = self.plan.script.0.iter().filter(|fault| fault.of.covers(Party::Server(of)));
+        std::fs::write(self.operator_file(of), star)?;
+        let apart = self.plan.script.0.iter().filter(|fault| fault.target.covers(Party::Server(of)));
         let apart = apart
-            .filter_map(|fault| if let Kind::Apart(ms) = fault.kind { Some(ms) } else { None })
+            .filter_map(|fault| if let FaultKind::ClockOffset(ms) = fault.kind { Some(ms) } else { None })
             .sum::<i64>();
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log(of))?;
+        let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log_file(of))?;
         let mut command = Command::new(&self.plan.server_binary);
-        command.env("ROUTER_CONFIG", &json).arg("--file").arg(self.file(of));
+        command.env("ROUTER_CONFIG", &json).arg("--file").arg(self.operator_file(of));
         command.arg(format!("--clock-apart-ms={apart}"));
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
         let child = command.spawn().with_context(|| format!("{:?}", self.plan.server_binary))?;
         self.processes[of] = Some(child);
-        self.lives.push(Life { server: of, from_ms: now_ms(), ..Life::default() });
+        self.process_incarnations.push(ProcessIncarnation {
+            server: of,
+            started_ms: now_ms(),
+            ..ProcessIncarnation::default()
+        });
         Ok(())
     }
 
     fn settings(&self, of: usize) -> String {
         let settings = serde_json::json!({
             "family-info": {"n-cores": CORES, "mem-limit-kb": 100_000, "run-factor": 8, "stop-mode": "drop",
-                "meters": ["core_use", "on_cores"], "calls-out": self.plan.calls, "calls-over-us": CALLS_OVER.as_micros() as u64,
+                "meters": ["core_use", "on_cores"], "calls-out": self.plan.calls_per_server, "calls-over-us": CALL_AVERAGING_WINDOW.as_micros() as u64,
                 "passes-deadline": true},
             "lanes": [
                 {"name": "view", "aim-us": 1_500_000, "deadline-us": TIMEOUT_MS * 1000, "semantics": "safe", "importance": 1},
                 {"name": "set-qty", "aim-us": 1_500_000, "deadline-us": TIMEOUT_MS * 1000, "semantics": "keyed",
                     "memory-span-us": 60_000_000},
                 {"name": "book", "aim-us": 1_500_000, "deadline-us": TIMEOUT_MS * 1000, "semantics": "unsafe"}],
-            "rules": {"fall-multiple": CROWD_MULTIPLE, "cold-share": 0.2, "cold-us": 5_000_000,
+            "rules": {"fall-multiple": RUNS_PER_CORE, "cold-share": 0.2, "cold-us": 5_000_000,
                 "drain-grace-us": GRACE_MS * 1000},
             "limits": {"retry-after": true, "max-retry-after-us": 1_000_000},
             "servers": self.plan.servers,
@@ -281,7 +285,7 @@
                 timeout_ms: TIMEOUT_MS,
             };
             let servers = (0..self.plan.servers).map(|of| self.at(10 + number, of, 9000)).collect();
-            let list = self.control.list.clone();
+            let list = self.registry.list.clone();
             let lister = Box::new(move || {
                 let named = list.listed(habits.list_age_ms);
                 named.iter().filter_map(|name| name.strip_prefix('n')?.parse().ok()).collect()
@@ -296,8 +300,8 @@
         self.processes[of].as_ref().map(|child| Pid::from_raw(child.id() as i32))
     }
 
-    fn life(&mut self, of: usize) -> Option<&mut Life> {
-        self.lives.iter_mut().rev().find(|life| life.server == of)
+    fn life(&mut self, of: usize) -> Option<&mut ProcessIncarnation> {
+        self.process_incarnations.iter_mut().rev().find(|life| life.server == of)
     }
 
     /// The servers that a party names.
@@ -306,21 +310,23 @@
     }
 
     /// A fault of processes or of what all share begins, or ends.
-    pub fn act(&mut self, fault: &Fault, begins: bool) -> anyhow::Result<()> {
-        let servers = self.servers_of(fault.of);
+    pub fn apply(&mut self, fault: &Fault, begins: bool) -> anyhow::Result<()> {
+        let servers = self.servers_of(fault.target);
         match (fault.kind, begins) {
-            (Kind::Kill, true) => servers.into_iter().for_each(|of| self.kill(of)),
-            (Kind::Stop, true) => servers.into_iter().for_each(|of| self.stop(of)),
-            (Kind::Stop, false) => servers.into_iter().for_each(|of| self.go_on(of)),
-            (Kind::Term, true) => servers.into_iter().for_each(|of| self.term(of)),
-            (Kind::Kill | Kind::Term, false) => {
+            (FaultKind::Kill, true) => servers.into_iter().for_each(|of| self.kill(of)),
+            (FaultKind::Suspend, true) => servers.into_iter().for_each(|of| self.stop(of)),
+            (FaultKind::Suspend, false) => servers.into_iter().for_each(|of| self.go_on(of)),
+            (FaultKind::Terminate, true) => servers.into_iter().for_each(|of| self.term(of)),
+            (FaultKind::Kill | FaultKind::Terminate, false) => {
                 for of in servers {
                     self.go_on(of);
                     self.wait(of, STOP_MS + 5000);
-                    self.start(of)?;
+                    self.start_server(of)?;
                 }
             }
-            (Kind::Slower(by), begins) => self.ledger.state().slowdown = if begins { by as f64 } else { 1.0 },
+            (FaultKind::Slowdown(by), begins) => {
+                self.dependency.state().slowdown = if begins { by as f64 } else { 1.0 }
+            }
             _ => {}
         }
         Ok(())
@@ -348,7 +354,7 @@
         if let (Some(since), Some(pid)) = (since, self.pid(of)) {
             let _ = kill(pid, Signal::SIGCONT);
             if let Some(life) = self.life(of) {
-                life.stops.push((since, now_ms()));
+                life.suspensions.push((since, now_ms()));
             }
         }
     }
@@ -378,10 +384,10 @@
             let Some(child) = &mut self.processes[of] else { continue };
             let (id, ended) = (child.id(), child.try_wait().ok().flatten());
             let memory = memory_kb(id);
-            if let Some(life) = self.lives.iter_mut().rev().find(|life| life.server == of) {
-                life.most_memory_kb = life.most_memory_kb.max(memory);
+            if let Some(life) = self.process_incarnations.iter_mut().rev().find(|life| life.server == of) {
+                life.peak_memory_kb = life.peak_memory_kb.max(memory);
                 if let Some(status) = ended {
-                    (life.ended_ms, life.status) = (Some(now_ms()), status.code());
+                    (life.ended_ms, life.exit_status) = (Some(now_ms()), status.code());
                 }
             }
             if ended.is_some() {
@@ -391,10 +397,10 @@
     }
 
     /// The last lines of those that do not run.
-    pub fn last_words(&self) -> String {
-        let gone = (0..self.plan.servers).filter(|of| !self.runs(*of));
+    pub fn last_log_lines(&self) -> String {
+        let gone = (0..self.plan.servers).filter(|of| !self.is_running(*of));
         let said = gone.map(|of| {
-            let text = std::fs::read_to_string(self.log(of)).unwrap_or_default();
+            let text = std::fs::read_to_string(self.log_file(of)).unwrap_or_default();
             let last: Vec<&str> = text.lines().rev().take(3).collect();
             format!("n{of}: {}", last.into_iter().rev().collect::<Vec<_>>().join(" / "))
         });
@@ -402,7 +408,7 @@
     }
 
     /// All leave in good order.
-    pub fn end(&mut self) {
+    pub fn stop_all(&mut self) {
         for of in 0..self.plan.servers {
             self.go_on(of);
             self.term(of);
--- a/crates/hazelspur-fault-harness/tests/scripts.rs
+++ b/crates/hazelspur-fault-harness/tests/scripts.rs
@@ -1,7 +1,7 @@
 //! Scripts as text, drawn and shrunk; and a checker that finds what is planted.
 
-use hazelspur_fault_harness::checker::{Evidence, Life, Ran};
-use hazelspur_fault_harness::observer::View;
+use hazelspur_fault_harness::checker::{Evidence, ProcessIncarnation, WorkerRecord};
+use hazelspur_fault_harness::observer::FleetView;
 use hazelspur_fault_harness::script::{Party, Script};
 use hazelspur_fleet::{FleetSize, LocalStatus, MemberStatus};
 use hazelspur_test_doubles::gateway::{Attempt, Response};
@@ -9,7 +9,7 @@
 #[test]
 fn a_script_reads_as_it_is_written_and_says_what_is_wrong() {
     for seed in 0..500 {
-        let script = Script::drawn(seed, 24, 4, 12_000);
+        let script = Script::random(seed, 24, 4, 12_000);
         assert!(!script.0.is_empty() && script.end_ms() <= 12_000, "{script}");
         assert_eq!(script.to_string().parse(), Ok(script));
     }
@@ -64,42 +64,42 @@
         crossed_goodbye: false,
         corrupted: false,
     };
-    let life = |server| Life {
+    let life = |server| ProcessIncarnation {
         server,
-        from_ms: 0,
+        started_ms: 0,
         notice_ms: Some(200_000),
         ended_ms: Some(200_900),
-        status: Some(0),
-        most_memory_kb: 9000,
-        ..Life::default()
+        exit_status: Some(0),
+        peak_memory_kb: 9000,
+        ..ProcessIncarnation::default()
     };
-    let view = |server, at_ms| View {
+    let view = |server, at_ms| FleetView {
         server,
         at_ms,
-        condition: LocalStatus::Healthy,
-        fleet: FleetSize { min: 2, max: 2 },
-        others: vec![(format!("n{}", 1 - server), MemberStatus::Alive)],
+        local_status: LocalStatus::Healthy,
+        fleet_size: FleetSize { min: 2, max: 2 },
+        other_members: vec![(format!("n{}", 1 - server), MemberStatus::Alive)],
     };
-    let ran = |request: &str, server: usize| Ran {
-        started: [(format!("{request}-at-n{server}"), 100_010)].into(),
-        runs: [(request.to_string(), 1)].into(),
-        most_running: 3,
+    let ran = |request: &str, server: usize| WorkerRecord {
+        run_started_ms: [(format!("{request}-at-n{server}"), 100_010)].into(),
+        runs_by_request: [(request.to_string(), 1)].into(),
+        max_concurrent_runs: 3,
     };
     Evidence {
         servers: 2,
-        began_ms: 50_000,
-        tries: vec![vec![of("a", "book", 0, 100_000), of("b", "view", 1, 100_000)]],
-        ran: vec![ran("a", 0), ran("b", 1)],
-        lives: vec![life(0), life(1)],
+        script_started_ms: 50_000,
+        attempts: vec![vec![of("a", "book", 0, 100_000), of("b", "view", 1, 100_000)]],
+        worker_records: vec![ran("a", 0), ran("b", 1)],
+        process_incarnations: vec![life(0), life(1)],
         views: vec![view(0, 100_000), view(1, 100_000)],
-        last: vec![Some(view(0, 199_000)), Some(view(1, 199_000))],
+        last_views: vec![Some(view(0, 199_000)), Some(view(1, 199_000))],
         effects: [("a-at-n0".to_string(), 1)].into(),
-        most_calls: 3,
+        max_concurrent_calls: 3,
         grace_ms: 300,
         stop_ms: 1500,
-        most_memory_kb: 64_000,
-        most_running: 16,
-        calls_bound: 16,
+        memory_limit_kb: 64_000,
+        run_limit: 16,
+        call_limit: 16,
         ..Evidence::default()
     }
 }
@@ -109,23 +109,23 @@
     assert_eq!(sound().breaches(), Vec::<String>::new());
     type Plant = fn(&mut Evidence);
     let plants: [Plant; 17] = [
-        |e| e.tries[0][0].responses.push((Response::Succeeded, 100_060)),
-        |e| e.tries[0][0].responses.clear(),
-        |e| (e.tries[0][0].responses, e.tries[0][0].disconnected_ms) = (Vec::new(), Some(100_020)),
-        |e| e.tries[0][0].responses[0].1 = 109_000,
-        |e| e.tries[0][0].corrupted = true,
-        |e| e.tries[0][0].responses[0].0 = Response::Rejected,
-        |e| e.ran[1].runs.extend([("a".to_string(), 1)]),
+        |e| e.attempts[0][0].responses.push((Response::Succeeded, 100_060)),
+        |e| e.attempts[0][0].responses.clear(),
+        |e| (e.attempts[0][0].responses, e.attempts[0][0].disconnected_ms) = (Vec::new(), Some(100_020)),
+        |e| e.attempts[0][0].responses[0].1 = 109_000,
+        |e| e.attempts[0][0].corrupted = true,
+        |e| e.attempts[0][0].responses[0].0 = Response::Rejected,
+        |e| e.worker_records[1].runs_by_request.extend([("a".to_string(), 1)]),
         |e| e.effects.extend([("a-at-n0".to_string(), 2)]),
-        |e| e.lives[0].notice_ms = Some(98_000),
-        |e| e.lives[0].status = Some(1),
-        |e| (e.lives[0].notice_ms, e.lives[0].ended_ms) = (None, Some(150_000)),
-        |e| e.lives[0].most_memory_kb = 65_000,
-        |e| e.ran[0].most_running = 17,
-        |e| e.most_calls = 17,
-        |e| e.views[0].fleet.min = 3,
-        |e| (e.views[0].fleet.min, e.views[0].fleet.max) = (1, 1),
-        |e| e.last[1] = None,
+        |e| e.process_incarnations[0].notice_ms = Some(98_000),
+        |e| e.process_incarnations[0].exit_status = Some(1),
+        |e| (e.process_incarnations[0].notice_ms, e.process_incarnations[0].ended_ms) = (None, Some(150_000)),
+        |e| e.process_incarnations[0].peak_memory_kb = 65_000,
+        |e| e.worker_records[0].max_concurrent_runs = 17,
+        |e| e.max_concurrent_calls = 17,
+        |e| e.views[0].fleet_size.min = 3,
+        |e| (e.views[0].fleet_size.min, e.views[0].fleet_size.max) = (1, 1),
+        |e| e.last_views[1] = None,
     ];
     let mut seen = String::new();
     for plant in plants {
@@ -159,7 +159,7 @@
 #[test]
 fn faults_elsewhere_excuse_nothing() {
     let mut evidence = sound();
-    evidence.tries[0][0].responses.clear();
+    evidence.attempts[0][0].responses.clear();
     let script: Script =
         "45+10 cut n0 ledger; 45+10 cut g1 n0; 45+10 cut n0 n1; 45+10 mute n0 list".parse().expect("good");
     evidence.faults = script.0;
@@ -171,8 +171,9 @@
     evidence.refusals = vec![(Party::Gateway(0), Party::Server(0), 100_010)];
     assert_eq!(evidence.breaches().len(), 1, "it was not broken");
     evidence.refusals.clear();
-    (evidence.tries[0][0].disconnected_ms, evidence.tries[0][0].crossed_goodbye) = (Some(100_010), true);
+    (evidence.attempts[0][0].disconnected_ms, evidence.attempts[0][0].crossed_goodbye) =
+        (Some(100_010), true);
     assert_eq!(evidence.breaches().len(), 1, "it ran, so it was read before the farewell");
-    evidence.ran[0].started.clear();
+    evidence.worker_records[0].run_started_ms.clear();
     assert_eq!(evidence.breaches(), Vec::<String>::new());
 }
--- a/crates/hazelspur-server/tests/choices.rs
+++ b/crates/hazelspur-server/tests/choices.rs
@@ -14,9 +14,9 @@
         script: script.parse().expect("a script"),
         seed: 1,
         rate: 60.0,
-        most: 30,
-        calls: hazelspur_fault_harness::test_fleet::CALLS,
-        joint: true,
+        max_servers: 30,
+        calls_per_server: hazelspur_fault_harness::test_fleet::CALLS_PER_SERVER,
+        coordinated: true,
     };
     let verdict = play(plan, &mut |_, _| {}).unwrap_or_else(|why| panic!("{script}: {why:#}"));
     assert!(verdict.breaches.is_empty(), "{script}\n{}\n{:#?}", verdict.figures(), verdict.breaches);
@@ -57,7 +57,7 @@
     let restarts: Vec<String> =
         (0..10).map(|i| format!("{:.1}+4 term n{}", 2.0 + 0.7 * i as f64, i * 2 + 1)).collect();
     let verdict = run_case(&restarts.join("; "));
-    assert_eq!(verdict.evidence.lives.len(), 34);
+    assert_eq!(verdict.evidence.process_incarnations.len(), 34);
     assert!(servers_that_logged(&verdict, "quota lease acquired") >= 12);
 }
 
--- a/crates/hazelspur-server/tests/fleet.rs
+++ b/crates/hazelspur-server/tests/fleet.rs
@@ -3,7 +3,7 @@
 //! the rules on the recorded evidence.
 
 use hazelspur_fault_harness::observer::FleetObserver;
-use hazelspur_fault_harness::run::{Verdict, come_up, play};
+use hazelspur_fault_harness::run::{Verdict, play, start_and_wait_for_agreement};
 use hazelspur_fault_harness::script::Script;
 use hazelspur_fault_harness::test_fleet::{INSTALLATION, KEY, Plan, TestFleet};
 
@@ -15,9 +15,9 @@
         script: script.clone(),
         seed,
         rate: 45.0,
-        most: servers * 2,
-        calls: hazelspur_fault_harness::test_fleet::CALLS,
-        joint: false,
+        max_servers: servers * 2,
+        calls_per_server: hazelspur_fault_harness::test_fleet::CALLS_PER_SERVER,
+        coordinated: false,
     };
     let verdict = play(plan, &mut |_, _| {}).unwrap_or_else(|why| panic!("{script}: {why:#}"));
     assert!(verdict.breaches.is_empty(), "{script}\n{}\n{:#?}", verdict.figures(), verdict.breaches);
@@ -34,8 +34,8 @@
     // n0, n3, n6 of east are suspended; n1, n4, n7 of west are killed and restarted.
     let verdict =
         run_case(24, "1+10 stop n0; 1+10 stop n3; 1+10 stop n6; 1+9 kill n1; 1+9 kill n4; 1+9 kill n7");
-    let lives = verdict.evidence.lives.iter().filter(|life| life.killed).count();
-    assert_eq!((lives, verdict.evidence.lives.len()), (3, 27));
+    let lives = verdict.evidence.process_incarnations.iter().filter(|life| life.killed).count();
+    assert_eq!((lives, verdict.evidence.process_incarnations.len()), (3, 27));
 }
 
 /// Links lose all datagrams in one direction, and one process is suspended again and again.
@@ -88,19 +88,19 @@
         script: Script::default(),
         seed: 1,
         rate: 1.0,
-        most: 18,
-        calls: hazelspur_fault_harness::test_fleet::CALLS,
-        joint: false,
+        max_servers: 18,
+        calls_per_server: hazelspur_fault_harness::test_fleet::CALLS_PER_SERVER,
+        coordinated: false,
     };
     let mut fleet = TestFleet::new(plan).expect("a test fleet");
     let mut observer = FleetObserver::new(KEY, INSTALLATION).expect("a socket");
-    come_up(&mut fleet, &mut observer).expect("all members agree");
+    start_and_wait_for_agreement(&mut fleet, &mut observer).expect("all members agree");
     let query = |file: &std::path::Path, shape: &str| {
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_hazelspur-server"));
         let out = command.arg("fleet").arg(file).args(["--shape", shape]).output().expect("the command runs");
         (out.status.code(), String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned())
     };
-    let (status, text) = query(&fleet.file(4), "json");
+    let (status, text) = query(&fleet.operator_file(4), "json");
     let shown: serde_json::Value = serde_json::from_str(&text).unwrap_or_default();
     assert_eq!((status, &shown["condition"]), (Some(0), &"Whole".into()), "{text}");
     let alive =
@@ -108,20 +108,24 @@
     let sites: Vec<String> = ["east", "west", "north"].map(|site| shown["sites"][site].to_string()).into();
     assert_eq!((shown["name"].as_str(), alive), (Some("n4"), 8), "{shown:#}");
     assert_eq!(sites, [r#"{"least":3,"most":3}"#; 3]);
-    let (status, table) = query(&fleet.file(4), "table");
+    let (status, table) = query(&fleet.operator_file(4), "table");
     assert!(status == Some(0) && table.contains("n4 at") && table.matches("alive").count() == 8, "{table}");
 
-    let text = std::fs::read_to_string(fleet.file(4)).expect("its file");
-    let foreign_file = fleet.file(4).with_file_name("strange.star");
-    let foreign_key = fleet.file(4).with_file_name("other-key");
+    let text = std::fs::read_to_string(fleet.operator_file(4)).expect("its file");
+    let foreign_file = fleet.operator_file(4).with_file_name("strange.star");
+    let foreign_key = fleet.operator_file(4).with_file_name("other-key");
     std::fs::write(&foreign_key, "another key of sixteen characters").expect("a file");
     let key = text.lines().find(|line| line.contains("key_file")).expect("it names a key");
     std::fs::write(&foreign_file, text.replace(key, &format!("    key_file = {foreign_key:?},")))
         .expect("a file");
     let (status, text) = query(&foreign_file, "json");
     assert!(status == Some(2) && text.contains("no answer"), "{text}");
-    fleet.end();
-    assert!(fleet.lives.iter().all(|life| life.status == Some(0)), "{:?}", fleet.lives);
+    fleet.stop_all();
+    assert!(
+        fleet.process_incarnations.iter().all(|life| life.exit_status == Some(0)),
+        "{:?}",
+        fleet.process_incarnations
+    );
 }
 
 /// `HAZELSPUR_FLEET_SEEDS` sets the number of seeds.
@@ -129,6 +133,6 @@
 fn membership_rules_hold_under_drawn_scripts() {
     let seeds: u64 = std::env::var("HAZELSPUR_FLEET_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(4);
     for seed in 1..=seeds {
-        run_script(9, &Script::drawn(seed, 9, 3, 10_000), seed);
+        run_script(9, &Script::random(seed, 9, 3, 10_000), seed);
     }
 }
--- a/crates/hazelspur-server/tests/restarts.rs
+++ b/crates/hazelspur-server/tests/restarts.rs
@@ -25,9 +25,9 @@
         script,
         seed: 5,
         rate: 60.0,
-        most: SERVERS * 2,
-        calls: hazelspur_fault_harness::test_fleet::CALLS,
-        joint: false,
+        max_servers: SERVERS * 2,
+        calls_per_server: hazelspur_fault_harness::test_fleet::CALLS_PER_SERVER,
+        coordinated: false,
     };
     let verdict = play(plan, &mut |_, _| {}).unwrap_or_else(|why| panic!("{why:#}"));
     assert!(verdict.breaches.is_empty(), "{}\n{:#?}", verdict.figures(), verdict.breaches);
@@ -57,15 +57,16 @@
 
 fn assert_all_serve_again(verdict: &Verdict) {
     let durations = start_durations_ms(verdict);
-    assert_eq!(durations.len(), verdict.evidence.lives.len(), "each process served");
+    assert_eq!(durations.len(), verdict.evidence.process_incarnations.len(), "each process served");
     assert_eq!(durations.len(), 2 * SERVERS, "each server ran twice");
     let ninth_decile = durations[durations.len() * 9 / 10 - 1];
     assert!(
         ninth_decile <= MAX_USUAL_START_MS && durations[durations.len() - 1] <= 3 * MAX_USUAL_START_MS,
         "{durations:?}"
     );
-    let ended = verdict.evidence.lives.iter().filter(|life| life.notice_ms.is_some() && !life.killed);
-    assert!(ended.clone().all(|life| life.status == Some(0)), "{:?}", ended.collect::<Vec<_>>());
+    let ended =
+        verdict.evidence.process_incarnations.iter().filter(|life| life.notice_ms.is_some() && !life.killed);
+    assert!(ended.clone().all(|life| life.exit_status == Some(0)), "{:?}", ended.collect::<Vec<_>>());
 }
 
 #[test]
@@ -91,13 +92,14 @@
         script: format!("{}; 1+12 slower:60 ledger", restarts.join("; ")).parse().expect("a script"),
         seed: 7,
         rate: 120.0,
-        most: CALL_LIMIT_SERVERS * 2,
-        calls: CALLS_PER_SERVER,
-        joint: false,
+        max_servers: CALL_LIMIT_SERVERS * 2,
+        calls_per_server: CALLS_PER_SERVER,
+        coordinated: false,
     };
     let verdict = play(plan, &mut |_, _| {}).unwrap_or_else(|why| panic!("{why:#}"));
     assert!(verdict.breaches.is_empty(), "{}\n{:#?}", verdict.figures(), verdict.breaches);
-    let (limit, most) = (CALL_LIMIT_SERVERS as f64 * CALLS_PER_SERVER, verdict.evidence.calls_on_average);
+    let (limit, most) =
+        (CALL_LIMIT_SERVERS as f64 * CALLS_PER_SERVER, verdict.evidence.max_mean_concurrent_calls);
     println!("limit {limit}, most on average {most:.2}");
     assert!((limit / 5.0..=limit).contains(&most), "{most} of {limit}");
 }
