--- a/crates/hazelspur-fault-harness/src/checker.rs
+++ b/crates/hazelspur-fault-harness/src/checker.rs
@@ -94,58 +94,63 @@
 impl Evidence {
     /// All breaches of the rules, in words.
     pub fn breaches(&self) -> Vec<String> {
-        let mut found = Vec::new();
-        self.answers(&mut found);
-        self.effects_once(&mut found);
-        self.drains(&mut found);
-        self.limits(&mut found);
-        self.pictures(&mut found);
-        found
+        let mut breaches = Vec::new();
+        self.check_responses(&mut breaches);
+        self.check_single_effects(&mut breaches);
+        self.check_drains(&mut breaches);
+        self.check_limits(&mut breaches);
+        self.check_views(&mut breaches);
+        breaches
     }
 
     /// Answers that were later than the protocol's 50 ms, though not so late as to count here.
     pub fn count_late(&self) -> usize {
-        let late = |of: &&Attempt| of.responses.first().is_some_and(|(_, at)| *at > of.due_ms + 50);
+        let late =
+            |attempt: &&Attempt| attempt.responses.first().is_some_and(|(_, at)| *at > attempt.due_ms + 50);
         self.attempts.iter().flatten().filter(late).count()
     }
 
     /// Attempts whose first response is this one.
-    pub fn count_first_responses(&self, of: Response) -> usize {
-        let first = |t: &&Attempt| t.responses.first().is_some_and(|(answer, _)| *answer == of);
+    pub fn count_first_responses(&self, response: Response) -> usize {
+        let first =
+            |attempt: &&Attempt| attempt.responses.first().is_some_and(|(first, _)| *first == response);
         self.attempts.iter().flatten().filter(first).count()
     }
 
     /// Rule 1: each try that was read gets one answer in time.
-    fn answers(&self, found: &mut Vec<String>) {
-        for (gateway, tries) in self.attempts.iter().enumerate() {
-            for of in tries {
-                let name = format!("{} ({}) of g{gateway} at n{}", of.request, of.attempt_id, of.server);
-                if of.responses.len() > 1 {
-                    found.push(format!("{name} has {} answers", of.responses.len()));
+    fn check_responses(&self, breaches: &mut Vec<String>) {
+        for (gateway, attempts) in self.attempts.iter().enumerate() {
+            for attempt in attempts {
+                let name = format!(
+                    "{} ({}) of g{gateway} at n{}",
+                    attempt.request, attempt.attempt_id, attempt.server
+                );
+                if attempt.responses.len() > 1 {
+                    breaches.push(format!("{name} has {} answers", attempt.responses.len()));
                 }
-                if of.corrupted {
-                    found.push(format!("{name} was acked with what no run made"));
+                if attempt.corrupted {
+                    breaches.push(format!("{name} was acked with what no run made"));
                 }
-                if self.excused(gateway, of) {
+                if self.excused(gateway, attempt) {
                     continue;
                 }
-                let after = |at: u64| at.saturating_sub(of.sent_ms);
-                match of.responses.first() {
-                    None if of.disconnected_ms.is_some() => {
+                let ms_after_sending = |at: u64| at.saturating_sub(attempt.sent_ms);
+                match attempt.responses.first() {
+                    None if attempt.disconnected_ms.is_some() => {
                         let started = self
                             .worker_records
-                            .get(of.server)
-                            .is_some_and(|r| r.run_started_ms.contains_key(&of.attempt_id));
-                        found.push(format!(
+                            .get(attempt.server)
+                            .is_some_and(|record| record.run_started_ms.contains_key(&attempt.attempt_id));
+                        breaches.push(format!(
                             "{name} was lost with its connection: sent at {} ms, broke after {} ms, started: {started}, farewell: {}",
-                            of.sent_ms.saturating_sub(self.script_started_ms),
-                            of.disconnected_ms.map_or(0, after),
-                            of.crossed_goodbye
+                            attempt.sent_ms.saturating_sub(self.script_started_ms),
+                            attempt.disconnected_ms.map_or(0, ms_after_sending),
+                            attempt.crossed_goodbye
                         ))
                     }
-                    None => found.push(format!("{name} has no answer")),
-                    Some((_, at)) if *at > of.due_ms + RESPONSE_SLACK_MS => {
-                        found.push(format!("{name} was answered {} ms late", at - of.due_ms));
+                    None => breaches.push(format!("{name} has no answer")),
+                    Some((_, at)) if *at > attempt.due_ms + RESPONSE_SLACK_MS => {
+                        breaches.push(format!("{name} was answered {} ms late", at - attempt.due_ms));
                     }
                     _ => {}
                 }
@@ -155,138 +160,161 @@
 
     /// A fault between gateway and server, or of the server's process, while the try was open. Faults
     /// elsewhere excuse nothing.
-    fn excused(&self, gateway: usize, of: &Attempt) -> bool {
-        let end = of.responses.first().map_or(of.due_ms + RESPONSE_SLACK_MS, |(_, at)| *at);
-        let open = of.sent_ms.saturating_sub(MARGIN_MS)..=end;
-        let meets = |from: u64, to: u64| from <= *open.end() && to + MARGIN_MS >= *open.start();
-        let between = |fault: &Fault| {
-            let (gateway, server) = (Party::Gateway(gateway), Party::Server(of.server));
+    fn excused(&self, gateway: usize, attempt: &Attempt) -> bool {
+        let end = attempt.responses.first().map_or(attempt.due_ms + RESPONSE_SLACK_MS, |(_, at)| *at);
+        let open_period = attempt.sent_ms.saturating_sub(MARGIN_MS)..=end;
+        let overlaps =
+            |from: u64, to: u64| from <= *open_period.end() && to + MARGIN_MS >= *open_period.start();
+        let on_path = |fault: &Fault| {
+            let (gateway, server) = (Party::Gateway(gateway), Party::Server(attempt.server));
             let Some(to) = fault.peer else { return false };
             fault.target.covers(gateway) && to.covers(server)
                 || fault.target.covers(server) && to.covers(gateway)
         };
-        let began = |fault: &Fault| {
+        let period = |fault: &Fault| {
             (self.script_started_ms + fault.start_ms, self.script_started_ms + fault.end_ms())
         };
-        let targets_link =
-            self.faults.iter().filter(|fault| between(fault)).map(began).any(|(from, to)| meets(from, to));
-        let in_process =
-            self.process_incarnations.iter().filter(|life| life.server == of.server).any(|life| {
-                let stopped = life.suspensions.iter().any(|(from, to)| meets(*from, *to));
-                let killed = life.killed && life.ended_ms.is_some_and(|at| meets(at, at));
-                // What is read before the notice is answered; what comes later may meet a closed door.
-                let leaves = life.notice_ms.is_some_and(|at| {
-                    of.sent_ms + MARGIN_MS >= at
-                        && life.ended_ms.is_none_or(|end| of.sent_ms <= end + MARGIN_MS)
-                });
-                stopped || killed || leaves
-            });
-        let refused = |(client, server, at): &(Party, Party, u64)| {
-            let meant = (*client, *server) == (Party::Gateway(gateway), Party::Server(of.server));
-            meant && *at + 20 >= of.sent_ms && of.disconnected_ms.is_some_and(|broke| *at <= broke + 20)
+        let link_faulty = self
+            .faults
+            .iter()
+            .filter(|fault| on_path(fault))
+            .map(period)
+            .any(|(from, to)| overlaps(from, to));
+        let process_faulty =
+            self.process_incarnations.iter().filter(|process| process.server == attempt.server).any(
+                |process| {
+                    let suspended = process.suspensions.iter().any(|(from, to)| overlaps(*from, *to));
+                    let killed = process.killed && process.ended_ms.is_some_and(|at| overlaps(at, at));
+                    // What is read before the notice is answered; what comes later may meet a closed door.
+                    let draining = process.notice_ms.is_some_and(|at| {
+                        attempt.sent_ms + MARGIN_MS >= at
+                            && process.ended_ms.is_none_or(|end| attempt.sent_ms <= end + MARGIN_MS)
+                    });
+                    suspended || killed || draining
+                },
+            );
+        let refused_onward = |(client, server, at): &(Party, Party, u64)| {
+            let same_link = (*client, *server) == (Party::Gateway(gateway), Party::Server(attempt.server));
+            same_link
+                && *at + 20 >= attempt.sent_ms
+                && attempt.disconnected_ms.is_some_and(|disconnected_ms| *at <= disconnected_ms + 20)
         };
         // Sent while the server's farewell was under way: it closed what had nothing open, and never read
         // this.
-        let unread = self
+        let never_ran = self
             .worker_records
-            .get(of.server)
-            .is_none_or(|ran| !ran.run_started_ms.contains_key(&of.attempt_id));
-        targets_link || in_process || of.crossed_goodbye && unread || self.refusals.iter().any(refused)
+            .get(attempt.server)
+            .is_none_or(|record| !record.run_started_ms.contains_key(&attempt.attempt_id));
+        link_faulty
+            || process_faulty
+            || attempt.crossed_goodbye && never_ran
+            || self.refusals.iter().any(refused_onward)
     }
 
     /// Rule 2, over all servers together.
-    fn effects_once(&self, found: &mut Vec<String>) {
-        let mut kinds: BTreeMap<&str, &str> = BTreeMap::new();
-        for of in self.attempts.iter().flatten() {
-            kinds.insert(&of.request, of.request_class);
+    fn check_single_effects(&self, breaches: &mut Vec<String>) {
+        let mut request_classes: BTreeMap<&str, &str> = BTreeMap::new();
+        for attempt in self.attempts.iter().flatten() {
+            request_classes.insert(&attempt.request, attempt.request_class);
             let started = self
                 .worker_records
-                .get(of.server)
-                .is_some_and(|ran| ran.run_started_ms.contains_key(&of.attempt_id));
-            if started && of.responses.iter().any(|(answer, _)| *answer == Response::Rejected) {
-                found.push(format!(
+                .get(attempt.server)
+                .is_some_and(|record| record.run_started_ms.contains_key(&attempt.attempt_id));
+            if started && attempt.responses.iter().any(|(response, _)| *response == Response::Rejected) {
+                breaches.push(format!(
                     "{} ({}) was nacked at n{} after it ran",
-                    of.request, of.attempt_id, of.server
+                    attempt.request, attempt.attempt_id, attempt.server
                 ));
             }
         }
         let mut runs: BTreeMap<&str, usize> = BTreeMap::new();
-        for ran in &self.worker_records {
-            ran.runs_by_request
+        for record in &self.worker_records {
+            record
+                .runs_by_request
                 .iter()
                 .for_each(|(request, times)| *runs.entry(request).or_default() += times);
         }
         for (request, times) in runs.into_iter().filter(|(_, times)| *times > 1) {
-            if kinds.get(request).is_some_and(|kind| *kind != "view") {
-                found.push(format!("{request}, which is not to run twice, ran {times} times"));
+            if request_classes.get(request).is_some_and(|class| *class != "view") {
+                breaches.push(format!("{request}, which is not to run twice, ran {times} times"));
             }
         }
         for (reference, times) in self.effects.iter().filter(|(_, times)| **times > 1) {
-            let of = self.attempts.iter().flatten().find(|of| of.attempt_id == *reference);
-            if of.is_some_and(|of| of.request_class != "view") {
-                found.push(format!("the call for {reference} was made {times} times"));
+            let attempt = self.attempts.iter().flatten().find(|attempt| attempt.attempt_id == *reference);
+            if attempt.is_some_and(|attempt| attempt.request_class != "view") {
+                breaches.push(format!("the call for {reference} was made {times} times"));
             }
         }
     }
 
     /// Rule 3.
-    fn drains(&self, found: &mut Vec<String>) {
-        for life in &self.process_incarnations {
-            let Some(notice) = life.notice_ms else { continue };
-            let last = notice + self.grace_ms + GRACE_SLACK_MS;
-            let ended = life.ended_ms.unwrap_or(u64::MAX);
-            let here = |of: &&Attempt| of.server == life.server && of.sent_ms > last && of.sent_ms < ended;
-            for of in self.attempts.iter().flatten().filter(here) {
+    fn check_drains(&self, breaches: &mut Vec<String>) {
+        for process in &self.process_incarnations {
+            let Some(notice_ms) = process.notice_ms else { continue };
+            let grace_end_ms = notice_ms + self.grace_ms + GRACE_SLACK_MS;
+            let ended_ms = process.ended_ms.unwrap_or(u64::MAX);
+            let after_grace = |attempt: &&Attempt| {
+                attempt.server == process.server
+                    && attempt.sent_ms > grace_end_ms
+                    && attempt.sent_ms < ended_ms
+            };
+            for attempt in self.attempts.iter().flatten().filter(after_grace) {
                 if self
                     .worker_records
-                    .get(life.server)
-                    .is_some_and(|ran| ran.run_started_ms.contains_key(&of.attempt_id))
+                    .get(process.server)
+                    .is_some_and(|record| record.run_started_ms.contains_key(&attempt.attempt_id))
                 {
-                    let by = of.sent_ms - notice;
-                    found.push(format!(
-                        "{} came to n{} {by} ms into its drain, and ran",
-                        of.request, life.server
+                    let into_drain_ms = attempt.sent_ms - notice_ms;
+                    breaches.push(format!(
+                        "{} came to n{} {into_drain_ms} ms into its drain, and ran",
+                        attempt.request, process.server
                     ));
                 }
             }
-            let stopped = life.suspensions.iter().any(|(_, to)| *to >= notice);
-            if life.killed || stopped {
+            let suspended = process.suspensions.iter().any(|(_, to)| *to >= notice_ms);
+            if process.killed || suspended {
                 continue;
             }
-            if life.exit_status != Some(0) || ended > notice + self.stop_ms + RESPONSE_SLACK_MS {
-                let took = ended.saturating_sub(notice);
-                found.push(format!(
+            if process.exit_status != Some(0) || ended_ms > notice_ms + self.stop_ms + RESPONSE_SLACK_MS {
+                let took = ended_ms.saturating_sub(notice_ms);
+                breaches.push(format!(
                     "n{} ended with {:?}, {took} ms after its notice",
-                    life.server, life.exit_status
+                    process.server, process.exit_status
                 ));
             }
         }
-        for life in self.process_incarnations.iter().filter(|life| life.notice_ms.is_none() && !life.killed) {
-            if life.ended_ms.is_some() {
-                found.push(format!("n{} ended by itself with {:?}", life.server, life.exit_status));
+        for process in
+            self.process_incarnations.iter().filter(|process| process.notice_ms.is_none() && !process.killed)
+        {
+            if process.ended_ms.is_some() {
+                breaches.push(format!("n{} ended by itself with {:?}", process.server, process.exit_status));
             }
         }
     }
 
     /// Rule 4.
-    fn limits(&self, found: &mut Vec<String>) {
-        for life in self.process_incarnations.iter().filter(|life| life.peak_memory_kb > self.memory_limit_kb)
+    fn check_limits(&self, breaches: &mut Vec<String>) {
+        for process in
+            self.process_incarnations.iter().filter(|process| process.peak_memory_kb > self.memory_limit_kb)
         {
-            found.push(format!(
+            breaches.push(format!(
                 "n{} took {} KB of {}",
-                life.server, life.peak_memory_kb, self.memory_limit_kb
+                process.server, process.peak_memory_kb, self.memory_limit_kb
             ));
         }
-        for (server, ran) in
-            self.worker_records.iter().enumerate().filter(|(_, r)| r.max_concurrent_runs > self.run_limit)
+        for (server, record) in self
+            .worker_records
+            .iter()
+            .enumerate()
+            .filter(|(_, record)| record.max_concurrent_runs > self.run_limit)
         {
-            found.push(format!(
+            breaches.push(format!(
                 "{} ran at once at n{server}, {} may",
-                ran.max_concurrent_runs, self.run_limit
+                record.max_concurrent_runs, self.run_limit
             ));
         }
         if self.max_concurrent_calls > self.call_limit {
-            found.push(format!(
+            breaches.push(format!(
                 "{} calls at once at the ledger, {} may",
                 self.max_concurrent_calls, self.call_limit
             ));
@@ -295,45 +323,47 @@
 
     /// At all times no picture counts more for sure than there can be, or fewer at most than there surely
     /// are; at last all show the same.
-    fn pictures(&self, found: &mut Vec<String>) {
+    fn check_views(&self, breaches: &mut Vec<String>) {
         for view in &self.views {
             let at = view.at_ms;
-            let lived = |life: &&ProcessIncarnation| {
-                life.started_ms <= at && life.ended_ms.is_none_or(|ended| ended + REMOVAL_MS >= at)
+            let possibly_member = |process: &&ProcessIncarnation| {
+                process.started_ms <= at
+                    && process.ended_ms.is_none_or(|ended_ms| ended_ms + REMOVAL_MS >= at)
             };
-            let mut may: Vec<usize> =
-                self.process_incarnations.iter().filter(lived).map(|life| life.server).collect();
-            may.sort_unstable();
-            may.dedup();
-            let steady = |life: &&ProcessIncarnation| {
-                life.started_ms + JOIN_MS <= at
-                    && life.ended_ms.is_none_or(|ended| ended > at)
-                    && life.notice_ms.is_none_or(|notice| notice > at)
+            let mut possible_servers: Vec<usize> = self
+                .process_incarnations
+                .iter()
+                .filter(possibly_member)
+                .map(|process| process.server)
+                .collect();
+            possible_servers.sort_unstable();
+            possible_servers.dedup();
+            let certainly_member = |process: &&ProcessIncarnation| {
+                process.started_ms + JOIN_MS <= at
+                    && process.ended_ms.is_none_or(|ended_ms| ended_ms > at)
+                    && process.notice_ms.is_none_or(|notice_ms| notice_ms > at)
             };
-            let surely = self.process_incarnations.iter().filter(steady).count();
-            let (least, most) = (view.fleet_size.min, view.fleet_size.max);
-            if least > may.len() || most < surely {
-                found.push(format!(
-                    "n{} said {least} to {most} where {surely} to {} were",
+            let certain_members = self.process_incarnations.iter().filter(certainly_member).count();
+            let (min, max) = (view.fleet_size.min, view.fleet_size.max);
+            if min > possible_servers.len() || max < certain_members {
+                breaches.push(format!(
+                    "n{} said {min} to {max} where {certain_members} to {} were",
                     view.server,
-                    may.len()
+                    possible_servers.len()
                 ));
             }
         }
         for (server, view) in self.last_views.iter().enumerate() {
-            let whole = |view: &FleetView| {
-                let alive = view
-                    .other_members
-                    .iter()
-                    .filter(|(_, standing)| *standing == MemberStatus::Alive)
-                    .count();
-                let sizes = (view.fleet_size.min, view.fleet_size.max) == (self.servers, self.servers);
-                sizes && alive + 1 == self.servers && view.local_status == LocalStatus::Healthy
+            let complete = |view: &FleetView| {
+                let alive =
+                    view.other_members.iter().filter(|(_, status)| *status == MemberStatus::Alive).count();
+                let size_correct = (view.fleet_size.min, view.fleet_size.max) == (self.servers, self.servers);
+                size_correct && alive + 1 == self.servers && view.local_status == LocalStatus::Healthy
             };
-            if !view.as_ref().is_some_and(whole) {
-                let said = view.as_ref().map(|view| (view.local_status, view.fleet_size));
-                found.push(format!(
-                    "at last n{server} ({}) says {said:?}",
+            if !view.as_ref().is_some_and(complete) {
+                let shown = view.as_ref().map(|view| (view.local_status, view.fleet_size));
+                breaches.push(format!(
+                    "at last n{server} ({}) says {shown:?}",
                     crate::script::SITES[site(server)]
                 ));
             }
--- a/crates/hazelspur-fault-harness/src/lightweight/mod.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/mod.rs
@@ -332,7 +332,7 @@
     plan.check(process_usage::descriptors()?)?;
     let run = RUNS.fetch_add(1, Ordering::Relaxed);
     let from = std::process::id().wrapping_mul(13) + run;
-    let (net, _claim) = crate::test_fleet::claim_net(from).context("a net of its own")?;
+    let (net, _claim) = crate::test_fleet::claim_network(from).context("a net of its own")?;
     let fleet = Fleet {
         net,
         members: plan.members,
--- a/crates/hazelspur-fault-harness/src/link_faults.rs
+++ b/crates/hazelspur-fault-harness/src/link_faults.rs
@@ -31,52 +31,54 @@
 #[derive(Clone)]
 pub struct LinkFaults {
     script: Arc<Script>,
-    began: Arc<Mutex<Option<Instant>>>,
+    started: Arc<Mutex<Option<Instant>>>,
 }
 
 impl LinkFaults {
     /// Fair until `begin`.
     pub fn new(script: Script) -> Self {
-        Self { script: Arc::new(script), began: Arc::default() }
+        Self { script: Arc::new(script), started: Arc::default() }
     }
 
     /// Starts the script now.
     pub fn start(&self) {
-        *self.began.lock().expect("no panic before") = Some(Instant::now());
+        *self.started.lock().expect("no panic before") = Some(Instant::now());
     }
 
     /// Milliseconds since the script began.
     pub fn elapsed_ms(&self) -> Option<u64> {
-        let began = *self.began.lock().expect("no panic before");
-        began.map(|began| began.elapsed().as_millis() as u64)
+        let started = *self.started.lock().expect("no panic before");
+        started.map(|started| started.elapsed().as_millis() as u64)
     }
 
     /// The rule from one to the other now.
     pub fn condition_between(&self, from: Party, to: Party) -> LinkCondition {
-        let Some(now) = self.elapsed_ms() else { return LinkCondition::default() };
-        let mut rule = LinkCondition::default();
+        let Some(elapsed_ms) = self.elapsed_ms() else { return LinkCondition::default() };
+        let mut condition = LinkCondition::default();
         for fault in &self.script.0 {
-            let Some(end) = fault.peer else { continue };
-            let ahead = fault.target.covers(from) && end.covers(to);
-            let either = ahead || fault.target.covers(to) && end.covers(from);
-            if !(fault.start_ms..fault.end_ms()).contains(&now) || !either {
+            let Some(peer) = fault.peer else { continue };
+            let forward = fault.target.covers(from) && peer.covers(to);
+            let either_way = forward || fault.target.covers(to) && peer.covers(from);
+            if !(fault.start_ms..fault.end_ms()).contains(&elapsed_ms) || !either_way {
                 continue;
             }
             match fault.kind {
-                FaultKind::Cut => rule.cut = true,
-                FaultKind::Reset => (rule.cut, rule.reset) = (true, true),
-                FaultKind::Mute => rule.mute |= ahead,
-                FaultKind::Swallow => rule.swallow |= ahead,
-                FaultKind::Slow => rule.slow |= ahead,
-                FaultKind::Delay(ms) if ahead => rule.delay_ms += ms,
-                FaultKind::Reorder(ms) if ahead => rule.reorder_ms += ms,
-                FaultKind::Loss(part) if ahead => rule.loss_percent = rule.loss_percent.max(part),
-                FaultKind::Duplicate(part) if ahead => {
-                    rule.duplicate_percent = rule.duplicate_percent.max(part)
+                FaultKind::Cut => condition.cut = true,
+                FaultKind::Reset => (condition.cut, condition.reset) = (true, true),
+                FaultKind::Mute => condition.mute |= forward,
+                FaultKind::Swallow => condition.swallow |= forward,
+                FaultKind::Slow => condition.slow |= forward,
+                FaultKind::Delay(ms) if forward => condition.delay_ms += ms,
+                FaultKind::Reorder(ms) if forward => condition.reorder_ms += ms,
+                FaultKind::Loss(percent) if forward => {
+                    condition.loss_percent = condition.loss_percent.max(percent)
+                }
+                FaultKind::Duplicate(percent) if forward => {
+                    condition.duplicate_percent = condition.duplicate_percent.max(percent)
                 }
                 _ => {}
             }
         }
-        rule
+        condition
     }
 }
--- a/crates/hazelspur-fault-harness/src/main.rs
+++ b/crates/hazelspur-fault-harness/src/main.rs
@@ -12,7 +12,7 @@
 
 #[derive(Parser)]
 #[command(name = "hazelspur-fault-harness", version, about = "Many real servers with faults between them")]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Command,
 }
@@ -30,7 +30,7 @@
     Endings(Options),
     /// Serves lightweight members by lines on its input; started by `hollow`.
     #[command(name = command::HIDDEN, hide = true)]
-    HollowMembers,
+    LightweightMembers,
 }
 
 /// Options of `run`.
@@ -59,8 +59,8 @@
     #[arg(long)]
     shrink: bool,
     /// Servers go by what they hear of each other, and share the ledger's slots by leases.
-    #[arg(long)]
-    joint: bool,
+    #[arg(long = "joint")]
+    coordinated: bool,
     /// Only the verdict.
     #[arg(long)]
     quiet: bool,
@@ -70,48 +70,48 @@
 }
 
 /// What the one command of the README shows: a site cut off, a stop, a kill, a drain.
-const SHOW: &str = "2+12 cut west servers; 5+9 stop n3; 18+4 kill north; 24+3 term n1";
+const DEFAULT_SCRIPT: &str = "2+12 cut west servers; 5+9 stop n3; 18+4 kill north; 24+3 term n1";
 
 fn main() -> ExitCode {
     match run() {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(why) => {
-            eprintln!("{why:#}");
+        Err(error) => {
+            eprintln!("{error:#}");
             ExitCode::from(2)
         }
     }
 }
 
 fn run() -> anyhow::Result<bool> {
-    match Line::parse().command {
+    match CommandLine::parse().command {
         Command::Run(options) => options.run(),
         Command::Lightweight(line) => line.run(),
         Command::Endings(options) => options.run(),
-        Command::HollowMembers => hazelspur_fault_harness::lightweight::member::serve().map(|()| true),
+        Command::LightweightMembers => hazelspur_fault_harness::lightweight::member::serve().map(|()| true),
     }
 }
 
 impl RunOptions {
     fn run(&self) -> anyhow::Result<bool> {
         let server_binary = self.server_binary()?;
-        let mut good = true;
+        let mut all_held = true;
         for (seed, script) in self.scripts()? {
             println!("faults: {script}");
             let plan = |script: &Script| self.plan(&server_binary, script.clone(), seed);
             let verdict = self.play_and_show(plan(&script))?;
-            good &= judge(&verdict);
+            all_held &= print_verdict(&verdict);
             if !verdict.breaches.is_empty() {
-                let least = if self.shrink { shrunk(&script, plan) } else { script };
-                self.print_how_to_play_again(&least);
+                let smallest = if self.shrink { shrink_script(&script, plan) } else { script };
+                self.print_replay_command(&smallest);
             }
         }
-        Ok(good)
+        Ok(all_held)
     }
 
     fn server_binary(&self) -> anyhow::Result<PathBuf> {
-        let beside = std::env::current_exe()?.with_file_name("hazelspur-server");
-        let server_binary = self.server.clone().unwrap_or(beside);
+        let default_binary = std::env::current_exe()?.with_file_name("hazelspur-server");
+        let server_binary = self.server.clone().unwrap_or(default_binary);
         anyhow::ensure!(
             server_binary.exists(),
             "{server_binary:?} is not there: build it, or name it by --server"
@@ -128,7 +128,7 @@
                     |seed| (seed, Script::random(seed, self.servers, self.gateways, self.seconds * 1000));
                 Ok((first..first + self.seeds).map(random).collect())
             }
-            (None, None) => Ok(vec![(1, SHOW.parse().map_err(anyhow::Error::msg)?)]),
+            (None, None) => Ok(vec![(1, DEFAULT_SCRIPT.parse().map_err(anyhow::Error::msg)?)]),
         }
     }
 
@@ -142,54 +142,54 @@
             rate: self.rate,
             max_servers: self.servers * 2,
             calls_per_server: hazelspur_fault_harness::test_fleet::CALLS_PER_SERVER,
-            coordinated: self.joint,
+            coordinated: self.coordinated,
         }
     }
 
     /// Plays a plan and prints the views of the fleet as they change, and its figures.
     fn play_and_show(&self, plan: Plan) -> anyhow::Result<Verdict> {
-        let mut before = String::new();
-        let mut tell = |at: u64, views: &[Option<hazelspur_fault_harness::observer::FleetView>]| {
-            let now = summary(views);
-            if !self.quiet && now != before {
-                println!("{:6.1} s  {now}", at as f64 / 1000.0);
-                before = now;
+        let mut previous = String::new();
+        let mut on_views = |at: u64, views: &[Option<hazelspur_fault_harness::observer::FleetView>]| {
+            let current = summary(views);
+            if !self.quiet && current != previous {
+                println!("{:6.1} s  {current}", at as f64 / 1000.0);
+                previous = current;
             }
         };
-        let verdict = play(plan, &mut tell)?;
+        let verdict = play(plan, &mut on_views)?;
         println!("{}", verdict.figures());
         Ok(verdict)
     }
 
-    fn print_how_to_play_again(&self, script: &Script) {
+    fn print_replay_command(&self, script: &Script) {
         println!(
             "again: hazelspur-fault-harness run --servers {} --gateways {} --rate {}{} --script {:?}",
             self.servers,
             self.gateways,
             self.rate,
-            if self.joint { " --joint" } else { "" },
+            if self.coordinated { " --joint" } else { "" },
             script.to_string()
         );
     }
 }
 
 /// The script with the fewest faults that still breaks a rule.
-fn shrunk(script: &Script, plan: impl Fn(&Script) -> Plan) -> Script {
-    let fails = |less: &Script| {
-        println!("without one: {less}");
-        play(plan(less), &mut |_, _| {}).is_ok_and(|verdict| !verdict.breaches.is_empty())
+fn shrink_script(script: &Script, plan: impl Fn(&Script) -> Plan) -> Script {
+    let still_fails = |candidate: &Script| {
+        println!("without one: {candidate}");
+        play(plan(candidate), &mut |_, _| {}).is_ok_and(|verdict| !verdict.breaches.is_empty())
     };
-    script.shrunk(fails)
+    script.shrunk(still_fails)
 }
 
-fn judge(verdict: &Verdict) -> bool {
+fn print_verdict(verdict: &Verdict) -> bool {
     /// Breaches that are printed.
-    const MOST: usize = 20;
+    const MAX_PRINTED_BREACHES: usize = 20;
     if verdict.breaches.is_empty() {
         println!("verdict: all rules held");
         return true;
     }
     println!("verdict: {} breaches", verdict.breaches.len());
-    verdict.breaches.iter().take(MOST).for_each(|breach| println!("  {breach}"));
+    verdict.breaches.iter().take(MAX_PRINTED_BREACHES).for_each(|breach| println!("  {breach}"));
     false
 }
--- a/crates/hazelspur-fault-harness/src/observer.rs
+++ b/crates/hazelspur-fault-harness/src/observer.rs
@@ -45,15 +45,15 @@
     }
 
     /// Asks one server at the address where it listens; `None` where it does not answer within that time.
-    pub fn query(&mut self, server: usize, at: SocketAddr, within: Duration) -> Option<FleetView> {
-        let until = Instant::now() + within;
-        let mut after = None;
+    pub fn query(&mut self, server: usize, address: SocketAddr, timeout: Duration) -> Option<FleetView> {
+        let deadline = Instant::now() + timeout;
+        let mut after_member = None;
         let mut view: Option<FleetView> = None;
         let mut bytes = vec![0; datagram::MAX_DATAGRAM_BYTES + 1];
         loop {
             self.number += 1;
-            let asked = self.number;
-            let question = Datagram {
+            let query_number = self.number;
+            let query = Datagram {
                 installation: self.installation,
                 sender: MemberUpdate {
                     name: MemberName::new("watch")?,
@@ -65,24 +65,24 @@
                 },
                 sequence: 1,
                 sent_ms: hazelspur_test_doubles::now_ms(),
-                body: Body::FleetQuery { number: asked, after },
+                body: Body::FleetQuery { number: query_number, after: after_member },
                 load_report: None,
                 updates: Vec::new(),
             };
-            self.socket.send_to(&datagram::seal(&self.key, &question), at).ok()?;
-            let answer = loop {
-                let left = until.checked_duration_since(Instant::now())?;
-                let _ = self.socket.set_read_timeout(Some(left.max(Duration::from_millis(1))));
+            self.socket.send_to(&datagram::seal(&self.key, &query), address).ok()?;
+            let reply_body = loop {
+                let time_left = deadline.checked_duration_since(Instant::now())?;
+                let _ = self.socket.set_read_timeout(Some(time_left.max(Duration::from_millis(1))));
                 let Ok((length, _)) = self.socket.recv_from(&mut bytes) else { continue };
                 let now = Timestamp::from_us(hazelspur_test_doubles::now_ms() * 1000);
-                let Ok(came) = datagram::open(&self.key, &self.installation, now, &bytes[..length]) else {
+                let Ok(reply) = datagram::open(&self.key, &self.installation, now, &bytes[..length]) else {
                     continue;
                 };
-                if matches!(came.body, Body::FleetReply { number, .. } if number == asked) {
-                    break came.body;
+                if matches!(reply.body, Body::FleetReply { number, .. } if number == query_number) {
+                    break reply.body;
                 }
             };
-            let Body::FleetReply { status: local_status, fleet: fleet_size, members, next, .. } = answer
+            let Body::FleetReply { status: local_status, fleet: fleet_size, members, next, .. } = reply_body
             else {
                 return None;
             };
@@ -95,11 +95,11 @@
                 other_members: Vec::new(),
             });
             view.other_members
-                .extend(members.into_iter().map(|row| (row.update.name.to_string(), row.status)));
-            if next.is_none() || next <= after {
+                .extend(members.into_iter().map(|member| (member.update.name.to_string(), member.status)));
+            if next.is_none() || next <= after_member {
                 break;
             }
-            after = next;
+            after_member = next;
         }
         view
     }
--- a/crates/hazelspur-fault-harness/src/relay.rs
+++ b/crates/hazelspur-fault-harness/src/relay.rs
@@ -13,13 +13,13 @@
 use tokio::time::sleep;
 
 /// How soon a connection that stands learns of a fault.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// A connection's bytes under way.
-const PART: usize = 16 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 /// The longest datagram that is carried, in bytes.
-const LONGEST_DATAGRAM: usize = 2048;
+const MAX_DATAGRAM_BYTES: usize = 2048;
 /// Datagrams held back by one relay.
-const MAX_HELD: usize = 4096;
+const MAX_DELAYED_DATAGRAMS: usize = 4096;
 
 /// Connections that a relay took and its target did not: who asked whom, and when, in milliseconds since
 /// 1970. For the one who asked it looks like a connection that broke.
@@ -33,54 +33,54 @@
     refusals: Refusals,
 ) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind(listen).await?;
-    let at = listener.local_addr()?;
+    let address = listener.local_addr()?;
     tokio::spawn(async move {
-        while let Ok((stream, _)) = listener.accept().await {
+        while let Ok((client_stream, _)) = listener.accept().await {
             let (link_faults, refusals) = (link_faults.clone(), refusals.clone());
-            tokio::spawn(carry(link_faults, client, server, stream, target, refusals));
+            tokio::spawn(relay_connection(link_faults, client, server, client_stream, target, refusals));
         }
     });
-    Ok(at)
+    Ok(address)
 }
 
-async fn carry(
+async fn relay_connection(
     link_faults: LinkFaults,
     client: Party,
     server: Party,
-    stream: TcpStream,
+    client_stream: TcpStream,
     target: SocketAddr,
     refusals: Refusals,
 ) {
-    let rule = link_faults.condition_between(client, server);
-    if rule.cut {
-        return end(&stream, rule.reset);
+    let condition = link_faults.condition_between(client, server);
+    if condition.cut {
+        return reset_on_drop_if(&client_stream, condition.reset);
     }
-    let _ = stream.set_nodelay(true);
+    let _ = client_stream.set_nodelay(true);
     // A refused connection has to be one for the client as well.
-    let Ok(onward) = TcpStream::connect(target).await else {
+    let Ok(server_stream) = TcpStream::connect(target).await else {
         refusals.lock().expect("no panic before").push((client, server, hazelspur_test_doubles::now_ms()));
-        return end(&stream, true);
+        return reset_on_drop_if(&client_stream, true);
     };
-    let _ = onward.set_nodelay(true);
-    let (there, back) = (handle(&stream), handle(&onward));
-    let (client_read, client_write) = stream.into_split();
-    let (server_read, server_write) = onward.into_split();
+    let _ = server_stream.set_nodelay(true);
+    let (client_socket, server_socket) = (clone_socket(&client_stream), clone_socket(&server_stream));
+    let (client_read, client_write) = client_stream.into_split();
+    let (server_read, server_write) = server_stream.into_split();
     let reset = tokio::select! {
-        reset = pump(&link_faults, client, server, client_read, server_write) => reset,
-        reset = pump(&link_faults, server, client, server_read, client_write) => reset,
+        reset = relay_one_way(&link_faults, client, server, client_read, server_write) => reset,
+        reset = relay_one_way(&link_faults, server, client, server_read, client_write) => reset,
     };
     if reset {
-        for socket in [there, back].into_iter().flatten() {
+        for socket in [client_socket, server_socket].into_iter().flatten() {
             let _ = socket.set_linger(Some(Duration::ZERO));
         }
     }
 }
 
-fn handle(stream: &TcpStream) -> Option<socket2::Socket> {
+fn clone_socket(stream: &TcpStream) -> Option<socket2::Socket> {
     socket2::SockRef::from(stream).try_clone().ok()
 }
 
-fn end(stream: &TcpStream, reset: bool) {
+fn reset_on_drop_if(stream: &TcpStream, reset: bool) {
     if reset {
         let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
     }
@@ -88,45 +88,45 @@
 
 /// Carries one way until an end closes or a fault ends it; whether by a reset. A close of one side ends both:
 /// the parties here never go on reading after that.
-async fn pump(
+async fn relay_one_way(
     link_faults: &LinkFaults,
     from: Party,
     to: Party,
     mut read: OwnedReadHalf,
     mut write: OwnedWriteHalf,
 ) -> bool {
-    let mut part = vec![0; PART];
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
     loop {
-        let rule = link_faults.condition_between(from, to);
-        if rule.cut {
-            return rule.reset;
+        let condition = link_faults.condition_between(from, to);
+        if condition.cut {
+            return condition.reset;
         }
-        if rule.swallow || rule.mute {
-            sleep(LOOK).await;
+        if condition.swallow || condition.mute {
+            sleep(POLL_INTERVAL).await;
             continue;
         }
         let count = tokio::select! {
-            read = read.read(&mut part) => match read {
+            read = read.read(&mut buffer) => match read {
                 Ok(0) => return false,
                 Ok(count) => count,
                 Err(_) => return true,
             },
-            () = sleep(LOOK) => continue,
+            () = sleep(POLL_INTERVAL) => continue,
         };
-        let rule = link_faults.condition_between(from, to);
-        if rule.delay_ms > 0 {
-            sleep(Duration::from_millis(rule.delay_ms)).await;
+        let condition = link_faults.condition_between(from, to);
+        if condition.delay_ms > 0 {
+            sleep(Duration::from_millis(condition.delay_ms)).await;
         }
         // What was read just before a mute arrives after it.
         while link_faults.condition_between(from, to).mute {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
-        let step = if rule.slow { 1 } else { PART };
-        for piece in part[..count].chunks(step) {
-            if write.write_all(piece).await.is_err() {
+        let chunk_bytes = if condition.slow { 1 } else { READ_BUFFER_BYTES };
+        for chunk in buffer[..count].chunks(chunk_bytes) {
+            if write.write_all(chunk).await.is_err() {
                 return true;
             }
-            if rule.slow {
+            if condition.slow {
                 sleep(Duration::from_millis(1)).await;
             }
         }
@@ -143,31 +143,36 @@
     seed: u64,
 ) -> std::io::Result<()> {
     let socket = Arc::new(UdpSocket::bind(listen).await?);
-    let held = Arc::new(std::sync::atomic::AtomicUsize::new(0));
+    let delayed = Arc::new(std::sync::atomic::AtomicUsize::new(0));
     tokio::spawn(async move {
-        let mut chance = Pcg::new(seed);
-        let mut bytes = vec![0; LONGEST_DATAGRAM];
+        let mut generator = Pcg::new(seed);
+        let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((length, sender)) = socket.recv_from(&mut bytes).await else { continue };
             let from = senders.lock().expect("no panic before").get(&sender).copied();
             let Some(from) = from else { continue };
-            let rule = link_faults.condition_between(from, to);
-            let random = |chance: &mut Pcg, part: u64| u64::from(chance.draw() % 100) < part;
-            if rule.cut || rule.mute || rule.swallow || random(&mut chance, rule.loss_percent) {
+            let condition = link_faults.condition_between(from, to);
+            let occurs = |generator: &mut Pcg, percent: u64| u64::from(generator.draw() % 100) < percent;
+            if condition.cut
+                || condition.mute
+                || condition.swallow
+                || occurs(&mut generator, condition.loss_percent)
+            {
                 continue;
             }
-            let copies = 1 + usize::from(random(&mut chance, rule.duplicate_percent));
+            let copies = 1 + usize::from(occurs(&mut generator, condition.duplicate_percent));
             for _ in 0..copies {
-                let late = rule.delay_ms + u64::from(chance.draw()) % (rule.reorder_ms + 1);
-                if late == 0 {
+                let delay_ms = condition.delay_ms + u64::from(generator.draw()) % (condition.reorder_ms + 1);
+                if delay_ms == 0 {
                     let _ = socket.send_to(&bytes[..length], target).await;
-                } else if held.load(std::sync::atomic::Ordering::Relaxed) < MAX_HELD {
-                    held.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-                    let (socket, held, copy) = (socket.clone(), held.clone(), bytes[..length].to_vec());
+                } else if delayed.load(std::sync::atomic::Ordering::Relaxed) < MAX_DELAYED_DATAGRAMS {
+                    delayed.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+                    let (socket, delayed, datagram) =
+                        (socket.clone(), delayed.clone(), bytes[..length].to_vec());
                     tokio::spawn(async move {
-                        sleep(Duration::from_millis(late)).await;
-                        let _ = socket.send_to(&copy, target).await;
-                        held.fetch_sub(1, std::sync::atomic::Ordering::Relaxed);
+                        sleep(Duration::from_millis(delay_ms)).await;
+                        let _ = socket.send_to(&datagram, target).await;
+                        delayed.fetch_sub(1, std::sync::atomic::Ordering::Relaxed);
                     });
                 }
             }
--- a/crates/hazelspur-fault-harness/src/script.rs
+++ b/crates/hazelspur-fault-harness/src/script.rs
@@ -10,7 +10,7 @@
 /// Faults that a script may have.
 const MAX_FAULTS: usize = 200;
 /// The furthest that a wall clock may be apart, in milliseconds.
-const MAX_APART_MS: i64 = 60_000;
+const MAX_CLOCK_OFFSET_MS: i64 = 60_000;
 /// The latest second of a script.
 const MAX_SECONDS: f64 = 3600.0;
 
@@ -37,7 +37,7 @@
         word: String,
     },
     /// A clock is to be too far apart.
-    #[error("apart:MS up to {MAX_APART_MS}")]
+    #[error("apart:MS up to {MAX_CLOCK_OFFSET_MS}")]
     ClockOffsetOutOfRange,
     /// A fault takes no figure.
     #[error("{0}: takes no number")]
@@ -100,8 +100,8 @@
 pub const SITES: [&str; 3] = ["east", "west", "north"];
 
 /// The site of a server, by its number.
-pub fn site(of: usize) -> usize {
-    of % SITES.len()
+pub fn site(server: usize) -> usize {
+    server % SITES.len()
 }
 
 impl Party {
@@ -109,7 +109,7 @@
     pub fn covers(self, other: Self) -> bool {
         match (self, other) {
             (Self::Servers, Self::Server(_)) | (Self::Gateways, Self::Gateway(_)) => true,
-            (Self::Site(at), Self::Server(of)) => site(of) == at,
+            (Self::Site(number), Self::Server(server)) => site(server) == number,
             _ => self == other,
         }
     }
@@ -118,12 +118,12 @@
 impl fmt::Display for Party {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Server(of) => write!(f, "n{of}"),
-            Self::Site(of) => f.write_str(SITES[*of]),
+            Self::Server(number) => write!(f, "n{number}"),
+            Self::Site(number) => f.write_str(SITES[*number]),
             Self::Servers => f.write_str("servers"),
-            Self::Gateway(of) => write!(f, "g{of}"),
+            Self::Gateway(number) => write!(f, "g{number}"),
             Self::Gateways => f.write_str("gateways"),
-            Self::Worker(of) => write!(f, "r{of}"),
+            Self::Worker(number) => write!(f, "r{number}"),
             Self::Dependency => f.write_str("ledger"),
             Self::Registry => f.write_str("list"),
         }
@@ -200,7 +200,7 @@
         !self.targets_process() && !matches!(self, Self::Slowdown(_))
     }
 
-    fn parts(self) -> (&'static str, Option<i64>) {
+    fn word_and_value(self) -> (&'static str, Option<i64>) {
         match self {
             Self::Cut => ("cut", None),
             Self::Reset => ("reset", None),
@@ -208,30 +208,31 @@
             Self::Swallow => ("swallow", None),
             Self::Delay(ms) => ("delay", Some(ms as i64)),
             Self::Slow => ("slow", None),
-            Self::Loss(part) => ("lose", Some(part as i64)),
-            Self::Duplicate(part) => ("double", Some(part as i64)),
+            Self::Loss(percent) => ("lose", Some(percent as i64)),
+            Self::Duplicate(percent) => ("double", Some(percent as i64)),
             Self::Reorder(ms) => ("shuffle", Some(ms as i64)),
             Self::Kill => ("kill", None),
             Self::Suspend => ("stop", None),
             Self::Terminate => ("term", None),
             Self::ClockOffset(ms) => ("apart", Some(ms)),
-            Self::Slowdown(by) => ("slower", Some(by as i64)),
+            Self::Slowdown(factor) => ("slower", Some(factor as i64)),
         }
     }
 
-    fn read(text: &str) -> Result<Self, ScriptError> {
-        let (word, figure) = match text.split_once(':') {
+    fn parse(text: &str) -> Result<Self, ScriptError> {
+        let (word, value) = match text.split_once(':') {
             None => (text, None),
-            Some((word, figure)) => {
-                let figure = figure.parse::<i64>().map_err(|_| ScriptError::NotWholeNumber(text.into()))?;
-                (word, Some(figure))
+            Some((word, value)) => {
+                let value = value.parse::<i64>().map_err(|_| ScriptError::NotWholeNumber(text.into()))?;
+                (word, Some(value))
             }
         };
-        let up = |max: u64| {
-            let n = figure.and_then(|n| u64::try_from(n).ok()).filter(|n| *n <= max);
+        let bounded = |max: u64| {
+            let n = value.and_then(|n| u64::try_from(n).ok()).filter(|n| *n <= max);
             n.ok_or_else(|| ScriptError::ValueOutOfRange { text: text.into(), max, word: word.into() })
         };
-        let apart = || figure.filter(|ms| ms.abs() <= MAX_APART_MS).ok_or(ScriptError::ClockOffsetOutOfRange);
+        let clock_offset =
+            || value.filter(|ms| ms.abs() <= MAX_CLOCK_OFFSET_MS).ok_or(ScriptError::ClockOffsetOutOfRange);
         let kind = match word {
             "cut" => Self::Cut,
             "reset" => Self::Reset,
@@ -241,15 +242,15 @@
             "kill" => Self::Kill,
             "stop" => Self::Suspend,
             "term" => Self::Terminate,
-            "delay" => Self::Delay(up(10_000)?),
-            "lose" => Self::Loss(up(100)?),
-            "double" => Self::Duplicate(up(100)?),
-            "shuffle" => Self::Reorder(up(10_000)?),
-            "slower" => Self::Slowdown(up(100)?),
-            "apart" => Self::ClockOffset(apart()?),
+            "delay" => Self::Delay(bounded(10_000)?),
+            "lose" => Self::Loss(bounded(100)?),
+            "double" => Self::Duplicate(bounded(100)?),
+            "shuffle" => Self::Reorder(bounded(10_000)?),
+            "slower" => Self::Slowdown(bounded(100)?),
+            "apart" => Self::ClockOffset(clock_offset()?),
             _ => return Err(ScriptError::UnknownFault(text.into())),
         };
-        if kind.parts().1.is_none() && figure.is_some() {
+        if kind.word_and_value().1.is_none() && value.is_some() {
             return Err(ScriptError::UnexpectedValue(text.into()));
         }
         Ok(kind)
@@ -282,11 +283,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let secs = |ms: u64| ms as f64 / 1000.0;
         write!(f, "{}+{} ", secs(self.start_ms), secs(self.duration_ms))?;
-        match self.kind.parts() {
+        match self.kind.word_and_value() {
             (word, None) => write!(f, "{word} {}", self.target)?,
-            (word, Some(figure)) => write!(f, "{word}:{figure} {}", self.target)?,
+            (word, Some(value)) => write!(f, "{word}:{value} {}", self.target)?,
         }
-        self.peer.map_or(Ok(()), |to| write!(f, " {to}"))
+        self.peer.map_or(Ok(()), |peer| write!(f, " {peer}"))
     }
 }
 
@@ -295,33 +296,33 @@
 
     fn from_str(text: &str) -> Result<Self, ScriptError> {
         let words: Vec<&str> = text.split_whitespace().collect();
-        let [times, kind, of, to @ ..] = &words[..] else {
+        let [times, kind, target, peer @ ..] = &words[..] else {
             return Err(ScriptError::Incomplete(text.into()));
         };
         let secs = |text: &str| {
             let secs = text.parse::<f64>().ok().filter(|s| (0.0..=MAX_SECONDS).contains(s));
             secs.map(|s| (s * 1000.0).round() as u64).ok_or_else(|| ScriptError::InvalidSeconds(text.into()))
         };
-        let (from, lasts) =
+        let (start, duration) =
             times.split_once('+').ok_or_else(|| ScriptError::InvalidTimes((*times).into()))?;
-        let kind = FaultKind::read(kind)?;
-        let to = match to {
+        let kind = FaultKind::parse(kind)?;
+        let peer = match peer {
             [] => None,
-            [to] => Some(to.parse()?),
+            [peer] => Some(peer.parse()?),
             _ => return Err(ScriptError::TooManyWords(text.into())),
         };
-        if kind.targets_link() != to.is_some() {
+        if kind.targets_link() != peer.is_some() {
             let wanted = if kind.targets_link() { "a link has two ends" } else { "one party is enough" };
             return Err(ScriptError::WrongParties { text: text.into(), wanted });
         }
-        let of: Party = of.parse()?;
-        let servers = matches!(of, Party::Server(_) | Party::Site(_) | Party::Servers);
-        if kind.targets_process() && !servers
-            || matches!(kind, FaultKind::Slowdown(_)) && of != Party::Dependency
+        let target: Party = target.parse()?;
+        let targets_servers = matches!(target, Party::Server(_) | Party::Site(_) | Party::Servers);
+        if kind.targets_process() && !targets_servers
+            || matches!(kind, FaultKind::Slowdown(_)) && target != Party::Dependency
         {
-            return Err(ScriptError::UnsuitableParty { text: text.into(), party: of });
+            return Err(ScriptError::UnsuitableParty { text: text.into(), party: target });
         }
-        Ok(Self { start_ms: secs(from)?, duration_ms: secs(lasts)?, kind, target: of, peer: to })
+        Ok(Self { start_ms: secs(start)?, duration_ms: secs(duration)?, kind, target, peer })
     }
 }
 
@@ -358,26 +359,26 @@
 
     /// Up to six faults within so many ms, on so many servers and gateways.
     pub fn random(seed: u64, servers: usize, gateways: usize, within_ms: u64) -> Self {
-        let mut chance = Pcg::new(seed);
-        let mut pick = |n: usize| chance.draw() as usize % n.max(1);
+        let mut generator = Pcg::new(seed);
+        let mut pick = |n: usize| generator.draw() as usize % n.max(1);
         let count = 1 + pick(6);
         let faults = (0..count).map(|_| {
-            let from_ms = pick((within_ms * 6 / 10) as usize) as u64;
-            let duration_ms = (500 + pick(6000) as u64).min(within_ms - from_ms);
+            let start_ms = pick((within_ms * 6 / 10) as usize) as u64;
+            let duration_ms = (500 + pick(6000) as u64).min(within_ms - start_ms);
             let server = Party::Server(pick(servers));
-            let some = if pick(3) == 0 { Party::Site(pick(SITES.len())) } else { server };
-            let other =
+            let server_or_site = if pick(3) == 0 { Party::Site(pick(SITES.len())) } else { server };
+            let peer =
                 [Party::Server(pick(servers)), Party::Site(pick(SITES.len())), Party::Servers][pick(3)];
-            let ends = [
-                (some, other),
-                (other, some),
-                (some, Party::Dependency),
-                (Party::Dependency, some),
-                (some, Party::Registry),
-                (Party::Gateway(pick(gateways)), some),
-                (some, Party::Gateway(pick(gateways))),
+            let endpoints = [
+                (server_or_site, peer),
+                (peer, server_or_site),
+                (server_or_site, Party::Dependency),
+                (Party::Dependency, server_or_site),
+                (server_or_site, Party::Registry),
+                (Party::Gateway(pick(gateways)), server_or_site),
+                (server_or_site, Party::Gateway(pick(gateways))),
             ][pick(7)];
-            let targets_link = [
+            let link_fault = [
                 FaultKind::Cut,
                 FaultKind::Reset,
                 FaultKind::Mute,
@@ -389,28 +390,28 @@
                 FaultKind::Duplicate(30),
                 FaultKind::Reorder(300),
             ][pick(10)];
-            let (kind, of, to) = match pick(12) {
-                0 | 1 => (FaultKind::Kill, some, None),
-                2 | 3 => (FaultKind::Suspend, some, None),
+            let (kind, target, peer) = match pick(12) {
+                0 | 1 => (FaultKind::Kill, server_or_site, None),
+                2 | 3 => (FaultKind::Suspend, server_or_site, None),
                 4 => (FaultKind::Terminate, server, None),
                 5 => (FaultKind::ClockOffset(pick(6000) as i64 - 3000), server, None),
                 6 => (FaultKind::Slowdown(2 + pick(6) as u64), Party::Dependency, None),
-                _ => (targets_link, ends.0, Some(ends.1)),
+                _ => (link_fault, endpoints.0, Some(endpoints.1)),
             };
-            Fault { start_ms: from_ms, duration_ms, kind, target: of, peer: to }
+            Fault { start_ms, duration_ms, kind, target, peer }
         });
         Self(faults.collect())
     }
 
     /// The fewest faults that `fails` still holds for, found by leaving out one after the other.
     pub fn shrunk(&self, mut fails: impl FnMut(&Self) -> bool) -> Self {
-        let mut least = self.clone();
-        let mut at = 0;
-        while at < least.0.len() {
-            let mut less = least.clone();
-            less.0.remove(at);
-            if fails(&less) { least = less } else { at += 1 }
+        let mut smallest = self.clone();
+        let mut index = 0;
+        while index < smallest.0.len() {
+            let mut candidate = smallest.clone();
+            candidate.0.remove(index);
+            if fails(&candidate) { smallest = candidate } else { index += 1 }
         }
-        least
+        smallest
     }
 }
--- a/crates/hazelspur-fault-harness/src/test_fleet.rs
+++ b/crates/hazelspur-fault-harness/src/test_fleet.rs
@@ -31,7 +31,7 @@
 /// Time from the shutdown notice to the end of a process, in milliseconds.
 pub const STOP_MS: u64 = 1500;
 /// By when a request's caller has given up, and its run ends at its call.
-const TIMEOUT_MS: u64 = 3000;
+const REQUEST_TIMEOUT_MS: u64 = 3000;
 /// Cores of each worker.
 pub const CORES: usize = 2;
 /// Concurrency limit of a worker, by core.
@@ -45,7 +45,7 @@
 /// The most gateways of a run.
 const MAX_GATEWAYS: usize = 40;
 /// Runs of this process so far; part of each run's network and folder.
-static RUNS: AtomicU32 = AtomicU32::new(0);
+static RUN_COUNT: AtomicU32 = AtomicU32::new(0);
 
 /// What a run consists of.
 #[derive(Clone, Debug)]
@@ -77,9 +77,9 @@
     }
 
     /// One that votes in each site and two more, as far as there are servers.
-    fn keepers(&self) -> Vec<String> {
-        let keepers = if self.servers >= 5 { 5 } else { 1 };
-        (0..keepers).map(|of| format!("n{of}")).collect()
+    fn allocator_voters(&self) -> Vec<String> {
+        let allocator_voters = if self.servers >= 5 { 5 } else { 1 };
+        (0..allocator_voters).map(|server| format!("n{server}")).collect()
     }
 }
 
@@ -87,10 +87,10 @@
 pub struct TestFleet {
     /// What it consists of.
     pub plan: Plan,
-    net: u8,
+    network: u8,
     /// Holds the net against other runs on this machine for as long as the bed stands.
-    _claim: TcpListener,
-    folder: PathBuf,
+    _network_claim: TcpListener,
+    directory: PathBuf,
     /// Faults on links.
     pub link_faults: LinkFaults,
     /// Connections that were refused behind a relay.
@@ -102,171 +102,185 @@
     /// The list of servers.
     pub registry: Registry,
     processes: Vec<Option<Child>>,
-    stopped: Vec<Option<u64>>,
+    suspended_since_ms: Vec<Option<u64>>,
     /// All lives so far; the last one of a server is the one that runs.
     pub process_incarnations: Vec<ProcessIncarnation>,
     /// The gateways.
     pub gateways: Vec<Gateway>,
-    relays: tokio::runtime::Runtime,
+    relay_runtime: tokio::runtime::Runtime,
 }
 
 impl TestFleet {
-    fn at(&self, row: usize, of: usize, port: u16) -> SocketAddr {
-        SocketAddr::from((Ipv4Addr::new(127, self.net, row as u8, of as u8 + 1), port))
+    fn address(&self, row: usize, server: usize, port: u16) -> SocketAddr {
+        SocketAddr::from((Ipv4Addr::new(127, self.network, row as u8, server as u8 + 1), port))
     }
 
     /// All but the servers' processes and gateways.
     pub fn new(plan: Plan) -> anyhow::Result<Self> {
         anyhow::ensure!((1..=MAX_SERVERS).contains(&plan.servers), "1 to {MAX_SERVERS} servers");
         anyhow::ensure!(plan.gateways <= MAX_GATEWAYS, "up to {MAX_GATEWAYS} gateways");
-        let run = RUNS.fetch_add(1, Ordering::Relaxed);
-        let (net, claim) =
-            claim_net(std::process::id().wrapping_mul(13) + run).context("a net of its own")?;
-        let folder = std::env::temp_dir().join(format!("hazelspur-bed-{}-{run}", std::process::id()));
-        std::fs::create_dir_all(&folder)?;
+        let run = RUN_COUNT.fetch_add(1, Ordering::Relaxed);
+        let (network, claim) =
+            claim_network(std::process::id().wrapping_mul(13) + run).context("a net of its own")?;
+        let directory = std::env::temp_dir().join(format!("hazelspur-bed-{}-{run}", std::process::id()));
+        std::fs::create_dir_all(&directory)?;
         // Once: a server that starts may be reading it.
-        std::fs::write(folder.join("key"), KEY)?;
-        let relays = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
-        let pace = WorkerSettings {
+        std::fs::write(directory.join("key"), KEY)?;
+        let relay_runtime =
+            tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
+        let worker_settings = WorkerSettings {
             run_ms: 15,
             makes_calls: true,
             fail_every: 0,
             cores: CORES,
-            call_deadline_ms: TIMEOUT_MS,
+            call_deadline_ms: REQUEST_TIMEOUT_MS,
         };
         let link_faults = LinkFaults::new(plan.script.clone());
-        let mut bed = Self {
-            workers: (0..plan.servers).map(|_| Worker::start("127.0.0.1:0", pace)).collect(),
+        let mut fleet = Self {
+            workers: (0..plan.servers).map(|_| Worker::start("127.0.0.1:0", worker_settings)).collect(),
             dependency: Dependency::start("127.0.0.1:0", plan.slots(), 10.0),
             registry: Registry::start("127.0.0.1:0"),
             processes: (0..plan.servers).map(|_| None).collect(),
-            stopped: vec![None; plan.servers],
+            suspended_since_ms: vec![None; plan.servers],
             process_incarnations: Vec::new(),
             gateways: Vec::new(),
-            net,
-            _claim: claim,
-            folder,
+            network,
+            _network_claim: claim,
+            directory,
             link_faults,
             refusals: Refusals::default(),
-            relays,
+            relay_runtime,
             plan,
         };
-        bed.lay_relays().context("relays")?;
-        Ok(bed)
+        fleet.start_relays().context("relays")?;
+        Ok(fleet)
     }
 
-    fn lay_relays(&mut self) -> anyhow::Result<()> {
-        let senders = (0..self.plan.servers).map(|of| (self.at(1, of, 7946), Party::Server(of)));
+    fn start_relays(&mut self) -> anyhow::Result<()> {
+        let senders =
+            (0..self.plan.servers).map(|server| (self.address(1, server, 7946), Party::Server(server)));
         let senders: BTreeMap<SocketAddr, Party> = senders.collect();
         let senders = Arc::new(Mutex::new(senders));
-        for of in 0..self.plan.servers {
-            let server = Party::Server(of);
+        for server in 0..self.plan.servers {
+            let server_party = Party::Server(server);
             let mut links = vec![
-                ((server, Party::Worker(of)), self.at(3, of, 7300), self.workers[of].address),
-                ((server, Party::Dependency), self.at(4, of, 9042), self.dependency.address),
-                ((server, Party::Registry), self.at(5, of, 7946), self.registry.address),
+                (
+                    (server_party, Party::Worker(server)),
+                    self.address(3, server, 7300),
+                    self.workers[server].address,
+                ),
+                ((server_party, Party::Dependency), self.address(4, server, 9042), self.dependency.address),
+                ((server_party, Party::Registry), self.address(5, server, 7946), self.registry.address),
             ];
             links.extend((0..self.plan.gateways).map(|gateway| {
-                let ends = (Party::Gateway(gateway), server);
-                (ends, self.at(10 + gateway, of, 9000), self.at(1, of, 9000))
+                let ends = (Party::Gateway(gateway), server_party);
+                (ends, self.address(10 + gateway, server, 9000), self.address(1, server, 9000))
             }));
             for (ends, listen, target) in links {
                 let (link_faults, refusals) = (self.link_faults.clone(), self.refusals.clone());
-                self.relays.block_on(relay::tcp(link_faults, ends, (listen, target), refusals))?;
+                self.relay_runtime.block_on(relay::tcp(link_faults, ends, (listen, target), refusals))?;
             }
-            let (listen, target) = (self.at(2, of, 7946), self.at(1, of, 7946));
-            let seed = self.plan.seed ^ of as u64;
+            let (listen, target) = (self.address(2, server, 7946), self.address(1, server, 7946));
+            let seed = self.plan.seed ^ server as u64;
             let link_faults = self.link_faults.clone();
-            self.relays.block_on(relay::udp(link_faults, server, listen, target, senders.clone(), seed))?;
+            self.relay_runtime.block_on(relay::udp(
+                link_faults,
+                server_party,
+                listen,
+                target,
+                senders.clone(),
+                seed,
+            ))?;
         }
         Ok(())
     }
 
     /// Where a server listens for datagrams itself, past all relays.
-    pub fn membership_address(&self, of: usize) -> SocketAddr {
-        self.at(1, of, 7946)
+    pub fn membership_address(&self, server: usize) -> SocketAddr {
+        self.address(1, server, 7946)
     }
 
     /// The operator's file of a server.
-    pub fn operator_file(&self, of: usize) -> PathBuf {
-        self.folder.join(format!("n{of}.star"))
+    pub fn operator_file(&self, server: usize) -> PathBuf {
+        self.directory.join(format!("n{server}.star"))
     }
 
     /// The log of a server.
-    pub fn log_file(&self, of: usize) -> PathBuf {
-        self.folder.join(format!("n{of}.log"))
+    pub fn log_file(&self, server: usize) -> PathBuf {
+        self.directory.join(format!("n{server}.log"))
     }
 
     /// Whether a server's process runs.
-    pub fn is_running(&self, of: usize) -> bool {
-        self.processes[of].is_some()
+    pub fn is_running(&self, server: usize) -> bool {
+        self.processes[server].is_some()
     }
 
     /// A new life.
-    pub fn start_server(&mut self, of: usize) -> anyhow::Result<()> {
-        if self.processes[of].is_some() {
+    pub fn start_server(&mut self, server: usize) -> anyhow::Result<()> {
+        if self.processes[server].is_some() {
             return Ok(());
         }
-        let json = self.folder.join(format!("n{of}.json"));
-        let key = self.folder.join("key");
-        std::fs::write(&json, self.settings(of))?;
+        let settings_file = self.directory.join(format!("n{server}.json"));
+        let key = self.directory.join("key");
+        std::fs::write(&settings_file, self.settings(server))?;
         let contacts: Vec<String> =
-            (0..self.plan.servers.min(3)).map(|of| self.at(2, of, 7946).to_string()).collect();
-        let joint = if self.plan.coordinated {
+            (0..self.plan.servers.min(3)).map(|server| self.address(2, server, 7946).to_string()).collect();
+        let coordination = if self.plan.coordinated {
             format!(
                 "    together = True,\n    keepers = {:?},\n    lease_s = 4,\n    shares = [{{\"limit\": \"calls\", \"total\": {}}}],\n",
-                self.plan.keepers(),
+                self.plan.allocator_voters(),
                 self.plan.slots()
             )
         } else {
             String::new()
         };
-        let star = format!(
-            "fleet(\n    installation = {INSTALLATION:?},\n    site = {:?},\n    at = \"{}\",\n    listen = \"{}\",\n    contacts = {contacts:?},\n    key_file = {key:?},\n    most = {},\n{joint})\n",
-            SITES[site(of)],
-            self.at(2, of, 7946),
-            self.at(1, of, 7946),
+        let operator_text = format!(
+            "fleet(\n    installation = {INSTALLATION:?},\n    site = {:?},\n    at = \"{}\",\n    listen = \"{}\",\n    contacts = {contacts:?},\n    key_file = {key:?},\n    most = {},\n{coordination})\n",
+            SITES[site(server)],
+            self.address(2, server, 7946),
+            self.address(1, server, 7946),
             self.plan.max_servers,
         );
-        std::fs::write(self.operator_file(of), star)?;
-        let apart = self.plan.script.0.iter().filter(|fault| fault.target.covers(Party::Server(of)));
-        let apart = apart
+        std::fs::write(self.operator_file(server), operator_text)?;
+        let clock_offset_ms =
+            self.plan.script.0.iter().filter(|fault| fault.target.covers(Party::Server(server)));
+        let clock_offset_ms = clock_offset_ms
             .filter_map(|fault| if let FaultKind::ClockOffset(ms) = fault.kind { Some(ms) } else { None })
             .sum::<i64>();
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log_file(of))?;
+        let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log_file(server))?;
         let mut command = Command::new(&self.plan.server_binary);
-        command.env("ROUTER_CONFIG", &json).arg("--file").arg(self.operator_file(of));
-        command.arg(format!("--clock-apart-ms={apart}"));
+        command.env("ROUTER_CONFIG", &settings_file).arg("--file").arg(self.operator_file(server));
+        command.arg(format!("--clock-apart-ms={clock_offset_ms}"));
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
         let child = command.spawn().with_context(|| format!("{:?}", self.plan.server_binary))?;
-        self.processes[of] = Some(child);
+        self.processes[server] = Some(child);
         self.process_incarnations.push(ProcessIncarnation {
-            server: of,
+            server: server,
             started_ms: now_ms(),
             ..ProcessIncarnation::default()
         });
         Ok(())
     }
 
-    fn settings(&self, of: usize) -> String {
+    fn settings(&self, server: usize) -> String {
         let settings = serde_json::json!({
             "family-info": {"n-cores": CORES, "mem-limit-kb": 100_000, "run-factor": 8, "stop-mode": "drop",
                 "meters": ["core_use", "on_cores"], "calls-out": self.plan.calls_per_server, "calls-over-us": CALL_AVERAGING_WINDOW.as_micros() as u64,
                 "passes-deadline": true},
             "lanes": [
-                {"name": "view", "aim-us": 1_500_000, "deadline-us": TIMEOUT_MS * 1000, "semantics": "safe", "importance": 1},
-                {"name": "set-qty", "aim-us": 1_500_000, "deadline-us": TIMEOUT_MS * 1000, "semantics": "keyed",
+                {"name": "view", "aim-us": 1_500_000, "deadline-us": REQUEST_TIMEOUT_MS * 1000, "semantics": "safe", "importance": 1},
+                {"name": "set-qty", "aim-us": 1_500_000, "deadline-us": REQUEST_TIMEOUT_MS * 1000, "semantics": "keyed",
                     "memory-span-us": 60_000_000},
-                {"name": "book", "aim-us": 1_500_000, "deadline-us": TIMEOUT_MS * 1000, "semantics": "unsafe"}],
+                {"name": "book", "aim-us": 1_500_000, "deadline-us": REQUEST_TIMEOUT_MS * 1000, "semantics": "unsafe"}],
             "rules": {"fall-multiple": RUNS_PER_CORE, "cold-share": 0.2, "cold-us": 5_000_000,
                 "drain-grace-us": GRACE_MS * 1000},
             "limits": {"retry-after": true, "max-retry-after-us": 1_000_000},
             "servers": self.plan.servers,
         });
         serde_json::json!({
-            "name": format!("n{of}"), "listen": self.at(1, of, 9000).to_string(),
-            "runtime": self.at(3, of, 7300).to_string(), "ledger": self.at(4, of, 9042).to_string(),
-            "control": self.at(5, of, 7946).to_string(), "seed": format!("{:016x}", self.plan.seed ^ of as u64),
+            "name": format!("n{server}"), "listen": self.address(1, server, 9000).to_string(),
+            "runtime": self.address(3, server, 7300).to_string(), "ledger": self.address(4, server, 9042).to_string(),
+            "control": self.address(5, server, 7946).to_string(), "seed": format!("{:016x}", self.plan.seed ^ server as u64),
             "stop_ms": STOP_MS, "limits": {"sockets": 512}, "settings": settings,
         })
         .to_string()
@@ -275,104 +289,106 @@
     /// Starts all gateways.
     pub fn start_gateways(&mut self) {
         for number in 0..self.plan.gateways {
-            let habits = GatewaySettings {
+            let gateway_settings = GatewaySettings {
                 by_request_hash: number % 2 == 1,
                 retries: [0, 1, 3, 8][number % 4],
                 retries_elsewhere: number % 3 != 2,
                 obeys_retry_after: number % 4 < 2,
                 requests_per_s: self.plan.rate / self.plan.gateways as f64,
                 list_age_ms: 1000 + 400 * (number as u64 % 4),
-                timeout_ms: TIMEOUT_MS,
+                timeout_ms: REQUEST_TIMEOUT_MS,
             };
-            let servers = (0..self.plan.servers).map(|of| self.at(10 + number, of, 9000)).collect();
+            let servers =
+                (0..self.plan.servers).map(|server| self.address(10 + number, server, 9000)).collect();
             let list = self.registry.list.clone();
-            let lister = Box::new(move || {
-                let named = list.listed(habits.list_age_ms);
-                named.iter().filter_map(|name| name.strip_prefix('n')?.parse().ok()).collect()
+            let list_servers = Box::new(move || {
+                let names = list.listed(gateway_settings.list_age_ms);
+                names.iter().filter_map(|name| name.strip_prefix('n')?.parse().ok()).collect()
             });
             let seed = self.plan.seed.wrapping_mul(31) + number as u64;
-            self.gateways.push(Gateway::start(number, habits, servers, lister, seed));
+            self.gateways.push(Gateway::start(number, gateway_settings, servers, list_servers, seed));
         }
     }
 
-    fn pid(&self, of: usize) -> Option<Pid> {
+    fn pid(&self, server: usize) -> Option<Pid> {
         // Not waited for yet, so the number is still its own.
-        self.processes[of].as_ref().map(|child| Pid::from_raw(child.id() as i32))
+        self.processes[server].as_ref().map(|child| Pid::from_raw(child.id() as i32))
     }
 
-    fn life(&mut self, of: usize) -> Option<&mut ProcessIncarnation> {
-        self.process_incarnations.iter_mut().rev().find(|life| life.server == of)
+    fn latest_process(&mut self, server: usize) -> Option<&mut ProcessIncarnation> {
+        self.process_incarnations.iter_mut().rev().find(|process| process.server == server)
     }
 
     /// The servers that a party names.
     pub fn servers_of(&self, party: Party) -> Vec<usize> {
-        (0..self.plan.servers).filter(|of| party.covers(Party::Server(*of))).collect()
+        (0..self.plan.servers).filter(|server| party.covers(Party::Server(*server))).collect()
     }
 
     /// A fault of processes or of what all share begins, or ends.
     pub fn apply(&mut self, fault: &Fault, begins: bool) -> anyhow::Result<()> {
         let servers = self.servers_of(fault.target);
         match (fault.kind, begins) {
-            (FaultKind::Kill, true) => servers.into_iter().for_each(|of| self.kill(of)),
-            (FaultKind::Suspend, true) => servers.into_iter().for_each(|of| self.stop(of)),
-            (FaultKind::Suspend, false) => servers.into_iter().for_each(|of| self.go_on(of)),
-            (FaultKind::Terminate, true) => servers.into_iter().for_each(|of| self.term(of)),
+            (FaultKind::Kill, true) => servers.into_iter().for_each(|server| self.kill(server)),
+            (FaultKind::Suspend, true) => servers.into_iter().for_each(|server| self.suspend(server)),
+            (FaultKind::Suspend, false) => servers.into_iter().for_each(|server| self.resume(server)),
+            (FaultKind::Terminate, true) => servers.into_iter().for_each(|server| self.terminate(server)),
             (FaultKind::Kill | FaultKind::Terminate, false) => {
-                for of in servers {
-                    self.go_on(of);
-                    self.wait(of, STOP_MS + 5000);
-                    self.start_server(of)?;
+                for server in servers {
+                    self.resume(server);
+                    self.wait_for_exit(server, STOP_MS + 5000);
+                    self.start_server(server)?;
                 }
             }
-            (FaultKind::Slowdown(by), begins) => {
-                self.dependency.state().slowdown = if begins { by as f64 } else { 1.0 }
+            (FaultKind::Slowdown(factor), begins) => {
+                self.dependency.state().slowdown = if begins { factor as f64 } else { 1.0 }
             }
             _ => {}
         }
         Ok(())
     }
 
-    fn kill(&mut self, of: usize) {
-        if let Some(pid) = self.pid(of) {
+    fn kill(&mut self, server: usize) {
+        if let Some(pid) = self.pid(server) {
             let _ = kill(pid, Signal::SIGKILL);
-            if let Some(life) = self.life(of) {
-                life.killed = true;
+            if let Some(process) = self.latest_process(server) {
+                process.killed = true;
             }
-            self.wait(of, 10_000);
+            self.wait_for_exit(server, 10_000);
         }
     }
 
-    fn stop(&mut self, of: usize) {
-        if let Some(pid) = self.pid(of).filter(|_| self.stopped[of].is_none()) {
+    fn suspend(&mut self, server: usize) {
+        if let Some(pid) = self.pid(server).filter(|_| self.suspended_since_ms[server].is_none()) {
             let _ = kill(pid, Signal::SIGSTOP);
-            self.stopped[of] = Some(now_ms());
+            self.suspended_since_ms[server] = Some(now_ms());
         }
     }
 
-    fn go_on(&mut self, of: usize) {
-        let since = self.stopped[of].take();
-        if let (Some(since), Some(pid)) = (since, self.pid(of)) {
+    fn resume(&mut self, server: usize) {
+        let suspended_ms = self.suspended_since_ms[server].take();
+        if let (Some(suspended_ms), Some(pid)) = (suspended_ms, self.pid(server)) {
             let _ = kill(pid, Signal::SIGCONT);
-            if let Some(life) = self.life(of) {
-                life.suspensions.push((since, now_ms()));
+            if let Some(process) = self.latest_process(server) {
+                process.suspensions.push((suspended_ms, now_ms()));
             }
         }
     }
 
-    fn term(&mut self, of: usize) {
-        if let Some(pid) = self.pid(of) {
+    fn terminate(&mut self, server: usize) {
+        if let Some(pid) = self.pid(server) {
             let _ = kill(pid, Signal::SIGTERM);
-            if let Some(life) = self.life(of) {
-                life.notice_ms.get_or_insert(now_ms());
+            if let Some(process) = self.latest_process(server) {
+                process.notice_ms.get_or_insert(now_ms());
             }
         }
     }
 
     /// Waits for a process that was told to end; one that does not is killed, which counts as what it is.
-    fn wait(&mut self, of: usize, within_ms: u64) {
-        let until = now_ms() + within_ms;
-        let told = self.life(of).is_some_and(|life| life.notice_ms.is_some() || life.killed);
-        while told && now_ms() < until && self.processes[of].is_some() {
+    fn wait_for_exit(&mut self, server: usize, within_ms: u64) {
+        let deadline_ms = now_ms() + within_ms;
+        let exit_expected =
+            self.latest_process(server).is_some_and(|process| process.notice_ms.is_some() || process.killed);
+        while exit_expected && now_ms() < deadline_ms && self.processes[server].is_some() {
             self.reap();
             std::thread::sleep(std::time::Duration::from_millis(2));
         }
@@ -380,52 +396,55 @@
 
     /// Notes which processes have ended, and how much memory the others have taken.
     pub fn reap(&mut self) {
-        for of in 0..self.processes.len() {
-            let Some(child) = &mut self.processes[of] else { continue };
+        for server in 0..self.processes.len() {
+            let Some(child) = &mut self.processes[server] else { continue };
             let (id, ended) = (child.id(), child.try_wait().ok().flatten());
             let memory = memory_kb(id);
-            if let Some(life) = self.process_incarnations.iter_mut().rev().find(|life| life.server == of) {
-                life.peak_memory_kb = life.peak_memory_kb.max(memory);
+            if let Some(process) =
+                self.process_incarnations.iter_mut().rev().find(|process| process.server == server)
+            {
+                process.peak_memory_kb = process.peak_memory_kb.max(memory);
                 if let Some(status) = ended {
-                    (life.ended_ms, life.exit_status) = (Some(now_ms()), status.code());
+                    (process.ended_ms, process.exit_status) = (Some(now_ms()), status.code());
                 }
             }
             if ended.is_some() {
-                (self.processes[of], self.stopped[of]) = (None, None);
+                (self.processes[server], self.suspended_since_ms[server]) = (None, None);
             }
         }
     }
 
     /// The last lines of those that do not run.
     pub fn last_log_lines(&self) -> String {
-        let gone = (0..self.plan.servers).filter(|of| !self.is_running(*of));
-        let said = gone.map(|of| {
-            let text = std::fs::read_to_string(self.log_file(of)).unwrap_or_default();
+        let not_running = (0..self.plan.servers).filter(|server| !self.is_running(*server));
+        let log_ends = not_running.map(|server| {
+            let text = std::fs::read_to_string(self.log_file(server)).unwrap_or_default();
             let last: Vec<&str> = text.lines().rev().take(3).collect();
-            format!("n{of}: {}", last.into_iter().rev().collect::<Vec<_>>().join(" / "))
+            format!("n{server}: {}", last.into_iter().rev().collect::<Vec<_>>().join(" / "))
         });
-        said.collect::<Vec<_>>().join("\n")
+        log_ends.collect::<Vec<_>>().join("\n")
     }
 
     /// All leave in good order.
     pub fn stop_all(&mut self) {
-        for of in 0..self.plan.servers {
-            self.go_on(of);
-            self.term(of);
+        for server in 0..self.plan.servers {
+            self.resume(server);
+            self.terminate(server);
         }
-        for of in 0..self.plan.servers {
-            self.wait(of, STOP_MS + 8000);
+        for server in 0..self.plan.servers {
+            self.wait_for_exit(server, STOP_MS + 8000);
         }
     }
 }
 
 /// The first net from a number on that no other run on this machine has.
-pub(crate) fn claim_net(from: u32) -> std::io::Result<(u8, TcpListener)> {
+pub(crate) fn claim_network(from: u32) -> std::io::Result<(u8, TcpListener)> {
     /// Networks in 127.0.0.0/8 that a run may take.
-    const NETS: u32 = 180;
-    let net = |i: u32| 64 + (from.wrapping_add(i) % NETS) as u8;
-    let claim = |net: u8| TcpListener::bind((Ipv4Addr::new(127, net, 250, 250), 7999)).map(|l| (net, l));
-    (0..NETS).map(|i| claim(net(i))).find(Result::is_ok).unwrap_or_else(|| claim(net(0)))
+    const NETWORKS: u32 = 180;
+    let network = |i: u32| 64 + (from.wrapping_add(i) % NETWORKS) as u8;
+    let claim =
+        |network: u8| TcpListener::bind((Ipv4Addr::new(127, network, 250, 250), 7999)).map(|l| (network, l));
+    (0..NETWORKS).map(|i| claim(network(i))).find(Result::is_ok).unwrap_or_else(|| claim(network(0)))
 }
 
 fn memory_kb(id: u32) -> u64 {
@@ -442,7 +461,7 @@
             let _ = child.wait();
         }
         if std::env::var("HAZELSPUR_KEEP").is_err() {
-            let _ = std::fs::remove_dir_all(&self.folder);
+            let _ = std::fs::remove_dir_all(&self.directory);
         }
     }
 }
--- a/crates/hazelspur-fault-harness/tests/scripts.rs
+++ b/crates/hazelspur-fault-harness/tests/scripts.rs
@@ -7,13 +7,13 @@
 use hazelspur_test_doubles::gateway::{Attempt, Response};
 
 #[test]
-fn a_script_reads_as_it_is_written_and_says_what_is_wrong() {
+fn scripts_round_trip_as_text_and_invalid_ones_are_rejected() {
     for seed in 0..500 {
         let script = Script::random(seed, 24, 4, 12_000);
         assert!(!script.0.is_empty() && script.end_ms() <= 12_000, "{script}");
         assert_eq!(script.to_string().parse(), Ok(script));
     }
-    let wrong = [
+    let invalid = [
         "2+5 cut east",
         "2+5 kill east west",
         "2 kill n1",
@@ -25,8 +25,8 @@
         "2+5 stop ledger",
         "1+1 lose:101 n1 n2",
     ];
-    let said: Vec<String> =
-        wrong.iter().map(|text| text.parse::<Script>().expect_err(text).to_string()).collect();
+    let errors: Vec<String> =
+        invalid.iter().map(|text| text.parse::<Script>().expect_err(text).to_string()).collect();
     expect_test::expect![[r#"
         "2+5 cut east": a link has two ends
         "2+5 kill east west": one party is enough
@@ -38,21 +38,21 @@
         kill:3: takes no number
         "2+5 stop ledger": not with ledger
         lose:101: needs a number from 0 to 100, as in lose:5"#]]
-    .assert_eq(&said.join("\n"));
+    .assert_eq(&errors.join("\n"));
 }
 
 #[test]
-fn a_failing_script_is_shrunk_to_what_fails() {
+fn shrinking_leaves_only_the_faults_that_fail() {
     let script: Script = "1+1 kill n1; 2+1 stop n2; 3+1 cut east west; 4+1 kill n3".parse().expect("good");
-    let both = |script: &Script| {
+    let contains_both = |script: &Script| {
         let text = script.to_string();
         text.contains("stop n2") && text.contains("kill n3")
     };
-    assert_eq!(script.shrunk(both).to_string(), "2+1 stop n2; 4+1 kill n3");
+    assert_eq!(script.shrunk(contains_both).to_string(), "2+1 stop n2; 4+1 kill n3");
 }
 
-fn sound() -> Evidence {
-    let of = |request: &str, request_class, server: usize, sent_ms| Attempt {
+fn evidence_without_breaches() -> Evidence {
+    let attempt = |request: &str, request_class, server: usize, sent_ms| Attempt {
         request: request.into(),
         attempt_id: format!("{request}-at-n{server}"),
         request_class,
@@ -64,7 +64,7 @@
         crossed_goodbye: false,
         corrupted: false,
     };
-    let life = |server| ProcessIncarnation {
+    let process = |server| ProcessIncarnation {
         server,
         started_ms: 0,
         notice_ms: Some(200_000),
@@ -80,7 +80,7 @@
         fleet_size: FleetSize { min: 2, max: 2 },
         other_members: vec![(format!("n{}", 1 - server), MemberStatus::Alive)],
     };
-    let ran = |request: &str, server: usize| WorkerRecord {
+    let worker_record = |request: &str, server: usize| WorkerRecord {
         run_started_ms: [(format!("{request}-at-n{server}"), 100_010)].into(),
         runs_by_request: [(request.to_string(), 1)].into(),
         max_concurrent_runs: 3,
@@ -88,9 +88,9 @@
     Evidence {
         servers: 2,
         script_started_ms: 50_000,
-        attempts: vec![vec![of("a", "book", 0, 100_000), of("b", "view", 1, 100_000)]],
-        worker_records: vec![ran("a", 0), ran("b", 1)],
-        process_incarnations: vec![life(0), life(1)],
+        attempts: vec![vec![attempt("a", "book", 0, 100_000), attempt("b", "view", 1, 100_000)]],
+        worker_records: vec![worker_record("a", 0), worker_record("b", 1)],
+        process_incarnations: vec![process(0), process(1)],
         views: vec![view(0, 100_000), view(1, 100_000)],
         last_views: vec![Some(view(0, 199_000)), Some(view(1, 199_000))],
         effects: [("a-at-n0".to_string(), 1)].into(),
@@ -105,10 +105,10 @@
 }
 
 #[test]
-fn the_checker_finds_one_planted_fault_of_each_kind() {
-    assert_eq!(sound().breaches(), Vec::<String>::new());
-    type Plant = fn(&mut Evidence);
-    let plants: [Plant; 17] = [
+fn checker_reports_each_planted_breach() {
+    assert_eq!(evidence_without_breaches().breaches(), Vec::<String>::new());
+    type Change = fn(&mut Evidence);
+    let changes: [Change; 17] = [
         |e| e.attempts[0][0].responses.push((Response::Succeeded, 100_060)),
         |e| e.attempts[0][0].responses.clear(),
         |e| (e.attempts[0][0].responses, e.attempts[0][0].disconnected_ms) = (Vec::new(), Some(100_020)),
@@ -127,12 +127,12 @@
         |e| (e.views[0].fleet_size.min, e.views[0].fleet_size.max) = (1, 1),
         |e| e.last_views[1] = None,
     ];
-    let mut seen = String::new();
-    for plant in plants {
-        let mut evidence = sound();
-        plant(&mut evidence);
-        let found = evidence.breaches();
-        seen += &format!("{}\n", found.first().map_or("nothing", |breach| breach));
+    let mut reported = String::new();
+    for change in changes {
+        let mut evidence = evidence_without_breaches();
+        change(&mut evidence);
+        let breaches = evidence.breaches();
+        reported += &format!("{}\n", breaches.first().map_or("nothing", |breach| breach));
     }
     expect_test::expect![[r#"
         a (a-at-n0) of g0 at n0 has 2 answers
@@ -153,12 +153,12 @@
         n0 said 1 to 1 where 2 to 2 were
         at last n1 (west) says None
     "#]]
-    .assert_eq(&seen);
+    .assert_eq(&reported);
 }
 
 #[test]
-fn faults_elsewhere_excuse_nothing() {
-    let mut evidence = sound();
+fn only_faults_on_its_path_excuse_an_attempt() {
+    let mut evidence = evidence_without_breaches();
     evidence.attempts[0][0].responses.clear();
     let script: Script =
         "45+10 cut n0 ledger; 45+10 cut g1 n0; 45+10 cut n0 n1; 45+10 mute n0 list".parse().expect("good");
