--- a/crates/hazelspur-fault-harness/src/checker.rs
+++ b/crates/hazelspur-fault-harness/src/checker.rs
@@ -167,9 +167,9 @@
             |from: u64, to: u64| from <= *open_period.end() && to + MARGIN_MS >= *open_period.start();
         let on_path = |fault: &Fault| {
             let (gateway, server) = (Party::Gateway(gateway), Party::Server(attempt.server));
-            let Some(to) = fault.peer else { return false };
-            fault.target.covers(gateway) && to.covers(server)
-                || fault.target.covers(server) && to.covers(gateway)
+            let Some(peer) = fault.peer else { return false };
+            fault.target.covers(gateway) && peer.covers(server)
+                || fault.target.covers(server) && peer.covers(gateway)
         };
         let period = |fault: &Fault| {
             (self.script_started_ms + fault.start_ms, self.script_started_ms + fault.end_ms())
@@ -276,9 +276,9 @@
                 continue;
             }
             if process.exit_status != Some(0) || ended_ms > notice_ms + self.stop_ms + RESPONSE_SLACK_MS {
-                let took = ended_ms.saturating_sub(notice_ms);
+                let after_notice_ms = ended_ms.saturating_sub(notice_ms);
                 breaches.push(format!(
-                    "n{} ended with {:?}, {took} ms after its notice",
+                    "n{} ended with {:?}, {after_notice_ms} ms after its notice",
                     process.server, process.exit_status
                 ));
             }
--- a/crates/hazelspur-fault-harness/src/main.rs
+++ b/crates/hazelspur-fault-harness/src/main.rs
@@ -124,9 +124,9 @@
         match (&self.script, self.seed) {
             (Some(text), _) => Ok(vec![(1, text.parse().map_err(anyhow::Error::msg).context("--script")?)]),
             (None, Some(first)) => {
-                let random =
+                let draw =
                     |seed| (seed, Script::random(seed, self.servers, self.gateways, self.seconds * 1000));
-                Ok((first..first + self.seeds).map(random).collect())
+                Ok((first..first + self.seeds).map(draw).collect())
             }
             (None, None) => Ok(vec![(1, DEFAULT_SCRIPT.parse().map_err(anyhow::Error::msg)?)]),
         }
@@ -149,13 +149,14 @@
     /// Plays a plan and prints the views of the fleet as they change, and its figures.
     fn play_and_show(&self, plan: Plan) -> anyhow::Result<Verdict> {
         let mut previous = String::new();
-        let mut on_views = |at: u64, views: &[Option<hazelspur_fault_harness::observer::FleetView>]| {
-            let current = summary(views);
-            if !self.quiet && current != previous {
-                println!("{:6.1} s  {current}", at as f64 / 1000.0);
-                previous = current;
-            }
-        };
+        let mut on_views =
+            |elapsed_ms: u64, views: &[Option<hazelspur_fault_harness::observer::FleetView>]| {
+                let current = summary(views);
+                if !self.quiet && current != previous {
+                    println!("{:6.1} s  {current}", elapsed_ms as f64 / 1000.0);
+                    previous = current;
+                }
+            };
         let verdict = play(plan, &mut on_views)?;
         println!("{}", verdict.figures());
         Ok(verdict)
--- a/crates/hazelspur-fault-harness/src/observer.rs
+++ b/crates/hazelspur-fault-harness/src/observer.rs
@@ -29,7 +29,7 @@
     socket: UdpSocket,
     key: Key,
     installation: Installation,
-    number: u32,
+    last_query_number: u32,
 }
 
 impl FleetObserver {
@@ -40,7 +40,7 @@
             socket,
             key: Key::from_text(key).map_err(std::io::Error::other)?,
             installation: Installation::new(installation).ok_or(std::io::Error::other("installation"))?,
-            number: 0,
+            last_query_number: 0,
         })
     }
 
@@ -51,8 +51,8 @@
         let mut view: Option<FleetView> = None;
         let mut bytes = vec![0; datagram::MAX_DATAGRAM_BYTES + 1];
         loop {
-            self.number += 1;
-            let query_number = self.number;
+            self.last_query_number += 1;
+            let query_number = self.last_query_number;
             let query = Datagram {
                 installation: self.installation,
                 sender: MemberUpdate {
--- a/crates/hazelspur-fault-harness/src/run.rs
+++ b/crates/hazelspur-fault-harness/src/run.rs
@@ -80,28 +80,28 @@
     let script_started_ms = now_ms();
     let script = fleet.plan.script.clone();
     let mut transitions: Vec<(u64, usize, bool)> = Vec::new();
-    for (i, fault) in script.0.iter().enumerate().filter(|(_, fault)| !fault.kind.targets_link()) {
+    for (index, fault) in script.0.iter().enumerate().filter(|(_, fault)| !fault.kind.targets_link()) {
         if !matches!(fault.kind, FaultKind::ClockOffset(_)) {
-            transitions.extend([(fault.start_ms, i, true), (fault.end_ms(), i, false)]);
+            transitions.extend([(fault.start_ms, index, true), (fault.end_ms(), index, false)]);
         }
     }
-    transitions.sort_by_key(|(at, i, begins)| (*at, !*begins, *i));
+    transitions.sort_by_key(|(at_ms, index, begins)| (*at_ms, !*begins, *index));
     transitions.reverse();
     let end_ms = script.end_ms() + 3000;
     let (mut all_views, mut next_query_ms) = (Vec::new(), 0);
     loop {
-        let at = now_ms() - script_started_ms;
-        while let Some((_, i, begins)) = transitions.pop_if(|(at_ms, ..)| *at_ms <= at) {
-            fleet.apply(&script.0[i], begins).with_context(|| script.0[i].to_string())?;
+        let elapsed_ms = now_ms() - script_started_ms;
+        while let Some((_, index, begins)) = transitions.pop_if(|(at_ms, ..)| *at_ms <= elapsed_ms) {
+            fleet.apply(&script.0[index], begins).with_context(|| script.0[index].to_string())?;
         }
         fleet.reap();
-        if at >= next_query_ms {
-            next_query_ms = at + QUERY_INTERVAL_MS;
+        if elapsed_ms >= next_query_ms {
+            next_query_ms = elapsed_ms + QUERY_INTERVAL_MS;
             views = query_views(&mut fleet, &mut observer);
-            on_views(at, &views);
+            on_views(elapsed_ms, &views);
             all_views.extend(views.iter().flatten().cloned());
         }
-        if at >= end_ms && transitions.is_empty() {
+        if elapsed_ms >= end_ms && transitions.is_empty() {
             break;
         }
         std::thread::sleep(STEP_INTERVAL);
@@ -124,8 +124,8 @@
     let attempts = fleet.gateways.iter_mut().map(|gateway| gateway.finish()).collect();
     fleet.stop_all();
     let evidence = collect_evidence(&fleet, (script_started_ms, attempts, all_views, last_views));
-    let read = |server| std::fs::read_to_string(fleet.log_file(server)).unwrap_or_default();
-    let logs = (0..servers).map(read).collect();
+    let read_log = |server| std::fs::read_to_string(fleet.log_file(server)).unwrap_or_default();
+    let logs = (0..servers).map(read_log).collect();
     Ok(Verdict { breaches: evidence.breaches(), evidence, agreement_ms, startup_ms, logs })
 }
 
@@ -143,8 +143,8 @@
         std::thread::sleep(Duration::from_millis(200));
         fleet.reap();
         let views = query_views(fleet, observer);
-        let all = views.iter().all(|view| is_complete(view, servers));
-        if all && fleet.registry.list.listed(0).len() == servers {
+        let all_complete = views.iter().all(|view| is_complete(view, servers));
+        if all_complete && fleet.registry.list.listed(0).len() == servers {
             return Ok((views, now_ms() - started_ms));
         }
         let error = || format!("the fleet did not come up: {}\n{}", summary(&views), fleet.last_log_lines());
@@ -168,7 +168,7 @@
             max_concurrent_runs: worker_state.max_concurrent_runs,
         }
     });
-    let state = fleet.dependency.state();
+    let dependency_state = fleet.dependency.state();
     Evidence {
         servers: fleet.plan.servers,
         faults: fleet.plan.script.0.clone(),
@@ -179,9 +179,9 @@
         process_incarnations: fleet.process_incarnations.clone(),
         views,
         last_views,
-        effects: state.effects.clone(),
-        max_concurrent_calls: state.max_concurrent_calls,
-        max_mean_concurrent_calls: state.max_mean_concurrency(CALL_AVERAGING_WINDOW),
+        effects: dependency_state.effects.clone(),
+        max_concurrent_calls: dependency_state.max_concurrent_calls,
+        max_mean_concurrent_calls: dependency_state.max_mean_concurrency(CALL_AVERAGING_WINDOW),
         grace_ms: GRACE_MS,
         stop_ms: STOP_MS,
         memory_limit_kb: SERVER_MEMORY_LIMIT_KB,
--- a/crates/hazelspur-fault-harness/src/test_fleet.rs
+++ b/crates/hazelspur-fault-harness/src/test_fleet.rs
@@ -78,8 +78,8 @@
 
     /// One that votes in each site and two more, as far as there are servers.
     fn allocator_voters(&self) -> Vec<String> {
-        let allocator_voters = if self.servers >= 5 { 5 } else { 1 };
-        (0..allocator_voters).map(|server| format!("n{server}")).collect()
+        let count = if self.servers >= 5 { 5 } else { 1 };
+        (0..count).map(|server| format!("n{server}")).collect()
     }
 }
 
@@ -111,8 +111,8 @@
 }
 
 impl TestFleet {
-    fn address(&self, row: usize, server: usize, port: u16) -> SocketAddr {
-        SocketAddr::from((Ipv4Addr::new(127, self.network, row as u8, server as u8 + 1), port))
+    fn address(&self, third_octet: usize, server: usize, port: u16) -> SocketAddr {
+        SocketAddr::from((Ipv4Addr::new(127, self.network, third_octet as u8, server as u8 + 1), port))
     }
 
     /// All but the servers' processes and gateways.
@@ -173,12 +173,17 @@
                 ((server_party, Party::Registry), self.address(5, server, 7946), self.registry.address),
             ];
             links.extend((0..self.plan.gateways).map(|gateway| {
-                let ends = (Party::Gateway(gateway), server_party);
-                (ends, self.address(10 + gateway, server, 9000), self.address(1, server, 9000))
+                let endpoints = (Party::Gateway(gateway), server_party);
+                (endpoints, self.address(10 + gateway, server, 9000), self.address(1, server, 9000))
             }));
-            for (ends, listen, target) in links {
+            for (endpoints, listen, target) in links {
                 let (link_faults, refusals) = (self.link_faults.clone(), self.refusals.clone());
-                self.relay_runtime.block_on(relay::tcp(link_faults, ends, (listen, target), refusals))?;
+                self.relay_runtime.block_on(relay::tcp(
+                    link_faults,
+                    endpoints,
+                    (listen, target),
+                    refusals,
+                ))?;
             }
             let (listen, target) = (self.address(2, server, 7946), self.address(1, server, 7946));
             let seed = self.plan.seed ^ server as u64;
@@ -221,7 +226,7 @@
             return Ok(());
         }
         let settings_file = self.directory.join(format!("n{server}.json"));
-        let key = self.directory.join("key");
+        let key_file = self.directory.join("key");
         std::fs::write(&settings_file, self.settings(server))?;
         let contacts: Vec<String> =
             (0..self.plan.servers.min(3)).map(|server| self.address(2, server, 7946).to_string()).collect();
@@ -235,16 +240,16 @@
             String::new()
         };
         let operator_text = format!(
-            "fleet(\n    installation = {INSTALLATION:?},\n    site = {:?},\n    at = \"{}\",\n    listen = \"{}\",\n    contacts = {contacts:?},\n    key_file = {key:?},\n    most = {},\n{coordination})\n",
+            "fleet(\n    installation = {INSTALLATION:?},\n    site = {:?},\n    at = \"{}\",\n    listen = \"{}\",\n    contacts = {contacts:?},\n    key_file = {key_file:?},\n    most = {},\n{coordination})\n",
             SITES[site(server)],
             self.address(2, server, 7946),
             self.address(1, server, 7946),
             self.plan.max_servers,
         );
         std::fs::write(self.operator_file(server), operator_text)?;
-        let clock_offset_ms =
+        let server_faults =
             self.plan.script.0.iter().filter(|fault| fault.target.covers(Party::Server(server)));
-        let clock_offset_ms = clock_offset_ms
+        let clock_offset_ms = server_faults
             .filter_map(|fault| if let FaultKind::ClockOffset(ms) = fault.kind { Some(ms) } else { None })
             .sum::<i64>();
         let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log_file(server))?;
@@ -255,7 +260,7 @@
         let child = command.spawn().with_context(|| format!("{:?}", self.plan.server_binary))?;
         self.processes[server] = Some(child);
         self.process_incarnations.push(ProcessIncarnation {
-            server: server,
+            server,
             started_ms: now_ms(),
             ..ProcessIncarnation::default()
         });
@@ -288,25 +293,25 @@
 
     /// Starts all gateways.
     pub fn start_gateways(&mut self) {
-        for number in 0..self.plan.gateways {
+        for gateway in 0..self.plan.gateways {
             let gateway_settings = GatewaySettings {
-                by_request_hash: number % 2 == 1,
-                retries: [0, 1, 3, 8][number % 4],
-                retries_elsewhere: number % 3 != 2,
-                obeys_retry_after: number % 4 < 2,
+                by_request_hash: gateway % 2 == 1,
+                retries: [0, 1, 3, 8][gateway % 4],
+                retries_elsewhere: gateway % 3 != 2,
+                obeys_retry_after: gateway % 4 < 2,
                 requests_per_s: self.plan.rate / self.plan.gateways as f64,
-                list_age_ms: 1000 + 400 * (number as u64 % 4),
+                list_age_ms: 1000 + 400 * (gateway as u64 % 4),
                 timeout_ms: REQUEST_TIMEOUT_MS,
             };
             let servers =
-                (0..self.plan.servers).map(|server| self.address(10 + number, server, 9000)).collect();
+                (0..self.plan.servers).map(|server| self.address(10 + gateway, server, 9000)).collect();
             let list = self.registry.list.clone();
             let list_servers = Box::new(move || {
                 let names = list.listed(gateway_settings.list_age_ms);
                 names.iter().filter_map(|name| name.strip_prefix('n')?.parse().ok()).collect()
             });
-            let seed = self.plan.seed.wrapping_mul(31) + number as u64;
-            self.gateways.push(Gateway::start(number, gateway_settings, servers, list_servers, seed));
+            let seed = self.plan.seed.wrapping_mul(31) + gateway as u64;
+            self.gateways.push(Gateway::start(gateway, gateway_settings, servers, list_servers, seed));
         }
     }
 
@@ -365,11 +370,11 @@
     }
 
     fn resume(&mut self, server: usize) {
-        let suspended_ms = self.suspended_since_ms[server].take();
-        if let (Some(suspended_ms), Some(pid)) = (suspended_ms, self.pid(server)) {
+        let suspended_at_ms = self.suspended_since_ms[server].take();
+        if let (Some(suspended_at_ms), Some(pid)) = (suspended_at_ms, self.pid(server)) {
             let _ = kill(pid, Signal::SIGCONT);
             if let Some(process) = self.latest_process(server) {
-                process.suspensions.push((suspended_ms, now_ms()));
+                process.suspensions.push((suspended_at_ms, now_ms()));
             }
         }
     }
@@ -398,17 +403,17 @@
     pub fn reap(&mut self) {
         for server in 0..self.processes.len() {
             let Some(child) = &mut self.processes[server] else { continue };
-            let (id, ended) = (child.id(), child.try_wait().ok().flatten());
-            let memory = memory_kb(id);
+            let (pid, exit_status) = (child.id(), child.try_wait().ok().flatten());
+            let peak_memory_kb = peak_memory_kb(pid);
             if let Some(process) =
                 self.process_incarnations.iter_mut().rev().find(|process| process.server == server)
             {
-                process.peak_memory_kb = process.peak_memory_kb.max(memory);
-                if let Some(status) = ended {
+                process.peak_memory_kb = process.peak_memory_kb.max(peak_memory_kb);
+                if let Some(status) = exit_status {
                     (process.ended_ms, process.exit_status) = (Some(now_ms()), status.code());
                 }
             }
-            if ended.is_some() {
+            if exit_status.is_some() {
                 (self.processes[server], self.suspended_since_ms[server]) = (None, None);
             }
         }
@@ -441,14 +446,17 @@
 pub(crate) fn claim_network(from: u32) -> std::io::Result<(u8, TcpListener)> {
     /// Networks in 127.0.0.0/8 that a run may take.
     const NETWORKS: u32 = 180;
-    let network = |i: u32| 64 + (from.wrapping_add(i) % NETWORKS) as u8;
+    let network = |offset: u32| 64 + (from.wrapping_add(offset) % NETWORKS) as u8;
     let claim =
         |network: u8| TcpListener::bind((Ipv4Addr::new(127, network, 250, 250), 7999)).map(|l| (network, l));
-    (0..NETWORKS).map(|i| claim(network(i))).find(Result::is_ok).unwrap_or_else(|| claim(network(0)))
+    (0..NETWORKS)
+        .map(|offset| claim(network(offset)))
+        .find(Result::is_ok)
+        .unwrap_or_else(|| claim(network(0)))
 }
 
-fn memory_kb(id: u32) -> u64 {
-    let status = std::fs::read_to_string(Path::new("/proc").join(id.to_string()).join("status"));
+fn peak_memory_kb(pid: u32) -> u64 {
+    let status = std::fs::read_to_string(Path::new("/proc").join(pid.to_string()).join("status"));
     let status = status.unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
     line.and_then(|rest| rest.trim().trim_end_matches(" kB").parse().ok()).unwrap_or(0)
--- a/crates/hazelspur-fault-harness/tests/scripts.rs
+++ b/crates/hazelspur-fault-harness/tests/scripts.rs
@@ -109,23 +109,29 @@
     assert_eq!(evidence_without_breaches().breaches(), Vec::<String>::new());
     type Change = fn(&mut Evidence);
     let changes: [Change; 17] = [
-        |e| e.attempts[0][0].responses.push((Response::Succeeded, 100_060)),
-        |e| e.attempts[0][0].responses.clear(),
-        |e| (e.attempts[0][0].responses, e.attempts[0][0].disconnected_ms) = (Vec::new(), Some(100_020)),
-        |e| e.attempts[0][0].responses[0].1 = 109_000,
-        |e| e.attempts[0][0].corrupted = true,
-        |e| e.attempts[0][0].responses[0].0 = Response::Rejected,
-        |e| e.worker_records[1].runs_by_request.extend([("a".to_string(), 1)]),
-        |e| e.effects.extend([("a-at-n0".to_string(), 2)]),
-        |e| e.process_incarnations[0].notice_ms = Some(98_000),
-        |e| e.process_incarnations[0].exit_status = Some(1),
-        |e| (e.process_incarnations[0].notice_ms, e.process_incarnations[0].ended_ms) = (None, Some(150_000)),
-        |e| e.process_incarnations[0].peak_memory_kb = 65_000,
-        |e| e.worker_records[0].max_concurrent_runs = 17,
-        |e| e.max_concurrent_calls = 17,
-        |e| e.views[0].fleet_size.min = 3,
-        |e| (e.views[0].fleet_size.min, e.views[0].fleet_size.max) = (1, 1),
-        |e| e.last_views[1] = None,
+        |evidence| evidence.attempts[0][0].responses.push((Response::Succeeded, 100_060)),
+        |evidence| evidence.attempts[0][0].responses.clear(),
+        |evidence| {
+            (evidence.attempts[0][0].responses, evidence.attempts[0][0].disconnected_ms) =
+                (Vec::new(), Some(100_020))
+        },
+        |evidence| evidence.attempts[0][0].responses[0].1 = 109_000,
+        |evidence| evidence.attempts[0][0].corrupted = true,
+        |evidence| evidence.attempts[0][0].responses[0].0 = Response::Rejected,
+        |evidence| evidence.worker_records[1].runs_by_request.extend([("a".to_string(), 1)]),
+        |evidence| evidence.effects.extend([("a-at-n0".to_string(), 2)]),
+        |evidence| evidence.process_incarnations[0].notice_ms = Some(98_000),
+        |evidence| evidence.process_incarnations[0].exit_status = Some(1),
+        |evidence| {
+            (evidence.process_incarnations[0].notice_ms, evidence.process_incarnations[0].ended_ms) =
+                (None, Some(150_000))
+        },
+        |evidence| evidence.process_incarnations[0].peak_memory_kb = 65_000,
+        |evidence| evidence.worker_records[0].max_concurrent_runs = 17,
+        |evidence| evidence.max_concurrent_calls = 17,
+        |evidence| evidence.views[0].fleet_size.min = 3,
+        |evidence| (evidence.views[0].fleet_size.min, evidence.views[0].fleet_size.max) = (1, 1),
+        |evidence| evidence.last_views[1] = None,
     ];
     let mut reported = String::new();
     for change in changes {
