--- a/crates/hazelspur-fault-harness/src/checker.rs
+++ b/crates/hazelspur-fault-harness/src/checker.rs
@@ -1,5 +1,12 @@
-//! Judges the four rules over the whole fleet by what the test doubles saw and what was done to the processes. What a
-//! server says of itself does not count, except for its view of the fleet, which is judged too.
+//! Checks the rules that a run must keep, from what the test doubles recorded and what was done to the
+//! processes:
+//!
+//! 1. each attempt gets one response in time, unless a fault on its path excuses it;
+//! 2. a request that is not safe to repeat takes effect at most once, and a rejected attempt never ran;
+//! 3. a draining server runs nothing that arrives after the grace period, and exits in time with status 0;
+//! 4. memory, concurrent runs and concurrent calls stay within their limits.
+//!
+//! The servers' views of the fleet are checked too; nothing else that a server reports about itself counts.
 
 use crate::observer::FleetView;
 use crate::script::{Fault, Party, site};
@@ -7,92 +14,94 @@
 use hazelspur_test_doubles::gateway::{Attempt, Response};
 use std::collections::BTreeMap;
 
-/// An answer may be so late before that counts, in ms: the machine that tests run on may be busy, and the
-/// verdict is not to hang on that. How many were later than the protocol allows is a figure of the report.
+/// Time after which a late response, or a late exit of a process, is a breach, in milliseconds. The protocol
+/// allows responses 50 ms, but the machine that runs the tests may be busy, which must not decide the
+/// verdict; [`Evidence::count_late`] counts the responses that were later than the 50 ms.
 pub const RESPONSE_SLACK_MS: u64 = 5000;
-/// A fault reaches so far beyond its own time, in ms.
+/// Tolerance between the time of a fault and the attempts that it excuses, in milliseconds.
 const MARGIN_MS: u64 = 300;
-/// The same for runs after the grace of a drain.
+/// Time after the grace period of a drain in which an arriving attempt may still run, in milliseconds.
 const GRACE_SLACK_MS: u64 = 1000;
-/// A picture may count those who ended less than this long ago, and miss those who began less than that long
-/// ago.
+/// Time after the end of its process in which a server may still be counted in views, in milliseconds.
 pub const REMOVAL_MS: u64 = 90_000;
-/// Time after its start in which a server may be missing from views, in milliseconds.
+/// Time after the start of its process in which a server may be missing from views, in milliseconds.
 pub const JOIN_MS: u64 = 30_000;
 
-/// One life of a server's process.
+/// One process incarnation of a server.
 #[derive(Clone, Debug, Default)]
 pub struct ProcessIncarnation {
-    /// The server.
+    /// Number of the server.
     pub server: usize,
-    /// When it started, in Unix milliseconds.
+    /// Time of the start, in Unix milliseconds.
     pub started_ms: u64,
-    /// When it got SIGTERM, and how it ended.
+    /// Time at which SIGTERM was sent, in Unix milliseconds; `None` if it was not sent.
     pub notice_ms: Option<u64>,
-    /// When it ended, in Unix milliseconds.
+    /// Time at which the exit was observed, in Unix milliseconds; `None` while the process runs.
     pub ended_ms: Option<u64>,
-    /// Whether it was killed.
+    /// Whether the script killed the process with SIGKILL.
     pub killed: bool,
-    /// Its exit status.
+    /// Exit status; `None` while the process runs, or if a signal ended it.
     pub exit_status: Option<i32>,
-    /// When it stood still.
+    /// Periods between SIGSTOP and SIGCONT, as start and end in Unix milliseconds.
     pub suspensions: Vec<(u64, u64)>,
-    /// The most memory that it took, in kB.
+    /// Peak resident memory, in kB.
     pub peak_memory_kb: u64,
 }
 
-/// What a runtime saw.
+/// Runs that the worker of one server recorded.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerRecord {
-    /// When a run began, by the try that it was started for.
+    /// Start of each run in Unix milliseconds, by the id of the attempt that it was started for.
     pub run_started_ms: BTreeMap<String, u64>,
-    /// How often each request ran.
+    /// Number of runs of each request.
     pub runs_by_request: BTreeMap<String, usize>,
-    /// The highest number of concurrent runs.
+    /// Highest number of concurrent runs.
     pub max_concurrent_runs: usize,
 }
 
-/// What a run left to be judged.
+/// Records of a run that the rules are checked against, and the limits that apply.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// Servers.
+    /// Number of servers.
     pub servers: usize,
-    /// The script, and when it began; milliseconds since 1970.
+    /// Faults of the script.
     pub faults: Vec<Fault>,
-    /// When the script began, in Unix milliseconds.
+    /// Start of the script, in Unix milliseconds.
     pub script_started_ms: u64,
-    /// By gateway.
+    /// Attempts of each gateway, indexed by gateway.
     pub attempts: Vec<Vec<Attempt>>,
-    /// Connections that were refused behind a relay.
+    /// Connections that a relay accepted but whose target refused them: client, server and time in Unix
+    /// milliseconds.
     pub refusals: Vec<(Party, Party, u64)>,
-    /// By server.
+    /// Runs that each worker recorded, indexed by server.
     pub worker_records: Vec<WorkerRecord>,
-    /// All processes of servers.
+    /// All process incarnations of all servers, in the order of their starts.
     pub process_incarnations: Vec<ProcessIncarnation>,
     /// Views of the fleet during the run.
     pub views: Vec<FleetView>,
-    /// At the very end, with all faults over: the last picture of each.
+    /// Last view of each server after all faults, indexed by server; `None` if it did not answer.
     pub last_views: Vec<Option<FleetView>>,
-    /// Calls that took effect, by the request's reference.
+    /// Number of dependency calls that took effect, by attempt id.
     pub effects: BTreeMap<String, u32>,
-    /// The highest number of concurrent calls.
+    /// Highest number of concurrent dependency calls.
     pub max_concurrent_calls: usize,
-    /// The most that were in hand on average over the time that the settings name.
+    /// Highest mean number of concurrent dependency calls over any
+    /// [`CALL_AVERAGING_WINDOW`](crate::test_fleet::CALL_AVERAGING_WINDOW).
     pub max_mean_concurrent_calls: f64,
-    /// Grace period, in milliseconds.
+    /// Grace period of a drain, in milliseconds.
     pub grace_ms: u64,
-    /// Time to the end of a process, in milliseconds.
+    /// Time that a server may take from the shutdown notice to its exit, in milliseconds.
     pub stop_ms: u64,
-    /// Memory that a server may take, in kB.
+    /// Memory that a server may use, in kB.
     pub memory_limit_kb: u64,
-    /// Concurrent runs that a worker may have.
+    /// Highest allowed number of concurrent runs of a worker.
     pub run_limit: usize,
-    /// Concurrent calls that the dependency may have.
+    /// Highest allowed number of concurrent calls of the dependency.
     pub call_limit: usize,
 }
 
 impl Evidence {
-    /// All breaches of the rules, in words.
+    /// Checks all rules and returns a description of each breach.
     pub fn breaches(&self) -> Vec<String> {
         let mut breaches = Vec::new();
         self.check_responses(&mut breaches);
@@ -103,21 +112,22 @@
         breaches
     }
 
-    /// Answers that were later than the protocol's 50 ms, though not so late as to count here.
+    /// Returns the number of attempts whose first response came more than 50 ms after it was due, which the
+    /// protocol does not allow. Only those later than [`RESPONSE_SLACK_MS`] are breaches.
     pub fn count_late(&self) -> usize {
         let late =
             |attempt: &&Attempt| attempt.responses.first().is_some_and(|(_, at)| *at > attempt.due_ms + 50);
         self.attempts.iter().flatten().filter(late).count()
     }
 
-    /// Attempts whose first response is this one.
+    /// Returns the number of attempts whose first response is this one.
     pub fn count_first_responses(&self, response: Response) -> usize {
         let first =
             |attempt: &&Attempt| attempt.responses.first().is_some_and(|(first, _)| *first == response);
         self.attempts.iter().flatten().filter(first).count()
     }
 
-    /// Rule 1: each try that was read gets one answer in time.
+    /// Checks rule 1: one response in time for each attempt, with the data of a run.
     fn check_responses(&self, breaches: &mut Vec<String>) {
         for (gateway, attempts) in self.attempts.iter().enumerate() {
             for attempt in attempts {
@@ -158,8 +168,10 @@
         }
     }
 
-    /// A fault between gateway and server, or of the server's process, while the try was open. Faults
-    /// elsewhere excuse nothing.
+    /// Returns whether an attempt may stay without a response: while it was open, the link between its
+    /// gateway and its server had a fault, or the server's process was suspended, killed or draining, or the
+    /// server refused the connection, or the attempt crossed the server's goodbye message. Faults elsewhere
+    /// excuse nothing.
     fn excused(&self, gateway: usize, attempt: &Attempt) -> bool {
         let end = attempt.responses.first().map_or(attempt.due_ms + RESPONSE_SLACK_MS, |(_, at)| *at);
         let open_period = attempt.sent_ms.saturating_sub(MARGIN_MS)..=end;
@@ -185,7 +197,8 @@
                 |process| {
                     let suspended = process.suspensions.iter().any(|(from, to)| overlaps(*from, *to));
                     let killed = process.killed && process.ended_ms.is_some_and(|at| overlaps(at, at));
-                    // What is read before the notice is answered; what comes later may meet a closed door.
+                    // A server answers what it read before the shutdown notice; later attempts may find it
+                    // closed.
                     let draining = process.notice_ms.is_some_and(|at| {
                         attempt.sent_ms + MARGIN_MS >= at
                             && process.ended_ms.is_none_or(|end| attempt.sent_ms <= end + MARGIN_MS)
@@ -199,8 +212,8 @@
                 && *at + 20 >= attempt.sent_ms
                 && attempt.disconnected_ms.is_some_and(|disconnected_ms| *at <= disconnected_ms + 20)
         };
-        // Sent while the server's farewell was under way: it closed what had nothing open, and never read
-        // this.
+        // An attempt that was sent while the goodbye message was on its way is never read: the server had
+        // already closed the connection, on which nothing was open.
         let never_ran = self
             .worker_records
             .get(attempt.server)
@@ -211,7 +224,8 @@
             || self.refusals.iter().any(refused_onward)
     }
 
-    /// Rule 2, over all servers together.
+    /// Checks rule 2 over all servers together: a rejected attempt never ran, and requests of all classes but
+    /// `view` ran at most once and made at most one dependency call.
     fn check_single_effects(&self, breaches: &mut Vec<String>) {
         let mut request_classes: BTreeMap<&str, &str> = BTreeMap::new();
         for attempt in self.attempts.iter().flatten() {
@@ -247,7 +261,9 @@
         }
     }
 
-    /// Rule 3.
+    /// Checks rule 3: no runs for attempts sent after the grace period, an exit in time with status 0 after
+    /// the shutdown notice, and no exit without a notice or a kill. A process that was killed or suspended
+    /// during its drain need not exit in time.
     fn check_drains(&self, breaches: &mut Vec<String>) {
         for process in &self.process_incarnations {
             let Some(notice_ms) = process.notice_ms else { continue };
@@ -292,7 +308,7 @@
         }
     }
 
-    /// Rule 4.
+    /// Checks rule 4: limits of memory, concurrent runs and concurrent calls.
     fn check_limits(&self, breaches: &mut Vec<String>) {
         for process in
             self.process_incarnations.iter().filter(|process| process.peak_memory_kb > self.memory_limit_kb)
@@ -321,8 +337,9 @@
         }
     }
 
-    /// At all times no picture counts more for sure than there can be, or fewer at most than there surely
-    /// are; at last all show the same.
+    /// Checks the servers' views. During the run, the lower bound of a view's fleet size must not exceed the
+    /// servers that may be members, nor its upper bound fall short of those that must be. At the end each
+    /// server must be healthy and see all others as alive.
     fn check_views(&self, breaches: &mut Vec<String>) {
         for view in &self.views {
             let at = view.at_ms;
--- a/crates/hazelspur-fault-harness/src/link_faults.rs
+++ b/crates/hazelspur-fault-harness/src/link_faults.rs
@@ -1,33 +1,35 @@
-//! Which rule holds between two parties now.
+//! Computes the faults in effect on the link between two parties, from the script and the time since its
+//! start.
 
 use crate::script::{FaultKind, Party, Script};
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// What holds one way of a link.
+/// Faults in effect on one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkCondition {
-    /// Connections end and none is made.
+    /// Whether connections are closed, new ones are closed at once, and datagrams are dropped.
     pub cut: bool,
-    /// They end with a reset.
+    /// Whether connections that `cut` closes end with a TCP reset.
     pub reset: bool,
-    /// Nothing arrives.
+    /// Whether nothing is delivered although connections stay open; bytes already read are held back.
     pub mute: bool,
-    /// Connections are accepted and never read.
+    /// Whether connections are accepted and not read, so that the sender meets a full buffer; datagrams are
+    /// dropped.
     pub swallow: bool,
-    /// One byte each millisecond.
+    /// Whether connections carry one byte per millisecond.
     pub slow: bool,
-    /// Everything is late by so much, in milliseconds.
+    /// Delay of bytes and datagrams, in milliseconds.
     pub delay_ms: u64,
-    /// Datagrams are late by up to so much, in milliseconds.
+    /// Largest random extra delay of a datagram, in milliseconds, which changes the order of datagrams.
     pub reorder_ms: u64,
-    /// Hundredths.
+    /// Share of datagrams that are dropped, in percent.
     pub loss_percent: u64,
-    /// Datagrams sent twice, in hundredths.
+    /// Share of datagrams that are sent twice, in percent.
     pub duplicate_percent: u64,
 }
 
-/// The faults of links at each moment of a run.
+/// Faults of all links over the time of a run; clones share one start time.
 #[derive(Clone)]
 pub struct LinkFaults {
     script: Arc<Script>,
@@ -35,23 +37,25 @@
 }
 
 impl LinkFaults {
-    /// Fair until `begin`.
+    /// Creates the faults of a script, none of which is in effect until [`start`](Self::start).
     pub fn new(script: Script) -> Self {
         Self { script: Arc::new(script), started: Arc::default() }
     }
 
-    /// Starts the script now.
+    /// Starts the script.
     pub fn start(&self) {
-        *self.started.lock().expect("no panic before") = Some(Instant::now());
+        *self.started.lock().expect("lock not poisoned") = Some(Instant::now());
     }
 
-    /// Milliseconds since the script began.
+    /// Returns the time since the start of the script in milliseconds, or `None` before it.
     pub fn elapsed_ms(&self) -> Option<u64> {
-        let started = *self.started.lock().expect("no panic before");
+        let started = *self.started.lock().expect("lock not poisoned");
         started.map(|started| started.elapsed().as_millis() as u64)
     }
 
-    /// The rule from one to the other now.
+    /// Returns the faults in effect now on the direction from one party to another. A cut or reset applies to
+    /// both directions, since it closes the connection; other faults go from the target of the fault to its
+    /// peer.
     pub fn condition_between(&self, from: Party, to: Party) -> LinkCondition {
         let Some(elapsed_ms) = self.elapsed_ms() else { return LinkCondition::default() };
         let mut condition = LinkCondition::default();
--- a/crates/hazelspur-fault-harness/src/main.rs
+++ b/crates/hazelspur-fault-harness/src/main.rs
@@ -1,4 +1,5 @@
-//! A fleet on this machine with faults between its servers, its pictures as they change, and a verdict.
+//! Command line of the fault harness: runs a fleet on this machine under scripted faults, prints the servers'
+//! views of the fleet as they change, and the verdict.
 
 use anyhow::Context;
 use clap::{Args, Parser, Subcommand};
@@ -11,7 +12,11 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(name = "hazelspur-fault-harness", version, about = "Many real servers with faults between them")]
+#[command(
+    name = "hazelspur-fault-harness",
+    version,
+    about = "Runs many servers and injects faults between them"
+)]
 struct CommandLine {
     #[command(subcommand)]
     command: Command,
@@ -19,57 +24,60 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays a script, or one drawn from each seed; exit status 1 where a rule is broken.
+    /// Runs one script, or one random script per seed; exits with status 1 if a rule is broken.
     Run(RunOptions),
-    /// A fleet of a few real servers and many lightweight members: what a member costs by size; exit status 1
-    /// where they did not agree.
+    /// Runs a few real servers and many lightweight members, and reports the cost of a member by fleet size;
+    /// exits with status 1 if the members did not agree on the fleet.
     #[command(name = "hollow")]
     Lightweight(command::Line),
-    /// Drains one server after the other while its clients go on using their connections until the kill; exit status
-    /// 1 where a rule is broken.
+    /// Drains one server after another while clients use their connections until the process is killed; exits
+    /// with status 1 if a rule is broken.
     Endings(Options),
-    /// Serves lightweight members by lines on its input; started by `hollow`.
+    /// Runs lightweight members, commanded by lines on standard input; started by `hollow`.
     #[command(name = command::HIDDEN, hide = true)]
     LightweightMembers,
 }
 
-/// Options of `run`.
+/// Options of the subcommand `run`.
 #[derive(Args)]
 struct RunOptions {
-    /// Servers, in three sites by turns.
+    /// Number of servers, assigned to three sites in turn.
     #[arg(long, default_value_t = 12)]
     servers: usize,
+    /// Number of gateways.
     #[arg(long, default_value_t = 4)]
     gateways: usize,
-    /// Requests a second of all gateways.
+    /// Requests per second of all gateways together.
     #[arg(long, default_value_t = 60.0)]
     rate: f64,
-    /// Faults over time, as in "2+5 cut east west; 3+4 stop n4; 8+2 kill north".
+    /// Timed faults, as in "2+5 cut east west; 3+4 stop n4; 8+2 kill north".
     #[arg(long, conflicts_with = "seed")]
     script: Option<String>,
-    /// Draws the script; so many seeds from this one on are played.
+    /// Seed of the first random script; `--seeds` sets the number of scripts.
     #[arg(long)]
     seed: Option<u64>,
+    /// Number of consecutive seeds to run.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Faults of drawn scripts fall within so many seconds.
+    /// Time within which the faults of random scripts fall, in seconds.
     #[arg(long, default_value_t = 12)]
     seconds: u64,
-    /// Leaves out faults one by one while a rule stays broken.
+    /// Reduces a script that breaks a rule, by leaving out faults one by one while a rule stays broken.
     #[arg(long)]
     shrink: bool,
-    /// Servers go by what they hear of each other, and share the ledger's slots by leases.
+    /// Lets servers act on each other's load reports and share the dependency's slots by leases.
     #[arg(long = "joint")]
     coordinated: bool,
-    /// Only the verdict.
+    /// Leaves out the servers' views of the fleet.
     #[arg(long)]
     quiet: bool,
-    /// The server's program; otherwise the one beside this.
+    /// Path of the server binary; the default is `hazelspur-server` in the directory of this program.
     #[arg(long)]
     server: Option<PathBuf>,
 }
 
-/// What the one command of the README shows: a site cut off, a stop, a kill, a drain.
+/// Script of a run without `--script` and `--seed`: a site is cut off, a server is suspended, a site is
+/// killed and a server drains. The README shows this run.
 const DEFAULT_SCRIPT: &str = "2+12 cut west servers; 5+9 stop n3; 18+4 kill north; 24+3 term n1";
 
 fn main() -> ExitCode {
@@ -114,12 +122,16 @@
         let server_binary = self.server.clone().unwrap_or(default_binary);
         anyhow::ensure!(
             server_binary.exists(),
-            "{server_binary:?} is not there: build it, or name it by --server"
+            "server binary {server_binary:?} not found: build it or pass its path with --server"
         );
         Ok(server_binary)
     }
 
-    /// The scripts to play, each with its seed.
+    /// Returns the scripts to run, each with its seed, which is 1 for scripts that are not random.
+    ///
+    /// # Errors
+    ///
+    /// Fails if `--script` cannot be parsed.
     fn scripts(&self) -> anyhow::Result<Vec<(u64, Script)>> {
         match (&self.script, self.seed) {
             (Some(text), _) => Ok(vec![(1, text.parse().map_err(anyhow::Error::msg).context("--script")?)]),
@@ -146,7 +158,8 @@
         }
     }
 
-    /// Plays a plan and prints the views of the fleet as they change, and its figures.
+    /// Runs a plan, prints the summary of the servers' views whenever it changes, and then the figures of the
+    /// run.
     fn play_and_show(&self, plan: Plan) -> anyhow::Result<Verdict> {
         let mut previous = String::new();
         let mut on_views =
@@ -174,7 +187,8 @@
     }
 }
 
-/// The script with the fewest faults that still breaks a rule.
+/// Returns a part of the script that still breaks a rule when run, after leaving out each fault that is not
+/// needed for that.
 fn shrink_script(script: &Script, plan: impl Fn(&Script) -> Plan) -> Script {
     let still_fails = |candidate: &Script| {
         println!("without one: {candidate}");
@@ -183,8 +197,9 @@
     script.shrunk(still_fails)
 }
 
+/// Prints the verdict, and returns whether all rules held.
 fn print_verdict(verdict: &Verdict) -> bool {
-    /// Breaches that are printed.
+    /// Highest number of breaches printed.
     const MAX_PRINTED_BREACHES: usize = 20;
     if verdict.breaches.is_empty() {
         println!("verdict: all rules held");
--- a/crates/hazelspur-fault-harness/src/observer.rs
+++ b/crates/hazelspur-fault-harness/src/observer.rs
@@ -1,4 +1,4 @@
-//! What each server says of the fleet while it runs, asked as its operator would ask.
+//! Queries running servers for their views of the fleet, with the datagrams that the operator's command uses.
 
 use hazelspur::Timestamp;
 use hazelspur_fleet::datagram::{self, Body, Datagram};
@@ -9,18 +9,18 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-/// One picture, as far as it matters here.
+/// View of the fleet that one server returned.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetView {
-    /// The server.
+    /// Number of the server.
     pub server: usize,
-    /// Milliseconds since 1970 of the answer.
+    /// Time at which the first reply arrived, in Unix milliseconds.
     pub at_ms: u64,
-    /// What it says of itself.
+    /// Server's status of itself.
     pub local_status: LocalStatus,
-    /// What it says of the fleet's size.
+    /// Bounds of the fleet size.
     pub fleet_size: FleetSize,
-    /// Name and standing of all others.
+    /// Name and status of all other members.
     pub other_members: Vec<(String, MemberStatus)>,
 }
 
@@ -33,18 +33,24 @@
 }
 
 impl FleetObserver {
-    /// Opens a socket; errors name what is wrong with the key or the installation.
+    /// Opens a socket for queries.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no socket can be bound, or if the key or the name of the installation is invalid.
     pub fn new(key: &str, installation: &str) -> std::io::Result<Self> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         Ok(Self {
             socket,
             key: Key::from_text(key).map_err(std::io::Error::other)?,
-            installation: Installation::new(installation).ok_or(std::io::Error::other("installation"))?,
+            installation: Installation::new(installation)
+                .ok_or(std::io::Error::other("invalid name of the installation"))?,
             last_query_number: 0,
         })
     }
 
-    /// Asks one server at the address where it listens; `None` where it does not answer within that time.
+    /// Queries one server at its own membership address and returns its whole view, of which a reply holds
+    /// one page; `None` if a reply is missing when the timeout expires.
     pub fn query(&mut self, server: usize, address: SocketAddr, timeout: Duration) -> Option<FleetView> {
         let deadline = Instant::now() + timeout;
         let mut after_member = None;
--- a/crates/hazelspur-fault-harness/src/relay.rs
+++ b/crates/hazelspur-fault-harness/src/relay.rs
@@ -1,4 +1,5 @@
-//! Relays: what passes a link passes here, under the rule that holds just then.
+//! Relays of TCP connections and UDP datagrams that apply the faults in effect on the link between two
+//! parties.
 
 use crate::link_faults::LinkFaults;
 use crate::script::Party;
@@ -12,20 +13,25 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::time::sleep;
 
-/// How soon a connection that stands learns of a fault.
+/// Interval at which an open connection checks for faults.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// A connection's bytes under way.
+/// Size of the read buffer of one direction of a connection, in bytes.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// The longest datagram that is carried, in bytes.
+/// Size of the longest datagram that is relayed whole, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 2048;
-/// Datagrams held back by one relay.
+/// Highest number of delayed datagrams of one relay; further ones are dropped.
 const MAX_DELAYED_DATAGRAMS: usize = 4096;
 
-/// Connections that a relay took and its target did not: who asked whom, and when, in milliseconds since
-/// 1970. For the one who asked it looks like a connection that broke.
+/// Connections that a relay accepted but whose target refused them: client, server and time in Unix
+/// milliseconds. To the client such a connection looks like one that broke.
 pub type Refusals = Arc<Mutex<Vec<(Party, Party, u64)>>>;
 
-/// Listens for one party on behalf of another; returns where.
+/// Starts a relay that accepts connections of `client` at `listen` and forwards them to `server` at `target`.
+/// Returns the address at which it listens.
+///
+/// # Errors
+///
+/// Fails if it cannot bind to `listen`.
 pub async fn tcp(
     link_faults: LinkFaults,
     (client, server): (Party, Party),
@@ -56,9 +62,9 @@
         return reset_on_drop_if(&client_stream, condition.reset);
     }
     let _ = client_stream.set_nodelay(true);
-    // A refused connection has to be one for the client as well.
+    // The client must see an error too; the relay has already accepted, so it resets the connection.
     let Ok(server_stream) = TcpStream::connect(target).await else {
-        refusals.lock().expect("no panic before").push((client, server, hazelspur_test_doubles::now_ms()));
+        refusals.lock().expect("lock not poisoned").push((client, server, hazelspur_test_doubles::now_ms()));
         return reset_on_drop_if(&client_stream, true);
     };
     let _ = server_stream.set_nodelay(true);
@@ -80,14 +86,16 @@
     socket2::SockRef::from(stream).try_clone().ok()
 }
 
+/// Makes a connection end with a reset when it is dropped, if `reset` is set.
 fn reset_on_drop_if(stream: &TcpStream, reset: bool) {
     if reset {
         let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
     }
 }
 
-/// Carries one way until an end closes or a fault ends it; whether by a reset. A close of one side ends both:
-/// the parties here never go on reading after that.
+/// Forwards one direction of a connection until an end closes it or a fault ends it, and returns whether to
+/// end it with a reset. A close by one end closes both directions, since no party of the harness reads on
+/// after it has closed.
 async fn relay_one_way(
     link_faults: &LinkFaults,
     from: Party,
@@ -117,7 +125,7 @@
         if condition.delay_ms > 0 {
             sleep(Duration::from_millis(condition.delay_ms)).await;
         }
-        // What was read just before a mute arrives after it.
+        // Bytes read just before the link went mute are held back until it recovers.
         while link_faults.condition_between(from, to).mute {
             sleep(POLL_INTERVAL).await;
         }
@@ -133,7 +141,12 @@
     }
 }
 
-/// Stands where a server is reached by datagrams, and tells senders apart by their sockets.
+/// Starts a relay that receives the datagrams for the party `to` at `listen` and forwards them to `target`.
+/// It tells senders apart by their addresses, and drops datagrams of unknown senders.
+///
+/// # Errors
+///
+/// Fails if it cannot bind to `listen`.
 pub async fn udp(
     link_faults: LinkFaults,
     to: Party,
@@ -149,7 +162,7 @@
         let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((length, sender)) = socket.recv_from(&mut bytes).await else { continue };
-            let from = senders.lock().expect("no panic before").get(&sender).copied();
+            let from = senders.lock().expect("lock not poisoned").get(&sender).copied();
             let Some(from) = from else { continue };
             let condition = link_faults.condition_between(from, to);
             let occurs = |generator: &mut Pcg, percent: u64| u64::from(generator.draw() % 100) < percent;
--- a/crates/hazelspur-fault-harness/src/run.rs
+++ b/crates/hazelspur-fault-harness/src/run.rs
@@ -1,4 +1,6 @@
-//! One run from its start to its verdict.
+//! Runs a plan from the start of its servers to the verdict: starts the fleet, applies the faults of the
+//! script, queries the servers' views throughout, waits for agreement, stops the fleet and checks the
+//! recorded evidence.
 
 use crate::checker::{Evidence, WorkerRecord};
 use crate::observer::{FleetObserver, FleetView};
@@ -13,37 +15,38 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Servers come up and find each other within this, in ms; an event is waited for, so a quick machine waits
-/// less.
+/// Longest time until all servers have started and found each other, in milliseconds; the run goes on as soon
+/// as they have.
 const STARTUP_TIMEOUT_MS: u64 = 60_000;
-/// At last all show one picture: within this after the last fault.
+/// Longest time after the faults until the views of all servers are complete, in milliseconds.
 const AGREEMENT_TIMEOUT_MS: u64 = 120_000;
-/// How often faults are applied.
+/// Interval at which due faults are applied.
 const STEP_INTERVAL: Duration = Duration::from_millis(5);
-/// Pictures are looked at so often, in ms.
+/// Interval between queries of all servers, in milliseconds.
 const QUERY_INTERVAL_MS: u64 = 1000;
-/// How long a server may take to answer a query.
+/// Time that a server may take to answer a query.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(120);
-/// A server may take so much memory, in KB.
+/// Memory that a server may use, in kB.
 const SERVER_MEMORY_LIMIT_KB: u64 = 64 * 1024;
 
-/// What came out.
+/// Outcome of a run.
 #[derive(Clone, Debug)]
 pub struct Verdict {
-    /// Breaches of the rules, in words.
+    /// Description of each breach of a rule; empty if all rules held.
     pub breaches: Vec<String>,
-    /// What they were found in.
+    /// Evidence that the rules were checked against.
     pub evidence: Evidence,
-    /// From the last fault's end until all showed one picture; none if that did not come.
+    /// Time from the end of the last fault until all views were complete, in milliseconds; `None` if they
+    /// never were.
     pub agreement_ms: Option<u64>,
-    /// How long the start of all took, in milliseconds.
+    /// Time until all servers had started and found each other, in milliseconds.
     pub startup_ms: u64,
-    /// What each server's lives have logged; no part of the verdict.
+    /// Log of each server over all its process incarnations, indexed by server; not part of the verdict.
     pub logs: Vec<String>,
 }
 
 impl Verdict {
-    /// The figures of the run, in words.
+    /// Returns the figures of the run as one line of text.
     pub fn figures(&self) -> String {
         let evidence = &self.evidence;
         let attempts: usize = evidence.attempts.iter().map(Vec::len).sum();
@@ -64,10 +67,15 @@
     }
 }
 
-/// What is told while it runs.
+/// Callback for the servers' views: the time since the start of the script in milliseconds, and the view of
+/// each server, `None` if it did not answer.
 pub type OnViews<'a> = &'a mut dyn FnMut(u64, &[Option<FleetView>]);
 
-/// Plays a run and judges it; `tell` gets each change of the servers' views.
+/// Runs a plan and checks its evidence; `on_views` is called after each query of all servers.
+///
+/// # Errors
+///
+/// Fails if the fleet cannot be created, does not agree in time at its start, or a fault cannot be applied.
 pub fn play(plan: Plan, on_views: OnViews<'_>) -> anyhow::Result<Verdict> {
     let servers = plan.servers;
     let mut fleet = TestFleet::new(plan)?;
@@ -87,12 +95,15 @@
     }
     transitions.sort_by_key(|(at_ms, index, begins)| (*at_ms, !*begins, *index));
     transitions.reverse();
+    // The servers run on for 3 s after the last fault before agreement is awaited.
     let end_ms = script.end_ms() + 3000;
     let (mut all_views, mut next_query_ms) = (Vec::new(), 0);
     loop {
         let elapsed_ms = now_ms() - script_started_ms;
         while let Some((_, index, begins)) = transitions.pop_if(|(at_ms, ..)| *at_ms <= elapsed_ms) {
-            fleet.apply(&script.0[index], begins).with_context(|| script.0[index].to_string())?;
+            fleet
+                .apply(&script.0[index], begins)
+                .with_context(|| format!("applying the fault {}", script.0[index]))?;
         }
         fleet.reap();
         if elapsed_ms >= next_query_ms {
@@ -129,8 +140,13 @@
     Ok(Verdict { breaches: evidence.breaches(), evidence, agreement_ms, startup_ms, logs })
 }
 
-/// Starts all servers and waits until they are listed and show one picture; the pictures, and how long that
-/// took in ms.
+/// Starts all servers and waits until the registry lists them and their views are complete. Returns the views
+/// and the time that it took, in milliseconds.
+///
+/// # Errors
+///
+/// Fails if a server cannot be started, or if the servers do not agree in time; the error holds the last
+/// views, and the last log lines of servers that do not run.
 pub fn start_and_wait_for_agreement(
     fleet: &mut TestFleet,
     observer: &mut FleetObserver,
@@ -147,11 +163,19 @@
         if all_complete && fleet.registry.list.listed(0).len() == servers {
             return Ok((views, now_ms() - started_ms));
         }
-        let error = || format!("the fleet did not come up: {}\n{}", summary(&views), fleet.last_log_lines());
+        let error = || {
+            format!(
+                "servers did not agree on the fleet within {STARTUP_TIMEOUT_MS} ms: {}\n{}",
+                summary(&views),
+                fleet.last_log_lines()
+            )
+        };
         anyhow::ensure!(now_ms() < started_ms + STARTUP_TIMEOUT_MS, error());
     }
 }
 
+/// Start of the script in Unix milliseconds, attempts by gateway, views during the run, and last view of each
+/// server.
 type Observations =
     (u64, Vec<Vec<hazelspur_test_doubles::gateway::Attempt>>, Vec<FleetView>, Vec<Option<FleetView>>);
 
@@ -174,7 +198,7 @@
         faults: fleet.plan.script.0.clone(),
         script_started_ms,
         attempts,
-        refusals: fleet.refusals.lock().expect("no panic before").clone(),
+        refusals: fleet.refusals.lock().expect("lock not poisoned").clone(),
         worker_records: worker_records.collect(),
         process_incarnations: fleet.process_incarnations.clone(),
         views,
@@ -189,12 +213,14 @@
         call_limit: if fleet.plan.coordinated {
             fleet.plan.slots()
         } else {
-            // One at a time is each server's, whatever its part is, and one that it has just given up.
+            // Each server may have one call open however small its part is, and another one that it has just
+            // given up while the dependency still works on it.
             ((fleet.plan.calls_per_server * fleet.plan.servers as f64) as usize).max(2 * fleet.plan.servers)
         },
     }
 }
 
+/// Queries the view of each server that runs; `None` for those that do not run or do not answer.
 fn query_views(fleet: &mut TestFleet, observer: &mut FleetObserver) -> Vec<Option<FleetView>> {
     (0..fleet.plan.servers)
         .map(|server| {
@@ -207,6 +233,7 @@
         .collect()
 }
 
+/// Returns whether a server answered, is healthy and sees all other servers as alive.
 fn is_complete(view: &Option<FleetView>, servers: usize) -> bool {
     view.as_ref().is_some_and(|view| {
         let alive = view.other_members.iter().filter(|(_, status)| *status == MemberStatus::Alive).count();
@@ -214,7 +241,7 @@
     })
 }
 
-/// How many servers show what, in one line.
+/// Returns one line that groups the servers by the content of their views.
 pub fn summary(views: &[Option<FleetView>]) -> String {
     let mut servers_by_text: BTreeMap<String, Vec<String>> = BTreeMap::new();
     for (server, view) in views.iter().enumerate() {
--- a/crates/hazelspur-fault-harness/src/script.rs
+++ b/crates/hazelspur-fault-harness/src/script.rs
@@ -1,111 +1,116 @@
-//! Faults over time. A script is a line: `2+5 cut east west; 3+10 stop n4; 8+2 kill site:north`, each with
-//! the second of its beginning, how many seconds it lasts, what it is and between whom. A fault between two
-//! goes one way, from the first to the second, but for `cut` and `reset`, which end connections.
+//! Scripts of timed faults, read from and written as one line of text, as in `2+5 cut east west; 3+10 stop
+//! n4; 8+2 kill north`. Each fault has its start and duration in seconds, its kind, and one or two parties. A
+//! fault of a link applies to one direction, from the first party to the second, except that `cut` and
+//! `reset` apply to both, since they end connections.
 
 use hazelspur::pcg::Pcg;
 use std::fmt;
 use std::str::FromStr;
 use thiserror::Error;
 
-/// Faults that a script may have.
+/// Highest number of faults in a script.
 const MAX_FAULTS: usize = 200;
-/// The furthest that a wall clock may be apart, in milliseconds.
+/// Largest offset of a wall clock in either direction, in milliseconds.
 const MAX_CLOCK_OFFSET_MS: i64 = 60_000;
-/// The latest second of a script.
+/// Largest start and largest duration of a fault, in seconds.
 const MAX_SECONDS: f64 = 3600.0;
 
-/// Why a script is refused.
+/// Reason for which the text of a script is rejected.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ScriptError {
-    /// There is no such party.
-    #[error("{0}: no such party")]
+    /// Unknown name of a party.
+    #[error(
+        "unknown party {0:?}; parties are servers as in n0, gateways as in g0, workers as in r0, east, west, north, servers, gateways, ledger and list"
+    )]
     UnknownParty(String),
-    /// There is no such fault.
-    #[error("{0}: no such fault")]
+    /// Unknown name of a fault.
+    #[error("unknown fault {0:?}")]
     UnknownFault(String),
-    /// A fault's figure is no whole number.
-    #[error("{0}: not a whole number")]
+    /// Value of a fault that is not a whole number.
+    #[error("{0:?}: the value of the fault is not a whole number")]
     NotWholeNumber(String),
-    /// A fault's figure is missing or out of range.
-    #[error("{text}: needs a number from 0 to {max}, as in {word}:5")]
+    /// Value of a fault that is missing or out of range.
+    #[error("{text:?}: the fault needs a whole number from 0 to {max}, as in {word}:5")]
     ValueOutOfRange {
-        /// The fault as written.
+        /// Text of the fault.
         text: String,
-        /// The largest figure.
+        /// Largest allowed value.
         max: u64,
-        /// The fault's word.
+        /// Name of the fault.
         word: String,
     },
-    /// A clock is to be too far apart.
-    #[error("apart:MS up to {MAX_CLOCK_OFFSET_MS}")]
+    /// Clock offset that is missing or out of range.
+    #[error(
+        "the fault apart needs a clock offset from -{MAX_CLOCK_OFFSET_MS} to {MAX_CLOCK_OFFSET_MS} ms, as in apart:1500"
+    )]
     ClockOffsetOutOfRange,
-    /// A fault takes no figure.
-    #[error("{0}: takes no number")]
+    /// Value of a fault that takes none.
+    #[error("{0:?}: the fault takes no value")]
     UnexpectedValue(String),
-    /// A fault has too few words.
-    #[error("{0:?}: as in 2+5 cut east west")]
+    /// Fault with too few words.
+    #[error("{0:?}: expected times, fault and parties, as in 2+5 cut east west")]
     Incomplete(String),
-    /// A fault has too many words.
-    #[error("{0:?}: too many words")]
+    /// Fault with too many words.
+    #[error("{0:?}: too many words, expected times, fault and at most two parties")]
     TooManyWords(String),
-    /// A time is no number of seconds.
-    #[error("{0}: not seconds up to {MAX_SECONDS}")]
+    /// Start or duration that is not a number of seconds in range.
+    #[error("{0:?}: expected a number of seconds from 0 to {MAX_SECONDS}")]
     InvalidSeconds(String),
-    /// A fault's beginning and length are not joined by a plus.
-    #[error("{0}: as in 2+5")]
+    /// Start and duration that are not joined by a plus sign.
+    #[error("{0:?}: expected start and duration in seconds, as in 2+5")]
     InvalidTimes(String),
-    /// A fault of a link has one end, or another fault two parties.
+    /// Fault of a link with one party, or other fault with two.
     #[error("{text:?}: {wanted}")]
     WrongParties {
-        /// The fault as written.
+        /// Text of the fault.
         text: String,
-        /// What is wanted.
+        /// Expected number of parties.
         wanted: &'static str,
     },
-    /// The fault does not go with the party.
-    #[error("{text:?}: not with {party}")]
+    /// Fault that does not apply to its party.
+    #[error("{text:?}: the fault does not apply to {party}")]
     UnsuitableParty {
-        /// The fault as written.
+        /// Text of the fault.
         text: String,
-        /// The party.
+        /// Party that the fault names.
         party: Party,
     },
-    /// There are too many faults.
-    #[error("more than {MAX_FAULTS} faults")]
+    /// Script with too many faults.
+    #[error("script has more than {MAX_FAULTS} faults")]
     TooManyFaults,
 }
 
-/// One party, or several at once.
+/// Party of a fault: one process or test double, or a group of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Party {
-    /// A server, by number.
+    /// Server with this number.
     Server(usize),
     /// All servers of the site with this number.
     Site(usize),
     /// All servers.
     Servers,
-    /// A gateway, by number.
+    /// Gateway with this number.
     Gateway(usize),
     /// All gateways.
     Gateways,
-    /// The worker of a server.
+    /// Worker of the server with this number.
     Worker(usize),
-    /// The shared dependency.
+    /// Shared dependency.
     Dependency,
-    /// The list of servers.
+    /// Registry of the servers.
     Registry,
 }
 
-/// Sites of the fleet.
+/// Names of the sites, indexed by number.
 pub const SITES: [&str; 3] = ["east", "west", "north"];
 
-/// The site of a server, by its number.
+/// Returns the number of the site that a server belongs to.
 pub fn site(server: usize) -> usize {
     server % SITES.len()
 }
 
 impl Party {
-    /// Whether this one is meant, or among those that are.
+    /// Returns whether the other party is this one or belongs to this group.
     pub fn covers(self, other: Self) -> bool {
         match (self, other) {
             (Self::Servers, Self::Server(_)) | (Self::Gateways, Self::Gateway(_)) => true,
@@ -153,53 +158,55 @@
     }
 }
 
-/// What goes wrong.
+/// Kind of a fault, with its value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
-    // ---- on a link ----
-    /// Connections end without a word and none is made; datagrams are lost.
+    // Faults of links.
+    /// Connections are closed without a reset, new ones are closed at once, and datagrams are dropped.
     Cut,
-    /// Connections end with a reset and none is made.
+    /// Connections are reset, new ones are reset at once, and datagrams are dropped.
     Reset,
-    /// Nothing arrives, though connections stand and are made: half open.
+    /// Nothing is delivered, although connections stay open and new ones are accepted.
     Mute,
-    /// Connections are accepted and never read.
+    /// Connections are accepted and not read, so that the sender meets a full buffer; datagrams are dropped.
     Swallow,
-    /// Everything comes later by so many ms.
+    /// Bytes and datagrams are delayed by this many milliseconds.
     Delay(u64),
-    /// A byte each millisecond.
+    /// Connections carry one byte per millisecond.
     Slow,
-    /// A share of datagrams, in hundredths, is lost, or comes twice.
+    /// This share of datagrams, in percent, is dropped.
     Loss(u64),
-    /// A share of datagrams, in hundredths, is sent twice.
+    /// This share of datagrams, in percent, is sent twice.
     Duplicate(u64),
-    /// Datagrams come in another order, up to so many ms late.
+    /// Datagrams are delayed by a random time of up to this many milliseconds, which changes their order.
     Reorder(u64),
-    // ---- on a process ----
-    /// SIGKILL; started again cold at the end.
+    // Faults of processes.
+    /// Servers are killed with SIGKILL, and started again at the end of the fault.
     Kill,
-    /// SIGSTOP, SIGCONT at the end.
+    /// Servers are suspended with SIGSTOP, and resumed with SIGCONT at the end of the fault.
     Suspend,
-    /// SIGTERM; started again at the end.
+    /// Servers are sent SIGTERM, and started again at the end of the fault.
     Terminate,
-    /// The wall clock of the whole run is so many ms apart, from its start on.
+    /// The wall clock of the servers is off by this many milliseconds for the whole run, whatever the times
+    /// of the fault.
     ClockOffset(i64),
-    // ---- on what all share ----
-    /// The ledger takes so many times as long.
+    // Faults of the shared dependency.
+    /// Calls of the dependency take this many times as long.
     Slowdown(u64),
 }
 
 impl FaultKind {
-    /// Whether it is a fault of processes.
+    /// Returns whether it is a fault of processes.
     pub fn targets_process(self) -> bool {
         matches!(self, Self::Kill | Self::Suspend | Self::Terminate | Self::ClockOffset(_))
     }
 
-    /// Whether it is a fault of links.
+    /// Returns whether it is a fault of links.
     pub fn targets_link(self) -> bool {
         !self.targets_process() && !matches!(self, Self::Slowdown(_))
     }
 
+    /// Returns the name of the fault in scripts, and its value if it has one.
     fn word_and_value(self) -> (&'static str, Option<i64>) {
         match self {
             Self::Cut => ("cut", None),
@@ -219,6 +226,7 @@
         }
     }
 
+    /// Parses a name with an optional value, as in `delay:200`.
     fn parse(text: &str) -> Result<Self, ScriptError> {
         let (word, value) = match text.split_once(':') {
             None => (text, None),
@@ -260,20 +268,20 @@
 /// One fault of a script.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    /// When it begins, in milliseconds from the script's beginning.
+    /// Start, in milliseconds since the start of the script.
     pub start_ms: u64,
-    /// How long it lasts, in milliseconds.
+    /// Duration, in milliseconds.
     pub duration_ms: u64,
-    /// What goes wrong.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// With whom; the first end of a link.
+    /// Affected party; for a fault of a link, the party whose traffic to the peer is affected.
     pub target: Party,
-    /// The other end of a link.
+    /// Other end of the link; `None` for faults of processes and of the dependency.
     pub peer: Option<Party>,
 }
 
 impl Fault {
-    /// When it ends, in milliseconds from the script's beginning.
+    /// Returns the end of the fault, in milliseconds since the start of the script.
     pub fn end_ms(&self) -> u64 {
         self.start_ms + self.duration_ms
     }
@@ -312,7 +320,11 @@
             _ => return Err(ScriptError::TooManyWords(text.into())),
         };
         if kind.targets_link() != peer.is_some() {
-            let wanted = if kind.targets_link() { "a link has two ends" } else { "one party is enough" };
+            let wanted = if kind.targets_link() {
+                "a fault of a link needs two parties"
+            } else {
+                "the fault takes one party"
+            };
             return Err(ScriptError::WrongParties { text: text.into(), wanted });
         }
         let target: Party = target.parse()?;
@@ -326,7 +338,7 @@
     }
 }
 
-/// Faults over time.
+/// Timed faults, in any order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Script(pub Vec<Fault>);
 
@@ -351,13 +363,15 @@
 }
 
 impl Script {
-    /// When its last fault ends, in milliseconds.
+    /// Returns the end of the last fault in milliseconds since the start, leaving out clock offsets; 0 if
+    /// there is none.
     pub fn end_ms(&self) -> u64 {
         let lasting = self.0.iter().filter(|fault| !matches!(fault.kind, FaultKind::ClockOffset(_)));
         lasting.map(Fault::end_ms).max().unwrap_or(0)
     }
 
-    /// Up to six faults within so many ms, on so many servers and gateways.
+    /// Returns a script drawn from a seed: one to six faults that end within so many milliseconds, on so many
+    /// servers and gateways.
     pub fn random(seed: u64, servers: usize, gateways: usize, within_ms: u64) -> Self {
         let mut generator = Pcg::new(seed);
         let mut pick = |n: usize| generator.draw() as usize % n.max(1);
@@ -403,7 +417,8 @@
         Self(faults.collect())
     }
 
-    /// The fewest faults that `fails` still holds for, found by leaving out one after the other.
+    /// Returns a part of the script for which `fails` still holds, found by leaving out one fault after
+    /// another. `fails` held for the whole script.
     pub fn shrunk(&self, mut fails: impl FnMut(&Self) -> bool) -> Self {
         let mut smallest = self.clone();
         let mut index = 0;
--- a/crates/hazelspur-fault-harness/src/test_fleet.rs
+++ b/crates/hazelspur-fault-harness/src/test_fleet.rs
@@ -1,6 +1,8 @@
-//! The processes and test doubles of one run. Each run has a network of its own in 127.0.0.0/8: servers in .1, their
-//! datagram relays in .2, workers in .3, dependency in .4 and list in .5 as each server reaches them, and each gateway's
-//! addresses of the servers from .10 on.
+//! Processes, relays and test doubles of one run. Each run has its own network 127.N.0.0/16. The third octet
+//! of an address is 1 for the servers themselves and 2 for their datagram relays; 3, 4 and 5 for the relays
+//! through which each server reaches its worker, the dependency and the registry; and 10 plus the gateway's
+//! number for the relays through which a gateway reaches the servers. The last octet is the server's number
+//! plus one.
 
 use crate::checker::ProcessIncarnation;
 use crate::link_faults::LinkFaults;
@@ -22,90 +24,94 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The text of the fleet's key.
+/// Text of the fleet's key.
 pub const KEY: &str = "a key for the fleet on this machine only";
-/// The installation's name.
+/// Name of the installation.
 pub const INSTALLATION: &str = "bed";
 /// Grace period of a drain, in milliseconds.
 pub const GRACE_MS: u64 = 300;
-/// Time from the shutdown notice to the end of a process, in milliseconds.
+/// Time that a server may take from the shutdown notice to its exit, in milliseconds.
 pub const STOP_MS: u64 = 1500;
-/// By when a request's caller has given up, and its run ends at its call.
+/// Timeout of a request, in milliseconds: its gateway gives up, and its run ends if it still waits for its
+/// call.
 const REQUEST_TIMEOUT_MS: u64 = 3000;
-/// Cores of each worker.
+/// Number of cores of each worker.
 pub const CORES: usize = 2;
-/// Concurrency limit of a worker, by core.
+/// Concurrency limit of a worker per core.
 pub const RUNS_PER_CORE: usize = 8;
-/// Calls that a server may have out, where nothing else is planned, and the time over which they are averaged.
+/// Usual limit of the mean number of concurrent dependency calls of one server.
 pub const CALLS_PER_SERVER: f64 = 8.0;
-/// The time over which concurrent calls are averaged.
+/// Window over which the number of concurrent dependency calls is averaged.
 pub const CALL_AVERAGING_WINDOW: Duration = Duration::from_secs(5);
-/// The most servers of a run.
+/// Highest number of servers of a run; an octet of an address holds the server's number.
 const MAX_SERVERS: usize = 200;
-/// The most gateways of a run.
+/// Highest number of gateways of a run; an octet of an address holds the gateway's number.
 const MAX_GATEWAYS: usize = 40;
-/// Runs of this process so far; part of each run's network and folder.
+/// Number of runs of this process so far, from which each run's network and directory are derived.
 static RUN_COUNT: AtomicU32 = AtomicU32::new(0);
 
-/// What a run consists of.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The server's program.
+    /// Path of the server binary.
     pub server_binary: PathBuf,
-    /// Servers.
+    /// Number of servers.
     pub servers: usize,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// The faults.
+    /// Timed faults.
     pub script: Script,
-    /// The seed of everything random.
+    /// Seed from which all random choices derive.
     pub seed: u64,
-    /// Requests a second of all gateways together.
+    /// Requests per second of all gateways together.
     pub rate: f64,
-    /// What the operator's file says is the most servers.
+    /// Highest number of servers that the operator's file states for the fleet.
     pub max_servers: usize,
-    /// A server's part of the calls that the ledger takes, by its settings.
+    /// Limit of the mean number of concurrent dependency calls that the settings give each server.
     pub calls_per_server: f64,
-    /// Servers go by what they hear of each other, and share the ledger's slots.
+    /// Whether servers act on each other's load reports and share the dependency's slots by leases.
     pub coordinated: bool,
 }
 
 impl Plan {
-    /// Slots of the ledger, and with `joint` what is shared of them.
+    /// Returns the number of concurrent calls that the dependency takes, which is also the shared limit if
+    /// the servers are coordinated.
     pub fn slots(&self) -> usize {
         self.servers * 2
     }
 
-    /// One that votes in each site and two more, as far as there are servers.
+    /// Returns the names of the servers that vote on the allocator: the first five, which cover all three
+    /// sites, or the first alone if there are fewer than five servers.
     fn allocator_voters(&self) -> Vec<String> {
         let count = if self.servers >= 5 { 5 } else { 1 };
         (0..count).map(|server| format!("n{server}")).collect()
     }
 }
 
-/// The processes, test doubles and relays of one run; all of them end with it.
+/// Processes, test doubles and relays of one run. Dropping it kills the processes and removes the directory,
+/// unless the environment variable `HAZELSPUR_KEEP` is set.
 pub struct TestFleet {
-    /// What it consists of.
+    /// Parameters of the run.
     pub plan: Plan,
     network: u8,
-    /// Holds the net against other runs on this machine for as long as the bed stands.
+    /// Listener that keeps other runs on this machine from taking the network.
     _network_claim: TcpListener,
     directory: PathBuf,
-    /// Faults on links.
+    /// Faults of the links.
     pub link_faults: LinkFaults,
-    /// Connections that were refused behind a relay.
+    /// Connections that a relay accepted but whose target refused them.
     pub refusals: Refusals,
-    /// The worker of each server.
+    /// Worker of each server, indexed by server.
     pub workers: Vec<Worker>,
-    /// The shared dependency.
+    /// Shared dependency.
     pub dependency: Dependency,
-    /// The list of servers.
+    /// Registry of the servers.
     pub registry: Registry,
     processes: Vec<Option<Child>>,
     suspended_since_ms: Vec<Option<u64>>,
-    /// All lives so far; the last one of a server is the one that runs.
+    /// All process incarnations so far; the last one of a server is the one that may run.
     pub process_incarnations: Vec<ProcessIncarnation>,
-    /// The gateways.
+    /// Gateways; empty until [`start_gateways`](Self::start_gateways).
     pub gateways: Vec<Gateway>,
     relay_runtime: tokio::runtime::Runtime,
 }
@@ -115,16 +121,30 @@
         SocketAddr::from((Ipv4Addr::new(127, self.network, third_octet as u8, server as u8 + 1), port))
     }
 
-    /// All but the servers' processes and gateways.
+    /// Creates the network, directory, test doubles and relays of a run; servers and gateways are started
+    /// later.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the number of servers or gateways is out of range, or if no network, directory or relay can
+    /// be created.
     pub fn new(plan: Plan) -> anyhow::Result<Self> {
-        anyhow::ensure!((1..=MAX_SERVERS).contains(&plan.servers), "1 to {MAX_SERVERS} servers");
-        anyhow::ensure!(plan.gateways <= MAX_GATEWAYS, "up to {MAX_GATEWAYS} gateways");
+        anyhow::ensure!(
+            (1..=MAX_SERVERS).contains(&plan.servers),
+            "number of servers is {}, allowed are 1 to {MAX_SERVERS}",
+            plan.servers
+        );
+        anyhow::ensure!(
+            plan.gateways <= MAX_GATEWAYS,
+            "number of gateways is {}, allowed are up to {MAX_GATEWAYS}",
+            plan.gateways
+        );
         let run = RUN_COUNT.fetch_add(1, Ordering::Relaxed);
-        let (network, claim) =
-            claim_network(std::process::id().wrapping_mul(13) + run).context("a net of its own")?;
+        let (network, claim) = claim_network(std::process::id().wrapping_mul(13) + run)
+            .context("claiming a network in 127.0.0.0/8")?;
         let directory = std::env::temp_dir().join(format!("hazelspur-bed-{}-{run}", std::process::id()));
         std::fs::create_dir_all(&directory)?;
-        // Once: a server that starts may be reading it.
+        // The key file is written once per run, since a starting server may be reading it.
         std::fs::write(directory.join("key"), KEY)?;
         let relay_runtime =
             tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
@@ -152,7 +172,7 @@
             relay_runtime,
             plan,
         };
-        fleet.start_relays().context("relays")?;
+        fleet.start_relays().context("starting the relays")?;
         Ok(fleet)
     }
 
@@ -200,27 +220,31 @@
         Ok(())
     }
 
-    /// Where a server listens for datagrams itself, past all relays.
+    /// Returns the address at which a server itself receives membership datagrams, without a relay.
     pub fn membership_address(&self, server: usize) -> SocketAddr {
         self.address(1, server, 7946)
     }
 
-    /// The operator's file of a server.
+    /// Returns the path of the operator's file of a server.
     pub fn operator_file(&self, server: usize) -> PathBuf {
         self.directory.join(format!("n{server}.star"))
     }
 
-    /// The log of a server.
+    /// Returns the path of the log of a server.
     pub fn log_file(&self, server: usize) -> PathBuf {
         self.directory.join(format!("n{server}.log"))
     }
 
-    /// Whether a server's process runs.
+    /// Returns whether the process of a server runs, as of the last [`reap`](Self::reap).
     pub fn is_running(&self, server: usize) -> bool {
         self.processes[server].is_some()
     }
 
-    /// A new life.
+    /// Starts a process of a server, unless one runs.
+    ///
+    /// # Errors
+    ///
+    /// Fails if its files cannot be written or the process cannot be started.
     pub fn start_server(&mut self, server: usize) -> anyhow::Result<()> {
         if self.processes[server].is_some() {
             return Ok(());
@@ -257,7 +281,7 @@
         command.env("ROUTER_CONFIG", &settings_file).arg("--file").arg(self.operator_file(server));
         command.arg(format!("--clock-apart-ms={clock_offset_ms}"));
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
-        let child = command.spawn().with_context(|| format!("{:?}", self.plan.server_binary))?;
+        let child = command.spawn().with_context(|| format!("starting {:?}", self.plan.server_binary))?;
         self.processes[server] = Some(child);
         self.process_incarnations.push(ProcessIncarnation {
             server,
@@ -267,6 +291,7 @@
         Ok(())
     }
 
+    /// Returns the content of the settings file of a server.
     fn settings(&self, server: usize) -> String {
         let settings = serde_json::json!({
             "family-info": {"n-cores": CORES, "mem-limit-kb": 100_000, "run-factor": 8, "stop-mode": "drop",
@@ -291,7 +316,7 @@
         .to_string()
     }
 
-    /// Starts all gateways.
+    /// Starts all gateways, which differ in retries, choice of servers and age of their list of servers.
     pub fn start_gateways(&mut self) {
         for gateway in 0..self.plan.gateways {
             let gateway_settings = GatewaySettings {
@@ -316,7 +341,7 @@
     }
 
     fn pid(&self, server: usize) -> Option<Pid> {
-        // Not waited for yet, so the number is still its own.
+        // The process id is not reused yet, since the child has not been waited for.
         self.processes[server].as_ref().map(|child| Pid::from_raw(child.id() as i32))
     }
 
@@ -324,12 +349,17 @@
         self.process_incarnations.iter_mut().rev().find(|process| process.server == server)
     }
 
-    /// The servers that a party names.
+    /// Returns the numbers of the servers that a party names.
     pub fn servers_of(&self, party: Party) -> Vec<usize> {
         (0..self.plan.servers).filter(|server| party.covers(Party::Server(*server))).collect()
     }
 
-    /// A fault of processes or of what all share begins, or ends.
+    /// Applies the begin or the end of a fault of processes or of the dependency. Faults of links, which the
+    /// relays apply, and clock offsets, which a process has from its start, have no effect here.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a server cannot be restarted.
     pub fn apply(&mut self, fault: &Fault, begins: bool) -> anyhow::Result<()> {
         let servers = self.servers_of(fault.target);
         match (fault.kind, begins) {
@@ -388,7 +418,7 @@
         }
     }
 
-    /// Waits for a process that was told to end; one that does not is killed, which counts as what it is.
+    /// Waits for the exit of a process that was killed or sent SIGTERM, at most for so many milliseconds.
     fn wait_for_exit(&mut self, server: usize, within_ms: u64) {
         let deadline_ms = now_ms() + within_ms;
         let exit_expected =
@@ -399,7 +429,7 @@
         }
     }
 
-    /// Notes which processes have ended, and how much memory the others have taken.
+    /// Records the processes that have exited, and the peak memory of all.
     pub fn reap(&mut self) {
         for server in 0..self.processes.len() {
             let Some(child) = &mut self.processes[server] else { continue };
@@ -419,7 +449,7 @@
         }
     }
 
-    /// The last lines of those that do not run.
+    /// Returns the last three log lines of each server that does not run.
     pub fn last_log_lines(&self) -> String {
         let not_running = (0..self.plan.servers).filter(|server| !self.is_running(*server));
         let log_ends = not_running.map(|server| {
@@ -430,7 +460,7 @@
         log_ends.collect::<Vec<_>>().join("\n")
     }
 
-    /// All leave in good order.
+    /// Resumes suspended servers, sends SIGTERM to all, and waits for their exit.
     pub fn stop_all(&mut self) {
         for server in 0..self.plan.servers {
             self.resume(server);
@@ -442,9 +472,14 @@
     }
 }
 
-/// The first net from a number on that no other run on this machine has.
+/// Claims the first network, counted from `from`, that no other run on this machine has. Returns its second
+/// octet and the listener that holds the claim.
+///
+/// # Errors
+///
+/// Fails if all networks are taken.
 pub(crate) fn claim_network(from: u32) -> std::io::Result<(u8, TcpListener)> {
-    /// Networks in 127.0.0.0/8 that a run may take.
+    /// Number of networks in 127.0.0.0/8 that a run may take.
     const NETWORKS: u32 = 180;
     let network = |offset: u32| 64 + (from.wrapping_add(offset) % NETWORKS) as u8;
     let claim =
@@ -455,6 +490,7 @@
         .unwrap_or_else(|| claim(network(0)))
 }
 
+/// Returns the peak resident memory of a process in kB, or 0 if it is unknown.
 fn peak_memory_kb(pid: u32) -> u64 {
     let status = std::fs::read_to_string(Path::new("/proc").join(pid.to_string()).join("status"));
     let status = status.unwrap_or_default();
--- a/crates/hazelspur-fault-harness/tests/scripts.rs
+++ b/crates/hazelspur-fault-harness/tests/scripts.rs
@@ -1,4 +1,5 @@
-//! Scripts as text, drawn and shrunk; and a checker that finds what is planted.
+//! Tests of scripts as text, drawn from seeds and shrunk, and of the checker on evidence with planted
+//! breaches.
 
 use hazelspur_fault_harness::checker::{Evidence, ProcessIncarnation, WorkerRecord};
 use hazelspur_fault_harness::observer::FleetView;
@@ -28,22 +29,23 @@
     let errors: Vec<String> =
         invalid.iter().map(|text| text.parse::<Script>().expect_err(text).to_string()).collect();
     expect_test::expect![[r#"
-        "2+5 cut east": a link has two ends
-        "2+5 kill east west": one party is enough
-        2: as in 2+5
-        x: not seconds up to 3600
-        burn: no such fault
-        x: no such party
-        delay: needs a number from 0 to 10000, as in delay:5
-        kill:3: takes no number
-        "2+5 stop ledger": not with ledger
-        lose:101: needs a number from 0 to 100, as in lose:5"#]]
+        "2+5 cut east": a fault of a link needs two parties
+        "2+5 kill east west": the fault takes one party
+        "2": expected start and duration in seconds, as in 2+5
+        "x": expected a number of seconds from 0 to 3600
+        unknown fault "burn"
+        unknown party "x"; parties are servers as in n0, gateways as in g0, workers as in r0, east, west, north, servers, gateways, ledger and list
+        "delay": the fault needs a whole number from 0 to 10000, as in delay:5
+        "kill:3": the fault takes no value
+        "2+5 stop ledger": the fault does not apply to ledger
+        "lose:101": the fault needs a whole number from 0 to 100, as in lose:5"#]]
     .assert_eq(&errors.join("\n"));
 }
 
 #[test]
 fn shrinking_leaves_only_the_faults_that_fail() {
-    let script: Script = "1+1 kill n1; 2+1 stop n2; 3+1 cut east west; 4+1 kill n3".parse().expect("good");
+    let script: Script =
+        "1+1 kill n1; 2+1 stop n2; 3+1 cut east west; 4+1 kill n3".parse().expect("valid script");
     let contains_both = |script: &Script| {
         let text = script.to_string();
         text.contains("stop n2") && text.contains("kill n3")
@@ -51,6 +53,8 @@
     assert_eq!(script.shrunk(contains_both).to_string(), "2+1 stop n2; 4+1 kill n3");
 }
 
+/// Returns the evidence of two servers that each answered one attempt and drained at the end, without a
+/// breach.
 fn evidence_without_breaches() -> Evidence {
     let attempt = |request: &str, request_class, server: usize, sent_ms| Attempt {
         request: request.into(),
@@ -104,6 +108,7 @@
     }
 }
 
+/// Each change breaks one rule in evidence that is otherwise without a breach; the checker must report it.
 #[test]
 fn checker_reports_each_planted_breach() {
     assert_eq!(evidence_without_breaches().breaches(), Vec::<String>::new());
@@ -162,24 +167,31 @@
     .assert_eq(&reported);
 }
 
+/// An attempt without a response is a breach unless a fault on its own path explains it: faults of other
+/// links, a refused connection that stayed open, and a goodbye message after the run do not.
 #[test]
 fn only_faults_on_its_path_excuse_an_attempt() {
     let mut evidence = evidence_without_breaches();
     evidence.attempts[0][0].responses.clear();
-    let script: Script =
-        "45+10 cut n0 ledger; 45+10 cut g1 n0; 45+10 cut n0 n1; 45+10 mute n0 list".parse().expect("good");
+    let script: Script = "45+10 cut n0 ledger; 45+10 cut g1 n0; 45+10 cut n0 n1; 45+10 mute n0 list"
+        .parse()
+        .expect("valid script");
     evidence.faults = script.0;
     assert_eq!(evidence.breaches().len(), 1);
-    let script: Script = "49+4 mute n0 gateways".parse().expect("good");
+    let script: Script = "49+4 mute n0 gateways".parse().expect("valid script");
     evidence.faults = script.0;
     assert_eq!(evidence.breaches(), Vec::<String>::new());
     evidence.faults.clear();
     evidence.refusals = vec![(Party::Gateway(0), Party::Server(0), 100_010)];
-    assert_eq!(evidence.breaches().len(), 1, "it was not broken");
+    assert_eq!(
+        evidence.breaches().len(),
+        1,
+        "the connection was refused but the attempt was not disconnected"
+    );
     evidence.refusals.clear();
     (evidence.attempts[0][0].disconnected_ms, evidence.attempts[0][0].crossed_goodbye) =
         (Some(100_010), true);
-    assert_eq!(evidence.breaches().len(), 1, "it ran, so it was read before the farewell");
+    assert_eq!(evidence.breaches().len(), 1, "it ran, so it was read before the goodbye message");
     evidence.worker_records[0].run_started_ms.clear();
     assert_eq!(evidence.breaches(), Vec::<String>::new());
 }
