--- a/crates/hazelspur-simulator/src/cli/choices.rs
+++ b/crates/hazelspur-simulator/src/cli/choices.rs
@@ -5,7 +5,7 @@
 use comfy_table::Table;
 use hazelspur_simulator::on_all_cores;
 use hazelspur_simulator::simulation::Coordination;
-use hazelspur_simulator::studies::choices::{Case, Hard, Outcome, play};
+use hazelspur_simulator::studies::choices::{Case, Outcome, Scenario, run_case};
 use std::time::Instant;
 
 /// Virtual seconds of one run, for the speed column.
@@ -90,30 +90,37 @@
 pub(crate) fn run(arguments: &ChoicesArguments) {
     let mut table = markdown_table(HEADER);
     for size in &arguments.sizes {
-        for hard in Hard::ALL.into_iter().filter(|hard| hard.name().contains(&arguments.case)) {
+        for scenario in Scenario::ALL.into_iter().filter(|scenario| scenario.name().contains(&arguments.case))
+        {
             let kinds = Coordination::ALL.into_iter().filter(|kind| kind.name().contains(&arguments.way));
-            let all: Vec<Runs> = kinds.map(|kind| play_all(arguments, hard, *size, kind)).collect();
+            let all: Vec<Runs> = kinds.map(|kind| play_all(arguments, scenario, *size, kind)).collect();
             let baselines = Baselines::of(&all);
-            all.iter().for_each(|runs| add_row(&mut table, hard, *size, runs, &baselines));
+            all.iter().for_each(|runs| add_row(&mut table, scenario, *size, runs, &baselines));
         }
     }
     println!("{table}");
 }
 
-fn play_all(arguments: &ChoicesArguments, hard: Hard, servers: usize, way: Coordination) -> Runs {
-    let cases: Vec<Case> =
-        (1..=arguments.seeds).map(|seed| Case { hard, way, servers, seed, floor: arguments.floor }).collect();
+fn play_all(
+    arguments: &ChoicesArguments,
+    scenario: Scenario,
+    servers: usize,
+    coordination: Coordination,
+) -> Runs {
+    let cases: Vec<Case> = (1..=arguments.seeds)
+        .map(|seed| Case { scenario, coordination, servers, seed, guaranteed_fraction: arguments.floor })
+        .collect();
     let began = Instant::now();
-    let outcomes = on_all_cores(&cases, arguments.threads, play);
+    let outcomes = on_all_cores(&cases, arguments.threads, run_case);
     let speed = RUN_S * (servers as u64 * arguments.seeds) as f64 / began.elapsed().as_secs_f64();
     if arguments.by_second {
         let by_second = &outcomes[0].figures.succeeded_by_second;
-        println!("{} {servers} {}: {by_second:?}", hard.name(), way.name());
+        println!("{} {servers} {}: {by_second:?}", scenario.name(), coordination.name());
     }
-    Runs { coordination: way, outcomes, speed }
+    Runs { coordination, outcomes, speed }
 }
 
-fn add_row(table: &mut Table, hard: Hard, servers: usize, runs: &Runs, baselines: &Baselines) {
+fn add_row(table: &mut Table, scenario: Scenario, servers: usize, runs: &Runs, baselines: &Baselines) {
     let Baselines { uncoordinated, oracle } = baselines;
     let pairs = runs.outcomes.iter().zip(uncoordinated);
     let gains: Vec<f64> = pairs.map(|(outcome, baseline)| outcome.service() - baseline).collect();
@@ -121,19 +128,19 @@
     let gap = oracle.map(|oracle| oracle - interval(uncoordinated).mean);
     let gap = gap.filter(|gap| gap.abs() >= MIN_GAP_TO_ORACLE);
     let part = gap.map_or("-".into(), |gap| format!("{:.2}", gain.mean / gap));
-    let in_force = runs.outcomes.iter().map(|outcome| outcome.most_in_force).fold(0.0, f64::max);
+    let in_force = runs.outcomes.iter().map(|outcome| outcome.max_in_force).fold(0.0, f64::max);
     let attempts = |o: &Outcome| o.figures.attempts as f64 / o.figures.requests.max(1) as f64;
     let calls_of_slots = |o: &Outcome| o.figures.max_concurrent_calls as f64 / o.slots;
     let unreachable_calls = |o: &Outcome| o.figures.unreachable_calls as f64 / COUNTED_S;
     let datagrams = |o: &Outcome| o.figures.datagrams as f64 / COUNTED_S / o.servers as f64;
     table.add_row([
-        hard.name().to_string(),
+        scenario.name().to_string(),
         servers.to_string(),
         runs.coordination.name().to_string(),
         format!("{:.3}", runs.mean(Outcome::service)),
         if uncoordinated.is_empty() { "-".into() } else { gain.to_string() },
         part,
-        format!("{:.2}", runs.mean(Outcome::worst_second)),
+        format!("{:.2}", runs.mean(Outcome::worst_second_ratio)),
         format!("{:.2}", runs.mean(attempts)),
         format!("{:.2}", runs.mean(calls_of_slots)),
         format!("{:.0}", runs.mean(unreachable_calls)),
--- a/crates/hazelspur-simulator/src/cli/scale.rs
+++ b/crates/hazelspur-simulator/src/cli/scale.rs
@@ -4,9 +4,11 @@
 use comfy_table::{Table, presets};
 use hazelspur::Duration;
 use hazelspur_simulator::on_all_cores;
-use hazelspur_simulator::studies::scale::points::{Point, Study, lines};
-use hazelspur_simulator::studies::scale::{Between, Case, Machine, SharesCase, Situation, play, play_shares};
-use hazelspur_simulator::studies::shares::Trouble;
+use hazelspur_simulator::studies::scale::points::{Point, Study, summarize};
+use hazelspur_simulator::studies::scale::{
+    Case, Links, ProtocolSet, Scenario, SharesCase, run_case, run_shares_case,
+};
+use hazelspur_simulator::studies::shares::Fault;
 use std::path::PathBuf;
 use std::time::Instant;
 
@@ -60,7 +62,7 @@
 
 /// One run to play.
 enum Run {
-    Machine(Case),
+    ProtocolSet(Case),
     Shares(SharesCase),
 }
 
@@ -74,19 +76,19 @@
     fn play(&self) -> Played {
         let began = Instant::now();
         let points = match self {
-            Self::Machine(case) => play(case),
-            Self::Shares(case) => play_shares(case),
+            Self::ProtocolSet(case) => run_case(case),
+            Self::Shares(case) => run_shares_case(case),
         };
         Played { points, elapsed_s: began.elapsed().as_secs_f64() }
     }
 
     fn describe(&self) -> String {
         match self {
-            Self::Machine(Case { machine, situation, size, seed, .. }) => {
-                format!("{} {} {size} seed {seed}", machine.name(), situation.name())
+            Self::ProtocolSet(Case { protocols, scenario, size, seed, .. }) => {
+                format!("{} {} {size} seed {seed}", protocols.name(), scenario.name())
             }
-            Self::Shares(SharesCase { limits, trouble, servers, seed, .. }) => {
-                format!("shares of {limits}, {}, {servers} seed {seed}", trouble.name())
+            Self::Shares(SharesCase { limits, fault, servers, seed, .. }) => {
+                format!("shares of {limits}, {}, {servers} seed {seed}", fault.name())
             }
         }
     }
@@ -98,10 +100,10 @@
     }
 
     fn check_names(&self) -> anyhow::Result<()> {
-        let machines: Vec<&str> = Machine::ALL.iter().map(|m| m.name()).chain([SHARES]).collect();
-        let situations: Vec<&str> = Situation::ALL.iter().map(|s| s.name()).collect();
+        let machines: Vec<&str> = ProtocolSet::ALL.iter().map(|m| m.name()).chain([SHARES]).collect();
+        let scenarios: Vec<&str> = Scenario::ALL.iter().map(|s| s.name()).collect();
         check_known("of", &self.of, &machines)?;
-        check_known("cases", &self.cases, &situations)
+        check_known("cases", &self.cases, &scenarios)
     }
 
     fn runs(&self) -> Vec<Run> {
@@ -117,27 +119,27 @@
         runs
     }
 
-    fn between(&self) -> Between {
-        let lag = Duration::from_ms(self.region_lag_ms);
-        Between { lag, region_loss: self.region_loss, loss: self.loss }
+    fn links(&self) -> Links {
+        let region_latency = Duration::from_ms(self.region_lag_ms);
+        Links { region_latency, region_loss: self.region_loss, loss: self.loss }
     }
 
     fn add_machine_runs(&self, runs: &mut Vec<Run>, size: usize, seed: u64) {
-        let between = self.between();
+        let links = self.links();
         let window = Duration::from_ms(self.window_s.max(1) * MS_PER_SECOND);
-        for machine in Machine::ALL.into_iter().filter(|machine| self.wants(machine.name())) {
-            let wanted = |s: &Situation| self.cases.iter().any(|name| name == s.name());
-            for situation in Situation::ALL.into_iter().filter(wanted) {
-                runs.push(Run::Machine(Case { machine, situation, size, seed, between, window }));
+        for protocols in ProtocolSet::ALL.into_iter().filter(|protocols| self.wants(protocols.name())) {
+            let wanted = |s: &Scenario| self.cases.iter().any(|name| name == s.name());
+            for scenario in Scenario::ALL.into_iter().filter(wanted) {
+                runs.push(Run::ProtocolSet(Case { protocols, scenario, size, seed, links, window }));
             }
         }
     }
 
     fn add_shares_runs(&self, runs: &mut Vec<Run>, servers: usize, seed: u64) {
-        let between = self.between();
+        let links = self.links();
         for limits in self.limits.iter().copied() {
-            for trouble in Trouble::OF_SCALE {
-                runs.push(Run::Shares(SharesCase { servers, limits, trouble, seed, between }));
+            for fault in Fault::FOR_SCALE {
+                runs.push(Run::Shares(SharesCase { servers, limits, fault, seed, links }));
             }
         }
     }
@@ -148,7 +150,7 @@
         let mut study = Study {
             study: "scale".into(),
             command: format!("cargo run --release -p hazelspur-simulator -- {}", arguments.join(" ")),
-            text: checked_out_revision(),
+            revision: checked_out_revision(),
             machine: format!("{cores} cores, simulated, {} runs at once", self.threads),
             points,
         };
@@ -202,7 +204,7 @@
     table.load_style(presets::ASCII_MARKDOWN);
     let head = ["figure", "case", "unit"].map(str::to_string).into_iter();
     table.set_header(head.chain(sizes.iter().map(|size| format!("{size} servers"))));
-    for line in lines(points, sizes) {
+    for line in summarize(points, sizes) {
         let cells = line.cells.iter().map(|cell| match cell {
             Some((least, mean, most)) if least < most => format!("{mean:.1} ({least:.1} to {most:.1})"),
             Some((_, mean, _)) => format!("{mean:.1}"),
--- a/crates/hazelspur-simulator/src/cli/shares.rs
+++ b/crates/hazelspur-simulator/src/cli/shares.rs
@@ -3,7 +3,7 @@
 use super::table::markdown_table;
 use clap::Args;
 use hazelspur_simulator::on_all_cores;
-use hazelspur_simulator::studies::shares::{Case, Outcome, Trouble, play};
+use hazelspur_simulator::studies::shares::{Case, Fault, Outcome, run_case};
 
 #[derive(Args)]
 pub(crate) struct SharesArguments {
@@ -29,25 +29,25 @@
     ]);
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get());
     for size in &arguments.sizes {
-        for trouble in Trouble::ALL {
+        for fault in Fault::ALL {
             let cases: Vec<Case> = (1..=arguments.seeds)
-                .map(|seed| Case { servers: *size, trouble, seed, limits: 1, between: None })
+                .map(|seed| Case { servers: *size, fault, seed, limits: 1, links: None })
                 .collect();
-            let all = on_all_cores(&cases, threads, play);
+            let all = on_all_cores(&cases, threads, run_case);
             let mean =
                 |of: &dyn Fn(&Outcome) -> f64| all.iter().map(of).sum::<f64>() / all.len().max(1) as f64;
             let most = |of: &dyn Fn(&Outcome) -> f64| all.iter().map(of).fold(0.0, f64::max);
             let least = |of: &dyn Fn(&Outcome) -> f64| all.iter().map(of).fold(f64::INFINITY, f64::min);
             table.add_row([
-                trouble.name().to_string(),
+                fault.name().to_string(),
                 size.to_string(),
-                format!("{:.4}", most(&|o| o.most)),
-                format!("{:.3}", mean(&|o| o.used)),
-                format!("{:.2}", least(&|o| o.least)),
-                format!("{:.3}", mean(&|o| o.jain)),
-                format!("{:.2}", least(&|o| o.dip)),
+                format!("{:.4}", most(&|o| o.max_in_force)),
+                format!("{:.3}", mean(&|o| o.used_fraction)),
+                format!("{:.2}", least(&|o| o.min_over_fair)),
+                format!("{:.3}", mean(&|o| o.jain_index)),
+                format!("{:.2}", least(&|o| o.min_used_fraction)),
                 format!("{:.1}", most(&|o| o.settled_s)),
-                format!("{:.0}", mean(&|o| o.divider)),
+                format!("{:.0}", mean(&|o| o.allocator_messages_per_s)),
             ]);
         }
     }
--- a/crates/hazelspur-simulator/src/cli/sums.rs
+++ b/crates/hazelspur-simulator/src/cli/sums.rs
@@ -3,7 +3,9 @@
 use super::table::markdown_table;
 use clap::Args;
 use hazelspur::Duration;
-use hazelspur_simulator::studies::sums::{Reports, Subsets, reports, study, subsets, turns};
+use hazelspur_simulator::studies::sums::{
+    ReportSpacing, SubsetMethod, measure_reports, measure_subsets, measure_time_slots, study_json,
+};
 use std::path::PathBuf;
 
 /// Seeds over which reports are averaged.
@@ -42,7 +44,7 @@
     print_subsets(&arguments.sizes);
     print_slots(&arguments.sizes);
     let (Some(file), Some(text)) = (&arguments.json, &arguments.text) else { return Ok(()) };
-    std::fs::write(file, study(&arguments.sizes, text))
+    std::fs::write(file, study_json(&arguments.sizes, text))
         .map_err(|error| anyhow::anyhow!("{}: {error}", file.display()))
 }
 
@@ -50,8 +52,8 @@
     let mut table =
         markdown_table(["servers", "reports", "most in 20 ms over the mean", "longest without a place, ms"]);
     for size in sizes {
-        for (how, name) in [(Reports::InStep, "in step"), (Reports::Spread, "spread")] {
-            let all: Vec<_> = (1..=REPORT_SEEDS).map(|seed| reports(*size, how, seed)).collect();
+        for (how, name) in [(ReportSpacing::Fixed, "in step"), (ReportSpacing::Jittered, "spread")] {
+            let all: Vec<_> = (1..=REPORT_SEEDS).map(|seed| measure_reports(*size, how, seed)).collect();
             let peak = all.iter().map(|(peak, _)| peak).sum::<f64>() / all.len() as f64;
             let longest = all.iter().map(|(_, longest)| longest.us() / US_PER_MS).max().unwrap_or(0);
             table.add_row([size.to_string(), name.into(), format!("{peak:.1}"), longest.to_string()]);
@@ -70,8 +72,8 @@
         "that differ between pictures a tenth apart",
     ]);
     for size in sizes.iter().filter(|size| **size >= MIN_SUBSET_FLEET) {
-        for way in Subsets::ALL {
-            let (least, most, moved, differ) = subsets(*size, SUBSET_SIZE, way, SUBSET_SEED);
+        for way in SubsetMethod::ALL {
+            let (least, most, moved, differ) = measure_subsets(*size, SUBSET_SIZE, way, SUBSET_SEED);
             let cells = [least, most, moved, differ].map(|figure| format!("{figure:.3}"));
             table.add_row([vec![size.to_string(), way.name().into()], cells.to_vec()].concat());
         }
@@ -87,7 +89,7 @@
         "longest wait, ms",
     ]);
     for size in sizes {
-        let (peak, wait) = turns(*size, SLOTS_PER_SECOND, MAX_SLOT_PERIOD);
+        let (peak, wait) = measure_time_slots(*size, SLOTS_PER_SECOND, MAX_SLOT_PERIOD);
         let name = "slots of a period of 2 s at most";
         let wait_ms = wait.us() / US_PER_MS;
         table.add_row([size.to_string(), name.into(), format!("{peak:.1}"), wait_ms.to_string()]);
--- a/crates/hazelspur-simulator/src/cli/together.rs
+++ b/crates/hazelspur-simulator/src/cli/together.rs
@@ -5,7 +5,7 @@
 use hazelspur::Duration;
 use hazelspur_simulator::on_all_cores;
 use hazelspur_simulator::simulation::Figures;
-use hazelspur_simulator::studies::together::{Case, play};
+use hazelspur_simulator::studies::together::{Case, run_case};
 use std::time::Instant;
 
 #[derive(Args)]
@@ -46,11 +46,11 @@
             seed,
             load: asked.load,
             seconds: asked.seconds,
-            ledger_down: down,
+            ledger_outage: down,
         };
         let cases: Vec<_> = (1..=asked.seeds).map(case).collect();
         let began = Instant::now();
-        let all = on_all_cores(&cases, asked.threads, play);
+        let all = on_all_cores(&cases, asked.threads, run_case);
         let speed = (asked.seconds * asked.seeds) as f64 * *servers as f64 / began.elapsed().as_secs_f64();
         let mean = |of: &dyn Fn(&Figures) -> f64| all.iter().map(of).sum::<f64>() / all.len().max(1) as f64;
         if let Some(first) = all.first().filter(|_| asked.by_second) {
--- a/crates/hazelspur-simulator/src/cli/who_is_here.rs
+++ b/crates/hazelspur-simulator/src/cli/who_is_here.rs
@@ -8,7 +8,7 @@
 use hazelspur_simulator::membership_protocols::heartbeat::Heartbeat;
 use hazelspur_simulator::membership_protocols::swim::Swim;
 use hazelspur_simulator::on_all_cores;
-use hazelspur_simulator::studies::who_is_here::{Case, Row, play};
+use hazelspur_simulator::studies::who_is_here::{Case, Row, run_case};
 use std::time::Instant;
 
 #[derive(Args)]
@@ -38,7 +38,7 @@
 /// Compares the membership protocols, and prints a table.
 pub(crate) fn run(asked: &WhoIsHereArguments) {
     let mut table = Table::new();
-    table.load_style(presets::ASCII_MARKDOWN).set_header(Row::HEAD);
+    table.load_style(presets::ASCII_MARKDOWN).set_header(Row::HEADER);
     for size in &asked.sizes {
         let rows =
             [rows::<Swim>(asked, *size), rows::<FocaProtocol>(asked, *size), rows::<Heartbeat>(asked, *size)];
@@ -53,14 +53,15 @@
     if !W::NAME.contains(&asked.way) {
         return None;
     }
-    let (trouble, stop) = (Duration::from_ms(asked.minutes * 60_000), Duration::from_ms(asked.stop_ms));
+    let (fault_duration, pause) =
+        (Duration::from_ms(asked.minutes * 60_000), Duration::from_ms(asked.stop_ms));
     let cases: Vec<Case> =
-        (1..=asked.seeds).map(|seed| Case { size, seed, trouble, loss: asked.loss, stop }).collect();
+        (1..=asked.seeds).map(|seed| Case { size, seed, fault_duration, loss: asked.loss, pause }).collect();
     let began = Instant::now();
-    let outcomes = on_all_cores(&cases, asked.threads, play::<W>);
+    let outcomes = on_all_cores(&cases, asked.threads, run_case::<W>);
     // Storm, rests, kills and halves take about eleven minutes besides.
-    let simulated = (trouble.secs() + 660.0) * size as f64 * asked.seeds as f64;
+    let simulated = (fault_duration.secs() + 660.0) * size as f64 * asked.seeds as f64;
     let speed = simulated / began.elapsed().as_secs_f64();
     eprintln!("{}, {size} servers: {speed:.0} server-seconds a second", W::NAME);
-    Some(Row { way: W::NAME, size, outcomes })
+    Some(Row { protocol: W::NAME, size, outcomes })
 }
--- a/crates/hazelspur-simulator/src/studies/scale/mod.rs
+++ b/crates/hazelspur-simulator/src/studies/scale/mod.rs
@@ -5,7 +5,7 @@
 pub mod points;
 mod shares;
 
-pub use shares::{SharesCase, play_shares};
+pub use shares::{SharesCase, run_shares_case};
 
 use crate::membership_protocols::MembershipProtocol;
 use crate::membership_protocols::lightweight::{Lightweight, Rate};
@@ -43,74 +43,75 @@
 const LOST_ZONE: usize = 0;
 
 /// Room for a quarter more than there are.
-pub fn most(servers: usize) -> usize {
+pub fn max_servers(servers: usize) -> usize {
     servers + servers.div_ceil(4)
 }
 
 /// What lies between zones and regions.
 #[derive(Clone, Copy, Debug)]
-pub struct Between {
+pub struct Links {
     /// One way, from region to region.
-    pub lag: Duration,
+    pub region_latency: Duration,
     /// Share of datagrams lost from region to region.
     pub region_loss: f64,
     /// Share of all datagrams lost.
     pub loss: f64,
 }
 
-impl Between {
+impl Links {
     /// The network with these links.
     pub fn network(&self) -> Network {
         let mut network = Network::new(ZONES);
         network.regions = REGIONS;
-        (network.region_lag, network.region_loss, network.loss) = (self.lag, self.region_loss, self.loss);
+        (network.region_lag, network.region_loss, network.loss) =
+            (self.region_latency, self.region_loss, self.loss);
         network
     }
 }
 
 /// What happens to the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Situation {
+pub enum Scenario {
     /// A storm of starts, and rest after it; CPU and heap are those at rest.
-    StormAndRest,
+    StartStorm,
     /// A sixth gone at once; back cold a minute or more later.
-    Zone,
-    Regions,
-    Bunch,
+    ZoneLoss,
+    RegionPartition,
+    RestartBurst,
 }
 
-impl Situation {
+impl Scenario {
     /// All situations, in the order of the table.
-    pub const ALL: [Self; 4] = [Self::StormAndRest, Self::Zone, Self::Regions, Self::Bunch];
+    pub const ALL: [Self; 4] = [Self::StartStorm, Self::ZoneLoss, Self::RegionPartition, Self::RestartBurst];
 
     /// How it is named in the printed tables.
     pub fn name(self) -> &'static str {
         match self {
-            Self::StormAndRest => "storm-and-rest",
-            Self::Zone => "zone",
-            Self::Regions => "regions",
-            Self::Bunch => "bunch",
+            Self::StartStorm => "storm-and-rest",
+            Self::ZoneLoss => "zone",
+            Self::RegionPartition => "regions",
+            Self::RestartBurst => "bunch",
         }
     }
 }
 
 /// Which protocols run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Machine {
-    Members,
+pub enum ProtocolSet {
+    Membership,
     /// Members, signals and shares of one limit.
-    Joint,
+    Combined,
 }
 
-impl Machine {
+impl ProtocolSet {
     /// Both machines, in the order of the table.
-    pub const ALL: [Self; 2] = [Self::Members, Self::Joint];
+    pub const ALL: [Self; 2] = [Self::Membership, Self::Combined];
 
     /// How it is named in the printed tables.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Members => "members",
-            Self::Joint => "joint",
+            Self::Membership => "members",
+            Self::Combined => "joint",
         }
     }
 }
@@ -118,67 +119,73 @@
 /// One run.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
-    pub machine: Machine,
-    pub situation: Situation,
+    pub protocols: ProtocolSet,
+    pub scenario: Scenario,
     pub size: usize,
     pub seed: u64,
-    pub between: Between,
+    pub links: Links,
     /// Traffic is counted for so long from the beginning of each case.
     pub window: Duration,
 }
 
 /// Plays one run and returns its points.
-pub fn play(case: &Case) -> Vec<Point> {
-    match case.machine {
-        Machine::Members => play_as::<ZonedSwim>(case),
-        Machine::Joint => play_as::<Together<1>>(case),
+pub fn run_case(case: &Case) -> Vec<Point> {
+    match case.protocols {
+        ProtocolSet::Membership => run_case_with::<ZonedSwim>(case),
+        ProtocolSet::Combined => run_case_with::<Together<1>>(case),
     }
 }
 
 /// A server's traffic over a window.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Load {
+pub struct TrafficSummary {
     /// Of the mean server, a second.
-    pub datagrams_out: f64,
-    pub bytes_out: f64,
+    pub datagrams_out_per_s: f64,
+    pub bytes_out_per_s: f64,
     /// Of the server with most of it, a second.
-    pub busiest_datagrams_out: f64,
-    pub busiest_bytes_out: f64,
-    pub busiest_datagrams_in: f64,
-    pub busiest_bytes_in: f64,
+    pub busiest_datagrams_out_per_s: f64,
+    pub busiest_bytes_out_per_s: f64,
+    pub busiest_datagrams_in_per_s: f64,
+    pub busiest_bytes_in_per_s: f64,
     /// The most bytes that one server sent in one second.
-    pub worst_second: f64,
+    pub max_bytes_out_in_a_second: f64,
 }
 
-impl Load {
+impl TrafficSummary {
     /// The mean is over `servers`.
-    fn of(before: &[Traffic], after: &[Traffic], worst_second: u64, secs: f64, servers: usize) -> Self {
+    fn of(
+        before: &[Traffic],
+        after: &[Traffic],
+        max_bytes_out_in_a_second: u64,
+        secs: f64,
+        servers: usize,
+    ) -> Self {
         let first = |at: usize| before.get(at).copied().unwrap_or_default();
         let each: Vec<Traffic> = after.iter().enumerate().map(|(at, after)| after.since(first(at))).collect();
         let most = |of: fn(&Traffic) -> u64| each.iter().map(of).max().unwrap_or(0) as f64 / secs;
         let mean = |of: fn(&Traffic) -> u64| each.iter().map(of).sum::<u64>() as f64 / servers as f64 / secs;
         Self {
-            datagrams_out: mean(|t| t.out),
-            bytes_out: mean(|t| t.bytes_out),
-            busiest_datagrams_out: most(|t| t.out),
-            busiest_bytes_out: most(|t| t.bytes_out),
-            busiest_datagrams_in: most(|t| t.came),
-            busiest_bytes_in: most(|t| t.bytes_in),
-            worst_second: worst_second as f64,
+            datagrams_out_per_s: mean(|t| t.out),
+            bytes_out_per_s: mean(|t| t.bytes_out),
+            busiest_datagrams_out_per_s: most(|t| t.out),
+            busiest_bytes_out_per_s: most(|t| t.bytes_out),
+            busiest_datagrams_in_per_s: most(|t| t.came),
+            busiest_bytes_in_per_s: most(|t| t.bytes_in),
+            max_bytes_out_in_a_second: max_bytes_out_in_a_second as f64,
         }
     }
 }
 
 /// A window of a played town, and when all agreed.
 #[derive(Clone, Copy, Debug)]
-pub struct Watched {
-    pub load: Load,
+pub struct Agreement {
+    pub traffic: TrafficSummary,
     /// Seconds from the beginning until all agreed first; none within three minutes.
-    pub agreed: Option<f64>,
+    pub agreed_after_s: Option<f64>,
 }
 
 /// Plays for `window`, and on until all agree or three minutes are over.
-fn watch<W: MembershipProtocol>(fleet: &mut TestFleet<W>, window: Duration, size: usize) -> Watched {
+fn watch<W: MembershipProtocol>(fleet: &mut TestFleet<W>, window: Duration, size: usize) -> Agreement {
     let from = fleet.now();
     let before: Vec<Traffic> = fleet.traffic().collect();
     let (mut second, mut worst) = (before.clone(), 0);
@@ -190,12 +197,12 @@
         }
         if load.is_none() && passed >= window {
             let after: Vec<Traffic> = fleet.traffic().collect();
-            load = Some(Load::of(&before, &after, worst, passed.secs(), size));
+            load = Some(TrafficSummary::of(&before, &after, worst, passed.secs(), size));
         }
         if let Some(load) = load
             && (agreed.is_some() || passed >= LONGEST)
         {
-            return Watched { load, agreed };
+            return Agreement { traffic: load, agreed_after_s: agreed };
         }
         fleet.play(LOOK);
         looks += 1;
@@ -223,8 +230,8 @@
 }
 
 /// A fleet of so many, started and at rest.
-pub fn at_rest<W: MembershipProtocol>(size: usize, seed: u64, between: &Between) -> TestFleet<W> {
-    let mut fleet = TestFleet::new(between.network(), most(size), seed);
+pub fn settled_fleet<W: MembershipProtocol>(size: usize, seed: u64, links: &Links) -> TestFleet<W> {
+    let mut fleet = TestFleet::new(links.network(), max_servers(size), seed);
     start_all(&mut fleet, 0..size);
     let from = fleet.now();
     while !fleet.agree() && fleet.now() - from < LONGEST {
@@ -236,15 +243,19 @@
 
 /// What a fleet at rest sends and holds.
 #[derive(Clone, Copy, Debug)]
-pub struct Rest {
-    pub load: Load,
+pub struct RestMeasurement {
+    pub traffic: TrafficSummary,
     /// Entries in the tables of the mean and of the fullest server.
-    pub entries: f64,
-    pub most_entries: usize,
+    pub mean_entries: f64,
+    pub max_entries: usize,
 }
 
 /// Counts the traffic of `fleet` for `window`.
-pub fn rest<W: MembershipProtocol>(fleet: &mut TestFleet<W>, window: Duration, size: usize) -> Rest {
+pub fn measure_at_rest<W: MembershipProtocol>(
+    fleet: &mut TestFleet<W>,
+    window: Duration,
+    size: usize,
+) -> RestMeasurement {
     let before: Vec<Traffic> = fleet.traffic().collect();
     let (mut second, mut worst, from) = (before.clone(), 0, fleet.now());
     while fleet.now() - from < window {
@@ -254,43 +265,43 @@
         worst = sent.max().unwrap_or(0).max(worst);
         second = after;
     }
-    let load = Load::of(&before, &second, worst, (fleet.now() - from).secs(), size);
+    let load = TrafficSummary::of(&before, &second, worst, (fleet.now() - from).secs(), size);
     let entries: Vec<usize> = fleet.members().map(|(_, way)| way.entries()).collect();
     let sum: usize = entries.iter().sum();
     let mean = sum as f64 / entries.len().max(1) as f64;
-    Rest { load, entries: mean, most_entries: entries.into_iter().max().unwrap_or(0) }
+    RestMeasurement { traffic: load, mean_entries: mean, max_entries: entries.into_iter().max().unwrap_or(0) }
 }
 
 /// Plays one situation of one fleet, and returns its points.
-pub fn play_as<W: MembershipProtocol>(case: &Case) -> Vec<Point> {
+pub fn run_case_with<W: MembershipProtocol>(case: &Case) -> Vec<Point> {
     let mut out = Sheet { case, points: Vec::new() };
-    match case.situation {
-        Situation::StormAndRest => storm_and_rest::<W>(case, &mut out),
-        Situation::Zone => zone_lost::<W>(case, &mut out),
-        Situation::Regions => regions_apart::<W>(case, &mut out),
-        Situation::Bunch => bunched_restarts::<W>(case, &mut out),
+    match case.scenario {
+        Scenario::StartStorm => storm_and_rest::<W>(case, &mut out),
+        Scenario::ZoneLoss => zone_lost::<W>(case, &mut out),
+        Scenario::RegionPartition => regions_apart::<W>(case, &mut out),
+        Scenario::RestartBurst => bunched_restarts::<W>(case, &mut out),
     }
     out.points
 }
 
 fn storm_and_rest<W: MembershipProtocol>(case: &Case, out: &mut Sheet) {
     let size = case.size;
-    let mut fleet: TestFleet<W> = TestFleet::new(case.between.network(), most(size), case.seed);
+    let mut fleet: TestFleet<W> = TestFleet::new(case.links.network(), max_servers(size), case.seed);
     // Traffic of the second in which they start counts too; the time until all agree is from its end.
     let before: Vec<Traffic> = fleet.traffic().collect();
     start_all(&mut fleet, 0..size);
-    let first = Load::of(&before, &fleet.traffic().collect::<Vec<_>>(), 0, 1.0, size);
+    let first = TrafficSummary::of(&before, &fleet.traffic().collect::<Vec<_>>(), 0, 1.0, size);
     let watched = watch(&mut fleet, case.window, size);
     out.watched("storm", &watched);
-    out.point("datagrams_out_per_s", "first second of the storm", "1/s", first.datagrams_out);
-    out.point("bytes_out_per_s", "first second of the storm", "B/s", first.bytes_out);
+    out.point("datagrams_out_per_s", "first second of the storm", "1/s", first.datagrams_out_per_s);
+    out.point("bytes_out_per_s", "first second of the storm", "B/s", first.bytes_out_per_s);
     fleet.play(SETTLE);
     rest_points(out, &mut fleet);
 }
 
 fn zone_lost<W: MembershipProtocol>(case: &Case, out: &mut Sheet) {
     let size = case.size;
-    let mut fleet: TestFleet<W> = at_rest(size, case.seed, &case.between);
+    let mut fleet: TestFleet<W> = settled_fleet(size, case.seed, &case.links);
     let lost: Vec<usize> = (0..size).filter(|server| server % ZONES == LOST_ZONE).collect();
     lost.iter().for_each(|server| fleet.kill(*server));
     let gone = watch(&mut fleet, case.window, size - lost.len());
@@ -301,7 +312,7 @@
 }
 
 fn regions_apart<W: MembershipProtocol>(case: &Case, out: &mut Sheet) {
-    let mut fleet: TestFleet<W> = at_rest(case.size, case.seed, &case.between);
+    let mut fleet: TestFleet<W> = settled_fleet(case.size, case.seed, &case.links);
     fleet.network.cut = Some(|from, to| from % ZONES % REGIONS != to % ZONES % REGIONS);
     fleet.play(APART);
     fleet.network.cut = None;
@@ -311,12 +322,12 @@
 
 fn bunched_restarts<W: MembershipProtocol>(case: &Case, out: &mut Sheet) {
     let size = case.size;
-    let mut fleet: TestFleet<W> = at_rest(size, case.seed, &case.between);
+    let mut fleet: TestFleet<W> = settled_fleet(size, case.seed, &case.links);
     let before: Vec<Traffic> = fleet.traffic().collect();
     let from = fleet.now();
     restart_in_a_bunch(&mut fleet, size);
     let during = (fleet.now() - from).secs();
-    let load = Load::of(&before, &fleet.traffic().collect::<Vec<_>>(), 0, during, size);
+    let load = TrafficSummary::of(&before, &fleet.traffic().collect::<Vec<_>>(), 0, during, size);
     out.load("bunched restarts, while they go on", &load);
     let watched = watch(&mut fleet, case.window, size);
     out.watched("bunched restarts, after the last", &watched);
@@ -361,14 +372,14 @@
 /// gives back.
 fn rest_points<W: MembershipProtocol>(out: &mut Sheet, fleet: &mut TestFleet<W>) {
     let case = out.case;
-    let rest = rest(fleet, case.window, case.size);
+    let rest = measure_at_rest(fleet, case.window, case.size);
     // The kernel counts in steps of some milliseconds: a small fleet is played for longer.
     let long = case.window.max(Duration::from_secs(CPU_SERVER_SECS / case.size as f64));
     let before = cpu::of_this_thread();
     fleet.play(long);
     let spent = before.zip(cpu::of_this_thread()).map(|(before, after)| after - before);
-    out.load("rest", &rest.load);
-    out.point("entries", "rest", "entries", rest.entries);
+    out.load("rest", &rest.traffic);
+    out.point("entries", "rest", "entries", rest.mean_entries);
     let held = heap::live();
     let zone: Vec<usize> = (0..case.size).filter(|of| of % ZONES == LOST_ZONE).collect();
     zone.iter().for_each(|of| fleet.kill(*of));
@@ -379,7 +390,7 @@
     if let Some(spent) = spent {
         let us = spent.us() as f64 / (long.secs() * case.size as f64);
         out.point("cpu_with_queue_us_per_s", "rest", "us/s", us);
-        if let Some(queue) = queue_alone(case, &rest.load, long) {
+        if let Some(queue) = queue_alone(case, &rest.traffic, long) {
             out.point("cpu_of_queue_us_per_s", "rest", "us/s", queue);
             out.point("cpu_us_per_s", "rest", "us/s", us - queue);
         }
@@ -387,9 +398,9 @@
 }
 
 /// CPU of the laboratory's own queue and network for the same traffic, in microseconds a server-second.
-fn queue_alone(case: &Case, load: &Load, long: Duration) -> Option<f64> {
-    let rate = Rate { servers: case.size, datagrams: load.datagrams_out, bytes: load.bytes_out };
-    let mut fleet: TestFleet<Lightweight> = TestFleet::new(case.between.network(), case.size, case.seed);
+fn queue_alone(case: &Case, load: &TrafficSummary, long: Duration) -> Option<f64> {
+    let rate = Rate { servers: case.size, datagrams: load.datagrams_out_per_s, bytes: load.bytes_out_per_s };
+    let mut fleet: TestFleet<Lightweight> = TestFleet::new(case.links.network(), case.size, case.seed);
     for of in 0..case.size {
         let lightweight =
             Lightweight::new(of, rate, case.seed.wrapping_mul(1_000_003) + of as u64, fleet.now());
@@ -410,25 +421,25 @@
 
 impl Sheet<'_> {
     fn point(&mut self, figure: &str, case: &str, unit: &str, value: f64) {
-        let figure = format!("{}.{figure}", self.case.machine.name());
+        let figure = format!("{}.{figure}", self.case.protocols.name());
         self.points.push(Point::of_servers(&figure, case, unit, self.case.size, self.case.seed, value));
     }
 
-    fn load(&mut self, case: &str, load: &Load) {
-        self.point("datagrams_out_per_s", case, "1/s", load.datagrams_out);
-        self.point("bytes_out_per_s", case, "B/s", load.bytes_out);
-        self.point("busiest_datagrams_out_per_s", case, "1/s", load.busiest_datagrams_out);
-        self.point("busiest_bytes_out_per_s", case, "B/s", load.busiest_bytes_out);
-        self.point("busiest_datagrams_in_per_s", case, "1/s", load.busiest_datagrams_in);
-        self.point("busiest_bytes_in_per_s", case, "B/s", load.busiest_bytes_in);
-        if load.worst_second > 0.0 {
-            self.point("most_bytes_out_in_a_second", case, "B", load.worst_second);
+    fn load(&mut self, case: &str, load: &TrafficSummary) {
+        self.point("datagrams_out_per_s", case, "1/s", load.datagrams_out_per_s);
+        self.point("bytes_out_per_s", case, "B/s", load.bytes_out_per_s);
+        self.point("busiest_datagrams_out_per_s", case, "1/s", load.busiest_datagrams_out_per_s);
+        self.point("busiest_bytes_out_per_s", case, "B/s", load.busiest_bytes_out_per_s);
+        self.point("busiest_datagrams_in_per_s", case, "1/s", load.busiest_datagrams_in_per_s);
+        self.point("busiest_bytes_in_per_s", case, "B/s", load.busiest_bytes_in_per_s);
+        if load.max_bytes_out_in_a_second > 0.0 {
+            self.point("most_bytes_out_in_a_second", case, "B", load.max_bytes_out_in_a_second);
         }
     }
 
-    fn watched(&mut self, case: &str, watched: &Watched) {
-        self.load(case, &watched.load);
-        match watched.agreed {
+    fn watched(&mut self, case: &str, watched: &Agreement) {
+        self.load(case, &watched.traffic);
+        match watched.agreed_after_s {
             Some(secs) => self.point("agree_s", case, "s", secs),
             None => self.point("not_agreed_within_s", case, "s", LONGEST.secs()),
         }
--- a/crates/hazelspur-simulator/src/studies/scale/points.rs
+++ b/crates/hazelspur-simulator/src/studies/scale/points.rs
@@ -68,7 +68,8 @@
     pub study: String,
     pub command: String,
     /// The revision of the text that was run.
-    pub text: String,
+    #[serde(rename = "text")]
+    pub revision: String,
     pub machine: String,
     pub points: Vec<Point>,
 }
@@ -85,7 +86,7 @@
             if old.split("; ").any(|one| one == new) { old } else { format!("{old}; {new}") }
         };
         self.command = joined(old.command, self.command);
-        self.text = joined(old.text, self.text);
+        self.revision = joined(old.revision, self.revision);
         self.machine = joined(old.machine, self.machine);
         let new: std::collections::BTreeSet<_> = self.points.iter().map(Point::key).collect();
         let mut kept: Vec<Point> =
@@ -116,7 +117,7 @@
             "{{\"study\":{},\n \"command\":{},\n \"text\":{},\n \"machine\":{},\n \"points\":[\n  {points}\n]}}\n",
             said(&self.study)?,
             said(&self.command)?,
-            said(&self.text)?,
+            said(&self.revision)?,
             said(&self.machine)?,
         );
         if let Some(folder) = file.parent() {
@@ -129,7 +130,7 @@
 
 /// One line of the table: a figure of a case by size, least, mean and most over the seeds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct SummaryLine {
     pub figure: String,
     pub case: String,
     pub unit: String,
@@ -137,8 +138,8 @@
 }
 
 /// In the order in which figures first appear.
-pub fn lines(points: &[Point], sizes: &[usize]) -> Vec<Line> {
-    let mut lines: Vec<Line> = Vec::new();
+pub fn summarize(points: &[Point], sizes: &[usize]) -> Vec<SummaryLine> {
+    let mut lines: Vec<SummaryLine> = Vec::new();
     for point in points {
         if lines.iter().any(|line| line.figure == point.figure && line.case == point.case) {
             continue;
@@ -153,7 +154,7 @@
         };
         let cells = sizes.iter().map(cell).collect();
         let (figure, case, unit) = (point.figure.clone(), point.case.clone(), point.unit.clone());
-        lines.push(Line { figure, case, unit, cells });
+        lines.push(SummaryLine { figure, case, unit, cells });
     }
     lines
 }
--- a/crates/hazelspur-simulator/src/studies/shares/mod.rs
+++ b/crates/hazelspur-simulator/src/studies/shares/mod.rs
@@ -6,7 +6,7 @@
 use crate::membership_protocols::swim::name;
 use crate::membership_protocols::zoned::{REGIONS, ZONES};
 use crate::network::{Cut, Network};
-use crate::studies::scale::Between;
+use crate::studies::scale::Links;
 use crate::test_fleet::START;
 use fleet::{AllocatorTraffic, Event, OBSERVATION_PERIOD, Observation, Quota, QuotaFleet, RESIDUAL_DURATION};
 use hazelspur::{Duration, Timestamp};
@@ -42,55 +42,55 @@
 
 /// A fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     None,
     /// A twentieth of all messages is lost.
-    Loss,
+    MessageLoss,
     /// From ten servers to all within 30 s, and back to ten.
     GrowAndShrink,
     /// Two in five end within 7 s, and as many others start.
     Replaced,
     /// The divider ends.
-    DividerEnds,
+    AllocatorEnds,
     /// Two halves for 20 s.
-    Halves,
+    Partition,
     /// A tenth stand still for 10 s.
-    Stopped,
+    Paused,
     /// Two regions don't hear each other for a minute; three of the five keepers are in one of them.
-    RegionsApart,
+    RegionPartition,
 }
 
-impl Trouble {
+impl Fault {
     /// All faults of `shares`, in the order of the table.
     pub const ALL: [Self; 7] = [
         Self::None,
-        Self::Loss,
+        Self::MessageLoss,
         Self::GrowAndShrink,
         Self::Replaced,
-        Self::DividerEnds,
-        Self::Halves,
-        Self::Stopped,
+        Self::AllocatorEnds,
+        Self::Partition,
+        Self::Paused,
     ];
 
     /// Those that are played as the fleet grows.
-    pub const OF_SCALE: [Self; 4] = [Self::None, Self::Replaced, Self::DividerEnds, Self::RegionsApart];
+    pub const FOR_SCALE: [Self; 4] = [Self::None, Self::Replaced, Self::AllocatorEnds, Self::RegionPartition];
 
     /// How long regions are apart.
-    pub fn apart(self) -> Duration {
-        if self == Self::RegionsApart { REGIONS_APART } else { Duration::ZERO }
+    pub fn region_partition_duration(self) -> Duration {
+        if self == Self::RegionPartition { REGIONS_APART } else { Duration::ZERO }
     }
 
     /// Its name in tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::None => "none",
-            Self::Loss => "loss of 5%",
+            Self::MessageLoss => "loss of 5%",
             Self::GrowAndShrink => "grows from 10 and shrinks",
             Self::Replaced => "two in five replaced in 7 s",
-            Self::DividerEnds => "divider ends",
-            Self::Halves => "halves for 20 s",
-            Self::Stopped => "a tenth stopped for 10 s",
-            Self::RegionsApart => "regions apart for 60 s",
+            Self::AllocatorEnds => "divider ends",
+            Self::Partition => "halves for 20 s",
+            Self::Paused => "a tenth stopped for 10 s",
+            Self::RegionPartition => "regions apart for 60 s",
         }
     }
 }
@@ -99,37 +99,37 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
     pub servers: usize,
-    pub trouble: Trouble,
+    pub fault: Fault,
     pub seed: u64,
     /// Limits alike, of which the first is looked at.
     pub limits: usize,
     /// Two regions of three zones each; three sites of one region where none is given.
-    pub between: Option<Between>,
+    pub links: Option<Links>,
 }
 
 /// What one run came to.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Outcome {
     /// The greatest sum of what might be in use, with what lingers, over the limit.
-    pub most: f64,
+    pub max_in_force: f64,
     /// What may be used over what could be, in the last 10 s.
-    pub used: f64,
+    pub used_fraction: f64,
     /// The least share over the fair one, and Jain's index of shares over fair ones, at the end.
-    pub least: f64,
-    pub jain: f64,
+    pub min_over_fair: f64,
+    pub jain_index: f64,
     /// From the beginning of the trouble until `used` stays settled; the worst dip on the way.
     pub settled_s: f64,
-    pub dip: f64,
+    pub min_used_fraction: f64,
     /// Messages to and from the divider in a second, at the end.
-    pub divider: f64,
+    pub allocator_messages_per_s: f64,
     /// Bytes of these as datagrams, without IP and UDP heads and without claims that go along.
-    pub divider_bytes: f64,
+    pub allocator_bytes_per_s: f64,
 }
 
 /// Plays one fault of one fleet.
-pub fn play(case: &Case) -> Outcome {
-    let mut network = case.between.map_or(Network::new(SITES), |between| between.network());
-    if case.trouble == Trouble::Loss {
+pub fn run_case(case: &Case) -> Outcome {
+    let mut network = case.links.map_or(Network::new(SITES), |links| links.network());
+    if case.fault == Fault::MessageLoss {
         network.loss = LOSS;
     }
     let mut fleet = QuotaFleet::new(quota_config(case), network, case.seed);
@@ -156,7 +156,7 @@
 }
 
 fn initial_servers(case: &Case) -> usize {
-    if case.trouble == Trouble::GrowAndShrink { case.servers.min(SMALL_FLEET) } else { case.servers }
+    if case.fault == Fault::GrowAndShrink { case.servers.min(SMALL_FLEET) } else { case.servers }
 }
 
 /// Schedules the fault, and returns how long it goes on.
@@ -165,9 +165,9 @@
     let mut at = |ms: u64, event: Event| {
         fleet.queue.schedule(START + FAULT_START + Duration::from_ms(ms), event);
     };
-    match case.trouble {
-        Trouble::None | Trouble::Loss => Duration::ZERO,
-        Trouble::GrowAndShrink => {
+    match case.fault {
+        Fault::None | Fault::MessageLoss => Duration::ZERO,
+        Fault::GrowAndShrink => {
             let first = initial_servers(case);
             for server in first..n {
                 let ms = 30_000 * (server - first) as u64 / (n - first).max(1) as u64;
@@ -176,7 +176,7 @@
             }
             Duration::from_ms(80_000)
         }
-        Trouble::Replaced => {
+        Fault::Replaced => {
             for (i, server) in (0..n).filter(|server| server % 5 < 2).enumerate() {
                 let ms = 7000 * i as u64 / (n * 2 / 5).max(1) as u64;
                 at(ms, Event::End(server));
@@ -184,22 +184,22 @@
             }
             Duration::from_ms(8500)
         }
-        Trouble::DividerEnds => {
+        Fault::AllocatorEnds => {
             at(0, Event::EndAllocator);
             Duration::ZERO
         }
-        Trouble::Halves => {
+        Fault::Partition => {
             at(0, Event::SetPartition(Some(|from, to| from % 2 != to % 2)));
             at(20_000, Event::SetPartition(None));
             Duration::from_ms(20_000)
         }
-        Trouble::RegionsApart => {
+        Fault::RegionPartition => {
             let cut: Cut = |from, to| from % ZONES % REGIONS != to % ZONES % REGIONS;
             at(0, Event::SetPartition(Some(cut)));
             at(REGIONS_APART.us() / 1000, Event::SetPartition(None));
             REGIONS_APART
         }
-        Trouble::Stopped => {
+        Fault::Paused => {
             for server in (0..n).filter(|server| server % 10 == 3) {
                 at(0, Event::Pause(server, Duration::from_ms(10_000)));
             }
@@ -220,7 +220,7 @@
 
 impl Measurement {
     fn new(duration: Duration) -> Self {
-        let outcome = Outcome { dip: 1.0, ..Outcome::default() };
+        let outcome = Outcome { min_used_fraction: 1.0, ..Outcome::default() };
         let before_tail = AllocatorTraffic::default();
         Self { end: START + duration, outcome, last: Vec::new(), tail: Vec::new(), before_tail }
     }
@@ -236,12 +236,12 @@
 
     fn add(&mut self, fleet: &QuotaFleet, observation: Observation) {
         let now = fleet.queue.now;
-        self.outcome.most = self.outcome.most.max(observation.in_force);
+        self.outcome.max_in_force = self.outcome.max_in_force.max(observation.in_force);
         let fair: f64 = observation.quotas.iter().map(|quota| quota.fair).sum();
         let used = observation.usable / fair.max(MIN_DIVISOR);
         let since_fault_s = (now - START).secs() - FAULT_START.secs();
         if since_fault_s >= 0.0 {
-            self.outcome.dip = self.outcome.dip.min(used);
+            self.outcome.min_used_fraction = self.outcome.min_used_fraction.min(used);
             if used < SETTLED {
                 self.outcome.settled_s = since_fault_s + OBSERVATION_PERIOD.secs();
             }
@@ -257,13 +257,13 @@
 
     fn finish(mut self, allocator: AllocatorTraffic) -> Outcome {
         let out = &mut self.outcome;
-        out.used = self.tail.iter().sum::<f64>() / self.tail.len().max(1) as f64;
-        out.divider = (allocator.messages - self.before_tail.messages) as f64 / TAIL.secs();
-        out.divider_bytes = (allocator.bytes - self.before_tail.bytes) as f64 / TAIL.secs();
+        out.used_fraction = self.tail.iter().sum::<f64>() / self.tail.len().max(1) as f64;
+        out.allocator_messages_per_s = (allocator.messages - self.before_tail.messages) as f64 / TAIL.secs();
+        out.allocator_bytes_per_s = (allocator.bytes - self.before_tail.bytes) as f64 / TAIL.secs();
         let parts: Vec<f64> =
             self.last.iter().map(|quota| quota.usable / quota.fair.max(MIN_DIVISOR)).collect();
-        out.least = parts.iter().copied().fold(f64::INFINITY, f64::min);
-        out.jain = jain_index(&parts);
+        out.min_over_fair = parts.iter().copied().fold(f64::INFINITY, f64::min);
+        out.jain_index = jain_index(&parts);
         self.outcome
     }
 }
--- a/crates/hazelspur-simulator/src/studies/sums.rs
+++ b/crates/hazelspur-simulator/src/studies/sums.rs
@@ -8,20 +8,20 @@
 
 /// How a server waits between its reports to the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reports {
+pub enum ReportSpacing {
     /// 800 ms, 250 ms after a miss, the same for all.
-    InStep,
+    Fixed,
     /// The same on average, each wait by chance within a fifth, after a miss within the half.
-    Spread,
+    Jittered,
 }
 
-impl Reports {
+impl ReportSpacing {
     /// The wait before the next report.
     pub fn wait(self, missed: bool, chance: &mut Pcg) -> Duration {
         let (wait, part) = if missed { (250.0, 0.5) } else { (800.0, 0.2) };
         match self {
-            Self::InStep => Duration::from_secs(wait / 1000.0),
-            Self::Spread => {
+            Self::Fixed => Duration::from_secs(wait / 1000.0),
+            Self::Jittered => {
                 Duration::from_secs(wait * (1.0 - part + 2.0 * part * chance.draw_fraction()) / 1000.0)
             }
         }
@@ -30,7 +30,7 @@
 
 /// Reports of `servers` while the list takes none for 5 s and takes them again: the most within 20 ms over
 /// the mean of the 20 s after that, and the longest that any server's place was without a report.
-pub fn reports(servers: usize, how: Reports, seed: u64) -> (f64, Duration) {
+pub fn measure_reports(servers: usize, how: ReportSpacing, seed: u64) -> (f64, Duration) {
     /// When the control plane is down, in ms.
     const DOWN: std::ops::Range<u64> = 10_000..15_000;
     /// Width of a bin, in ms.
@@ -67,22 +67,22 @@
 
 /// Ways of choosing k of n.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Subsets {
-    Chance,
+pub enum SubsetMethod {
+    Random,
     /// In rounds: all are shuffled once a round, and each client of the round takes its part (Google's SRE
     /// book, chapter 20).
     Rounds,
     Rendezvous,
 }
 
-impl Subsets {
+impl SubsetMethod {
     /// All ways, in the order of the table.
-    pub const ALL: [Self; 3] = [Self::Chance, Self::Rounds, Self::Rendezvous];
+    pub const ALL: [Self; 3] = [Self::Random, Self::Rounds, Self::Rendezvous];
 
     /// Its name in tables.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Chance => "chance",
+            Self::Random => "chance",
             Self::Rounds => "rounds",
             Self::Rendezvous => "rendezvous",
         }
@@ -91,7 +91,7 @@
     /// Whom client `me` goes to, of the servers that it knows by number.
     fn chosen(self, me: usize, known: &[usize], k: usize, seed: u64) -> Vec<usize> {
         match self {
-            Self::Chance => {
+            Self::Random => {
                 let mut chance = Pcg::new(seed ^ (me as u64) << 20);
                 let mut left = known.to_vec();
                 (0..k.min(left.len()))
@@ -121,7 +121,7 @@
 /// Of n clients that each choose k of n servers: least and most load over the mean, the share of choices that
 /// change when one server goes, and the share by which two clients of one number differ whose pictures differ
 /// by a tenth.
-pub fn subsets(n: usize, k: usize, way: Subsets, seed: u64) -> (f64, f64, f64, f64) {
+pub fn measure_subsets(n: usize, k: usize, way: SubsetMethod, seed: u64) -> (f64, f64, f64, f64) {
     let all: Vec<usize> = (0..n).collect();
     let less: Vec<usize> = all.iter().copied().filter(|of| *of != n / 2).collect();
     let tenth: Vec<usize> = all.iter().copied().filter(|of| of % 10 != 3).collect();
@@ -144,7 +144,7 @@
 
 /// Turns without talk: the most in any 100 ms over the mean, and the longest wait, of `servers` that each
 /// take every turn for a minute.
-pub fn turns(servers: usize, per_second: f64, longest: Duration) -> (f64, Duration) {
+pub fn measure_time_slots(servers: usize, per_second: f64, longest: Duration) -> (f64, Duration) {
     use hazelspur_fleet::time_slots::SlotSchedule;
     let schedule = SlotSchedule::new(servers, per_second, longest);
     let start = Timestamp::from_us(1_700_000_000_000_000);
@@ -171,7 +171,7 @@
 
 /// What docs/CAPACITY.md rests on of this, as the text of a study's file: the most loaded server over the mean
 /// by subsets of four, and reports after a list that was gone.
-pub fn study(sizes: &[usize], text: &str) -> String {
+pub fn study_json(sizes: &[usize], text: &str) -> String {
     let mut points = Vec::new();
     for size in sizes {
         for seed in 1..=SEEDS {
@@ -181,11 +181,11 @@
                      \"size\":{size},\"seed\":{seed},\"value\":{value}}}"
                 ));
             };
-            for way in Subsets::ALL {
-                point("subsets.most_over_mean", way.name(), subsets(*size, 4, way, seed).1);
+            for way in SubsetMethod::ALL {
+                point("subsets.most_over_mean", way.name(), measure_subsets(*size, 4, way, seed).1);
             }
-            for (how, case) in [(Reports::InStep, "in step"), (Reports::Spread, "spread")] {
-                point("list.most_over_mean", case, reports(*size, how, seed).0);
+            for (how, case) in [(ReportSpacing::Fixed, "in step"), (ReportSpacing::Jittered, "spread")] {
+                point("list.most_over_mean", case, measure_reports(*size, how, seed).0);
             }
         }
     }
--- a/crates/hazelspur-simulator/src/studies/together.rs
+++ b/crates/hazelspur-simulator/src/studies/together.rs
@@ -11,17 +11,17 @@
     pub load: f64,
     pub seconds: u64,
     /// Nobody answers at the ledger from 10 s on, for so long.
-    pub ledger_down: Duration,
+    pub ledger_outage: Duration,
 }
 
 /// Plays one run.
-pub fn play(case: &Case) -> Figures {
+pub fn run_case(case: &Case) -> Figures {
     let plan = SimulationConfig::new(case.servers, case.seed, case.load);
     let mut simulation = Simulation::new(plan);
-    if case.ledger_down > Duration::ZERO {
+    if case.ledger_outage > Duration::ZERO {
         let from = Duration::from_ms(10_000);
         simulation.script(from, ScriptAction::SetLedgerDown(true));
-        simulation.script(from + case.ledger_down, ScriptAction::SetLedgerDown(false));
+        simulation.script(from + case.ledger_outage, ScriptAction::SetLedgerDown(false));
     }
     simulation.run(Duration::from_ms(case.seconds * 1000));
     simulation.figures
--- a/crates/hazelspur-simulator/src/studies/who_is_here.rs
+++ b/crates/hazelspur-simulator/src/studies/who_is_here.rs
@@ -33,9 +33,9 @@
     pub size: usize,
     pub seed: u64,
     /// How long stops and loss go on.
-    pub trouble: Duration,
+    pub fault_duration: Duration,
     pub loss: f64,
-    pub stop: Duration,
+    pub pause: Duration,
 }
 
 /// Figures of one seed.
@@ -44,23 +44,23 @@
     /// Times that somebody who ran was held for gone, by whoever.
     pub false_deaths: u64,
     /// Of those, where the one held for gone did not even stand still within the last 30 s.
-    pub without_cause: u64,
+    pub unexplained_deaths: u64,
     /// Milliseconds from a kill to each other one's notice of it.
-    pub notice_ms: Histogram<u64>,
+    pub detection_ms: Histogram<u64>,
     /// Others that had not noticed after two minutes.
-    pub unnoticed: u64,
+    pub undetected: u64,
     /// Seconds until all agree after two halves met again, which was after 60 s; none in 180.
-    pub together_s: Option<f64>,
+    pub heal_s: Option<f64>,
     /// At rest, for each server and second.
-    pub datagrams: f64,
-    pub bytes: f64,
+    pub datagrams_per_s: f64,
+    pub bytes_per_s: f64,
     /// Seconds until all agree after a start of all within one second; none in 60.
     pub storm_s: Option<f64>,
-    pub storm_datagrams: f64,
+    pub storm_datagrams_per_s: f64,
 }
 
 /// Plays one seed: a storm of starts, rest, pauses with loss, kills, and two halves.
-pub fn play<W: MembershipProtocol>(case: &Case) -> Outcome {
+pub fn run_case<W: MembershipProtocol>(case: &Case) -> Outcome {
     let mut random = Pcg::new(case.seed ^ FAULT_SEED_MASK);
     let mut fleet: TestFleet<W> = TestFleet::new(Network::new(SITES), case.size * 2, case.seed);
     let storm = start_storm(&mut fleet, case.size);
@@ -68,18 +68,18 @@
     let rest = rest(&mut fleet, case.size);
     let deaths = pauses_with_loss(&mut fleet, &mut random, case);
     fleet.play(SETTLE);
-    let (notice_ms, unnoticed) = killed(&mut fleet, &mut random, case.size);
-    let together_s = halves(&mut fleet);
+    let (detection_ms, undetected) = killed(&mut fleet, &mut random, case.size);
+    let heal_s = halves(&mut fleet);
     Outcome {
         false_deaths: deaths.all,
-        without_cause: deaths.without_cause,
-        notice_ms,
-        unnoticed,
-        together_s,
-        datagrams: rest.datagrams,
-        bytes: rest.bytes,
+        unexplained_deaths: deaths.unexplained,
+        detection_ms,
+        undetected,
+        heal_s,
+        datagrams_per_s: rest.datagrams,
+        bytes_per_s: rest.bytes,
         storm_s: storm.duration_s,
-        storm_datagrams: storm.datagrams,
+        storm_datagrams_per_s: storm.datagrams,
     }
 }
 
@@ -122,7 +122,7 @@
 struct FalseDeaths {
     all: u64,
     /// Those that had not been paused lately.
-    without_cause: u64,
+    unexplained: u64,
 }
 
 impl FalseDeaths {
@@ -132,7 +132,7 @@
         {
             self.all += 1;
             let since_pause = observation.at - fleet.last_stop(server);
-            self.without_cause += u64::from(since_pause > MAX_PAUSE_EFFECT);
+            self.unexplained += u64::from(since_pause > MAX_PAUSE_EFFECT);
         }
     }
 }
@@ -145,12 +145,12 @@
 ) -> FalseDeaths {
     fleet.network.loss = case.loss;
     fleet.observations.clear();
-    let end = fleet.now() + case.trouble;
+    let end = fleet.now() + case.fault_duration;
     let mut deaths = FalseDeaths::default();
     while fleet.now() < end {
         for _ in 0..(case.size / PAUSED_DIVISOR).max(1) {
             let server = random.draw() as usize % case.size;
-            fleet.stop(server, case.stop);
+            fleet.stop(server, case.pause);
         }
         fleet.play(PAUSE_PERIOD);
         for observation in std::mem::take(&mut fleet.observations) {
@@ -185,8 +185,8 @@
     chance: &mut Pcg,
     size: usize,
 ) -> (Histogram<u64>, u64) {
-    let mut notice_ms = Histogram::new_with_bounds(1, 600_000, 3).expect("sound bounds");
-    let mut unnoticed = 0;
+    let mut detection_ms = Histogram::new_with_bounds(1, 600_000, 3).expect("sound bounds");
+    let mut undetected = 0;
     for _ in 0..3 {
         let of = loop {
             let of = chance.draw() as usize % size;
@@ -203,12 +203,12 @@
             fleet.observations.iter().filter(noticed).map(|said| (said.by, said.at)).collect();
         by.sort_unstable();
         by.dedup_by_key(|(by, _)| *by);
-        unnoticed += (fleet.running() - by.len().min(fleet.running())) as u64;
-        by.iter().for_each(|(_, when)| notice_ms.saturating_record((*when - at).us() / 1000));
+        undetected += (fleet.running() - by.len().min(fleet.running())) as u64;
+        by.iter().for_each(|(_, when)| detection_ms.saturating_record((*when - at).us() / 1000));
         fleet.start(of);
         fleet.play(Duration::from_ms(30_000));
     }
-    (notice_ms, unnoticed)
+    (detection_ms, undetected)
 }
 
 /// Two halves don't hear each other for a minute; how long after it all agree.
@@ -221,7 +221,7 @@
 
 /// One line of the table, over the seeds of a size.
 pub struct Row {
-    pub way: &'static str,
+    pub protocol: &'static str,
     pub size: usize,
     pub outcomes: Vec<Outcome>,
 }
@@ -237,7 +237,7 @@
         let most = |of: Vec<f64>| of.into_iter().fold(0.0, f64::max);
         let mut notice: Histogram<u64> = Histogram::new_with_bounds(1, 600_000, 3).expect("sound bounds");
         for outcome in &self.outcomes {
-            let _ = notice.add(&outcome.notice_ms); // the same bounds
+            let _ = notice.add(&outcome.detection_ms); // the same bounds
         }
         let secs = |ms: u64| format!("{:.1}", ms as f64 / 1000.0);
         let ends = |of: &dyn Fn(&Outcome) -> Option<f64>| {
@@ -247,25 +247,25 @@
         };
         let sum = |of: &dyn Fn(&Outcome) -> u64| self.outcomes.iter().map(of).sum::<u64>();
         vec![
-            self.way.into(),
+            self.protocol.into(),
             self.size.to_string(),
-            format!("{} ({})", sum(&|o| o.false_deaths), sum(&|o| o.without_cause)),
+            format!("{} ({})", sum(&|o| o.false_deaths), sum(&|o| o.unexplained_deaths)),
             format!(
                 "{}, {}, {}",
                 secs(notice.value_at_quantile(0.5)),
                 secs(notice.value_at_quantile(0.99)),
-                sum(&|o| o.unnoticed)
+                sum(&|o| o.undetected)
             ),
-            ends(&|o| o.together_s),
+            ends(&|o| o.heal_s),
             ends(&|o| o.storm_s),
-            format!("{:.1}", most(all(&|o| o.storm_datagrams))),
-            format!("{:.1}", middle(all(&|o| o.datagrams))),
-            format!("{:.0}", middle(all(&|o| o.bytes))),
+            format!("{:.1}", most(all(&|o| o.storm_datagrams_per_s))),
+            format!("{:.1}", middle(all(&|o| o.datagrams_per_s))),
+            format!("{:.0}", middle(all(&|o| o.bytes_per_s))),
         ]
     }
 
     /// The header of the table.
-    pub const HEAD: [&str; 9] = [
+    pub const HEADER: [&str; 9] = [
         "way",
         "servers",
         "false deaths (without a stop)",
--- a/crates/hazelspur-simulator/tests/slopes.rs
+++ b/crates/hazelspur-simulator/tests/slopes.rs
@@ -7,24 +7,25 @@
 use hazelspur_simulator::membership_protocols::zoned::{Together, ZonedSwim, terms};
 use hazelspur_simulator::membership_protocols::{MembershipNotice, MembershipProtocol, OutgoingPacket};
 use hazelspur_simulator::studies::scale::{
-    Between, Rest, SharesCase, at_rest, most, play_shares, rest, start_all,
+    Links, RestMeasurement, SharesCase, max_servers, measure_at_rest, run_shares_case, settled_fleet,
+    start_all,
 };
-use hazelspur_simulator::studies::shares::Trouble;
+use hazelspur_simulator::studies::shares::Fault;
 use hazelspur_simulator::test_fleet::TestFleet;
 use std::collections::BTreeSet;
 
 const SIZES: [usize; 4] = [50, 100, 200, 400];
 const WINDOW: Duration = Duration::from_ms(20_000);
 
-fn between() -> Between {
-    Between { lag: Duration::from_ms(40), region_loss: 0.0, loss: 0.0 }
+fn links() -> Links {
+    Links { region_latency: Duration::from_ms(40), region_loss: 0.0, loss: 0.0 }
 }
 
-fn at_sizes<W: MembershipProtocol>(sizes: &[usize]) -> Vec<(usize, Rest)> {
+fn at_sizes<W: MembershipProtocol>(sizes: &[usize]) -> Vec<(usize, RestMeasurement)> {
     let plays = |size: &usize| {
-        let mut fleet: TestFleet<W> = at_rest(*size, 1, &between());
+        let mut fleet: TestFleet<W> = settled_fleet(*size, 1, &links());
         assert!(fleet.agree(), "{size} servers don't agree at rest");
-        (*size, rest(&mut fleet, WINDOW, *size))
+        (*size, measure_at_rest(&mut fleet, WINDOW, *size))
     };
     hazelspur_simulator::on_all_cores(sizes, 4, plays)
 }
@@ -38,26 +39,34 @@
 }
 
 /// Names each bound that is passed.
-fn check_rest(of: &[(usize, Rest)], bound: &Bound) -> Result<(), String> {
+fn check_rest(of: &[(usize, RestMeasurement)], bound: &Bound) -> Result<(), String> {
     let Some((_, first)) = of.first() else { return Err("nothing was played".into()) };
     let mut wrong = Vec::new();
     for (size, rest) in of {
-        let (load, before) = (&rest.load, &first.load);
+        let (load, before) = (&rest.traffic, &first.traffic);
         let mut within = |what: &str, is: f64, most: f64| {
             if is > most {
                 wrong.push(format!("{size} servers: {what} {is:.1}, at most {most:.1}"));
             }
         };
-        within("datagrams/s", load.datagrams_out, before.datagrams_out * bound.flat);
-        within("bytes/s", load.bytes_out, before.bytes_out * bound.flat);
+        within("datagrams/s", load.datagrams_out_per_s, before.datagrams_out_per_s * bound.flat);
+        within("bytes/s", load.bytes_out_per_s, before.bytes_out_per_s * bound.flat);
         if let Some(busiest) = bound.busiest {
-            within("busiest, datagrams/s out", load.busiest_datagrams_out, load.datagrams_out * busiest);
-            within("busiest, datagrams/s in", load.busiest_datagrams_in, load.datagrams_out * busiest);
-            within("busiest, bytes/s out", load.busiest_bytes_out, load.bytes_out * busiest);
-            within("busiest, bytes/s in", load.busiest_bytes_in, load.bytes_out * busiest);
+            within(
+                "busiest, datagrams/s out",
+                load.busiest_datagrams_out_per_s,
+                load.datagrams_out_per_s * busiest,
+            );
+            within(
+                "busiest, datagrams/s in",
+                load.busiest_datagrams_in_per_s,
+                load.datagrams_out_per_s * busiest,
+            );
+            within("busiest, bytes/s out", load.busiest_bytes_out_per_s, load.bytes_out_per_s * busiest);
+            within("busiest, bytes/s in", load.busiest_bytes_in_per_s, load.bytes_out_per_s * busiest);
         }
-        within("entries of the fullest", rest.most_entries as f64, (size - 1) as f64);
-        within("others missing in the mean table", (size - 1) as f64 - rest.entries, 0.0);
+        within("entries of the fullest", rest.max_entries as f64, (size - 1) as f64);
+        within("others missing in the mean table", (size - 1) as f64 - rest.mean_entries, 0.0);
     }
     if wrong.is_empty() { Ok(()) } else { Err(wrong.join("; ")) }
 }
@@ -151,7 +160,7 @@
 /// Whether those who ended are gone from the tables of all others.
 fn check_forgotten<W: MembershipProtocol>(end: End) -> Result<(), String> {
     let size = SIZES[0];
-    let mut fleet: TestFleet<W> = at_rest(size, 1, &between());
+    let mut fleet: TestFleet<W> = settled_fleet(size, 1, &links());
     let gone: Vec<usize> = (0..size).filter(|of| of % 3 == 1).take(ENDS).collect();
     for of in gone {
         match end {
@@ -159,7 +168,7 @@
             End::Killed => fleet.kill(of),
         }
     }
-    fleet.play(terms(0, most(size)).retention + MARGIN);
+    fleet.play(terms(0, max_servers(size)).retention + MARGIN);
     let left = size - ENDS - 1;
     let all: Vec<usize> = fleet.members().map(|(_, way)| way.entries()).collect();
     let wrong = all.iter().filter(|entries| **entries != left).count();
@@ -253,9 +262,9 @@
 fn what_the_divider_is_asked_grows_with_the_servers_and_not_faster() {
     for limits in [1, 16] {
         let plays = |servers: &usize| {
-            let trouble = Trouble::None;
-            let case = SharesCase { servers: *servers, limits, trouble, seed: 1, between: between() };
-            let points = play_shares(&case);
+            let fault = Fault::None;
+            let case = SharesCase { servers: *servers, limits, fault, seed: 1, links: links() };
+            let points = run_shares_case(&case);
             let messages = points.iter().find(|point| point.figure.ends_with("divider_messages_per_s"));
             (*servers, messages.expect("it is measured").value)
         };
@@ -265,7 +274,7 @@
     }
     let planted: Vec<(usize, f64)> = at_sizes::<AllToAll>(&[25, 50, 100])
         .iter()
-        .map(|(size, rest)| (*size, rest.load.datagrams_out * *size as f64))
+        .map(|(size, rest)| (*size, rest.traffic.datagrams_out_per_s * *size as f64))
         .collect();
     check_line(&planted, DIVIDER.0, DIVIDER.1).unwrap_err();
 }
@@ -277,7 +286,7 @@
 #[test]
 fn a_zone_that_starts_cold_finds_all_and_is_found() {
     let size = 120;
-    let mut fleet: TestFleet<ZonedSwim> = at_rest(size, 2, &between());
+    let mut fleet: TestFleet<ZonedSwim> = settled_fleet(size, 2, &links());
     let zone: Vec<usize> = (0..size).filter(|of| of % 6 == 0).collect();
     zone.iter().for_each(|of| fleet.kill(*of));
     fleet.play(NOTICED);
