--- a/crates/hazelspur-simulator/src/cli/choices.rs
+++ b/crates/hazelspur-simulator/src/cli/choices.rs
@@ -9,9 +9,9 @@
 use std::time::Instant;
 
 /// Virtual seconds of one run, for the speed column.
-const RUN_S: f64 = 40.0;
+const RUN_SECONDS: f64 = 40.0;
 /// Virtual seconds of a run that count.
-const COUNTED_S: f64 = 24.0;
+const MEASURED_SECONDS: f64 = 24.0;
 /// The least gap to the oracle of which a part is a meaningful figure.
 const MIN_GAP_TO_ORACLE: f64 = 0.005;
 /// Columns of the table.
@@ -39,14 +39,14 @@
     #[arg(long, default_value_t = 4)]
     seeds: u64,
     /// Only the cases whose name has this in it.
-    #[arg(long, default_value = "")]
-    case: String,
+    #[arg(long = "case", default_value = "")]
+    scenario: String,
     /// Only the ways whose name has this in it.
-    #[arg(long, default_value = "")]
-    way: String,
+    #[arg(long = "way", default_value = "")]
+    coordination: String,
     /// The part of shared limits that is each server's for good.
-    #[arg(long, default_value_t = 0.2)]
-    floor: f64,
+    #[arg(long = "floor", default_value_t = 0.2)]
+    guaranteed_fraction: f64,
     #[arg(long)]
     by_second: bool,
     #[arg(long, default_value_t = std::thread::available_parallelism().map_or(1, |n| n.get()))]
@@ -58,7 +58,7 @@
     coordination: Coordination,
     outcomes: Vec<Outcome>,
     /// Server-seconds played in a second of real time.
-    speed: f64,
+    server_seconds_per_s: f64,
 }
 
 impl Runs {
@@ -76,12 +76,12 @@
 }
 
 impl Baselines {
-    fn of(runs: &[Runs]) -> Self {
-        let by = |coordination| runs.iter().find(move |runs| runs.coordination == coordination);
-        let uncoordinated = by(Coordination::None)
+    fn from_runs(runs: &[Runs]) -> Self {
+        let find = |coordination| runs.iter().find(move |runs| runs.coordination == coordination);
+        let uncoordinated = find(Coordination::None)
             .map(|runs| runs.outcomes.iter().map(Outcome::service).collect())
             .unwrap_or_default();
-        let oracle = by(Coordination::Oracle).map(|runs| runs.mean(Outcome::service));
+        let oracle = find(Coordination::Oracle).map(|runs| runs.mean(Outcome::service));
         Self { uncoordinated, oracle }
     }
 }
@@ -90,34 +90,46 @@
 pub(crate) fn run(arguments: &ChoicesArguments) {
     let mut table = markdown_table(HEADER);
     for size in &arguments.sizes {
-        for scenario in Scenario::ALL.into_iter().filter(|scenario| scenario.name().contains(&arguments.case))
+        for scenario in
+            Scenario::ALL.into_iter().filter(|scenario| scenario.name().contains(&arguments.scenario))
         {
-            let kinds = Coordination::ALL.into_iter().filter(|kind| kind.name().contains(&arguments.way));
-            let all: Vec<Runs> = kinds.map(|kind| play_all(arguments, scenario, *size, kind)).collect();
-            let baselines = Baselines::of(&all);
-            all.iter().for_each(|runs| add_row(&mut table, scenario, *size, runs, &baselines));
+            let coordinations = Coordination::ALL
+                .into_iter()
+                .filter(|coordination| coordination.name().contains(&arguments.coordination));
+            let all_runs: Vec<Runs> = coordinations
+                .map(|coordination| run_all_seeds(arguments, scenario, *size, coordination))
+                .collect();
+            let baselines = Baselines::from_runs(&all_runs);
+            all_runs.iter().for_each(|runs| add_row(&mut table, scenario, *size, runs, &baselines));
         }
     }
     println!("{table}");
 }
 
-fn play_all(
+fn run_all_seeds(
     arguments: &ChoicesArguments,
     scenario: Scenario,
     servers: usize,
     coordination: Coordination,
 ) -> Runs {
     let cases: Vec<Case> = (1..=arguments.seeds)
-        .map(|seed| Case { scenario, coordination, servers, seed, guaranteed_fraction: arguments.floor })
+        .map(|seed| Case {
+            scenario,
+            coordination,
+            servers,
+            seed,
+            guaranteed_fraction: arguments.guaranteed_fraction,
+        })
         .collect();
     let began = Instant::now();
     let outcomes = on_all_cores(&cases, arguments.threads, run_case);
-    let speed = RUN_S * (servers as u64 * arguments.seeds) as f64 / began.elapsed().as_secs_f64();
+    let server_seconds_per_s =
+        RUN_SECONDS * (servers as u64 * arguments.seeds) as f64 / began.elapsed().as_secs_f64();
     if arguments.by_second {
         let by_second = &outcomes[0].figures.succeeded_by_second;
         println!("{} {servers} {}: {by_second:?}", scenario.name(), coordination.name());
     }
-    Runs { coordination, outcomes, speed }
+    Runs { coordination, outcomes, server_seconds_per_s }
 }
 
 fn add_row(table: &mut Table, scenario: Scenario, servers: usize, runs: &Runs, baselines: &Baselines) {
@@ -127,25 +139,27 @@
     let gain = interval(&gains);
     let gap = oracle.map(|oracle| oracle - interval(uncoordinated).mean);
     let gap = gap.filter(|gap| gap.abs() >= MIN_GAP_TO_ORACLE);
-    let part = gap.map_or("-".into(), |gap| format!("{:.2}", gain.mean / gap));
-    let in_force = runs.outcomes.iter().map(|outcome| outcome.max_in_force).fold(0.0, f64::max);
-    let attempts = |o: &Outcome| o.figures.attempts as f64 / o.figures.requests.max(1) as f64;
-    let calls_of_slots = |o: &Outcome| o.figures.max_concurrent_calls as f64 / o.slots;
-    let unreachable_calls = |o: &Outcome| o.figures.unreachable_calls as f64 / COUNTED_S;
-    let datagrams = |o: &Outcome| o.figures.datagrams as f64 / COUNTED_S / o.servers as f64;
+    let gap_fraction = gap.map_or("-".into(), |gap| format!("{:.2}", gain.mean / gap));
+    let max_in_force = runs.outcomes.iter().map(|outcome| outcome.max_in_force).fold(0.0, f64::max);
+    let attempts =
+        |outcome: &Outcome| outcome.figures.attempts as f64 / outcome.figures.requests.max(1) as f64;
+    let calls_of_slots = |outcome: &Outcome| outcome.figures.max_concurrent_calls as f64 / outcome.slots;
+    let unreachable_calls = |outcome: &Outcome| outcome.figures.unreachable_calls as f64 / MEASURED_SECONDS;
+    let datagrams =
+        |outcome: &Outcome| outcome.figures.datagrams as f64 / MEASURED_SECONDS / outcome.servers as f64;
     table.add_row([
         scenario.name().to_string(),
         servers.to_string(),
         runs.coordination.name().to_string(),
         format!("{:.3}", runs.mean(Outcome::service)),
         if uncoordinated.is_empty() { "-".into() } else { gain.to_string() },
-        part,
+        gap_fraction,
         format!("{:.2}", runs.mean(Outcome::worst_second_ratio)),
         format!("{:.2}", runs.mean(attempts)),
         format!("{:.2}", runs.mean(calls_of_slots)),
         format!("{:.0}", runs.mean(unreachable_calls)),
-        format!("{in_force:.2}"),
+        format!("{max_in_force:.2}"),
         format!("{:.1}", runs.mean(datagrams)),
-        format!("{:.0}", runs.speed),
+        format!("{:.0}", runs.server_seconds_per_s),
     ]);
 }
--- a/crates/hazelspur-simulator/src/cli/mod.rs
+++ b/crates/hazelspur-simulator/src/cli/mod.rs
@@ -49,22 +49,22 @@
         match &self.command {
             Command::WhoIsHere(arguments) => who_is_here::run(arguments),
             Command::Together(arguments) => together::run(arguments),
-            Command::Capacity(asked) => std::process::exit(capacity::command::run(asked)),
+            Command::Capacity(arguments) => std::process::exit(capacity::command::run(arguments)),
             Command::Choices(arguments) => choices::run(arguments),
             Command::Shares(arguments) => shares::run(arguments),
             Command::Scale(arguments) => exit_on_error(scale::run(arguments), EXIT_STUDY_FAILED, message),
             Command::Sums(arguments) => exit_on_error(sums::run(arguments), EXIT_STUDY_FAILED, message),
-            Command::Path(asked) => {
-                exit_on_error(path::command::run(asked), EXIT_PATH_FAILED, message_with_causes)
+            Command::Path(arguments) => {
+                exit_on_error(path::command::run(arguments), EXIT_PATH_FAILED, message_with_causes)
             }
         }
     }
 }
 
-/// Ends the process with this status where a subcommand failed; `text` says whether causes are printed too.
-fn exit_on_error(result: anyhow::Result<()>, status: i32, text: fn(&anyhow::Error) -> String) {
+/// Ends the process with this status where a subcommand failed; `format` says whether causes are printed too.
+fn exit_on_error(result: anyhow::Result<()>, status: i32, format: fn(&anyhow::Error) -> String) {
     if let Err(error) = result {
-        eprintln!("{}", text(&error));
+        eprintln!("{}", format(&error));
         std::process::exit(status);
     }
 }
--- a/crates/hazelspur-simulator/src/cli/scale.rs
+++ b/crates/hazelspur-simulator/src/cli/scale.rs
@@ -17,7 +17,7 @@
 /// Milliseconds in a second.
 const MS_PER_SECOND: u64 = 1000;
 /// The name by which quota leases by themselves are asked for.
-const SHARES: &str = "shares";
+const SHARES_PART: &str = "shares";
 
 #[derive(Args)]
 pub(crate) struct ScaleArguments {
@@ -26,11 +26,11 @@
     #[arg(long, value_delimiter = ',', default_value = "1,2,3")]
     seeds: Vec<u64>,
     /// Of members, joint (members, signals and shares of one limit together), shares (by themselves).
-    #[arg(long, value_delimiter = ',', default_value = "members,joint,shares")]
-    of: Vec<String>,
+    #[arg(long = "of", value_delimiter = ',', default_value = "members,joint,shares")]
+    parts: Vec<String>,
     /// Of storm-and-rest, zone, regions, bunch; shares have troubles of their own.
-    #[arg(long, value_delimiter = ',', default_value = "storm-and-rest,zone,regions,bunch")]
-    cases: Vec<String>,
+    #[arg(long = "cases", value_delimiter = ',', default_value = "storm-and-rest,zone,regions,bunch")]
+    scenarios: Vec<String>,
     /// Limits, for shares by themselves.
     #[arg(long, value_delimiter = ',', default_value = "1,16")]
     limits: Vec<usize>,
@@ -62,29 +62,29 @@
 
 /// One run to play.
 enum Run {
-    ProtocolSet(Case),
+    Protocols(Case),
     Shares(SharesCase),
 }
 
 /// What a run measured, and how long it took in real time.
-struct Played {
+struct RunResult {
     points: Vec<Point>,
     elapsed_s: f64,
 }
 
 impl Run {
-    fn play(&self) -> Played {
+    fn execute(&self) -> RunResult {
         let began = Instant::now();
         let points = match self {
-            Self::ProtocolSet(case) => run_case(case),
+            Self::Protocols(case) => run_case(case),
             Self::Shares(case) => run_shares_case(case),
         };
-        Played { points, elapsed_s: began.elapsed().as_secs_f64() }
+        RunResult { points, elapsed_s: began.elapsed().as_secs_f64() }
     }
 
     fn describe(&self) -> String {
         match self {
-            Self::ProtocolSet(Case { protocols, scenario, size, seed, .. }) => {
+            Self::Protocols(Case { protocols, scenario, size, seed, .. }) => {
                 format!("{} {} {size} seed {seed}", protocols.name(), scenario.name())
             }
             Self::Shares(SharesCase { limits, fault, servers, seed, .. }) => {
@@ -95,23 +95,24 @@
 }
 
 impl ScaleArguments {
-    fn wants(&self, name: &str) -> bool {
-        self.of.iter().any(|wanted| wanted == name)
+    fn measures(&self, name: &str) -> bool {
+        self.parts.iter().any(|wanted| wanted == name)
     }
 
     fn check_names(&self) -> anyhow::Result<()> {
-        let machines: Vec<&str> = ProtocolSet::ALL.iter().map(|m| m.name()).chain([SHARES]).collect();
-        let scenarios: Vec<&str> = Scenario::ALL.iter().map(|s| s.name()).collect();
-        check_known("of", &self.of, &machines)?;
-        check_known("cases", &self.cases, &scenarios)
+        let known_parts: Vec<&str> =
+            ProtocolSet::ALL.iter().map(|protocols| protocols.name()).chain([SHARES_PART]).collect();
+        let known_scenarios: Vec<&str> = Scenario::ALL.iter().map(|scenario| scenario.name()).collect();
+        check_known("of", &self.parts, &known_parts)?;
+        check_known("cases", &self.scenarios, &known_scenarios)
     }
 
     fn runs(&self) -> Vec<Run> {
         let mut runs = Vec::new();
         for size in &self.sizes {
             for seed in &self.seeds {
-                self.add_machine_runs(&mut runs, *size, *seed);
-                if self.wants(SHARES) {
+                self.add_protocol_runs(&mut runs, *size, *seed);
+                if self.measures(SHARES_PART) {
                     self.add_shares_runs(&mut runs, *size, *seed);
                 }
             }
@@ -124,13 +125,13 @@
         Links { region_latency, region_loss: self.region_loss, loss: self.loss }
     }
 
-    fn add_machine_runs(&self, runs: &mut Vec<Run>, size: usize, seed: u64) {
+    fn add_protocol_runs(&self, runs: &mut Vec<Run>, size: usize, seed: u64) {
         let links = self.links();
         let window = Duration::from_ms(self.window_s.max(1) * MS_PER_SECOND);
-        for protocols in ProtocolSet::ALL.into_iter().filter(|protocols| self.wants(protocols.name())) {
-            let wanted = |s: &Scenario| self.cases.iter().any(|name| name == s.name());
-            for scenario in Scenario::ALL.into_iter().filter(wanted) {
-                runs.push(Run::ProtocolSet(Case { protocols, scenario, size, seed, links, window }));
+        for protocols in ProtocolSet::ALL.into_iter().filter(|protocols| self.measures(protocols.name())) {
+            let is_wanted = |scenario: &Scenario| self.scenarios.iter().any(|name| name == scenario.name());
+            for scenario in Scenario::ALL.into_iter().filter(is_wanted) {
+                runs.push(Run::Protocols(Case { protocols, scenario, size, seed, links, window }));
             }
         }
     }
@@ -178,10 +179,10 @@
     let began = Instant::now();
     let outcomes = on_all_cores(&runs, arguments.threads, |run| {
         let in_time = began.elapsed().as_secs_f64() <= arguments.minutes * SECONDS_PER_MINUTE;
-        in_time.then(|| run.play())
+        in_time.then(|| run.execute())
     });
     report_progress(&runs, &outcomes);
-    let points: Vec<Point> = outcomes.into_iter().flatten().flat_map(|played| played.points).collect();
+    let points: Vec<Point> = outcomes.into_iter().flatten().flat_map(|result| result.points).collect();
     print_points(&points, &arguments.sizes);
     match &arguments.json {
         Some(file) => arguments.save(file, points),
@@ -189,11 +190,11 @@
     }
 }
 
-fn report_progress(runs: &[Run], outcomes: &[Option<Played>]) {
+fn report_progress(runs: &[Run], outcomes: &[Option<RunResult>]) {
     for (run, outcome) in runs.iter().zip(outcomes) {
         let description = run.describe();
         match outcome {
-            Some(played) => eprintln!("{description}: played in {:.1} s", played.elapsed_s),
+            Some(result) => eprintln!("{description}: played in {:.1} s", result.elapsed_s),
             None => eprintln!("{description}: NOT RUN, the time was over"),
         }
     }
@@ -202,11 +203,11 @@
 fn print_points(points: &[Point], sizes: &[usize]) {
     let mut table = Table::new();
     table.load_style(presets::ASCII_MARKDOWN);
-    let head = ["figure", "case", "unit"].map(str::to_string).into_iter();
-    table.set_header(head.chain(sizes.iter().map(|size| format!("{size} servers"))));
+    let columns = ["figure", "case", "unit"].map(str::to_string).into_iter();
+    table.set_header(columns.chain(sizes.iter().map(|size| format!("{size} servers"))));
     for line in summarize(points, sizes) {
         let cells = line.cells.iter().map(|cell| match cell {
-            Some((least, mean, most)) if least < most => format!("{mean:.1} ({least:.1} to {most:.1})"),
+            Some((min, mean, max)) if min < max => format!("{mean:.1} ({min:.1} to {max:.1})"),
             Some((_, mean, _)) => format!("{mean:.1}"),
             None => "not measured".into(),
         });
--- a/crates/hazelspur-simulator/src/cli/shares.rs
+++ b/crates/hazelspur-simulator/src/cli/shares.rs
@@ -33,20 +33,22 @@
             let cases: Vec<Case> = (1..=arguments.seeds)
                 .map(|seed| Case { servers: *size, fault, seed, limits: 1, links: None })
                 .collect();
-            let all = on_all_cores(&cases, threads, run_case);
-            let mean =
-                |of: &dyn Fn(&Outcome) -> f64| all.iter().map(of).sum::<f64>() / all.len().max(1) as f64;
-            let most = |of: &dyn Fn(&Outcome) -> f64| all.iter().map(of).fold(0.0, f64::max);
-            let least = |of: &dyn Fn(&Outcome) -> f64| all.iter().map(of).fold(f64::INFINITY, f64::min);
+            let outcomes = on_all_cores(&cases, threads, run_case);
+            let mean = |figure: &dyn Fn(&Outcome) -> f64| {
+                outcomes.iter().map(figure).sum::<f64>() / outcomes.len().max(1) as f64
+            };
+            let max = |figure: &dyn Fn(&Outcome) -> f64| outcomes.iter().map(figure).fold(0.0, f64::max);
+            let min =
+                |figure: &dyn Fn(&Outcome) -> f64| outcomes.iter().map(figure).fold(f64::INFINITY, f64::min);
             table.add_row([
                 fault.name().to_string(),
                 size.to_string(),
-                format!("{:.4}", most(&|o| o.max_in_force)),
+                format!("{:.4}", max(&|o| o.max_in_force)),
                 format!("{:.3}", mean(&|o| o.used_fraction)),
-                format!("{:.2}", least(&|o| o.min_over_fair)),
+                format!("{:.2}", min(&|o| o.min_over_fair)),
                 format!("{:.3}", mean(&|o| o.jain_index)),
-                format!("{:.2}", least(&|o| o.min_used_fraction)),
-                format!("{:.1}", most(&|o| o.settled_s)),
+                format!("{:.2}", min(&|o| o.min_used_fraction)),
+                format!("{:.1}", max(&|o| o.settled_s)),
                 format!("{:.0}", mean(&|o| o.allocator_messages_per_s)),
             ]);
         }
--- a/crates/hazelspur-simulator/src/cli/sums.rs
+++ b/crates/hazelspur-simulator/src/cli/sums.rs
@@ -28,11 +28,11 @@
     #[arg(long, value_delimiter = ',', default_value = "1,10,100,300,1000")]
     sizes: Vec<usize>,
     /// Writes what the capacity command reads of it.
-    #[arg(long, requires = "text")]
+    #[arg(long, requires = "revision")]
     json: Option<PathBuf>,
     /// The commit that this is made on.
-    #[arg(long)]
-    text: Option<String>,
+    #[arg(long = "text")]
+    revision: Option<String>,
 }
 
 /// Prints the tables, and writes the study where a file is named.
@@ -43,8 +43,8 @@
     print_reports(&arguments.sizes);
     print_subsets(&arguments.sizes);
     print_slots(&arguments.sizes);
-    let (Some(file), Some(text)) = (&arguments.json, &arguments.text) else { return Ok(()) };
-    std::fs::write(file, study_json(&arguments.sizes, text))
+    let (Some(file), Some(revision)) = (&arguments.json, &arguments.revision) else { return Ok(()) };
+    std::fs::write(file, study_json(&arguments.sizes, revision))
         .map_err(|error| anyhow::anyhow!("{}: {error}", file.display()))
 }
 
@@ -52,8 +52,8 @@
     let mut table =
         markdown_table(["servers", "reports", "most in 20 ms over the mean", "longest without a place, ms"]);
     for size in sizes {
-        for (how, name) in [(ReportSpacing::Fixed, "in step"), (ReportSpacing::Jittered, "spread")] {
-            let all: Vec<_> = (1..=REPORT_SEEDS).map(|seed| measure_reports(*size, how, seed)).collect();
+        for (spacing, name) in [(ReportSpacing::Fixed, "in step"), (ReportSpacing::Jittered, "spread")] {
+            let all: Vec<_> = (1..=REPORT_SEEDS).map(|seed| measure_reports(*size, spacing, seed)).collect();
             let peak = all.iter().map(|(peak, _)| peak).sum::<f64>() / all.len() as f64;
             let longest = all.iter().map(|(_, longest)| longest.us() / US_PER_MS).max().unwrap_or(0);
             table.add_row([size.to_string(), name.into(), format!("{peak:.1}"), longest.to_string()]);
@@ -72,10 +72,10 @@
         "that differ between pictures a tenth apart",
     ]);
     for size in sizes.iter().filter(|size| **size >= MIN_SUBSET_FLEET) {
-        for way in SubsetMethod::ALL {
-            let (least, most, moved, differ) = measure_subsets(*size, SUBSET_SIZE, way, SUBSET_SEED);
-            let cells = [least, most, moved, differ].map(|figure| format!("{figure:.3}"));
-            table.add_row([vec![size.to_string(), way.name().into()], cells.to_vec()].concat());
+        for method in SubsetMethod::ALL {
+            let (min, max, moved, differing) = measure_subsets(*size, SUBSET_SIZE, method, SUBSET_SEED);
+            let cells = [min, max, moved, differing].map(|figure| format!("{figure:.3}"));
+            table.add_row([vec![size.to_string(), method.name().into()], cells.to_vec()].concat());
         }
     }
     println!("{table}\n");
--- a/crates/hazelspur-simulator/src/cli/together.rs
+++ b/crates/hazelspur-simulator/src/cli/together.rs
@@ -31,7 +31,7 @@
 }
 
 /// Runs the simulation at each size, and prints a table.
-pub(crate) fn run(asked: &TogetherArguments) {
+pub(crate) fn run(arguments: &TogetherArguments) {
     let mut table = markdown_table([
         "servers",
         "service",
@@ -39,30 +39,33 @@
         "most calls at once, of slots",
         "server-seconds a second",
     ]);
-    for servers in &asked.sizes {
-        let down = Duration::from_ms(asked.ledger_down_ms);
+    for servers in &arguments.sizes {
+        let ledger_outage = Duration::from_ms(arguments.ledger_down_ms);
         let case = |seed| Case {
             servers: *servers,
             seed,
-            load: asked.load,
-            seconds: asked.seconds,
-            ledger_outage: down,
+            load: arguments.load,
+            seconds: arguments.seconds,
+            ledger_outage,
         };
-        let cases: Vec<_> = (1..=asked.seeds).map(case).collect();
+        let cases: Vec<_> = (1..=arguments.seeds).map(case).collect();
         let began = Instant::now();
-        let all = on_all_cores(&cases, asked.threads, run_case);
-        let speed = (asked.seconds * asked.seeds) as f64 * *servers as f64 / began.elapsed().as_secs_f64();
-        let mean = |of: &dyn Fn(&Figures) -> f64| all.iter().map(of).sum::<f64>() / all.len().max(1) as f64;
-        if let Some(first) = all.first().filter(|_| asked.by_second) {
+        let runs = on_all_cores(&cases, arguments.threads, run_case);
+        let server_seconds_per_s =
+            (arguments.seconds * arguments.seeds) as f64 * *servers as f64 / began.elapsed().as_secs_f64();
+        let mean = |figure: &dyn Fn(&Figures) -> f64| {
+            runs.iter().map(figure).sum::<f64>() / runs.len().max(1) as f64
+        };
+        if let Some(first) = runs.first().filter(|_| arguments.by_second) {
             println!("{servers} servers, seed 1, served in each second: {:?}", first.succeeded_by_second);
         }
         let slots = 8.0 * *servers as f64;
         table.add_row([
             servers.to_string(),
-            format!("{:.3}", mean(&|f| f.service())),
-            format!("{:.3}", mean(&|f| f.rejected as f64 / f.requests.max(1) as f64)),
-            format!("{:.2}", mean(&|f| f.max_concurrent_calls as f64 / slots)),
-            format!("{speed:.0}"),
+            format!("{:.3}", mean(&|figures| figures.service())),
+            format!("{:.3}", mean(&|figures| figures.rejected as f64 / figures.requests.max(1) as f64)),
+            format!("{:.2}", mean(&|figures| figures.max_concurrent_calls as f64 / slots)),
+            format!("{server_seconds_per_s:.0}"),
         ]);
     }
     println!("{table}");
--- a/crates/hazelspur-simulator/src/cli/who_is_here.rs
+++ b/crates/hazelspur-simulator/src/cli/who_is_here.rs
@@ -26,22 +26,25 @@
     #[arg(long, default_value_t = 0.01)]
     loss: f64,
     /// How long each stop lasts, in ms.
-    #[arg(long, default_value_t = 2000)]
-    stop_ms: u64,
+    #[arg(long = "stop-ms", default_value_t = 2000)]
+    pause_ms: u64,
     /// Only the ways whose name has this in it.
-    #[arg(long, default_value = "")]
-    way: String,
+    #[arg(long = "way", default_value = "")]
+    protocol: String,
     #[arg(long, default_value_t = std::thread::available_parallelism().map_or(1, |n| n.get()))]
     threads: usize,
 }
 
 /// Compares the membership protocols, and prints a table.
-pub(crate) fn run(asked: &WhoIsHereArguments) {
+pub(crate) fn run(arguments: &WhoIsHereArguments) {
     let mut table = Table::new();
     table.load_style(presets::ASCII_MARKDOWN).set_header(Row::HEADER);
-    for size in &asked.sizes {
-        let rows =
-            [rows::<Swim>(asked, *size), rows::<FocaProtocol>(asked, *size), rows::<Heartbeat>(asked, *size)];
+    for size in &arguments.sizes {
+        let rows = [
+            run_protocol::<Swim>(arguments, *size),
+            run_protocol::<FocaProtocol>(arguments, *size),
+            run_protocol::<Heartbeat>(arguments, *size),
+        ];
         for row in rows.into_iter().flatten() {
             table.add_row(row.cells());
         }
@@ -49,19 +52,20 @@
     println!("{table}");
 }
 
-fn rows<W: MembershipProtocol>(asked: &WhoIsHereArguments, size: usize) -> Option<Row> {
-    if !W::NAME.contains(&asked.way) {
+fn run_protocol<P: MembershipProtocol>(arguments: &WhoIsHereArguments, size: usize) -> Option<Row> {
+    if !P::NAME.contains(&arguments.protocol) {
         return None;
     }
     let (fault_duration, pause) =
-        (Duration::from_ms(asked.minutes * 60_000), Duration::from_ms(asked.stop_ms));
-    let cases: Vec<Case> =
-        (1..=asked.seeds).map(|seed| Case { size, seed, fault_duration, loss: asked.loss, pause }).collect();
+        (Duration::from_ms(arguments.minutes * 60_000), Duration::from_ms(arguments.pause_ms));
+    let cases: Vec<Case> = (1..=arguments.seeds)
+        .map(|seed| Case { size, seed, fault_duration, loss: arguments.loss, pause })
+        .collect();
     let began = Instant::now();
-    let outcomes = on_all_cores(&cases, asked.threads, run_case::<W>);
+    let outcomes = on_all_cores(&cases, arguments.threads, run_case::<P>);
     // Storm, rests, kills and halves take about eleven minutes besides.
-    let simulated = (fault_duration.secs() + 660.0) * size as f64 * asked.seeds as f64;
-    let speed = simulated / began.elapsed().as_secs_f64();
-    eprintln!("{}, {size} servers: {speed:.0} server-seconds a second", W::NAME);
-    Some(Row { protocol: W::NAME, size, outcomes })
+    let server_seconds = (fault_duration.secs() + 660.0) * size as f64 * arguments.seeds as f64;
+    let server_seconds_per_s = server_seconds / began.elapsed().as_secs_f64();
+    eprintln!("{}, {size} servers: {server_seconds_per_s:.0} server-seconds a second", P::NAME);
+    Some(Row { protocol: P::NAME, size, outcomes })
 }
--- a/crates/hazelspur-simulator/src/studies/choices.rs
+++ b/crates/hazelspur-simulator/src/studies/choices.rs
@@ -7,7 +7,7 @@
 /// Servers have found each other and shares are held by then; what came before does not count.
 pub const WARM_UP: Duration = Duration::from_ms(16_000);
 /// How long the counted part of a run takes.
-const PLAYED: Duration = Duration::from_ms(24_000);
+const MEASURED: Duration = Duration::from_ms(24_000);
 
 /// A hard case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -91,22 +91,22 @@
 
     /// The least second that was served over the mean one, from `WARM_UP` on and without the last second.
     pub fn worst_second_ratio(&self) -> f64 {
-        let from = (WARM_UP.us() / 1_000_000) as usize;
+        let first = (WARM_UP.us() / 1_000_000) as usize;
         let seconds = &self.figures.succeeded_by_second;
-        let counted =
-            &seconds[from.min(seconds.len())..seconds.len().saturating_sub(1).max(from.min(seconds.len()))];
-        let mean = counted.iter().map(|n| f64::from(*n)).sum::<f64>() / counted.len().max(1) as f64;
-        counted.iter().copied().min().map_or(0.0, |least| f64::from(least) / mean.max(1.0))
+        let measured =
+            &seconds[first.min(seconds.len())..seconds.len().saturating_sub(1).max(first.min(seconds.len()))];
+        let mean = measured.iter().map(|count| f64::from(*count)).sum::<f64>() / measured.len().max(1) as f64;
+        measured.iter().copied().min().map_or(0.0, |min| f64::from(min) / mean.max(1.0))
     }
 }
 
 /// Plays one run.
 pub fn run_case(case: &Case) -> Outcome {
-    let n = case.servers;
+    let servers = case.servers;
     let load = if case.scenario == Scenario::Overload { 1.5 } else { 0.42 };
     let skewed_fraction = if case.scenario == Scenario::Overload { 0.0 } else { 0.5 };
-    let initial_servers = if case.scenario == Scenario::FleetDoubles { n.div_ceil(2) } else { n };
-    let plan = SimulationConfig {
+    let initial_servers = if case.scenario == Scenario::FleetDoubles { servers.div_ceil(2) } else { servers };
+    let config = SimulationConfig {
         slots_per_server: 4.0,
         call_duration: Duration::from_ms(20),
         skewed_fraction,
@@ -114,27 +114,27 @@
         guaranteed_fraction: case.guaranteed_fraction,
         initial_servers,
         ..SimulationConfig::new(
-            n,
+            servers,
             case.seed,
             if case.scenario == Scenario::FleetDoubles { load / 2.0 } else { load },
         )
     };
-    let mut simulation = Simulation::new(plan);
-    script(&mut simulation, case.scenario, n);
+    let mut simulation = Simulation::new(config);
+    schedule_scenario(&mut simulation, case.scenario, servers);
     simulation.run(WARM_UP);
     simulation.reset_figures();
     let mut max_in_force: f64 = 0.0;
-    for _ in 0..PLAYED.us() / 100_000 {
+    for _ in 0..MEASURED.us() / 100_000 {
         simulation.run(Duration::from_ms(100));
         max_in_force = max_in_force.max(simulation.quota_in_force().fraction);
     }
-    let slots = plan.slots_per_server * n as f64;
-    Outcome { figures: simulation.figures.clone(), max_in_force, slots, servers: n }
+    let slots = config.slots_per_server * servers as f64;
+    Outcome { figures: simulation.figures.clone(), max_in_force, slots, servers }
 }
 
-fn script(simulation: &mut Simulation, scenario: Scenario, n: usize) {
+fn schedule_scenario(simulation: &mut Simulation, scenario: Scenario, servers: usize) {
     let at = |ms: u64| WARM_UP + Duration::from_ms(ms);
-    let every = |by: usize| (0..n).filter(move |of| of % by == by / 2);
+    let one_in = |divisor: usize| (0..servers).filter(move |server| server % divisor == divisor / 2);
     match scenario {
         Scenario::UnevenLoad | Scenario::Overload => {}
         Scenario::LedgerDown => {
@@ -146,17 +146,17 @@
             simulation.script(at(13_000), ScriptAction::SetLedgerSlowdown(1.0));
         }
         Scenario::LinksSlow => {
-            for of in every(10) {
-                simulation.script(at(3000), ScriptAction::SetLinkSlowdown(of, 10.0));
-                simulation.script(at(18_000), ScriptAction::SetLinkSlowdown(of, 1.0));
+            for server in one_in(10) {
+                simulation.script(at(3000), ScriptAction::SetLinkSlowdown(server, 10.0));
+                simulation.script(at(18_000), ScriptAction::SetLinkSlowdown(server, 1.0));
             }
         }
         Scenario::ServersReplaced => {
-            let gone: Vec<usize> = (0..n).filter(|of| of % 5 < 2).collect();
-            for (i, of) in gone.iter().enumerate() {
-                let ms = 3000 + 7000 * i as u64 / gone.len().max(1) as u64;
-                simulation.script(at(ms), ScriptAction::Kill(*of));
-                simulation.script(at(ms + 1500), ScriptAction::Start(*of));
+            let replaced: Vec<usize> = (0..servers).filter(|server| server % 5 < 2).collect();
+            for (i, server) in replaced.iter().enumerate() {
+                let ms = 3000 + 7000 * i as u64 / replaced.len().max(1) as u64;
+                simulation.script(at(ms), ScriptAction::Kill(*server));
+                simulation.script(at(ms + 1500), ScriptAction::Start(*server));
             }
         }
         Scenario::Partition => {
@@ -164,16 +164,16 @@
             simulation.script(at(18_000), ScriptAction::SetPartition(None));
         }
         Scenario::ServersPaused => {
-            for of in every(20) {
-                simulation.script(at(3000), ScriptAction::Pause(of, Duration::from_ms(10_000)));
+            for server in one_in(20) {
+                simulation.script(at(3000), ScriptAction::Pause(server, Duration::from_ms(10_000)));
             }
         }
         Scenario::FleetDoubles => {
-            for (i, of) in (n.div_ceil(2)..n).enumerate() {
-                simulation.script(at(3000 + 8000 * i as u64 / n as u64), ScriptAction::Start(of));
+            for (i, server) in (servers.div_ceil(2)..servers).enumerate() {
+                simulation.script(at(3000 + 8000 * i as u64 / servers as u64), ScriptAction::Start(server));
             }
-            for of in every(5) {
-                simulation.script(at(3000), ScriptAction::SetCoreSpeed(of, 0.5));
+            for server in one_in(5) {
+                simulation.script(at(3000), ScriptAction::SetCoreSpeed(server, 0.5));
             }
             simulation.script(
                 at(3000),
--- a/crates/hazelspur-simulator/src/studies/scale/mod.rs
+++ b/crates/hazelspur-simulator/src/studies/scale/mod.rs
@@ -18,27 +18,27 @@
 use std::collections::VecDeque;
 
 /// All start within this.
-const STORM: Duration = Duration::from_ms(1000);
+const START_STORM: Duration = Duration::from_ms(1000);
 /// After a storm of starts the fleet is left alone for so long.
-const SETTLE: Duration = Duration::from_ms(30_000);
+const SETTLE_TIME: Duration = Duration::from_ms(30_000);
 /// How long regions are partitioned.
-const APART: Duration = Duration::from_ms(60_000);
+const PARTITION_DURATION: Duration = Duration::from_ms(60_000);
 /// One server in so many restarts in a bunch.
-const BUNCH_PART: usize = 40;
+const RESTART_DIVISOR: usize = 40;
 /// How long a bunch of restarts takes.
-const BUNCH: Duration = Duration::from_ms(10_000);
+const RESTART_BURST: Duration = Duration::from_ms(10_000);
 /// How long a restarting server is away.
-const AWAY: Duration = Duration::from_ms(1500);
+const RESTART_DOWNTIME: Duration = Duration::from_ms(1500);
 /// The first server that restarts in a bunch.
 const FIRST_RESTARTED: usize = 7;
 /// CPU is taken over so many server-seconds at least.
-const CPU_SERVER_SECS: f64 = 40_000.0;
+const MIN_CPU_SERVER_SECONDS: f64 = 40_000.0;
 /// Between two checks whether all agree.
-const LOOK: Duration = Duration::from_ms(250);
+const AGREEMENT_CHECK_PERIOD: Duration = Duration::from_ms(250);
 /// Checks in a second, over which the worst second of traffic is counted.
-const LOOKS_A_SECOND: usize = 4;
+const CHECKS_PER_SECOND: usize = 4;
 /// Nobody waits longer than this for all to agree.
-const LONGEST: Duration = Duration::from_ms(180_000);
+const MAX_AGREEMENT_WAIT: Duration = Duration::from_ms(180_000);
 /// The zone that is lost; its first server is a contact point and a keeper.
 const LOST_ZONE: usize = 0;
 
@@ -153,24 +153,28 @@
 
 impl TrafficSummary {
     /// The mean is over `servers`.
-    fn of(
+    fn from_counts(
         before: &[Traffic],
         after: &[Traffic],
         max_bytes_out_in_a_second: u64,
         secs: f64,
         servers: usize,
     ) -> Self {
-        let first = |at: usize| before.get(at).copied().unwrap_or_default();
-        let each: Vec<Traffic> = after.iter().enumerate().map(|(at, after)| after.since(first(at))).collect();
-        let most = |of: fn(&Traffic) -> u64| each.iter().map(of).max().unwrap_or(0) as f64 / secs;
-        let mean = |of: fn(&Traffic) -> u64| each.iter().map(of).sum::<u64>() as f64 / servers as f64 / secs;
+        let earlier = |server: usize| before.get(server).copied().unwrap_or_default();
+        let each: Vec<Traffic> =
+            after.iter().enumerate().map(|(server, after)| after.since(earlier(server))).collect();
+        let busiest =
+            |counter: fn(&Traffic) -> u64| each.iter().map(counter).max().unwrap_or(0) as f64 / secs;
+        let mean = |counter: fn(&Traffic) -> u64| {
+            each.iter().map(counter).sum::<u64>() as f64 / servers as f64 / secs
+        };
         Self {
-            datagrams_out_per_s: mean(|t| t.out),
-            bytes_out_per_s: mean(|t| t.bytes_out),
-            busiest_datagrams_out_per_s: most(|t| t.out),
-            busiest_bytes_out_per_s: most(|t| t.bytes_out),
-            busiest_datagrams_in_per_s: most(|t| t.came),
-            busiest_bytes_in_per_s: most(|t| t.bytes_in),
+            datagrams_out_per_s: mean(|traffic| traffic.out),
+            bytes_out_per_s: mean(|traffic| traffic.bytes_out),
+            busiest_datagrams_out_per_s: busiest(|traffic| traffic.out),
+            busiest_bytes_out_per_s: busiest(|traffic| traffic.bytes_out),
+            busiest_datagrams_in_per_s: busiest(|traffic| traffic.came),
+            busiest_bytes_in_per_s: busiest(|traffic| traffic.bytes_in),
             max_bytes_out_in_a_second: max_bytes_out_in_a_second as f64,
         }
     }
@@ -185,59 +189,63 @@
 }
 
 /// Plays for `window`, and on until all agree or three minutes are over.
-fn watch<W: MembershipProtocol>(fleet: &mut TestFleet<W>, window: Duration, size: usize) -> Agreement {
-    let from = fleet.now();
+fn measure_agreement<P: MembershipProtocol>(
+    fleet: &mut TestFleet<P>,
+    window: Duration,
+    size: usize,
+) -> Agreement {
+    let started = fleet.now();
     let before: Vec<Traffic> = fleet.traffic().collect();
-    let (mut second, mut worst) = (before.clone(), 0);
-    let (mut agreed, mut load, mut looks) = (None, None, 0);
+    let (mut a_second_ago, mut max_bytes_out) = (before.clone(), 0);
+    let (mut agreed_after_s, mut traffic, mut checks) = (None, None, 0);
     loop {
-        let passed = fleet.now() - from;
-        if agreed.is_none() && fleet.agree() {
-            agreed = Some(passed.secs());
+        let passed = fleet.now() - started;
+        if agreed_after_s.is_none() && fleet.agree() {
+            agreed_after_s = Some(passed.secs());
         }
-        if load.is_none() && passed >= window {
+        if traffic.is_none() && passed >= window {
             let after: Vec<Traffic> = fleet.traffic().collect();
-            load = Some(TrafficSummary::of(&before, &after, worst, passed.secs(), size));
+            traffic = Some(TrafficSummary::from_counts(&before, &after, max_bytes_out, passed.secs(), size));
         }
-        if let Some(load) = load
-            && (agreed.is_some() || passed >= LONGEST)
+        if let Some(traffic) = traffic
+            && (agreed_after_s.is_some() || passed >= MAX_AGREEMENT_WAIT)
         {
-            return Agreement { traffic: load, agreed_after_s: agreed };
+            return Agreement { traffic, agreed_after_s };
         }
-        fleet.play(LOOK);
-        looks += 1;
-        if looks % LOOKS_A_SECOND == 0 {
+        fleet.play(AGREEMENT_CHECK_PERIOD);
+        checks += 1;
+        if checks % CHECKS_PER_SECOND == 0 {
             let after: Vec<Traffic> = fleet.traffic().collect();
-            let sent = |(at, after): (usize, &Traffic)| {
-                after.bytes_out - second.get(at).map_or(0, |before| before.bytes_out)
+            let sent = |(server, after): (usize, &Traffic)| {
+                after.bytes_out - a_second_ago.get(server).map_or(0, |before| before.bytes_out)
             };
-            worst = after.iter().enumerate().map(sent).max().unwrap_or(0).max(worst);
-            second = after;
+            max_bytes_out = after.iter().enumerate().map(sent).max().unwrap_or(0).max(max_bytes_out);
+            a_second_ago = after;
         }
     }
 }
 
 /// All start within a second, each at its part of it.
-pub fn start_all<W: MembershipProtocol>(
-    fleet: &mut TestFleet<W>,
-    numbers: impl ExactSizeIterator<Item = usize>,
+pub fn start_all<P: MembershipProtocol>(
+    fleet: &mut TestFleet<P>,
+    servers: impl ExactSizeIterator<Item = usize>,
 ) {
-    let part = Duration::from_us(STORM.us() / numbers.len().max(1) as u64);
-    for of in numbers {
-        fleet.start(of);
-        fleet.play(part);
+    let interval = Duration::from_us(START_STORM.us() / servers.len().max(1) as u64);
+    for server in servers {
+        fleet.start(server);
+        fleet.play(interval);
     }
 }
 
 /// A fleet of so many, started and at rest.
-pub fn settled_fleet<W: MembershipProtocol>(size: usize, seed: u64, links: &Links) -> TestFleet<W> {
+pub fn settled_fleet<P: MembershipProtocol>(size: usize, seed: u64, links: &Links) -> TestFleet<P> {
     let mut fleet = TestFleet::new(links.network(), max_servers(size), seed);
     start_all(&mut fleet, 0..size);
-    let from = fleet.now();
-    while !fleet.agree() && fleet.now() - from < LONGEST {
-        fleet.play(LOOK);
+    let started = fleet.now();
+    while !fleet.agree() && fleet.now() - started < MAX_AGREEMENT_WAIT {
+        fleet.play(AGREEMENT_CHECK_PERIOD);
     }
-    fleet.play(SETTLE);
+    fleet.play(SETTLE_TIME);
     fleet
 }
 
@@ -251,86 +259,93 @@
 }
 
 /// Counts the traffic of `fleet` for `window`.
-pub fn measure_at_rest<W: MembershipProtocol>(
-    fleet: &mut TestFleet<W>,
+pub fn measure_at_rest<P: MembershipProtocol>(
+    fleet: &mut TestFleet<P>,
     window: Duration,
     size: usize,
 ) -> RestMeasurement {
     let before: Vec<Traffic> = fleet.traffic().collect();
-    let (mut second, mut worst, from) = (before.clone(), 0, fleet.now());
-    while fleet.now() - from < window {
+    let (mut a_second_ago, mut max_bytes_out, started) = (before.clone(), 0, fleet.now());
+    while fleet.now() - started < window {
         fleet.play(Duration::from_ms(1000));
         let after: Vec<Traffic> = fleet.traffic().collect();
-        let sent = after.iter().zip(&second).map(|(after, before)| after.bytes_out - before.bytes_out);
-        worst = sent.max().unwrap_or(0).max(worst);
-        second = after;
+        let sent = after.iter().zip(&a_second_ago).map(|(after, before)| after.bytes_out - before.bytes_out);
+        max_bytes_out = sent.max().unwrap_or(0).max(max_bytes_out);
+        a_second_ago = after;
     }
-    let load = TrafficSummary::of(&before, &second, worst, (fleet.now() - from).secs(), size);
-    let entries: Vec<usize> = fleet.members().map(|(_, way)| way.entries()).collect();
+    let traffic = TrafficSummary::from_counts(
+        &before,
+        &a_second_ago,
+        max_bytes_out,
+        (fleet.now() - started).secs(),
+        size,
+    );
+    let entries: Vec<usize> = fleet.members().map(|(_, member)| member.entries()).collect();
     let sum: usize = entries.iter().sum();
     let mean = sum as f64 / entries.len().max(1) as f64;
-    RestMeasurement { traffic: load, mean_entries: mean, max_entries: entries.into_iter().max().unwrap_or(0) }
+    RestMeasurement { traffic, mean_entries: mean, max_entries: entries.into_iter().max().unwrap_or(0) }
 }
 
 /// Plays one situation of one fleet, and returns its points.
-pub fn run_case_with<W: MembershipProtocol>(case: &Case) -> Vec<Point> {
-    let mut out = Sheet { case, points: Vec::new() };
+pub fn run_case_with<P: MembershipProtocol>(case: &Case) -> Vec<Point> {
+    let mut collector = PointCollector { case, points: Vec::new() };
     match case.scenario {
-        Scenario::StartStorm => storm_and_rest::<W>(case, &mut out),
-        Scenario::ZoneLoss => zone_lost::<W>(case, &mut out),
-        Scenario::RegionPartition => regions_apart::<W>(case, &mut out),
-        Scenario::RestartBurst => bunched_restarts::<W>(case, &mut out),
+        Scenario::StartStorm => start_storm::<P>(case, &mut collector),
+        Scenario::ZoneLoss => zone_loss::<P>(case, &mut collector),
+        Scenario::RegionPartition => region_partition::<P>(case, &mut collector),
+        Scenario::RestartBurst => restart_burst::<P>(case, &mut collector),
     }
-    out.points
+    collector.points
 }
 
-fn storm_and_rest<W: MembershipProtocol>(case: &Case, out: &mut Sheet) {
+fn start_storm<P: MembershipProtocol>(case: &Case, collector: &mut PointCollector) {
     let size = case.size;
-    let mut fleet: TestFleet<W> = TestFleet::new(case.links.network(), max_servers(size), case.seed);
+    let mut fleet: TestFleet<P> = TestFleet::new(case.links.network(), max_servers(size), case.seed);
     // Traffic of the second in which they start counts too; the time until all agree is from its end.
     let before: Vec<Traffic> = fleet.traffic().collect();
     start_all(&mut fleet, 0..size);
-    let first = TrafficSummary::of(&before, &fleet.traffic().collect::<Vec<_>>(), 0, 1.0, size);
-    let watched = watch(&mut fleet, case.window, size);
-    out.watched("storm", &watched);
-    out.point("datagrams_out_per_s", "first second of the storm", "1/s", first.datagrams_out_per_s);
-    out.point("bytes_out_per_s", "first second of the storm", "B/s", first.bytes_out_per_s);
-    fleet.play(SETTLE);
-    rest_points(out, &mut fleet);
+    let first = TrafficSummary::from_counts(&before, &fleet.traffic().collect::<Vec<_>>(), 0, 1.0, size);
+    let agreement = measure_agreement(&mut fleet, case.window, size);
+    collector.add_agreement("storm", &agreement);
+    collector.add("datagrams_out_per_s", "first second of the storm", "1/s", first.datagrams_out_per_s);
+    collector.add("bytes_out_per_s", "first second of the storm", "B/s", first.bytes_out_per_s);
+    fleet.play(SETTLE_TIME);
+    add_rest_points(collector, &mut fleet);
 }
 
-fn zone_lost<W: MembershipProtocol>(case: &Case, out: &mut Sheet) {
+fn zone_loss<P: MembershipProtocol>(case: &Case, collector: &mut PointCollector) {
     let size = case.size;
-    let mut fleet: TestFleet<W> = settled_fleet(size, case.seed, &case.links);
+    let mut fleet: TestFleet<P> = settled_fleet(size, case.seed, &case.links);
     let lost: Vec<usize> = (0..size).filter(|server| server % ZONES == LOST_ZONE).collect();
     lost.iter().for_each(|server| fleet.kill(*server));
-    let gone = watch(&mut fleet, case.window, size - lost.len());
-    out.watched("zone lost", &gone);
+    let after_loss = measure_agreement(&mut fleet, case.window, size - lost.len());
+    collector.add_agreement("zone lost", &after_loss);
     start_all(&mut fleet, lost.into_iter());
-    let back = watch(&mut fleet, case.window, size);
-    out.watched("zone back", &back);
+    let after_return = measure_agreement(&mut fleet, case.window, size);
+    collector.add_agreement("zone back", &after_return);
 }
 
-fn regions_apart<W: MembershipProtocol>(case: &Case, out: &mut Sheet) {
-    let mut fleet: TestFleet<W> = settled_fleet(case.size, case.seed, &case.links);
+fn region_partition<P: MembershipProtocol>(case: &Case, collector: &mut PointCollector) {
+    let mut fleet: TestFleet<P> = settled_fleet(case.size, case.seed, &case.links);
     fleet.network.cut = Some(|from, to| from % ZONES % REGIONS != to % ZONES % REGIONS);
-    fleet.play(APART);
+    fleet.play(PARTITION_DURATION);
     fleet.network.cut = None;
-    let healed = watch(&mut fleet, case.window, case.size);
-    out.watched("regions healed", &healed);
+    let after_heal = measure_agreement(&mut fleet, case.window, case.size);
+    collector.add_agreement("regions healed", &after_heal);
 }
 
-fn bunched_restarts<W: MembershipProtocol>(case: &Case, out: &mut Sheet) {
+fn restart_burst<P: MembershipProtocol>(case: &Case, collector: &mut PointCollector) {
     let size = case.size;
-    let mut fleet: TestFleet<W> = settled_fleet(size, case.seed, &case.links);
+    let mut fleet: TestFleet<P> = settled_fleet(size, case.seed, &case.links);
     let before: Vec<Traffic> = fleet.traffic().collect();
-    let from = fleet.now();
-    restart_in_a_bunch(&mut fleet, size);
-    let during = (fleet.now() - from).secs();
-    let load = TrafficSummary::of(&before, &fleet.traffic().collect::<Vec<_>>(), 0, during, size);
-    out.load("bunched restarts, while they go on", &load);
-    let watched = watch(&mut fleet, case.window, size);
-    out.watched("bunched restarts, after the last", &watched);
+    let started = fleet.now();
+    restart_one_by_one(&mut fleet, size);
+    let elapsed_s = (fleet.now() - started).secs();
+    let traffic =
+        TrafficSummary::from_counts(&before, &fleet.traffic().collect::<Vec<_>>(), 0, elapsed_s, size);
+    collector.add_traffic("bunched restarts, while they go on", &traffic);
+    let agreement = measure_agreement(&mut fleet, case.window, size);
+    collector.add_agreement("bunched restarts, after the last", &agreement);
 }
 
 /// A server that left, and when it starts again.
@@ -340,108 +355,110 @@
     server: usize,
 }
 
-/// Restarts one server in so many, one after the other, each of which is away for `AWAY`.
-fn restart_in_a_bunch<W: MembershipProtocol>(fleet: &mut TestFleet<W>, size: usize) {
-    let many = (size / BUNCH_PART).max(1);
-    let gap = Duration::from_us(BUNCH.us() / many as u64);
-    let mut away: VecDeque<Restart> = VecDeque::new();
-    let from = fleet.now();
-    for i in 0..many {
+/// Restarts one server in so many, one after the other, each of which is away for `RESTART_DOWNTIME`.
+fn restart_one_by_one<P: MembershipProtocol>(fleet: &mut TestFleet<P>, size: usize) {
+    let restarts = (size / RESTART_DIVISOR).max(1);
+    let gap = Duration::from_us(RESTART_BURST.us() / restarts as u64);
+    let mut down: VecDeque<Restart> = VecDeque::new();
+    let started = fleet.now();
+    for i in 0..restarts {
         // Neither seed members nor voters, and of all zones in turn.
-        let server = (i * BUNCH_PART + i % ZONES + FIRST_RESTARTED) % size;
+        let server = (i * RESTART_DIVISOR + i % ZONES + FIRST_RESTARTED) % size;
         fleet.leave(server);
-        away.push_back(Restart { at: fleet.now() + AWAY, server });
-        if i + 1 == many {
+        down.push_back(Restart { at: fleet.now() + RESTART_DOWNTIME, server });
+        if i + 1 == restarts {
             break;
         }
-        let next = from + gap.scaled((i + 1) as f64);
-        while let Some(restart) = away.pop_front_if(|restart| restart.at <= next) {
-            start_again(fleet, restart);
+        let next = started + gap.scaled((i + 1) as f64);
+        while let Some(restart) = down.pop_front_if(|restart| restart.at <= next) {
+            finish_restart(fleet, restart);
         }
         fleet.play(next - fleet.now());
     }
-    away.into_iter().for_each(|restart| start_again(fleet, restart));
+    down.into_iter().for_each(|restart| finish_restart(fleet, restart));
 }
 
-fn start_again<W: MembershipProtocol>(fleet: &mut TestFleet<W>, restart: Restart) {
+fn finish_restart<P: MembershipProtocol>(fleet: &mut TestFleet<P>, restart: Restart) {
     fleet.play(restart.at - fleet.now());
     fleet.start(restart.server);
 }
 
 /// Traffic, entries, CPU and heap at rest. The heap is that of a zone's servers, taken from what their end
 /// gives back.
-fn rest_points<W: MembershipProtocol>(out: &mut Sheet, fleet: &mut TestFleet<W>) {
-    let case = out.case;
+fn add_rest_points<P: MembershipProtocol>(collector: &mut PointCollector, fleet: &mut TestFleet<P>) {
+    let case = collector.case;
     let rest = measure_at_rest(fleet, case.window, case.size);
     // The kernel counts in steps of some milliseconds: a small fleet is played for longer.
-    let long = case.window.max(Duration::from_secs(CPU_SERVER_SECS / case.size as f64));
+    let cpu_window = case.window.max(Duration::from_secs(MIN_CPU_SERVER_SECONDS / case.size as f64));
     let before = cpu::of_this_thread();
-    fleet.play(long);
+    fleet.play(cpu_window);
     let spent = before.zip(cpu::of_this_thread()).map(|(before, after)| after - before);
-    out.load("rest", &rest.traffic);
-    out.point("entries", "rest", "entries", rest.mean_entries);
-    let held = heap::live();
-    let zone: Vec<usize> = (0..case.size).filter(|of| of % ZONES == LOST_ZONE).collect();
-    zone.iter().for_each(|of| fleet.kill(*of));
-    if let Some((before, after)) = held.zip(heap::live()) {
-        let each = (before - after) as f64 / zone.len().max(1) as f64 + size_of::<W>() as f64;
-        out.point("state_bytes", "rest", "B", each);
+    collector.add_traffic("rest", &rest.traffic);
+    collector.add("entries", "rest", "entries", rest.mean_entries);
+    let heap_before = heap::live();
+    let zone_servers: Vec<usize> = (0..case.size).filter(|server| server % ZONES == LOST_ZONE).collect();
+    zone_servers.iter().for_each(|server| fleet.kill(*server));
+    if let Some((before, after)) = heap_before.zip(heap::live()) {
+        let bytes_per_server =
+            (before - after) as f64 / zone_servers.len().max(1) as f64 + size_of::<P>() as f64;
+        collector.add("state_bytes", "rest", "B", bytes_per_server);
     }
     if let Some(spent) = spent {
-        let us = spent.us() as f64 / (long.secs() * case.size as f64);
-        out.point("cpu_with_queue_us_per_s", "rest", "us/s", us);
-        if let Some(queue) = queue_alone(case, &rest.traffic, long) {
-            out.point("cpu_of_queue_us_per_s", "rest", "us/s", queue);
-            out.point("cpu_us_per_s", "rest", "us/s", us - queue);
+        let us = spent.us() as f64 / (cpu_window.secs() * case.size as f64);
+        collector.add("cpu_with_queue_us_per_s", "rest", "us/s", us);
+        if let Some(overhead) = simulator_cpu_us_per_s(case, &rest.traffic, cpu_window) {
+            collector.add("cpu_of_queue_us_per_s", "rest", "us/s", overhead);
+            collector.add("cpu_us_per_s", "rest", "us/s", us - overhead);
         }
     }
 }
 
 /// CPU of the laboratory's own queue and network for the same traffic, in microseconds a server-second.
-fn queue_alone(case: &Case, load: &TrafficSummary, long: Duration) -> Option<f64> {
-    let rate = Rate { servers: case.size, datagrams: load.datagrams_out_per_s, bytes: load.bytes_out_per_s };
+fn simulator_cpu_us_per_s(case: &Case, traffic: &TrafficSummary, cpu_window: Duration) -> Option<f64> {
+    let rate =
+        Rate { servers: case.size, datagrams: traffic.datagrams_out_per_s, bytes: traffic.bytes_out_per_s };
     let mut fleet: TestFleet<Lightweight> = TestFleet::new(case.links.network(), case.size, case.seed);
-    for of in 0..case.size {
+    for server in 0..case.size {
         let lightweight =
-            Lightweight::new(of, rate, case.seed.wrapping_mul(1_000_003) + of as u64, fleet.now());
-        fleet.start_as(of, lightweight);
+            Lightweight::new(server, rate, case.seed.wrapping_mul(1_000_003) + server as u64, fleet.now());
+        fleet.start_as(server, lightweight);
     }
     fleet.play(Duration::from_ms(2000));
     let before = cpu::of_this_thread()?;
-    fleet.play(long);
+    fleet.play(cpu_window);
     let spent = cpu::of_this_thread()? - before;
-    Some(spent.us() as f64 / (long.secs() * case.size as f64))
+    Some(spent.us() as f64 / (cpu_window.secs() * case.size as f64))
 }
 
 /// Collects the points of one run.
-struct Sheet<'a> {
+struct PointCollector<'a> {
     case: &'a Case,
     points: Vec<Point>,
 }
 
-impl Sheet<'_> {
-    fn point(&mut self, figure: &str, case: &str, unit: &str, value: f64) {
+impl PointCollector<'_> {
+    fn add(&mut self, figure: &str, case: &str, unit: &str, value: f64) {
         let figure = format!("{}.{figure}", self.case.protocols.name());
         self.points.push(Point::of_servers(&figure, case, unit, self.case.size, self.case.seed, value));
     }
 
-    fn load(&mut self, case: &str, load: &TrafficSummary) {
-        self.point("datagrams_out_per_s", case, "1/s", load.datagrams_out_per_s);
-        self.point("bytes_out_per_s", case, "B/s", load.bytes_out_per_s);
-        self.point("busiest_datagrams_out_per_s", case, "1/s", load.busiest_datagrams_out_per_s);
-        self.point("busiest_bytes_out_per_s", case, "B/s", load.busiest_bytes_out_per_s);
-        self.point("busiest_datagrams_in_per_s", case, "1/s", load.busiest_datagrams_in_per_s);
-        self.point("busiest_bytes_in_per_s", case, "B/s", load.busiest_bytes_in_per_s);
-        if load.max_bytes_out_in_a_second > 0.0 {
-            self.point("most_bytes_out_in_a_second", case, "B", load.max_bytes_out_in_a_second);
+    fn add_traffic(&mut self, case: &str, traffic: &TrafficSummary) {
+        self.add("datagrams_out_per_s", case, "1/s", traffic.datagrams_out_per_s);
+        self.add("bytes_out_per_s", case, "B/s", traffic.bytes_out_per_s);
+        self.add("busiest_datagrams_out_per_s", case, "1/s", traffic.busiest_datagrams_out_per_s);
+        self.add("busiest_bytes_out_per_s", case, "B/s", traffic.busiest_bytes_out_per_s);
+        self.add("busiest_datagrams_in_per_s", case, "1/s", traffic.busiest_datagrams_in_per_s);
+        self.add("busiest_bytes_in_per_s", case, "B/s", traffic.busiest_bytes_in_per_s);
+        if traffic.max_bytes_out_in_a_second > 0.0 {
+            self.add("most_bytes_out_in_a_second", case, "B", traffic.max_bytes_out_in_a_second);
         }
     }
 
-    fn watched(&mut self, case: &str, watched: &Agreement) {
-        self.load(case, &watched.traffic);
-        match watched.agreed_after_s {
-            Some(secs) => self.point("agree_s", case, "s", secs),
-            None => self.point("not_agreed_within_s", case, "s", LONGEST.secs()),
+    fn add_agreement(&mut self, case: &str, agreement: &Agreement) {
+        self.add_traffic(case, &agreement.traffic);
+        match agreement.agreed_after_s {
+            Some(secs) => self.add("agree_s", case, "s", secs),
+            None => self.add("not_agreed_within_s", case, "s", MAX_AGREEMENT_WAIT.secs()),
         }
     }
 }
--- a/crates/hazelspur-simulator/src/studies/scale/points.rs
+++ b/crates/hazelspur-simulator/src/studies/scale/points.rs
@@ -83,7 +83,7 @@
             return Err(StudyError::OtherStudy { file: file.into(), study: old.study });
         }
         let joined = |old: String, new: String| {
-            if old.split("; ").any(|one| one == new) { old } else { format!("{old}; {new}") }
+            if old.split("; ").any(|part| part == new) { old } else { format!("{old}; {new}") }
         };
         self.command = joined(old.command, self.command);
         self.revision = joined(old.revision, self.revision);
@@ -102,7 +102,7 @@
             Ok(text) => serde_json::from_str(&text)
                 .map(Some)
                 .map_err(|source| StudyError::Syntax { file: file.into(), source }),
-            Err(why) if why.kind() == std::io::ErrorKind::NotFound => Ok(None),
+            Err(error) if error.kind() == std::io::ErrorKind::NotFound => Ok(None),
             Err(source) => Err(StudyError::Io { file: file.into(), source }),
         }
     }
@@ -110,15 +110,15 @@
     /// One point a line, sorted, so that two files are easily compared.
     pub fn write(&mut self, file: &Path) -> Result<(), StudyError> {
         self.points.sort_by(|a, b| a.key().cmp(&b.key()));
-        let said = |text: &str| serde_json::to_string(text);
+        let quoted = |text: &str| serde_json::to_string(text);
         let points: Result<Vec<String>, _> = self.points.iter().map(serde_json::to_string).collect();
         let points = points?.join(",\n  ");
         let text = format!(
             "{{\"study\":{},\n \"command\":{},\n \"text\":{},\n \"machine\":{},\n \"points\":[\n  {points}\n]}}\n",
-            said(&self.study)?,
-            said(&self.command)?,
-            said(&self.revision)?,
-            said(&self.machine)?,
+            quoted(&self.study)?,
+            quoted(&self.command)?,
+            quoted(&self.revision)?,
+            quoted(&self.machine)?,
         );
         if let Some(folder) = file.parent() {
             std::fs::create_dir_all(folder)
@@ -146,11 +146,11 @@
         }
         let cell = |size: &usize| {
             let same = |other: &&Point| (&other.figure, &other.case) == (&point.figure, &point.case);
-            let of: Vec<f64> =
+            let values: Vec<f64> =
                 points.iter().filter(same).filter(|p| p.size == *size).map(|p| p.value).collect();
-            let least = of.iter().copied().fold(f64::INFINITY, f64::min);
-            let most = of.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-            (!of.is_empty()).then(|| (least, of.iter().sum::<f64>() / of.len() as f64, most))
+            let min = values.iter().copied().fold(f64::INFINITY, f64::min);
+            let max = values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+            (!values.is_empty()).then(|| (min, values.iter().sum::<f64>() / values.len() as f64, max))
         };
         let cells = sizes.iter().map(cell).collect();
         let (figure, case, unit) = (point.figure.clone(), point.case.clone(), point.unit.clone());
--- a/crates/hazelspur-simulator/src/studies/scale/shares.rs
+++ b/crates/hazelspur-simulator/src/studies/scale/shares.rs
@@ -23,11 +23,11 @@
         let figure = format!("shares.of_{limits}.{figure}");
         Point::of_servers(&figure, fault.name(), unit, servers, seed, value)
     };
-    let apart = fault.region_partition_duration().secs();
+    let partition = fault.region_partition_duration().secs();
     vec![
         point("divider_messages_per_s", "1/s", outcome.allocator_messages_per_s),
         point("divider_bytes_per_s", "B/s", outcome.allocator_bytes_per_s),
-        point("settle_s", "s", (outcome.settled_s - apart).max(0.0)),
+        point("settle_s", "s", (outcome.settled_s - partition).max(0.0)),
         point("most_in_force", "of the limit", outcome.max_in_force),
     ]
 }
--- a/crates/hazelspur-simulator/src/studies/shares/fleet.rs
+++ b/crates/hazelspur-simulator/src/studies/shares/fleet.rs
@@ -144,9 +144,9 @@
     }
 }
 
-fn encoded_length(datagram: &mut Datagram, of: &QuotaMessage) -> u64 {
+fn encoded_length(datagram: &mut Datagram, quota_message: &QuotaMessage) -> u64 {
     if let Body::Quota { message, .. } = &mut datagram.body {
-        *message = of.clone();
+        *message = quota_message.clone();
     }
     datagram::encoded_length(datagram) as u64
 }
@@ -154,12 +154,12 @@
 impl QuotaFleet {
     /// A fleet of `config.max_servers` servers, none of which runs.
     pub(super) fn new(config: QuotaConfig, network: Network, seed: u64) -> Self {
-        let never = || ProcessIncarnation { name: name(0), generation: Generation(0) };
+        let no_process = || ProcessIncarnation { name: name(0), generation: Generation(0) };
         Self {
             queue: EventQueue::new(START),
             network,
             random: Pcg::new(seed),
-            nodes: (0..config.max_servers).map(|_| Node::new(never(), None)).collect(),
+            nodes: (0..config.max_servers).map(|_| Node::new(no_process(), None)).collect(),
             datagram: typical_datagram(config.fingerprint()),
             config,
             last_generation: 0,
@@ -185,8 +185,8 @@
         let process = ProcessIncarnation { name: name(server), generation: Generation(self.last_generation) };
         let seed = u64::from(self.random.draw());
         let mut quota = QuotaManager::new(self.config.clone(), process, seed, now);
-        for (at, limit) in self.config.limits.iter().enumerate() {
-            quota.set_demand(LimitId(at), demand(server + at, self.usual_servers(), limit.total));
+        for (index, limit) in self.config.limits.iter().enumerate() {
+            quota.set_demand(LimitId(index), demand(server + index, self.usual_servers(), limit.total));
         }
         self.nodes[server] = Node::new(process, Some(quota));
         self.send_messages(server);
@@ -223,7 +223,7 @@
         let now = self.queue.now;
         match event {
             Event::Tick { server, generation } => self.tick(server, generation),
-            Event::Message { receiver, sender, message } => self.received(receiver, sender, message),
+            Event::Message { receiver, sender, message } => self.receive(receiver, sender, message),
             Event::Start(server) => self.start(server),
             Event::End(server) => self.nodes[server].quota = None,
             Event::EndAllocator => self.end_allocator(),
@@ -248,12 +248,12 @@
         self.send_messages(server);
     }
 
-    fn received(&mut self, receiver: usize, sender: ProcessIncarnation, message: QuotaMessage) {
+    fn receive(&mut self, receiver: usize, sender: ProcessIncarnation, message: QuotaMessage) {
         let now = self.queue.now;
         let Some(node) = self.nodes.get_mut(receiver) else { return };
         if now < node.paused_until {
-            let later = Event::Message { receiver, sender, message };
-            return self.queue.schedule(node.paused_until, later);
+            let received_later = Event::Message { receiver, sender, message };
+            return self.queue.schedule(node.paused_until, received_later);
         }
         let allocates = node.allocates(now);
         if let Some(quota) = &mut node.quota {
--- a/crates/hazelspur-simulator/src/studies/shares/mod.rs
+++ b/crates/hazelspur-simulator/src/studies/shares/mod.rs
@@ -16,15 +16,15 @@
 /// When the fault begins, after the start; the fleet is at rest by then.
 const FAULT_START: Duration = Duration::from_ms(20_000);
 /// How long the run goes on after the fault.
-const REST: Duration = Duration::from_ms(30_000);
+const REST_AFTER_FAULT: Duration = Duration::from_ms(30_000);
 /// The last part of a run, over which use and traffic are averaged.
-const TAIL: Duration = Duration::from_ms(10_000);
+const FINAL_PERIOD: Duration = Duration::from_ms(10_000);
 /// How long regions are partitioned.
-const REGIONS_APART: Duration = Duration::from_ms(60_000);
+const REGION_PARTITION_DURATION: Duration = Duration::from_ms(60_000);
 /// Fraction in use of what could be, from which on the fleet counts as settled.
-const SETTLED: f64 = 0.9;
+const SETTLED_FRACTION: f64 = 0.9;
 /// Fraction of messages lost under `Trouble::Loss`.
-const LOSS: f64 = 0.05;
+const LOST_FRACTION: f64 = 0.05;
 /// Sites where no network is given.
 const SITES: usize = 3;
 /// Servers of the fleet that grows and shrinks, at its smallest.
@@ -77,7 +77,7 @@
 
     /// How long regions are apart.
     pub fn region_partition_duration(self) -> Duration {
-        if self == Self::RegionPartition { REGIONS_APART } else { Duration::ZERO }
+        if self == Self::RegionPartition { REGION_PARTITION_DURATION } else { Duration::ZERO }
     }
 
     /// Its name in tables.
@@ -130,18 +130,18 @@
 pub fn run_case(case: &Case) -> Outcome {
     let mut network = case.links.map_or(Network::new(SITES), |links| links.network());
     if case.fault == Fault::MessageLoss {
-        network.loss = LOSS;
+        network.loss = LOST_FRACTION;
     }
     let mut fleet = QuotaFleet::new(quota_config(case), network, case.seed);
     (0..initial_servers(case)).for_each(|server| fleet.start(server));
-    let fault_duration = schedule(case, &mut fleet);
-    Measurement::new(FAULT_START + fault_duration + REST).measure(&mut fleet)
+    let fault_duration = schedule_fault(case, &mut fleet);
+    Measurement::new(FAULT_START + fault_duration + REST_AFTER_FAULT).measure(&mut fleet)
 }
 
 fn quota_config(case: &Case) -> QuotaConfig {
     let servers = case.servers;
-    let limit = |at: usize| SharedLimit {
-        name: LimitName::new(&format!("calls-{at}")).expect("a short name"),
+    let limit = |index: usize| SharedLimit {
+        name: LimitName::new(&format!("calls-{index}")).expect("a short name"),
         total: SLOTS_PER_SERVER * servers as f64,
         guaranteed_fraction: GUARANTEED_FRACTION,
         residual_duration: RESIDUAL_DURATION,
@@ -160,8 +160,8 @@
 }
 
 /// Schedules the fault, and returns how long it goes on.
-fn schedule(case: &Case, fleet: &mut QuotaFleet) -> Duration {
-    let n = case.servers;
+fn schedule_fault(case: &Case, fleet: &mut QuotaFleet) -> Duration {
+    let servers = case.servers;
     let mut at = |ms: u64, event: Event| {
         fleet.queue.schedule(START + FAULT_START + Duration::from_ms(ms), event);
     };
@@ -169,16 +169,16 @@
         Fault::None | Fault::MessageLoss => Duration::ZERO,
         Fault::GrowAndShrink => {
             let first = initial_servers(case);
-            for server in first..n {
-                let ms = 30_000 * (server - first) as u64 / (n - first).max(1) as u64;
+            for server in first..servers {
+                let ms = 30_000 * (server - first) as u64 / (servers - first).max(1) as u64;
                 at(ms, Event::Start(server));
                 at(50_000 + ms, Event::End(server));
             }
             Duration::from_ms(80_000)
         }
         Fault::Replaced => {
-            for (i, server) in (0..n).filter(|server| server % 5 < 2).enumerate() {
-                let ms = 7000 * i as u64 / (n * 2 / 5).max(1) as u64;
+            for (i, server) in (0..servers).filter(|server| server % 5 < 2).enumerate() {
+                let ms = 7000 * i as u64 / (servers * 2 / 5).max(1) as u64;
                 at(ms, Event::End(server));
                 at(ms + 1500, Event::Start(server));
             }
@@ -196,11 +196,11 @@
         Fault::RegionPartition => {
             let cut: Cut = |from, to| from % ZONES % REGIONS != to % ZONES % REGIONS;
             at(0, Event::SetPartition(Some(cut)));
-            at(REGIONS_APART.us() / 1000, Event::SetPartition(None));
-            REGIONS_APART
+            at(REGION_PARTITION_DURATION.us() / 1000, Event::SetPartition(None));
+            REGION_PARTITION_DURATION
         }
         Fault::Paused => {
-            for server in (0..n).filter(|server| server % 10 == 3) {
+            for server in (0..servers).filter(|server| server % 10 == 3) {
                 at(0, Event::Pause(server, Duration::from_ms(10_000)));
             }
             Duration::from_ms(10_000)
@@ -212,17 +212,23 @@
 struct Measurement {
     end: Timestamp,
     outcome: Outcome,
-    last: Vec<Quota>,
+    last_quotas: Vec<Quota>,
     /// Used fractions in the last seconds, and the allocator's traffic at their beginning.
-    tail: Vec<f64>,
-    before_tail: AllocatorTraffic,
+    final_fractions: Vec<f64>,
+    before_final_period: AllocatorTraffic,
 }
 
 impl Measurement {
     fn new(duration: Duration) -> Self {
         let outcome = Outcome { min_used_fraction: 1.0, ..Outcome::default() };
-        let before_tail = AllocatorTraffic::default();
-        Self { end: START + duration, outcome, last: Vec::new(), tail: Vec::new(), before_tail }
+        let before_final_period = AllocatorTraffic::default();
+        Self {
+            end: START + duration,
+            outcome,
+            last_quotas: Vec::new(),
+            final_fractions: Vec::new(),
+            before_final_period,
+        }
     }
 
     fn measure(mut self, fleet: &mut QuotaFleet) -> Outcome {
@@ -238,39 +244,42 @@
         let now = fleet.queue.now;
         self.outcome.max_in_force = self.outcome.max_in_force.max(observation.in_force);
         let fair: f64 = observation.quotas.iter().map(|quota| quota.fair).sum();
-        let used = observation.usable / fair.max(MIN_DIVISOR);
+        let used_fraction = observation.usable / fair.max(MIN_DIVISOR);
         let since_fault_s = (now - START).secs() - FAULT_START.secs();
         if since_fault_s >= 0.0 {
-            self.outcome.min_used_fraction = self.outcome.min_used_fraction.min(used);
-            if used < SETTLED {
+            self.outcome.min_used_fraction = self.outcome.min_used_fraction.min(used_fraction);
+            if used_fraction < SETTLED_FRACTION {
                 self.outcome.settled_s = since_fault_s + OBSERVATION_PERIOD.secs();
             }
         }
-        if now + TAIL >= self.end {
-            if self.tail.is_empty() {
-                self.before_tail = fleet.allocator;
+        if now + FINAL_PERIOD >= self.end {
+            if self.final_fractions.is_empty() {
+                self.before_final_period = fleet.allocator;
             }
-            self.tail.push(used);
+            self.final_fractions.push(used_fraction);
         }
-        self.last = observation.quotas;
+        self.last_quotas = observation.quotas;
     }
 
     fn finish(mut self, allocator: AllocatorTraffic) -> Outcome {
-        let out = &mut self.outcome;
-        out.used_fraction = self.tail.iter().sum::<f64>() / self.tail.len().max(1) as f64;
-        out.allocator_messages_per_s = (allocator.messages - self.before_tail.messages) as f64 / TAIL.secs();
-        out.allocator_bytes_per_s = (allocator.bytes - self.before_tail.bytes) as f64 / TAIL.secs();
-        let parts: Vec<f64> =
-            self.last.iter().map(|quota| quota.usable / quota.fair.max(MIN_DIVISOR)).collect();
-        out.min_over_fair = parts.iter().copied().fold(f64::INFINITY, f64::min);
-        out.jain_index = jain_index(&parts);
+        let outcome = &mut self.outcome;
+        outcome.used_fraction =
+            self.final_fractions.iter().sum::<f64>() / self.final_fractions.len().max(1) as f64;
+        outcome.allocator_messages_per_s =
+            (allocator.messages - self.before_final_period.messages) as f64 / FINAL_PERIOD.secs();
+        outcome.allocator_bytes_per_s =
+            (allocator.bytes - self.before_final_period.bytes) as f64 / FINAL_PERIOD.secs();
+        let ratios: Vec<f64> =
+            self.last_quotas.iter().map(|quota| quota.usable / quota.fair.max(MIN_DIVISOR)).collect();
+        outcome.min_over_fair = ratios.iter().copied().fold(f64::INFINITY, f64::min);
+        outcome.jain_index = jain_index(&ratios);
         self.outcome
     }
 }
 
 /// Jain's fairness index: 1 where all parts are equal.
-fn jain_index(parts: &[f64]) -> f64 {
-    let sum = parts.iter().sum::<f64>();
-    let squares = parts.iter().map(|part| part * part).sum::<f64>();
-    sum * sum / (parts.len().max(1) as f64 * squares.max(MIN_DIVISOR))
+fn jain_index(ratios: &[f64]) -> f64 {
+    let sum = ratios.iter().sum::<f64>();
+    let squares = ratios.iter().map(|ratio| ratio * ratio).sum::<f64>();
+    sum * sum / (ratios.len().max(1) as f64 * squares.max(MIN_DIVISOR))
 }
--- a/crates/hazelspur-simulator/src/studies/sums.rs
+++ b/crates/hazelspur-simulator/src/studies/sums.rs
@@ -17,12 +17,12 @@
 
 impl ReportSpacing {
     /// The wait before the next report.
-    pub fn wait(self, missed: bool, chance: &mut Pcg) -> Duration {
-        let (wait, part) = if missed { (250.0, 0.5) } else { (800.0, 0.2) };
+    pub fn wait(self, missed: bool, random: &mut Pcg) -> Duration {
+        let (wait_ms, jitter) = if missed { (250.0, 0.5) } else { (800.0, 0.2) };
         match self {
-            Self::Fixed => Duration::from_secs(wait / 1000.0),
+            Self::Fixed => Duration::from_secs(wait_ms / 1000.0),
             Self::Jittered => {
-                Duration::from_secs(wait * (1.0 - part + 2.0 * part * chance.draw_fraction()) / 1000.0)
+                Duration::from_secs(wait_ms * (1.0 - jitter + 2.0 * jitter * random.draw_fraction()) / 1000.0)
             }
         }
     }
@@ -30,39 +30,39 @@
 
 /// Reports of `servers` while the list takes none for 5 s and takes them again: the most within 20 ms over
 /// the mean of the 20 s after that, and the longest that any server's place was without a report.
-pub fn measure_reports(servers: usize, how: ReportSpacing, seed: u64) -> (f64, Duration) {
+pub fn measure_reports(servers: usize, spacing: ReportSpacing, seed: u64) -> (f64, Duration) {
     /// When the control plane is down, in ms.
-    const DOWN: std::ops::Range<u64> = 10_000..15_000;
+    const OUTAGE_MS: std::ops::Range<u64> = 10_000..15_000;
     /// Width of a bin, in ms.
-    const BIN: u64 = 20;
-    let mut chance = Pcg::new(seed);
-    let (mut bins, mut longest) = (vec![0u32; 40_000 / BIN as usize], Duration::ZERO);
+    const BIN_MS: u64 = 20;
+    let mut random = Pcg::new(seed);
+    let (mut bins, mut longest) = (vec![0u32; 40_000 / BIN_MS as usize], Duration::ZERO);
     for _ in 0..servers {
         // A release starts them within a second.
-        let mut at = Duration::from_secs(chance.draw_fraction());
-        let mut last = at;
+        let mut at = Duration::from_secs(random.draw_fraction());
+        let mut last_accepted = at;
         while at < Duration::from_ms(40_000) {
             let ms = at.us() / 1000;
             // Nobody answers while it is gone: a report is given up after 700 ms.
-            let missed = DOWN.contains(&ms);
-            bins[(ms / BIN) as usize] += 1;
+            let missed = OUTAGE_MS.contains(&ms);
+            bins[(ms / BIN_MS) as usize] += 1;
             if !missed {
-                if ms > DOWN.end {
-                    longest = longest.max(at - last);
+                if ms > OUTAGE_MS.end {
+                    longest = longest.max(at - last_accepted);
                 }
-                last = at;
+                last_accepted = at;
             }
-            let held_up = if missed {
-                Duration::from_ms(700).min(Duration::from_ms(DOWN.end - ms))
+            let timeout = if missed {
+                Duration::from_ms(700).min(Duration::from_ms(OUTAGE_MS.end - ms))
             } else {
                 Duration::ZERO
             };
-            at = at + held_up + how.wait(missed, &mut chance);
+            at = at + timeout + spacing.wait(missed, &mut random);
         }
     }
-    let after = &bins[(DOWN.end / BIN) as usize..((DOWN.end + 20_000) / BIN) as usize];
-    let mean = after.iter().map(|n| f64::from(*n)).sum::<f64>() / after.len() as f64;
-    (f64::from(after.iter().copied().max().unwrap_or(0)) / mean.max(1e-9), longest)
+    let bins_after = &bins[(OUTAGE_MS.end / BIN_MS) as usize..((OUTAGE_MS.end + 20_000) / BIN_MS) as usize];
+    let mean = bins_after.iter().map(|count| f64::from(*count)).sum::<f64>() / bins_after.len() as f64;
+    (f64::from(bins_after.iter().copied().max().unwrap_or(0)) / mean.max(1e-9), longest)
 }
 
 /// Ways of choosing k of n.
@@ -89,30 +89,35 @@
     }
 
     /// Whom client `me` goes to, of the servers that it knows by number.
-    fn chosen(self, me: usize, known: &[usize], k: usize, seed: u64) -> Vec<usize> {
+    fn choose(self, client: usize, known: &[usize], subset_size: usize, seed: u64) -> Vec<usize> {
         match self {
             Self::Random => {
-                let mut chance = Pcg::new(seed ^ (me as u64) << 20);
-                let mut left = known.to_vec();
-                (0..k.min(left.len()))
-                    .map(|_| left.swap_remove(chance.draw() as usize % left.len()))
+                let mut random = Pcg::new(seed ^ (client as u64) << 20);
+                let mut remaining = known.to_vec();
+                (0..subset_size.min(remaining.len()))
+                    .map(|_| remaining.swap_remove(random.draw() as usize % remaining.len()))
                     .collect()
             }
             Self::Rounds => {
-                let parts = (known.len() / k).max(1);
+                let subsets_per_round = (known.len() / subset_size).max(1);
                 let mut shuffled = known.to_vec();
-                let mut chance = Pcg::new(seed ^ (me / parts) as u64);
+                let mut random = Pcg::new(seed ^ (client / subsets_per_round) as u64);
                 for i in (1..shuffled.len()).rev() {
-                    shuffled.swap(i, chance.draw() as usize % (i + 1));
+                    shuffled.swap(i, random.draw() as usize % (i + 1));
                 }
-                shuffled.into_iter().skip(me % parts * k).take(k).collect()
+                shuffled
+                    .into_iter()
+                    .skip(client % subsets_per_round * subset_size)
+                    .take(subset_size)
+                    .collect()
             }
             Self::Rendezvous => {
                 let site = SiteName::new("one").expect("a name");
-                let named = |of: &usize| MemberName::new(&format!("n{of}")).expect("a name");
-                let all = known.iter().map(|of| WeightedMember { name: named(of), site, weight: 1.0 });
-                let chosen = select(&format!("client {me}"), seed, k, all);
-                chosen.iter().filter_map(|c| c.name.as_str()[1..].parse().ok()).collect()
+                let name_of = |server: &usize| MemberName::new(&format!("n{server}")).expect("a name");
+                let members =
+                    known.iter().map(|server| WeightedMember { name: name_of(server), site, weight: 1.0 });
+                let chosen = select(&format!("client {client}"), seed, subset_size, members);
+                chosen.iter().filter_map(|member| member.name.as_str()[1..].parse().ok()).collect()
             }
         }
     }
@@ -121,25 +126,35 @@
 /// Of n clients that each choose k of n servers: least and most load over the mean, the share of choices that
 /// change when one server goes, and the share by which two clients of one number differ whose pictures differ
 /// by a tenth.
-pub fn measure_subsets(n: usize, k: usize, way: SubsetMethod, seed: u64) -> (f64, f64, f64, f64) {
-    let all: Vec<usize> = (0..n).collect();
-    let less: Vec<usize> = all.iter().copied().filter(|of| *of != n / 2).collect();
-    let tenth: Vec<usize> = all.iter().copied().filter(|of| of % 10 != 3).collect();
-    let mut load = vec![0u32; n];
-    let (mut moved, mut differ) = (0, 0);
-    for me in 0..n {
-        let chosen = way.chosen(me, &all, k, seed);
-        chosen.iter().for_each(|of| load[*of] += 1);
-        let moves = |known: &[usize]| {
-            let other = way.chosen(me, known, k, seed);
-            chosen.iter().filter(|of| !other.contains(of)).count()
+pub fn measure_subsets(
+    servers: usize,
+    subset_size: usize,
+    method: SubsetMethod,
+    seed: u64,
+) -> (f64, f64, f64, f64) {
+    let known: Vec<usize> = (0..servers).collect();
+    let without_one: Vec<usize> = known.iter().copied().filter(|server| *server != servers / 2).collect();
+    let without_tenth: Vec<usize> = known.iter().copied().filter(|server| server % 10 != 3).collect();
+    let mut load = vec![0u32; servers];
+    let (mut moved, mut differing) = (0, 0);
+    for client in 0..servers {
+        let chosen = method.choose(client, &known, subset_size, seed);
+        chosen.iter().for_each(|server| load[*server] += 1);
+        let changed = |known: &[usize]| {
+            let changed_choice = method.choose(client, known, subset_size, seed);
+            chosen.iter().filter(|server| !changed_choice.contains(server)).count()
         };
-        moved += moves(&less);
-        differ += moves(&tenth);
+        moved += changed(&without_one);
+        differing += changed(&without_tenth);
     }
-    let (all, mean) = ((n * k) as f64, k as f64);
-    let over = |n: Option<&u32>| f64::from(n.copied().unwrap_or(0)) / mean;
-    (over(load.iter().min()), over(load.iter().max()), moved as f64 / all, differ as f64 / all)
+    let (choices, mean) = ((servers * subset_size) as f64, subset_size as f64);
+    let over_mean = |load: Option<&u32>| f64::from(load.copied().unwrap_or(0)) / mean;
+    (
+        over_mean(load.iter().min()),
+        over_mean(load.iter().max()),
+        moved as f64 / choices,
+        differing as f64 / choices,
+    )
 }
 
 /// Turns without talk: the most in any 100 ms over the mean, and the longest wait, of `servers` that each
@@ -150,8 +165,8 @@
     let start = Timestamp::from_us(1_700_000_000_000_000);
     let mut bins = vec![0u32; 600];
     let mut wait = Duration::ZERO;
-    for of in 0..servers {
-        let name = MemberName::new(&format!("n{of}")).expect("a name");
+    for server in 0..servers {
+        let name = MemberName::new(&format!("n{server}")).expect("a name");
         let mut now = start;
         while now < start + Duration::from_ms(60_000) {
             let next = schedule.next_slot(name, "ledger", now);
@@ -162,30 +177,30 @@
             now = next + Duration::from_us(1);
         }
     }
-    let mean = bins.iter().map(|n| f64::from(*n)).sum::<f64>() / bins.len() as f64;
+    let mean = bins.iter().map(|count| f64::from(*count)).sum::<f64>() / bins.len() as f64;
     (f64::from(bins.iter().copied().max().unwrap_or(0)) / mean.max(1e-9), wait)
 }
 
 /// Seeds from 1 on that a study's points are of.
-const SEEDS: u64 = 3;
+const STUDY_SEEDS: u64 = 3;
 
 /// What docs/CAPACITY.md rests on of this, as the text of a study's file: the most loaded server over the mean
 /// by subsets of four, and reports after a list that was gone.
-pub fn study_json(sizes: &[usize], text: &str) -> String {
+pub fn study_json(sizes: &[usize], revision: &str) -> String {
     let mut points = Vec::new();
     for size in sizes {
-        for seed in 1..=SEEDS {
+        for seed in 1..=STUDY_SEEDS {
             let mut point = |figure: &str, case: &str, value: f64| {
                 points.push(format!(
                     "{{\"figure\":\"{figure}\",\"case\":\"{case}\",\"unit\":\"times\",\"by\":\"servers\",\
                      \"size\":{size},\"seed\":{seed},\"value\":{value}}}"
                 ));
             };
-            for way in SubsetMethod::ALL {
-                point("subsets.most_over_mean", way.name(), measure_subsets(*size, 4, way, seed).1);
+            for method in SubsetMethod::ALL {
+                point("subsets.most_over_mean", method.name(), measure_subsets(*size, 4, method, seed).1);
             }
-            for (how, case) in [(ReportSpacing::Fixed, "in step"), (ReportSpacing::Jittered, "spread")] {
-                point("list.most_over_mean", case, measure_reports(*size, how, seed).0);
+            for (spacing, case) in [(ReportSpacing::Fixed, "in step"), (ReportSpacing::Jittered, "spread")] {
+                point("list.most_over_mean", case, measure_reports(*size, spacing, seed).0);
             }
         }
     }
@@ -193,7 +208,7 @@
     let command = format!("cargo run --release -p hazelspur-simulator -- sums --sizes {sizes}");
     let points = points.join(",\n");
     format!(
-        "{{\"study\":\"sums\",\"command\":\"{command}\",\"text\":\"{text}\",\"machine\":\"simulated\",\"points\":[\n\
+        "{{\"study\":\"sums\",\"command\":\"{command}\",\"text\":\"{revision}\",\"machine\":\"simulated\",\"points\":[\n\
          {points}\n]}}\n"
     )
 }
--- a/crates/hazelspur-simulator/src/studies/together.rs
+++ b/crates/hazelspur-simulator/src/studies/together.rs
@@ -16,12 +16,12 @@
 
 /// Plays one run.
 pub fn run_case(case: &Case) -> Figures {
-    let plan = SimulationConfig::new(case.servers, case.seed, case.load);
-    let mut simulation = Simulation::new(plan);
+    let config = SimulationConfig::new(case.servers, case.seed, case.load);
+    let mut simulation = Simulation::new(config);
     if case.ledger_outage > Duration::ZERO {
-        let from = Duration::from_ms(10_000);
-        simulation.script(from, ScriptAction::SetLedgerDown(true));
-        simulation.script(from + case.ledger_outage, ScriptAction::SetLedgerDown(false));
+        let outage_start = Duration::from_ms(10_000);
+        simulation.script(outage_start, ScriptAction::SetLedgerDown(true));
+        simulation.script(outage_start + case.ledger_outage, ScriptAction::SetLedgerDown(false));
     }
     simulation.run(Duration::from_ms(case.seconds * 1000));
     simulation.figures
--- a/crates/hazelspur-simulator/src/studies/who_is_here.rs
+++ b/crates/hazelspur-simulator/src/studies/who_is_here.rs
@@ -9,9 +9,9 @@
 use hdrhistogram::Histogram;
 
 /// A quiet fleet is left alone for this long after its start.
-const SETTLE: Duration = Duration::from_ms(60_000);
+const SETTLE_TIME: Duration = Duration::from_ms(60_000);
 /// How long traffic at rest is counted.
-const REST: Duration = Duration::from_ms(60_000);
+const REST_DURATION: Duration = Duration::from_ms(60_000);
 /// The longest wait for agreement after a storm of starts, in seconds.
 const MAX_STORM_S: f64 = 60.0;
 /// Between two rounds of pauses.
@@ -60,16 +60,16 @@
 }
 
 /// Plays one seed: a storm of starts, rest, pauses with loss, kills, and two halves.
-pub fn run_case<W: MembershipProtocol>(case: &Case) -> Outcome {
+pub fn run_case<P: MembershipProtocol>(case: &Case) -> Outcome {
     let mut random = Pcg::new(case.seed ^ FAULT_SEED_MASK);
-    let mut fleet: TestFleet<W> = TestFleet::new(Network::new(SITES), case.size * 2, case.seed);
+    let mut fleet: TestFleet<P> = TestFleet::new(Network::new(SITES), case.size * 2, case.seed);
     let storm = start_storm(&mut fleet, case.size);
-    fleet.play(SETTLE);
-    let rest = rest(&mut fleet, case.size);
+    fleet.play(SETTLE_TIME);
+    let rest = measure_rest(&mut fleet, case.size);
     let deaths = pauses_with_loss(&mut fleet, &mut random, case);
-    fleet.play(SETTLE);
-    let (detection_ms, undetected) = killed(&mut fleet, &mut random, case.size);
-    let heal_s = halves(&mut fleet);
+    fleet.play(SETTLE_TIME);
+    let (detection_ms, undetected) = measure_detection(&mut fleet, &mut random, case.size);
+    let heal_s = measure_heal_time(&mut fleet);
     Outcome {
         false_deaths: deaths.all,
         unexplained_deaths: deaths.unexplained,
@@ -92,12 +92,12 @@
 }
 
 /// Starts all members within a second, and waits until they agree.
-fn start_storm<W: MembershipProtocol>(fleet: &mut TestFleet<W>, size: usize) -> Storm {
+fn start_storm<P: MembershipProtocol>(fleet: &mut TestFleet<P>, size: usize) -> Storm {
     for server in 0..size {
         fleet.start(server);
         fleet.play(Duration::from_us(US_PER_SECOND / size as u64));
     }
-    let duration_s = until_agreed(fleet, MAX_STORM_S);
+    let duration_s = seconds_until_agreed(fleet, MAX_STORM_S);
     let datagrams = rate(fleet.datagrams, size, duration_s.unwrap_or(MAX_STORM_S) + 1.0);
     Storm { duration_s, datagrams }
 }
@@ -108,12 +108,12 @@
     bytes: f64,
 }
 
-fn rest<W: MembershipProtocol>(fleet: &mut TestFleet<W>, size: usize) -> Rest {
+fn measure_rest<P: MembershipProtocol>(fleet: &mut TestFleet<P>, size: usize) -> Rest {
     let (datagrams, bytes) = (fleet.datagrams, fleet.bytes);
-    fleet.play(REST);
+    fleet.play(REST_DURATION);
     Rest {
-        datagrams: rate(fleet.datagrams - datagrams, size, REST.secs()),
-        bytes: rate(fleet.bytes - bytes, size, REST.secs()),
+        datagrams: rate(fleet.datagrams - datagrams, size, REST_DURATION.secs()),
+        bytes: rate(fleet.bytes - bytes, size, REST_DURATION.secs()),
     }
 }
 
@@ -126,7 +126,7 @@
 }
 
 impl FalseDeaths {
-    fn add<W: MembershipProtocol>(&mut self, fleet: &TestFleet<W>, observation: &Observation) {
+    fn count<P: MembershipProtocol>(&mut self, fleet: &TestFleet<P>, observation: &Observation) {
         if let MembershipNotice::Dead(server) = observation.notice
             && fleet.runs(server)
         {
@@ -138,8 +138,8 @@
 }
 
 /// Pauses one member in twenty in each ten seconds, while the network loses datagrams.
-fn pauses_with_loss<W: MembershipProtocol>(
-    fleet: &mut TestFleet<W>,
+fn pauses_with_loss<P: MembershipProtocol>(
+    fleet: &mut TestFleet<P>,
     random: &mut Pcg,
     case: &Case,
 ) -> FalseDeaths {
@@ -154,7 +154,7 @@
         }
         fleet.play(PAUSE_PERIOD);
         for observation in std::mem::take(&mut fleet.observations) {
-            deaths.add(fleet, &observation);
+            deaths.count(fleet, &observation);
         }
     }
     fleet.network.loss = 0.0;
@@ -165,14 +165,14 @@
     count as f64 / size as f64 / secs
 }
 
-fn until_agreed<W: MembershipProtocol>(fleet: &mut TestFleet<W>, most_s: f64) -> Option<f64> {
-    let from = fleet.now();
+fn seconds_until_agreed<P: MembershipProtocol>(fleet: &mut TestFleet<P>, max_s: f64) -> Option<f64> {
+    let started = fleet.now();
     loop {
-        let passed = (fleet.now() - from).secs();
+        let passed = (fleet.now() - started).secs();
         if fleet.agree() {
             return Some(passed);
         }
-        if passed >= most_s {
+        if passed >= max_s {
             return None;
         }
         fleet.play(Duration::from_ms(250));
@@ -180,43 +180,49 @@
 }
 
 /// Three are killed one after the other; when each of the others noticed.
-fn killed<W: MembershipProtocol>(
-    fleet: &mut TestFleet<W>,
-    chance: &mut Pcg,
+fn measure_detection<P: MembershipProtocol>(
+    fleet: &mut TestFleet<P>,
+    random: &mut Pcg,
     size: usize,
 ) -> (Histogram<u64>, u64) {
     let mut detection_ms = Histogram::new_with_bounds(1, 600_000, 3).expect("sound bounds");
     let mut undetected = 0;
     for _ in 0..3 {
-        let of = loop {
-            let of = chance.draw() as usize % size;
-            if fleet.runs(of) && !crate::membership_protocols::SEED_MEMBERS.contains(&of) {
-                break of;
+        let killed = loop {
+            let server = random.draw() as usize % size;
+            if fleet.runs(server) && !crate::membership_protocols::SEED_MEMBERS.contains(&server) {
+                break server;
             }
         };
         fleet.observations.clear();
-        fleet.kill(of);
-        let at = fleet.now();
+        fleet.kill(killed);
+        let killed_at = fleet.now();
         fleet.play(Duration::from_ms(120_000));
-        let noticed = |said: &&Observation| said.notice == MembershipNotice::Dead(of);
-        let mut by: Vec<(usize, Timestamp)> =
-            fleet.observations.iter().filter(noticed).map(|said| (said.by, said.at)).collect();
-        by.sort_unstable();
-        by.dedup_by_key(|(by, _)| *by);
-        undetected += (fleet.running() - by.len().min(fleet.running())) as u64;
-        by.iter().for_each(|(_, when)| detection_ms.saturating_record((*when - at).us() / 1000));
-        fleet.start(of);
+        let is_detection = |observation: &&Observation| observation.notice == MembershipNotice::Dead(killed);
+        let mut detections: Vec<(usize, Timestamp)> = fleet
+            .observations
+            .iter()
+            .filter(is_detection)
+            .map(|observation| (observation.by, observation.at))
+            .collect();
+        detections.sort_unstable();
+        detections.dedup_by_key(|(observer, _)| *observer);
+        undetected += (fleet.running() - detections.len().min(fleet.running())) as u64;
+        detections.iter().for_each(|(_, noticed_at)| {
+            detection_ms.saturating_record((*noticed_at - killed_at).us() / 1000)
+        });
+        fleet.start(killed);
         fleet.play(Duration::from_ms(30_000));
     }
     (detection_ms, undetected)
 }
 
 /// Two halves don't hear each other for a minute; how long after it all agree.
-fn halves<W: MembershipProtocol>(fleet: &mut TestFleet<W>) -> Option<f64> {
+fn measure_heal_time<P: MembershipProtocol>(fleet: &mut TestFleet<P>) -> Option<f64> {
     fleet.network.cut = Some(|from, to| from % 2 != to % 2);
     fleet.play(Duration::from_ms(60_000));
     fleet.network.cut = None;
-    until_agreed(fleet, 180.0)
+    seconds_until_agreed(fleet, 180.0)
 }
 
 /// One line of the table, over the seeds of a size.
@@ -229,38 +235,40 @@
 impl Row {
     /// The cells of the row.
     pub fn cells(&self) -> Vec<String> {
-        let all = |of: &dyn Fn(&Outcome) -> f64| -> Vec<f64> { self.outcomes.iter().map(of).collect() };
-        let middle = |mut of: Vec<f64>| {
-            of.sort_by(f64::total_cmp);
-            of.get(of.len() / 2).copied().unwrap_or(f64::NAN)
+        let all =
+            |figure: &dyn Fn(&Outcome) -> f64| -> Vec<f64> { self.outcomes.iter().map(figure).collect() };
+        let median = |mut values: Vec<f64>| {
+            values.sort_by(f64::total_cmp);
+            values.get(values.len() / 2).copied().unwrap_or(f64::NAN)
         };
-        let most = |of: Vec<f64>| of.into_iter().fold(0.0, f64::max);
-        let mut notice: Histogram<u64> = Histogram::new_with_bounds(1, 600_000, 3).expect("sound bounds");
+        let max = |values: Vec<f64>| values.into_iter().fold(0.0, f64::max);
+        let mut detection_ms: Histogram<u64> =
+            Histogram::new_with_bounds(1, 600_000, 3).expect("sound bounds");
         for outcome in &self.outcomes {
-            let _ = notice.add(&outcome.detection_ms); // the same bounds
+            let _ = detection_ms.add(&outcome.detection_ms); // the same bounds
         }
-        let secs = |ms: u64| format!("{:.1}", ms as f64 / 1000.0);
-        let ends = |of: &dyn Fn(&Outcome) -> Option<f64>| {
-            let never = self.outcomes.iter().filter(|outcome| of(outcome).is_none()).count();
-            let worst = most(all(&|outcome| of(outcome).unwrap_or(0.0)));
+        let seconds = |ms: u64| format!("{:.1}", ms as f64 / 1000.0);
+        let worst_or_never = |figure: &dyn Fn(&Outcome) -> Option<f64>| {
+            let never = self.outcomes.iter().filter(|outcome| figure(outcome).is_none()).count();
+            let worst = max(all(&|outcome| figure(outcome).unwrap_or(0.0)));
             if never > 0 { format!("{worst:.1}, {never} never") } else { format!("{worst:.1}") }
         };
-        let sum = |of: &dyn Fn(&Outcome) -> u64| self.outcomes.iter().map(of).sum::<u64>();
+        let sum = |figure: &dyn Fn(&Outcome) -> u64| self.outcomes.iter().map(figure).sum::<u64>();
         vec![
             self.protocol.into(),
             self.size.to_string(),
             format!("{} ({})", sum(&|o| o.false_deaths), sum(&|o| o.unexplained_deaths)),
             format!(
                 "{}, {}, {}",
-                secs(notice.value_at_quantile(0.5)),
-                secs(notice.value_at_quantile(0.99)),
+                seconds(detection_ms.value_at_quantile(0.5)),
+                seconds(detection_ms.value_at_quantile(0.99)),
                 sum(&|o| o.undetected)
             ),
-            ends(&|o| o.heal_s),
-            ends(&|o| o.storm_s),
-            format!("{:.1}", most(all(&|o| o.storm_datagrams_per_s))),
-            format!("{:.1}", middle(all(&|o| o.datagrams_per_s))),
-            format!("{:.0}", middle(all(&|o| o.bytes_per_s))),
+            worst_or_never(&|o| o.heal_s),
+            worst_or_never(&|o| o.storm_s),
+            format!("{:.1}", max(all(&|o| o.storm_datagrams_per_s))),
+            format!("{:.1}", median(all(&|o| o.datagrams_per_s))),
+            format!("{:.0}", median(all(&|o| o.bytes_per_s))),
         ]
     }
 
