--- a/crates/hazelspur-simulator/src/cli/choices.rs
+++ b/crates/hazelspur-simulator/src/cli/choices.rs
@@ -1,4 +1,5 @@
-//! The subcommand `choices`: hard cases of decisions that add up, under each kind of coordination.
+//! The subcommand `choices`: simulates faults and uneven load under each kind of coordination, and prints a table that
+//! compares them.
 
 use super::table::{interval, markdown_table};
 use clap::Args;
@@ -8,13 +9,13 @@
 use hazelspur_simulator::studies::choices::{Case, Outcome, Scenario, run_case};
 use std::time::Instant;
 
-/// Virtual seconds of one run, for the speed column.
+/// Length of one run in virtual seconds, with its warm-up.
 const RUN_SECONDS: f64 = 40.0;
-/// Virtual seconds of a run that count.
+/// Length of the measured part of a run, in virtual seconds.
 const MEASURED_SECONDS: f64 = 24.0;
-/// The least gap to the oracle of which a part is a meaningful figure.
+/// Smallest difference in service between the oracle and no coordination at which a fraction of it means anything.
 const MIN_GAP_TO_ORACLE: f64 = 0.005;
-/// Columns of the table.
+/// Headings of the table.
 const HEADER: [&str; 13] = [
     "case",
     "servers",
@@ -33,31 +34,34 @@
 
 #[derive(Args)]
 pub(crate) struct ChoicesArguments {
+    /// Fleet sizes, in servers.
     #[arg(long, value_delimiter = ',', default_value = "100")]
     sizes: Vec<usize>,
-    /// Seeds from 1 on.
+    /// Number of runs of each kind, with the seeds from 1 on.
     #[arg(long, default_value_t = 4)]
     seeds: u64,
-    /// Only the cases whose name has this in it.
+    /// Run only the scenarios whose name contains this text.
     #[arg(long = "case", default_value = "")]
     scenario: String,
-    /// Only the ways whose name has this in it.
+    /// Run only the kinds of coordination whose name contains this text.
     #[arg(long = "way", default_value = "")]
     coordination: String,
-    /// The part of shared limits that is each server's for good.
+    /// Fraction of shared limits that is guaranteed to servers without a lease.
     #[arg(long = "floor", default_value_t = 0.2)]
     guaranteed_fraction: f64,
+    /// Also print how many requests succeeded in each second of the first seed.
     #[arg(long)]
     by_second: bool,
+    /// Runs at the same time.
     #[arg(long, default_value_t = std::thread::available_parallelism().map_or(1, |n| n.get()))]
     threads: usize,
 }
 
-/// The runs of one hard case under one kind of coordination.
+/// Runs of one scenario under one kind of coordination.
 struct Runs {
     coordination: Coordination,
     outcomes: Vec<Outcome>,
-    /// Server-seconds played in a second of real time.
+    /// Simulated server-seconds in a second of real time.
     server_seconds_per_s: f64,
 }
 
@@ -67,11 +71,11 @@
     }
 }
 
-/// What the runs of one hard case are compared with.
+/// Results with which the runs of one scenario are compared.
 struct Baselines {
-    /// Service of each seed without coordination; empty where that was not asked for.
+    /// Service of each seed without coordination; empty if that was not run.
     uncoordinated: Vec<f64>,
-    /// Mean service with the oracle.
+    /// Mean service with the oracle; `None` if that was not run.
     oracle: Option<f64>,
 }
 
@@ -86,7 +90,7 @@
     }
 }
 
-/// Plays each hard case at each size, and prints a table.
+/// Runs each scenario at each size, and prints a table.
 pub(crate) fn run(arguments: &ChoicesArguments) {
     let mut table = markdown_table(HEADER);
     for size in &arguments.sizes {
--- a/crates/hazelspur-simulator/src/cli/mod.rs
+++ b/crates/hazelspur-simulator/src/cli/mod.rs
@@ -1,4 +1,5 @@
-//! The command line: one module a subcommand, which parses its arguments, plays and prints.
+//! The command line. Each subcommand that runs a study has a module here, which declares its arguments, runs the study
+//! and prints the result; `capacity` and `path` have theirs in the library.
 
 mod choices;
 mod scale;
@@ -11,13 +12,13 @@
 use clap::{Parser, Subcommand};
 use hazelspur_simulator::{capacity, path};
 
-/// Exit status of a study that could not be played or written.
+/// Exit status of a study that failed, or whose file could not be written.
 const EXIT_STUDY_FAILED: i32 = 1;
-/// Exit status of a measurement of a real server that could not be made.
+/// Exit status of a failed measurement of a real server.
 const EXIT_PATH_FAILED: i32 = 2;
 
 #[derive(Parser)]
-#[command(name = "hazelspur-simulator", version, about = "Many servers in virtual time")]
+#[command(name = "hazelspur-simulator", version, about = "Simulates many servers in virtual time")]
 pub(crate) struct CommandLine {
     #[command(subcommand)]
     command: Command,
@@ -25,26 +26,26 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Compares the ways of knowing who is here.
+    /// Compares membership protocols: false deaths, detection time, agreement and traffic.
     WhoIsHere(who_is_here::WhoIsHereArguments),
-    /// The real decision modules of many servers, at several sizes.
+    /// Simulates uncoordinated servers with their real decision modules, at several fleet sizes.
     Together(together::TogetherArguments),
-    /// What each role needs at the size in a file, beside its budgets: status 1 where one is passed.
+    /// Compares what each role needs at the size in a file with its budgets; status 1 if one is exceeded.
     Capacity(capacity::command::Asked),
-    /// The hard cases of choices that add up, under each way of choosing.
+    /// Simulates faults and uneven load under each kind of coordination.
     Choices(choices::ChoicesArguments),
-    /// Shares of one limit through troubles, without the servers' other work.
+    /// Simulates quota leases of one limit under faults, without the servers' other work.
     Shares(shares::SharesArguments),
-    /// What the machines cost a server as the fleet grows, in two regions of three zones.
+    /// Measures what coordination costs a server as the fleet grows, in two regions of three zones each.
     Scale(scale::ScaleArguments),
-    /// What choices that all make alike come to in sum: reports, subsets, turns.
+    /// Measures the combined load of servers that follow the same rule: load reports, subsets, time slots.
     Sums(sums::SumsArguments),
-    /// One real server's own path: what it adds to a request, and what it costs, by the size of its settings.
+    /// Measures what one real server adds to a request and what it costs, by the size of its settings.
     Path(path::command::Asked),
 }
 
 impl CommandLine {
-    /// Runs the subcommand; ends the process with its status where that is not 0.
+    /// Runs the subcommand. Ends the process with the subcommand's status if that is not 0.
     pub(crate) fn run(&self) {
         match &self.command {
             Command::WhoIsHere(arguments) => who_is_here::run(arguments),
@@ -61,7 +62,7 @@
     }
 }
 
-/// Ends the process with this status where a subcommand failed; `format` says whether causes are printed too.
+/// Prints the error of a failed subcommand with `format`, and ends the process with `status`.
 fn exit_on_error(result: anyhow::Result<()>, status: i32, format: fn(&anyhow::Error) -> String) {
     if let Err(error) = result {
         eprintln!("{}", format(&error));
@@ -69,12 +70,12 @@
     }
 }
 
-/// The message of an error that names its cause itself.
+/// Returns the message of an error, without its causes.
 fn message(error: &anyhow::Error) -> String {
     error.to_string()
 }
 
-/// The message of an error and of its causes.
+/// Returns the messages of an error and of its causes.
 fn message_with_causes(error: &anyhow::Error) -> String {
     format!("{error:#}")
 }
--- a/crates/hazelspur-simulator/src/cli/scale.rs
+++ b/crates/hazelspur-simulator/src/cli/scale.rs
@@ -1,4 +1,5 @@
-//! The subcommand `scale`: what coordination costs a server as the fleet grows, in two regions of three zones.
+//! The subcommand `scale`: measures what coordination costs a server as the fleet grows, in two regions of three zones
+//! each. It prints a table, and writes the points to a file if one is named.
 
 use clap::Args;
 use comfy_table::{Table, presets};
@@ -16,57 +17,60 @@
 const SECONDS_PER_MINUTE: f64 = 60.0;
 /// Milliseconds in a second.
 const MS_PER_SECOND: u64 = 1000;
-/// The name by which quota leases by themselves are asked for.
+/// Name of the part that measures quota leases by themselves.
 const SHARES_PART: &str = "shares";
 
 #[derive(Args)]
 pub(crate) struct ScaleArguments {
+    /// Fleet sizes, in servers.
     #[arg(long, value_delimiter = ',', default_value = "100,200,400,810,1620")]
     sizes: Vec<usize>,
+    /// Seeds of the runs.
     #[arg(long, value_delimiter = ',', default_value = "1,2,3")]
     seeds: Vec<u64>,
-    /// Of members, joint (members, signals and shares of one limit together), shares (by themselves).
+    /// Parts to measure: members (membership alone), joint (membership, load reports and quota leases of one limit),
+    /// shares (quota leases alone).
     #[arg(long = "of", value_delimiter = ',', default_value = "members,joint,shares")]
     parts: Vec<String>,
-    /// Of storm-and-rest, zone, regions, bunch; shares have troubles of their own.
+    /// Scenarios to run: storm-and-rest, zone, regions, bunch. The part `shares` has faults of its own.
     #[arg(long = "cases", value_delimiter = ',', default_value = "storm-and-rest,zone,regions,bunch")]
     scenarios: Vec<String>,
-    /// Limits, for shares by themselves.
+    /// Numbers of shared limits, for the part `shares`.
     #[arg(long, value_delimiter = ',', default_value = "1,16")]
     limits: Vec<usize>,
-    /// One way, from region to region.
+    /// One-way latency from region to region, in ms.
     #[arg(long, default_value_t = 40)]
     region_lag_ms: u64,
-    /// The share of datagrams lost from region to region.
+    /// Fraction of datagrams lost from region to region.
     #[arg(long, default_value_t = 0.0)]
     region_loss: f64,
-    /// The share of all datagrams lost.
+    /// Fraction of all datagrams lost.
     #[arg(long, default_value_t = 0.0)]
     loss: f64,
-    /// Traffic is counted for so long in each case.
+    /// Time over which traffic is counted in each phase, in seconds.
     #[arg(long, default_value_t = 30)]
     window_s: u64,
-    /// No run is begun after so many minutes; what was left out is said. A run that was begun is ended.
+    /// Start no run after this many minutes, and report those left out. Runs that have started are finished.
     #[arg(long, default_value_t = 30.0)]
     minutes: f64,
-    /// Writes all points there.
+    /// File to write all points to.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Keeps what the file has of other points.
+    /// Keep the file's points that are not measured again.
     #[arg(long, requires = "json")]
     append: bool,
-    /// Runs played at once. What CPU a run costs grows with them, since they share the machine's caches.
+    /// Runs at the same time. The CPU time of a run grows with them, because they share the machine's caches.
     #[arg(long, default_value_t = std::thread::available_parallelism().map_or(1, |n| n.get()))]
     threads: usize,
 }
 
-/// One run to play.
+/// One run of either study.
 enum Run {
     Protocols(Case),
     Shares(SharesCase),
 }
 
-/// What a run measured, and how long it took in real time.
+/// Points of a run, and its duration in real time.
 struct RunResult {
     points: Vec<Point>,
     elapsed_s: f64,
@@ -164,15 +168,19 @@
 
 fn check_known(flag: &str, names: &[String], known: &[&str]) -> anyhow::Result<()> {
     for name in names {
-        anyhow::ensure!(known.contains(&name.as_str()), "--{flag}: {name} is none of {}", known.join(", "));
+        anyhow::ensure!(
+            known.contains(&name.as_str()),
+            "--{flag}: unknown name {name}, expected one of {}",
+            known.join(", ")
+        );
     }
     Ok(())
 }
 
-/// Plays all runs that begin in time, prints a table, and writes the points where a file is named.
+/// Runs all cases that can start in time, prints a table, and writes the points if a file is named.
 ///
 /// # Errors
-/// Where a name is unknown, or the study's file cannot be read or written.
+/// Returns an error if a name is unknown, or the study's file cannot be read or written.
 pub(crate) fn run(arguments: &ScaleArguments) -> anyhow::Result<()> {
     arguments.check_names()?;
     let runs = arguments.runs();
@@ -216,7 +224,7 @@
     println!("{table}");
 }
 
-/// The short hash of the commit that is checked out here, with a mark where files were changed.
+/// Returns the abbreviated hash of the commit that is checked out here, marked `-dirty` if files were changed.
 fn checked_out_revision() -> String {
     let output = std::process::Command::new("git").args(["describe", "--always", "--dirty"]).output();
     let stdout = output.ok().filter(|out| out.status.success()).map(|out| out.stdout).unwrap_or_default();
--- a/crates/hazelspur-simulator/src/cli/shares.rs
+++ b/crates/hazelspur-simulator/src/cli/shares.rs
@@ -1,4 +1,5 @@
-//! The subcommand `shares`: quota leases of one limit under faults, without the servers' other work.
+//! The subcommand `shares`: simulates quota leases of one limit under faults, without the servers' other work, and prints
+//! a table.
 
 use super::table::markdown_table;
 use clap::Args;
@@ -7,14 +8,15 @@
 
 #[derive(Args)]
 pub(crate) struct SharesArguments {
+    /// Fleet sizes, in servers.
     #[arg(long, value_delimiter = ',', default_value = "10,100,300,1000")]
     sizes: Vec<usize>,
-    /// Seeds from 1 on.
+    /// Number of runs of each kind, with the seeds from 1 on.
     #[arg(long, default_value_t = 5)]
     seeds: u64,
 }
 
-/// Plays each fault at each size, and prints a table.
+/// Runs each fault at each size, and prints a table.
 pub(crate) fn run(arguments: &SharesArguments) {
     let mut table = markdown_table([
         "trouble",
--- a/crates/hazelspur-simulator/src/cli/sums.rs
+++ b/crates/hazelspur-simulator/src/cli/sums.rs
@@ -1,4 +1,5 @@
-//! The subcommand `sums`: what choices that all servers make alike come to in sum.
+//! The subcommand `sums`: measures the combined load of servers that all follow the same rule, and prints a table for
+//! load reports, one for subsets and one for time slots.
 
 use super::table::markdown_table;
 use clap::Args;
@@ -8,37 +9,38 @@
 };
 use std::path::PathBuf;
 
-/// Seeds over which reports are averaged.
+/// Number of seeds over which the peak of reports is averaged.
 const REPORT_SEEDS: u64 = 20;
-/// Servers in the subset of each client.
+/// Number of servers in the subset of each client.
 const SUBSET_SIZE: usize = 4;
-/// The least fleet for which subsets are compared.
+/// Smallest fleet for which subsets are compared.
 const MIN_SUBSET_FLEET: usize = 10;
 /// Seed of the subsets.
 const SUBSET_SEED: u64 = 1;
-/// Wanted time slots a second over all servers.
+/// Wanted rate of time slots over all servers, per second.
 const SLOTS_PER_SECOND: f64 = 100.0;
-/// The longest period of the slot schedule.
+/// Longest period of the slot schedule.
 const MAX_SLOT_PERIOD: Duration = Duration::from_ms(2000);
 /// Microseconds in a millisecond.
 const US_PER_MS: u64 = 1000;
 
 #[derive(Args)]
 pub(crate) struct SumsArguments {
+    /// Fleet sizes, in servers.
     #[arg(long, value_delimiter = ',', default_value = "1,10,100,300,1000")]
     sizes: Vec<usize>,
-    /// Writes what the capacity command reads of it.
+    /// File to write the points to that the subcommand `capacity` reads.
     #[arg(long, requires = "revision")]
     json: Option<PathBuf>,
-    /// The commit that this is made on.
+    /// Commit that is being measured; it is recorded in the file.
     #[arg(long = "text")]
     revision: Option<String>,
 }
 
-/// Prints the tables, and writes the study where a file is named.
+/// Prints the tables, and writes the study if a file is named.
 ///
 /// # Errors
-/// Where the study's file cannot be written.
+/// Returns an error if the study's file cannot be written.
 pub(crate) fn run(arguments: &SumsArguments) -> anyhow::Result<()> {
     print_reports(&arguments.sizes);
     print_subsets(&arguments.sizes);
--- a/crates/hazelspur-simulator/src/cli/table.rs
+++ b/crates/hazelspur-simulator/src/cli/table.rs
@@ -5,13 +5,13 @@
 
 /// Two-sided 95% quantiles of Student's t for 1 to 9 degrees of freedom.
 const STUDENT_T_95: [f64; 9] = [12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26];
-/// The quantile for more degrees of freedom than the table has.
+/// Quantile for more degrees of freedom than `STUDENT_T_95` has.
 const STUDENT_T_95_BEYOND: f64 = 2.09;
 
-/// A mean and the half width of its 95% confidence interval.
+/// Mean of some values, with the half width of its 95% confidence interval.
 pub(crate) struct Interval {
     pub(crate) mean: f64,
-    /// None for fewer than two values.
+    /// `None` for fewer than two values.
     pub(crate) half_width: Option<f64>,
 }
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// The mean of few values with its confidence interval by Student's t.
+/// Returns the mean of a few values with its confidence interval by Student's t.
 pub(crate) fn interval(values: &[f64]) -> Interval {
     let count = values.len().max(1) as f64;
     let mean = values.iter().sum::<f64>() / count;
@@ -32,7 +32,7 @@
     Interval { mean, half_width }
 }
 
-/// An empty table in Markdown with this header.
+/// Returns an empty table in Markdown with this header.
 pub(crate) fn markdown_table<const COLUMNS: usize>(header: [&str; COLUMNS]) -> Table {
     let mut table = Table::new();
     table.load_style(presets::ASCII_MARKDOWN);
--- a/crates/hazelspur-simulator/src/cli/together.rs
+++ b/crates/hazelspur-simulator/src/cli/together.rs
@@ -1,4 +1,5 @@
-//! The subcommand `together`: the real decision modules of many servers at several sizes.
+//! The subcommand `together`: simulates uncoordinated servers with their real decision modules at several fleet sizes,
+//! and prints a table.
 
 use super::table::markdown_table;
 use clap::Args;
@@ -10,22 +11,25 @@
 
 #[derive(Args)]
 pub(crate) struct TogetherArguments {
+    /// Fleet sizes, in servers.
     #[arg(long, value_delimiter = ',', default_value = "10,100,300,1000")]
     sizes: Vec<usize>,
-    /// Seeds from 1 on.
+    /// Number of runs of each size, with the seeds from 1 on.
     #[arg(long, default_value_t = 4)]
     seeds: u64,
-    /// Demand over what the cores can do.
+    /// Demand as a fraction of the capacity of all cores.
     #[arg(long, default_value_t = 0.7)]
     load: f64,
+    /// Length of each run, in virtual seconds.
     #[arg(long, default_value_t = 30)]
     seconds: u64,
-    /// Nobody answers at the ledger from 10 s on, for so many ms.
+    /// How long the ledger is unreachable, from 10 s after the start on, in ms.
     #[arg(long, default_value_t = 0)]
     ledger_down_ms: u64,
-    /// Prints what was served in each second too.
+    /// Also print how many requests succeeded in each second of the first seed.
     #[arg(long)]
     by_second: bool,
+    /// Runs at the same time.
     #[arg(long, default_value_t = std::thread::available_parallelism().map_or(1, |n| n.get()))]
     threads: usize,
 }
@@ -59,6 +63,7 @@
         if let Some(first) = runs.first().filter(|_| arguments.by_second) {
             println!("{servers} servers, seed 1, served in each second: {:?}", first.succeeded_by_second);
         }
+        // Eight ledger slots for each server, as the simulation has by default.
         let slots = 8.0 * *servers as f64;
         table.add_row([
             servers.to_string(),
--- a/crates/hazelspur-simulator/src/cli/who_is_here.rs
+++ b/crates/hazelspur-simulator/src/cli/who_is_here.rs
@@ -1,4 +1,4 @@
-//! The subcommand `who-is-here`: compares membership protocols.
+//! The subcommand `who-is-here`: compares membership protocols on a simulated network, and prints a table.
 
 use clap::Args;
 use comfy_table::{Table, presets};
@@ -13,24 +13,25 @@
 
 #[derive(Args)]
 pub(crate) struct WhoIsHereArguments {
-    /// Sizes of the fleet.
+    /// Fleet sizes, in servers.
     #[arg(long, value_delimiter = ',', default_value = "10,100,300")]
     sizes: Vec<usize>,
-    /// Seeds from 1 on.
+    /// Number of runs of each protocol and size, with the seeds from 1 on.
     #[arg(long, default_value_t = 20)]
     seeds: u64,
-    /// Minutes of stops and loss.
+    /// Length of the phase in which members are paused and datagrams lost, in minutes.
     #[arg(long, default_value_t = 10)]
     minutes: u64,
-    /// The share of datagrams that is lost then.
+    /// Fraction of datagrams lost in that phase.
     #[arg(long, default_value_t = 0.01)]
     loss: f64,
-    /// How long each stop lasts, in ms.
+    /// Duration of each pause, in ms.
     #[arg(long = "stop-ms", default_value_t = 2000)]
     pause_ms: u64,
-    /// Only the ways whose name has this in it.
+    /// Run only the protocols whose name contains this text.
     #[arg(long = "way", default_value = "")]
     protocol: String,
+    /// Runs at the same time.
     #[arg(long, default_value_t = std::thread::available_parallelism().map_or(1, |n| n.get()))]
     threads: usize,
 }
@@ -63,7 +64,7 @@
         .collect();
     let began = Instant::now();
     let outcomes = on_all_cores(&cases, arguments.threads, run_case::<P>);
-    // Storm, rests, kills and halves take about eleven minutes besides.
+    // The start, the phases at rest, the kills and the partition take about eleven minutes besides.
     let server_seconds = (fault_duration.secs() + 660.0) * size as f64 * arguments.seeds as f64;
     let server_seconds_per_s = server_seconds / began.elapsed().as_secs_f64();
     eprintln!("{}, {size} servers: {server_seconds_per_s:.0} server-seconds a second", P::NAME);
--- a/crates/hazelspur-simulator/src/studies.rs
+++ b/crates/hazelspur-simulator/src/studies.rs
@@ -1,4 +1,5 @@
-//! What is measured.
+//! The studies, one module for each subcommand of the program that plays simulated fleets. A study takes a `Case`
+//! and returns an `Outcome`, counts or points; the command line prints them.
 
 pub mod choices;
 pub mod scale;
--- a/crates/hazelspur-simulator/src/studies/choices.rs
+++ b/crates/hazelspur-simulator/src/studies/choices.rs
@@ -1,40 +1,42 @@
-//! The hard cases of choices that add up, under each way of choosing: service beside no joint choice at all
-//! and beside an oracle that sees the true state of all a little late.
+//! The study `choices`: faults and uneven load on a simulated fleet, under each kind of coordination. It compares
+//! service with that of servers that don't coordinate, and with that of servers that are guided by an oracle, which
+//! sees the true state of the fleet a little late.
 
 use crate::simulation::{Coordination, Figures, ScriptAction, Simulation, SimulationConfig};
 use hazelspur::Duration;
 
-/// Servers have found each other and shares are held by then; what came before does not count.
+/// Part of a run that is not measured. At its end the servers know each other and hold their quota leases.
 pub const WARM_UP: Duration = Duration::from_ms(16_000);
-/// How long the counted part of a run takes.
+/// Length of the measured part of a run.
 const MEASURED: Duration = Duration::from_ms(24_000);
 
-/// A hard case.
+/// Load and faults of one run. Unless a variant says otherwise, the load is 0.42 of the capacity of all cores, and
+/// half of all requests go to the first third of the servers only. Times are those after the warm-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// Half of all requests seek out a third of the servers.
+    /// Half of all requests go to a third of the servers, without a fault.
     UnevenLoad,
-    /// The same, and the ledger is gone for 4 s.
+    /// The ledger is unreachable for 4 s.
     LedgerDown,
-    /// The same, and the ledger is three times as slow for 10 s.
+    /// Calls to the ledger take three times as long for 10 s.
     LedgerSlow,
-    /// The same, and a tenth of the servers have a link to the ledger that is ten times as slow.
+    /// Calls of a tenth of the servers take ten times as long for 15 s, because of their own links to the ledger.
     LinksSlow,
-    /// The same, and two in five servers are replaced by cold ones within 7 s.
+    /// Two in five servers are killed within 7 s; each starts again cold 1.5 s later.
     ServersReplaced,
-    /// The same, and two halves don't hear each other for 15 s.
+    /// No datagram passes between two halves of the fleet for 15 s.
     Partition,
-    /// The same, and a twentieth stand still for 10 s.
+    /// The processes of a twentieth of the servers are paused for 10 s.
     ServersPaused,
-    /// The same, while the fleet doubles, a fifth of the servers is half as fast and a tenth of the pairs
-    /// don't hear each other.
+    /// The fleet doubles within 4 s, while the load stays 0.42 of the capacity of the initial servers. The cores of a
+    /// fifth of the servers are half as fast, and no datagram passes in a tenth of the pairs of sender and receiver.
     FleetDoubles,
-    /// Half as much again as the cores can do.
+    /// The load is 1.5 times the capacity of all cores, spread evenly over the servers.
     Overload,
 }
 
 impl Scenario {
-    /// All cases, in the order of the table.
+    /// All scenarios, in the order of the table.
     pub const ALL: [Self; 9] = [
         Self::UnevenLoad,
         Self::LedgerDown,
@@ -47,7 +49,7 @@
         Self::Overload,
     ];
 
-    /// Its name in tables and on the command line.
+    /// Returns the name in tables and on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Self::UnevenLoad => "uneven",
@@ -63,33 +65,42 @@
     }
 }
 
-/// One run.
+/// Parameters of one run.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
+    /// Load and faults.
     pub scenario: Scenario,
+    /// How the servers coordinate.
     pub coordination: Coordination,
+    /// Greatest number of servers in the run.
     pub servers: usize,
+    /// Seed of all random draws.
     pub seed: u64,
+    /// Fraction of shared limits that is guaranteed to servers without a lease.
     pub guaranteed_fraction: f64,
 }
 
-/// What one run came to.
+/// Result of one run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
+    /// Counts of the measured part; those by second cover the whole run.
     pub figures: Figures,
-    /// The greatest sum of all that might be used of the slots, over the slots.
+    /// Greatest sum of the quotas in force during the measured part, as a fraction of the ledger's slots.
     pub max_in_force: f64,
+    /// Ledger slots of the whole fleet.
     pub slots: f64,
+    /// Greatest number of servers in the run.
     pub servers: usize,
 }
 
 impl Outcome {
-    /// Fraction of all requests that succeeded.
+    /// Returns the fraction of all requests that succeeded.
     pub fn service(&self) -> f64 {
         self.figures.service()
     }
 
-    /// The least second that was served over the mean one, from `WARM_UP` on and without the last second.
+    /// Returns the fewest requests that succeeded in one second, over the mean of all seconds. The seconds of the
+    /// warm-up and the last one don't count.
     pub fn worst_second_ratio(&self) -> f64 {
         let first = (WARM_UP.us() / 1_000_000) as usize;
         let seconds = &self.figures.succeeded_by_second;
@@ -100,7 +111,7 @@
     }
 }
 
-/// Plays one run.
+/// Runs one case.
 pub fn run_case(case: &Case) -> Outcome {
     let servers = case.servers;
     let load = if case.scenario == Scenario::Overload { 1.5 } else { 0.42 };
--- a/crates/hazelspur-simulator/src/studies/scale/mod.rs
+++ b/crates/hazelspur-simulator/src/studies/scale/mod.rs
@@ -1,6 +1,7 @@
-//! What the real machines cost a server as the fleet grows, in two regions of three zones each: traffic of the
-//! mean and of the busiest server, time until all agree, CPU and heap. `hazelspur-simulator scale` plays it and the
-//! slope tests take their counts from it; it judges nothing.
+//! The study `scale`: costs of the real coordination protocols for a server as the fleet grows, in two regions of three
+//! zones each. It measures the traffic of the mean and of the busiest server, the time until all members agree, CPU
+//! and heap. The subcommand `scale` prints its points; the tests of traffic growth (`tests/slopes.rs`) set bounds on
+//! its counts, which this module does not judge.
 
 pub mod points;
 mod shares;
@@ -17,49 +18,49 @@
 use points::Point;
 use std::collections::VecDeque;
 
-/// All start within this.
+/// Time within which all servers of a storm start.
 const START_STORM: Duration = Duration::from_ms(1000);
-/// After a storm of starts the fleet is left alone for so long.
+/// Time without a fault after a start of the whole fleet.
 const SETTLE_TIME: Duration = Duration::from_ms(30_000);
-/// How long regions are partitioned.
+/// Duration of the partition between the regions.
 const PARTITION_DURATION: Duration = Duration::from_ms(60_000);
-/// One server in so many restarts in a bunch.
+/// One server in this many restarts in a burst.
 const RESTART_DIVISOR: usize = 40;
-/// How long a bunch of restarts takes.
+/// Time over which the restarts of a burst are spread.
 const RESTART_BURST: Duration = Duration::from_ms(10_000);
-/// How long a restarting server is away.
+/// Time from a server's goodbye to its new start.
 const RESTART_DOWNTIME: Duration = Duration::from_ms(1500);
-/// The first server that restarts in a bunch.
+/// Number of the first server that restarts in a burst.
 const FIRST_RESTARTED: usize = 7;
-/// CPU is taken over so many server-seconds at least.
+/// Fewest server-seconds over which CPU time is measured.
 const MIN_CPU_SERVER_SECONDS: f64 = 40_000.0;
-/// Between two checks whether all agree.
+/// Time between two checks whether all members agree.
 const AGREEMENT_CHECK_PERIOD: Duration = Duration::from_ms(250);
-/// Checks in a second, over which the worst second of traffic is counted.
+/// Number of agreement checks in a second. Traffic is counted in steps of one second too.
 const CHECKS_PER_SECOND: usize = 4;
-/// Nobody waits longer than this for all to agree.
+/// Longest wait until all members agree.
 const MAX_AGREEMENT_WAIT: Duration = Duration::from_ms(180_000);
-/// The zone that is lost; its first server is a contact point and a keeper.
+/// Number of the zone that is lost. Its first server is a seed member and a voter of the quota allocator.
 const LOST_ZONE: usize = 0;
 
-/// Room for a quarter more than there are.
+/// Returns the greatest size that a fleet of this many servers is configured for: a quarter more.
 pub fn max_servers(servers: usize) -> usize {
     servers + servers.div_ceil(4)
 }
 
-/// What lies between zones and regions.
+/// Links between zones and regions.
 #[derive(Clone, Copy, Debug)]
 pub struct Links {
-    /// One way, from region to region.
+    /// One-way latency from region to region.
     pub region_latency: Duration,
-    /// Share of datagrams lost from region to region.
+    /// Fraction of datagrams lost from region to region, besides `loss`.
     pub region_loss: f64,
-    /// Share of all datagrams lost.
+    /// Fraction of all datagrams lost.
     pub loss: f64,
 }
 
 impl Links {
-    /// The network with these links.
+    /// Returns a network of two regions and six zones with these links.
     pub fn network(&self) -> Network {
         let mut network = Network::new(ZONES);
         network.regions = REGIONS;
@@ -69,22 +70,25 @@
     }
 }
 
-/// What happens to the fleet.
+/// Events of one run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// A storm of starts, and rest after it; CPU and heap are those at rest.
+    /// All servers start within a second. Traffic is measured then and at rest, CPU and heap at rest.
     StartStorm,
-    /// A sixth gone at once; back cold a minute or more later.
+    /// All servers of one of the six zones are killed at once. They start again cold once the window is over and all
+    /// others agree, or after three minutes.
     ZoneLoss,
+    /// The two regions are partitioned for a minute; traffic and agreement are measured after that.
     RegionPartition,
+    /// One server in forty leaves and starts again, one after the other within ten seconds.
     RestartBurst,
 }
 
 impl Scenario {
-    /// All situations, in the order of the table.
+    /// All scenarios, in the order of the table.
     pub const ALL: [Self; 4] = [Self::StartStorm, Self::ZoneLoss, Self::RegionPartition, Self::RestartBurst];
 
-    /// How it is named in the printed tables.
+    /// Returns the name in tables and on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Self::StartStorm => "storm-and-rest",
@@ -95,19 +99,20 @@
     }
 }
 
-/// Which protocols run.
+/// Protocols that run on each server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolSet {
+    /// Membership alone.
     Membership,
-    /// Members, signals and shares of one limit.
+    /// Membership, load reports, and quota leases of one limit.
     Combined,
 }
 
 impl ProtocolSet {
-    /// Both machines, in the order of the table.
+    /// Both sets, in the order of the table.
     pub const ALL: [Self; 2] = [Self::Membership, Self::Combined];
 
-    /// How it is named in the printed tables.
+    /// Returns the name in tables and on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Self::Membership => "members",
@@ -116,19 +121,24 @@
     }
 }
 
-/// One run.
+/// Parameters of one run.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
+    /// Protocols that run.
     pub protocols: ProtocolSet,
+    /// Events of the run.
     pub scenario: Scenario,
+    /// Number of servers.
     pub size: usize,
+    /// Seed of all random draws.
     pub seed: u64,
+    /// Links between zones and regions.
     pub links: Links,
-    /// Traffic is counted for so long from the beginning of each case.
+    /// Time over which traffic is counted, from the beginning of each measured phase.
     pub window: Duration,
 }
 
-/// Plays one run and returns its points.
+/// Runs one case, and returns its points.
 pub fn run_case(case: &Case) -> Vec<Point> {
     match case.protocols {
         ProtocolSet::Membership => run_case_with::<ZonedSwim>(case),
@@ -136,23 +146,27 @@
     }
 }
 
-/// A server's traffic over a window.
+/// Traffic of a fleet's servers over a window.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TrafficSummary {
-    /// Of the mean server, a second.
+    /// Datagrams a second that the mean server sent.
     pub datagrams_out_per_s: f64,
+    /// Bytes a second that the mean server sent.
     pub bytes_out_per_s: f64,
-    /// Of the server with most of it, a second.
+    /// Datagrams a second of the server that sent most of them.
     pub busiest_datagrams_out_per_s: f64,
+    /// Bytes a second of the server that sent most of them.
     pub busiest_bytes_out_per_s: f64,
+    /// Datagrams a second of the server that received most of them.
     pub busiest_datagrams_in_per_s: f64,
+    /// Bytes a second of the server that received most of them.
     pub busiest_bytes_in_per_s: f64,
-    /// The most bytes that one server sent in one second.
+    /// Most bytes that one server sent in one second; zero if that was not counted.
     pub max_bytes_out_in_a_second: f64,
 }
 
 impl TrafficSummary {
-    /// The mean is over `servers`.
+    /// Summarizes the traffic between two counts, which lie `secs` apart. The mean is over `servers`.
     fn from_counts(
         before: &[Traffic],
         after: &[Traffic],
@@ -180,15 +194,17 @@
     }
 }
 
-/// A window of a played town, and when all agreed.
+/// Traffic of a measured phase, and the time until all members agreed.
 #[derive(Clone, Copy, Debug)]
 pub struct Agreement {
+    /// Traffic of the window at the beginning of the phase.
     pub traffic: TrafficSummary,
-    /// Seconds from the beginning until all agreed first; none within three minutes.
+    /// Seconds from the beginning until all first agreed; `None` if they did not within three minutes.
     pub agreed_after_s: Option<f64>,
 }
 
-/// Plays for `window`, and on until all agree or three minutes are over.
+/// Runs the fleet for `window`, and on until all members agree or three minutes are over. The mean traffic is over
+/// `size` servers.
 fn measure_agreement<P: MembershipProtocol>(
     fleet: &mut TestFleet<P>,
     window: Duration,
@@ -225,7 +241,7 @@
     }
 }
 
-/// All start within a second, each at its part of it.
+/// Starts the servers within a second, at equal intervals.
 pub fn start_all<P: MembershipProtocol>(
     fleet: &mut TestFleet<P>,
     servers: impl ExactSizeIterator<Item = usize>,
@@ -237,7 +253,7 @@
     }
 }
 
-/// A fleet of so many, started and at rest.
+/// Returns a fleet of `size` servers that started, agreed, and then ran without a fault for a while.
 pub fn settled_fleet<P: MembershipProtocol>(size: usize, seed: u64, links: &Links) -> TestFleet<P> {
     let mut fleet = TestFleet::new(links.network(), max_servers(size), seed);
     start_all(&mut fleet, 0..size);
@@ -249,16 +265,18 @@
     fleet
 }
 
-/// What a fleet at rest sends and holds.
+/// Traffic and membership tables of a fleet at rest.
 #[derive(Clone, Copy, Debug)]
 pub struct RestMeasurement {
+    /// Traffic of the window.
     pub traffic: TrafficSummary,
-    /// Entries in the tables of the mean and of the fullest server.
+    /// Entries in the mean server's membership table.
     pub mean_entries: f64,
+    /// Entries in the largest membership table.
     pub max_entries: usize,
 }
 
-/// Counts the traffic of `fleet` for `window`.
+/// Counts the traffic of a fleet for `window`, and the entries in its membership tables at the end.
 pub fn measure_at_rest<P: MembershipProtocol>(
     fleet: &mut TestFleet<P>,
     window: Duration,
@@ -286,7 +304,7 @@
     RestMeasurement { traffic, mean_entries: mean, max_entries: entries.into_iter().max().unwrap_or(0) }
 }
 
-/// Plays one situation of one fleet, and returns its points.
+/// Runs one case with a given protocol, and returns its points.
 pub fn run_case_with<P: MembershipProtocol>(case: &Case) -> Vec<Point> {
     let mut collector = PointCollector { case, points: Vec::new() };
     match case.scenario {
@@ -301,7 +319,7 @@
 fn start_storm<P: MembershipProtocol>(case: &Case, collector: &mut PointCollector) {
     let size = case.size;
     let mut fleet: TestFleet<P> = TestFleet::new(case.links.network(), max_servers(size), case.seed);
-    // Traffic of the second in which they start counts too; the time until all agree is from its end.
+    // The second of the starts has points of its own; the time until all agree is counted from its end.
     let before: Vec<Traffic> = fleet.traffic().collect();
     start_all(&mut fleet, 0..size);
     let first = TrafficSummary::from_counts(&before, &fleet.traffic().collect::<Vec<_>>(), 0, 1.0, size);
@@ -348,21 +366,21 @@
     collector.add_agreement("bunched restarts, after the last", &agreement);
 }
 
-/// A server that left, and when it starts again.
+/// A server that left, and the time of its new start.
 #[derive(Clone, Copy)]
 struct Restart {
     at: Timestamp,
     server: usize,
 }
 
-/// Restarts one server in so many, one after the other, each of which is away for `RESTART_DOWNTIME`.
+/// Restarts one server in `RESTART_DIVISOR`, one after the other. Each is down for `RESTART_DOWNTIME`.
 fn restart_one_by_one<P: MembershipProtocol>(fleet: &mut TestFleet<P>, size: usize) {
     let restarts = (size / RESTART_DIVISOR).max(1);
     let gap = Duration::from_us(RESTART_BURST.us() / restarts as u64);
     let mut down: VecDeque<Restart> = VecDeque::new();
     let started = fleet.now();
     for i in 0..restarts {
-        // Neither seed members nor voters, and of all zones in turn.
+        // The servers are of all zones in turn, and neither seed members nor voters of the quota allocator.
         let server = (i * RESTART_DIVISOR + i % ZONES + FIRST_RESTARTED) % size;
         fleet.leave(server);
         down.push_back(Restart { at: fleet.now() + RESTART_DOWNTIME, server });
@@ -383,12 +401,12 @@
     fleet.start(restart.server);
 }
 
-/// Traffic, entries, CPU and heap at rest. The heap is that of a zone's servers, taken from what their end
-/// gives back.
+/// Adds the points of traffic, membership tables, CPU and heap at rest. The heap of a server is measured by what the
+/// end of one zone's servers frees.
 fn add_rest_points<P: MembershipProtocol>(collector: &mut PointCollector, fleet: &mut TestFleet<P>) {
     let case = collector.case;
     let rest = measure_at_rest(fleet, case.window, case.size);
-    // The kernel counts in steps of some milliseconds: a small fleet is played for longer.
+    // The kernel counts CPU time in steps of some milliseconds, so a small fleet runs for longer.
     let cpu_window = case.window.max(Duration::from_secs(MIN_CPU_SERVER_SECONDS / case.size as f64));
     let before = cpu::of_this_thread();
     fleet.play(cpu_window);
@@ -413,7 +431,8 @@
     }
 }
 
-/// CPU of the laboratory's own queue and network for the same traffic, in microseconds a server-second.
+/// Returns the CPU time that the simulator's own event queue and network take for the same traffic, in microseconds for
+/// each second of a server; `None` where the kernel does not report CPU time.
 fn simulator_cpu_us_per_s(case: &Case, traffic: &TrafficSummary, cpu_window: Duration) -> Option<f64> {
     let rate =
         Rate { servers: case.size, datagrams: traffic.datagrams_out_per_s, bytes: traffic.bytes_out_per_s };
@@ -430,7 +449,7 @@
     Some(spent.us() as f64 / (cpu_window.secs() * case.size as f64))
 }
 
-/// Collects the points of one run.
+/// Points of one run, which take the run's protocol set, size and seed from its case.
 struct PointCollector<'a> {
     case: &'a Case,
     points: Vec<Point>,
--- a/crates/hazelspur-simulator/src/studies/scale/points.rs
+++ b/crates/hazelspur-simulator/src/studies/scale/points.rs
@@ -1,57 +1,62 @@
-//! Measured figures as points, their file, and their table. The capacity command reads the file.
+//! Measured figures as points, the JSON file that holds them, and their summary for the printed table. The subcommand
+//! `capacity` reads the file.
 
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 
-/// Why a study's file cannot be read or written.
+/// Error of reading or writing a study's file.
 #[derive(Debug, thiserror::Error)]
 pub enum StudyError {
-    /// The file system refused.
+    /// Failure of the file system.
     #[error("{file}: {source}", file = file.display())]
     Io {
-        /// The study's file, or its folder.
+        /// Path of the study's file, or of its folder.
         file: PathBuf,
-        /// What the file system said.
+        /// Error of the file system.
         source: std::io::Error,
     },
-    /// The file is no study.
-    #[error("{file}: {source}", file = file.display())]
+    /// File that is not a study in JSON.
+    #[error("{file} is not a study: {source}", file = file.display())]
     Syntax {
         /// The study's file.
         file: PathBuf,
-        /// What is wrong in it.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
-    /// The file has the points of another study.
-    #[error("{file}: is of the study {study}", file = file.display())]
+    /// File that holds the points of another study, so that none can be appended.
+    #[error("{file} holds the study {study}, and points of another study cannot be appended", file = file.display())]
     OtherStudy {
         /// The study's file.
         file: PathBuf,
-        /// The study that it has.
+        /// Name of the study in the file.
         study: String,
     },
-    /// The study cannot be encoded.
+    /// Failure to encode the study in JSON.
     #[error(transparent)]
     Encode(#[from] serde_json::Error),
 }
 
-/// One figure of one run.
+/// Value of one figure in one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// Dotted.
+    /// Name of the figure, with the part that was measured before a dot, such as `members.agree_s`.
     pub figure: String,
-    /// The situation.
+    /// Situation in which the figure was measured, such as `zone lost`.
     pub case: String,
+    /// Unit of the value.
     pub unit: String,
-    /// What `size` counts.
+    /// Dimension that `size` counts, such as `servers`.
     pub by: String,
+    /// Size of the run in that dimension.
     pub size: usize,
+    /// Seed of the run.
     pub seed: u64,
+    /// Measured value in `unit`.
     pub value: f64,
 }
 
 impl Point {
-    /// A point whose size counts servers.
+    /// Creates a point whose size counts servers.
     pub fn of_servers(figure: &str, case: &str, unit: &str, size: usize, seed: u64, value: f64) -> Self {
         let (figure, case, unit) = (figure.into(), case.into(), unit.into());
         Self { figure, case, unit, by: "servers".into(), size, seed, value }
@@ -62,21 +67,28 @@
     }
 }
 
-/// One file.
+/// Content of a study's file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Study {
+    /// Name of the study.
     pub study: String,
+    /// Command line that measured the points.
     pub command: String,
-    /// The revision of the text that was run.
+    /// Revision of the source that was run.
     #[serde(rename = "text")]
     pub revision: String,
+    /// Machine on which the study ran.
     pub machine: String,
+    /// All measured points.
     pub points: Vec<Point>,
 }
 
 impl Study {
-    /// What was written before stays, but for points that were measured anew; commands and revisions are
-    /// listed one after the other. Errors name the file.
+    /// Returns this study with the points of the file added, except those that this study measured again. Commands,
+    /// revisions and machines of both are joined by semicolons. Without a file the study stays as it is.
+    ///
+    /// # Errors
+    /// Returns an error if the file cannot be read, is not a study, or holds another study.
     pub fn append_to(mut self, file: &Path) -> Result<Self, StudyError> {
         let Some(old) = Self::read(file)? else { return Ok(self) };
         if old.study != self.study {
@@ -96,7 +108,10 @@
         Ok(self)
     }
 
-    /// `None` where there is no such file.
+    /// Reads a study's file; returns `None` if it does not exist.
+    ///
+    /// # Errors
+    /// Returns an error if the file cannot be read or is not a study.
     pub fn read(file: &Path) -> Result<Option<Self>, StudyError> {
         match std::fs::read_to_string(file) {
             Ok(text) => serde_json::from_str(&text)
@@ -107,7 +122,11 @@
         }
     }
 
-    /// One point a line, sorted, so that two files are easily compared.
+    /// Writes the study's file, and its folder if that is missing. Points are sorted and take one line each, so that a
+    /// diff of two files shows which points changed.
+    ///
+    /// # Errors
+    /// Returns an error if the study cannot be encoded, or the file or folder cannot be written.
     pub fn write(&mut self, file: &Path) -> Result<(), StudyError> {
         self.points.sort_by(|a, b| a.key().cmp(&b.key()));
         let quoted = |text: &str| serde_json::to_string(text);
@@ -128,16 +147,20 @@
     }
 }
 
-/// One line of the table: a figure of a case by size, least, mean and most over the seeds.
+/// One line of the printed table: one figure in one case.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SummaryLine {
+    /// Name of the figure.
     pub figure: String,
+    /// Situation in which the figure was measured.
     pub case: String,
+    /// Unit of the values.
     pub unit: String,
+    /// Minimum, mean and maximum over the seeds for each size; `None` where the figure was not measured.
     pub cells: Vec<Option<(f64, f64, f64)>>,
 }
 
-/// In the order in which figures first appear.
+/// Returns a line for each figure and case, in the order in which they first appear among the points.
 pub fn summarize(points: &[Point], sizes: &[usize]) -> Vec<SummaryLine> {
     let mut lines: Vec<SummaryLine> = Vec::new();
     for point in points {
--- a/crates/hazelspur-simulator/src/studies/scale/shares.rs
+++ b/crates/hazelspur-simulator/src/studies/scale/shares.rs
@@ -1,21 +1,27 @@
-//! Shares by themselves as the fleet grows: what the divider has to do, and how long shares take to settle.
+//! Quota leases without the servers' other work, as the fleet grows: the allocator's traffic, and how long quotas take
+//! to settle after a fault.
 
 use super::Links;
 use super::points::Point;
 use crate::studies::shares::{Case, Fault, run_case};
 
-/// One trouble of one fleet.
+/// Parameters of one run.
 #[derive(Clone, Copy, Debug)]
 pub struct SharesCase {
+    /// Number of servers.
     pub servers: usize,
+    /// Number of shared limits, all alike.
     pub limits: usize,
+    /// Fault that is injected.
     pub fault: Fault,
+    /// Seed of all random draws.
     pub seed: u64,
+    /// Links between zones and regions.
     pub links: Links,
 }
 
-/// The figures of one trouble. Settling is from the beginning of the trouble; where regions were apart, from
-/// their healing.
+/// Runs one case, and returns its points. Settling is timed from the beginning of the fault; for a partition of the
+/// regions, from its end.
 pub fn run_shares_case(case: &SharesCase) -> Vec<Point> {
     let SharesCase { servers, limits, fault, seed, links } = *case;
     let outcome = run_case(&Case { servers, fault, seed, limits, links: Some(links) });
--- a/crates/hazelspur-simulator/src/studies/shares/fleet.rs
+++ b/crates/hazelspur-simulator/src/studies/shares/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of quota managers over the simulated network, without the servers' other work; events of a study start,
-//! end and pause them. Its output is what they may use of the first limit, and the allocator's traffic.
+//! A fleet of quota managers over the simulated network, without the servers' other work. Events that a study schedules
+//! start, end and pause them. Its output is the quotas of the first limit, and the allocator's traffic.
 
 use crate::event_queue::EventQueue;
 use crate::membership_protocols::swim::{address, name};
@@ -16,55 +16,58 @@
 };
 use std::collections::VecDeque;
 
-/// The limit that is observed.
+/// Limit that is observed.
 const OBSERVED_LIMIT: LimitId = LimitId(0);
-/// How long quota may be in use after its lease ended.
+/// Time for which a quota may be in use after its lease ended.
 pub(super) const RESIDUAL_DURATION: Duration = Duration::from_ms(500);
-/// Between two observations.
+/// Time between two observations.
 pub(super) const OBSERVATION_PERIOD: Duration = Duration::from_ms(100);
-/// Observations over which quota counts as in use.
+/// Number of observations over which a quota counts as in use.
 const OBSERVATIONS_KEPT: usize = (RESIDUAL_DURATION.us() / OBSERVATION_PERIOD.us()) as usize + 1;
-/// How long an ended allocator is away.
+/// Time from the allocator's end to its new start.
 const ALLOCATOR_RESTART: Duration = Duration::from_ms(3000);
-/// The shortest wait for the next tick.
+/// Shortest wait for the next tick.
 const MIN_TICK_WAIT: Duration = Duration::from_us(1);
-/// Demands of the servers over an equal share, before `DEMAND_FACTOR`.
+/// Demands of the servers over an equal part of the limit, before `DEMAND_FACTOR`.
 const UNEQUAL_DEMANDS: [f64; 8] = [0.1, 0.3, 0.5, 0.8, 1.0, 1.5, 2.0, 3.0];
 /// Spreads neighbouring numbers over `UNEQUAL_DEMANDS`.
 const DEMAND_STRIDE: usize = 7;
-/// Demand of the whole fleet over the limit, about.
+/// Approximate demand of the whole fleet over the limit.
 const DEMAND_FACTOR: f64 = 1.3;
-/// Number of the member in the head of a typical datagram.
+/// Number of the sender of a typical datagram.
 const TYPICAL_MEMBER: usize = 100;
 /// Sequence number of a typical datagram.
 const TYPICAL_SEQUENCE: u64 = 1000;
 /// Microseconds in a millisecond.
 const US_PER_MS: u64 = 1000;
 
-/// A quota that may be used, beside the fair one.
+/// One server's quota, beside the fair one.
 #[derive(Clone, Copy)]
 pub(super) struct Quota {
+    /// Quota that may be used now, up to the server's demand.
     pub(super) usable: f64,
+    /// Quota by a fair division of the limit, up to the server's demand.
     pub(super) fair: f64,
 }
 
-/// What the fleet may use of the observed limit.
+/// Quotas of the observed limit at one time.
 pub(super) struct Observation {
-    /// Sum of all that may be in use, over the limit.
+    /// Sum of all quotas that may be in use, over the limit.
     pub(super) in_force: f64,
-    /// Sum of what may be used now, up to each server's demand.
+    /// Sum of the usable quotas.
     pub(super) usable: f64,
-    /// Quota of each running server.
+    /// Quotas of the running servers.
     pub(super) quotas: Vec<Quota>,
 }
 
-/// Traffic of the allocator.
+/// Traffic to and from the allocator since the start.
 #[derive(Clone, Copy, Default)]
 pub(super) struct AllocatorTraffic {
     pub(super) messages: u64,
     pub(super) bytes: u64,
 }
 
+/// Event in virtual time.
 pub(super) enum Event {
     Tick { server: usize, generation: u64 },
     Message { receiver: usize, sender: ProcessIncarnation, message: QuotaMessage },
@@ -80,9 +83,9 @@
     quota: Option<QuotaManager>,
     process: ProcessIncarnation,
     paused_until: Timestamp,
-    /// What it might use at the last observations.
+    /// Quotas of the observed limit at the last `OBSERVATIONS_KEPT` observations.
     recent: VecDeque<f64>,
-    /// The tick that is scheduled.
+    /// Time of the tick that is scheduled.
     next_tick: Timestamp,
 }
 
@@ -96,7 +99,7 @@
         self.quota.as_ref().is_some_and(|quota| quota.allocates_until(now).is_some())
     }
 
-    /// Records what it may use now, and returns the most of the last observations.
+    /// Records the quota that may be used now, and returns the greatest one of the last observations.
     fn record(&mut self, usable: f64) -> f64 {
         self.recent.push_back(usable);
         while self.recent.len() > OBSERVATIONS_KEPT {
@@ -106,7 +109,7 @@
     }
 }
 
-/// The fleet.
+/// Fleet of quota managers in virtual time.
 pub(super) struct QuotaFleet {
     pub(super) queue: EventQueue<Event>,
     network: Network,
@@ -118,12 +121,12 @@
     datagram: Datagram,
 }
 
-/// A server's demand, between a thirtieth and all of the greatest.
+/// Returns a server's demand for a limit of `total`; the smallest demand is a thirtieth of the greatest.
 fn demand(server: usize, servers: usize, total: f64) -> f64 {
     total / servers as f64 * UNEQUAL_DEMANDS[server * DEMAND_STRIDE % UNEQUAL_DEMANDS.len()] * DEMAND_FACTOR
 }
 
-/// A datagram without updates, to measure the encoded length of messages.
+/// Returns a datagram without member updates, in which the encoded length of messages is measured.
 fn typical_datagram(fingerprint: ConfigFingerprint) -> Datagram {
     let sender = MemberUpdate {
         name: name(TYPICAL_MEMBER),
@@ -152,7 +155,7 @@
 }
 
 impl QuotaFleet {
-    /// A fleet of `config.max_servers` servers, none of which runs.
+    /// Creates a fleet of `config.max_servers` servers, none of which runs.
     pub(super) fn new(config: QuotaConfig, network: Network, seed: u64) -> Self {
         let no_process = || ProcessIncarnation { name: name(0), generation: Generation(0) };
         Self {
@@ -167,14 +170,14 @@
         }
     }
 
-    /// Runs until then in virtual time.
+    /// Runs until `end` in virtual time.
     pub(super) fn run_until(&mut self, end: Timestamp) {
         while let Some(event) = self.queue.next(end) {
             self.handle(event);
         }
     }
 
-    /// Servers among which demands are divided; the others are spare.
+    /// Returns the number of servers that the limit is meant for; the others are room to grow.
     fn usual_servers(&self) -> usize {
         self.config.max_servers * 4 / 5
     }
@@ -274,7 +277,7 @@
         }
     }
 
-    /// Observes what all servers may use of the first limit, beside fair shares by their demands.
+    /// Observes the quotas of all servers, beside the fair ones by their demands.
     pub(super) fn observe(&mut self) -> Observation {
         let now = self.queue.now;
         let total = self.config.limits[0].total;
--- a/crates/hazelspur-simulator/src/studies/shares/mod.rs
+++ b/crates/hazelspur-simulator/src/studies/shares/mod.rs
@@ -1,5 +1,6 @@
-//! Quota leases of one limit among many servers, without the servers' other work: whether their sum ever passes the
-//! limit, how much of it is in use once the fleet has settled, how fairly, and how long settling takes.
+//! The study `shares`: quota leases of one limit among many servers under a fault, without the servers' other work. It
+//! measures whether the quotas in force ever pass the limit, how much of it is in use once the fleet has settled, how
+//! fairly it is divided, and how long settling takes.
 
 mod fleet;
 
@@ -13,50 +14,51 @@
 use hazelspur_fleet::LimitName;
 use hazelspur_fleet::quota::{QuotaConfig, SharedLimit};
 
-/// When the fault begins, after the start; the fleet is at rest by then.
+/// Time from the start of the run to the fault; the fleet is at rest by then.
 const FAULT_START: Duration = Duration::from_ms(20_000);
-/// How long the run goes on after the fault.
+/// Time from the end of the fault to the end of the run.
 const REST_AFTER_FAULT: Duration = Duration::from_ms(30_000);
-/// The last part of a run, over which use and traffic are averaged.
+/// Last part of a run, over which use and traffic are averaged.
 const FINAL_PERIOD: Duration = Duration::from_ms(10_000);
-/// How long regions are partitioned.
+/// Duration of the partition between the regions.
 const REGION_PARTITION_DURATION: Duration = Duration::from_ms(60_000);
-/// Fraction in use of what could be, from which on the fleet counts as settled.
+/// Fraction of the fair quotas that must be usable for the fleet to count as settled.
 const SETTLED_FRACTION: f64 = 0.9;
-/// Fraction of messages lost under `Trouble::Loss`.
+/// Fraction of messages lost under `Fault::MessageLoss`.
 const LOST_FRACTION: f64 = 0.05;
-/// Sites where no network is given.
+/// Number of sites of a network without given links.
 const SITES: usize = 3;
-/// Servers of the fleet that grows and shrinks, at its smallest.
+/// Smallest size of the fleet that grows and shrinks.
 const SMALL_FLEET: usize = 10;
-/// Slots of each limit for a server.
+/// Slots of each limit for each server.
 const SLOTS_PER_SERVER: f64 = 4.0;
 /// Fraction of each limit that is guaranteed without a lease.
 const GUARANTEED_FRACTION: f64 = 0.2;
-/// Voters of the allocator.
+/// Number of voters, who elect the quota allocator.
 const VOTERS: usize = 5;
-/// How long a vote is valid.
+/// Time for which a vote is valid.
 const VOTE_DURATION: Duration = Duration::from_ms(4000);
-/// Guards divisions by zero.
+/// Smallest divisor, against divisions by zero.
 const MIN_DIVISOR: f64 = 1e-9;
 
-/// A fault.
+/// Fault that is injected in one run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
+    /// No fault.
     None,
-    /// A twentieth of all messages is lost.
+    /// One message in twenty is lost, throughout the run.
     MessageLoss,
-    /// From ten servers to all within 30 s, and back to ten.
+    /// The fleet grows from ten servers to all within 30 s, and shrinks back to ten.
     GrowAndShrink,
-    /// Two in five end within 7 s, and as many others start.
+    /// Two in five servers end within 7 s; each starts again after 1.5 s.
     Replaced,
-    /// The divider ends.
+    /// The quota allocator ends, and starts again after 3 s.
     AllocatorEnds,
-    /// Two halves for 20 s.
+    /// No message passes between two halves of the fleet for 20 s.
     Partition,
-    /// A tenth stand still for 10 s.
+    /// The processes of a tenth of the servers are paused for 10 s.
     Paused,
-    /// Two regions don't hear each other for a minute; three of the five keepers are in one of them.
+    /// No message passes between the two regions for a minute. Three of the five voters are in one of them.
     RegionPartition,
 }
 
@@ -72,15 +74,15 @@
         Self::Paused,
     ];
 
-    /// Those that are played as the fleet grows.
+    /// Faults of the study `scale`.
     pub const FOR_SCALE: [Self; 4] = [Self::None, Self::Replaced, Self::AllocatorEnds, Self::RegionPartition];
 
-    /// How long regions are apart.
+    /// Returns the duration of the partition between the regions; zero for other faults.
     pub fn region_partition_duration(self) -> Duration {
         if self == Self::RegionPartition { REGION_PARTITION_DURATION } else { Duration::ZERO }
     }
 
-    /// Its name in tables.
+    /// Returns the name in tables and points.
     pub fn name(self) -> &'static str {
         match self {
             Self::None => "none",
@@ -95,38 +97,44 @@
     }
 }
 
-/// One run.
+/// Parameters of one run.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
+    /// Number of servers; the greatest number where the fleet grows.
     pub servers: usize,
+    /// Fault that is injected.
     pub fault: Fault,
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Limits alike, of which the first is looked at.
+    /// Number of shared limits, all alike; the first one is observed.
     pub limits: usize,
-    /// Two regions of three zones each; three sites of one region where none is given.
+    /// Links of two regions with three zones each; `None` for three sites of one region.
     pub links: Option<Links>,
 }
 
-/// What one run came to.
+/// Result of one run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Outcome {
-    /// The greatest sum of what might be in use, with what lingers, over the limit.
+    /// Greatest sum of the quotas in force, over the limit. It includes quotas whose lease ended a moment ago and that
+    /// may still be in use.
     pub max_in_force: f64,
-    /// What may be used over what could be, in the last 10 s.
+    /// Sum of the usable quotas over the sum of the fair ones, as the mean of the last 10 s.
     pub used_fraction: f64,
-    /// The least share over the fair one, and Jain's index of shares over fair ones, at the end.
+    /// Smallest usable quota over the fair one of the same server, at the end.
     pub min_over_fair: f64,
+    /// Jain's fairness index of usable quotas over fair ones, at the end.
     pub jain_index: f64,
-    /// From the beginning of the trouble until `used` stays settled; the worst dip on the way.
+    /// Seconds from the beginning of the fault until the used fraction stays settled.
     pub settled_s: f64,
+    /// Smallest used fraction from the beginning of the fault on.
     pub min_used_fraction: f64,
-    /// Messages to and from the divider in a second, at the end.
+    /// Messages a second to and from the allocator, in the last 10 s.
     pub allocator_messages_per_s: f64,
-    /// Bytes of these as datagrams, without IP and UDP heads and without claims that go along.
+    /// Bytes a second of these messages as datagrams, without IP and UDP headers and without member updates.
     pub allocator_bytes_per_s: f64,
 }
 
-/// Plays one fault of one fleet.
+/// Runs one case.
 pub fn run_case(case: &Case) -> Outcome {
     let mut network = case.links.map_or(Network::new(SITES), |links| links.network());
     if case.fault == Fault::MessageLoss {
@@ -159,7 +167,7 @@
     if case.fault == Fault::GrowAndShrink { case.servers.min(SMALL_FLEET) } else { case.servers }
 }
 
-/// Schedules the fault, and returns how long it goes on.
+/// Schedules the events of the fault, and returns its duration.
 fn schedule_fault(case: &Case, fleet: &mut QuotaFleet) -> Duration {
     let servers = case.servers;
     let mut at = |ms: u64, event: Event| {
@@ -208,13 +216,15 @@
     }
 }
 
-/// Observations of one run, from its start to its end.
+/// Accumulated observations of one run, from its start to its end.
 struct Measurement {
     end: Timestamp,
     outcome: Outcome,
+    /// Quotas of the latest observation.
     last_quotas: Vec<Quota>,
-    /// Used fractions in the last seconds, and the allocator's traffic at their beginning.
+    /// Used fractions within `FINAL_PERIOD`.
     final_fractions: Vec<f64>,
+    /// Allocator's traffic at the beginning of `FINAL_PERIOD`.
     before_final_period: AllocatorTraffic,
 }
 
@@ -277,7 +287,7 @@
     }
 }
 
-/// Jain's fairness index: 1 where all parts are equal.
+/// Returns Jain's fairness index of some ratios: 1 if all are equal.
 fn jain_index(ratios: &[f64]) -> f64 {
     let sum = ratios.iter().sum::<f64>();
     let squares = ratios.iter().map(|ratio| ratio * ratio).sum::<f64>();
--- a/crates/hazelspur-simulator/src/studies/sums.rs
+++ b/crates/hazelspur-simulator/src/studies/sums.rs
@@ -1,22 +1,24 @@
-//! What many servers come to in sum where each chooses alike: reports after a list that was gone, and which
-//! few of many are chosen.
+//! The study `sums`: the combined load of servers that all follow the same rule. It covers load reports after an
+//! outage of the control plane, subsets of servers that clients choose, and time slots of servers that cannot
+//! communicate. Nothing here runs a whole server.
 
 use hazelspur::pcg::Pcg;
 use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::subset::{WeightedMember, select};
 use hazelspur_fleet::{MemberName, SiteName};
 
-/// How a server waits between its reports to the list.
+/// Rule for the wait between two load reports of a server to the control plane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportSpacing {
-    /// 800 ms, 250 ms after a miss, the same for all.
+    /// 800 ms after a report that was accepted, and 250 ms after one that was missed.
     Fixed,
-    /// The same on average, each wait by chance within a fifth, after a miss within the half.
+    /// The same means, with each wait drawn evenly from within a fifth of its mean, or within half of it after a
+    /// report that was missed.
     Jittered,
 }
 
 impl ReportSpacing {
-    /// The wait before the next report.
+    /// Returns the wait before the next report.
     pub fn wait(self, missed: bool, random: &mut Pcg) -> Duration {
         let (wait_ms, jitter) = if missed { (250.0, 0.5) } else { (800.0, 0.2) };
         match self {
@@ -28,22 +30,23 @@
     }
 }
 
-/// Reports of `servers` while the list takes none for 5 s and takes them again: the most within 20 ms over
-/// the mean of the 20 s after that, and the longest that any server's place was without a report.
+/// Simulates the reports of `servers` over 40 s, in which the control plane accepts none for 5 s. Returns the most
+/// reports within 20 ms over the mean, both of the 20 s after that outage, and the longest time between two accepted
+/// reports of one server, among those pairs whose second report came after the outage.
 pub fn measure_reports(servers: usize, spacing: ReportSpacing, seed: u64) -> (f64, Duration) {
-    /// When the control plane is down, in ms.
+    /// Time of the outage, in ms from the start.
     const OUTAGE_MS: std::ops::Range<u64> = 10_000..15_000;
-    /// Width of a bin, in ms.
+    /// Width of a bin of the histogram, in ms.
     const BIN_MS: u64 = 20;
     let mut random = Pcg::new(seed);
     let (mut bins, mut longest) = (vec![0u32; 40_000 / BIN_MS as usize], Duration::ZERO);
     for _ in 0..servers {
-        // A release starts them within a second.
+        // A deployment starts all servers within a second.
         let mut at = Duration::from_secs(random.draw_fraction());
         let mut last_accepted = at;
         while at < Duration::from_ms(40_000) {
             let ms = at.us() / 1000;
-            // Nobody answers while it is gone: a report is given up after 700 ms.
+            // During the outage there is no answer, and a report times out after 700 ms.
             let missed = OUTAGE_MS.contains(&ms);
             bins[(ms / BIN_MS) as usize] += 1;
             if !missed {
@@ -65,21 +68,23 @@
     (f64::from(bins_after.iter().copied().max().unwrap_or(0)) / mean.max(1e-9), longest)
 }
 
-/// Ways of choosing k of n.
+/// Method by which each client chooses its subset of the servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubsetMethod {
+    /// Each client draws its servers at random.
     Random,
-    /// In rounds: all are shuffled once a round, and each client of the round takes its part (Google's SRE
-    /// book, chapter 20).
+    /// Deterministic subsetting: clients are numbered and grouped in rounds; all servers are shuffled once a round, and
+    /// each client of the round takes the next few of them (Google's SRE book, chapter 20).
     Rounds,
+    /// Rendezvous hashing, as `hazelspur_fleet::subset` does it.
     Rendezvous,
 }
 
 impl SubsetMethod {
-    /// All ways, in the order of the table.
+    /// All methods, in the order of the table.
     pub const ALL: [Self; 3] = [Self::Random, Self::Rounds, Self::Rendezvous];
 
-    /// Its name in tables.
+    /// Returns the name in tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Random => "chance",
@@ -88,7 +93,7 @@
         }
     }
 
-    /// Whom client `me` goes to, of the servers that it knows by number.
+    /// Returns the servers that a client chooses from those that it knows, by number.
     fn choose(self, client: usize, known: &[usize], subset_size: usize, seed: u64) -> Vec<usize> {
         match self {
             Self::Random => {
@@ -123,9 +128,9 @@
     }
 }
 
-/// Of n clients that each choose k of n servers: least and most load over the mean, the share of choices that
-/// change when one server goes, and the share by which two clients of one number differ whose pictures differ
-/// by a tenth.
+/// Chooses a subset of the servers for each of as many clients as there are servers. Returns, in this order: the least
+/// and the most clients of one server over the mean, the fraction of all choices that change when one server goes, and
+/// the fraction that change when the client does not know a tenth of the servers.
 pub fn measure_subsets(
     servers: usize,
     subset_size: usize,
@@ -157,8 +162,9 @@
     )
 }
 
-/// Turns without talk: the most in any 100 ms over the mean, and the longest wait, of `servers` that each
-/// take every turn for a minute.
+/// Simulates `servers` that act in each of their time slots for a minute, without communication. Returns the most
+/// actions within 100 ms over the mean, and the longest wait of a server for its next slot. `per_second` is the wanted
+/// rate of actions over all servers; `longest` bounds the period of the slot schedule.
 pub fn measure_time_slots(servers: usize, per_second: f64, longest: Duration) -> (f64, Duration) {
     use hazelspur_fleet::time_slots::SlotSchedule;
     let schedule = SlotSchedule::new(servers, per_second, longest);
@@ -181,11 +187,11 @@
     (f64::from(bins.iter().copied().max().unwrap_or(0)) / mean.max(1e-9), wait)
 }
 
-/// Seeds from 1 on that a study's points are of.
+/// Number of seeds in the study's file; the seeds count from 1.
 const STUDY_SEEDS: u64 = 3;
 
-/// What docs/CAPACITY.md rests on of this, as the text of a study's file: the most loaded server over the mean
-/// by subsets of four, and reports after a list that was gone.
+/// Returns the text of a study's file in JSON, with the figures that docs/CAPACITY.md uses: the load of the most loaded
+/// server over the mean with subsets of four, and the peak of reports after an outage. `revision` names the commit.
 pub fn study_json(sizes: &[usize], revision: &str) -> String {
     let mut points = Vec::new();
     for size in sizes {
--- a/crates/hazelspur-simulator/src/studies/who_is_here.rs
+++ b/crates/hazelspur-simulator/src/studies/who_is_here.rs
@@ -1,5 +1,5 @@
-//! The ways of knowing who is here, side by side: false deaths, time to notice, time to grow together,
-//! traffic.
+//! The study `who-is-here`: compares membership protocols by false deaths, time to detect a killed member, time to agree
+//! after a partition and after a start of all members, and traffic.
 
 use crate::membership_protocols::{MembershipNotice, MembershipProtocol};
 use crate::network::Network;
@@ -8,58 +8,64 @@
 use hazelspur::{Duration, Timestamp};
 use hdrhistogram::Histogram;
 
-/// A quiet fleet is left alone for this long after its start.
+/// Time without a fault, after the start and after the pauses.
 const SETTLE_TIME: Duration = Duration::from_ms(60_000);
-/// How long traffic at rest is counted.
+/// Time over which traffic at rest is counted.
 const REST_DURATION: Duration = Duration::from_ms(60_000);
-/// The longest wait for agreement after a storm of starts, in seconds.
+/// Longest wait for agreement after a start of all members, in seconds.
 const MAX_STORM_S: f64 = 60.0;
-/// Between two rounds of pauses.
+/// Time between two rounds of pauses.
 const PAUSE_PERIOD: Duration = Duration::from_ms(10_000);
-/// One member in so many pauses in each round.
+/// One member in this many pauses in each round, but one at least.
 const PAUSED_DIVISOR: usize = 20;
-/// A pause explains a false death for this long.
+/// Longest time after a pause at which a false death still counts as its effect.
 const MAX_PAUSE_EFFECT: Duration = Duration::from_ms(30_000);
-/// Sites of the network.
+/// Number of sites of the network.
 const SITES: usize = 3;
-/// Makes the seed of faults differ from the fleet's.
+/// Mask by which the seed of faults differs from that of the fleet.
 const FAULT_SEED_MASK: u64 = 0x57a6;
 /// Microseconds in a second.
 const US_PER_SECOND: u64 = 1_000_000;
 
-/// One run.
+/// Parameters of one run.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
+    /// Number of members.
     pub size: usize,
+    /// Seed of all random draws.
     pub seed: u64,
-    /// How long stops and loss go on.
+    /// Length of the phase in which members are paused and datagrams lost.
     pub fault_duration: Duration,
+    /// Fraction of datagrams lost in that phase.
     pub loss: f64,
+    /// Duration of each pause.
     pub pause: Duration,
 }
 
-/// Figures of one seed.
+/// Result of one run.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Times that somebody who ran was held for gone, by whoever.
+    /// Number of times that a member considered another one dead that was running.
     pub false_deaths: u64,
-    /// Of those, where the one held for gone did not even stand still within the last 30 s.
+    /// Number of those false deaths of members that had not been paused within the last 30 s.
     pub unexplained_deaths: u64,
-    /// Milliseconds from a kill to each other one's notice of it.
+    /// Milliseconds from a kill until each of the other members detected it.
     pub detection_ms: Histogram<u64>,
-    /// Others that had not noticed after two minutes.
+    /// Number of members that had not detected a kill after two minutes, over all kills.
     pub undetected: u64,
-    /// Seconds until all agree after two halves met again, which was after 60 s; none in 180.
+    /// Seconds until all members agreed after a partition of 60 s; `None` if they did not within 180 s.
     pub heal_s: Option<f64>,
-    /// At rest, for each server and second.
+    /// Datagrams a second for each server at rest.
     pub datagrams_per_s: f64,
+    /// Bytes a second for each server at rest.
     pub bytes_per_s: f64,
-    /// Seconds until all agree after a start of all within one second; none in 60.
+    /// Seconds until all members agreed after they had started within one second; `None` if they did not within 60 s.
     pub storm_s: Option<f64>,
+    /// Datagrams a second for each server from the first start until all agreed.
     pub storm_datagrams_per_s: f64,
 }
 
-/// Plays one seed: a storm of starts, rest, pauses with loss, kills, and two halves.
+/// Runs one case: a start of all members, rest, pauses with loss, kills, and a partition into two halves.
 pub fn run_case<P: MembershipProtocol>(case: &Case) -> Outcome {
     let mut random = Pcg::new(case.seed ^ FAULT_SEED_MASK);
     let mut fleet: TestFleet<P> = TestFleet::new(Network::new(SITES), case.size * 2, case.seed);
@@ -83,11 +89,11 @@
     }
 }
 
-/// What a start of all members took.
+/// Time and traffic of a start of all members.
 struct Storm {
-    /// Seconds until all agreed; `None` where they did not.
+    /// Seconds until all agreed; `None` if they did not.
     duration_s: Option<f64>,
-    /// For each server and second.
+    /// Datagrams for each server and second.
     datagrams: f64,
 }
 
@@ -117,11 +123,11 @@
     }
 }
 
-/// Running members that others considered dead.
+/// Number of times that a running member was considered dead.
 #[derive(Default)]
 struct FalseDeaths {
     all: u64,
-    /// Those that had not been paused lately.
+    /// False deaths of members that had not been paused within `MAX_PAUSE_EFFECT`.
     unexplained: u64,
 }
 
@@ -179,7 +185,8 @@
     }
 }
 
-/// Three are killed one after the other; when each of the others noticed.
+/// Kills three members one after the other, none of them a seed member, and starts each again. Returns the times in
+/// milliseconds until each other member detected a kill, and the number of members that did not.
 fn measure_detection<P: MembershipProtocol>(
     fleet: &mut TestFleet<P>,
     random: &mut Pcg,
@@ -217,7 +224,7 @@
     (detection_ms, undetected)
 }
 
-/// Two halves don't hear each other for a minute; how long after it all agree.
+/// Partitions the fleet into two halves for a minute. Returns the seconds until all agree after that, if they do.
 fn measure_heal_time<P: MembershipProtocol>(fleet: &mut TestFleet<P>) -> Option<f64> {
     fleet.network.cut = Some(|from, to| from % 2 != to % 2);
     fleet.play(Duration::from_ms(60_000));
@@ -225,15 +232,18 @@
     seconds_until_agreed(fleet, 180.0)
 }
 
-/// One line of the table, over the seeds of a size.
+/// Row of the table: one protocol at one size, over all seeds.
 pub struct Row {
+    /// Name of the protocol.
     pub protocol: &'static str,
+    /// Number of members.
     pub size: usize,
+    /// Results, one for each seed.
     pub outcomes: Vec<Outcome>,
 }
 
 impl Row {
-    /// The cells of the row.
+    /// Returns the cells of the row, in the order of `HEADER`.
     pub fn cells(&self) -> Vec<String> {
         let all =
             |figure: &dyn Fn(&Outcome) -> f64| -> Vec<f64> { self.outcomes.iter().map(figure).collect() };
@@ -245,7 +255,7 @@
         let mut detection_ms: Histogram<u64> =
             Histogram::new_with_bounds(1, 600_000, 3).expect("sound bounds");
         for outcome in &self.outcomes {
-            let _ = detection_ms.add(&outcome.detection_ms); // the same bounds
+            let _ = detection_ms.add(&outcome.detection_ms); // cannot fail: all histograms have the same bounds
         }
         let seconds = |ms: u64| format!("{:.1}", ms as f64 / 1000.0);
         let worst_or_never = |figure: &dyn Fn(&Outcome) -> Option<f64>| {
@@ -272,7 +282,7 @@
         ]
     }
 
-    /// The header of the table.
+    /// Header of the table.
     pub const HEADER: [&str; 9] = [
         "way",
         "servers",
