--- a/crates/hazelspur-simulator/src/cli/choices.rs
+++ b/crates/hazelspur-simulator/src/cli/choices.rs
@@ -1,5 +1,5 @@
-//! The subcommand `choices`: simulates faults and uneven load under each kind of coordination, and prints a table that
-//! compares them.
+//! The subcommand `choices`: simulates faults and uneven load under each kind of coordination, and prints a
+//! table that compares them.
 
 use super::table::{interval, markdown_table};
 use clap::Args;
@@ -13,7 +13,8 @@
 const RUN_SECONDS: f64 = 40.0;
 /// Length of the measured part of a run, in virtual seconds.
 const MEASURED_SECONDS: f64 = 24.0;
-/// Smallest difference in service between the oracle and no coordination at which a fraction of it means anything.
+/// Smallest difference in service between the oracle and no coordination at which a fraction of it is
+/// printed; of a smaller one it says nothing.
 const MIN_GAP_TO_ORACLE: f64 = 0.005;
 /// Headings of the table.
 const HEADER: [&str; 13] = [
--- a/crates/hazelspur-simulator/src/cli/mod.rs
+++ b/crates/hazelspur-simulator/src/cli/mod.rs
@@ -1,5 +1,5 @@
-//! The command line. Each subcommand that runs a study has a module here, which declares its arguments, runs the study
-//! and prints the result; `capacity` and `path` have theirs in the library.
+//! The command line. Each subcommand that runs a study has a module here, which declares its arguments, runs
+//! the study and prints the result; `capacity` and `path` have theirs in the library.
 
 mod choices;
 mod scale;
--- a/crates/hazelspur-simulator/src/cli/scale.rs
+++ b/crates/hazelspur-simulator/src/cli/scale.rs
@@ -1,5 +1,5 @@
-//! The subcommand `scale`: measures what coordination costs a server as the fleet grows, in two regions of three zones
-//! each. It prints a table, and writes the points to a file if one is named.
+//! The subcommand `scale`: measures what coordination costs a server as the fleet grows, in two regions of
+//! three zones each. It prints a table, and writes the points to a file if one is named.
 
 use clap::Args;
 use comfy_table::{Table, presets};
@@ -28,8 +28,8 @@
     /// Seeds of the runs.
     #[arg(long, value_delimiter = ',', default_value = "1,2,3")]
     seeds: Vec<u64>,
-    /// Parts to measure: members (membership alone), joint (membership, load reports and quota leases of one limit),
-    /// shares (quota leases alone).
+    /// Parts to measure: members (membership alone), joint (membership, load reports and quota leases of one
+    /// limit), shares (quota leases alone).
     #[arg(long = "of", value_delimiter = ',', default_value = "members,joint,shares")]
     parts: Vec<String>,
     /// Scenarios to run: storm-and-rest, zone, regions, bunch. The part `shares` has faults of its own.
@@ -64,7 +64,7 @@
     threads: usize,
 }
 
-/// One run of either study.
+/// One run: protocols on all servers, or quota leases alone.
 enum Run {
     Protocols(Case),
     Shares(SharesCase),
@@ -224,7 +224,8 @@
     println!("{table}");
 }
 
-/// Returns the abbreviated hash of the commit that is checked out here, marked `-dirty` if files were changed.
+/// Returns the abbreviated hash of the commit that is checked out here, marked `-dirty` if files were
+/// changed.
 fn checked_out_revision() -> String {
     let output = std::process::Command::new("git").args(["describe", "--always", "--dirty"]).output();
     let stdout = output.ok().filter(|out| out.status.success()).map(|out| out.stdout).unwrap_or_default();
--- a/crates/hazelspur-simulator/src/cli/shares.rs
+++ b/crates/hazelspur-simulator/src/cli/shares.rs
@@ -1,5 +1,5 @@
-//! The subcommand `shares`: simulates quota leases of one limit under faults, without the servers' other work, and prints
-//! a table.
+//! The subcommand `shares`: simulates quota leases of one limit under faults, without the servers' other
+//! work, and prints a table.
 
 use super::table::markdown_table;
 use clap::Args;
--- a/crates/hazelspur-simulator/src/cli/sums.rs
+++ b/crates/hazelspur-simulator/src/cli/sums.rs
@@ -1,5 +1,5 @@
-//! The subcommand `sums`: measures the combined load of servers that all follow the same rule, and prints a table for
-//! load reports, one for subsets and one for time slots.
+//! The subcommand `sums`: measures the combined load of servers that all follow the same rule, and prints a
+//! table for load reports, one for subsets and one for time slots.
 
 use super::table::markdown_table;
 use clap::Args;
--- a/crates/hazelspur-simulator/src/cli/together.rs
+++ b/crates/hazelspur-simulator/src/cli/together.rs
@@ -1,5 +1,5 @@
-//! The subcommand `together`: simulates uncoordinated servers with their real decision modules at several fleet sizes,
-//! and prints a table.
+//! The subcommand `together`: simulates uncoordinated servers with their real decision modules at several
+//! fleet sizes, and prints a table.
 
 use super::table::markdown_table;
 use clap::Args;
--- a/crates/hazelspur-simulator/src/studies/choices.rs
+++ b/crates/hazelspur-simulator/src/studies/choices.rs
@@ -1,6 +1,6 @@
-//! The study `choices`: faults and uneven load on a simulated fleet, under each kind of coordination. It compares
-//! service with that of servers that don't coordinate, and with that of servers that are guided by an oracle, which
-//! sees the true state of the fleet a little late.
+//! The study `choices`: faults and uneven load on a simulated fleet, under each kind of coordination. It
+//! compares service with that of servers that don't coordinate, and with that of servers that are guided by
+//! an oracle, which sees the true state of the fleet a little late.
 
 use crate::simulation::{Coordination, Figures, ScriptAction, Simulation, SimulationConfig};
 use hazelspur::Duration;
@@ -10,8 +10,9 @@
 /// Length of the measured part of a run.
 const MEASURED: Duration = Duration::from_ms(24_000);
 
-/// Load and faults of one run. Unless a variant says otherwise, the load is 0.42 of the capacity of all cores, and
-/// half of all requests go to the first third of the servers only. Times are those after the warm-up.
+/// Load and faults of one run. Unless a variant says otherwise, the load is 0.42 of the capacity of all
+/// cores, and half of all requests go to the first third of the servers only. Times are those after the
+/// warm-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
     /// Half of all requests go to a third of the servers, without a fault.
@@ -20,7 +21,8 @@
     LedgerDown,
     /// Calls to the ledger take three times as long for 10 s.
     LedgerSlow,
-    /// Calls of a tenth of the servers take ten times as long for 15 s, because of their own links to the ledger.
+    /// Calls of a tenth of the servers take ten times as long for 15 s, because of their own links to the
+    /// ledger.
     LinksSlow,
     /// Two in five servers are killed within 7 s; each starts again cold 1.5 s later.
     ServersReplaced,
@@ -28,8 +30,9 @@
     Partition,
     /// The processes of a twentieth of the servers are paused for 10 s.
     ServersPaused,
-    /// The fleet doubles within 4 s, while the load stays 0.42 of the capacity of the initial servers. The cores of a
-    /// fifth of the servers are half as fast, and no datagram passes in a tenth of the pairs of sender and receiver.
+    /// The fleet doubles within 4 s, while the load stays 0.42 of the capacity of the initial servers. The
+    /// cores of a fifth of the servers are half as fast, and no datagram passes in a tenth of the pairs of
+    /// sender and receiver.
     FleetDoubles,
     /// The load is 1.5 times the capacity of all cores, spread evenly over the servers.
     Overload,
@@ -99,8 +102,8 @@
         self.figures.service()
     }
 
-    /// Returns the fewest requests that succeeded in one second, over the mean of all seconds. The seconds of the
-    /// warm-up and the last one don't count.
+    /// Returns the fewest requests that succeeded in one second, over the mean of all seconds. The seconds of
+    /// the warm-up and the last one don't count.
     pub fn worst_second_ratio(&self) -> f64 {
         let first = (WARM_UP.us() / 1_000_000) as usize;
         let seconds = &self.figures.succeeded_by_second;
--- a/crates/hazelspur-simulator/src/studies/scale/mod.rs
+++ b/crates/hazelspur-simulator/src/studies/scale/mod.rs
@@ -1,7 +1,7 @@
-//! The study `scale`: costs of the real coordination protocols for a server as the fleet grows, in two regions of three
-//! zones each. It measures the traffic of the mean and of the busiest server, the time until all members agree, CPU
-//! and heap. The subcommand `scale` prints its points; the tests of traffic growth (`tests/slopes.rs`) set bounds on
-//! its counts, which this module does not judge.
+//! The study `scale`: costs of the real coordination protocols for a server as the fleet grows, in two
+//! regions of three zones each. It measures the traffic of the mean and of the busiest server, the time until
+//! all members agree, CPU and heap. The subcommand `scale` prints its points; the tests of traffic growth
+//! (`tests/slopes.rs`) set bounds on its counts, which this module does not judge.
 
 pub mod points;
 mod shares;
@@ -36,7 +36,7 @@
 const MIN_CPU_SERVER_SECONDS: f64 = 40_000.0;
 /// Time between two checks whether all members agree.
 const AGREEMENT_CHECK_PERIOD: Duration = Duration::from_ms(250);
-/// Number of agreement checks in a second. Traffic is counted in steps of one second too.
+/// Number of agreement checks in a second. After so many the traffic of the last second is counted.
 const CHECKS_PER_SECOND: usize = 4;
 /// Longest wait until all members agree.
 const MAX_AGREEMENT_WAIT: Duration = Duration::from_ms(180_000);
@@ -75,8 +75,8 @@
 pub enum Scenario {
     /// All servers start within a second. Traffic is measured then and at rest, CPU and heap at rest.
     StartStorm,
-    /// All servers of one of the six zones are killed at once. They start again cold once the window is over and all
-    /// others agree, or after three minutes.
+    /// All servers of one of the six zones are killed at once. They start again cold once the window is over
+    /// and all others agree, or after three minutes.
     ZoneLoss,
     /// The two regions are partitioned for a minute; traffic and agreement are measured after that.
     RegionPartition,
@@ -203,8 +203,8 @@
     pub agreed_after_s: Option<f64>,
 }
 
-/// Runs the fleet for `window`, and on until all members agree or three minutes are over. The mean traffic is over
-/// `size` servers.
+/// Runs the fleet for `window`, and on until all members agree or three minutes are over. The mean traffic is
+/// over `size` servers.
 fn measure_agreement<P: MembershipProtocol>(
     fleet: &mut TestFleet<P>,
     window: Duration,
@@ -401,8 +401,8 @@
     fleet.start(restart.server);
 }
 
-/// Adds the points of traffic, membership tables, CPU and heap at rest. The heap of a server is measured by what the
-/// end of one zone's servers frees.
+/// Adds the points of traffic, membership tables, CPU and heap at rest. The heap of a server is measured by
+/// what the end of one zone's servers frees.
 fn add_rest_points<P: MembershipProtocol>(collector: &mut PointCollector, fleet: &mut TestFleet<P>) {
     let case = collector.case;
     let rest = measure_at_rest(fleet, case.window, case.size);
@@ -431,8 +431,8 @@
     }
 }
 
-/// Returns the CPU time that the simulator's own event queue and network take for the same traffic, in microseconds for
-/// each second of a server; `None` where the kernel does not report CPU time.
+/// Returns the CPU time that the simulator's own event queue and network take for the same traffic, in
+/// microseconds for each second of a server; `None` where the kernel does not report CPU time.
 fn simulator_cpu_us_per_s(case: &Case, traffic: &TrafficSummary, cpu_window: Duration) -> Option<f64> {
     let rate =
         Rate { servers: case.size, datagrams: traffic.datagrams_out_per_s, bytes: traffic.bytes_out_per_s };
--- a/crates/hazelspur-simulator/src/studies/scale/points.rs
+++ b/crates/hazelspur-simulator/src/studies/scale/points.rs
@@ -1,5 +1,5 @@
-//! Measured figures as points, the JSON file that holds them, and their summary for the printed table. The subcommand
-//! `capacity` reads the file.
+//! Measured figures as points, the JSON file that holds them, and their summary for the printed table. The
+//! subcommand `capacity` reads the file.
 
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
@@ -24,7 +24,10 @@
         source: serde_json::Error,
     },
     /// File that holds the points of another study, so that none can be appended.
-    #[error("{file} holds the study {study}, and points of another study cannot be appended", file = file.display())]
+    #[error(
+        "{file} holds the study {study}, and points of another study cannot be appended",
+        file = file.display()
+    )]
     OtherStudy {
         /// The study's file.
         file: PathBuf,
@@ -84,8 +87,9 @@
 }
 
 impl Study {
-    /// Returns this study with the points of the file added, except those that this study measured again. Commands,
-    /// revisions and machines of both are joined by semicolons. Without a file the study stays as it is.
+    /// Returns this study with the points of the file added, except those that this study measured again.
+    /// Commands, revisions and machines of both are joined by semicolons. Without a file the study stays as
+    /// it is.
     ///
     /// # Errors
     /// Returns an error if the file cannot be read, is not a study, or holds another study.
@@ -122,8 +126,8 @@
         }
     }
 
-    /// Writes the study's file, and its folder if that is missing. Points are sorted and take one line each, so that a
-    /// diff of two files shows which points changed.
+    /// Writes the study's file, and its folder if that is missing. Points are sorted and take one line each,
+    /// so that a diff of two files shows which points changed.
     ///
     /// # Errors
     /// Returns an error if the study cannot be encoded, or the file or folder cannot be written.
--- a/crates/hazelspur-simulator/src/studies/scale/shares.rs
+++ b/crates/hazelspur-simulator/src/studies/scale/shares.rs
@@ -1,5 +1,5 @@
-//! Quota leases without the servers' other work, as the fleet grows: the allocator's traffic, and how long quotas take
-//! to settle after a fault.
+//! Quota leases without the servers' other work, as the fleet grows: the allocator's traffic, and how long
+//! quotas take to settle after a fault.
 
 use super::Links;
 use super::points::Point;
@@ -20,8 +20,8 @@
     pub links: Links,
 }
 
-/// Runs one case, and returns its points. Settling is timed from the beginning of the fault; for a partition of the
-/// regions, from its end.
+/// Runs one case, and returns its points. Settling is timed from the beginning of the fault; for a partition
+/// of the regions, from its end.
 pub fn run_shares_case(case: &SharesCase) -> Vec<Point> {
     let SharesCase { servers, limits, fault, seed, links } = *case;
     let outcome = run_case(&Case { servers, fault, seed, limits, links: Some(links) });
--- a/crates/hazelspur-simulator/src/studies/shares/fleet.rs
+++ b/crates/hazelspur-simulator/src/studies/shares/fleet.rs
@@ -1,5 +1,6 @@
-//! A fleet of quota managers over the simulated network, without the servers' other work. Events that a study schedules
-//! start, end and pause them. Its output is the quotas of the first limit, and the allocator's traffic.
+//! A fleet of quota managers over the simulated network, without the servers' other work. Events that a study
+//! schedules start, end and pause them. Its output is the quotas of the first limit, and the allocator's
+//! traffic.
 
 use crate::event_queue::EventQueue;
 use crate::membership_protocols::swim::{address, name};
--- a/crates/hazelspur-simulator/src/studies/shares/mod.rs
+++ b/crates/hazelspur-simulator/src/studies/shares/mod.rs
@@ -1,6 +1,6 @@
-//! The study `shares`: quota leases of one limit among many servers under a fault, without the servers' other work. It
-//! measures whether the quotas in force ever pass the limit, how much of it is in use once the fleet has settled, how
-//! fairly it is divided, and how long settling takes.
+//! The study `shares`: quota leases of one limit among many servers under a fault, without the servers' other
+//! work. It measures whether the quotas in force ever pass the limit, how much of it is in use once the fleet
+//! has settled, how fairly it is divided, and how long settling takes.
 
 mod fleet;
 
@@ -115,8 +115,8 @@
 /// Result of one run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Outcome {
-    /// Greatest sum of the quotas in force, over the limit. It includes quotas whose lease ended a moment ago and that
-    /// may still be in use.
+    /// Greatest sum of the quotas in force, over the limit. It includes quotas whose lease ended a moment ago
+    /// and that may still be in use.
     pub max_in_force: f64,
     /// Sum of the usable quotas over the sum of the fair ones, as the mean of the last 10 s.
     pub used_fraction: f64,
--- a/crates/hazelspur-simulator/src/studies/sums.rs
+++ b/crates/hazelspur-simulator/src/studies/sums.rs
@@ -1,6 +1,6 @@
-//! The study `sums`: the combined load of servers that all follow the same rule. It covers load reports after an
-//! outage of the control plane, subsets of servers that clients choose, and time slots of servers that cannot
-//! communicate. Nothing here runs a whole server.
+//! The study `sums`: the combined load of servers that all follow the same rule. It covers load reports after
+//! an outage of the control plane, subsets of servers that clients choose, and time slots of servers that
+//! cannot communicate. Nothing here runs a whole server.
 
 use hazelspur::pcg::Pcg;
 use hazelspur::{Duration, Timestamp};
@@ -12,8 +12,8 @@
 pub enum ReportSpacing {
     /// 800 ms after a report that was accepted, and 250 ms after one that was missed.
     Fixed,
-    /// The same means, with each wait drawn evenly from within a fifth of its mean, or within half of it after a
-    /// report that was missed.
+    /// The same means, with each wait drawn evenly from within a fifth of its mean, or within half of it
+    /// after a report that was missed.
     Jittered,
 }
 
@@ -30,9 +30,9 @@
     }
 }
 
-/// Simulates the reports of `servers` over 40 s, in which the control plane accepts none for 5 s. Returns the most
-/// reports within 20 ms over the mean, both of the 20 s after that outage, and the longest time between two accepted
-/// reports of one server, among those pairs whose second report came after the outage.
+/// Simulates the reports of `servers` over 40 s, in which the control plane accepts none for 5 s. Returns the
+/// most reports within 20 ms over the mean, both of the 20 s after that outage, and the longest time between
+/// two accepted reports of one server, among those pairs whose second report came after the outage.
 pub fn measure_reports(servers: usize, spacing: ReportSpacing, seed: u64) -> (f64, Duration) {
     /// Time of the outage, in ms from the start.
     const OUTAGE_MS: std::ops::Range<u64> = 10_000..15_000;
@@ -73,8 +73,8 @@
 pub enum SubsetMethod {
     /// Each client draws its servers at random.
     Random,
-    /// Deterministic subsetting: clients are numbered and grouped in rounds; all servers are shuffled once a round, and
-    /// each client of the round takes the next few of them (Google's SRE book, chapter 20).
+    /// Deterministic subsetting: clients are numbered and grouped in rounds; all servers are shuffled once a
+    /// round, and each client of the round takes the next few of them (Google's SRE book, chapter 20).
     Rounds,
     /// Rendezvous hashing, as `hazelspur_fleet::subset` does it.
     Rendezvous,
@@ -128,9 +128,9 @@
     }
 }
 
-/// Chooses a subset of the servers for each of as many clients as there are servers. Returns, in this order: the least
-/// and the most clients of one server over the mean, the fraction of all choices that change when one server goes, and
-/// the fraction that change when the client does not know a tenth of the servers.
+/// Chooses a subset of the servers for each of as many clients as there are servers. Returns, in this order:
+/// the least and the most clients of one server over the mean, the fraction of all choices that change when
+/// one server goes, and the fraction that change when the client does not know a tenth of the servers.
 pub fn measure_subsets(
     servers: usize,
     subset_size: usize,
@@ -162,9 +162,9 @@
     )
 }
 
-/// Simulates `servers` that act in each of their time slots for a minute, without communication. Returns the most
-/// actions within 100 ms over the mean, and the longest wait of a server for its next slot. `per_second` is the wanted
-/// rate of actions over all servers; `longest` bounds the period of the slot schedule.
+/// Simulates `servers` that act in each of their time slots for a minute, without communication. Returns the
+/// most actions within 100 ms over the mean, and the longest wait of a server for its next slot. `per_second`
+/// is the wanted rate of actions over all servers; `longest` bounds the period of the slot schedule.
 pub fn measure_time_slots(servers: usize, per_second: f64, longest: Duration) -> (f64, Duration) {
     use hazelspur_fleet::time_slots::SlotSchedule;
     let schedule = SlotSchedule::new(servers, per_second, longest);
@@ -190,8 +190,9 @@
 /// Number of seeds in the study's file; the seeds count from 1.
 const STUDY_SEEDS: u64 = 3;
 
-/// Returns the text of a study's file in JSON, with the figures that docs/CAPACITY.md uses: the load of the most loaded
-/// server over the mean with subsets of four, and the peak of reports after an outage. `revision` names the commit.
+/// Returns the text of a study's file in JSON, with the figures that docs/CAPACITY.md uses: the load of the
+/// most loaded server over the mean with subsets of four, and the peak of reports after an outage. `revision`
+/// names the commit.
 pub fn study_json(sizes: &[usize], revision: &str) -> String {
     let mut points = Vec::new();
     for size in sizes {
--- a/crates/hazelspur-simulator/src/studies/together.rs
+++ b/crates/hazelspur-simulator/src/studies/together.rs
@@ -1,5 +1,5 @@
-//! The study `together`: a simulated fleet whose servers don't coordinate, at several sizes, with or without an
-//! outage of the ledger. It returns the counts of the run.
+//! The study `together`: a simulated fleet whose servers don't coordinate, at several sizes, with or without
+//! an outage of the ledger. It returns the counts of the run.
 
 use crate::simulation::{Figures, ScriptAction, Simulation, SimulationConfig};
 use hazelspur::Duration;
--- a/crates/hazelspur-simulator/src/studies/who_is_here.rs
+++ b/crates/hazelspur-simulator/src/studies/who_is_here.rs
@@ -1,5 +1,5 @@
-//! The study `who-is-here`: compares membership protocols by false deaths, time to detect a killed member, time to agree
-//! after a partition and after a start of all members, and traffic.
+//! The study `who-is-here`: compares membership protocols by false deaths, time to detect a killed member,
+//! time to agree after a partition and after a start of all members, and traffic.
 
 use crate::membership_protocols::{MembershipNotice, MembershipProtocol};
 use crate::network::Network;
@@ -59,7 +59,8 @@
     pub datagrams_per_s: f64,
     /// Bytes a second for each server at rest.
     pub bytes_per_s: f64,
-    /// Seconds until all members agreed after they had started within one second; `None` if they did not within 60 s.
+    /// Seconds until all members agreed after they had started within one second; `None` if they did not
+    /// within 60 s.
     pub storm_s: Option<f64>,
     /// Datagrams a second for each server from the first start until all agreed.
     pub storm_datagrams_per_s: f64,
@@ -185,8 +186,8 @@
     }
 }
 
-/// Kills three members one after the other, none of them a seed member, and starts each again. Returns the times in
-/// milliseconds until each other member detected a kill, and the number of members that did not.
+/// Kills three members one after the other, none of them a seed member, and starts each again. Returns the
+/// times in milliseconds until each other member detected a kill, and the number of members that did not.
 fn measure_detection<P: MembershipProtocol>(
     fleet: &mut TestFleet<P>,
     random: &mut Pcg,
@@ -224,7 +225,8 @@
     (detection_ms, undetected)
 }
 
-/// Partitions the fleet into two halves for a minute. Returns the seconds until all agree after that, if they do.
+/// Partitions the fleet into two halves for a minute. Returns the seconds until all agree after that, if they
+/// do.
 fn measure_heal_time<P: MembershipProtocol>(fleet: &mut TestFleet<P>) -> Option<f64> {
     fleet.network.cut = Some(|from, to| from % 2 != to % 2);
     fleet.play(Duration::from_ms(60_000));
@@ -255,7 +257,8 @@
         let mut detection_ms: Histogram<u64> =
             Histogram::new_with_bounds(1, 600_000, 3).expect("sound bounds");
         for outcome in &self.outcomes {
-            let _ = detection_ms.add(&outcome.detection_ms); // cannot fail: all histograms have the same bounds
+            // Cannot fail: all histograms have the same bounds.
+            let _ = detection_ms.add(&outcome.detection_ms);
         }
         let seconds = |ms: u64| format!("{:.1}", ms as f64 / 1000.0);
         let worst_or_never = |figure: &dyn Fn(&Outcome) -> Option<f64>| {
--- a/crates/hazelspur-simulator/tests/runs.rs
+++ b/crates/hazelspur-simulator/tests/runs.rs
@@ -1,4 +1,5 @@
-//! What the laboratory promises of its runs.
+//! Properties of simulated runs: one seed gives one result on any number of threads, and faults and
+//! coordination have the effects that the studies rely on.
 
 use hazelspur::Duration;
 use hazelspur_simulator::membership_protocols::MembershipProtocol;
@@ -27,7 +28,7 @@
     let cells = |threads| row::<Swim>(12, 4, threads).cells().join(" | ");
     assert_eq!(cells(1), cells(4));
     let fewer_seeds = row::<Swim>(12, 3, 2).cells().join(" | ");
-    assert_ne!(cells(2), fewer_seeds, "seeds make no difference");
+    assert_ne!(cells(2), fewer_seeds, "four seeds give the same rows as three");
 }
 
 #[test]
@@ -73,6 +74,8 @@
     assert!(ended <= with_outage.requests && ended + 200 > with_outage.requests, "{with_outage:?}");
 }
 
+/// Two of six servers are killed and start again five seconds later; in another run the cores of one server
+/// and the ledger are slow. Service must fall in both, and recover after the restart.
 #[test]
 fn killed_servers_and_slow_cores_reduce_service() {
     let run = |actions: &[(u64, ScriptAction)]| {
@@ -122,9 +125,11 @@
         (on_all_cores(&cases, 1, choices::run_case), on_all_cores(&cases, 2, choices::run_case));
     assert!(on_one_thread == on_two && on_one_thread[0] != on_one_thread[1]);
     let datagrams_per_s = on_one_thread[0].figures.datagrams as f64 / 24.0 / 12.0;
-    assert!((2.0..15.0).contains(&datagrams_per_s), "{datagrams_per_s} datagrams a second and server");
+    assert!((2.0..15.0).contains(&datagrams_per_s), "{datagrams_per_s} datagrams a second for each server");
 }
 
+/// Quotas by demand must serve more than uncoordinated servers do, and their sum must never exceed the
+/// ledger's slots.
 #[test]
 fn gossip_quotas_beat_no_coordination_within_the_slots() {
     let scenarios = [Scenario::UnevenLoad, Scenario::ServersPaused, Scenario::ServersReplaced];
@@ -143,6 +148,8 @@
     }
 }
 
+/// Guards against servers that all keep calling a ledger that does not answer, which servers without fleet
+/// guidance do.
 #[test]
 fn ledger_outage_gets_few_calls_and_service_recovers() {
     let cases = [Coordination::None, Coordination::Local, Coordination::Gossip]
@@ -177,11 +184,11 @@
     assert!(peak < 2.5 && wait < Duration::from_ms(4000), "{peak} {wait:?}");
 }
 
-/// Guards against a spread that is no number where there is one value only.
+/// Guards against a confidence interval that is NaN, because one seed gives a single value.
 #[test]
 fn choices_table_of_one_seed_has_only_finite_numbers() {
     let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_hazelspur-simulator"));
     let output = command.args(["choices", "--sizes", "5", "--seeds", "1", "--case", "ledger"]).output();
-    let table = String::from_utf8(output.expect("it runs").stdout).expect("text");
+    let table = String::from_utf8(output.expect("the simulator starts").stdout).expect("its output is UTF-8");
     assert!(table.lines().count() > 3 && !table.contains("NaN") && !table.contains("inf"), "{table}");
 }
--- a/crates/hazelspur-simulator/tests/slopes.rs
+++ b/crates/hazelspur-simulator/tests/slopes.rs
@@ -1,5 +1,6 @@
-//! How what a server sends, holds and is asked grows with the fleet: counts by seed, never times, so that one
-//! text has one verdict. The same checks are put to faults planted here, and must tell them.
+//! Bounds on the growth of traffic, membership tables and allocator messages with the size of the fleet. They
+//! are counts that depend on the seed only, and never times, so that one revision always gives one result.
+//! The same checks are run on protocols with a deliberate defect, which they must reject.
 
 use hazelspur::{Duration, Timestamp};
 use hazelspur_fleet::{Datagram, Generation, Membership};
@@ -14,7 +15,9 @@
 use hazelspur_simulator::test_fleet::TestFleet;
 use std::collections::BTreeSet;
 
+/// Fleet sizes, in servers.
 const SIZES: [usize; 4] = [50, 100, 200, 400];
+/// Time over which traffic at rest is counted.
 const MEASUREMENT_WINDOW: Duration = Duration::from_ms(20_000);
 
 fn test_links() -> Links {
@@ -30,17 +33,21 @@
     hazelspur_simulator::on_all_cores(sizes, 4, measure)
 }
 
-/// What a growing fleet at rest may cost, against the smallest of the sizes.
+/// Bounds on the traffic of a fleet at rest.
 struct GrowthBound {
-    /// Of the mean server's datagrams and bytes, over those of the smallest fleet.
+    /// Greatest datagrams and bytes of the mean server, over those of the smallest measured fleet.
     growth: f64,
-    /// Of the busiest server, in and out, over the mean; none where one server is the divider.
+    /// Greatest traffic of the busiest server, in and out, over the mean server's; `None` if one server is
+    /// the quota allocator and has more than the others.
     busiest_over_mean: Option<f64>,
 }
 
-/// Names each bound that is passed.
+/// Checks the measurements of fleets, the smallest first.
+///
+/// # Errors
+/// Returns a description of each bound that is exceeded.
 fn check_rest(measurements: &[(usize, RestMeasurement)], bound: &GrowthBound) -> Result<(), String> {
-    let Some((_, first)) = measurements.first() else { return Err("nothing was played".into()) };
+    let Some((_, first)) = measurements.first() else { return Err("no fleet was measured".into()) };
     let mut violations = Vec::new();
     for (size, rest) in measurements {
         let (traffic, smallest) = (&rest.traffic, &first.traffic);
@@ -69,13 +76,14 @@
             );
             within("busiest, bytes/s in", traffic.busiest_bytes_in_per_s, traffic.bytes_out_per_s * busiest);
         }
-        within("entries of the fullest", rest.max_entries as f64, (size - 1) as f64);
-        within("others missing in the mean table", (size - 1) as f64 - rest.mean_entries, 0.0);
+        within("entries of the largest table", rest.max_entries as f64, (size - 1) as f64);
+        within("members missing in the mean table", (size - 1) as f64 - rest.mean_entries, 0.0);
     }
     if violations.is_empty() { Ok(()) } else { Err(violations.join("; ")) }
 }
 
-/// As measured: 2.0 datagrams a second at each size, and 411 to 455 bytes from 50 servers to 810.
+/// Bounds for membership alone, which was measured at 2.0 datagrams a second at each size, and at 411 to 455
+/// bytes a second from 50 servers to 810.
 const MEMBERSHIP_BOUND: GrowthBound = GrowthBound { growth: 1.15, busiest_over_mean: Some(1.6) };
 
 #[test]
@@ -92,7 +100,7 @@
     .unwrap();
 }
 
-/// Planted: probes all of its table in each period.
+/// Membership with a deliberate defect: it sends a datagram to every member in each probe period.
 struct AllToAll {
     inner: Swim,
     period: Duration,
@@ -100,7 +108,7 @@
 }
 
 impl MembershipProtocol for AllToAll {
-    const NAME: &'static str = "planted: all to all";
+    const NAME: &'static str = "defect: all to all";
     type Packet = Datagram;
 
     fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
@@ -153,19 +161,23 @@
     assert!(error.contains("100 servers: bytes/s"), "{error}");
 }
 
-/// How so many of a fleet end.
+/// Way in which members of a fleet end.
 #[derive(Clone, Copy, Debug)]
 enum Ending {
     Leaves,
     Killed,
 }
 
-/// Of a fleet of `SIZES[0]`.
+/// Number of members that end, in a fleet of `SIZES[0]`.
 const ENDED_MEMBERS: usize = 15;
-/// Past what is remembered: until all have noticed, and what is still told of them goes round.
+/// Time beyond the retention of ended members, in which all members detect the end and the last updates about
+/// it stop circulating.
 const DETECTION_MARGIN: Duration = Duration::from_ms(180_000);
 
-/// Whether those who ended are gone from the tables of all others.
+/// Checks that members that ended are removed from the tables of all others after the retention.
+///
+/// # Errors
+/// Returns the number of tables that don't hold exactly the remaining members, and the size of the largest.
 fn check_removal<P: MembershipProtocol>(ending: Ending) -> Result<(), String> {
     let size = SIZES[0];
     let mut fleet: TestFleet<P> = settled_fleet(size, 1, &test_links());
@@ -185,7 +197,7 @@
         return Ok(());
     }
     Err(format!(
-        "{violations} of {} tables don't hold the {remaining} that are left; the fullest {fullest}",
+        "{violations} of {} tables don't hold the {remaining} remaining members; the largest holds {fullest}",
         table_sizes.len()
     ))
 }
@@ -201,14 +213,14 @@
     check_removal::<ZonedSwim>(Ending::Killed).unwrap();
 }
 
-/// Planted: keeps each name that it ever heard of.
+/// Membership with a deliberate defect: its table keeps each name that was ever received.
 struct EverGrowingTable {
     inner: ZonedSwim,
     names: BTreeSet<String>,
 }
 
 impl MembershipProtocol for EverGrowingTable {
-    const NAME: &'static str = "planted: a table that is never emptied";
+    const NAME: &'static str = "defect: a table that only grows";
     type Packet = Datagram;
 
     fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
@@ -254,12 +266,15 @@
 #[test]
 fn removal_check_rejects_a_table_that_only_grows() {
     let error = check_removal::<EverGrowingTable>(Ending::Leaves).unwrap_err();
-    assert!(error.contains(&format!("the fullest {}", SIZES[0] - 1)), "{error}");
-    // Nothing is wrong with it as long as nobody ends: only forgetting tells.
+    assert!(error.contains(&format!("the largest holds {}", SIZES[0] - 1)), "{error}");
+    // At rest it passes all bounds: the defect shows only once members end.
     check_rest(&measure_sizes::<EverGrowingTable>(&SIZES[..2]), &MEMBERSHIP_BOUND).unwrap();
 }
 
-/// Messages a second at the one place that all ask: a line through nothing but its base.
+/// Checks that rates of messages lie below a line over the fleet size, which is `base` at zero servers.
+///
+/// # Errors
+/// Returns each size whose rate lies above the line.
 fn check_line(rates: &[(usize, f64)], per_server: f64, base: f64) -> Result<(), String> {
     let over = rates.iter().filter(|(size, rate)| *rate > per_server * *size as f64 + base);
     let over: Vec<String> =
@@ -267,7 +282,8 @@
     if over.is_empty() { Ok(()) } else { Err(over.join("; ")) }
 }
 
-/// A question and an answer a second for each server, and the votes of five keepers.
+/// Bound on the allocator's messages a second, as a rate for each server and a base: a lease request and its
+/// answer a second for each server, and the votes of five voters.
 const ALLOCATOR_MESSAGES: (f64, f64) = (2.02, 10.0);
 
 #[test]
@@ -278,10 +294,13 @@
             let case = SharesCase { servers: *servers, limits, fault, seed: 1, links: test_links() };
             let points = run_shares_case(&case);
             let messages = points.iter().find(|point| point.figure.ends_with("divider_messages_per_s"));
-            (*servers, messages.expect("it is measured").value)
+            (*servers, messages.expect("the allocator's messages are measured").value)
         };
         let rates = hazelspur_simulator::on_all_cores(&SIZES, 4, measure);
-        assert!(rates.iter().all(|(size, rate)| *rate > *size as f64), "few ask: {rates:?}");
+        assert!(
+            rates.iter().all(|(size, rate)| *rate > *size as f64),
+            "fewer messages than servers: {rates:?}"
+        );
         check_line(&rates, ALLOCATOR_MESSAGES.0, ALLOCATOR_MESSAGES.1).unwrap();
     }
     let all_to_all: Vec<(usize, f64)> = measure_sizes::<AllToAll>(&[25, 50, 100])
@@ -291,8 +310,8 @@
     check_line(&all_to_all, ALLOCATOR_MESSAGES.0, ALLOCATOR_MESSAGES.1).unwrap_err();
 }
 
-/// Of all servers that a zone is gone: the longest suspicion of so many (50 s), and as long again at most until the last
-/// of the zone is probed and suspected.
+/// Time until all servers detect the loss of a zone: the longest suspicion in a fleet of this size (50 s),
+/// and at most as long again until the last server of the zone has been probed and suspected.
 const DETECTION_TIME: Duration = Duration::from_ms(90_000);
 
 #[test]
@@ -302,8 +321,8 @@
     let zone_servers: Vec<usize> = (0..size).filter(|server| server % 6 == 0).collect();
     zone_servers.iter().for_each(|server| fleet.kill(*server));
     fleet.play(DETECTION_TIME);
-    assert!(fleet.agree(), "a zone that is gone is not noticed by all");
+    assert!(fleet.agree(), "not all servers detected the loss of the zone");
     start_all(&mut fleet, zone_servers.into_iter());
     fleet.play(Duration::from_ms(30_000));
-    assert!(fleet.agree(), "a zone that is back is not known to all");
+    assert!(fleet.agree(), "not all servers know the zone that came back");
 }
