--- a/crates/hazelspur-simulator/src/studies/sums.rs
+++ b/crates/hazelspur-simulator/src/studies/sums.rs
@@ -39,7 +39,7 @@
     /// Width of a bin of the histogram, in ms.
     const BIN_MS: u64 = 20;
     let mut random = Pcg::new(seed);
-    let (mut bins, mut longest) = (vec![0u32; 40_000 / BIN_MS as usize], Duration::ZERO);
+    let (mut bins, mut longest_gap) = (vec![0u32; 40_000 / BIN_MS as usize], Duration::ZERO);
     for _ in 0..servers {
         // A deployment starts all servers within a second.
         let mut at = Duration::from_secs(random.draw_fraction());
@@ -51,7 +51,7 @@
             bins[(ms / BIN_MS) as usize] += 1;
             if !missed {
                 if ms > OUTAGE_MS.end {
-                    longest = longest.max(at - last_accepted);
+                    longest_gap = longest_gap.max(at - last_accepted);
                 }
                 last_accepted = at;
             }
@@ -65,7 +65,7 @@
     }
     let bins_after = &bins[(OUTAGE_MS.end / BIN_MS) as usize..((OUTAGE_MS.end + 20_000) / BIN_MS) as usize];
     let mean = bins_after.iter().map(|count| f64::from(*count)).sum::<f64>() / bins_after.len() as f64;
-    (f64::from(bins_after.iter().copied().max().unwrap_or(0)) / mean.max(1e-9), longest)
+    (f64::from(bins_after.iter().copied().max().unwrap_or(0)) / mean.max(1e-9), longest_gap)
 }
 
 /// Method by which each client chooses its subset of the servers.
@@ -164,19 +164,19 @@
 
 /// Simulates `servers` that act in each of their time slots for a minute, without communication. Returns the
 /// most actions within 100 ms over the mean, and the longest wait of a server for its next slot. `per_second`
-/// is the wanted rate of actions over all servers; `longest` bounds the period of the slot schedule.
-pub fn measure_time_slots(servers: usize, per_second: f64, longest: Duration) -> (f64, Duration) {
+/// is the wanted rate of actions over all servers; `max_period` bounds the period of the slot schedule.
+pub fn measure_time_slots(servers: usize, per_second: f64, max_period: Duration) -> (f64, Duration) {
     use hazelspur_fleet::time_slots::SlotSchedule;
-    let schedule = SlotSchedule::new(servers, per_second, longest);
+    let schedule = SlotSchedule::new(servers, per_second, max_period);
     let start = Timestamp::from_us(1_700_000_000_000_000);
     let mut bins = vec![0u32; 600];
-    let mut wait = Duration::ZERO;
+    let mut longest_wait = Duration::ZERO;
     for server in 0..servers {
         let name = MemberName::new(&format!("n{server}")).expect("a name");
         let mut now = start;
         while now < start + Duration::from_ms(60_000) {
             let next = schedule.next_slot(name, "ledger", now);
-            wait = wait.max(next - now);
+            longest_wait = longest_wait.max(next - now);
             if let Some(bin) = bins.get_mut(((next - start).us() / 100_000) as usize) {
                 *bin += 1;
             }
@@ -184,7 +184,7 @@
         }
     }
     let mean = bins.iter().map(|count| f64::from(*count)).sum::<f64>() / bins.len() as f64;
-    (f64::from(bins.iter().copied().max().unwrap_or(0)) / mean.max(1e-9), wait)
+    (f64::from(bins.iter().copied().max().unwrap_or(0)) / mean.max(1e-9), longest_wait)
 }
 
 /// Number of seeds in the study's file; the seeds count from 1.
--- a/crates/hazelspur-simulator/tests/runs.rs
+++ b/crates/hazelspur-simulator/tests/runs.rs
@@ -43,8 +43,8 @@
 #[test]
 fn foca_and_heartbeat_detect_kills_and_reach_agreement() {
     for row in [row::<FocaProtocol>(12, 2, 2), row::<Heartbeat>(12, 2, 2)] {
-        let detected = row.outcomes.iter().all(|o| o.undetected == 0 && o.storm_s.is_some());
-        assert!(detected, "{}: {:?}", row.protocol, row.cells());
+        let as_expected = row.outcomes.iter().all(|o| o.undetected == 0 && o.storm_s.is_some());
+        assert!(as_expected, "{}: {:?}", row.protocol, row.cells());
     }
 }
 
--- a/crates/hazelspur-simulator/tests/slopes.rs
+++ b/crates/hazelspur-simulator/tests/slopes.rs
@@ -111,8 +111,8 @@
     const NAME: &'static str = "defect: all to all";
     type Packet = Datagram;
 
-    fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
-        let terms = terms(me, most);
+    fn start(server: usize, max_size: usize, seed: u64, now: Timestamp) -> Self {
+        let terms = terms(server, max_size);
         let period = terms.probe_period;
         let inner = Swim(Membership::new(terms, Generation(now.us() / 1000), seed, now));
         Self { inner, period, next_probe: now + period }
@@ -223,15 +223,15 @@
     const NAME: &'static str = "defect: a table that only grows";
     type Packet = Datagram;
 
-    fn start(me: usize, most: usize, seed: u64, now: Timestamp) -> Self {
-        Self { inner: ZonedSwim::start(me, most, seed, now), names: BTreeSet::new() }
+    fn start(server: usize, max_size: usize, seed: u64, now: Timestamp) -> Self {
+        Self { inner: ZonedSwim::start(server, max_size, seed, now), names: BTreeSet::new() }
     }
 
     fn receive(&mut self, now: Timestamp, packet: &Datagram) {
         self.inner.receive(now, packet);
         let names = packet.updates.iter().chain([&packet.sender]).map(|update| update.name);
-        let me = self.inner.0.0.local_update().name;
-        self.names.extend(names.filter(|name| *name != me).map(|name| name.to_string()));
+        let own_name = self.inner.0.0.local_update().name;
+        self.names.extend(names.filter(|name| *name != own_name).map(|name| name.to_string()));
     }
 
     fn tick(&mut self, now: Timestamp) {
