--- a/crates/hazelspur-simulator/src/cli/scale.rs
+++ b/crates/hazelspur-simulator/src/cli/scale.rs
@@ -1,12 +1,15 @@
-//! The subcommand `scale`: what coordination costs a server as the fleet grows, in two regions of three zones.
+//! The subcommand `scale`: measures what coordination costs a server as the fleet grows, in two regions of
+//! three zones each. It prints a table, and writes the points to a file if one is named.
 
 use clap::Args;
 use comfy_table::{Table, presets};
 use hazelspur::Duration;
 use hazelspur_simulator::map_in_parallel;
-use hazelspur_simulator::studies::scale::points::{Point, Study, lines};
-use hazelspur_simulator::studies::scale::{Between, Case, Machine, SharesCase, Situation, play, play_shares};
-use hazelspur_simulator::studies::shares::Trouble;
+use hazelspur_simulator::studies::scale::points::{Point, Study, summarize};
+use hazelspur_simulator::studies::scale::{
+    Case, Links, ProtocolSet, Scenario, SharesCase, run_case, run_shares_case,
+};
+use hazelspur_simulator::studies::shares::Fault;
 use std::path::PathBuf;
 use std::time::Instant;
 
@@ -14,102 +17,106 @@
 const SECONDS_PER_MINUTE: f64 = 60.0;
 /// Milliseconds in a second.
 const MS_PER_SECOND: u64 = 1000;
-/// The name by which quota leases by themselves are asked for.
-const SHARES: &str = "shares";
+/// Name of the part that measures quota leases by themselves.
+const SHARES_PART: &str = "shares";
 
 #[derive(Args)]
 pub(crate) struct ScaleArguments {
+    /// Fleet sizes, in servers.
     #[arg(long, value_delimiter = ',', default_value = "100,200,400,810,1620")]
     sizes: Vec<usize>,
+    /// Seeds of the runs.
     #[arg(long, value_delimiter = ',', default_value = "1,2,3")]
     seeds: Vec<u64>,
-    /// Of members, joint (members, signals and shares of one limit together), shares (by themselves).
-    #[arg(long, value_delimiter = ',', default_value = "members,joint,shares")]
-    of: Vec<String>,
-    /// Of storm-and-rest, zone, regions, bunch; shares have troubles of their own.
-    #[arg(long, value_delimiter = ',', default_value = "storm-and-rest,zone,regions,bunch")]
-    cases: Vec<String>,
-    /// Limits, for shares by themselves.
+    /// Parts to measure: members (membership alone), joint (membership, load reports and quota leases of one
+    /// limit), shares (quota leases alone).
+    #[arg(long = "of", value_delimiter = ',', default_value = "members,joint,shares")]
+    parts: Vec<String>,
+    /// Scenarios to run: storm-and-rest, zone, regions, bunch. The part `shares` has faults of its own.
+    #[arg(long = "cases", value_delimiter = ',', default_value = "storm-and-rest,zone,regions,bunch")]
+    scenarios: Vec<String>,
+    /// Numbers of shared limits, for the part `shares`.
     #[arg(long, value_delimiter = ',', default_value = "1,16")]
     limits: Vec<usize>,
-    /// One way, from region to region.
+    /// One-way latency from region to region, in ms.
     #[arg(long, default_value_t = 40)]
     region_lag_ms: u64,
-    /// The share of datagrams lost from region to region.
+    /// Fraction of datagrams lost from region to region.
     #[arg(long, default_value_t = 0.0)]
     region_loss: f64,
-    /// The share of all datagrams lost.
+    /// Fraction of all datagrams lost.
     #[arg(long, default_value_t = 0.0)]
     loss: f64,
-    /// Traffic is counted for so long in each case.
+    /// Time over which traffic is counted in each phase, in seconds.
     #[arg(long, default_value_t = 30)]
     window_s: u64,
-    /// No run is begun after so many minutes; what was left out is said. A run that was begun is ended.
+    /// Start no run after this many minutes, and report those left out. Runs that have started are finished.
     #[arg(long, default_value_t = 30.0)]
     minutes: f64,
-    /// Writes all points there.
+    /// File to write all points to.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Keeps what the file has of other points.
+    /// Keep the file's points that are not measured again.
     #[arg(long, requires = "json")]
     append: bool,
-    /// Runs played at once. What CPU a run costs grows with them, since they share the machine's caches.
+    /// Runs at the same time. The CPU time of a run grows with them, because they share the machine's caches.
     #[arg(long, default_value_t = std::thread::available_parallelism().map_or(1, |n| n.get()))]
     threads: usize,
 }
 
-/// One run to play.
+/// One run: protocols on all servers, or quota leases alone.
 enum Run {
-    Machine(Case),
+    Protocols(Case),
     Shares(SharesCase),
 }
 
-/// What a run measured, and how long it took in real time.
-struct Played {
+/// Points of a run, and its duration in real time.
+struct RunResult {
     points: Vec<Point>,
     elapsed_s: f64,
 }
 
 impl Run {
-    fn play(&self) -> Played {
+    fn execute(&self) -> RunResult {
         let began = Instant::now();
         let points = match self {
-            Self::Machine(case) => play(case),
-            Self::Shares(case) => play_shares(case),
+            Self::Protocols(case) => run_case(case),
+            Self::Shares(case) => run_shares_case(case),
         };
-        Played { points, elapsed_s: began.elapsed().as_secs_f64() }
+        RunResult { points, elapsed_s: began.elapsed().as_secs_f64() }
     }
 
     fn describe(&self) -> String {
         match self {
-            Self::Machine(Case { machine, situation, size, seed, .. }) => {
-                format!("{} {} {size} seed {seed}", machine.name(), situation.name())
+            Self::Protocols(Case { protocols, scenario, size, seed, .. }) => {
+                format!("{} {} {size} seed {seed}", protocols.name(), scenario.name())
             }
-            Self::Shares(SharesCase { limits, trouble, servers, seed, .. }) => {
-                format!("shares of {limits}, {}, {servers} seed {seed}", trouble.name())
+            Self::Shares(SharesCase { limits, fault, servers, seed, .. }) => {
+                format!("shares of {limits}, {}, {servers} seed {seed}", fault.name())
             }
         }
     }
 }
 
 impl ScaleArguments {
-    fn wants(&self, name: &str) -> bool {
-        self.of.iter().any(|wanted| wanted == name)
+    fn measures(&self, name: &str) -> bool {
+        self.parts.iter().any(|wanted| wanted == name)
     }
 
     fn check_names(&self) -> anyhow::Result<()> {
-        let machines: Vec<&str> = Machine::ALL.iter().map(|m| m.name()).chain([SHARES]).collect();
-        let situations: Vec<&str> = Situation::ALL.iter().map(|s| s.name()).collect();
-        check_known("of", &self.of, &machines)?;
-        check_known("cases", &self.cases, &situations)
+        let known_parts: Vec<&str> =
+            ProtocolSet::ALL.iter().map(|protocols| protocols.name()).chain([SHARES_PART]).collect();
+        let known_scenarios: Vec<&str> = Scenario::ALL.iter().map(|scenario| scenario.name()).collect();
+        check_known("of", &self.parts, &known_parts)?;
+        check_known("cases", &self.scenarios, &known_scenarios)
     }
 
     fn runs(&self) -> Vec<Run> {
         let mut runs = Vec::new();
         for size in &self.sizes {
             for seed in &self.seeds {
-                self.add_machine_runs(&mut runs, *size, *seed);
-                if self.wants(SHARES) {
+                self.add_protocol_runs(&mut runs, *size, *seed);
+                if self.measures(SHARES_PART) {
                     self.add_shares_runs(&mut runs, *size, *seed);
                 }
             }
@@ -117,27 +124,27 @@
         runs
     }
 
-    fn between(&self) -> Between {
-        let lag = Duration::from_ms(self.region_lag_ms);
-        Between { lag, region_loss: self.region_loss, loss: self.loss }
+    fn links(&self) -> Links {
+        let region_latency = Duration::from_ms(self.region_lag_ms);
+        Links { region_latency, region_loss: self.region_loss, loss: self.loss }
     }
 
-    fn add_machine_runs(&self, runs: &mut Vec<Run>, size: usize, seed: u64) {
-        let between = self.between();
+    fn add_protocol_runs(&self, runs: &mut Vec<Run>, size: usize, seed: u64) {
+        let links = self.links();
         let window = Duration::from_ms(self.window_s.max(1) * MS_PER_SECOND);
-        for machine in Machine::ALL.into_iter().filter(|machine| self.wants(machine.name())) {
-            let wanted = |s: &Situation| self.cases.iter().any(|name| name == s.name());
-            for situation in Situation::ALL.into_iter().filter(wanted) {
-                runs.push(Run::Machine(Case { machine, situation, size, seed, between, window }));
+        for protocols in ProtocolSet::ALL.into_iter().filter(|protocols| self.measures(protocols.name())) {
+            let is_wanted = |scenario: &Scenario| self.scenarios.iter().any(|name| name == scenario.name());
+            for scenario in Scenario::ALL.into_iter().filter(is_wanted) {
+                runs.push(Run::Protocols(Case { protocols, scenario, size, seed, links, window }));
             }
         }
     }
 
     fn add_shares_runs(&self, runs: &mut Vec<Run>, servers: usize, seed: u64) {
-        let between = self.between();
+        let links = self.links();
         for limits in self.limits.iter().copied() {
-            for trouble in Trouble::OF_SCALE {
-                runs.push(Run::Shares(SharesCase { servers, limits, trouble, seed, between }));
+            for fault in Fault::FOR_SCALE {
+                runs.push(Run::Shares(SharesCase { servers, limits, fault, seed, links }));
             }
         }
     }
@@ -148,7 +155,7 @@
         let mut study = Study {
             study: "scale".into(),
             command: format!("cargo run --release -p hazelspur-simulator -- {}", arguments.join(" ")),
-            text: checked_out_revision(),
+            revision: checked_out_revision(),
             machine: format!("{cores} cores, simulated, {} runs at once", self.threads),
             points,
         };
@@ -161,25 +168,29 @@
 
 fn check_known(flag: &str, names: &[String], known: &[&str]) -> anyhow::Result<()> {
     for name in names {
-        anyhow::ensure!(known.contains(&name.as_str()), "--{flag}: {name} is none of {}", known.join(", "));
+        anyhow::ensure!(
+            known.contains(&name.as_str()),
+            "--{flag}: unknown name {name}, expected one of {}",
+            known.join(", ")
+        );
     }
     Ok(())
 }
 
-/// Plays all runs that begin in time, prints a table, and writes the points where a file is named.
+/// Runs all cases that can start in time, prints a table, and writes the points if a file is named.
 ///
 /// # Errors
-/// Where a name is unknown, or the study's file cannot be read or written.
+/// Returns an error if a name is unknown, or the study's file cannot be read or written.
 pub(crate) fn run(arguments: &ScaleArguments) -> anyhow::Result<()> {
     arguments.check_names()?;
     let runs = arguments.runs();
     let began = Instant::now();
     let outcomes = map_in_parallel(&runs, arguments.threads, |run| {
         let in_time = began.elapsed().as_secs_f64() <= arguments.minutes * SECONDS_PER_MINUTE;
-        in_time.then(|| run.play())
+        in_time.then(|| run.execute())
     });
     report_progress(&runs, &outcomes);
-    let points: Vec<Point> = outcomes.into_iter().flatten().flat_map(|played| played.points).collect();
+    let points: Vec<Point> = outcomes.into_iter().flatten().flat_map(|result| result.points).collect();
     print_points(&points, &arguments.sizes);
     match &arguments.json {
         Some(file) => arguments.save(file, points),
@@ -187,11 +198,11 @@
     }
 }
 
-fn report_progress(runs: &[Run], outcomes: &[Option<Played>]) {
+fn report_progress(runs: &[Run], outcomes: &[Option<RunResult>]) {
     for (run, outcome) in runs.iter().zip(outcomes) {
         let description = run.describe();
         match outcome {
-            Some(played) => eprintln!("{description}: played in {:.1} s", played.elapsed_s),
+            Some(result) => eprintln!("{description}: played in {:.1} s", result.elapsed_s),
             None => eprintln!("{description}: NOT RUN, the time was over"),
         }
     }
@@ -200,11 +211,11 @@
 fn print_points(points: &[Point], sizes: &[usize]) {
     let mut table = Table::new();
     table.load_style(presets::ASCII_MARKDOWN);
-    let head = ["figure", "case", "unit"].map(str::to_string).into_iter();
-    table.set_header(head.chain(sizes.iter().map(|size| format!("{size} servers"))));
-    for line in lines(points, sizes) {
+    let columns = ["figure", "case", "unit"].map(str::to_string).into_iter();
+    table.set_header(columns.chain(sizes.iter().map(|size| format!("{size} servers"))));
+    for line in summarize(points, sizes) {
         let cells = line.cells.iter().map(|cell| match cell {
-            Some((least, mean, most)) if least < most => format!("{mean:.1} ({least:.1} to {most:.1})"),
+            Some((min, mean, max)) if min < max => format!("{mean:.1} ({min:.1} to {max:.1})"),
             Some((_, mean, _)) => format!("{mean:.1}"),
             None => "not measured".into(),
         });
@@ -213,7 +224,8 @@
     println!("{table}");
 }
 
-/// The short hash of the commit that is checked out here, with a mark where files were changed.
+/// Returns the abbreviated hash of the commit that is checked out here, marked `-dirty` if files were
+/// changed.
 fn checked_out_revision() -> String {
     let output = std::process::Command::new("git").args(["describe", "--always", "--dirty"]).output();
     let stdout = output.ok().filter(|out| out.status.success()).map(|out| out.stdout).unwrap_or_default();
--- a/crates/hazelspur-simulator/src/cli/together.rs
+++ b/crates/hazelspur-simulator/src/cli/together.rs
@@ -1,37 +1,41 @@
-//! The subcommand `together`: the real decision modules of many servers at several sizes.
+//! The subcommand `together`: simulates uncoordinated servers with their real decision modules at several
+//! fleet sizes, and prints a table.
 
 use super::table::markdown_table;
 use clap::Args;
 use hazelspur::Duration;
 use hazelspur_simulator::map_in_parallel;
 use hazelspur_simulator::simulation::Figures;
-use hazelspur_simulator::studies::together::{Case, play};
+use hazelspur_simulator::studies::together::{Case, run_case};
 use std::time::Instant;
 
 #[derive(Args)]
 pub(crate) struct TogetherArguments {
+    /// Fleet sizes, in servers.
     #[arg(long, value_delimiter = ',', default_value = "10,100,300,1000")]
     sizes: Vec<usize>,
-    /// Seeds from 1 on.
+    /// Number of runs of each size, with the seeds from 1 on.
     #[arg(long, default_value_t = 4)]
     seeds: u64,
-    /// Demand over what the cores can do.
+    /// Demand as a fraction of the capacity of all cores.
     #[arg(long, default_value_t = 0.7)]
     load: f64,
+    /// Length of each run, in virtual seconds.
     #[arg(long, default_value_t = 30)]
     seconds: u64,
-    /// Nobody answers at the ledger from 10 s on, for so many ms.
+    /// How long the ledger is unreachable, from 10 s after the start on, in ms.
     #[arg(long, default_value_t = 0)]
     ledger_down_ms: u64,
-    /// Prints what was served in each second too.
+    /// Also print how many requests succeeded in each second of the first seed.
     #[arg(long)]
     by_second: bool,
+    /// Runs at the same time.
     #[arg(long, default_value_t = std::thread::available_parallelism().map_or(1, |n| n.get()))]
     threads: usize,
 }
 
 /// Runs the simulation at each size, and prints a table.
-pub(crate) fn run(asked: &TogetherArguments) {
+pub(crate) fn run(arguments: &TogetherArguments) {
     let mut table = markdown_table([
         "servers",
         "service",
@@ -39,30 +43,34 @@
         "most calls at once, of slots",
         "server-seconds a second",
     ]);
-    for servers in &asked.sizes {
-        let down = Duration::from_ms(asked.ledger_down_ms);
+    for servers in &arguments.sizes {
+        let ledger_outage = Duration::from_ms(arguments.ledger_down_ms);
         let case = |seed| Case {
             servers: *servers,
             seed,
-            load: asked.load,
-            seconds: asked.seconds,
-            ledger_down: down,
+            load: arguments.load,
+            seconds: arguments.seconds,
+            ledger_outage,
         };
-        let cases: Vec<_> = (1..=asked.seeds).map(case).collect();
+        let cases: Vec<_> = (1..=arguments.seeds).map(case).collect();
         let began = Instant::now();
-        let all = map_in_parallel(&cases, asked.threads, play);
-        let speed = (asked.seconds * asked.seeds) as f64 * *servers as f64 / began.elapsed().as_secs_f64();
-        let mean = |of: &dyn Fn(&Figures) -> f64| all.iter().map(of).sum::<f64>() / all.len().max(1) as f64;
-        if let Some(first) = all.first().filter(|_| asked.by_second) {
+        let runs = map_in_parallel(&cases, arguments.threads, run_case);
+        let server_seconds_per_s =
+            (arguments.seconds * arguments.seeds) as f64 * *servers as f64 / began.elapsed().as_secs_f64();
+        let mean = |figure: &dyn Fn(&Figures) -> f64| {
+            runs.iter().map(figure).sum::<f64>() / runs.len().max(1) as f64
+        };
+        if let Some(first) = runs.first().filter(|_| arguments.by_second) {
             println!("{servers} servers, seed 1, served in each second: {:?}", first.succeeded_by_second);
         }
+        // Eight ledger slots for each server, as the simulation has by default.
         let slots = 8.0 * *servers as f64;
         table.add_row([
             servers.to_string(),
-            format!("{:.3}", mean(&|f| f.success_fraction())),
-            format!("{:.3}", mean(&|f| f.rejected as f64 / f.requests.max(1) as f64)),
-            format!("{:.2}", mean(&|f| f.max_concurrent_calls as f64 / slots)),
-            format!("{speed:.0}"),
+            format!("{:.3}", mean(&|figures| figures.success_fraction())),
+            format!("{:.3}", mean(&|figures| figures.rejected as f64 / figures.requests.max(1) as f64)),
+            format!("{:.2}", mean(&|figures| figures.max_concurrent_calls as f64 / slots)),
+            format!("{server_seconds_per_s:.0}"),
         ]);
     }
     println!("{table}");
--- a/crates/hazelspur-simulator/src/studies/choices.rs
+++ b/crates/hazelspur-simulator/src/studies/choices.rs
@@ -1,175 +1,193 @@
-//! The hard cases of choices that add up, under each way of choosing: service beside no joint choice at all
-//! and beside an oracle that sees the true state of all a little late.
+//! The study `choices`: faults and uneven load on a simulated fleet, under each kind of coordination. It
+//! compares service with that of servers that don't coordinate, and with that of servers that are guided by
+//! an oracle, which sees the true state of the fleet a little late.
 
 use crate::simulation::{Coordination, Figures, ScriptAction, Simulation, SimulationConfig};
 use hazelspur::Duration;
 
-/// Servers have found each other and shares are held by then; what came before does not count.
-pub const WARM: Duration = Duration::from_ms(16_000);
-/// How long the counted part of a run takes.
-const PLAYED: Duration = Duration::from_ms(24_000);
+/// Part of a run that is not measured. At its end the servers know each other and hold their quota leases.
+pub const WARM_UP: Duration = Duration::from_ms(16_000);
+/// Length of the measured part of a run.
+const MEASURED: Duration = Duration::from_ms(24_000);
 
-/// A hard case.
+/// Load and faults of one run. Unless a variant says otherwise, the load is 0.42 of the capacity of all
+/// cores, and half of all requests go to the first third of the servers only. Times are those after the
+/// warm-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Hard {
-    /// Half of all requests seek out a third of the servers.
-    Uneven,
-    /// The same, and the ledger is gone for 4 s.
-    LedgerGone,
-    /// The same, and the ledger is three times as slow for 10 s.
+pub enum Scenario {
+    /// Half of all requests go to a third of the servers, without a fault.
+    UnevenLoad,
+    /// The ledger is unreachable for 4 s.
+    LedgerDown,
+    /// Calls to the ledger take three times as long for 10 s.
     LedgerSlow,
-    /// The same, and a tenth of the servers have a link to the ledger that is ten times as slow.
+    /// Calls of a tenth of the servers take ten times as long for 15 s, because of their own links to the
+    /// ledger.
     LinksSlow,
-    /// The same, and two in five servers are replaced by cold ones within 7 s.
-    Replaced,
-    /// The same, and two halves don't hear each other for 15 s.
-    Halves,
-    /// The same, and a twentieth stand still for 10 s.
-    Stopped,
-    /// The same, while the fleet doubles, a fifth of the servers is half as fast and a tenth of the pairs
-    /// don't hear each other.
-    Doubles,
-    /// Half as much again as the cores can do.
-    Crowded,
+    /// Two in five servers are killed within 7 s; each starts again cold 1.5 s later.
+    ServersReplaced,
+    /// No datagram passes between two halves of the fleet for 15 s.
+    Partition,
+    /// The processes of a twentieth of the servers are paused for 10 s.
+    ServersPaused,
+    /// The fleet doubles within 4 s, while the load stays 0.42 of the capacity of the initial servers. The
+    /// cores of a fifth of the servers are half as fast, and no datagram passes in a tenth of the pairs of
+    /// sender and receiver.
+    FleetDoubles,
+    /// The load is 1.5 times the capacity of all cores, spread evenly over the servers.
+    Overload,
 }
 
-impl Hard {
-    /// All cases, in the order of the table.
+impl Scenario {
+    /// All scenarios, in the order of the table.
     pub const ALL: [Self; 9] = [
-        Self::Uneven,
-        Self::LedgerGone,
+        Self::UnevenLoad,
+        Self::LedgerDown,
         Self::LedgerSlow,
         Self::LinksSlow,
-        Self::Replaced,
-        Self::Halves,
-        Self::Stopped,
-        Self::Doubles,
-        Self::Crowded,
+        Self::ServersReplaced,
+        Self::Partition,
+        Self::ServersPaused,
+        Self::FleetDoubles,
+        Self::Overload,
     ];
 
-    /// Its name in tables and on the command line.
+    /// Returns the name in tables and on the command line.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Uneven => "uneven",
-            Self::LedgerGone => "ledger-gone",
+            Self::UnevenLoad => "uneven",
+            Self::LedgerDown => "ledger-gone",
             Self::LedgerSlow => "ledger-slow",
             Self::LinksSlow => "links-slow",
-            Self::Replaced => "replaced",
-            Self::Halves => "halves",
-            Self::Stopped => "stopped",
-            Self::Doubles => "doubles",
-            Self::Crowded => "crowded",
+            Self::ServersReplaced => "replaced",
+            Self::Partition => "halves",
+            Self::ServersPaused => "stopped",
+            Self::FleetDoubles => "doubles",
+            Self::Overload => "crowded",
         }
     }
 }
 
-/// One run.
+/// Parameters of one run.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
-    pub hard: Hard,
-    pub way: Coordination,
+    /// Load and faults.
+    pub scenario: Scenario,
+    /// How the servers coordinate.
+    pub coordination: Coordination,
+    /// Greatest number of servers in the run.
     pub servers: usize,
+    /// Seed of all random draws.
     pub seed: u64,
-    pub floor: f64,
+    /// Fraction of shared limits that is guaranteed to servers without a lease.
+    pub guaranteed_fraction: f64,
 }
 
-/// What one run came to.
+/// Result of one run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
+    /// Counts of the measured part; those by second cover the whole run.
     pub figures: Figures,
-    /// The greatest sum of all that might be used of the slots, over the slots.
-    pub most_in_force: f64,
+    /// Greatest sum of the quotas in force during the measured part, as a fraction of the ledger's slots.
+    pub max_in_force: f64,
+    /// Ledger slots of the whole fleet.
     pub slots: f64,
+    /// Greatest number of servers in the run.
     pub servers: usize,
 }
 
 impl Outcome {
-    /// Fraction of all requests that succeeded.
+    /// Returns the fraction of all requests that succeeded.
     pub fn service(&self) -> f64 {
         self.figures.success_fraction()
     }
 
-    /// The least second that was served over the mean one, from `WARM` on and without the last second.
-    pub fn worst_second(&self) -> f64 {
-        let from = (WARM.us() / 1_000_000) as usize;
+    /// Returns the fewest requests that succeeded in one second, over the mean of all seconds. The seconds of
+    /// the warm-up and the last one don't count.
+    pub fn worst_second_ratio(&self) -> f64 {
+        let first = (WARM_UP.us() / 1_000_000) as usize;
         let seconds = &self.figures.succeeded_by_second;
-        let counted =
-            &seconds[from.min(seconds.len())..seconds.len().saturating_sub(1).max(from.min(seconds.len()))];
-        let mean = counted.iter().map(|n| f64::from(*n)).sum::<f64>() / counted.len().max(1) as f64;
-        counted.iter().copied().min().map_or(0.0, |least| f64::from(least) / mean.max(1.0))
+        let measured =
+            &seconds[first.min(seconds.len())..seconds.len().saturating_sub(1).max(first.min(seconds.len()))];
+        let mean = measured.iter().map(|count| f64::from(*count)).sum::<f64>() / measured.len().max(1) as f64;
+        measured.iter().copied().min().map_or(0.0, |min| f64::from(min) / mean.max(1.0))
     }
 }
 
-/// Plays one run.
-pub fn play(case: &Case) -> Outcome {
-    let n = case.servers;
-    let load = if case.hard == Hard::Crowded { 1.5 } else { 0.42 };
-    let skewed_fraction = if case.hard == Hard::Crowded { 0.0 } else { 0.5 };
-    let initial_servers = if case.hard == Hard::Doubles { n.div_ceil(2) } else { n };
-    let plan = SimulationConfig {
+/// Runs one case.
+pub fn run_case(case: &Case) -> Outcome {
+    let servers = case.servers;
+    let load = if case.scenario == Scenario::Overload { 1.5 } else { 0.42 };
+    let skewed_fraction = if case.scenario == Scenario::Overload { 0.0 } else { 0.5 };
+    let initial_servers = if case.scenario == Scenario::FleetDoubles { servers.div_ceil(2) } else { servers };
+    let config = SimulationConfig {
         slots_per_server: 4.0,
         call_duration: Duration::from_ms(20),
         skewed_fraction,
-        coordination: case.way,
-        guaranteed_fraction: case.floor,
+        coordination: case.coordination,
+        guaranteed_fraction: case.guaranteed_fraction,
         initial_servers,
-        ..SimulationConfig::new(n, case.seed, if case.hard == Hard::Doubles { load / 2.0 } else { load })
+        ..SimulationConfig::new(
+            servers,
+            case.seed,
+            if case.scenario == Scenario::FleetDoubles { load / 2.0 } else { load },
+        )
     };
-    let mut simulation = Simulation::new(plan);
-    script(&mut simulation, case.hard, n);
-    simulation.run(WARM);
+    let mut simulation = Simulation::new(config);
+    schedule_scenario(&mut simulation, case.scenario, servers);
+    simulation.run(WARM_UP);
     simulation.reset_figures();
-    let mut most_in_force: f64 = 0.0;
-    for _ in 0..PLAYED.us() / 100_000 {
+    let mut max_in_force: f64 = 0.0;
+    for _ in 0..MEASURED.us() / 100_000 {
         simulation.run(Duration::from_ms(100));
-        most_in_force = most_in_force.max(simulation.quota_in_force().fraction);
+        max_in_force = max_in_force.max(simulation.quota_in_force().fraction);
     }
-    let slots = plan.slots_per_server * n as f64;
-    Outcome { figures: simulation.figures.clone(), most_in_force, slots, servers: n }
+    let slots = config.slots_per_server * servers as f64;
+    Outcome { figures: simulation.figures.clone(), max_in_force, slots, servers }
 }
 
-fn script(simulation: &mut Simulation, hard: Hard, n: usize) {
-    let at = |ms: u64| WARM + Duration::from_ms(ms);
-    let every = |by: usize| (0..n).filter(move |of| of % by == by / 2);
-    match hard {
-        Hard::Uneven | Hard::Crowded => {}
-        Hard::LedgerGone => {
+fn schedule_scenario(simulation: &mut Simulation, scenario: Scenario, servers: usize) {
+    let at = |ms: u64| WARM_UP + Duration::from_ms(ms);
+    let one_in = |divisor: usize| (0..servers).filter(move |server| server % divisor == divisor / 2);
+    match scenario {
+        Scenario::UnevenLoad | Scenario::Overload => {}
+        Scenario::LedgerDown => {
             simulation.script(at(3000), ScriptAction::SetDependencyDown(true));
             simulation.script(at(7000), ScriptAction::SetDependencyDown(false));
         }
-        Hard::LedgerSlow => {
+        Scenario::LedgerSlow => {
             simulation.script(at(3000), ScriptAction::SetDependencySlowdown(3.0));
             simulation.script(at(13_000), ScriptAction::SetDependencySlowdown(1.0));
         }
-        Hard::LinksSlow => {
-            for of in every(10) {
-                simulation.script(at(3000), ScriptAction::SetLinkSlowdown(of, 10.0));
-                simulation.script(at(18_000), ScriptAction::SetLinkSlowdown(of, 1.0));
+        Scenario::LinksSlow => {
+            for server in one_in(10) {
+                simulation.script(at(3000), ScriptAction::SetLinkSlowdown(server, 10.0));
+                simulation.script(at(18_000), ScriptAction::SetLinkSlowdown(server, 1.0));
             }
         }
-        Hard::Replaced => {
-            let gone: Vec<usize> = (0..n).filter(|of| of % 5 < 2).collect();
-            for (i, of) in gone.iter().enumerate() {
-                let ms = 3000 + 7000 * i as u64 / gone.len().max(1) as u64;
-                simulation.script(at(ms), ScriptAction::Kill(*of));
-                simulation.script(at(ms + 1500), ScriptAction::Start(*of));
+        Scenario::ServersReplaced => {
+            let replaced: Vec<usize> = (0..servers).filter(|server| server % 5 < 2).collect();
+            for (i, server) in replaced.iter().enumerate() {
+                let ms = 3000 + 7000 * i as u64 / replaced.len().max(1) as u64;
+                simulation.script(at(ms), ScriptAction::Kill(*server));
+                simulation.script(at(ms + 1500), ScriptAction::Start(*server));
             }
         }
-        Hard::Halves => {
+        Scenario::Partition => {
             simulation.script(at(3000), ScriptAction::SetPartition(Some(|from, to| from % 2 != to % 2)));
             simulation.script(at(18_000), ScriptAction::SetPartition(None));
         }
-        Hard::Stopped => {
-            for of in every(20) {
-                simulation.script(at(3000), ScriptAction::Pause(of, Duration::from_ms(10_000)));
+        Scenario::ServersPaused => {
+            for server in one_in(20) {
+                simulation.script(at(3000), ScriptAction::Pause(server, Duration::from_ms(10_000)));
             }
         }
-        Hard::Doubles => {
-            for (i, of) in (n.div_ceil(2)..n).enumerate() {
-                simulation.script(at(3000 + 8000 * i as u64 / n as u64), ScriptAction::Start(of));
+        Scenario::FleetDoubles => {
+            for (i, server) in (servers.div_ceil(2)..servers).enumerate() {
+                simulation.script(at(3000 + 8000 * i as u64 / servers as u64), ScriptAction::Start(server));
             }
-            for of in every(5) {
-                simulation.script(at(3000), ScriptAction::SetCoreSpeed(of, 0.5));
+            for server in one_in(5) {
+                simulation.script(at(3000), ScriptAction::SetCoreSpeed(server, 0.5));
             }
             simulation.script(
                 at(3000),
--- a/crates/hazelspur-simulator/src/studies/scale/mod.rs
+++ b/crates/hazelspur-simulator/src/studies/scale/mod.rs
@@ -1,11 +1,12 @@
-//! What the real machines cost a server as the fleet grows, in two regions of three zones each: traffic of the
-//! mean and of the busiest server, time until all agree, CPU and heap. `hazelspur-simulator scale` plays it and the
-//! slope tests take their counts from it; it judges nothing.
+//! The study `scale`: costs of the real coordination protocols for a server as the fleet grows, in two
+//! regions of three zones each. It measures the traffic of the mean and of the busiest server, the time until
+//! all members agree, CPU and heap. The subcommand `scale` prints its points; the tests of traffic growth
+//! (`tests/slopes.rs`) set bounds on its counts, which this module does not judge.
 
 pub mod points;
 mod shares;
 
-pub use shares::{SharesCase, play_shares};
+pub use shares::{SharesCase, run_shares_case};
 
 use crate::membership_protocols::MembershipProtocol;
 use crate::membership_protocols::send_only::{SendOnlyMember, SendRate};
@@ -17,421 +18,469 @@
 use points::Point;
 use std::collections::VecDeque;
 
-/// All start within this.
-const STORM: Duration = Duration::from_ms(1000);
-/// After a storm of starts the fleet is left alone for so long.
-const SETTLE: Duration = Duration::from_ms(30_000);
-/// How long regions are partitioned.
-const APART: Duration = Duration::from_ms(60_000);
-/// One server in so many restarts in a bunch.
-const BUNCH_PART: usize = 40;
-/// How long a bunch of restarts takes.
-const BUNCH: Duration = Duration::from_ms(10_000);
-/// How long a restarting server is away.
-const AWAY: Duration = Duration::from_ms(1500);
-/// The first server that restarts in a bunch.
+/// Time within which all servers of a storm start.
+const START_STORM: Duration = Duration::from_ms(1000);
+/// Time without a fault after a start of the whole fleet.
+const SETTLE_TIME: Duration = Duration::from_ms(30_000);
+/// Duration of the partition between the regions.
+const PARTITION_DURATION: Duration = Duration::from_ms(60_000);
+/// One server in this many restarts in a burst.
+const RESTART_DIVISOR: usize = 40;
+/// Time over which the restarts of a burst are spread.
+const RESTART_BURST: Duration = Duration::from_ms(10_000);
+/// Time from a server's goodbye to its new start.
+const RESTART_DOWNTIME: Duration = Duration::from_ms(1500);
+/// Number of the first server that restarts in a burst.
 const FIRST_RESTARTED: usize = 7;
-/// CPU is taken over so many server-seconds at least.
-const CPU_SERVER_SECS: f64 = 40_000.0;
-/// Between two checks whether all agree.
-const LOOK: Duration = Duration::from_ms(250);
-/// Checks in a second, over which the worst second of traffic is counted.
-const LOOKS_A_SECOND: usize = 4;
-/// Nobody waits longer than this for all to agree.
-const LONGEST: Duration = Duration::from_ms(180_000);
-/// The zone that is lost; its first server is a contact point and a keeper.
+/// Fewest server-seconds over which CPU time is measured.
+const MIN_CPU_SERVER_SECONDS: f64 = 40_000.0;
+/// Time between two checks whether all members agree.
+const AGREEMENT_CHECK_PERIOD: Duration = Duration::from_ms(250);
+/// Number of agreement checks in a second. After so many the traffic of the last second is counted.
+const CHECKS_PER_SECOND: usize = 4;
+/// Longest wait until all members agree.
+const MAX_AGREEMENT_WAIT: Duration = Duration::from_ms(180_000);
+/// Number of the zone that is lost. Its first server is a seed member and a voter of the quota allocator.
 const LOST_ZONE: usize = 0;
 
-/// Room for a quarter more than there are.
-pub fn most(servers: usize) -> usize {
+/// Returns the greatest size that a fleet of this many servers is configured for: a quarter more.
+pub fn max_servers(servers: usize) -> usize {
     servers + servers.div_ceil(4)
 }
 
-/// What lies between zones and regions.
+/// Links between zones and regions.
 #[derive(Clone, Copy, Debug)]
-pub struct Between {
-    /// One way, from region to region.
-    pub lag: Duration,
-    /// Share of datagrams lost from region to region.
+pub struct Links {
+    /// One-way latency from region to region.
+    pub region_latency: Duration,
+    /// Fraction of datagrams lost from region to region, besides `loss`.
     pub region_loss: f64,
-    /// Share of all datagrams lost.
+    /// Fraction of all datagrams lost.
     pub loss: f64,
 }
 
-impl Between {
-    /// The network with these links.
+impl Links {
+    /// Returns a network of two regions and six zones with these links.
     pub fn network(&self) -> Network {
         let mut network = Network::new(ZONES);
         network.regions = REGIONS;
-        (network.region_latency, network.region_loss, network.loss) = (self.lag, self.region_loss, self.loss);
+        (network.region_latency, network.region_loss, network.loss) =
+            (self.region_latency, self.region_loss, self.loss);
         network
     }
 }
 
-/// What happens to the fleet.
+/// Events of one run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Situation {
-    /// A storm of starts, and rest after it; CPU and heap are those at rest.
-    StormAndRest,
-    /// A sixth gone at once; back cold a minute or more later.
-    Zone,
-    Regions,
-    Bunch,
+pub enum Scenario {
+    /// All servers start within a second. Traffic is measured then and at rest, CPU and heap at rest.
+    StartStorm,
+    /// All servers of one of the six zones are killed at once. They start again cold once the window is over
+    /// and all others agree, or after three minutes.
+    ZoneLoss,
+    /// The two regions are partitioned for a minute; traffic and agreement are measured after that.
+    RegionPartition,
+    /// One server in forty leaves and starts again, one after the other within ten seconds.
+    RestartBurst,
 }
 
-impl Situation {
-    /// All situations, in the order of the table.
-    pub const ALL: [Self; 4] = [Self::StormAndRest, Self::Zone, Self::Regions, Self::Bunch];
+impl Scenario {
+    /// All scenarios, in the order of the table.
+    pub const ALL: [Self; 4] = [Self::StartStorm, Self::ZoneLoss, Self::RegionPartition, Self::RestartBurst];
 
-    /// How it is named in the printed tables.
+    /// Returns the name in tables and on the command line.
     pub fn name(self) -> &'static str {
         match self {
-            Self::StormAndRest => "storm-and-rest",
-            Self::Zone => "zone",
-            Self::Regions => "regions",
-            Self::Bunch => "bunch",
+            Self::StartStorm => "storm-and-rest",
+            Self::ZoneLoss => "zone",
+            Self::RegionPartition => "regions",
+            Self::RestartBurst => "bunch",
         }
     }
 }
 
-/// Which protocols run.
+/// Protocols that run on each server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Machine {
-    Members,
-    /// Members, signals and shares of one limit.
-    Joint,
+pub enum ProtocolSet {
+    /// Membership alone.
+    Membership,
+    /// Membership, load reports, and quota leases of one limit.
+    Combined,
 }
 
-impl Machine {
-    /// Both machines, in the order of the table.
-    pub const ALL: [Self; 2] = [Self::Members, Self::Joint];
+impl ProtocolSet {
+    /// Both sets, in the order of the table.
+    pub const ALL: [Self; 2] = [Self::Membership, Self::Combined];
 
-    /// How it is named in the printed tables.
+    /// Returns the name in tables and on the command line.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Members => "members",
-            Self::Joint => "joint",
+            Self::Membership => "members",
+            Self::Combined => "joint",
         }
     }
 }
 
-/// One run.
+/// Parameters of one run.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
-    pub machine: Machine,
-    pub situation: Situation,
+    /// Protocols that run.
+    pub protocols: ProtocolSet,
+    /// Events of the run.
+    pub scenario: Scenario,
+    /// Number of servers.
     pub size: usize,
+    /// Seed of all random draws.
     pub seed: u64,
-    pub between: Between,
-    /// Traffic is counted for so long from the beginning of each case.
+    /// Links between zones and regions.
+    pub links: Links,
+    /// Time over which traffic is counted, from the beginning of each measured phase.
     pub window: Duration,
 }
 
-/// Plays one run and returns its points.
-pub fn play(case: &Case) -> Vec<Point> {
-    match case.machine {
-        Machine::Members => play_as::<ZonedSwim>(case),
-        Machine::Joint => play_as::<ZonedFleetNode<1>>(case),
+/// Runs one case, and returns its points.
+pub fn run_case(case: &Case) -> Vec<Point> {
+    match case.protocols {
+        ProtocolSet::Membership => run_case_with::<ZonedSwim>(case),
+        ProtocolSet::Combined => run_case_with::<ZonedFleetNode<1>>(case),
     }
 }
 
-/// A server's traffic over a window.
+/// Traffic of a fleet's servers over a window.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Load {
-    /// Of the mean server, a second.
-    pub datagrams_out: f64,
-    pub bytes_out: f64,
-    /// Of the server with most of it, a second.
-    pub busiest_datagrams_out: f64,
-    pub busiest_bytes_out: f64,
-    pub busiest_datagrams_in: f64,
-    pub busiest_bytes_in: f64,
-    /// The most bytes that one server sent in one second.
-    pub worst_second: f64,
+pub struct TrafficSummary {
+    /// Datagrams a second that the mean server sent.
+    pub datagrams_out_per_s: f64,
+    /// Bytes a second that the mean server sent.
+    pub bytes_out_per_s: f64,
+    /// Datagrams a second of the server that sent most of them.
+    pub busiest_datagrams_out_per_s: f64,
+    /// Bytes a second of the server that sent most of them.
+    pub busiest_bytes_out_per_s: f64,
+    /// Datagrams a second of the server that received most of them.
+    pub busiest_datagrams_in_per_s: f64,
+    /// Bytes a second of the server that received most of them.
+    pub busiest_bytes_in_per_s: f64,
+    /// Most bytes that one server sent in one second; zero if that was not counted.
+    pub max_bytes_out_in_a_second: f64,
 }
 
-impl Load {
-    /// The mean is over `servers`.
-    fn of(before: &[Traffic], after: &[Traffic], worst_second: u64, secs: f64, servers: usize) -> Self {
-        let first = |at: usize| before.get(at).copied().unwrap_or_default();
-        let each: Vec<Traffic> = after.iter().enumerate().map(|(at, after)| after.since(first(at))).collect();
-        let most = |of: fn(&Traffic) -> u64| each.iter().map(of).max().unwrap_or(0) as f64 / secs;
-        let mean = |of: fn(&Traffic) -> u64| each.iter().map(of).sum::<u64>() as f64 / servers as f64 / secs;
+impl TrafficSummary {
+    /// Summarizes the traffic between two counts, which lie `secs` apart. The mean is over `servers`.
+    fn from_counts(
+        before: &[Traffic],
+        after: &[Traffic],
+        max_bytes_out_in_a_second: u64,
+        secs: f64,
+        servers: usize,
+    ) -> Self {
+        let earlier = |server: usize| before.get(server).copied().unwrap_or_default();
+        let each: Vec<Traffic> =
+            after.iter().enumerate().map(|(server, after)| after.since(earlier(server))).collect();
+        let busiest =
+            |counter: fn(&Traffic) -> u64| each.iter().map(counter).max().unwrap_or(0) as f64 / secs;
+        let mean = |counter: fn(&Traffic) -> u64| {
+            each.iter().map(counter).sum::<u64>() as f64 / servers as f64 / secs
+        };
         Self {
-            datagrams_out: mean(|t| t.datagrams_out),
-            bytes_out: mean(|t| t.bytes_out),
-            busiest_datagrams_out: most(|t| t.datagrams_out),
-            busiest_bytes_out: most(|t| t.bytes_out),
-            busiest_datagrams_in: most(|t| t.datagrams_in),
-            busiest_bytes_in: most(|t| t.bytes_in),
-            worst_second: worst_second as f64,
+            datagrams_out_per_s: mean(|traffic| traffic.datagrams_out),
+            bytes_out_per_s: mean(|traffic| traffic.bytes_out),
+            busiest_datagrams_out_per_s: busiest(|traffic| traffic.datagrams_out),
+            busiest_bytes_out_per_s: busiest(|traffic| traffic.bytes_out),
+            busiest_datagrams_in_per_s: busiest(|traffic| traffic.datagrams_in),
+            busiest_bytes_in_per_s: busiest(|traffic| traffic.bytes_in),
+            max_bytes_out_in_a_second: max_bytes_out_in_a_second as f64,
         }
     }
 }
 
-/// A window of a played town, and when all agreed.
+/// Traffic of a measured phase, and the time until all members agreed.
 #[derive(Clone, Copy, Debug)]
-pub struct Watched {
-    pub load: Load,
-    /// Seconds from the beginning until all agreed first; none within three minutes.
-    pub agreed: Option<f64>,
+pub struct Agreement {
+    /// Traffic of the window at the beginning of the phase.
+    pub traffic: TrafficSummary,
+    /// Seconds from the beginning until all first agreed; `None` if they did not within three minutes.
+    pub agreed_after_s: Option<f64>,
 }
 
-/// Plays for `window`, and on until all agree or three minutes are over.
-fn watch<W: MembershipProtocol>(fleet: &mut TestFleet<W>, window: Duration, size: usize) -> Watched {
-    let from = fleet.now();
+/// Runs the fleet for `window`, and on until all members agree or three minutes are over. The mean traffic is
+/// over `size` servers.
+fn measure_agreement<P: MembershipProtocol>(
+    fleet: &mut TestFleet<P>,
+    window: Duration,
+    size: usize,
+) -> Agreement {
+    let started = fleet.now();
     let before: Vec<Traffic> = fleet.traffic().collect();
-    let (mut second, mut worst) = (before.clone(), 0);
-    let (mut agreed, mut load, mut looks) = (None, None, 0);
+    let (mut a_second_ago, mut max_bytes_out) = (before.clone(), 0);
+    let (mut agreed_after_s, mut traffic, mut checks) = (None, None, 0);
     loop {
-        let passed = fleet.now() - from;
-        if agreed.is_none() && fleet.members_agree() {
-            agreed = Some(passed.secs());
+        let passed = fleet.now() - started;
+        if agreed_after_s.is_none() && fleet.members_agree() {
+            agreed_after_s = Some(passed.secs());
         }
-        if load.is_none() && passed >= window {
+        if traffic.is_none() && passed >= window {
             let after: Vec<Traffic> = fleet.traffic().collect();
-            load = Some(Load::of(&before, &after, worst, passed.secs(), size));
+            traffic = Some(TrafficSummary::from_counts(&before, &after, max_bytes_out, passed.secs(), size));
         }
-        if let Some(load) = load
-            && (agreed.is_some() || passed >= LONGEST)
+        if let Some(traffic) = traffic
+            && (agreed_after_s.is_some() || passed >= MAX_AGREEMENT_WAIT)
         {
-            return Watched { load, agreed };
+            return Agreement { traffic, agreed_after_s };
         }
-        fleet.run(LOOK);
-        looks += 1;
-        if looks % LOOKS_A_SECOND == 0 {
+        fleet.run(AGREEMENT_CHECK_PERIOD);
+        checks += 1;
+        if checks % CHECKS_PER_SECOND == 0 {
             let after: Vec<Traffic> = fleet.traffic().collect();
-            let sent = |(at, after): (usize, &Traffic)| {
-                after.bytes_out - second.get(at).map_or(0, |before| before.bytes_out)
+            let sent = |(server, after): (usize, &Traffic)| {
+                after.bytes_out - a_second_ago.get(server).map_or(0, |before| before.bytes_out)
             };
-            worst = after.iter().enumerate().map(sent).max().unwrap_or(0).max(worst);
-            second = after;
+            max_bytes_out = after.iter().enumerate().map(sent).max().unwrap_or(0).max(max_bytes_out);
+            a_second_ago = after;
         }
     }
 }
 
-/// All start within a second, each at its part of it.
-pub fn start_all<W: MembershipProtocol>(
-    fleet: &mut TestFleet<W>,
-    numbers: impl ExactSizeIterator<Item = usize>,
+/// Starts the servers within a second, at equal intervals.
+pub fn start_all<P: MembershipProtocol>(
+    fleet: &mut TestFleet<P>,
+    servers: impl ExactSizeIterator<Item = usize>,
 ) {
-    let part = Duration::from_us(STORM.us() / numbers.len().max(1) as u64);
-    for of in numbers {
-        fleet.start(of);
-        fleet.run(part);
+    let interval = Duration::from_us(START_STORM.us() / servers.len().max(1) as u64);
+    for server in servers {
+        fleet.start(server);
+        fleet.run(interval);
     }
 }
 
-/// A fleet of so many, started and at rest.
-pub fn at_rest<W: MembershipProtocol>(size: usize, seed: u64, between: &Between) -> TestFleet<W> {
-    let mut fleet = TestFleet::new(between.network(), most(size), seed);
+/// Returns a fleet of `size` servers that started, agreed, and then ran without a fault for a while.
+pub fn settled_fleet<P: MembershipProtocol>(size: usize, seed: u64, links: &Links) -> TestFleet<P> {
+    let mut fleet = TestFleet::new(links.network(), max_servers(size), seed);
     start_all(&mut fleet, 0..size);
-    let from = fleet.now();
-    while !fleet.members_agree() && fleet.now() - from < LONGEST {
-        fleet.run(LOOK);
+    let started = fleet.now();
+    while !fleet.members_agree() && fleet.now() - started < MAX_AGREEMENT_WAIT {
+        fleet.run(AGREEMENT_CHECK_PERIOD);
     }
-    fleet.run(SETTLE);
+    fleet.run(SETTLE_TIME);
     fleet
 }
 
-/// What a fleet at rest sends and holds.
+/// Traffic and membership tables of a fleet at rest.
 #[derive(Clone, Copy, Debug)]
-pub struct Rest {
-    pub load: Load,
-    /// Entries in the tables of the mean and of the fullest server.
-    pub entries: f64,
-    pub most_entries: usize,
+pub struct RestMeasurement {
+    /// Traffic of the window.
+    pub traffic: TrafficSummary,
+    /// Entries in the mean server's membership table.
+    pub mean_entries: f64,
+    /// Entries in the largest membership table.
+    pub max_entries: usize,
 }
 
-/// Counts the traffic of `fleet` for `window`.
-pub fn rest<W: MembershipProtocol>(fleet: &mut TestFleet<W>, window: Duration, size: usize) -> Rest {
+/// Counts the traffic of a fleet for `window`, and the entries in its membership tables at the end.
+pub fn measure_at_rest<P: MembershipProtocol>(
+    fleet: &mut TestFleet<P>,
+    window: Duration,
+    size: usize,
+) -> RestMeasurement {
     let before: Vec<Traffic> = fleet.traffic().collect();
-    let (mut second, mut worst, from) = (before.clone(), 0, fleet.now());
-    while fleet.now() - from < window {
+    let (mut a_second_ago, mut max_bytes_out, started) = (before.clone(), 0, fleet.now());
+    while fleet.now() - started < window {
         fleet.run(Duration::from_ms(1000));
         let after: Vec<Traffic> = fleet.traffic().collect();
-        let sent = after.iter().zip(&second).map(|(after, before)| after.bytes_out - before.bytes_out);
-        worst = sent.max().unwrap_or(0).max(worst);
-        second = after;
+        let sent = after.iter().zip(&a_second_ago).map(|(after, before)| after.bytes_out - before.bytes_out);
+        max_bytes_out = sent.max().unwrap_or(0).max(max_bytes_out);
+        a_second_ago = after;
     }
-    let load = Load::of(&before, &second, worst, (fleet.now() - from).secs(), size);
-    let entries: Vec<usize> = fleet.members().map(|(_, way)| way.entry_count()).collect();
+    let traffic = TrafficSummary::from_counts(
+        &before,
+        &a_second_ago,
+        max_bytes_out,
+        (fleet.now() - started).secs(),
+        size,
+    );
+    let entries: Vec<usize> = fleet.members().map(|(_, member)| member.entry_count()).collect();
     let sum: usize = entries.iter().sum();
     let mean = sum as f64 / entries.len().max(1) as f64;
-    Rest { load, entries: mean, most_entries: entries.into_iter().max().unwrap_or(0) }
+    RestMeasurement { traffic, mean_entries: mean, max_entries: entries.into_iter().max().unwrap_or(0) }
 }
 
-/// Plays one situation of one fleet, and returns its points.
-pub fn play_as<W: MembershipProtocol>(case: &Case) -> Vec<Point> {
-    let mut out = Sheet { case, points: Vec::new() };
-    match case.situation {
-        Situation::StormAndRest => storm_and_rest::<W>(case, &mut out),
-        Situation::Zone => zone_lost::<W>(case, &mut out),
-        Situation::Regions => regions_apart::<W>(case, &mut out),
-        Situation::Bunch => bunched_restarts::<W>(case, &mut out),
+/// Runs one case with a given protocol, and returns its points.
+pub fn run_case_with<P: MembershipProtocol>(case: &Case) -> Vec<Point> {
+    let mut collector = PointCollector { case, points: Vec::new() };
+    match case.scenario {
+        Scenario::StartStorm => start_storm::<P>(case, &mut collector),
+        Scenario::ZoneLoss => zone_loss::<P>(case, &mut collector),
+        Scenario::RegionPartition => region_partition::<P>(case, &mut collector),
+        Scenario::RestartBurst => restart_burst::<P>(case, &mut collector),
     }
-    out.points
+    collector.points
 }
 
-fn storm_and_rest<W: MembershipProtocol>(case: &Case, out: &mut Sheet) {
+fn start_storm<P: MembershipProtocol>(case: &Case, collector: &mut PointCollector) {
     let size = case.size;
-    let mut fleet: TestFleet<W> = TestFleet::new(case.between.network(), most(size), case.seed);
-    // Traffic of the second in which they start counts too; the time until all agree is from its end.
+    let mut fleet: TestFleet<P> = TestFleet::new(case.links.network(), max_servers(size), case.seed);
+    // The second of the starts has points of its own; the time until all agree is counted from its end.
     let before: Vec<Traffic> = fleet.traffic().collect();
     start_all(&mut fleet, 0..size);
-    let first = Load::of(&before, &fleet.traffic().collect::<Vec<_>>(), 0, 1.0, size);
-    let watched = watch(&mut fleet, case.window, size);
-    out.watched("storm", &watched);
-    out.point("datagrams_out_per_s", "first second of the storm", "1/s", first.datagrams_out);
-    out.point("bytes_out_per_s", "first second of the storm", "B/s", first.bytes_out);
-    fleet.run(SETTLE);
-    rest_points(out, &mut fleet);
+    let first = TrafficSummary::from_counts(&before, &fleet.traffic().collect::<Vec<_>>(), 0, 1.0, size);
+    let agreement = measure_agreement(&mut fleet, case.window, size);
+    collector.add_agreement("storm", &agreement);
+    collector.add("datagrams_out_per_s", "first second of the storm", "1/s", first.datagrams_out_per_s);
+    collector.add("bytes_out_per_s", "first second of the storm", "B/s", first.bytes_out_per_s);
+    fleet.run(SETTLE_TIME);
+    add_rest_points(collector, &mut fleet);
 }
 
-fn zone_lost<W: MembershipProtocol>(case: &Case, out: &mut Sheet) {
+fn zone_loss<P: MembershipProtocol>(case: &Case, collector: &mut PointCollector) {
     let size = case.size;
-    let mut fleet: TestFleet<W> = at_rest(size, case.seed, &case.between);
+    let mut fleet: TestFleet<P> = settled_fleet(size, case.seed, &case.links);
     let lost: Vec<usize> = (0..size).filter(|server| server % ZONES == LOST_ZONE).collect();
     lost.iter().for_each(|server| fleet.kill(*server));
-    let gone = watch(&mut fleet, case.window, size - lost.len());
-    out.watched("zone lost", &gone);
+    let after_loss = measure_agreement(&mut fleet, case.window, size - lost.len());
+    collector.add_agreement("zone lost", &after_loss);
     start_all(&mut fleet, lost.into_iter());
-    let back = watch(&mut fleet, case.window, size);
-    out.watched("zone back", &back);
+    let after_return = measure_agreement(&mut fleet, case.window, size);
+    collector.add_agreement("zone back", &after_return);
 }
 
-fn regions_apart<W: MembershipProtocol>(case: &Case, out: &mut Sheet) {
-    let mut fleet: TestFleet<W> = at_rest(case.size, case.seed, &case.between);
+fn region_partition<P: MembershipProtocol>(case: &Case, collector: &mut PointCollector) {
+    let mut fleet: TestFleet<P> = settled_fleet(case.size, case.seed, &case.links);
     fleet.network.partition = Some(|from, to| from % ZONES % REGIONS != to % ZONES % REGIONS);
-    fleet.run(APART);
+    fleet.run(PARTITION_DURATION);
     fleet.network.partition = None;
-    let healed = watch(&mut fleet, case.window, case.size);
-    out.watched("regions healed", &healed);
+    let after_heal = measure_agreement(&mut fleet, case.window, case.size);
+    collector.add_agreement("regions healed", &after_heal);
 }
 
-fn bunched_restarts<W: MembershipProtocol>(case: &Case, out: &mut Sheet) {
+fn restart_burst<P: MembershipProtocol>(case: &Case, collector: &mut PointCollector) {
     let size = case.size;
-    let mut fleet: TestFleet<W> = at_rest(size, case.seed, &case.between);
+    let mut fleet: TestFleet<P> = settled_fleet(size, case.seed, &case.links);
     let before: Vec<Traffic> = fleet.traffic().collect();
-    let from = fleet.now();
-    restart_in_a_bunch(&mut fleet, size);
-    let during = (fleet.now() - from).secs();
-    let load = Load::of(&before, &fleet.traffic().collect::<Vec<_>>(), 0, during, size);
-    out.load("bunched restarts, while they go on", &load);
-    let watched = watch(&mut fleet, case.window, size);
-    out.watched("bunched restarts, after the last", &watched);
+    let started = fleet.now();
+    restart_one_by_one(&mut fleet, size);
+    let elapsed_s = (fleet.now() - started).secs();
+    let traffic =
+        TrafficSummary::from_counts(&before, &fleet.traffic().collect::<Vec<_>>(), 0, elapsed_s, size);
+    collector.add_traffic("bunched restarts, while they go on", &traffic);
+    let agreement = measure_agreement(&mut fleet, case.window, size);
+    collector.add_agreement("bunched restarts, after the last", &agreement);
 }
 
-/// A server that left, and when it starts again.
+/// A server that left, and the time of its new start.
 #[derive(Clone, Copy)]
 struct Restart {
     at: Timestamp,
     server: usize,
 }
 
-/// Restarts one server in so many, one after the other, each of which is away for `AWAY`.
-fn restart_in_a_bunch<W: MembershipProtocol>(fleet: &mut TestFleet<W>, size: usize) {
-    let many = (size / BUNCH_PART).max(1);
-    let gap = Duration::from_us(BUNCH.us() / many as u64);
-    let mut away: VecDeque<Restart> = VecDeque::new();
-    let from = fleet.now();
-    for i in 0..many {
-        // Neither seed members nor voters, and of all zones in turn.
-        let server = (i * BUNCH_PART + i % ZONES + FIRST_RESTARTED) % size;
+/// Restarts one server in `RESTART_DIVISOR`, one after the other. Each is down for `RESTART_DOWNTIME`.
+fn restart_one_by_one<P: MembershipProtocol>(fleet: &mut TestFleet<P>, size: usize) {
+    let restarts = (size / RESTART_DIVISOR).max(1);
+    let gap = Duration::from_us(RESTART_BURST.us() / restarts as u64);
+    let mut down: VecDeque<Restart> = VecDeque::new();
+    let started = fleet.now();
+    for i in 0..restarts {
+        // The servers are of all zones in turn, and neither seed members nor voters of the quota allocator.
+        let server = (i * RESTART_DIVISOR + i % ZONES + FIRST_RESTARTED) % size;
         fleet.leave(server);
-        away.push_back(Restart { at: fleet.now() + AWAY, server });
-        if i + 1 == many {
+        down.push_back(Restart { at: fleet.now() + RESTART_DOWNTIME, server });
+        if i + 1 == restarts {
             break;
         }
-        let next = from + gap.scaled((i + 1) as f64);
-        while let Some(restart) = away.pop_front_if(|restart| restart.at <= next) {
-            start_again(fleet, restart);
+        let next = started + gap.scaled((i + 1) as f64);
+        while let Some(restart) = down.pop_front_if(|restart| restart.at <= next) {
+            finish_restart(fleet, restart);
         }
         fleet.run(next - fleet.now());
     }
-    away.into_iter().for_each(|restart| start_again(fleet, restart));
+    down.into_iter().for_each(|restart| finish_restart(fleet, restart));
 }
 
-fn start_again<W: MembershipProtocol>(fleet: &mut TestFleet<W>, restart: Restart) {
+fn finish_restart<P: MembershipProtocol>(fleet: &mut TestFleet<P>, restart: Restart) {
     fleet.run(restart.at - fleet.now());
     fleet.start(restart.server);
 }
 
-/// Traffic, entries, CPU and heap at rest. The heap is that of a zone's servers, taken from what their end
-/// gives back.
-fn rest_points<W: MembershipProtocol>(out: &mut Sheet, fleet: &mut TestFleet<W>) {
-    let case = out.case;
-    let rest = rest(fleet, case.window, case.size);
-    // The kernel counts in steps of some milliseconds: a small fleet is played for longer.
-    let long = case.window.max(Duration::from_secs(CPU_SERVER_SECS / case.size as f64));
+/// Adds the points of traffic, membership tables, CPU and heap at rest. The heap of a server is measured by
+/// what the end of one zone's servers frees.
+fn add_rest_points<P: MembershipProtocol>(collector: &mut PointCollector, fleet: &mut TestFleet<P>) {
+    let case = collector.case;
+    let rest = measure_at_rest(fleet, case.window, case.size);
+    // The kernel counts CPU time in steps of some milliseconds, so a small fleet runs for longer.
+    let cpu_window = case.window.max(Duration::from_secs(MIN_CPU_SERVER_SECONDS / case.size as f64));
     let before = cpu::thread_cpu_time();
-    fleet.run(long);
+    fleet.run(cpu_window);
     let spent = before.zip(cpu::thread_cpu_time()).map(|(before, after)| after - before);
-    out.load("rest", &rest.load);
-    out.point("entries", "rest", "entries", rest.entries);
-    let held = heap::live_bytes();
-    let zone: Vec<usize> = (0..case.size).filter(|of| of % ZONES == LOST_ZONE).collect();
-    zone.iter().for_each(|of| fleet.kill(*of));
-    if let Some((before, after)) = held.zip(heap::live_bytes()) {
-        let each = (before - after) as f64 / zone.len().max(1) as f64 + size_of::<W>() as f64;
-        out.point("state_bytes", "rest", "B", each);
+    collector.add_traffic("rest", &rest.traffic);
+    collector.add("entries", "rest", "entries", rest.mean_entries);
+    let heap_before = heap::live_bytes();
+    let zone_servers: Vec<usize> = (0..case.size).filter(|server| server % ZONES == LOST_ZONE).collect();
+    zone_servers.iter().for_each(|server| fleet.kill(*server));
+    if let Some((before, after)) = heap_before.zip(heap::live_bytes()) {
+        let bytes_per_server =
+            (before - after) as f64 / zone_servers.len().max(1) as f64 + size_of::<P>() as f64;
+        collector.add("state_bytes", "rest", "B", bytes_per_server);
     }
     if let Some(spent) = spent {
-        let us = spent.us() as f64 / (long.secs() * case.size as f64);
-        out.point("cpu_with_queue_us_per_s", "rest", "us/s", us);
-        if let Some(queue) = queue_alone(case, &rest.load, long) {
-            out.point("cpu_of_queue_us_per_s", "rest", "us/s", queue);
-            out.point("cpu_us_per_s", "rest", "us/s", us - queue);
+        let us = spent.us() as f64 / (cpu_window.secs() * case.size as f64);
+        collector.add("cpu_with_queue_us_per_s", "rest", "us/s", us);
+        if let Some(overhead) = simulator_cpu_us_per_s(case, &rest.traffic, cpu_window) {
+            collector.add("cpu_of_queue_us_per_s", "rest", "us/s", overhead);
+            collector.add("cpu_us_per_s", "rest", "us/s", us - overhead);
         }
     }
 }
 
-/// CPU of the laboratory's own queue and network for the same traffic, in microseconds a server-second.
-fn queue_alone(case: &Case, load: &Load, long: Duration) -> Option<f64> {
-    let rate =
-        SendRate { servers: case.size, datagrams_per_s: load.datagrams_out, bytes_per_s: load.bytes_out };
-    let mut fleet: TestFleet<SendOnlyMember> = TestFleet::new(case.between.network(), case.size, case.seed);
-    for of in 0..case.size {
+/// Returns the CPU time that the simulator's own event queue and network take for the same traffic, in
+/// microseconds for each second of a server; `None` where the kernel does not report CPU time.
+fn simulator_cpu_us_per_s(case: &Case, traffic: &TrafficSummary, cpu_window: Duration) -> Option<f64> {
+    let rate = SendRate {
+        servers: case.size,
+        datagrams_per_s: traffic.datagrams_out_per_s,
+        bytes_per_s: traffic.bytes_out_per_s,
+    };
+    let mut fleet: TestFleet<SendOnlyMember> = TestFleet::new(case.links.network(), case.size, case.seed);
+    for server in 0..case.size {
         let lightweight =
-            SendOnlyMember::new(of, rate, case.seed.wrapping_mul(1_000_003) + of as u64, fleet.now());
-        fleet.start_member(of, lightweight);
+            SendOnlyMember::new(server, rate, case.seed.wrapping_mul(1_000_003) + server as u64, fleet.now());
+        fleet.start_member(server, lightweight);
     }
     fleet.run(Duration::from_ms(2000));
     let before = cpu::thread_cpu_time()?;
-    fleet.run(long);
+    fleet.run(cpu_window);
     let spent = cpu::thread_cpu_time()? - before;
-    Some(spent.us() as f64 / (long.secs() * case.size as f64))
+    Some(spent.us() as f64 / (cpu_window.secs() * case.size as f64))
 }
 
-/// Collects the points of one run.
-struct Sheet<'a> {
+/// Points of one run, which take the run's protocol set, size and seed from its case.
+struct PointCollector<'a> {
     case: &'a Case,
     points: Vec<Point>,
 }
 
-impl Sheet<'_> {
-    fn point(&mut self, figure: &str, case: &str, unit: &str, value: f64) {
-        let figure = format!("{}.{figure}", self.case.machine.name());
+impl PointCollector<'_> {
+    fn add(&mut self, figure: &str, case: &str, unit: &str, value: f64) {
+        let figure = format!("{}.{figure}", self.case.protocols.name());
         self.points.push(Point::of_servers(&figure, case, unit, self.case.size, self.case.seed, value));
     }
 
-    fn load(&mut self, case: &str, load: &Load) {
-        self.point("datagrams_out_per_s", case, "1/s", load.datagrams_out);
-        self.point("bytes_out_per_s", case, "B/s", load.bytes_out);
-        self.point("busiest_datagrams_out_per_s", case, "1/s", load.busiest_datagrams_out);
-        self.point("busiest_bytes_out_per_s", case, "B/s", load.busiest_bytes_out);
-        self.point("busiest_datagrams_in_per_s", case, "1/s", load.busiest_datagrams_in);
-        self.point("busiest_bytes_in_per_s", case, "B/s", load.busiest_bytes_in);
-        if load.worst_second > 0.0 {
-            self.point("most_bytes_out_in_a_second", case, "B", load.worst_second);
+    fn add_traffic(&mut self, case: &str, traffic: &TrafficSummary) {
+        self.add("datagrams_out_per_s", case, "1/s", traffic.datagrams_out_per_s);
+        self.add("bytes_out_per_s", case, "B/s", traffic.bytes_out_per_s);
+        self.add("busiest_datagrams_out_per_s", case, "1/s", traffic.busiest_datagrams_out_per_s);
+        self.add("busiest_bytes_out_per_s", case, "B/s", traffic.busiest_bytes_out_per_s);
+        self.add("busiest_datagrams_in_per_s", case, "1/s", traffic.busiest_datagrams_in_per_s);
+        self.add("busiest_bytes_in_per_s", case, "B/s", traffic.busiest_bytes_in_per_s);
+        if traffic.max_bytes_out_in_a_second > 0.0 {
+            self.add("most_bytes_out_in_a_second", case, "B", traffic.max_bytes_out_in_a_second);
         }
     }
 
-    fn watched(&mut self, case: &str, watched: &Watched) {
-        self.load(case, &watched.load);
-        match watched.agreed {
-            Some(secs) => self.point("agree_s", case, "s", secs),
-            None => self.point("not_agreed_within_s", case, "s", LONGEST.secs()),
+    fn add_agreement(&mut self, case: &str, agreement: &Agreement) {
+        self.add_traffic(case, &agreement.traffic);
+        match agreement.agreed_after_s {
+            Some(secs) => self.add("agree_s", case, "s", secs),
+            None => self.add("not_agreed_within_s", case, "s", MAX_AGREEMENT_WAIT.secs()),
         }
     }
 }
