--- a/crates/hazelspur-simulator/src/cli/mod.rs
+++ b/crates/hazelspur-simulator/src/cli/mod.rs
@@ -40,7 +40,7 @@
     /// What choices that all make alike come to in sum: reports, subsets, turns.
     Sums(sums::SumsArguments),
     /// One real server's own path: what it adds to a request, and what it costs, by the size of its settings.
-    Path(path::command::Asked),
+    Path(path::command::PathArguments),
 }
 
 impl CommandLine {
--- a/crates/hazelspur-simulator/src/path/command.rs
+++ b/crates/hazelspur-simulator/src/path/command.rs
@@ -2,8 +2,8 @@
 
 use crate::path::cost::cost;
 use crate::path::figures::{Point, Study};
-use crate::path::plan::{Arrival, Met, TableSize, arrivals};
-use crate::path::process::{Server, ServerStart, watch};
+use crate::path::plan::{Arrival, DistinctEntries, TableSize, arrivals};
+use crate::path::process::{Server, ServerOptions, end_servers_on_signal_or_after};
 use crate::path::rounds::path;
 use anyhow::ensure;
 use clap::Args;
@@ -32,7 +32,7 @@
 const RELOADING_OPERATOR_FILE: &str = "reload(settings = True)\n";
 
 #[derive(Args, Clone, Debug)]
-pub struct Asked {
+pub struct PathArguments {
     /// The server's program; otherwise the one beside this.
     #[arg(long)]
     pub server: Option<PathBuf>,
@@ -98,7 +98,7 @@
     pub text: Option<String>,
 }
 
-impl Asked {
+impl PathArguments {
     fn program(&self) -> anyhow::Result<PathBuf> {
         let beside = std::env::current_exe()?.with_file_name("hazelspur-server");
         let program = self.server.clone().unwrap_or(beside);
@@ -115,10 +115,10 @@
         self.start_with(size, Some(RELOADING_OPERATOR_FILE))
     }
 
-    fn start_with(&self, size: TableSize, operator: Option<&str>) -> anyhow::Result<Server> {
+    fn start_with(&self, size: TableSize, operator_file: Option<&str>) -> anyhow::Result<Server> {
         let program = self.program()?;
         let Self { servers, run_ms, seed, .. } = *self;
-        Server::start(&ServerStart { program: &program, size, servers, run_ms, seed, operator })
+        Server::start(&ServerOptions { program: &program, size, servers, run_ms, seed, operator_file })
     }
 
     pub(super) fn plan(
@@ -128,7 +128,7 @@
         length: Duration,
         part: u64,
     ) -> anyhow::Result<Vec<Arrival>> {
-        let met = Met { request_classes: self.met_op_types, tenants: self.met_tenants };
+        let met = DistinctEntries { request_classes: self.met_op_types, tenants: self.met_tenants };
         let seed = self.seed.wrapping_mul(1_000_003).wrapping_add(part);
         Ok(arrivals(size, met, rate, length, seed)?)
     }
@@ -197,7 +197,7 @@
 ///
 /// # Errors
 /// Where the program is missing or does not serve, or more is asked for than fits the time limit.
-pub fn run(asked: &Asked) -> anyhow::Result<()> {
+pub fn run(asked: &PathArguments) -> anyhow::Result<()> {
     ensure!((1..=MAX_ROUNDS).contains(&asked.rounds), "1 to {MAX_ROUNDS} rounds");
     ensure!((1..=MAX_RATES).contains(&asked.rates.len()), "1 to {MAX_RATES} rates");
     ensure!(asked.seconds > 0.0 && asked.rest_seconds > 0.0, "--seconds and --rest-seconds: over 0");
@@ -209,6 +209,6 @@
         limit.as_secs()
     );
     asked.program()?;
-    watch(limit)?;
+    end_servers_on_signal_or_after(limit)?;
     if asked.cost { cost(asked) } else { path(asked) }
 }
--- a/crates/hazelspur-simulator/src/path/cost.rs
+++ b/crates/hazelspur-simulator/src/path/cost.rs
@@ -1,6 +1,6 @@
 //! The measurement of `path --cost`: what a server without requests costs, by the size of its tables.
 
-use crate::path::command::{Asked, SETTLE};
+use crate::path::command::{PathArguments, SETTLE};
 use crate::path::figures::Point;
 use crate::path::plan::TableSize;
 use crate::path::process::{Memory, Server};
@@ -18,7 +18,7 @@
     start_cpu: StdDuration,
     rest_cpu_share: f64,
     memory: Memory,
-    file_bytes: u64,
+    settings_file_bytes: u64,
     /// Answers to requests of the last request class, the last tenant, and both.
     answers: [String; 3],
 }
@@ -35,7 +35,7 @@
 }
 
 /// Measures servers of each size, prints the tables, and saves the points.
-pub(super) fn cost(asked: &Asked) -> anyhow::Result<()> {
+pub(super) fn cost(asked: &PathArguments) -> anyhow::Result<()> {
     let (mut idle_rows, mut reload_rows) = (idle_table(), reload_table());
     let mut points = Vec::new();
     for size in &asked.sizes {
@@ -82,15 +82,15 @@
     ])
 }
 
-fn measure_idle(asked: &Asked, size: TableSize) -> anyhow::Result<IdleCost> {
+fn measure_idle(asked: &PathArguments, size: TableSize) -> anyhow::Result<IdleCost> {
     let server = asked.start(size)?;
-    let (serving_after, start_cpu) = server.until_serving().with_context(|| format!("{size} tables"))?;
+    let (serving_after, start_cpu) = server.wait_until_serving().with_context(|| format!("{size} tables"))?;
     std::thread::sleep(SETTLE);
-    let rest_cpu_share = server.rest_share(StdDuration::from_secs_f64(asked.rest_seconds))?;
+    let rest_cpu_share = server.idle_cpu_share(StdDuration::from_secs_f64(asked.rest_seconds))?;
     let memory = server.memory()?;
     let answers = probe_last_entries(&server, size);
-    let file_bytes = server.file_bytes;
-    Ok(IdleCost { serving_after, start_cpu, rest_cpu_share, memory, file_bytes, answers })
+    let settings_file_bytes = server.settings_file_bytes;
+    Ok(IdleCost { serving_after, start_cpu, rest_cpu_share, memory, settings_file_bytes, answers })
 }
 
 fn probe_last_entries(server: &Server, size: TableSize) -> [String; 3] {
@@ -99,9 +99,9 @@
     probes.map(|(request_class, tenant)| server.probe(request_class, tenant))
 }
 
-fn measure_reloads(asked: &Asked, size: TableSize) -> anyhow::Result<ReloadCost> {
+fn measure_reloads(asked: &PathArguments, size: TableSize) -> anyhow::Result<ReloadCost> {
     let server = asked.start_changing(size)?;
-    server.until_serving().with_context(|| format!("{size} tables"))?;
+    server.wait_until_serving().with_context(|| format!("{size} tables"))?;
     let (mut longest, mut cpu, mut stall) = (StdDuration::ZERO, StdDuration::ZERO, StdDuration::ZERO);
     for n in 0..asked.reloads {
         let (each, its_cpu, its_stall) = server.reload(n)?;
@@ -121,7 +121,7 @@
 
 fn idle_row(size: TableSize, idle: &IdleCost) -> Vec<String> {
     let Memory { anon_bytes, resident_bytes, peak_bytes } = idle.memory;
-    let mut row = vec![size.to_string(), megabytes(idle.file_bytes)];
+    let mut row = vec![size.to_string(), megabytes(idle.settings_file_bytes)];
     row.push(format!("{:.3}", idle.serving_after.as_secs_f64()));
     row.push(format!("{:.3}", idle.start_cpu.as_secs_f64()));
     row.extend([anon_bytes, resident_bytes, peak_bytes].map(megabytes));
@@ -137,7 +137,7 @@
     row
 }
 
-fn add_idle_points(points: &mut Vec<Point>, asked: &Asked, size: TableSize, idle: &IdleCost) {
+fn add_idle_points(points: &mut Vec<Point>, asked: &PathArguments, size: TableSize, idle: &IdleCost) {
     let (case, by) = (size.to_string(), ("tenants", size.tenants as f64));
     for (figure, unit, value) in [
         ("server.memory.anon_bytes", "B", idle.memory.anon_bytes as f64),
@@ -146,13 +146,13 @@
         ("server.start.cpu_s", "s", idle.start_cpu.as_secs_f64()),
         ("server.start.s", "s", idle.serving_after.as_secs_f64()),
         ("server.rest.cpu_share", "share", idle.rest_cpu_share),
-        ("server.file_bytes", "B", idle.file_bytes as f64),
+        ("server.file_bytes", "B", idle.settings_file_bytes as f64),
     ] {
         points.push(asked.point(figure, &case, unit, by, value));
     }
 }
 
-fn add_reload_points(points: &mut Vec<Point>, asked: &Asked, size: TableSize, reload: &ReloadCost) {
+fn add_reload_points(points: &mut Vec<Point>, asked: &PathArguments, size: TableSize, reload: &ReloadCost) {
     let (case, by) = (size.to_string(), ("tenants", size.tenants as f64));
     for (figure, unit, value) in [
         ("server.reload.stall_s", "s", reload.max_stall_s),
--- a/crates/hazelspur-simulator/src/path/figures.rs
+++ b/crates/hazelspur-simulator/src/path/figures.rs
@@ -36,7 +36,7 @@
 impl Study {
     /// Takes the place of those points that this one measured too; a file of another text or machine is
     /// replaced whole.
-    pub fn joined(mut self, before: Option<Self>) -> Self {
+    pub fn merged_with(mut self, before: Option<Self>) -> Self {
         let same =
             |old: &Self| old.study == self.study && old.text == self.text && old.machine == self.machine;
         let Some(old) = before.filter(same) else { return self };
@@ -59,7 +59,7 @@
         } else {
             None
         };
-        let joined = self.joined(before);
+        let joined = self.merged_with(before);
         let mut out = String::from("{");
         for (key, text) in [
             ("study", &joined.study),
@@ -81,9 +81,9 @@
 
 /// Each latency less the middle one of requests that went straight to the same runtime, so that what the runtime
 /// and this tool take at all times is taken out, and whatever is beside that stays in.
-pub fn added(through_us: &Histogram<u64>, straight_us: &Histogram<u64>) -> Histogram<u64> {
+pub fn added_latency(through_us: &Histogram<u64>, straight_us: &Histogram<u64>) -> Histogram<u64> {
     let usual = straight_us.value_at_quantile(0.5);
-    let mut added = super::load::histogram();
+    let mut added = super::load::latency_histogram();
     for step in through_us.iter_recorded() {
         added.saturating_record_n(step.value_iterated_to().saturating_sub(usual), step.count_at_value());
     }
@@ -91,6 +91,6 @@
 }
 
 /// A quantile of a histogram of microseconds, in milliseconds.
-pub fn ms(histogram: &Histogram<u64>, quantile: f64) -> f64 {
+pub fn quantile_ms(histogram: &Histogram<u64>, quantile: f64) -> f64 {
     histogram.value_at_quantile(quantile) as f64 / 1000.0
 }
--- a/crates/hazelspur-simulator/src/path/load.rs
+++ b/crates/hazelspur-simulator/src/path/load.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration as StdDuration, Instant};
 
 /// Requests open on a connection, by the protocol.
-pub const MAX_OPEN: usize = 32;
+pub const MAX_OPEN_REQUESTS: usize = 32;
 /// Connections of one play, those made anew with them; past these requests are not sent.
 const MAX_LINKS: usize = 4096;
 /// Unread bytes of a connection; more is no answer of ours.
@@ -50,12 +50,12 @@
 }
 
 /// How requests are said on a connection; numbers are places in the plan.
-pub trait Wire: Send + Sync {
+pub trait WireProtocol: Send + Sync {
     /// What goes out first on a connection.
     fn greeting(&self) -> Vec<u8>;
-    fn request(&self, number: usize, arrival: &Arrival) -> Vec<u8>;
+    fn encode_request(&self, number: usize, arrival: &Arrival) -> Vec<u8>;
     /// The first whole message and its length; `None` while it is not all there.
-    fn message(&self, unread: &[u8]) -> Option<(usize, Message)>;
+    fn decode_message(&self, unread: &[u8]) -> Option<(usize, Message)>;
 }
 
 /// What became of a request.
@@ -106,7 +106,7 @@
 
 /// Counts of fates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct OutcomeCounts {
     pub planned: usize,
     pub acked: usize,
     pub refused: usize,
@@ -117,7 +117,7 @@
     pub unsent: usize,
 }
 
-impl Tally {
+impl OutcomeCounts {
     /// Adds the counts of another tally.
     pub fn add(&mut self, other: &Self) {
         self.planned += other.planned;
@@ -131,29 +131,29 @@
     }
 
     /// Of the planned requests.
-    pub fn share(&self, count: usize) -> f64 {
+    pub fn share_of_planned(&self, count: usize) -> f64 {
         count as f64 / self.planned.max(1) as f64
     }
 }
 
 /// A play that is over.
-pub struct Played {
-    pub tally: Tally,
+pub struct LoadResult {
+    pub tally: OutcomeCounts,
     /// Microseconds from each request's fixed arrival time to its answer; what was broken, not sent or never answered
     /// counts with the time until the end of the play. Other answers than acks are only in the tally.
     pub latency_us: Histogram<u64>,
     /// How late this tool itself sent, in microseconds: part of the latency.
-    pub late_us: Histogram<u64>,
-    pub took: StdDuration,
+    pub send_delay_us: Histogram<u64>,
+    pub duration: StdDuration,
 }
 
 /// An empty histogram of microseconds.
-pub fn histogram() -> Histogram<u64> {
+pub fn latency_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, LONGEST_US, 3).expect("bounds that fit")
 }
 
 struct Loop<'a> {
-    wire: &'a Arc<dyn Wire>,
+    wire: &'a Arc<dyn WireProtocol>,
     address: SocketAddr,
     began: Instant,
     record: Arc<Mutex<Record>>,
@@ -184,7 +184,7 @@
 
     /// Sends at the first place from this one on that has room; false where none has.
     fn send(&mut self, from: usize, number: usize, arrival: &Arrival) -> bool {
-        let bytes = self.wire.request(number, arrival);
+        let bytes = self.wire.encode_request(number, arrival);
         let count = self.places.len();
         for place in (0..count).map(|i| (from + i) % count) {
             let takes = |record: &Record, link: usize| record.links[link].takes;
@@ -195,7 +195,7 @@
             let Some((link, stream)) = &mut self.places[place] else { continue };
             {
                 let mut record = lock(&self.record);
-                if record.links[*link].open >= MAX_OPEN {
+                if record.links[*link].open >= MAX_OPEN_REQUESTS {
                     continue;
                 }
                 record.links[*link].open += 1;
@@ -212,14 +212,14 @@
     }
 }
 
-fn read(record: &Mutex<Record>, wire: &dyn Wire, link: usize, mut stream: TcpStream, began: Instant) {
+fn read(record: &Mutex<Record>, wire: &dyn WireProtocol, link: usize, mut stream: TcpStream, began: Instant) {
     let (mut unread, mut part) = (Vec::new(), [0; 16 * 1024]);
     loop {
         match stream.read(&mut part) {
             Ok(count @ 1..) => {
                 let at = Duration::from_us(began.elapsed().as_micros() as u64);
                 unread.extend_from_slice(&part[..count]);
-                while let Some((used, message)) = wire.message(&unread) {
+                while let Some((used, message)) = wire.decode_message(&unread) {
                     unread.drain(..used);
                     match message {
                         Message::Answer(number, answer) => lock(record).answered(link, number, answer, at),
@@ -257,13 +257,13 @@
 ///
 /// # Errors
 /// Where nobody listens at the address at the beginning.
-pub fn play(
-    wire: &Arc<dyn Wire>,
+pub fn run_plan(
+    wire: &Arc<dyn WireProtocol>,
     address: SocketAddr,
     plan: &[Arrival],
     connections: usize,
     patience: StdDuration,
-) -> anyhow::Result<Played> {
+) -> anyhow::Result<LoadResult> {
     anyhow::ensure!(address.ip().is_loopback(), "only on loopback");
     let record = Record { fates: vec![Fate::Unsent; plan.len()], links: Vec::new(), over: false };
     let mut played = Loop {
@@ -279,12 +279,12 @@
     for place in 0..played.places.len() {
         played.connect(place).with_context(|| format!("no connection to {address}"))?;
     }
-    let mut late_us = histogram();
+    let mut send_delay_us = latency_histogram();
     wait_until(played.began);
     for (number, arrival) in plan.iter().enumerate() {
         let due = played.began + StdDuration::from_micros(arrival.at.us());
         wait_until(due);
-        late_us.saturating_record(due.elapsed().as_micros() as u64);
+        send_delay_us.saturating_record(due.elapsed().as_micros() as u64);
         played.send(number, number, arrival);
     }
     let last = Instant::now() + patience;
@@ -292,7 +292,7 @@
     while Instant::now() < last && open(&lock(&played.record)) {
         sleep(END_LOOK);
     }
-    let took = played.began.elapsed();
+    let duration = played.began.elapsed();
     let fates = {
         let mut record = lock(&played.record);
         record.over = true;
@@ -300,11 +300,16 @@
     };
     played.places.iter().flatten().for_each(|(_, stream)| drop(stream.shutdown(Shutdown::Both)));
     played.readers.into_iter().for_each(|reader| drop(reader.join()));
-    Ok(Played { tally: tally(&fates), latency_us: latencies(&fates, plan, took), late_us, took })
+    Ok(LoadResult {
+        tally: tally(&fates),
+        latency_us: latencies(&fates, plan, duration),
+        send_delay_us,
+        duration,
+    })
 }
 
-fn tally(fates: &[Fate]) -> Tally {
-    let mut tally = Tally { planned: fates.len(), ..Tally::default() };
+fn tally(fates: &[Fate]) -> OutcomeCounts {
+    let mut tally = OutcomeCounts { planned: fates.len(), ..OutcomeCounts::default() };
     for fate in fates {
         *match fate {
             Fate::Unsent => &mut tally.unsent,
@@ -319,13 +324,13 @@
     tally
 }
 
-fn latencies(fates: &[Fate], plan: &[Arrival], took: StdDuration) -> Histogram<u64> {
-    let mut all = histogram();
+fn latencies(fates: &[Fate], plan: &[Arrival], duration: StdDuration) -> Histogram<u64> {
+    let mut all = latency_histogram();
     for (fate, arrival) in fates.iter().zip(plan) {
         let end_us = match fate {
             Fate::Answered(Answer::Acked, at) => at.us(),
             Fate::Answered(..) => continue,
-            Fate::Unsent | Fate::Open(_) | Fate::Broken => took.as_micros() as u64,
+            Fate::Unsent | Fate::Open(_) | Fate::Broken => duration.as_micros() as u64,
         };
         all.saturating_record(end_us.saturating_sub(arrival.at.us()));
     }
--- a/crates/hazelspur-simulator/src/path/plan.rs
+++ b/crates/hazelspur-simulator/src/path/plan.rs
@@ -66,7 +66,7 @@
 }
 
 /// The name of a request class by its number.
-pub fn op_type_name(number: usize) -> String {
+pub fn request_class_name(number: usize) -> String {
     format!("route-{number}")
 }
 
@@ -77,25 +77,25 @@
 
 /// Where a server listens and what it connects to.
 #[derive(Clone, Copy, Debug)]
-pub struct Around {
+pub struct ServerAddresses {
     pub listen: SocketAddr,
-    pub runtime: SocketAddr,
-    pub control: SocketAddr,
+    pub worker: SocketAddr,
+    pub registry: SocketAddr,
 }
 
 /// The platform's configuration of a server with tables of this size, in the form of `examples/config.json`
 /// without white space. All request classes may be repeated; `servers` is the size of the fleet that quotas are for.
-pub fn configuration(size: TableSize, around: Around, servers: usize, seed: u64) -> String {
+pub fn configuration(size: TableSize, addresses: ServerAddresses, servers: usize, seed: u64) -> String {
     let request_class = |i| {
-        json!({"name": op_type_name(i), "aim-us": TARGET_US, "deadline-us": OP_TIMEOUT_US,
+        json!({"name": request_class_name(i), "aim-us": TARGET_US, "deadline-us": OP_TIMEOUT_US,
             "semantics": "safe", "importance": 1 + i % 5})
     };
     let request_classes: Vec<_> = (0..size.request_classes).map(request_class).collect();
     let tenant = |i| json!({"name": tenant_name(i), "quota-rps": QUOTA_PER_S});
     let tenants: Vec<_> = (0..size.tenants).map(tenant).collect();
     json!({
-        "name": "n1", "listen": around.listen.to_string(), "runtime": around.runtime.to_string(),
-        "control": around.control.to_string(), "seed": format!("{seed:016x}"), "stop_ms": STOP_MS,
+        "name": "n1", "listen": addresses.listen.to_string(), "runtime": addresses.worker.to_string(),
+        "control": addresses.registry.to_string(), "seed": format!("{seed:016x}"), "stop_ms": STOP_MS,
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "settings": {
             "family-info": {"n-cores": CORES, "mem-limit-kb": 1_000_000, "run-factor": 8, "stop-mode": "drop",
@@ -113,7 +113,7 @@
 
 /// How many distinct request classes and tenants are met, spread evenly over the whole tables; all where `None`.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Met {
+pub struct DistinctEntries {
     pub request_classes: Option<usize>,
     pub tenants: Option<usize>,
 }
@@ -134,7 +134,7 @@
 /// A rate or length from which no play follows, or one of more than `MAX_ARRIVALS`.
 pub fn arrivals(
     size: TableSize,
-    met: Met,
+    met: DistinctEntries,
     rate: f64,
     length: Duration,
     seed: u64,
@@ -165,7 +165,7 @@
 }
 
 /// How many different request classes and tenants these meet.
-pub fn distinct(arrivals: &[Arrival]) -> (usize, usize) {
+pub fn count_distinct(arrivals: &[Arrival]) -> (usize, usize) {
     let request_classes: BTreeSet<_> = arrivals.iter().map(|a| a.request_class).collect();
     let tenants: BTreeSet<_> = arrivals.iter().map(|a| a.tenant).collect();
     (request_classes.len(), tenants.len())
--- a/crates/hazelspur-simulator/src/path/points.rs
+++ b/crates/hazelspur-simulator/src/path/points.rs
@@ -1,12 +1,12 @@
 //! The points that `path` saves.
 
-use crate::path::command::Asked;
-use crate::path::figures::{Point, ms};
-use crate::path::load::Tally;
+use crate::path::command::PathArguments;
+use crate::path::figures::{Point, quantile_ms};
+use crate::path::load::OutcomeCounts;
 use crate::path::rounds::{Cell, Side};
 
 /// All points of a finished `path`.
-pub(super) fn path_points(asked: &Asked, sides: &[Side; 2]) -> Vec<Point> {
+pub(super) fn path_points(asked: &PathArguments, sides: &[Side; 2]) -> Vec<Point> {
     let mut points = Vec::new();
     for side in sides {
         for (cell, rate) in side.cells.iter().zip(&asked.rates) {
@@ -18,22 +18,22 @@
     points
 }
 
-fn add_cell(points: &mut Vec<Point>, asked: &Asked, case: &str, cell: &Cell, rate: f64) {
+fn add_cell(points: &mut Vec<Point>, asked: &PathArguments, case: &str, cell: &Cell, rate: f64) {
     let at = ("rate_per_s", rate);
     let quantiles = [("p50_ms", 0.5), ("p99_ms", 0.99), ("p999_ms", 0.999)];
     for (name, quantile) in quantiles.into_iter().filter(|_| cell.ran()) {
-        let value = ms(&cell.added_us, quantile);
+        let value = quantile_ms(&cell.added_us, quantile);
         points.push(asked.point(&format!("path.added.{name}"), case, "ms", at, value));
     }
     points.push(asked.point("path.ops", case, "ops", at, cell.tally.planned as f64));
-    let Tally { refused, unknown, failed, broken, unanswered, unsent, .. } = cell.tally;
+    let OutcomeCounts { refused, unknown, failed, broken, unanswered, unsent, .. } = cell.tally;
     for (name, count) in [
         ("refused", refused),
         ("unknown", unknown),
         ("failed", failed + broken),
         ("unanswered", unanswered + unsent),
     ] {
-        let share = cell.tally.share(count);
+        let share = cell.tally.share_of_planned(count);
         points.push(asked.point(&format!("path.{name}.share"), case, "share", at, share));
     }
     if cell.ran() {
@@ -42,7 +42,7 @@
     }
 }
 
-fn add_side(points: &mut Vec<Point>, asked: &Asked, side: &Side) {
+fn add_side(points: &mut Vec<Point>, asked: &PathArguments, side: &Side) {
     let tenants = ("tenants", side.size.tenants as f64);
     let size = side.size.to_string();
     if side.ran() {
@@ -52,7 +52,7 @@
     points.push(asked.point("path.memory.anon_bytes", &size, "B", tenants, anon));
 }
 
-fn add_ratios(points: &mut Vec<Point>, asked: &Asked, sides: &[Side; 2]) {
+fn add_ratios(points: &mut Vec<Point>, asked: &PathArguments, sides: &[Side; 2]) {
     let [small, large] = sides;
     if !(small.ran() && large.ran()) {
         return;
@@ -62,7 +62,8 @@
     points.push(asked.point("path.lookup_ratio", "cpu", "ratio", tenants, whole));
     for (i, rate) in asked.rates.iter().enumerate() {
         for (name, quantile) in [("p50", 0.5), ("p99", 0.99)] {
-            let ratio = ms(&large.cells[i].added_us, quantile) / ms(&small.cells[i].added_us, quantile);
+            let ratio = quantile_ms(&large.cells[i].added_us, quantile)
+                / quantile_ms(&small.cells[i].added_us, quantile);
             let case = format!("{name} at {rate}/s");
             points.push(asked.point("path.lookup_ratio", &case, "ratio", tenants, ratio));
         }
--- a/crates/hazelspur-simulator/src/path/process.rs
+++ b/crates/hazelspur-simulator/src/path/process.rs
@@ -2,9 +2,9 @@
 //! tool are in one register, so that they end with it: by process id, also when a play fails, at a signal to
 //! the tool, and when its time is over.
 
-use crate::path::load::{Message, Wire};
-use crate::path::plan::{Around, Arrival, TableSize, configuration};
-use crate::path::wires::GatewayWire;
+use crate::path::load::{Message, WireProtocol};
+use crate::path::plan::{Arrival, ServerAddresses, TableSize, configuration};
+use crate::path::wires::GatewayProtocol;
 use anyhow::{Context, bail, ensure};
 use hazelspur_test_doubles::registry::Registry;
 use hazelspur_test_doubles::reserved_address::ReservedAddress;
@@ -59,7 +59,7 @@
 ///
 /// # Errors
 /// Where signals can't be listened for.
-pub fn watch(limit: Duration) -> std::io::Result<()> {
+pub fn end_servers_on_signal_or_after(limit: Duration) -> std::io::Result<()> {
     use tokio::signal::unix::{SignalKind, signal};
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let entered = runtime.enter();
@@ -90,7 +90,7 @@
 
 /// What a server is started with.
 #[derive(Clone, Copy, Debug)]
-pub struct ServerStart<'a> {
+pub struct ServerOptions<'a> {
     /// The server's program.
     pub program: &'a Path,
     /// Sizes of its tables.
@@ -102,14 +102,14 @@
     /// Seed of the settings.
     pub seed: u64,
     /// Text of the operator's file, if there is one.
-    pub operator: Option<&'a str>,
+    pub operator_file: Option<&'a str>,
 }
 
 /// A server that runs, and what it is connected to.
 pub struct Server {
     id: u32,
     pub address: SocketAddr,
-    pub file_bytes: u64,
+    pub settings_file_bytes: u64,
     began: Instant,
     _runtime: Worker,
     _control: Registry,
@@ -117,7 +117,7 @@
 }
 
 /// A stand-in runtime that answers after so many milliseconds, at once for 0.
-pub fn runtime(run_ms: u64) -> Worker {
+pub fn start_worker(run_ms: u64) -> Worker {
     let pace = WorkerSettings { run_ms, makes_calls: false, fail_every: 0, cores: 64, call_deadline_ms: 0 };
     let runtime = Worker::start("127.0.0.1:0", pace);
     runtime.state().discards_history = true;
@@ -130,41 +130,50 @@
     ///
     /// # Errors
     /// Where the files or the process can't be made.
-    pub fn start(start: &ServerStart<'_>) -> anyhow::Result<Self> {
-        let ServerStart { program, size, servers, run_ms, seed, operator } = *start;
+    pub fn start(start: &ServerOptions<'_>) -> anyhow::Result<Self> {
+        let ServerOptions { program, size, servers, run_ms, seed, operator_file } = *start;
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("hazelspur-path-{}-{run}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
-        let (runtime, control) = (runtime(run_ms), Registry::start("127.0.0.1:0"));
+        let (runtime, control) = (start_worker(run_ms), Registry::start("127.0.0.1:0"));
         let reserved = ReservedAddress::on(Ipv4Addr::LOCALHOST)?;
         let address = reserved.address();
-        let around = Around { listen: address, runtime: runtime.address, control: control.address };
-        let text = configuration(size, around, servers, seed);
+        let addresses =
+            ServerAddresses { listen: address, worker: runtime.address, registry: control.address };
+        let text = configuration(size, addresses, servers, seed);
         let file = folder.join("n1.json");
         std::fs::write(&file, &text)?;
         let mut command = Command::new(program);
         command.env("ROUTER_CONFIG", &file).env_remove("HAZELSPUR_FILE").env_remove("HAZELSPUR_LOG");
-        if let Some(text) = operator {
+        if let Some(text) = operator_file {
             std::fs::write(folder.join("operator.star"), text)?;
             command.env("HAZELSPUR_FILE", folder.join("operator.star"));
         }
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(File::create(folder.join("log"))?);
         let began = Instant::now();
         let child = command.spawn().with_context(|| format!("{program:?}"))?;
-        let (id, file_bytes) = (child.id(), text.len() as u64);
+        let (id, settings_file_bytes) = (child.id(), text.len() as u64);
         live().insert(id, (child, folder));
-        Ok(Self { id, address, file_bytes, began, _runtime: runtime, _control: control, _reserved: reserved })
+        Ok(Self {
+            id,
+            address,
+            settings_file_bytes,
+            began,
+            _runtime: runtime,
+            _control: control,
+            _reserved: reserved,
+        })
     }
 
     /// Waits until a health check says that it is serving; gives the time and the CPU time from the start.
     ///
     /// # Errors
     /// Where it ends, or is not serving within 20 s; the last lines of its log are in the message.
-    pub fn until_serving(&self) -> anyhow::Result<(Duration, Duration)> {
+    pub fn wait_until_serving(&self) -> anyhow::Result<(Duration, Duration)> {
         while self.began.elapsed() < START_TIMEOUT {
             ensure!(self.runs(), "the server ended: {}", self.last_words());
             if self.serving().unwrap_or(false) {
-                return Ok((self.began.elapsed(), self.cpu()?));
+                return Ok((self.began.elapsed(), self.cpu_time()?));
             }
             sleep(HEALTH_CHECK_PERIOD);
         }
@@ -186,7 +195,7 @@
         let said = || -> anyhow::Result<usize> {
             Ok(std::fs::read_to_string(folder.join("log"))?.matches("settings changed").count())
         };
-        let (before, cpu, began) = (said()?, self.cpu()?, Instant::now());
+        let (before, cpu, began) = (said()?, self.cpu_time()?, Instant::now());
         let mut stall = Duration::ZERO;
         kill(Pid::from_raw(self.id as i32), Signal::SIGHUP)?;
         while said()? == before {
@@ -199,7 +208,7 @@
             ensure!(self.serving()?, "not serving");
             stall = stall.max(asked.elapsed());
         }
-        Ok((began.elapsed(), self.cpu()? - cpu, stall))
+        Ok((began.elapsed(), self.cpu_time()? - cpu, stall))
     }
 
     fn serving(&self) -> anyhow::Result<bool> {
@@ -218,17 +227,17 @@
     }
 
     fn ask(&self, request_class: usize, tenant: usize) -> anyhow::Result<String> {
-        let wire = GatewayWire::new(RUNS.fetch_add(1, Ordering::Relaxed) | 0x8000_0000, 30);
+        let wire = GatewayProtocol::new(RUNS.fetch_add(1, Ordering::Relaxed) | 0x8000_0000, 30);
         let mut stream = TcpStream::connect(self.address)?;
         stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
         let arrival = Arrival { at: hazelspur::Duration::ZERO, request_class, tenant };
-        stream.write_all(&wire.request(0, &arrival))?;
+        stream.write_all(&wire.encode_request(0, &arrival))?;
         let mut reader = BufReader::new(&stream);
         for _ in 0..MAX_LINES {
             let mut line = Vec::new();
             ensure!(reader.read_until(b'\n', &mut line)? > 0, "closed");
-            if let Some((_, Message::Answer(0, _))) = wire.message(&line) {
-                return Ok(GatewayWire::describe(&line));
+            if let Some((_, Message::Answer(0, _))) = wire.decode_message(&line) {
+                return Ok(GatewayProtocol::describe(&line));
             }
         }
         bail!("none of {MAX_LINES} lines answers it")
@@ -239,7 +248,7 @@
     ///
     /// # Errors
     /// Where the process is gone.
-    pub fn cpu(&self) -> anyhow::Result<Duration> {
+    pub fn cpu_time(&self) -> anyhow::Result<Duration> {
         let clock = ClockId::pid_cpu_clock_id(Pid::from_raw(self.id as i32))?;
         Ok(clock.now()?.into())
     }
@@ -248,7 +257,7 @@
     ///
     /// # Errors
     /// Where the process is gone.
-    pub fn cpu_by_stat(&self) -> anyhow::Result<Duration> {
+    pub fn cpu_time_by_stat(&self) -> anyhow::Result<Duration> {
         let ticks = nix::unistd::sysconf(nix::unistd::SysconfVar::CLK_TCK)?.unwrap_or(100) as f64;
         let text = std::fs::read_to_string(self.proc("stat"))?;
         // Past the name, which may hold anything: state is field 3, user and system time are 14 and 15.
@@ -261,10 +270,10 @@
     ///
     /// # Errors
     /// Where the process is gone.
-    pub fn rest_share(&self, length: Duration) -> anyhow::Result<f64> {
-        let (from, began) = (self.cpu()?, Instant::now());
+    pub fn idle_cpu_share(&self, length: Duration) -> anyhow::Result<f64> {
+        let (from, began) = (self.cpu_time()?, Instant::now());
         sleep(length);
-        Ok((self.cpu()? - from).as_secs_f64() / began.elapsed().as_secs_f64())
+        Ok((self.cpu_time()? - from).as_secs_f64() / began.elapsed().as_secs_f64())
     }
 
     /// # Errors
--- a/crates/hazelspur-simulator/src/path/rounds.rs
+++ b/crates/hazelspur-simulator/src/path/rounds.rs
@@ -1,13 +1,13 @@
 //! The rounds of `path`: small and large tables in turn, each with a fresh server under each rate.
 
-use crate::path::command::{Asked, LARGE, MAX_STRAIGHT, SETTLE, SMALL, WARM_UP};
-use crate::path::figures::added;
-use crate::path::load::{Played, Tally, Wire, histogram, play};
+use crate::path::command::{LARGE, MAX_STRAIGHT, PathArguments, SETTLE, SMALL, WARM_UP};
+use crate::path::figures::added_latency;
+use crate::path::load::{LoadResult, OutcomeCounts, WireProtocol, latency_histogram, run_plan};
 use crate::path::plan::{Arrival, TableSize};
 use crate::path::points::path_points;
-use crate::path::process::{Memory, runtime};
+use crate::path::process::{Memory, start_worker};
 use crate::path::tables::path_tables;
-use crate::path::wires::{GatewayWire, RuntimeWire};
+use crate::path::wires::{GatewayProtocol, WorkerProtocol};
 use anyhow::Context;
 use hazelspur::Duration;
 use hdrhistogram::Histogram;
@@ -21,14 +21,14 @@
 
 /// One size of tables under one rate, over all rounds.
 pub(super) struct Cell {
-    pub(super) tally: Tally,
+    pub(super) tally: OutcomeCounts,
     pub(super) added_us: Histogram<u64>,
     pub(super) cpu: StdDuration,
 }
 
 impl Default for Cell {
     fn default() -> Self {
-        Self { tally: Tally::default(), added_us: histogram(), cpu: StdDuration::ZERO }
+        Self { tally: OutcomeCounts::default(), added_us: latency_histogram(), cpu: StdDuration::ZERO }
     }
 }
 
@@ -39,8 +39,8 @@
 
     /// Whether nearly all requests were run, or had no answer at all, which counts in the latency.
     pub(super) fn ran(&self) -> bool {
-        let Tally { refused, unknown, failed, .. } = self.tally;
-        self.tally.share(refused + unknown + failed) <= MAX_SHARE_NOT_RUN
+        let OutcomeCounts { refused, unknown, failed, .. } = self.tally;
+        self.tally.share_of_planned(refused + unknown + failed) <= MAX_SHARE_NOT_RUN
     }
 }
 
@@ -83,15 +83,15 @@
 
 pub(super) struct Straight {
     pub(super) latency_us: Histogram<u64>,
-    pub(super) late_us: Histogram<u64>,
+    pub(super) send_delay_us: Histogram<u64>,
 }
 
 /// Plays all rounds, prints the tables, and saves the points.
-pub(super) fn path(asked: &Asked) -> anyhow::Result<()> {
+pub(super) fn path(asked: &PathArguments) -> anyhow::Result<()> {
     let large = TableSize { request_classes: asked.request_classes, tenants: asked.tenants };
     let count = asked.rates.len();
     let mut sides = [Side::new(asked.small, count), Side::new(large, count)];
-    let straight = || Straight { latency_us: histogram(), late_us: histogram() };
+    let straight = || Straight { latency_us: latency_histogram(), send_delay_us: latency_histogram() };
     let mut straights: Vec<Straight> = asked.rates.iter().map(|_| straight()).collect();
     for round in 0..asked.rounds {
         for side in &mut sides {
@@ -104,22 +104,27 @@
 }
 
 /// A fresh server of one size under each of the rates.
-fn turn(asked: &Asked, side: &mut Side, straights: &mut [Straight], round: u32) -> anyhow::Result<()> {
+fn turn(
+    asked: &PathArguments,
+    side: &mut Side,
+    straights: &mut [Straight],
+    round: u32,
+) -> anyhow::Result<()> {
     let server = asked.start(side.size)?;
-    server.until_serving()?;
+    server.wait_until_serving()?;
     let mut plays = 0;
     let mut next = || {
         plays += 1;
         plays
     };
-    let through = |play_no: u32, plan: &[Arrival]| -> anyhow::Result<Played> {
-        let wire: Arc<dyn Wire> = Arc::new(GatewayWire::new(play_no, asked.body_bytes));
-        play(&wire, server.address, plan, asked.connections, LAST_ANSWER_TIMEOUT)
+    let through = |play_no: u32, plan: &[Arrival]| -> anyhow::Result<LoadResult> {
+        let wire: Arc<dyn WireProtocol> = Arc::new(GatewayProtocol::new(play_no, asked.body_bytes));
+        run_plan(&wire, server.address, plan, asked.connections, LAST_ANSWER_TIMEOUT)
     };
     let warm = asked.rates.iter().copied().fold(0.0, f64::max);
     through(next(), &asked.plan(side.size, warm, WARM_UP, u64::MAX)?)?;
     std::thread::sleep(SETTLE);
-    let rest = server.rest_share(StdDuration::from_secs_f64(asked.rest_seconds))?;
+    let rest = server.idle_cpu_share(StdDuration::from_secs_f64(asked.rest_seconds))?;
     side.rest.push(rest);
     let (mut used, mut requests) = (0.0, 0);
     for (i, rate) in asked.rates.iter().enumerate() {
@@ -132,29 +137,29 @@
         )?;
         let usual = straight(asked, side.size, *rate, part)?;
         straights[i].latency_us.add(&usual.latency_us)?;
-        straights[i].late_us.add(&usual.late_us)?;
-        let from = server.cpu()?;
+        straights[i].send_delay_us.add(&usual.send_delay_us)?;
+        let from = server.cpu_time()?;
         let played = through(next(), &plan)?;
-        let cpu = (server.cpu()? - from).as_secs_f64() - rest * played.took.as_secs_f64();
+        let cpu = (server.cpu_time()? - from).as_secs_f64() - rest * played.duration.as_secs_f64();
         used += cpu;
         requests += played.tally.planned;
         let cell = &mut side.cells[i];
         cell.cpu += StdDuration::from_secs_f64(cpu.max(0.0));
         cell.tally.add(&played.tally);
-        cell.added_us.add(added(&played.latency_us, &usual.latency_us))?;
+        cell.added_us.add(added_latency(&played.latency_us, &usual.latency_us))?;
     }
     side.rounds.push(used * 1e6 / f64::from(u32::try_from(requests)?.max(1)));
     side.memory = server.memory()?;
-    side.cpu[0] += server.cpu()?;
-    side.cpu[1] += server.cpu_by_stat()?;
+    side.cpu[0] += server.cpu_time()?;
+    side.cpu[1] += server.cpu_time_by_stat()?;
     Ok(())
 }
 
 /// The same arrivals, without a server between this tool and a stand-in runtime.
-fn straight(asked: &Asked, size: TableSize, rate: f64, part: u64) -> anyhow::Result<Played> {
+fn straight(asked: &PathArguments, size: TableSize, rate: f64, part: u64) -> anyhow::Result<LoadResult> {
     let length = Duration::from_secs((asked.seconds / f64::from(asked.rounds)).min(MAX_STRAIGHT.secs()));
     let plan = asked.plan(size, rate, length, part)?;
-    let runtime = runtime(asked.run_ms);
-    let wire: Arc<dyn Wire> = Arc::new(RuntimeWire::new(1, asked.body_bytes));
-    play(&wire, runtime.address, &plan, 1, LAST_ANSWER_TIMEOUT)
+    let runtime = start_worker(asked.run_ms);
+    let wire: Arc<dyn WireProtocol> = Arc::new(WorkerProtocol::new(1, asked.body_bytes));
+    run_plan(&wire, runtime.address, &plan, 1, LAST_ANSWER_TIMEOUT)
 }
--- a/crates/hazelspur-simulator/src/path/tables.rs
+++ b/crates/hazelspur-simulator/src/path/tables.rs
@@ -1,8 +1,8 @@
 //! The tables that `path` prints.
 
-use crate::path::command::Asked;
-use crate::path::figures::ms;
-use crate::path::plan::distinct;
+use crate::path::command::PathArguments;
+use crate::path::figures::quantile_ms;
+use crate::path::plan::count_distinct;
 use crate::path::rounds::{Cell, Side, Straight};
 use comfy_table::{Table, presets};
 use hazelspur::Duration;
@@ -23,7 +23,7 @@
 /// # Errors
 /// Where a plan cannot be made.
 pub(super) fn path_tables(
-    asked: &Asked,
+    asked: &PathArguments,
     sides: &[Side; 2],
     straights: &[Straight],
 ) -> anyhow::Result<String> {
@@ -36,7 +36,7 @@
     .concat())
 }
 
-fn through_server(asked: &Asked, sides: &[Side; 2]) -> String {
+fn through_server(asked: &PathArguments, sides: &[Side; 2]) -> String {
     let mut rows = table(&[
         "ops/s",
         "tables",
@@ -56,29 +56,29 @@
         for side in sides {
             let Cell { tally, added_us, .. } = &side.cells[i];
             let mut row = vec![rate.to_string(), side.size.to_string(), tally.planned.to_string()];
-            row.extend([0.5, 0.99, 0.999].map(|quantile| format!("{:.3}", ms(added_us, quantile))));
+            row.extend([0.5, 0.99, 0.999].map(|quantile| format!("{:.3}", quantile_ms(added_us, quantile))));
             row.push(format!("{:.1}", side.cells[i].cpu_us_per_op()));
             let counts = [tally.refused, tally.unknown, tally.failed, tally.broken];
             let counts = counts.into_iter().chain([tally.unanswered, tally.unsent]);
-            row.extend(counts.map(|count| format!("{:.4}", tally.share(count))));
+            row.extend(counts.map(|count| format!("{:.4}", tally.share_of_planned(count))));
             rows.add_row(row);
         }
     }
     format!("Through one server, less the middle of those straight to the runtime:\n{rows}\n\n")
 }
 
-fn straight_to_runtime(asked: &Asked, straights: &[Straight]) -> String {
+fn straight_to_runtime(asked: &PathArguments, straights: &[Straight]) -> String {
     let mut rows = table(&["ops/s", "straight p50 ms", "p99 ms", "p99.9 ms", "sent late p50 ms", "p99 ms"]);
-    for (rate, Straight { latency_us, late_us }) in asked.rates.iter().zip(straights) {
+    for (rate, Straight { latency_us, send_delay_us }) in asked.rates.iter().zip(straights) {
         let mut row = vec![rate.to_string()];
-        row.extend([0.5, 0.99, 0.999].map(|quantile| format!("{:.3}", ms(latency_us, quantile))));
-        row.extend([0.5, 0.99].map(|quantile| format!("{:.3}", ms(late_us, quantile))));
+        row.extend([0.5, 0.99, 0.999].map(|quantile| format!("{:.3}", quantile_ms(latency_us, quantile))));
+        row.extend([0.5, 0.99].map(|quantile| format!("{:.3}", quantile_ms(send_delay_us, quantile))));
         rows.add_row(row);
     }
     format!("Straight to the runtime, what this tool takes among it:\n{rows}\n\n")
 }
 
-fn all_rates(asked: &Asked, sides: &[Side; 2]) -> anyhow::Result<String> {
+fn all_rates(asked: &PathArguments, sides: &[Side; 2]) -> anyhow::Result<String> {
     let mut rows = table(&[
         "tables",
         "op types met",
@@ -96,7 +96,7 @@
             let length = Duration::from_secs(asked.seconds / f64::from(asked.rounds));
             met.extend(asked.plan(side.size, asked.rates[i], length, (u64::from(round) << 8) | i as u64)?);
         }
-        let (request_classes, tenants) = distinct(&met);
+        let (request_classes, tenants) = count_distinct(&met);
         let rest = side.rest.iter().sum::<f64>() / side.rest.len().max(1) as f64;
         rows.add_row([
             side.size.to_string(),
@@ -113,13 +113,13 @@
     Ok(format!("All rates together:\n{rows}\n\n"))
 }
 
-fn large_over_small(asked: &Asked, sides: &[Side; 2]) -> String {
+fn large_over_small(asked: &PathArguments, sides: &[Side; 2]) -> String {
     let mut rows = table(&["ops/s", "CPU of an op", "p50", "p99", "p99.9"]);
     let [small, large] = sides;
     for (i, rate) in asked.rates.iter().enumerate() {
         let (s, l) = (&small.cells[i], &large.cells[i]);
         let mut row = vec![rate.to_string(), format!("{:.2}", l.cpu_us_per_op() / s.cpu_us_per_op())];
-        let ratio = |quantile| ms(&l.added_us, quantile) / ms(&s.added_us, quantile);
+        let ratio = |quantile| quantile_ms(&l.added_us, quantile) / quantile_ms(&s.added_us, quantile);
         row.extend([0.5, 0.99, 0.999].map(|quantile| format!("{:.2}", ratio(quantile))));
         rows.add_row(row);
     }
--- a/crates/hazelspur-simulator/src/path/wires.rs
+++ b/crates/hazelspur-simulator/src/path/wires.rs
@@ -1,8 +1,8 @@
 //! How a request is said and its answer read: as a gateway says it to a server, and as a server says it to a
 //! runtime. The second one tells what the stand-in runtime and this tool take by themselves.
 
-use crate::path::load::{Answer, Message, Wire};
-use crate::path::plan::{Arrival, op_type_name, tenant_name};
+use crate::path::load::{Answer, Message, WireProtocol};
+use crate::path::plan::{Arrival, request_class_name, tenant_name};
 use serde_json::{Value, json};
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -24,13 +24,13 @@
 
 /// JSON-RPC lines to a server. Request ids carry `play`, so that those of two plays differ.
 #[derive(Clone, Debug)]
-pub struct GatewayWire {
+pub struct GatewayProtocol {
     play: u32,
     /// The body of all requests, base64.
     data: String,
 }
 
-impl GatewayWire {
+impl GatewayProtocol {
     /// Bodies of `body_bytes`, rounded down to whole threes.
     pub fn new(play: u32, body_bytes: usize) -> Self {
         Self { play, data: "aGF6".repeat(body_bytes / 3) }
@@ -58,21 +58,22 @@
     }
 }
 
-impl Wire for GatewayWire {
+impl WireProtocol for GatewayProtocol {
     fn greeting(&self) -> Vec<u8> {
         Vec::new()
     }
 
-    fn request(&self, number: usize, arrival: &Arrival) -> Vec<u8> {
+    fn encode_request(&self, number: usize, arrival: &Arrival) -> Vec<u8> {
         let ts = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        let line = json!({"jsonrpc": "2.0", "id": number + 1, "method": op_type_name(arrival.request_class),
+        let line = json!({"jsonrpc": "2.0", "id": number + 1,
+            "method": request_class_name(arrival.request_class),
             "params": {"req": format!("{:08x}{number:08x}", self.play), "ts": ts, "via": number % CALLERS,
                 "timeout": TIMEOUT_MS, "need": NEED_KB, "level": 0.5, "owner": tenant_name(arrival.tenant),
                 "data": self.data}});
         format!("{line}\n").into_bytes()
     }
 
-    fn message(&self, unread: &[u8]) -> Option<(usize, Message)> {
+    fn decode_message(&self, unread: &[u8]) -> Option<(usize, Message)> {
         let end = unread.iter().position(|b| *b == b'\n')? + 1;
         let line: Value = serde_json::from_slice(&unread[..end]).unwrap_or(Value::Null);
         let meant = match line["id"].as_u64().filter(|id| *id > 0) {
@@ -90,32 +91,32 @@
 
 /// The runtime's lines, as a server says them.
 #[derive(Clone, Debug)]
-pub struct RuntimeWire {
+pub struct WorkerProtocol {
     play: u32,
     body: Vec<u8>,
 }
 
-impl RuntimeWire {
+impl WorkerProtocol {
     /// A wire for the requests of one play.
     pub fn new(play: u32, body_bytes: usize) -> Self {
         Self { play, body: b"haz".repeat(body_bytes / 3) }
     }
 }
 
-impl Wire for RuntimeWire {
+impl WireProtocol for WorkerProtocol {
     fn greeting(&self) -> Vec<u8> {
         b"sync 0\r\n".to_vec()
     }
 
-    fn request(&self, number: usize, arrival: &Arrival) -> Vec<u8> {
-        let (name, length) = (op_type_name(arrival.request_class), self.body.len());
+    fn encode_request(&self, number: usize, arrival: &Arrival) -> Vec<u8> {
+        let (name, length) = (request_class_name(arrival.request_class), self.body.len());
         let mut out = format!("start {:08x}{number:08x} {name} {length}\r\n", self.play).into_bytes();
         out.extend_from_slice(&self.body);
         out.extend_from_slice(b"\r\n");
         out
     }
 
-    fn message(&self, unread: &[u8]) -> Option<(usize, Message)> {
+    fn decode_message(&self, unread: &[u8]) -> Option<(usize, Message)> {
         let end = unread.iter().position(|b| *b == b'\n')? + 1;
         let line = String::from_utf8_lossy(&unread[..end]);
         let words: Vec<&str> = line.split_whitespace().collect();
--- a/crates/hazelspur-simulator/tests/path.rs
+++ b/crates/hazelspur-simulator/tests/path.rs
@@ -2,10 +2,14 @@
 
 use expect_test::expect;
 use hazelspur::Duration;
-use hazelspur_simulator::path::figures::{Point, Study, added, ms};
-use hazelspur_simulator::path::load::{MAX_OPEN, Message, Played, Tally, Wire, histogram, play};
-use hazelspur_simulator::path::plan::{Around, Arrival, Met, TableSize, arrivals, configuration, distinct};
-use hazelspur_simulator::path::wires::{GatewayWire, RuntimeWire};
+use hazelspur_simulator::path::figures::{Point, Study, added_latency, quantile_ms};
+use hazelspur_simulator::path::load::{
+    LoadResult, MAX_OPEN_REQUESTS, Message, OutcomeCounts, WireProtocol, latency_histogram, run_plan,
+};
+use hazelspur_simulator::path::plan::{
+    Arrival, DistinctEntries, ServerAddresses, TableSize, arrivals, configuration, count_distinct,
+};
+use hazelspur_simulator::path::wires::{GatewayProtocol, WorkerProtocol};
 use hazelspur_test_doubles::reserved_address::ReservedAddress;
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader, Write};
@@ -18,7 +22,7 @@
 const SIZE: TableSize = TableSize { request_classes: 8700, tenants: 42_000 };
 
 fn plan(size: TableSize, rate: f64, secs: f64, seed: u64) -> Vec<Arrival> {
-    arrivals(size, Met::default(), rate, Duration::from_secs(secs), seed).expect("a plan")
+    arrivals(size, DistinctEntries::default(), rate, Duration::from_secs(secs), seed).expect("a plan")
 }
 
 #[test]
@@ -58,10 +62,10 @@
 #[test]
 fn whole_tables_are_met_or_as_many_as_told_with_the_last_entry_among_them() {
     let small = TableSize { request_classes: 87, tenants: 420 };
-    assert_eq!(distinct(&plan(small, 300.0, 60.0, 1)), (87, 420));
-    let met = Met { request_classes: Some(10), tenants: Some(1) };
+    assert_eq!(count_distinct(&plan(small, 300.0, 60.0, 1)), (87, 420));
+    let met = DistinctEntries { request_classes: Some(10), tenants: Some(1) };
     let some = arrivals(SIZE, met, 300.0, Duration::from_secs(5.0), 1).expect("a plan");
-    assert_eq!(distinct(&some), (10, 1));
+    assert_eq!(count_distinct(&some), (10, 1));
     assert_eq!(some.iter().map(|a| (a.request_class, a.tenant)).max(), Some((8699, 41_999)));
     assert_eq!(some.iter().map(|a| a.request_class).min(), Some(0));
     assert!(arrivals(SIZE, met, 0.0, Duration::from_secs(5.0), 1).is_err());
@@ -71,8 +75,8 @@
 #[test]
 fn a_configuration_has_as_many_names_as_asked_for_all_different() {
     let at = |port| SocketAddr::from(([127, 0, 0, 1], port));
-    let around = Around { listen: at(1), runtime: at(2), control: at(3) };
-    let text = configuration(SIZE, around, 810, 7);
+    let addresses = ServerAddresses { listen: at(1), worker: at(2), registry: at(3) };
+    let text = configuration(SIZE, addresses, 810, 7);
     let all: serde_json::Value = serde_json::from_str(&text).expect("JSON");
     let names = |list: &str| -> Vec<String> {
         let list = all["settings"][list].as_array().expect("a list");
@@ -84,7 +88,7 @@
     }
     assert!(all["settings"]["lanes"].as_array().expect("a list").iter().all(|l| l["semantics"] == "safe"));
     let least = TableSize { request_classes: 1, tenants: 1 };
-    let text = configuration(least, around, 810, 7);
+    let text = configuration(least, addresses, 810, 7);
     let all: serde_json::Value = serde_json::from_str(&text).expect("JSON");
     expect![[r#"
         {
@@ -193,9 +197,9 @@
     format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"error\":{{\"code\":{code},\"message\":\"{message}\"}}}}\n")
 }
 
-fn played(address: SocketAddr, plan: &[Arrival], connections: usize, patience_ms: u64) -> Played {
-    let wire: Arc<dyn Wire> = Arc::new(GatewayWire::new(1, 30));
-    play(&wire, address, plan, connections, StdDuration::from_millis(patience_ms)).expect("it is played")
+fn played(address: SocketAddr, plan: &[Arrival], connections: usize, patience_ms: u64) -> LoadResult {
+    let wire: Arc<dyn WireProtocol> = Arc::new(GatewayProtocol::new(1, 30));
+    run_plan(&wire, address, plan, connections, StdDuration::from_millis(patience_ms)).expect("it is played")
 }
 
 #[test]
@@ -211,11 +215,11 @@
     let plan = plan(SIZE, 50.0, 3.0, 1);
     let played = played(slow, &plan, 1, 2000);
     assert_eq!((played.tally.acked, played.tally.planned), (plan.len(), plan.len()));
-    let mut straight = histogram();
+    let mut straight = latency_histogram();
     straight.record(200).expect("in bounds");
-    let added = added(&played.latency_us, &straight);
+    let added = added_latency(&played.latency_us, &straight);
     assert_eq!(added.len(), plan.len() as u64);
-    assert!(ms(&added, 0.999) >= 299.0, "{}", ms(&added, 0.999));
+    assert!(quantile_ms(&added, 0.999) >= 299.0, "{}", quantile_ms(&added, 0.999));
     let behind = plan.iter().filter(|a| a.at > plan[60].at && a.at < plan[60].at + Duration::from_ms(200));
     let waited = added.iter_recorded().filter(|step| step.value_iterated_to() >= 99_000);
     let waited: u64 = waited.map(|step| step.count_at_value()).sum();
@@ -224,13 +228,13 @@
 
 #[test]
 fn the_usual_time_straight_to_the_runtime_is_taken_out_and_nothing_else() {
-    let (mut through, mut straight) = (histogram(), histogram());
+    let (mut through, mut straight) = (latency_histogram(), latency_histogram());
     (0..1000u64).for_each(|i| through.record(500 + i % 7).expect("in bounds"));
     through.record(90_000).expect("in bounds");
     (0..99u64).for_each(|_| straight.record(200).expect("in bounds"));
     // A slow one straight to the runtime makes no later one faster.
     straight.record(80_000).expect("in bounds");
-    let added = added(&through, &straight);
+    let added = added_latency(&through, &straight);
     assert_eq!((added.value_at_quantile(0.5), added.len()), (303, 1001));
     assert!((89_700..90_000).contains(&added.max()), "{}", added.max());
 }
@@ -240,14 +244,19 @@
     let mute = peer(|_, _| None);
     let plan = plan(SIZE, 500.0, 0.5, 1);
     let began = Instant::now();
-    let Played { tally, latency_us, .. } = played(mute, &plan, 2, 100);
-    assert!(plan.len() > 2 * MAX_OPEN && began.elapsed() < StdDuration::from_secs(10));
-    let unsent = plan.len() - 2 * MAX_OPEN;
-    let wanted = Tally { planned: plan.len(), unanswered: 2 * MAX_OPEN, unsent, ..Tally::default() };
+    let LoadResult { tally, latency_us, .. } = played(mute, &plan, 2, 100);
+    assert!(plan.len() > 2 * MAX_OPEN_REQUESTS && began.elapsed() < StdDuration::from_secs(10));
+    let unsent = plan.len() - 2 * MAX_OPEN_REQUESTS;
+    let wanted = OutcomeCounts {
+        planned: plan.len(),
+        unanswered: 2 * MAX_OPEN_REQUESTS,
+        unsent,
+        ..OutcomeCounts::default()
+    };
     assert_eq!(tally, wanted);
     // They are in the histogram with the time until the end, not left out of it.
     assert_eq!(latency_us.len(), plan.len() as u64);
-    assert!(ms(&latency_us, 0.5) >= 100.0);
+    assert!(quantile_ms(&latency_us, 0.5) >= 100.0);
 }
 
 #[test]
@@ -276,23 +285,23 @@
 fn nobody_there_is_an_error_and_no_play() {
     let reserved = ReservedAddress::on(Ipv4Addr::LOCALHOST).expect("a free port");
     let gone = reserved.address();
-    let wire: Arc<dyn Wire> = Arc::new(GatewayWire::new(1, 30));
-    assert!(play(&wire, gone, &plan(SIZE, 50.0, 0.1, 1), 1, StdDuration::from_millis(50)).is_err());
+    let wire: Arc<dyn WireProtocol> = Arc::new(GatewayProtocol::new(1, 30));
+    assert!(run_plan(&wire, gone, &plan(SIZE, 50.0, 0.1, 1), 1, StdDuration::from_millis(50)).is_err());
 }
 
 #[test]
 fn straight_to_a_stand_in_runtime_all_is_acked() {
-    let runtime = hazelspur_simulator::path::process::runtime(0);
-    let wire: Arc<dyn Wire> = Arc::new(RuntimeWire::new(9, 201));
+    let runtime = hazelspur_simulator::path::process::start_worker(0);
+    let wire: Arc<dyn WireProtocol> = Arc::new(WorkerProtocol::new(9, 201));
     let plan = plan(SIZE, 300.0, 0.5, 2);
-    let played = play(&wire, runtime.address, &plan, 1, StdDuration::from_secs(2)).expect("it is played");
+    let played = run_plan(&wire, runtime.address, &plan, 1, StdDuration::from_secs(2)).expect("it is played");
     assert_eq!((played.tally.acked, played.tally.planned), (plan.len(), plan.len()));
 }
 
 #[test]
 fn messages_are_taken_only_whole_and_an_echo_that_differs_is_no_ack() {
-    let (gateway, runtime) = (GatewayWire::new(1, 6), RuntimeWire::new(3, 6));
-    let shown = |wire: &dyn Wire, bytes: &str| match wire.message(bytes.as_bytes()) {
+    let (gateway, runtime) = (GatewayProtocol::new(1, 6), WorkerProtocol::new(3, 6));
+    let shown = |wire: &dyn WireProtocol, bytes: &str| match wire.decode_message(bytes.as_bytes()) {
         None => "not whole".to_string(),
         Some((used, Message::Answer(number, answer))) => format!("{used}: {number} {answer:?}"),
         Some((used, Message::Closing)) => format!("{used}: closing"),
@@ -337,14 +346,14 @@
 fn points_measured_again_take_the_place_of_the_old_ones_and_those_of_another_text_go() {
     let old = study("path", "abc", vec![point("a", 148.0, 1.0), point("a", 296.0, 2.0)]);
     let new = study("path --cost", "abc", vec![point("a", 296.0, 3.0), point("b", 296.0, 4.0)]);
-    let joined = new.clone().joined(Some(old.clone()));
+    let joined = new.clone().merged_with(Some(old.clone()));
     assert_eq!(joined.command, "path; path --cost");
     let kept = vec![point("a", 148.0, 1.0), point("a", 296.0, 3.0), point("b", 296.0, 4.0)];
     assert_eq!(joined.points, kept);
-    let again = joined.clone().joined(Some(joined.clone()));
+    let again = joined.clone().merged_with(Some(joined.clone()));
     assert_eq!(again.points, joined.points);
     let other = Study { text: "def".into(), ..new.clone() };
-    assert_eq!(other.clone().joined(Some(old)), other);
+    assert_eq!(other.clone().merged_with(Some(old)), other);
     let file = std::env::temp_dir().join(format!("hazelspur-path-test-{}.json", std::process::id()));
     let _ = std::fs::remove_file(&file);
     joined.clone().save(&file).expect("it is written");
