--- a/crates/hazelspur-simulator/src/path/command.rs
+++ b/crates/hazelspur-simulator/src/path/command.rs
@@ -1,10 +1,10 @@
 //! The subcommand `path`: its arguments, the check that its plan fits the time limit, and the study's file.
 
-use crate::path::cost::cost;
+use crate::path::cost::measure_costs;
 use crate::path::figures::{Point, Study};
 use crate::path::plan::{Arrival, DistinctEntries, TableSize, arrivals};
 use crate::path::process::{Server, ServerOptions, end_servers_on_signal_or_after};
-use crate::path::rounds::path;
+use crate::path::rounds::measure_path;
 use anyhow::ensure;
 use clap::Args;
 use hazelspur::Duration;
@@ -15,9 +15,9 @@
 /// Requests before the measured ones, so that connections, code and allocator are warm.
 pub(super) const WARM_UP: Duration = Duration::from_ms(1000);
 /// The longest play straight to the runtime.
-pub(super) const MAX_STRAIGHT: Duration = Duration::from_ms(2000);
+pub(super) const MAX_DIRECT_DURATION: Duration = Duration::from_ms(2000);
 /// After a start, before the rest is measured.
-pub(super) const SETTLE: StdDuration = StdDuration::from_millis(700);
+pub(super) const SETTLING_PERIOD: StdDuration = StdDuration::from_millis(700);
 /// Sizes of the small tables.
 pub(super) const SMALL: TableSize = TableSize { request_classes: 87, tenants: 420 };
 /// Sizes of the large tables.
@@ -100,8 +100,8 @@
 
 impl PathArguments {
     fn program(&self) -> anyhow::Result<PathBuf> {
-        let beside = std::env::current_exe()?.with_file_name("hazelspur-server");
-        let program = self.server.clone().unwrap_or(beside);
+        let default_program = std::env::current_exe()?.with_file_name("hazelspur-server");
+        let program = self.server.clone().unwrap_or(default_program);
         ensure!(program.exists(), "{program:?} is not there: build it, or name it by --server");
         Ok(program)
     }
@@ -111,7 +111,7 @@
     }
 
     /// One whose settings change while it runs.
-    pub(super) fn start_changing(&self, size: TableSize) -> anyhow::Result<Server> {
+    pub(super) fn start_reloading(&self, size: TableSize) -> anyhow::Result<Server> {
         self.start_with(size, Some(RELOADING_OPERATOR_FILE))
     }
 
@@ -126,23 +126,23 @@
         size: TableSize,
         rate: f64,
         length: Duration,
-        part: u64,
+        seed_offset: u64,
     ) -> anyhow::Result<Vec<Arrival>> {
-        let met = DistinctEntries { request_classes: self.met_op_types, tenants: self.met_tenants };
-        let seed = self.seed.wrapping_mul(1_000_003).wrapping_add(part);
-        Ok(arrivals(size, met, rate, length, seed)?)
+        let distinct = DistinctEntries { request_classes: self.met_op_types, tenants: self.met_tenants };
+        let seed = self.seed.wrapping_mul(1_000_003).wrapping_add(seed_offset);
+        Ok(arrivals(size, distinct, rate, length, seed)?)
     }
 
-    /// What one call of this takes at most as planned, so that a play is refused rather than cut short.
-    fn planned(&self) -> StdDuration {
-        let rest = self.rest_seconds + SETTLE.as_secs_f64();
+    /// What one call of this takes at most as planned_duration, so that a play is refused rather than cut short.
+    fn planned_duration(&self) -> StdDuration {
+        let idle = self.rest_seconds + SETTLING_PERIOD.as_secs_f64();
         let seconds = if self.cost {
-            self.sizes.len() as f64 * (rest + 1.0)
+            self.sizes.len() as f64 * (idle + 1.0)
         } else {
-            let straight = (self.seconds / f64::from(self.rounds)).min(MAX_STRAIGHT.secs());
-            let each = self.seconds + f64::from(self.rounds) * straight;
-            let turn = rest + WARM_UP.secs() + 1.0;
-            2.0 * (self.rates.len() as f64 * each + f64::from(self.rounds) * turn)
+            let direct = (self.seconds / f64::from(self.rounds)).min(MAX_DIRECT_DURATION.secs());
+            let per_rate = self.seconds + f64::from(self.rounds) * direct;
+            let round_overhead = idle + WARM_UP.secs() + 1.0;
+            2.0 * (self.rates.len() as f64 * per_rate + f64::from(self.rounds) * round_overhead)
         };
         StdDuration::from_secs_f64(seconds.clamp(0.0, 1e6))
     }
@@ -162,30 +162,30 @@
     pub(super) fn save(&self, points: Vec<Point>) -> anyhow::Result<()> {
         let Some(file) = &self.json else { return Ok(()) };
         // Without where the program and the file are, which are this machine's.
-        let mut words = vec!["hazelspur-simulator path".to_string()];
-        let mut told = std::env::args().skip(2);
-        while let Some(word) = told.next() {
-            let key = word.split('=').next().unwrap_or_default();
-            if matches!(key, "--json" | "--server" | "--text") {
-                told.by_ref().take(usize::from(!word.contains('='))).for_each(drop);
+        let mut kept_words = vec!["hazelspur-simulator path".to_string()];
+        let mut arguments = std::env::args().skip(2);
+        while let Some(word) = arguments.next() {
+            let name = word.split('=').next().unwrap_or_default();
+            if matches!(name, "--json" | "--server" | "--text") {
+                arguments.by_ref().take(usize::from(!word.contains('='))).for_each(drop);
             } else {
-                words.push(word);
+                kept_words.push(word);
             }
         }
-        let command = words.join(" ");
-        let text = self.text.clone().unwrap_or_else(checkout);
-        let study = Study { study: "server".into(), command, text, machine: machine(), points };
+        let command = kept_words.join(" ");
+        let text = self.text.clone().unwrap_or_else(checkout_commit);
+        let study = Study { study: "server".into(), command, text, machine: describe_machine(), points };
         study.save(file)
     }
 }
 
-fn checkout() -> String {
-    let said = Command::new("git").args(["rev-parse", "--short", "HEAD"]).output();
-    let said = said.ok().filter(|said| said.status.success());
-    said.map_or("not known".into(), |said| String::from_utf8_lossy(&said.stdout).trim().to_string())
+fn checkout_commit() -> String {
+    let output = Command::new("git").args(["rev-parse", "--short", "HEAD"]).output();
+    let output = output.ok().filter(|output| output.status.success());
+    output.map_or("not known".into(), |output| String::from_utf8_lossy(&output.stdout).trim().to_string())
 }
 
-fn machine() -> String {
+fn describe_machine() -> String {
     let cores = std::thread::available_parallelism().map_or(1, |n| n.get());
     let text = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
     let kb = text.lines().find_map(|line| line.strip_prefix("MemTotal:"));
@@ -197,18 +197,19 @@
 ///
 /// # Errors
 /// Where the program is missing or does not serve, or more is asked for than fits the time limit.
-pub fn run(asked: &PathArguments) -> anyhow::Result<()> {
-    ensure!((1..=MAX_ROUNDS).contains(&asked.rounds), "1 to {MAX_ROUNDS} rounds");
-    ensure!((1..=MAX_RATES).contains(&asked.rates.len()), "1 to {MAX_RATES} rates");
-    ensure!(asked.seconds > 0.0 && asked.rest_seconds > 0.0, "--seconds and --rest-seconds: over 0");
-    let (planned, limit) = (asked.planned(), StdDuration::from_secs(asked.limit_seconds));
+pub fn run(arguments: &PathArguments) -> anyhow::Result<()> {
+    ensure!((1..=MAX_ROUNDS).contains(&arguments.rounds), "1 to {MAX_ROUNDS} rounds");
+    ensure!((1..=MAX_RATES).contains(&arguments.rates.len()), "1 to {MAX_RATES} rates");
+    ensure!(arguments.seconds > 0.0 && arguments.rest_seconds > 0.0, "--seconds and --rest-seconds: over 0");
+    let (planned_duration, limit) =
+        (arguments.planned_duration(), StdDuration::from_secs(arguments.limit_seconds));
     ensure!(
-        planned + LIMIT_MARGIN <= limit,
+        planned_duration + LIMIT_MARGIN <= limit,
         "this takes {} s, more than --limit-seconds {}: fewer rates, rounds, seconds or sizes",
-        planned.as_secs(),
+        planned_duration.as_secs(),
         limit.as_secs()
     );
-    asked.program()?;
+    arguments.program()?;
     end_servers_on_signal_or_after(limit)?;
-    if asked.cost { cost(asked) } else { path(asked) }
+    if arguments.cost { measure_costs(arguments) } else { measure_path(arguments) }
 }
--- a/crates/hazelspur-simulator/src/path/cost.rs
+++ b/crates/hazelspur-simulator/src/path/cost.rs
@@ -1,6 +1,6 @@
 //! The measurement of `path --cost`: what a server without requests costs, by the size of its tables.
 
-use crate::path::command::{PathArguments, SETTLE};
+use crate::path::command::{PathArguments, SETTLING_PERIOD};
 use crate::path::figures::Point;
 use crate::path::plan::TableSize;
 use crate::path::process::{Memory, Server};
@@ -14,9 +14,9 @@
 
 /// What an idle server of one size took.
 struct IdleCost {
-    serving_after: StdDuration,
+    time_to_serving: StdDuration,
     start_cpu: StdDuration,
-    rest_cpu_share: f64,
+    idle_cpu_share: f64,
     memory: Memory,
     settings_file_bytes: u64,
     /// Answers to requests of the last request class, the last tenant, and both.
@@ -35,24 +35,24 @@
 }
 
 /// Measures servers of each size, prints the tables, and saves the points.
-pub(super) fn cost(asked: &PathArguments) -> anyhow::Result<()> {
+pub(super) fn measure_costs(arguments: &PathArguments) -> anyhow::Result<()> {
     let (mut idle_rows, mut reload_rows) = (idle_table(), reload_table());
     let mut points = Vec::new();
-    for size in &asked.sizes {
-        let idle = measure_idle(asked, *size)?;
+    for size in &arguments.sizes {
+        let idle = measure_idle(arguments, *size)?;
         idle_rows.add_row(idle_row(*size, &idle));
-        add_idle_points(&mut points, asked, *size, &idle);
-        if asked.reloads > 0 {
-            let reload = measure_reloads(asked, *size)?;
+        add_idle_points(&mut points, arguments, *size, &idle);
+        if arguments.reloads > 0 {
+            let reload = measure_reloads(arguments, *size)?;
             reload_rows.add_row(reload_row(*size, &reload));
-            add_reload_points(&mut points, asked, *size, &reload);
+            add_reload_points(&mut points, arguments, *size, &reload);
         }
     }
-    if asked.reloads > 0 {
-        println!("One server whose file changes by one tenant, {} times:\n{reload_rows}", asked.reloads);
+    if arguments.reloads > 0 {
+        println!("One server whose file changes by one tenant, {} times:\n{reload_rows}", arguments.reloads);
     }
     println!("One server that nothing is asked of, beside runtime and control plane:\n{idle_rows}");
-    asked.save(points)
+    arguments.save(points)
 }
 
 fn idle_table() -> Table {
@@ -82,15 +82,16 @@
     ])
 }
 
-fn measure_idle(asked: &PathArguments, size: TableSize) -> anyhow::Result<IdleCost> {
-    let server = asked.start(size)?;
-    let (serving_after, start_cpu) = server.wait_until_serving().with_context(|| format!("{size} tables"))?;
-    std::thread::sleep(SETTLE);
-    let rest_cpu_share = server.idle_cpu_share(StdDuration::from_secs_f64(asked.rest_seconds))?;
+fn measure_idle(arguments: &PathArguments, size: TableSize) -> anyhow::Result<IdleCost> {
+    let server = arguments.start(size)?;
+    let (time_to_serving, start_cpu) =
+        server.wait_until_serving().with_context(|| format!("{size} tables"))?;
+    std::thread::sleep(SETTLING_PERIOD);
+    let idle_cpu_share = server.idle_cpu_share(StdDuration::from_secs_f64(arguments.rest_seconds))?;
     let memory = server.memory()?;
     let answers = probe_last_entries(&server, size);
     let settings_file_bytes = server.settings_file_bytes;
-    Ok(IdleCost { serving_after, start_cpu, rest_cpu_share, memory, settings_file_bytes, answers })
+    Ok(IdleCost { time_to_serving, start_cpu, idle_cpu_share, memory, settings_file_bytes, answers })
 }
 
 fn probe_last_entries(server: &Server, size: TableSize) -> [String; 3] {
@@ -99,16 +100,16 @@
     probes.map(|(request_class, tenant)| server.probe(request_class, tenant))
 }
 
-fn measure_reloads(asked: &PathArguments, size: TableSize) -> anyhow::Result<ReloadCost> {
-    let server = asked.start_changing(size)?;
+fn measure_reloads(arguments: &PathArguments, size: TableSize) -> anyhow::Result<ReloadCost> {
+    let server = arguments.start_reloading(size)?;
     server.wait_until_serving().with_context(|| format!("{size} tables"))?;
     let (mut longest, mut cpu, mut stall) = (StdDuration::ZERO, StdDuration::ZERO, StdDuration::ZERO);
-    for n in 0..asked.reloads {
-        let (each, its_cpu, its_stall) = server.reload(n)?;
-        (longest, cpu, stall) = (longest.max(each), cpu + its_cpu, stall.max(its_stall));
+    for n in 0..arguments.reloads {
+        let (reload_duration, reload_cpu, reload_stall) = server.reload(n)?;
+        (longest, cpu, stall) = (longest.max(reload_duration), cpu + reload_cpu, stall.max(reload_stall));
     }
     Ok(ReloadCost {
-        cpu_s: cpu.as_secs_f64() / f64::from(asked.reloads),
+        cpu_s: cpu.as_secs_f64() / f64::from(arguments.reloads),
         max_s: longest.as_secs_f64(),
         max_stall_s: stall.as_secs_f64(),
         memory: server.memory()?,
@@ -122,10 +123,10 @@
 fn idle_row(size: TableSize, idle: &IdleCost) -> Vec<String> {
     let Memory { anon_bytes, resident_bytes, peak_bytes } = idle.memory;
     let mut row = vec![size.to_string(), megabytes(idle.settings_file_bytes)];
-    row.push(format!("{:.3}", idle.serving_after.as_secs_f64()));
+    row.push(format!("{:.3}", idle.time_to_serving.as_secs_f64()));
     row.push(format!("{:.3}", idle.start_cpu.as_secs_f64()));
     row.extend([anon_bytes, resident_bytes, peak_bytes].map(megabytes));
-    row.push(format!("{:.4}", idle.rest_cpu_share));
+    row.push(format!("{:.4}", idle.idle_cpu_share));
     row.extend(idle.answers.iter().cloned());
     row
 }
@@ -137,22 +138,27 @@
     row
 }
 
-fn add_idle_points(points: &mut Vec<Point>, asked: &PathArguments, size: TableSize, idle: &IdleCost) {
+fn add_idle_points(points: &mut Vec<Point>, arguments: &PathArguments, size: TableSize, idle: &IdleCost) {
     let (case, by) = (size.to_string(), ("tenants", size.tenants as f64));
     for (figure, unit, value) in [
         ("server.memory.anon_bytes", "B", idle.memory.anon_bytes as f64),
         ("server.memory.resident_bytes", "B", idle.memory.resident_bytes as f64),
         ("server.memory.peak_bytes", "B", idle.memory.peak_bytes as f64),
         ("server.start.cpu_s", "s", idle.start_cpu.as_secs_f64()),
-        ("server.start.s", "s", idle.serving_after.as_secs_f64()),
-        ("server.rest.cpu_share", "share", idle.rest_cpu_share),
+        ("server.start.s", "s", idle.time_to_serving.as_secs_f64()),
+        ("server.rest.cpu_share", "share", idle.idle_cpu_share),
         ("server.file_bytes", "B", idle.settings_file_bytes as f64),
     ] {
-        points.push(asked.point(figure, &case, unit, by, value));
+        points.push(arguments.point(figure, &case, unit, by, value));
     }
 }
 
-fn add_reload_points(points: &mut Vec<Point>, asked: &PathArguments, size: TableSize, reload: &ReloadCost) {
+fn add_reload_points(
+    points: &mut Vec<Point>,
+    arguments: &PathArguments,
+    size: TableSize,
+    reload: &ReloadCost,
+) {
     let (case, by) = (size.to_string(), ("tenants", size.tenants as f64));
     for (figure, unit, value) in [
         ("server.reload.stall_s", "s", reload.max_stall_s),
@@ -161,6 +167,6 @@
         ("server.reload.s", "s", reload.max_s),
         ("server.reload.peak_bytes", "B", reload.memory.peak_bytes as f64),
     ] {
-        points.push(asked.point(figure, &case, unit, by, value));
+        points.push(arguments.point(figure, &case, unit, by, value));
     }
 }
--- a/crates/hazelspur-simulator/src/path/load.rs
+++ b/crates/hazelspur-simulator/src/path/load.rs
@@ -1,6 +1,6 @@
 //! An open loop: each request goes out at its time, whatever became of those before, and its latency counts from
 //! that time, so that a stall is met by all that arrive in it. Called by `command` and by tests; decides
-//! nothing about servers, and ends by itself within the plan's length and `patience`.
+//! nothing about servers, and ends by itself within the plan's length and `last_answer_timeout`.
 
 use crate::path::plan::Arrival;
 use anyhow::Context;
@@ -15,7 +15,7 @@
 /// Requests open on a connection, by the protocol.
 pub const MAX_OPEN_REQUESTS: usize = 32;
 /// Connections of one play, those made anew with them; past these requests are not sent.
-const MAX_LINKS: usize = 4096;
+const MAX_CONNECTIONS: usize = 4096;
 /// Unread bytes of a connection; more is no answer of ours.
 const MAX_UNREAD: usize = 1 << 20;
 /// Timeout of a connect.
@@ -23,13 +23,13 @@
 /// Timeout of a write.
 const WRITE_TIMEOUT: StdDuration = StdDuration::from_millis(500);
 /// How often a reader looks whether it is to end, and the end whether all is answered.
-const LOOK: StdDuration = StdDuration::from_millis(50);
+const READ_POLL_PERIOD: StdDuration = StdDuration::from_millis(50);
 /// Between two checks whether all answers came.
-const END_LOOK: StdDuration = StdDuration::from_millis(2);
+const ANSWER_POLL_PERIOD: StdDuration = StdDuration::from_millis(2);
 /// The last part of a wait is spun, since sleeps end late.
-const SPUN: StdDuration = StdDuration::from_micros(150);
+const SPIN_PERIOD: StdDuration = StdDuration::from_micros(150);
 /// Longest latency told.
-const LONGEST_US: u64 = 600_000_000;
+const MAX_LATENCY_US: u64 = 600_000_000;
 
 /// What an answer says of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,7 +60,7 @@
 
 /// What became of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
+enum Outcome {
     /// No connection had a place for it.
     Unsent,
     Open(usize),
@@ -71,37 +71,37 @@
 }
 
 #[derive(Default)]
-struct Link {
+struct Connection {
     open: usize,
     /// Whether requests may still go out on it.
-    takes: bool,
+    accepts_requests: bool,
 }
 
-struct Record {
-    fates: Vec<Fate>,
-    links: Vec<Link>,
-    over: bool,
+struct RunState {
+    outcomes: Vec<Outcome>,
+    connections: Vec<Connection>,
+    finished: bool,
 }
 
-impl Record {
-    fn answered(&mut self, link: usize, number: usize, answer: Answer, at: Duration) {
-        if let Some(fate) = self.fates.get_mut(number)
-            && *fate == Fate::Open(link)
+impl RunState {
+    fn record_answer(&mut self, connection: usize, number: usize, answer: Answer, at: Duration) {
+        if let Some(outcome) = self.outcomes.get_mut(number)
+            && *outcome == Outcome::Open(connection)
         {
-            *fate = Fate::Answered(answer, at);
-            self.links[link].open -= 1;
+            *outcome = Outcome::Answered(answer, at);
+            self.connections[connection].open -= 1;
         }
     }
 
-    fn ended(&mut self, link: usize) {
-        self.links[link] = Link::default();
-        let lost = self.fates.iter_mut().filter(|fate| **fate == Fate::Open(link));
-        lost.for_each(|fate| *fate = Fate::Broken);
+    fn record_end(&mut self, connection: usize) {
+        self.connections[connection] = Connection::default();
+        let unanswered = self.outcomes.iter_mut().filter(|outcome| **outcome == Outcome::Open(connection));
+        unanswered.for_each(|outcome| *outcome = Outcome::Broken);
     }
 }
 
-fn lock(record: &Mutex<Record>) -> MutexGuard<'_, Record> {
-    record.lock().expect("no panic before")
+fn lock(state: &Mutex<RunState>) -> MutexGuard<'_, RunState> {
+    state.lock().expect("no panic before")
 }
 
 /// Counts of fates.
@@ -118,7 +118,7 @@
 }
 
 impl OutcomeCounts {
-    /// Adds the counts of another tally.
+    /// Adds the counts of another counts.
     pub fn add(&mut self, other: &Self) {
         self.planned += other.planned;
         self.acked += other.acked;
@@ -138,9 +138,9 @@
 
 /// A play that is over.
 pub struct LoadResult {
-    pub tally: OutcomeCounts,
+    pub counts: OutcomeCounts,
     /// Microseconds from each request's fixed arrival time to its answer; what was broken, not sent or never answered
-    /// counts with the time until the end of the play. Other answers than acks are only in the tally.
+    /// counts with the time until the end of the play. Other answers than acks are only in the counts.
     pub latency_us: Histogram<u64>,
     /// How late this tool itself sent, in microseconds: part of the latency.
     pub send_delay_us: Histogram<u64>,
@@ -149,61 +149,65 @@
 
 /// An empty histogram of microseconds.
 pub fn latency_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST_US, 3).expect("bounds that fit")
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).expect("bounds that fit")
 }
 
-struct Loop<'a> {
-    wire: &'a Arc<dyn WireProtocol>,
+struct LoadGenerator<'a> {
+    protocol: &'a Arc<dyn WireProtocol>,
     address: SocketAddr,
-    began: Instant,
-    record: Arc<Mutex<Record>>,
+    started_at: Instant,
+    state: Arc<Mutex<RunState>>,
     /// The link of each place, and its stream.
-    places: Vec<Option<(usize, TcpStream)>>,
+    slots: Vec<Option<(usize, TcpStream)>>,
     readers: Vec<JoinHandle<()>>,
 }
 
-impl Loop<'_> {
-    fn connect(&mut self, place: usize) -> anyhow::Result<()> {
-        anyhow::ensure!(self.readers.len() < MAX_LINKS, "{MAX_LINKS} connections were made");
+impl LoadGenerator<'_> {
+    fn connect(&mut self, slot: usize) -> anyhow::Result<()> {
+        anyhow::ensure!(self.readers.len() < MAX_CONNECTIONS, "{MAX_CONNECTIONS} connections were made");
         let mut stream = TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT)?;
         stream.set_nodelay(true)?;
         stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
-        stream.set_read_timeout(Some(LOOK))?;
-        stream.write_all(&self.wire.greeting())?;
-        let reading = stream.try_clone()?;
-        let link = {
-            let mut record = lock(&self.record);
-            record.links.push(Link { open: 0, takes: true });
-            record.links.len() - 1
+        stream.set_read_timeout(Some(READ_POLL_PERIOD))?;
+        stream.write_all(&self.protocol.greeting())?;
+        let reader_stream = stream.try_clone()?;
+        let connection = {
+            let mut state = lock(&self.state);
+            state.connections.push(Connection { open: 0, accepts_requests: true });
+            state.connections.len() - 1
         };
-        self.places[place] = Some((link, stream));
-        let (record, wire, began) = (self.record.clone(), self.wire.clone(), self.began);
-        self.readers.push(spawn(move || read(&record, &*wire, link, reading, began)));
+        self.slots[slot] = Some((connection, stream));
+        let (state, protocol, started_at) = (self.state.clone(), self.protocol.clone(), self.started_at);
+        self.readers
+            .push(spawn(move || read_answers(&state, &*protocol, connection, reader_stream, started_at)));
         Ok(())
     }
 
     /// Sends at the first place from this one on that has room; false where none has.
-    fn send(&mut self, from: usize, number: usize, arrival: &Arrival) -> bool {
-        let bytes = self.wire.encode_request(number, arrival);
-        let count = self.places.len();
-        for place in (0..count).map(|i| (from + i) % count) {
-            let takes = |record: &Record, link: usize| record.links[link].takes;
-            let kept = self.places[place].as_ref().is_some_and(|(link, _)| takes(&lock(&self.record), *link));
-            if !kept && self.connect(place).is_err() {
+    fn send(&mut self, first_slot: usize, number: usize, arrival: &Arrival) -> bool {
+        let bytes = self.protocol.encode_request(number, arrival);
+        let count = self.slots.len();
+        for slot in (0..count).map(|i| (first_slot + i) % count) {
+            let accepts_requests =
+                |state: &RunState, connection: usize| state.connections[connection].accepts_requests;
+            let usable = self.slots[slot]
+                .as_ref()
+                .is_some_and(|(connection, _)| accepts_requests(&lock(&self.state), *connection));
+            if !usable && self.connect(slot).is_err() {
                 continue;
             }
-            let Some((link, stream)) = &mut self.places[place] else { continue };
+            let Some((connection, stream)) = &mut self.slots[slot] else { continue };
             {
-                let mut record = lock(&self.record);
-                if record.links[*link].open >= MAX_OPEN_REQUESTS {
+                let mut state = lock(&self.state);
+                if state.connections[*connection].open >= MAX_OPEN_REQUESTS {
                     continue;
                 }
-                record.links[*link].open += 1;
-                record.fates[number] = Fate::Open(*link);
+                state.connections[*connection].open += 1;
+                state.outcomes[number] = Outcome::Open(*connection);
             }
             if stream.write_all(&bytes).is_err() {
                 // What was written may still be answered: the reader settles it.
-                lock(&self.record).links[*link].takes = false;
+                lock(&self.state).connections[*connection].accepts_requests = false;
                 let _ = stream.shutdown(Shutdown::Write);
             }
             return true;
@@ -212,18 +216,26 @@
     }
 }
 
-fn read(record: &Mutex<Record>, wire: &dyn WireProtocol, link: usize, mut stream: TcpStream, began: Instant) {
-    let (mut unread, mut part) = (Vec::new(), [0; 16 * 1024]);
+fn read_answers(
+    state: &Mutex<RunState>,
+    protocol: &dyn WireProtocol,
+    connection: usize,
+    mut stream: TcpStream,
+    started_at: Instant,
+) {
+    let (mut unread, mut chunk) = (Vec::new(), [0; 16 * 1024]);
     loop {
-        match stream.read(&mut part) {
+        match stream.read(&mut chunk) {
             Ok(count @ 1..) => {
-                let at = Duration::from_us(began.elapsed().as_micros() as u64);
-                unread.extend_from_slice(&part[..count]);
-                while let Some((used, message)) = wire.decode_message(&unread) {
-                    unread.drain(..used);
+                let at = Duration::from_us(started_at.elapsed().as_micros() as u64);
+                unread.extend_from_slice(&chunk[..count]);
+                while let Some((length, message)) = protocol.decode_message(&unread) {
+                    unread.drain(..length);
                     match message {
-                        Message::Answer(number, answer) => lock(record).answered(link, number, answer, at),
-                        Message::Closing => lock(record).links[link].takes = false,
+                        Message::Answer(number, answer) => {
+                            lock(state).record_answer(connection, number, answer, at)
+                        }
+                        Message::Closing => lock(state).connections[connection].accepts_requests = false,
                         Message::Other => {}
                     }
                 }
@@ -232,107 +244,108 @@
                 }
             }
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                if lock(record).over {
+                if lock(state).finished {
                     break;
                 }
             }
             Ok(0) | Err(_) => break,
         }
     }
-    let mut record = lock(record);
-    if !record.over {
-        record.ended(link);
+    let mut state = lock(state);
+    if !state.finished {
+        state.record_end(connection);
     }
 }
 
 fn wait_until(due: Instant) {
-    while let left = due.saturating_duration_since(Instant::now())
-        && !left.is_zero()
+    while let remaining = due.saturating_duration_since(Instant::now())
+        && !remaining.is_zero()
     {
-        if left > SPUN { sleep(left - SPUN) } else { std::hint::spin_loop() }
+        if remaining > SPIN_PERIOD { sleep(remaining - SPIN_PERIOD) } else { std::hint::spin_loop() }
     }
 }
 
-/// Plays a plan on so many connections and waits at most `patience` for the last answers.
+/// Plays a plan on so many connections and waits at most `last_answer_timeout` for the last answers.
 ///
 /// # Errors
 /// Where nobody listens at the address at the beginning.
 pub fn run_plan(
-    wire: &Arc<dyn WireProtocol>,
+    protocol: &Arc<dyn WireProtocol>,
     address: SocketAddr,
     plan: &[Arrival],
     connections: usize,
-    patience: StdDuration,
+    last_answer_timeout: StdDuration,
 ) -> anyhow::Result<LoadResult> {
     anyhow::ensure!(address.ip().is_loopback(), "only on loopback");
-    let record = Record { fates: vec![Fate::Unsent; plan.len()], links: Vec::new(), over: false };
-    let mut played = Loop {
-        wire,
+    let state =
+        RunState { outcomes: vec![Outcome::Unsent; plan.len()], connections: Vec::new(), finished: false };
+    let mut generator = LoadGenerator {
+        protocol,
         address,
-        began: Instant::now(),
-        record: Arc::new(Mutex::new(record)),
-        places: (0..connections.max(1)).map(|_| None).collect(),
+        started_at: Instant::now(),
+        state: Arc::new(Mutex::new(state)),
+        slots: (0..connections.max(1)).map(|_| None).collect(),
         readers: Vec::new(),
     };
     // The connections stand before the first request is due; their time is not part of anyone's latency.
-    played.began = Instant::now() + LOOK;
-    for place in 0..played.places.len() {
-        played.connect(place).with_context(|| format!("no connection to {address}"))?;
+    generator.started_at = Instant::now() + READ_POLL_PERIOD;
+    for slot in 0..generator.slots.len() {
+        generator.connect(slot).with_context(|| format!("no connection to {address}"))?;
     }
     let mut send_delay_us = latency_histogram();
-    wait_until(played.began);
+    wait_until(generator.started_at);
     for (number, arrival) in plan.iter().enumerate() {
-        let due = played.began + StdDuration::from_micros(arrival.at.us());
+        let due = generator.started_at + StdDuration::from_micros(arrival.at.us());
         wait_until(due);
         send_delay_us.saturating_record(due.elapsed().as_micros() as u64);
-        played.send(number, number, arrival);
+        generator.send(number, number, arrival);
     }
-    let last = Instant::now() + patience;
-    let open = |record: &Record| record.fates.iter().any(|fate| matches!(fate, Fate::Open(_)));
-    while Instant::now() < last && open(&lock(&played.record)) {
-        sleep(END_LOOK);
+    let give_up_at = Instant::now() + last_answer_timeout;
+    let open = |state: &RunState| state.outcomes.iter().any(|outcome| matches!(outcome, Outcome::Open(_)));
+    while Instant::now() < give_up_at && open(&lock(&generator.state)) {
+        sleep(ANSWER_POLL_PERIOD);
     }
-    let duration = played.began.elapsed();
-    let fates = {
-        let mut record = lock(&played.record);
-        record.over = true;
-        std::mem::take(&mut record.fates)
+    let duration = generator.started_at.elapsed();
+    let outcomes = {
+        let mut state = lock(&generator.state);
+        state.finished = true;
+        std::mem::take(&mut state.outcomes)
     };
-    played.places.iter().flatten().for_each(|(_, stream)| drop(stream.shutdown(Shutdown::Both)));
-    played.readers.into_iter().for_each(|reader| drop(reader.join()));
+    generator.slots.iter().flatten().for_each(|(_, stream)| drop(stream.shutdown(Shutdown::Both)));
+    generator.readers.into_iter().for_each(|reader| drop(reader.join()));
     Ok(LoadResult {
-        tally: tally(&fates),
-        latency_us: latencies(&fates, plan, duration),
+        counts: count_outcomes(&outcomes),
+        latency_us: latencies(&outcomes, plan, duration),
         send_delay_us,
         duration,
     })
 }
 
-fn tally(fates: &[Fate]) -> OutcomeCounts {
-    let mut tally = OutcomeCounts { planned: fates.len(), ..OutcomeCounts::default() };
-    for fate in fates {
-        *match fate {
-            Fate::Unsent => &mut tally.unsent,
-            Fate::Open(_) => &mut tally.unanswered,
-            Fate::Broken => &mut tally.broken,
-            Fate::Answered(Answer::Acked, _) => &mut tally.acked,
-            Fate::Answered(Answer::Refused, _) => &mut tally.refused,
-            Fate::Answered(Answer::Unknown, _) => &mut tally.unknown,
-            Fate::Answered(Answer::Failed, _) => &mut tally.failed,
+fn count_outcomes(outcomes: &[Outcome]) -> OutcomeCounts {
+    let mut counts = OutcomeCounts { planned: outcomes.len(), ..OutcomeCounts::default() };
+    for outcome in outcomes {
+        *match outcome {
+            Outcome::Unsent => &mut counts.unsent,
+            Outcome::Open(_) => &mut counts.unanswered,
+            Outcome::Broken => &mut counts.broken,
+            Outcome::Answered(Answer::Acked, _) => &mut counts.acked,
+            Outcome::Answered(Answer::Refused, _) => &mut counts.refused,
+            Outcome::Answered(Answer::Unknown, _) => &mut counts.unknown,
+            Outcome::Answered(Answer::Failed, _) => &mut counts.failed,
         } += 1;
     }
-    tally
+    counts
 }
 
-fn latencies(fates: &[Fate], plan: &[Arrival], duration: StdDuration) -> Histogram<u64> {
-    let mut all = latency_histogram();
-    for (fate, arrival) in fates.iter().zip(plan) {
-        let end_us = match fate {
-            Fate::Answered(Answer::Acked, at) => at.us(),
-            Fate::Answered(..) => continue,
-            Fate::Unsent | Fate::Open(_) | Fate::Broken => duration.as_micros() as u64,
+fn latencies(outcomes: &[Outcome], plan: &[Arrival], duration: StdDuration) -> Histogram<u64> {
+    let mut histogram = latency_histogram();
+    for (outcome, arrival) in outcomes.iter().zip(plan) {
+        let end_us = match outcome {
+            Outcome::Answered(Answer::Acked, at) => at.us(),
+            Outcome::Answered(..) => continue,
+            Outcome::Unsent | Outcome::Open(_) | Outcome::Broken => duration.as_micros() as u64,
         };
-        all.saturating_record(end_us.saturating_sub(arrival.at.us()));
+        histogram.saturating_record(end_us.saturating_sub(arrival.at.us()));
     }
-    all
+    histogram
 }
--- a/crates/hazelspur-simulator/src/path/plan.rs
+++ b/crates/hazelspur-simulator/src/path/plan.rs
@@ -13,15 +13,15 @@
 /// Arrivals of one play.
 pub const MAX_ARRIVALS: usize = 1_000_000;
 /// Cores of the runtime by the settings: the server admits by them, and is not to refuse here.
-const CORES: u32 = 16;
+const WORKER_CORES: u32 = 16;
 /// Latency objective of each request class, in microseconds.
-const TARGET_US: u64 = 1_000_000;
+const LATENCY_OBJECTIVE_US: u64 = 1_000_000;
 /// Request timeout of each request class, in microseconds.
-const OP_TIMEOUT_US: u64 = 3_000_000;
+const REQUEST_TIMEOUT_US: u64 = 3_000_000;
 /// Quota of each tenant, in requests a second.
 const QUOTA_PER_S: u32 = 10;
 /// From the notice to leave until the process ends.
-const STOP_MS: u64 = 400;
+const STOP_DURATION_MS: u64 = 400;
 
 /// How many request classes and tenants a server's settings name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -55,12 +55,12 @@
     type Err = TableSizeError;
 
     fn from_str(text: &str) -> Result<Self, TableSizeError> {
-        let wrong = || TableSizeError(text.to_string());
-        let (request_classes, tenants) = text.split_once('x').ok_or_else(wrong)?;
-        let number = |text: &str| text.parse().ok().filter(|n| (1..=MAX_ENTRIES).contains(n));
+        let error = || TableSizeError(text.to_string());
+        let (request_classes, tenants) = text.split_once('x').ok_or_else(error)?;
+        let entries = |text: &str| text.parse().ok().filter(|n| (1..=MAX_ENTRIES).contains(n));
         Ok(Self {
-            request_classes: number(request_classes).ok_or_else(wrong)?,
-            tenants: number(tenants).ok_or_else(wrong)?,
+            request_classes: entries(request_classes).ok_or_else(error)?,
+            tenants: entries(tenants).ok_or_else(error)?,
         })
     }
 }
@@ -87,19 +87,20 @@
 /// without white space. All request classes may be repeated; `servers` is the size of the fleet that quotas are for.
 pub fn configuration(size: TableSize, addresses: ServerAddresses, servers: usize, seed: u64) -> String {
     let request_class = |i| {
-        json!({"name": request_class_name(i), "aim-us": TARGET_US, "deadline-us": OP_TIMEOUT_US,
-            "semantics": "safe", "importance": 1 + i % 5})
+        json!({"name": request_class_name(i), "aim-us": LATENCY_OBJECTIVE_US,
+            "deadline-us": REQUEST_TIMEOUT_US, "semantics": "safe", "importance": 1 + i % 5})
     };
     let request_classes: Vec<_> = (0..size.request_classes).map(request_class).collect();
     let tenant = |i| json!({"name": tenant_name(i), "quota-rps": QUOTA_PER_S});
     let tenants: Vec<_> = (0..size.tenants).map(tenant).collect();
     json!({
         "name": "n1", "listen": addresses.listen.to_string(), "runtime": addresses.worker.to_string(),
-        "control": addresses.registry.to_string(), "seed": format!("{seed:016x}"), "stop_ms": STOP_MS,
+        "control": addresses.registry.to_string(), "seed": format!("{seed:016x}"),
+        "stop_ms": STOP_DURATION_MS,
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "settings": {
-            "family-info": {"n-cores": CORES, "mem-limit-kb": 1_000_000, "run-factor": 8, "stop-mode": "drop",
-                "meters": ["core_use", "on_cores", "heap_share", "links"], "calls-out": 1000,
+            "family-info": {"n-cores": WORKER_CORES, "mem-limit-kb": 1_000_000, "run-factor": 8,
+                "stop-mode": "drop", "meters": ["core_use", "on_cores", "heap_share", "links"], "calls-out": 1000,
                 "calls-over-us": 5_000_000, "passes-deadline": true},
             "lanes": request_classes,
             "orgs": tenants,
@@ -134,32 +135,32 @@
 /// A rate or length from which no play follows, or one of more than `MAX_ARRIVALS`.
 pub fn arrivals(
     size: TableSize,
-    met: DistinctEntries,
+    distinct: DistinctEntries,
     rate: f64,
     length: Duration,
     seed: u64,
 ) -> Result<Vec<Arrival>, ArrivalsError> {
-    let wanted = rate * length.secs();
-    if !(rate > 0.0 && wanted <= MAX_ARRIVALS as f64 * 0.9) {
+    let expected_count = rate * length.secs();
+    if !(rate > 0.0 && expected_count <= MAX_ARRIVALS as f64 * 0.9) {
         return Err(ArrivalsError { rate_per_s: rate, length_s: length.secs() });
     }
-    let mut chance = Pcg::new(seed);
-    let pick = |of: usize, met: Option<usize>, unit: f64| {
-        let met = met.unwrap_or(of).clamp(1, of);
+    let mut rng = Pcg::new(seed);
+    let pick = |table_len: usize, distinct: Option<usize>, fraction: f64| {
+        let distinct = distinct.unwrap_or(table_len).clamp(1, table_len);
         // The last of the met ones is the last of the table.
-        let one = ((unit * met as f64) as usize).min(met - 1);
-        if met == 1 { of - 1 } else { one * (of - 1) / (met - 1) }
+        let index = ((fraction * distinct as f64) as usize).min(distinct - 1);
+        if distinct == 1 { table_len - 1 } else { index * (table_len - 1) / (distinct - 1) }
     };
-    let (mut at, mut all) = (0.0, Vec::new());
+    let (mut at, mut arrivals) = (0.0, Vec::new());
     loop {
-        at -= (1.0 - chance.draw_fraction()).ln() / rate;
-        if at >= length.secs() || all.len() >= MAX_ARRIVALS {
-            return Ok(all);
+        at -= (1.0 - rng.draw_fraction()).ln() / rate;
+        if at >= length.secs() || arrivals.len() >= MAX_ARRIVALS {
+            return Ok(arrivals);
         }
-        all.push(Arrival {
+        arrivals.push(Arrival {
             at: Duration::from_secs(at),
-            request_class: pick(size.request_classes, met.request_classes, chance.draw_fraction()),
-            tenant: pick(size.tenants, met.tenants, chance.draw_fraction()),
+            request_class: pick(size.request_classes, distinct.request_classes, rng.draw_fraction()),
+            tenant: pick(size.tenants, distinct.tenants, rng.draw_fraction()),
         });
     }
 }
--- a/crates/hazelspur-simulator/src/path/rounds.rs
+++ b/crates/hazelspur-simulator/src/path/rounds.rs
@@ -1,6 +1,6 @@
 //! The rounds of `path`: small and large tables in turn, each with a fresh server under each rate.
 
-use crate::path::command::{LARGE, MAX_STRAIGHT, PathArguments, SETTLE, SMALL, WARM_UP};
+use crate::path::command::{LARGE, MAX_DIRECT_DURATION, PathArguments, SETTLING_PERIOD, SMALL, WARM_UP};
 use crate::path::figures::added_latency;
 use crate::path::load::{LoadResult, OutcomeCounts, WireProtocol, latency_histogram, run_plan};
 use crate::path::plan::{Arrival, TableSize};
@@ -17,149 +17,165 @@
 /// How long the last answers of a play are waited for: longer than any request's timeout.
 const LAST_ANSWER_TIMEOUT: StdDuration = StdDuration::from_millis(3200);
 /// The greatest share answered otherwise than by a run, where times are those of runs.
-const MAX_SHARE_NOT_RUN: f64 = 0.01;
+const MAX_NOT_RUN_SHARE: f64 = 0.01;
 
 /// One size of tables under one rate, over all rounds.
-pub(super) struct Cell {
-    pub(super) tally: OutcomeCounts,
+pub(super) struct RateResult {
+    pub(super) counts: OutcomeCounts,
     pub(super) added_us: Histogram<u64>,
     pub(super) cpu: StdDuration,
 }
 
-impl Default for Cell {
+impl Default for RateResult {
     fn default() -> Self {
-        Self { tally: OutcomeCounts::default(), added_us: latency_histogram(), cpu: StdDuration::ZERO }
+        Self { counts: OutcomeCounts::default(), added_us: latency_histogram(), cpu: StdDuration::ZERO }
     }
 }
 
-impl Cell {
-    pub(super) fn cpu_us_per_op(&self) -> f64 {
-        self.cpu.as_secs_f64() * 1e6 / self.tally.planned.max(1) as f64
+impl RateResult {
+    pub(super) fn cpu_us_per_request(&self) -> f64 {
+        self.cpu.as_secs_f64() * 1e6 / self.counts.planned.max(1) as f64
     }
 
     /// Whether nearly all requests were run, or had no answer at all, which counts in the latency.
-    pub(super) fn ran(&self) -> bool {
-        let OutcomeCounts { refused, unknown, failed, .. } = self.tally;
-        self.tally.share_of_planned(refused + unknown + failed) <= MAX_SHARE_NOT_RUN
+    pub(super) fn nearly_all_ran(&self) -> bool {
+        let OutcomeCounts { refused, unknown, failed, .. } = self.counts;
+        self.counts.share_of_planned(refused + unknown + failed) <= MAX_NOT_RUN_SHARE
     }
 }
 
 /// One size of tables, over all rounds.
-pub(super) struct Side {
+pub(super) struct SizeResult {
     /// "small" and "large" are the sizes that are asked for by default; others go by their figures.
     pub(super) case: String,
     pub(super) size: TableSize,
-    pub(super) cells: Vec<Cell>,
-    pub(super) rest: Vec<f64>,
+    pub(super) by_rate: Vec<RateResult>,
+    pub(super) idle_cpu_shares: Vec<f64>,
     /// CPU of a request in each round, in microseconds.
-    pub(super) rounds: Vec<f64>,
+    pub(super) cpu_us_per_request_by_round: Vec<f64>,
     pub(super) memory: Memory,
     /// CPU of the whole lives of its servers, by their clock and by `/proc/PID/stat`.
-    pub(super) cpu: [StdDuration; 2],
+    pub(super) lifetime_cpu: [StdDuration; 2],
 }
 
-impl Side {
+impl SizeResult {
     fn new(size: TableSize, rates: usize) -> Self {
-        let cells = (0..rates).map(|_| Cell::default()).collect();
+        let by_rate = (0..rates).map(|_| RateResult::default()).collect();
         let case = match size {
             SMALL => "small".into(),
             LARGE => "large".into(),
             other => other.to_string(),
         };
-        let (rest, rounds) = (Vec::new(), Vec::new());
-        Self { case, size, cells, rest, rounds, memory: Memory::default(), cpu: Default::default() }
+        let (idle_cpu_shares, cpu_us_per_request_by_round) = (Vec::new(), Vec::new());
+        Self {
+            case,
+            size,
+            by_rate,
+            idle_cpu_shares,
+            cpu_us_per_request_by_round,
+            memory: Memory::default(),
+            lifetime_cpu: Default::default(),
+        }
     }
 
-    pub(super) fn cpu_us_per_op(&self) -> f64 {
-        let cpu: StdDuration = self.cells.iter().map(|cell| cell.cpu).sum();
-        let requests: usize = self.cells.iter().map(|cell| cell.tally.planned).sum();
+    pub(super) fn cpu_us_per_request(&self) -> f64 {
+        let cpu: StdDuration = self.by_rate.iter().map(|rate_result| rate_result.cpu).sum();
+        let requests: usize = self.by_rate.iter().map(|rate_result| rate_result.counts.planned).sum();
         cpu.as_secs_f64() * 1e6 / requests.max(1) as f64
     }
 
-    pub(super) fn ran(&self) -> bool {
-        self.cells.iter().all(Cell::ran)
+    pub(super) fn nearly_all_ran(&self) -> bool {
+        self.by_rate.iter().all(RateResult::nearly_all_ran)
     }
 }
 
-pub(super) struct Straight {
+pub(super) struct DirectResult {
     pub(super) latency_us: Histogram<u64>,
     pub(super) send_delay_us: Histogram<u64>,
 }
 
 /// Plays all rounds, prints the tables, and saves the points.
-pub(super) fn path(asked: &PathArguments) -> anyhow::Result<()> {
-    let large = TableSize { request_classes: asked.request_classes, tenants: asked.tenants };
-    let count = asked.rates.len();
-    let mut sides = [Side::new(asked.small, count), Side::new(large, count)];
-    let straight = || Straight { latency_us: latency_histogram(), send_delay_us: latency_histogram() };
-    let mut straights: Vec<Straight> = asked.rates.iter().map(|_| straight()).collect();
-    for round in 0..asked.rounds {
-        for side in &mut sides {
-            turn(asked, side, &mut straights, round)
-                .with_context(|| format!("{} tables, round {}", side.size, round + 1))?;
+pub(super) fn measure_path(arguments: &PathArguments) -> anyhow::Result<()> {
+    let large = TableSize { request_classes: arguments.request_classes, tenants: arguments.tenants };
+    let count = arguments.rates.len();
+    let mut size_results = [SizeResult::new(arguments.small, count), SizeResult::new(large, count)];
+    let empty = || DirectResult { latency_us: latency_histogram(), send_delay_us: latency_histogram() };
+    let mut direct_results: Vec<DirectResult> = arguments.rates.iter().map(|_| empty()).collect();
+    for round in 0..arguments.rounds {
+        for size_result in &mut size_results {
+            run_round(arguments, size_result, &mut direct_results, round)
+                .with_context(|| format!("{} tables, round {}", size_result.size, round + 1))?;
         }
     }
-    println!("{}", path_tables(asked, &sides, &straights)?);
-    asked.save(path_points(asked, &sides))
+    println!("{}", path_tables(arguments, &size_results, &direct_results)?);
+    arguments.save(path_points(arguments, &size_results))
 }
 
 /// A fresh server of one size under each of the rates.
-fn turn(
-    asked: &PathArguments,
-    side: &mut Side,
-    straights: &mut [Straight],
+fn run_round(
+    arguments: &PathArguments,
+    size_result: &mut SizeResult,
+    direct_results: &mut [DirectResult],
     round: u32,
 ) -> anyhow::Result<()> {
-    let server = asked.start(side.size)?;
+    let server = arguments.start(size_result.size)?;
     server.wait_until_serving()?;
-    let mut plays = 0;
-    let mut next = || {
-        plays += 1;
-        plays
+    let mut runs = 0;
+    let mut next_run = || {
+        runs += 1;
+        runs
     };
-    let through = |play_no: u32, plan: &[Arrival]| -> anyhow::Result<LoadResult> {
-        let wire: Arc<dyn WireProtocol> = Arc::new(GatewayProtocol::new(play_no, asked.body_bytes));
-        run_plan(&wire, server.address, plan, asked.connections, LAST_ANSWER_TIMEOUT)
+    let through_server = |run: u32, plan: &[Arrival]| -> anyhow::Result<LoadResult> {
+        let protocol: Arc<dyn WireProtocol> = Arc::new(GatewayProtocol::new(run, arguments.body_bytes));
+        run_plan(&protocol, server.address, plan, arguments.connections, LAST_ANSWER_TIMEOUT)
     };
-    let warm = asked.rates.iter().copied().fold(0.0, f64::max);
-    through(next(), &asked.plan(side.size, warm, WARM_UP, u64::MAX)?)?;
-    std::thread::sleep(SETTLE);
-    let rest = server.idle_cpu_share(StdDuration::from_secs_f64(asked.rest_seconds))?;
-    side.rest.push(rest);
-    let (mut used, mut requests) = (0.0, 0);
-    for (i, rate) in asked.rates.iter().enumerate() {
-        let part = (u64::from(round) << 8) | i as u64;
-        let plan = asked.plan(
-            side.size,
+    let max_rate = arguments.rates.iter().copied().fold(0.0, f64::max);
+    through_server(next_run(), &arguments.plan(size_result.size, max_rate, WARM_UP, u64::MAX)?)?;
+    std::thread::sleep(SETTLING_PERIOD);
+    let idle_cpu_share = server.idle_cpu_share(StdDuration::from_secs_f64(arguments.rest_seconds))?;
+    size_result.idle_cpu_shares.push(idle_cpu_share);
+    let (mut cpu_s, mut requests) = (0.0, 0);
+    for (i, rate) in arguments.rates.iter().enumerate() {
+        let seed_offset = (u64::from(round) << 8) | i as u64;
+        let plan = arguments.plan(
+            size_result.size,
             *rate,
-            Duration::from_secs(asked.seconds / f64::from(asked.rounds)),
-            part,
+            Duration::from_secs(arguments.seconds / f64::from(arguments.rounds)),
+            seed_offset,
         )?;
-        let usual = straight(asked, side.size, *rate, part)?;
-        straights[i].latency_us.add(&usual.latency_us)?;
-        straights[i].send_delay_us.add(&usual.send_delay_us)?;
-        let from = server.cpu_time()?;
-        let played = through(next(), &plan)?;
-        let cpu = (server.cpu_time()? - from).as_secs_f64() - rest * played.duration.as_secs_f64();
-        used += cpu;
-        requests += played.tally.planned;
-        let cell = &mut side.cells[i];
-        cell.cpu += StdDuration::from_secs_f64(cpu.max(0.0));
-        cell.tally.add(&played.tally);
-        cell.added_us.add(added_latency(&played.latency_us, &usual.latency_us))?;
+        let direct = run_direct(arguments, size_result.size, *rate, seed_offset)?;
+        direct_results[i].latency_us.add(&direct.latency_us)?;
+        direct_results[i].send_delay_us.add(&direct.send_delay_us)?;
+        let cpu_before = server.cpu_time()?;
+        let result = through_server(next_run(), &plan)?;
+        let cpu =
+            (server.cpu_time()? - cpu_before).as_secs_f64() - idle_cpu_share * result.duration.as_secs_f64();
+        cpu_s += cpu;
+        requests += result.counts.planned;
+        let rate_result = &mut size_result.by_rate[i];
+        rate_result.cpu += StdDuration::from_secs_f64(cpu.max(0.0));
+        rate_result.counts.add(&result.counts);
+        rate_result.added_us.add(added_latency(&result.latency_us, &direct.latency_us))?;
     }
-    side.rounds.push(used * 1e6 / f64::from(u32::try_from(requests)?.max(1)));
-    side.memory = server.memory()?;
-    side.cpu[0] += server.cpu_time()?;
-    side.cpu[1] += server.cpu_time_by_stat()?;
+    size_result.cpu_us_per_request_by_round.push(cpu_s * 1e6 / f64::from(u32::try_from(requests)?.max(1)));
+    size_result.memory = server.memory()?;
+    size_result.lifetime_cpu[0] += server.cpu_time()?;
+    size_result.lifetime_cpu[1] += server.cpu_time_by_stat()?;
     Ok(())
 }
 
-/// The same arrivals, without a server between this tool and a stand-in runtime.
-fn straight(asked: &PathArguments, size: TableSize, rate: f64, part: u64) -> anyhow::Result<LoadResult> {
-    let length = Duration::from_secs((asked.seconds / f64::from(asked.rounds)).min(MAX_STRAIGHT.secs()));
-    let plan = asked.plan(size, rate, length, part)?;
-    let runtime = start_worker(asked.run_ms);
-    let wire: Arc<dyn WireProtocol> = Arc::new(WorkerProtocol::new(1, asked.body_bytes));
-    run_plan(&wire, runtime.address, &plan, 1, LAST_ANSWER_TIMEOUT)
+/// The same arrivals, without a server between this tool and a stand-in worker.
+fn run_direct(
+    arguments: &PathArguments,
+    size: TableSize,
+    rate: f64,
+    seed_offset: u64,
+) -> anyhow::Result<LoadResult> {
+    let length = Duration::from_secs(
+        (arguments.seconds / f64::from(arguments.rounds)).min(MAX_DIRECT_DURATION.secs()),
+    );
+    let plan = arguments.plan(size, rate, length, seed_offset)?;
+    let worker = start_worker(arguments.run_ms);
+    let protocol: Arc<dyn WireProtocol> = Arc::new(WorkerProtocol::new(1, arguments.body_bytes));
+    run_plan(&protocol, worker.address, &plan, 1, LAST_ANSWER_TIMEOUT)
 }
--- a/crates/hazelspur-simulator/src/path/wires.rs
+++ b/crates/hazelspur-simulator/src/path/wires.rs
@@ -7,53 +7,55 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Timeout of a request at its gateway, in ms.
-const TIMEOUT_MS: u64 = 2000;
+const REQUEST_TIMEOUT_MS: u64 = 2000;
 /// Memory of a request, in kB.
-const NEED_KB: f64 = 24.5;
+const REQUEST_MEMORY_KB: f64 = 24.5;
 /// Different callers that the requests are said to be from.
 const CALLERS: usize = 64;
 
 /// Error code of a rejected request.
-const NACKED: i64 = -32011;
+const REJECTED_CODE: i64 = -32011;
 /// Error code of an unknown request class.
-const NO_METHOD: i64 = -32601;
+const UNKNOWN_REQUEST_CLASS_CODE: i64 = -32601;
 /// Error code of invalid parameters.
-const BAD_PARAMS: i64 = -32602;
+const INVALID_PARAMETERS_CODE: i64 = -32602;
 /// Message for an unknown tenant.
-const OWNER_UNKNOWN: &str = "owner is not known";
+const UNKNOWN_TENANT_MESSAGE: &str = "owner is not known";
 
 /// JSON-RPC lines to a server. Request ids carry `play`, so that those of two plays differ.
 #[derive(Clone, Debug)]
 pub struct GatewayProtocol {
-    play: u32,
+    run: u32,
     /// The body of all requests, base64.
     data: String,
 }
 
 impl GatewayProtocol {
     /// Bodies of `body_bytes`, rounded down to whole threes.
-    pub fn new(play: u32, body_bytes: usize) -> Self {
-        Self { play, data: "aGF6".repeat(body_bytes / 3) }
+    pub fn new(run: u32, body_bytes: usize) -> Self {
+        Self { run, data: "aGF6".repeat(body_bytes / 3) }
     }
 
     /// What an answer says, shown to people.
     pub fn describe(line: &[u8]) -> String {
         let message: Value = serde_json::from_slice(line).unwrap_or(Value::Null);
         let (code, text) = (message["error"]["code"].as_i64(), message["error"]["message"].as_str());
-        match (answer(&message), code) {
+        match (read_answer(&message), code) {
             (Answer::Acked, _) => "answered".into(),
             (kind, code) => format!("{kind:?} ({} {})", code.unwrap_or(0), text.unwrap_or("")).to_lowercase(),
         }
     }
 }
 
-fn answer(message: &Value) -> Answer {
+fn read_answer(message: &Value) -> Answer {
     let error = &message["error"];
     match error["code"].as_i64() {
         None if message["result"].is_object() => Answer::Acked,
-        Some(NACKED) => Answer::Refused,
-        Some(NO_METHOD) => Answer::Unknown,
-        Some(BAD_PARAMS) if error["message"].as_str() == Some(OWNER_UNKNOWN) => Answer::Unknown,
+        Some(REJECTED_CODE) => Answer::Refused,
+        Some(UNKNOWN_REQUEST_CLASS_CODE) => Answer::Unknown,
+        Some(INVALID_PARAMETERS_CODE) if error["message"].as_str() == Some(UNKNOWN_TENANT_MESSAGE) => {
+            Answer::Unknown
+        }
         _ => Answer::Failed,
     }
 }
@@ -67,39 +69,40 @@
         let ts = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let line = json!({"jsonrpc": "2.0", "id": number + 1,
             "method": request_class_name(arrival.request_class),
-            "params": {"req": format!("{:08x}{number:08x}", self.play), "ts": ts, "via": number % CALLERS,
-                "timeout": TIMEOUT_MS, "need": NEED_KB, "level": 0.5, "owner": tenant_name(arrival.tenant),
-                "data": self.data}});
+            "params": {"req": format!("{:08x}{number:08x}", self.run), "ts": ts, "via": number % CALLERS,
+                "timeout": REQUEST_TIMEOUT_MS, "need": REQUEST_MEMORY_KB, "level": 0.5,
+                "owner": tenant_name(arrival.tenant), "data": self.data}});
         format!("{line}\n").into_bytes()
     }
 
     fn decode_message(&self, unread: &[u8]) -> Option<(usize, Message)> {
         let end = unread.iter().position(|b| *b == b'\n')? + 1;
         let line: Value = serde_json::from_slice(&unread[..end]).unwrap_or(Value::Null);
-        let meant = match line["id"].as_u64().filter(|id| *id > 0) {
+        let message = match line["id"].as_u64().filter(|id| *id > 0) {
             Some(id) => {
-                let told = answer(&line);
-                let spoilt = told == Answer::Acked && line["result"]["data"].as_str() != Some(&self.data);
-                Message::Answer(id as usize - 1, if spoilt { Answer::Failed } else { told })
+                let answer = read_answer(&line);
+                let body_differs =
+                    answer == Answer::Acked && line["result"]["data"].as_str() != Some(&self.data);
+                Message::Answer(id as usize - 1, if body_differs { Answer::Failed } else { answer })
             }
             // A farewell, or an error about the connection itself: it closes.
             None => Message::Closing,
         };
-        Some((end, meant))
+        Some((end, message))
     }
 }
 
 /// The runtime's lines, as a server says them.
 #[derive(Clone, Debug)]
 pub struct WorkerProtocol {
-    play: u32,
+    run: u32,
     body: Vec<u8>,
 }
 
 impl WorkerProtocol {
     /// A wire for the requests of one play.
-    pub fn new(play: u32, body_bytes: usize) -> Self {
-        Self { play, body: b"haz".repeat(body_bytes / 3) }
+    pub fn new(run: u32, body_bytes: usize) -> Self {
+        Self { run, body: b"haz".repeat(body_bytes / 3) }
     }
 }
 
@@ -110,7 +113,7 @@
 
     fn encode_request(&self, number: usize, arrival: &Arrival) -> Vec<u8> {
         let (name, length) = (request_class_name(arrival.request_class), self.body.len());
-        let mut out = format!("start {:08x}{number:08x} {name} {length}\r\n", self.play).into_bytes();
+        let mut out = format!("start {:08x}{number:08x} {name} {length}\r\n", self.run).into_bytes();
         out.extend_from_slice(&self.body);
         out.extend_from_slice(b"\r\n");
         out
@@ -120,16 +123,16 @@
         let end = unread.iter().position(|b| *b == b'\n')? + 1;
         let line = String::from_utf8_lossy(&unread[..end]);
         let words: Vec<&str> = line.split_whitespace().collect();
-        let ["end", _, id, how, _, length] = words[..] else { return Some((end, Message::Other)) };
-        let whole = end + length.parse::<usize>().unwrap_or(0) + 2;
-        if unread.len() < whole {
+        let ["end", _, id, result, _, length] = words[..] else { return Some((end, Message::Other)) };
+        let total_length = end + length.parse::<usize>().unwrap_or(0) + 2;
+        if unread.len() < total_length {
             return None;
         }
         let id = u64::from_str_radix(id, 16).unwrap_or(u64::MAX);
-        if (id >> 32) as u32 != self.play {
-            return Some((whole, Message::Other));
+        if (id >> 32) as u32 != self.run {
+            return Some((total_length, Message::Other));
         }
-        let told = if how == "complete" { Answer::Acked } else { Answer::Failed };
-        Some((whole, Message::Answer((id & 0xffff_ffff) as usize, told)))
+        let answer = if result == "complete" { Answer::Acked } else { Answer::Failed };
+        Some((total_length, Message::Answer((id & 0xffff_ffff) as usize, answer)))
     }
 }
--- a/crates/hazelspur-simulator/tests/path.rs
+++ b/crates/hazelspur-simulator/tests/path.rs
@@ -45,35 +45,35 @@
 }
 
 #[test]
-fn times_are_the_same_for_all_sizes_and_gaps_are_those_of_a_poisson_stream() {
+fn arrival_times_are_poisson_and_independent_of_table_size() {
     let small = TableSize { request_classes: 87, tenants: 420 };
     let at = |size| plan(size, 296.0, 60.0, 3).iter().map(|a| a.at.us()).collect::<Vec<_>>();
     let all = at(SIZE);
     assert_eq!(all, at(small));
     assert!(all.is_sorted());
     // Five standard deviations around the mean, and of exponential gaps 1 in e is over the mean.
-    let wanted = 296.0 * 60.0;
-    assert!((all.len() as f64 - wanted).abs() < 5.0 * wanted.sqrt(), "{}", all.len());
+    let expected = 296.0 * 60.0;
+    assert!((all.len() as f64 - expected).abs() < 5.0 * expected.sqrt(), "{}", all.len());
     let mean = 1e6 / 296.0;
     let over = all.windows(2).filter(|w| (w[1] - w[0]) as f64 > mean).count() as f64 / all.len() as f64;
     assert!((over - (-1f64).exp()).abs() < 0.02, "{over}");
 }
 
 #[test]
-fn whole_tables_are_met_or_as_many_as_told_with_the_last_entry_among_them() {
+fn arrivals_cover_tables_or_the_distinct_entries_asked_for() {
     let small = TableSize { request_classes: 87, tenants: 420 };
     assert_eq!(count_distinct(&plan(small, 300.0, 60.0, 1)), (87, 420));
-    let met = DistinctEntries { request_classes: Some(10), tenants: Some(1) };
-    let some = arrivals(SIZE, met, 300.0, Duration::from_secs(5.0), 1).expect("a plan");
-    assert_eq!(count_distinct(&some), (10, 1));
-    assert_eq!(some.iter().map(|a| (a.request_class, a.tenant)).max(), Some((8699, 41_999)));
-    assert_eq!(some.iter().map(|a| a.request_class).min(), Some(0));
-    assert!(arrivals(SIZE, met, 0.0, Duration::from_secs(5.0), 1).is_err());
-    assert!(arrivals(SIZE, met, 1e9, Duration::from_secs(5.0), 1).is_err());
+    let distinct = DistinctEntries { request_classes: Some(10), tenants: Some(1) };
+    let few = arrivals(SIZE, distinct, 300.0, Duration::from_secs(5.0), 1).expect("a plan");
+    assert_eq!(count_distinct(&few), (10, 1));
+    assert_eq!(few.iter().map(|a| (a.request_class, a.tenant)).max(), Some((8699, 41_999)));
+    assert_eq!(few.iter().map(|a| a.request_class).min(), Some(0));
+    assert!(arrivals(SIZE, distinct, 0.0, Duration::from_secs(5.0), 1).is_err());
+    assert!(arrivals(SIZE, distinct, 1e9, Duration::from_secs(5.0), 1).is_err());
 }
 
 #[test]
-fn a_configuration_has_as_many_names_as_asked_for_all_different() {
+fn configuration_has_requested_number_of_distinct_names() {
     let at = |port| SocketAddr::from(([127, 0, 0, 1], port));
     let addresses = ServerAddresses { listen: at(1), worker: at(2), registry: at(3) };
     let text = configuration(SIZE, addresses, 810, 7);
@@ -82,13 +82,13 @@
         let list = all["settings"][list].as_array().expect("a list");
         list.iter().map(|entry| entry["name"].as_str().expect("a name").to_string()).collect()
     };
-    for (list, wanted) in [("lanes", 8700), ("orgs", 42_000)] {
+    for (list, expected) in [("lanes", 8700), ("orgs", 42_000)] {
         let names = names(list);
-        assert_eq!((names.len(), names.iter().collect::<BTreeSet<_>>().len()), (wanted, wanted));
+        assert_eq!((names.len(), names.iter().collect::<BTreeSet<_>>().len()), (expected, expected));
     }
     assert!(all["settings"]["lanes"].as_array().expect("a list").iter().all(|l| l["semantics"] == "safe"));
-    let least = TableSize { request_classes: 1, tenants: 1 };
-    let text = configuration(least, addresses, 810, 7);
+    let smallest = TableSize { request_classes: 1, tenants: 1 };
+    let text = configuration(smallest, addresses, 810, 7);
     let all: serde_json::Value = serde_json::from_str(&text).expect("JSON");
     expect![[r#"
         {
@@ -151,16 +151,16 @@
 }
 
 #[test]
-fn sizes_are_read_strictly() {
+fn malformed_table_sizes_are_rejected() {
     assert_eq!("8700x42000".parse(), Ok(SIZE));
     assert_eq!(SIZE.to_string(), "8700x42000");
-    for wrong in ["", "87", "87x", "x420", "0x1", "1x0", "87x420x1", "87X420", "-1x5", "1x1000001"] {
-        assert!(wrong.parse::<TableSize>().is_err(), "{wrong}");
+    for invalid in ["", "87", "87x", "x420", "0x1", "1x0", "87x420x1", "87X420", "-1x5", "1x1000001"] {
+        assert!(invalid.parse::<TableSize>().is_err(), "{invalid}");
     }
 }
 
 /// Lines in, and what becomes of each on its connection: an answer, or nothing.
-fn peer(answer: impl Fn(usize, &str) -> Option<String> + Send + Sync + 'static) -> SocketAddr {
+fn start_peer(answer: impl Fn(usize, &str) -> Option<String> + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a place");
     let address = listener.local_addr().expect("an address");
     let (answer, count) = (Arc::new(answer), Arc::new(AtomicUsize::new(0)));
@@ -176,48 +176,54 @@
 fn serve(stream: &TcpStream, count: &AtomicUsize, answer: &dyn Fn(usize, &str) -> Option<String>) {
     let _ = stream.set_nodelay(true);
     for line in BufReader::new(stream).lines().map_while(Result::ok) {
-        let Some(said) = answer(count.fetch_add(1, Ordering::SeqCst), &line) else { continue };
-        if said.is_empty() || (&mut &*stream).write_all(said.as_bytes()).is_err() {
+        let Some(answer) = answer(count.fetch_add(1, Ordering::SeqCst), &line) else { continue };
+        if answer.is_empty() || (&mut &*stream).write_all(answer.as_bytes()).is_err() {
             return;
         }
     }
 }
 
 fn acked(line: &str) -> String {
-    let asked: serde_json::Value = serde_json::from_str(line).expect("a line of JSON");
+    let request: serde_json::Value = serde_json::from_str(line).expect("a line of JSON");
     format!(
         "{{\"jsonrpc\":\"2.0\",\"id\":{},\"result\":{{\"data\":{}}}}}\n",
-        asked["id"], asked["params"]["data"]
+        request["id"], request["params"]["data"]
     )
 }
 
 fn error(line: &str, code: i32, message: &str) -> String {
-    let asked: serde_json::Value = serde_json::from_str(line).expect("a line of JSON");
-    let id = &asked["id"];
+    let request: serde_json::Value = serde_json::from_str(line).expect("a line of JSON");
+    let id = &request["id"];
     format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"error\":{{\"code\":{code},\"message\":\"{message}\"}}}}\n")
 }
 
-fn played(address: SocketAddr, plan: &[Arrival], connections: usize, patience_ms: u64) -> LoadResult {
-    let wire: Arc<dyn WireProtocol> = Arc::new(GatewayProtocol::new(1, 30));
-    run_plan(&wire, address, plan, connections, StdDuration::from_millis(patience_ms)).expect("it is played")
+fn run_from_gateway(
+    address: SocketAddr,
+    plan: &[Arrival],
+    connections: usize,
+    last_answer_timeout_ms: u64,
+) -> LoadResult {
+    let protocol: Arc<dyn WireProtocol> = Arc::new(GatewayProtocol::new(1, 30));
+    run_plan(&protocol, address, plan, connections, StdDuration::from_millis(last_answer_timeout_ms))
+        .expect("it is played")
 }
 
 #[test]
-fn a_slow_answer_shows_at_the_end_of_the_histogram_and_in_all_that_wait_behind_it() {
+fn slow_answer_raises_latency_of_requests_waiting_behind_it() {
     // One connection that is read in order: what arrives in the 300 ms waits for them too, fewer than may be
     // open, and its latency counts from its own time.
-    let slow = peer(|number, line| {
+    let slow = start_peer(|number, line| {
         if number == 60 {
             std::thread::sleep(StdDuration::from_millis(300));
         }
         Some(acked(line))
     });
     let plan = plan(SIZE, 50.0, 3.0, 1);
-    let played = played(slow, &plan, 1, 2000);
-    assert_eq!((played.tally.acked, played.tally.planned), (plan.len(), plan.len()));
-    let mut straight = latency_histogram();
-    straight.record(200).expect("in bounds");
-    let added = added_latency(&played.latency_us, &straight);
+    let result = run_from_gateway(slow, &plan, 1, 2000);
+    assert_eq!((result.counts.acked, result.counts.planned), (plan.len(), plan.len()));
+    let mut direct = latency_histogram();
+    direct.record(200).expect("in bounds");
+    let added = added_latency(&result.latency_us, &direct);
     assert_eq!(added.len(), plan.len() as u64);
     assert!(quantile_ms(&added, 0.999) >= 299.0, "{}", quantile_ms(&added, 0.999));
     let behind = plan.iter().filter(|a| a.at > plan[60].at && a.at < plan[60].at + Duration::from_ms(200));
@@ -227,41 +233,41 @@
 }
 
 #[test]
-fn the_usual_time_straight_to_the_runtime_is_taken_out_and_nothing_else() {
-    let (mut through, mut straight) = (latency_histogram(), latency_histogram());
-    (0..1000u64).for_each(|i| through.record(500 + i % 7).expect("in bounds"));
-    through.record(90_000).expect("in bounds");
-    (0..99u64).for_each(|_| straight.record(200).expect("in bounds"));
+fn added_latency_subtracts_only_the_direct_median() {
+    let (mut through_server, mut direct) = (latency_histogram(), latency_histogram());
+    (0..1000u64).for_each(|i| through_server.record(500 + i % 7).expect("in bounds"));
+    through_server.record(90_000).expect("in bounds");
+    (0..99u64).for_each(|_| direct.record(200).expect("in bounds"));
     // A slow one straight to the runtime makes no later one faster.
-    straight.record(80_000).expect("in bounds");
-    let added = added_latency(&through, &straight);
+    direct.record(80_000).expect("in bounds");
+    let added = added_latency(&through_server, &direct);
     assert_eq!((added.value_at_quantile(0.5), added.len()), (303, 1001));
     assert!((89_700..90_000).contains(&added.max()), "{}", added.max());
 }
 
 #[test]
-fn a_server_that_never_answers_is_counted_as_such_and_the_play_ends() {
-    let mute = peer(|_, _| None);
+fn silent_server_leaves_requests_unanswered_and_run_ends() {
+    let silent = start_peer(|_, _| None);
     let plan = plan(SIZE, 500.0, 0.5, 1);
-    let began = Instant::now();
-    let LoadResult { tally, latency_us, .. } = played(mute, &plan, 2, 100);
-    assert!(plan.len() > 2 * MAX_OPEN_REQUESTS && began.elapsed() < StdDuration::from_secs(10));
+    let started_at = Instant::now();
+    let LoadResult { counts, latency_us, .. } = run_from_gateway(silent, &plan, 2, 100);
+    assert!(plan.len() > 2 * MAX_OPEN_REQUESTS && started_at.elapsed() < StdDuration::from_secs(10));
     let unsent = plan.len() - 2 * MAX_OPEN_REQUESTS;
-    let wanted = OutcomeCounts {
+    let expected = OutcomeCounts {
         planned: plan.len(),
         unanswered: 2 * MAX_OPEN_REQUESTS,
         unsent,
         ..OutcomeCounts::default()
     };
-    assert_eq!(tally, wanted);
+    assert_eq!(counts, expected);
     // They are in the histogram with the time until the end, not left out of it.
     assert_eq!(latency_us.len(), plan.len() as u64);
     assert!(quantile_ms(&latency_us, 0.5) >= 100.0);
 }
 
 #[test]
-fn refused_unknown_failed_and_broken_ops_are_told_apart() {
-    let mixed = peer(|number, line| match number % 6 {
+fn refused_unknown_failed_and_broken_are_counted_apart() {
+    let mixed = start_peer(|number, line| match number % 6 {
         0 => Some(acked(line)),
         1 => Some(error(line, -32011, "full")),
         2 => Some(error(line, -32601, "no such method")),
@@ -271,37 +277,41 @@
         _ => Some(String::new()),
     });
     let plan = plan(SIZE, 200.0, 0.6, 5);
-    let tally = played(mixed, &plan, 1, 500).tally;
-    assert_eq!((tally.planned, tally.unanswered, tally.unsent), (plan.len(), 0, 0));
-    let each = plan.len() / 6;
-    let near = |count: usize, wanted: usize| count.abs_diff(wanted) <= 1 + wanted / 4;
-    assert!(near(tally.unknown, 2 * each), "{tally:?}");
-    assert!(tally.acked > 0 && tally.refused > 0 && tally.failed > 0 && tally.broken > 0, "{tally:?}");
-    let sum = tally.acked + tally.refused + tally.unknown + tally.failed + tally.broken;
-    assert_eq!(sum, tally.planned, "{tally:?}");
+    let counts = run_from_gateway(mixed, &plan, 1, 500).counts;
+    assert_eq!((counts.planned, counts.unanswered, counts.unsent), (plan.len(), 0, 0));
+    let per_kind = plan.len() / 6;
+    let near = |count: usize, expected: usize| count.abs_diff(expected) <= 1 + expected / 4;
+    assert!(near(counts.unknown, 2 * per_kind), "{counts:?}");
+    assert!(counts.acked > 0 && counts.refused > 0 && counts.failed > 0 && counts.broken > 0, "{counts:?}");
+    let sum = counts.acked + counts.refused + counts.unknown + counts.failed + counts.broken;
+    assert_eq!(sum, counts.planned, "{counts:?}");
 }
 
 #[test]
-fn nobody_there_is_an_error_and_no_play() {
+fn run_without_a_listener_is_an_error() {
     let reserved = ReservedAddress::on(Ipv4Addr::LOCALHOST).expect("a free port");
-    let gone = reserved.address();
-    let wire: Arc<dyn WireProtocol> = Arc::new(GatewayProtocol::new(1, 30));
-    assert!(run_plan(&wire, gone, &plan(SIZE, 50.0, 0.1, 1), 1, StdDuration::from_millis(50)).is_err());
+    let unused_address = reserved.address();
+    let protocol: Arc<dyn WireProtocol> = Arc::new(GatewayProtocol::new(1, 30));
+    assert!(
+        run_plan(&protocol, unused_address, &plan(SIZE, 50.0, 0.1, 1), 1, StdDuration::from_millis(50))
+            .is_err()
+    );
 }
 
 #[test]
-fn straight_to_a_stand_in_runtime_all_is_acked() {
-    let runtime = hazelspur_simulator::path::process::start_worker(0);
-    let wire: Arc<dyn WireProtocol> = Arc::new(WorkerProtocol::new(9, 201));
+fn worker_test_double_acks_all_direct_requests() {
+    let worker = hazelspur_simulator::path::process::start_worker(0);
+    let protocol: Arc<dyn WireProtocol> = Arc::new(WorkerProtocol::new(9, 201));
     let plan = plan(SIZE, 300.0, 0.5, 2);
-    let played = run_plan(&wire, runtime.address, &plan, 1, StdDuration::from_secs(2)).expect("it is played");
-    assert_eq!((played.tally.acked, played.tally.planned), (plan.len(), plan.len()));
+    let result =
+        run_plan(&protocol, worker.address, &plan, 1, StdDuration::from_secs(2)).expect("it is played");
+    assert_eq!((result.counts.acked, result.counts.planned), (plan.len(), plan.len()));
 }
 
 #[test]
-fn messages_are_taken_only_whole_and_an_echo_that_differs_is_no_ack() {
-    let (gateway, runtime) = (GatewayProtocol::new(1, 6), WorkerProtocol::new(3, 6));
-    let shown = |wire: &dyn WireProtocol, bytes: &str| match wire.decode_message(bytes.as_bytes()) {
+fn incomplete_message_waits_and_different_body_fails() {
+    let (gateway, worker) = (GatewayProtocol::new(1, 6), WorkerProtocol::new(3, 6));
+    let shown = |protocol: &dyn WireProtocol, bytes: &str| match protocol.decode_message(bytes.as_bytes()) {
         None => "not whole".to_string(),
         Some((used, Message::Answer(number, answer))) => format!("{used}: {number} {answer:?}"),
         Some((used, Message::Closing)) => format!("{used}: closing"),
@@ -313,11 +323,11 @@
         shown(&gateway, "{\"id\":5,\"result\":{\"data\":\"aGF6\"}}\n"),
         shown(&gateway, "{\"jsonrpc\":\"2.0\",\"method\":\"farewell\"}\n"),
         shown(&gateway, "{\"id\":null,\"error\":{\"code\":-32700,\"message\":\"no\"}}\n"),
-        shown(&runtime, "ready hot 60000\r\n"),
-        shown(&runtime, "end 1 0000000300000007 complete 0 6\r\nhaz"),
-        shown(&runtime, "end 1 0000000300000007 complete 0 6\r\nhazhaz\r\n"),
-        shown(&runtime, "end 1 0000000300000007 error 0 0\r\n\r\n"),
-        shown(&runtime, "end 1 0000000200000007 complete 0 6\r\nhazhaz\r\n"),
+        shown(&worker, "ready hot 60000\r\n"),
+        shown(&worker, "end 1 0000000300000007 complete 0 6\r\nhaz"),
+        shown(&worker, "end 1 0000000300000007 complete 0 6\r\nhazhaz\r\n"),
+        shown(&worker, "end 1 0000000300000007 error 0 0\r\n\r\n"),
+        shown(&worker, "end 1 0000000200000007 complete 0 6\r\nhazhaz\r\n"),
     ];
     expect![[r#"
         not whole
@@ -343,20 +353,20 @@
 }
 
 #[test]
-fn points_measured_again_take_the_place_of_the_old_ones_and_those_of_another_text_go() {
+fn merge_replaces_remeasured_points_and_drops_other_version() {
     let old = study("path", "abc", vec![point("a", 148.0, 1.0), point("a", 296.0, 2.0)]);
     let new = study("path --cost", "abc", vec![point("a", 296.0, 3.0), point("b", 296.0, 4.0)]);
-    let joined = new.clone().merged_with(Some(old.clone()));
-    assert_eq!(joined.command, "path; path --cost");
+    let merged = new.clone().merged_with(Some(old.clone()));
+    assert_eq!(merged.command, "path; path --cost");
     let kept = vec![point("a", 148.0, 1.0), point("a", 296.0, 3.0), point("b", 296.0, 4.0)];
-    assert_eq!(joined.points, kept);
-    let again = joined.clone().merged_with(Some(joined.clone()));
-    assert_eq!(again.points, joined.points);
+    assert_eq!(merged.points, kept);
+    let again = merged.clone().merged_with(Some(merged.clone()));
+    assert_eq!(again.points, merged.points);
     let other = Study { text: "def".into(), ..new.clone() };
     assert_eq!(other.clone().merged_with(Some(old)), other);
     let file = std::env::temp_dir().join(format!("hazelspur-path-test-{}.json", std::process::id()));
     let _ = std::fs::remove_file(&file);
-    joined.clone().save(&file).expect("it is written");
+    merged.clone().save(&file).expect("it is written");
     new.save(&file).expect("it is written again");
     let read: Study = serde_json::from_slice(&std::fs::read(&file).expect("a file")).expect("its form");
     std::fs::remove_file(&file).expect("it is there");
