--- a/crates/hazelspur-simulator/src/path/command.rs
+++ b/crates/hazelspur-simulator/src/path/command.rs
@@ -1,4 +1,5 @@
-//! The subcommand `path`: its arguments, the check that its plan fits the time limit, and the study's file.
+//! The subcommand `path`: its arguments, the check that the planned runs fit the time limit, and the file
+//! that the measured points are saved to.
 
 use crate::path::cost::measure_costs;
 use crate::path::figures::{Point, Study};
@@ -12,28 +13,27 @@
 use std::process::Command;
 use std::time::Duration as StdDuration;
 
-/// Requests before the measured ones, so that connections, code and allocator are warm.
+/// Duration of the unmeasured load before the measured one, so that connections, code and allocator are warm.
 pub(super) const WARM_UP: Duration = Duration::from_ms(1000);
-/// The longest play straight to the runtime.
+/// Longest run directly against the worker test double.
 pub(super) const MAX_DIRECT_DURATION: Duration = Duration::from_ms(2000);
-/// After a start, before the rest is measured.
+/// Pause before the CPU time of an idle server is measured, so that start-up or warm-up work is over.
 pub(super) const SETTLING_PERIOD: StdDuration = StdDuration::from_millis(700);
-/// Sizes of the small tables.
+/// Default size of the small tables.
 pub(super) const SMALL: TableSize = TableSize { request_classes: 87, tenants: 420 };
-/// Sizes of the large tables.
+/// Default size of the large tables.
 pub(super) const LARGE: TableSize = TableSize { request_classes: 8700, tenants: 42_000 };
-/// The greatest number of rounds.
 const MAX_ROUNDS: u32 = 20;
-/// The greatest number of rates.
 const MAX_RATES: usize = 16;
-/// Time between the end of the plan and the time limit.
+/// Least time between the planned end and the time limit.
 const LIMIT_MARGIN: StdDuration = StdDuration::from_secs(5);
-/// The operator's file of a server whose settings change while it runs.
+/// Operator's file that lets a server reload its settings while it runs.
 const RELOADING_OPERATOR_FILE: &str = "reload(settings = True)\n";
 
+/// Arguments of `hazelspur-simulator path`.
 #[derive(Args, Clone, Debug)]
 pub struct PathArguments {
-    /// The server's program; otherwise the one beside this.
+    /// Program of the server; by default `hazelspur-server` in the directory of this program.
     #[arg(long)]
     pub server: Option<PathBuf>,
     /// Request classes of the large tables.
@@ -42,58 +42,62 @@
     /// Tenants of the large tables.
     #[arg(long, default_value_t = LARGE.tenants)]
     pub tenants: usize,
-    /// The small tables beside the large ones.
+    /// Size of the small tables, as request classes x tenants.
     #[arg(long, default_value_t = SMALL)]
     pub small: TableSize,
-    /// Different request classes that are met, spread over the whole table; all without it.
+    /// Number of distinct request classes that requests use, spread evenly over the tables; all by
+    /// default.
     #[arg(long)]
     pub met_op_types: Option<usize>,
-    /// Different tenants that are met.
+    /// Number of distinct tenants that requests use, spread evenly over the tables; all by default.
     #[arg(long)]
     pub met_tenants: Option<usize>,
-    /// Requests a second: one server's part of 120,000 over 810 servers at 6, 5 and 3 zones.
+    /// Request rates to measure, in requests a second. The defaults are one server's part of 120,000 requests
+    /// a second over 810 servers with 6, 5 and 3 zones in service.
     #[arg(long, value_delimiter = ',', default_value = "148,178,296")]
     pub rates: Vec<f64>,
-    /// How long each rate is played on each size of tables, over all rounds.
+    /// Duration of the load at each rate for each table size, over all rounds, in seconds.
     #[arg(long, default_value_t = 10.0)]
     pub seconds: f64,
-    /// Small and large tables by turns, so often, each time with a fresh server.
+    /// Number of rounds; each starts a new server with the small tables, then one with the large tables.
     #[arg(long, default_value_t = 2)]
     pub rounds: u32,
-    /// Gateways' connections, each with at most 32 requests open.
+    /// Number of gateway connections, each with at most 32 open requests.
     #[arg(long, default_value_t = 8)]
     pub connections: usize,
-    /// What the stand-in runtime takes for a request, in ms; 0 is at once.
+    /// Time that the worker test double takes for a request, in ms; it answers at once for 0.
     #[arg(long, default_value_t = 0)]
     pub run_ms: u64,
-    /// Bytes of a request's body.
+    /// Size of a request's body in bytes, rounded down to a multiple of 3.
     #[arg(long, default_value_t = 201)]
     pub body_bytes: usize,
-    /// Measures what a server costs that nothing is asked of, by the size of its tables.
+    /// Measures the cost of a server without requests, by table size.
     #[arg(long)]
     pub cost: bool,
-    /// Sizes for `--cost`.
+    /// Table sizes for `--cost`, as request classes x tenants.
     #[arg(long, value_delimiter = ',', default_value = "87x420,870x4200,2000x10000,4000x20000,8700x42000")]
     pub sizes: Vec<TableSize>,
-    /// With `--cost`: another server of each size has one tenant's quota changed in its file and is told to read it
-    /// again, so often. Not for a program that knows no `reload(...)` in the operator's file.
+    /// With `--cost`: number of reloads measured on another server of each size; each changes one tenant's
+    /// quota in the configuration file. Needs a server that knows `reload(...)` in the operator's file.
     #[arg(long, default_value_t = 0)]
     pub reloads: u32,
-    /// How long a server's rest is measured.
+    /// Time over which the CPU time of an idle server is measured, in seconds.
     #[arg(long, default_value_t = 3.0)]
     pub rest_seconds: f64,
-    /// Servers of the fleet, by the settings.
+    /// Number of servers in the fleet according to the settings.
     #[arg(long, default_value_t = 810)]
     pub servers: usize,
+    /// Seed of the arrivals and of the settings.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// All is ended after so many seconds in any case.
+    /// Time limit in seconds, after which all servers are killed and the command ends with status 3.
     #[arg(long, default_value_t = 170)]
     pub limit_seconds: u64,
-    /// Points are put into this file; those of it that this run does not measure stay.
+    /// JSON file for the measured points. Points in it that this run does not measure stay, unless they come
+    /// from another build or machine.
     #[arg(long)]
     pub json: Option<PathBuf>,
-    /// The text that the program was built from; otherwise this checkout's commit.
+    /// Name of the source version that the server was built from; by default the commit of this checkout.
     #[arg(long)]
     pub text: Option<String>,
 }
@@ -102,7 +106,10 @@
     fn program(&self) -> anyhow::Result<PathBuf> {
         let default_program = std::env::current_exe()?.with_file_name("hazelspur-server");
         let program = self.server.clone().unwrap_or(default_program);
-        ensure!(program.exists(), "{program:?} is not there: build it, or name it by --server");
+        ensure!(
+            program.exists(),
+            "server program {program:?} does not exist: build it, or name it by --server"
+        );
         Ok(program)
     }
 
@@ -110,7 +117,7 @@
         self.start_with(size, None)
     }
 
-    /// One whose settings change while it runs.
+    /// Starts a server that reloads its settings while it runs.
     pub(super) fn start_reloading(&self, size: TableSize) -> anyhow::Result<Server> {
         self.start_with(size, Some(RELOADING_OPERATOR_FILE))
     }
@@ -133,7 +140,8 @@
         Ok(arrivals(size, distinct, rate, length, seed)?)
     }
 
-    /// What one call of this takes at most as planned_duration, so that a play is refused rather than cut short.
+    /// Estimates how long the whole command takes at most, so that a plan over the time limit is rejected
+    /// before the start and not cut short.
     fn planned_duration(&self) -> StdDuration {
         let idle = self.rest_seconds + SETTLING_PERIOD.as_secs_f64();
         let seconds = if self.cost {
@@ -161,7 +169,8 @@
 
     pub(super) fn save(&self, points: Vec<Point>) -> anyhow::Result<()> {
         let Some(file) = &self.json else { return Ok(()) };
-        // Without where the program and the file are, which are this machine's.
+        // Leaves out the paths of the program and of the file, which differ between machines, and `--text`,
+        // which is saved on its own.
         let mut kept_words = vec!["hazelspur-simulator path".to_string()];
         let mut arguments = std::env::args().skip(2);
         while let Some(word) = arguments.next() {
@@ -193,20 +202,36 @@
     format!("{cores} cores, {:.0} GiB; real process on loopback", kb / (1024.0 * 1024.0))
 }
 
-/// Plays what is asked for and prints it.
+/// Runs the measurements, prints the tables, and saves the points.
 ///
 /// # Errors
-/// Where the program is missing or does not serve, or more is asked for than fits the time limit.
+/// Returns an error if an argument is out of range, the planned duration exceeds the time limit, the server's
+/// program is missing or does not become ready, or the points cannot be saved.
 pub fn run(arguments: &PathArguments) -> anyhow::Result<()> {
-    ensure!((1..=MAX_ROUNDS).contains(&arguments.rounds), "1 to {MAX_ROUNDS} rounds");
-    ensure!((1..=MAX_RATES).contains(&arguments.rates.len()), "1 to {MAX_RATES} rates");
-    ensure!(arguments.seconds > 0.0 && arguments.rest_seconds > 0.0, "--seconds and --rest-seconds: over 0");
+    ensure!(
+        (1..=MAX_ROUNDS).contains(&arguments.rounds),
+        "--rounds is {}, allowed are 1 to {MAX_ROUNDS}",
+        arguments.rounds
+    );
+    ensure!(
+        (1..=MAX_RATES).contains(&arguments.rates.len()),
+        "--rates has {} entries, allowed are 1 to {MAX_RATES}",
+        arguments.rates.len()
+    );
+    ensure!(
+        arguments.seconds > 0.0 && arguments.rest_seconds > 0.0,
+        "--seconds is {} and --rest-seconds is {}, both must be over 0",
+        arguments.seconds,
+        arguments.rest_seconds
+    );
     let (planned_duration, limit) =
         (arguments.planned_duration(), StdDuration::from_secs(arguments.limit_seconds));
     ensure!(
         planned_duration + LIMIT_MARGIN <= limit,
-        "this takes {} s, more than --limit-seconds {}: fewer rates, rounds, seconds or sizes",
+        "planned duration of {} s plus a margin of {} s exceeds --limit-seconds {}: \
+         use fewer rates, rounds, seconds or sizes",
         planned_duration.as_secs(),
+        LIMIT_MARGIN.as_secs(),
         limit.as_secs()
     );
     arguments.program()?;
--- a/crates/hazelspur-simulator/src/path/cost.rs
+++ b/crates/hazelspur-simulator/src/path/cost.rs
@@ -1,4 +1,5 @@
-//! The measurement of `path --cost`: what a server without requests costs, by the size of its tables.
+//! Measures for `path --cost` what a server without requests costs, by table size: start, memory, idle CPU
+//! time, and reloads of its settings.
 
 use crate::path::command::{PathArguments, SETTLING_PERIOD};
 use crate::path::figures::Point;
@@ -9,32 +10,34 @@
 use comfy_table::Table;
 use std::time::Duration as StdDuration;
 
-/// Bytes in a megabyte.
 const BYTES_PER_MB: f64 = 1e6;
 
-/// What an idle server of one size took.
+/// Cost of an idle server with tables of one size.
 struct IdleCost {
+    /// Time from the start until a health check finds the server ready.
     time_to_serving: StdDuration,
+    /// CPU time until then.
     start_cpu: StdDuration,
+    /// CPU time a second, as a share of one core.
     idle_cpu_share: f64,
     memory: Memory,
     settings_file_bytes: u64,
-    /// Answers to requests of the last request class, the last tenant, and both.
+    /// Answers to three requests: of the last request class, of the last tenant, and of both.
     answers: [String; 3],
 }
 
-/// What reloads of the settings took.
+/// Cost of settings reloads, over all reloads of one server.
 struct ReloadCost {
-    /// Mean CPU time of a reload, in seconds.
+    /// Mean CPU time of one reload, in seconds.
     cpu_s: f64,
-    /// The longest until the settings were in force, in seconds.
+    /// Longest time until the new settings were in force, in seconds.
     max_s: f64,
-    /// The longest health check meanwhile, in seconds.
+    /// Longest health check during a reload, in seconds.
     max_stall_s: f64,
     memory: Memory,
 }
 
-/// Measures servers of each size, prints the tables, and saves the points.
+/// Measures a server of each table size, prints the tables, and saves the points.
 pub(super) fn measure_costs(arguments: &PathArguments) -> anyhow::Result<()> {
     let (mut idle_rows, mut reload_rows) = (idle_table(), reload_table());
     let mut points = Vec::new();
--- a/crates/hazelspur-simulator/src/path/figures.rs
+++ b/crates/hazelspur-simulator/src/path/figures.rs
@@ -1,19 +1,27 @@
-//! What was added beside the runtime's own time, and the file of measured points that `docs/capacity` keeps.
+//! Computes the latency that a server adds, and reads and writes the JSON file of measured points that the
+//! capacity report is made from.
 
 use anyhow::Context;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// One measured figure: `value` in `unit`, at `size` of what `by` counts.
+/// One measured figure, identified by all fields but `unit` and `value`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
+    /// Name of the figure, such as `server.memory.anon_bytes`.
     pub figure: String,
+    /// Variant that was measured: a table size, or for ratios what is compared.
     pub case: String,
+    /// Unit of `value`.
     pub unit: String,
+    /// Name of the quantity that `size` counts, such as `tenants`.
     pub by: String,
+    /// Amount of the quantity named by `by`.
     pub size: f64,
+    /// Seed of the run.
     pub seed: u64,
+    /// Measured value.
     pub value: f64,
 }
 
@@ -23,19 +31,24 @@
     }
 }
 
-/// A file of points, and what made them.
+/// Contents of a JSON file of measured points, with their origin.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Study {
+    /// Name of the study.
     pub study: String,
+    /// Commands that measured the points, separated by `; `.
     pub command: String,
+    /// Source version that the measured program was built from.
     pub text: String,
+    /// Machine that the program ran on.
     pub machine: String,
+    /// Measured points.
     pub points: Vec<Point>,
 }
 
 impl Study {
-    /// Takes the place of those points that this one measured too; a file of another text or machine is
-    /// replaced whole.
+    /// Returns this study with the points of `previous` that it did not measure again. A previous study of
+    /// another name, source version or machine is dropped whole.
     pub fn merged_with(mut self, previous: Option<Self>) -> Self {
         let same_origin =
             |old: &Self| old.study == self.study && old.text == self.text && old.machine == self.machine;
@@ -48,10 +61,11 @@
         Self { points, ..self }
     }
 
-    /// Writes the file, with those points of it that were not measured again.
+    /// Writes the study to the file, merged with what the file held before.
     ///
     /// # Errors
-    /// Where the file or its directory can't be made, or is there and not of this form.
+    /// Returns an error if the file or its directory cannot be created, or if the file exists and is not a
+    /// study.
     pub fn save(self, file: &Path) -> anyhow::Result<()> {
         let previous = if file.exists() {
             let text = std::fs::read(file).with_context(|| format!("{file:?}"))?;
@@ -69,7 +83,7 @@
         ] {
             json += &format!("\"{key}\":{},\n ", serde_json::to_string(text)?);
         }
-        // A point a line, so that differences between two runs can be read.
+        // Each point has a line of its own, so that a diff of two runs is readable.
         let lines: Vec<String> = merged.points.iter().map(serde_json::to_string).collect::<Result<_, _>>()?;
         json += &format!("\"points\":[\n  {}\n]}}\n", lines.join(",\n  "));
         if let Some(directory) = file.parent() {
@@ -79,8 +93,8 @@
     }
 }
 
-/// Each latency less the middle one of requests that went straight to the same runtime, so that what the runtime
-/// and this tool take at all times is taken out, and whatever is beside that stays in.
+/// Returns the latencies through a server, each less the median latency of direct requests to the same
+/// worker. This removes the usual time of the worker and of the load generator, and keeps everything else.
 pub fn added_latency(through_server_us: &Histogram<u64>, direct_us: &Histogram<u64>) -> Histogram<u64> {
     let direct_median = direct_us.value_at_quantile(0.5);
     let mut added = super::load::latency_histogram();
@@ -93,7 +107,7 @@
     added
 }
 
-/// A quantile of a histogram of microseconds, in milliseconds.
+/// Returns a quantile of a histogram of microseconds, in milliseconds.
 pub fn quantile_ms(histogram: &Histogram<u64>, quantile: f64) -> f64 {
     histogram.value_at_quantile(quantile) as f64 / 1000.0
 }
--- a/crates/hazelspur-simulator/src/path/load.rs
+++ b/crates/hazelspur-simulator/src/path/load.rs
@@ -1,6 +1,7 @@
-//! An open loop: each request goes out at its time, whatever became of those before, and its latency counts from
-//! that time, so that a stall is met by all that arrive in it. Called by `command` and by tests; decides
-//! nothing about servers, and ends by itself within the plan's length and `last_answer_timeout`.
+//! An open-loop load generator: each request is sent at its planned time, whatever became of those before,
+//! and its latency counts from that time, so that a stall counts for all requests that arrive during it.
+//! Input is a plan of arrivals, output are latencies and outcomes. A run ends after the plan's length and the
+//! timeout for last answers.
 
 use crate::path::plan::Arrival;
 use anyhow::Context;
@@ -12,71 +13,81 @@
 use std::thread::{JoinHandle, sleep, spawn};
 use std::time::{Duration as StdDuration, Instant};
 
-/// Requests open on a connection, by the protocol.
+/// Greatest number of open requests on a connection that the protocol allows.
 pub const MAX_OPEN_REQUESTS: usize = 32;
-/// Connections of one play, those made anew with them; past these requests are not sent.
+/// Greatest number of connections that one run opens, reconnects included; requests that need more are not
+/// sent.
 const MAX_CONNECTIONS: usize = 4096;
-/// Unread bytes of a connection; more is no answer of ours.
+/// Greatest number of bytes buffered without a complete message; beyond it the peer breaks the protocol and
+/// the connection is given up.
 const MAX_UNREAD: usize = 1 << 20;
-/// Timeout of a connect.
 const CONNECT_TIMEOUT: StdDuration = StdDuration::from_millis(500);
-/// Timeout of a write.
 const WRITE_TIMEOUT: StdDuration = StdDuration::from_millis(500);
-/// How often a reader looks whether it is to end, and the end whether all is answered.
+/// Interval at which a reader checks whether the run is over; also the lead time of the first request.
 const READ_POLL_PERIOD: StdDuration = StdDuration::from_millis(50);
-/// Between two checks whether all answers came.
+/// Interval between two checks whether all answers have come.
 const ANSWER_POLL_PERIOD: StdDuration = StdDuration::from_millis(2);
-/// The last part of a wait is spun, since sleeps end late.
+/// Last part of a wait, which is a busy loop because sleeps end late.
 const SPIN_PERIOD: StdDuration = StdDuration::from_micros(150);
-/// Longest latency told.
+/// Greatest latency that a histogram holds; longer ones are recorded as this one.
 const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// What an answer says of a request.
+/// Kind of an answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
+    /// The request was run.
     Acked,
+    /// The server rejected the request.
     Refused,
-    /// The server does not know its request class or its tenant.
+    /// The server does not know the request class or the tenant.
     Unknown,
+    /// Any other error, or from a server an answer with a body that differs from the request's.
     Failed,
 }
 
-/// What a line from the other side means.
+/// A message from the peer.
 pub enum Message {
+    /// Answer to the request with this index in the plan.
     Answer(usize, Answer),
     /// Nothing more may be sent on this connection.
     Closing,
+    /// Any other message, which is ignored.
     Other,
 }
 
-/// How requests are said on a connection; numbers are places in the plan.
+/// Encoding of requests and decoding of answers on a connection; `number` is the index of a request in the
+/// plan.
 pub trait WireProtocol: Send + Sync {
-    /// What goes out first on a connection.
+    /// Returns the bytes that open a connection.
     fn greeting(&self) -> Vec<u8>;
+    /// Returns the bytes of a request.
     fn encode_request(&self, number: usize, arrival: &Arrival) -> Vec<u8>;
-    /// The first whole message and its length; `None` while it is not all there.
+    /// Decodes the first message and returns its length in bytes; `None` while it is incomplete.
     fn decode_message(&self, unread: &[u8]) -> Option<(usize, Message)>;
 }
 
-/// What became of a request.
+/// Outcome of a request, as known so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outcome {
-    /// No connection had a place for it.
+    /// Not sent yet, or no connection had room for it.
     Unsent,
+    /// Sent on the connection with this index, and not answered yet.
     Open(usize),
-    /// Its connection ended without its answer.
+    /// Unanswered when its connection ended.
     Broken,
-    /// When it was answered, since the beginning.
+    /// Answered, at this time since the start of the run.
     Answered(Answer, Duration),
 }
 
 #[derive(Default)]
 struct Connection {
+    /// Number of open requests.
     open: usize,
-    /// Whether requests may still go out on it.
+    /// Whether requests may still be sent on it.
     accepts_requests: bool,
 }
 
+/// State shared by the sender and the readers.
 struct RunState {
     outcomes: Vec<Outcome>,
     connections: Vec<Connection>,
@@ -101,24 +112,32 @@
 }
 
 fn lock(state: &Mutex<RunState>) -> MutexGuard<'_, RunState> {
-    state.lock().expect("no panic before")
+    state.lock().expect("no thread panics while it holds the lock")
 }
 
-/// Counts of fates.
+/// Number of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
+    /// Requests of the plan, the sum of all other counts.
     pub planned: usize,
+    /// Requests that were run.
     pub acked: usize,
+    /// Requests that the server rejected.
     pub refused: usize,
+    /// Requests whose class or tenant the server does not know.
     pub unknown: usize,
+    /// Requests answered with another error or with a different body.
     pub failed: usize,
+    /// Requests unanswered when their connection ended.
     pub broken: usize,
+    /// Requests still open at the end of the run.
     pub unanswered: usize,
+    /// Requests for which no connection had room.
     pub unsent: usize,
 }
 
 impl OutcomeCounts {
-    /// Adds the counts of another counts.
+    /// Adds the counts of another run.
     pub fn add(&mut self, other: &Self) {
         self.planned += other.planned;
         self.acked += other.acked;
@@ -130,41 +149,48 @@
         self.unsent += other.unsent;
     }
 
-    /// Of the planned requests.
+    /// Returns `count` as a share of the planned requests.
     pub fn share_of_planned(&self, count: usize) -> f64 {
         count as f64 / self.planned.max(1) as f64
     }
 }
 
-/// A play that is over.
+/// Result of a finished run.
 pub struct LoadResult {
+    /// Number of requests by outcome.
     pub counts: OutcomeCounts,
-    /// Microseconds from each request's fixed arrival time to its answer; what was broken, not sent or never answered
-    /// counts with the time until the end of the play. Other answers than acks are only in the counts.
+    /// Microseconds from each request's planned arrival to its ack. A request that was broken, unsent or
+    /// unanswered counts with the time until the end of the run. Answers other than acks are only in
+    /// `counts`.
     pub latency_us: Histogram<u64>,
-    /// How late this tool itself sent, in microseconds: part of the latency.
+    /// Microseconds by which the load generator sent each request late, which are part of its latency.
     pub send_delay_us: Histogram<u64>,
+    /// Time from the start of the plan until the last answer or the timeout.
     pub duration: StdDuration,
 }
 
-/// An empty histogram of microseconds.
+/// Returns an empty histogram of microseconds.
 pub fn latency_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).expect("bounds that fit")
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).expect("the bounds of the histogram are valid")
 }
 
+/// Sender of one run, with its connections.
 struct LoadGenerator<'a> {
     protocol: &'a Arc<dyn WireProtocol>,
     address: SocketAddr,
     started_at: Instant,
     state: Arc<Mutex<RunState>>,
-    /// The link of each place, and its stream.
+    /// Index of the current connection in each slot, and its stream.
     slots: Vec<Option<(usize, TcpStream)>>,
     readers: Vec<JoinHandle<()>>,
 }
 
 impl LoadGenerator<'_> {
     fn connect(&mut self, slot: usize) -> anyhow::Result<()> {
-        anyhow::ensure!(self.readers.len() < MAX_CONNECTIONS, "{MAX_CONNECTIONS} connections were made");
+        anyhow::ensure!(
+            self.readers.len() < MAX_CONNECTIONS,
+            "limit of {MAX_CONNECTIONS} connections reached"
+        );
         let mut stream = TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT)?;
         stream.set_nodelay(true)?;
         stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
@@ -183,7 +209,8 @@
         Ok(())
     }
 
-    /// Sends at the first place from this one on that has room; false where none has.
+    /// Sends a request on the first slot with room, starting at `first_slot`; returns false if no slot has
+    /// room.
     fn send(&mut self, first_slot: usize, number: usize, arrival: &Arrival) -> bool {
         let bytes = self.protocol.encode_request(number, arrival);
         let count = self.slots.len();
@@ -206,7 +233,7 @@
                 state.outcomes[number] = Outcome::Open(*connection);
             }
             if stream.write_all(&bytes).is_err() {
-                // What was written may still be answered: the reader settles it.
+                // The peer may still answer what was written, so the reader decides the outcome.
                 lock(&self.state).connections[*connection].accepts_requests = false;
                 let _ = stream.shutdown(Shutdown::Write);
             }
@@ -265,10 +292,11 @@
     }
 }
 
-/// Plays a plan on so many connections and waits at most `last_answer_timeout` for the last answers.
+/// Sends the requests of a plan over this many connections and waits at most `last_answer_timeout` for the
+/// last answers.
 ///
 /// # Errors
-/// Where nobody listens at the address at the beginning.
+/// Returns an error if the address is not on loopback or does not accept the first connections.
 pub fn run_plan(
     protocol: &Arc<dyn WireProtocol>,
     address: SocketAddr,
@@ -276,7 +304,7 @@
     connections: usize,
     last_answer_timeout: StdDuration,
 ) -> anyhow::Result<LoadResult> {
-    anyhow::ensure!(address.ip().is_loopback(), "only on loopback");
+    anyhow::ensure!(address.ip().is_loopback(), "address {address} is not on loopback");
     let state =
         RunState { outcomes: vec![Outcome::Unsent; plan.len()], connections: Vec::new(), finished: false };
     let mut generator = LoadGenerator {
@@ -287,10 +315,10 @@
         slots: (0..connections.max(1)).map(|_| None).collect(),
         readers: Vec::new(),
     };
-    // The connections stand before the first request is due; their time is not part of anyone's latency.
+    // Connections are opened before the first request is due, so that latencies do not include the connects.
     generator.started_at = Instant::now() + READ_POLL_PERIOD;
     for slot in 0..generator.slots.len() {
-        generator.connect(slot).with_context(|| format!("no connection to {address}"))?;
+        generator.connect(slot).with_context(|| format!("cannot connect to {address}"))?;
     }
     let mut send_delay_us = latency_histogram();
     wait_until(generator.started_at);
--- a/crates/hazelspur-simulator/src/path/mod.rs
+++ b/crates/hazelspur-simulator/src/path/mod.rs
@@ -1,16 +1,17 @@
-//! One real server's own path and cost, by the size of its settings: what it adds to a request beside what the
-//! runtime takes, what CPU a request costs, and what a server costs that does nothing. Called by the command
-//! `hazelspur-simulator path`. Everything is on loopback, has a time limit, and ends what it started by process id;
-//! the server is a process and nothing of its code is linked here.
+//! Measures what one real server costs, by the size of its settings: the latency that it adds to a request
+//! beside the worker's own time, the CPU time of a request, and the cost of a server without requests. Called
+//! by the command `hazelspur-simulator path`. All sockets are on loopback, every run has a time limit, and
+//! every process that was started is ended by its process id. The server runs as a separate process; none of
+//! its code is linked here.
 //!
-//! - `plan`: sizes, the settings file of a size, arrival times fixed by a seed;
-//! - `load`: the open loop that sends at those times, and what became of each request;
-//! - `wires`: how requests go to a server as from a gateway, and straight to a runtime;
-//! - `process`: one server beside its stand-ins, and what /proc says of it;
-//! - `figures`: quantiles of what was added, and the file of measured points;
-//! - `command`: the arguments, the check of the plan, the study's file;
+//! - `plan`: table sizes, the configuration file for a size, and arrival times fixed by a seed;
+//! - `load`: the open-loop load generator, and the outcome of each request;
+//! - `wires`: the wire protocols from a gateway to a server and from a server to a worker;
+//! - `process`: one server with its test doubles, and its CPU time and memory from the operating system;
+//! - `figures`: quantiles of the added latency, and the JSON file of measured points;
+//! - `command`: the arguments, the check of the plan against the time limit, and what is saved;
 //! - `rounds`, `tables`, `points`: the measured rounds, and what is printed and saved of them;
-//! - `cost`: what a server without requests costs.
+//! - `cost`: the cost of a server without requests.
 
 pub mod command;
 mod cost;
--- a/crates/hazelspur-simulator/src/path/plan.rs
+++ b/crates/hazelspur-simulator/src/path/plan.rs
@@ -1,4 +1,4 @@
-//! What is played: the size of a server's settings, the file that says them, and arrivals fixed beforehand.
+//! Plans a run: the table sizes of a server's settings, its configuration file, and arrivals fixed by a seed.
 
 use hazelspur::Duration;
 use hazelspur::pcg::Pcg;
@@ -8,11 +8,12 @@
 use std::net::SocketAddr;
 use std::str::FromStr;
 
-/// More of either is no size of ours.
+/// Greatest number of request classes, and of tenants.
 const MAX_ENTRIES: usize = 1_000_000;
-/// Arrivals of one play.
+/// Greatest number of arrivals in one run.
 pub const MAX_ARRIVALS: usize = 1_000_000;
-/// Cores of the runtime by the settings: the server admits by them, and is not to refuse here.
+/// Cores of the worker according to the settings. The server admits requests by them; there are enough that
+/// it does not reject any here.
 const WORKER_CORES: u32 = 16;
 /// Latency objective of each request class, in microseconds.
 const LATENCY_OBJECTIVE_US: u64 = 1_000_000;
@@ -20,13 +21,15 @@
 const REQUEST_TIMEOUT_US: u64 = 3_000_000;
 /// Quota of each tenant, in requests a second.
 const QUOTA_PER_S: u32 = 10;
-/// From the notice to leave until the process ends.
+/// Time from the shutdown notice until the process ends, in milliseconds.
 const STOP_DURATION_MS: u64 = 400;
 
-/// How many request classes and tenants a server's settings name.
+/// Number of request classes and tenants in a server's settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TableSize {
+    /// Number of request classes.
     pub request_classes: usize,
+    /// Number of tenants.
     pub tenants: usize,
 }
 
@@ -36,14 +39,17 @@
     }
 }
 
-/// A text that is no size of tables.
+/// Error of a text that is not a table size.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0}: not op types x tenants, as in 87x420, each 1 to {MAX_ENTRIES}")]
+#[error("table size {0:?} is not REQUEST_CLASSESxTENANTS, such as 87x420, with each from 1 to {MAX_ENTRIES}")]
 pub struct TableSizeError(String);
 
-/// A rate and length of which no plan follows.
+/// Error of a rate and length that give no valid number of arrivals.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
-#[error("{rate_per_s} ops a second for {length_s} s: not 0 to {MAX_ARRIVALS} ops")]
+#[error(
+    "{rate_per_s} requests a second for {length_s} s: the rate must be over 0 \
+     and give at most 90 % of {MAX_ARRIVALS} requests"
+)]
 pub struct ArrivalsError {
     /// Requests a second.
     pub rate_per_s: f64,
@@ -65,26 +71,30 @@
     }
 }
 
-/// The name of a request class by its number.
+/// Returns the name of the request class with this index.
 pub fn request_class_name(number: usize) -> String {
     format!("route-{number}")
 }
 
-/// The name of a tenant by its number.
+/// Returns the name of the tenant with this index.
 pub fn tenant_name(number: usize) -> String {
     format!("tenant-{number}")
 }
 
-/// Where a server listens and what it connects to.
+/// Address that a server listens on, and those that it connects to.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerAddresses {
+    /// Address that the server listens on.
     pub listen: SocketAddr,
+    /// Address of its worker.
     pub worker: SocketAddr,
+    /// Address of its registry.
     pub registry: SocketAddr,
 }
 
-/// The platform's configuration of a server with tables of this size, in the form of `examples/config.json`
-/// without white space. All request classes may be repeated; `servers` is the size of the fleet that quotas are for.
+/// Returns the configuration of a server with tables of this size, as compact JSON in the form of
+/// `examples/config.json`. Requests of all classes are safe to repeat; `servers` is the number of servers in
+/// the fleet that share the quotas.
 pub fn configuration(size: TableSize, addresses: ServerAddresses, servers: usize, seed: u64) -> String {
     let request_class = |i| {
         json!({"name": request_class_name(i), "aim-us": LATENCY_OBJECTIVE_US,
@@ -100,8 +110,8 @@
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "settings": {
             "family-info": {"n-cores": WORKER_CORES, "mem-limit-kb": 1_000_000, "run-factor": 8,
-                "stop-mode": "drop", "meters": ["core_use", "on_cores", "heap_share", "links"], "calls-out": 1000,
-                "calls-over-us": 5_000_000, "passes-deadline": true},
+                "stop-mode": "drop", "meters": ["core_use", "on_cores", "heap_share", "links"],
+                "calls-out": 1000, "calls-over-us": 5_000_000, "passes-deadline": true},
             "lanes": request_classes,
             "orgs": tenants,
             "rules": {"fall-multiple": 8, "cold-share": 0.2, "cold-us": 10_000_000, "drain-grace-us": 100_000},
@@ -112,27 +122,32 @@
     .to_string()
 }
 
-/// How many distinct request classes and tenants are met, spread evenly over the whole tables; all where `None`.
+/// Number of distinct request classes and tenants that requests use, spread evenly over the tables; `None`
+/// means all.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DistinctEntries {
+    /// Number of distinct request classes.
     pub request_classes: Option<usize>,
+    /// Number of distinct tenants.
     pub tenants: Option<usize>,
 }
 
-/// One request that is to be sent at its time, whatever became of those before.
+/// One planned request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// Since the beginning of the play.
+    /// Time to send it, since the start of the run.
     pub at: Duration,
+    /// Index of the request class in its table.
     pub request_class: usize,
+    /// Index of the tenant in its table.
     pub tenant: usize,
 }
 
-/// Arrivals of a Poisson stream of `rate` requests a second for so long; request classes and tenants evenly drawn. The
-/// times follow from the seed and the rate alone, whatever the size.
+/// Returns the arrivals of a Poisson process of `rate` requests a second over `length`, with request classes
+/// and tenants drawn uniformly. The times depend on the seed and the rate alone, not on the table size.
 ///
 /// # Errors
-/// A rate or length from which no play follows, or one of more than `MAX_ARRIVALS`.
+/// Returns an error if the rate is not over 0 or more than 90 % of `MAX_ARRIVALS` requests are expected.
 pub fn arrivals(
     size: TableSize,
     distinct: DistinctEntries,
@@ -147,7 +162,7 @@
     let mut rng = Pcg::new(seed);
     let pick = |table_len: usize, distinct: Option<usize>, fraction: f64| {
         let distinct = distinct.unwrap_or(table_len).clamp(1, table_len);
-        // The last of the met ones is the last of the table.
+        // The last distinct entry is the last of the table.
         let index = ((fraction * distinct as f64) as usize).min(distinct - 1);
         if distinct == 1 { table_len - 1 } else { index * (table_len - 1) / (distinct - 1) }
     };
@@ -165,7 +180,7 @@
     }
 }
 
-/// How many different request classes and tenants these meet.
+/// Returns the number of distinct request classes and of distinct tenants among the arrivals.
 pub fn count_distinct(arrivals: &[Arrival]) -> (usize, usize) {
     let request_classes: BTreeSet<_> = arrivals.iter().map(|a| a.request_class).collect();
     let tenants: BTreeSet<_> = arrivals.iter().map(|a| a.tenant).collect();
--- a/crates/hazelspur-simulator/src/path/points.rs
+++ b/crates/hazelspur-simulator/src/path/points.rs
@@ -1,11 +1,12 @@
-//! The points that `path` saves.
+//! Converts the results of all rounds of `path` to the points that are saved.
 
 use crate::path::command::PathArguments;
 use crate::path::figures::{Point, quantile_ms};
 use crate::path::load::OutcomeCounts;
 use crate::path::rounds::{RateResult, SizeResult};
 
-/// All points of a finished `path`.
+/// Returns the points of all rounds: for each rate and table size, for each table size, and the ratios of
+/// large to small tables.
 pub(super) fn path_points(arguments: &PathArguments, size_results: &[SizeResult; 2]) -> Vec<Point> {
     let mut points = Vec::new();
     for size_result in size_results {
--- a/crates/hazelspur-simulator/src/path/process.rs
+++ b/crates/hazelspur-simulator/src/path/process.rs
@@ -1,6 +1,6 @@
-//! One real server as a process beside its stand-ins, and what the system says it took. All processes of this
-//! tool are in one register, so that they end with it: by process id, also when a play fails, at a signal to
-//! the tool, and when its time is over.
+//! Runs one real server as a process with test doubles for its worker and registry, and reads its CPU time
+//! and memory from the operating system. All processes started here are in one list, so that they end with
+//! this program, by process id: also when a run fails, on a signal to this program, and at its time limit.
 
 use crate::path::load::{Message, WireProtocol};
 use crate::path::plan::{Arrival, ServerAddresses, TableSize, configuration};
@@ -23,29 +23,31 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// Timeout of a server's start.
+/// Timeout for a start, and for a reload of the settings.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Timeout of a server's end.
+/// Timeout for a server to end after SIGTERM, before it is killed.
 const END_TIMEOUT: Duration = Duration::from_secs(4);
-/// Between two health checks.
+/// Interval between two health checks, and between two checks whether a process has ended.
 const HEALTH_CHECK_PERIOD: Duration = Duration::from_millis(5);
-/// Timeout of an answer.
+/// Timeout for an answer to a health check or a probe.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Lines of a server's log that are shown where it failed.
+/// Number of lines at the end of a server's log that an error shows.
 const SHOWN_LOG_LINES: usize = 5;
-/// Notices looked through for a probe's answer.
+/// Greatest number of lines read in search of a probe's answer; notices may come before it.
 const MAX_PROBE_LINES: usize = 16;
-/// A health check on the wire.
+/// Request line of a health check.
 const HEALTH_CHECK: &[u8] = b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"check\"}\n";
 
+/// Running servers by process id, each with the directory of its files.
 static RUNNING_SERVERS: Mutex<BTreeMap<u32, (Child, PathBuf)>> = Mutex::new(BTreeMap::new());
+/// Number of the next server directory or probe.
 static NEXT_RUN: AtomicU32 = AtomicU32::new(0);
 
 fn running_servers() -> MutexGuard<'static, BTreeMap<u32, (Child, PathBuf)>> {
     RUNNING_SERVERS.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// Kills what is left and removes its files.
+/// Kills all servers that still run and removes their files.
 fn kill_all_servers() {
     for (_, (mut child, directory)) in std::mem::take(&mut *running_servers()) {
         let _ = child.kill();
@@ -54,11 +56,11 @@
     }
 }
 
-/// From now on all servers end with a signal to this tool, and after `limit` in any case; the tool ends with
-/// status 3 then.
+/// Starts a thread that kills all servers and ends this program with status 3, on SIGINT, on SIGTERM, or
+/// after `limit`.
 ///
 /// # Errors
-/// Where signals can't be listened for.
+/// Returns an error if the signal handlers cannot be installed.
 pub fn end_servers_on_signal_or_after(limit: Duration) -> std::io::Result<()> {
     use tokio::signal::unix::{SignalKind, signal};
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -80,24 +82,27 @@
     Ok(())
 }
 
-/// What a process holds now, and the most it held.
+/// Memory use of a process, in bytes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Memory {
+    /// Anonymous memory now.
     pub anon_bytes: u64,
+    /// Resident memory now.
     pub resident_bytes: u64,
+    /// Greatest resident memory so far.
     pub peak_bytes: u64,
 }
 
-/// What a server is started with.
+/// Options of a server to start.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerOptions<'a> {
-    /// The server's program.
+    /// Program of the server.
     pub program: &'a Path,
-    /// Sizes of its tables.
+    /// Size of its tables.
     pub size: TableSize,
-    /// Servers of the fleet, by the settings.
+    /// Number of servers in the fleet according to the settings.
     pub servers: usize,
-    /// How long the runtime takes for a request, in ms.
+    /// Time that the worker takes for a request, in ms.
     pub run_ms: u64,
     /// Seed of the settings.
     pub seed: u64,
@@ -105,10 +110,12 @@
     pub operator_file: Option<&'a str>,
 }
 
-/// A server that runs, and what it is connected to.
+/// A running server with its test doubles; it is stopped when the value is dropped.
 pub struct Server {
     id: u32,
+    /// Address that the server listens on.
     pub address: SocketAddr,
+    /// Size of its configuration file, in bytes.
     pub settings_file_bytes: u64,
     started_at: Instant,
     _worker: Worker,
@@ -116,7 +123,7 @@
     _reserved_address: ReservedAddress,
 }
 
-/// A stand-in runtime that answers after so many milliseconds, at once for 0.
+/// Starts a worker test double that answers each request after `run_ms` milliseconds, or at once for 0.
 pub fn start_worker(run_ms: u64) -> Worker {
     let settings =
         WorkerSettings { run_ms, makes_calls: false, fail_every: 0, cores: 64, call_deadline_ms: 0 };
@@ -126,11 +133,11 @@
 }
 
 impl Server {
-    /// Starts the program with settings of this size, and with an operator's file if one is given, in files of its
-    /// own.
+    /// Starts the program with a configuration for its table size, and with an operator's file if one is
+    /// given. The files are in a new directory.
     ///
     /// # Errors
-    /// Where the files or the process can't be made.
+    /// Returns an error if the files or the process cannot be created.
     pub fn start(start: &ServerOptions<'_>) -> anyhow::Result<Self> {
         let ServerOptions { program, size, servers, run_ms, seed, operator_file } = *start;
         let run = NEXT_RUN.fetch_add(1, Ordering::Relaxed);
@@ -166,34 +173,35 @@
         })
     }
 
-    /// Waits until a health check says that it is serving; gives the time and the CPU time from the start.
+    /// Waits until a health check finds the server ready; returns the time and the CPU time since the start.
     ///
     /// # Errors
-    /// Where it ends, or is not serving within 20 s; the last lines of its log are in the message.
+    /// Returns an error with the last lines of the log if the server ends, or is not ready within 20 s.
     pub fn wait_until_serving(&self) -> anyhow::Result<(Duration, Duration)> {
         while self.started_at.elapsed() < START_TIMEOUT {
-            ensure!(self.is_running(), "the server ended: {}", self.last_log_lines());
+            ensure!(self.is_running(), "server ended before it was ready: {}", self.last_log_lines());
             if self.is_serving().unwrap_or(false) {
                 return Ok((self.started_at.elapsed(), self.cpu_time()?));
             }
             sleep(HEALTH_CHECK_PERIOD);
         }
-        bail!("not serving within {} s: {}", START_TIMEOUT.as_secs(), self.last_log_lines())
+        bail!("server not ready within {} s: {}", START_TIMEOUT.as_secs(), self.last_log_lines())
     }
 
-    /// Gives the last tenant another quota in the file, `n` times more than one, and has the server read it again: how
-    /// long until its log says that it holds, the CPU time of that, and the longest that a health check took meanwhile.
+    /// Sets the last tenant's quota in the configuration file to `n + 1` and makes the server reload it.
+    /// Returns the time until its log reports the change, the CPU time used until then, and the longest
+    /// health check meanwhile.
     ///
     /// # Errors
-    /// Where the server does not say so within 20 s.
+    /// Returns an error if the log does not report the change within 20 s, or a health check fails meanwhile.
     pub fn reload(&self, n: u32) -> anyhow::Result<(Duration, Duration, Duration)> {
         let directory = running_servers()
             .get(&self.id)
             .map(|(_, directory)| directory.clone())
-            .context("it has ended")?;
+            .context("server has been stopped")?;
         let mut file: serde_json::Value = serde_json::from_slice(&std::fs::read(directory.join("n1.json"))?)?;
-        let tenants = file["settings"]["orgs"].as_array_mut().context("there are no tenants")?;
-        tenants.last_mut().context("there are no tenants")?["quota-rps"] = (n + 1).into();
+        let tenants = file["settings"]["orgs"].as_array_mut().context("configuration has no tenants")?;
+        tenants.last_mut().context("configuration has no tenants")?["quota-rps"] = (n + 1).into();
         std::fs::write(directory.join("new.json"), file.to_string())?;
         std::fs::rename(directory.join("new.json"), directory.join("n1.json"))?;
         let logged_changes = || -> anyhow::Result<usize> {
@@ -205,11 +213,11 @@
         while logged_changes()? == before {
             ensure!(
                 self.is_running() && started_at.elapsed() < START_TIMEOUT,
-                "no change in force: {}",
+                "server did not apply the changed settings: {}",
                 self.last_log_lines()
             );
             let check_started_at = Instant::now();
-            ensure!(self.is_serving()?, "not serving");
+            ensure!(self.is_serving()?, "server not ready during the reload");
             stall = stall.max(check_started_at.elapsed());
         }
         Ok((started_at.elapsed(), self.cpu_time()? - cpu, stall))
@@ -225,7 +233,8 @@
         Ok(message["result"]["ready"] == true)
     }
 
-    /// Asks for one request by places in the tables; says what was answered, "unknown" among that.
+    /// Sends one request, given by indices into the tables, and returns a description of the answer or of the
+    /// failure.
     pub fn probe(&self, request_class: usize, tenant: usize) -> String {
         self.send_probe(request_class, tenant).unwrap_or_else(|why| format!("no answer ({why})"))
     }
@@ -247,46 +256,57 @@
         bail!("none of {MAX_PROBE_LINES} lines answers it")
     }
 
-    /// CPU time of the whole process, user and system, by its CPU clock: the sum that `/proc/PID/stat` shows,
-    /// without that file's steps of 10 ms.
+    /// Returns the user and system CPU time of the process from its CPU clock: the sum that `/proc/PID/stat`
+    /// shows, but without that file's resolution of 10 ms.
     ///
     /// # Errors
-    /// Where the process is gone.
+    /// Returns an error if the process has ended.
     pub fn cpu_time(&self) -> anyhow::Result<Duration> {
         let clock = ClockId::pid_cpu_clock_id(Pid::from_raw(self.id as i32))?;
         Ok(clock.now()?.into())
     }
 
-    /// The same by `/proc/PID/stat`.
+    /// Returns the user and system CPU time of the process from `/proc/PID/stat`.
     ///
     /// # Errors
-    /// Where the process is gone.
+    /// Returns an error if the process has ended.
     pub fn cpu_time_by_stat(&self) -> anyhow::Result<Duration> {
         let ticks = nix::unistd::sysconf(nix::unistd::SysconfVar::CLK_TCK)?.unwrap_or(100) as f64;
         let text = std::fs::read_to_string(self.proc_file("stat"))?;
-        // Past the name, which may hold anything: state is field 3, user and system time are 14 and 15.
+        // Fields are read after the program name, which may contain spaces and brackets: the state is field
+        // 3, user and system time are fields 14 and 15.
         let fields: Vec<&str> = text.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-        let field =
-            |number: usize| fields.get(number - 3).and_then(|n| n.parse::<f64>().ok()).context("stat");
+        let field = |number: usize| {
+            fields
+                .get(number - 3)
+                .and_then(|n| n.parse::<f64>().ok())
+                .context("missing number in /proc/PID/stat")
+        };
         Ok(Duration::from_secs_f64((field(14)? + field(15)?) / ticks))
     }
 
-    /// CPU time a second while nothing is asked of it, over so long.
+    /// Measures the CPU time of the process over `length`, and returns it as a share of one core. The server
+    /// must not get requests meanwhile.
     ///
     /// # Errors
-    /// Where the process is gone.
+    /// Returns an error if the process has ended.
     pub fn idle_cpu_share(&self, length: Duration) -> anyhow::Result<f64> {
         let (cpu_before, started_at) = (self.cpu_time()?, Instant::now());
         sleep(length);
         Ok((self.cpu_time()? - cpu_before).as_secs_f64() / started_at.elapsed().as_secs_f64())
     }
 
+    /// Returns the memory use of the process from `/proc`.
+    ///
     /// # Errors
-    /// Where the process is gone.
+    /// Returns an error if the process has ended.
     pub fn memory(&self) -> anyhow::Result<Memory> {
         let bytes = |file: &str, key: &str| -> anyhow::Result<u64> {
             let text = std::fs::read_to_string(self.proc_file(file))?;
-            let line = text.lines().find_map(|line| line.strip_prefix(key)).context("no such line")?;
+            let line = text
+                .lines()
+                .find_map(|line| line.strip_prefix(key))
+                .context("missing line in /proc/PID/smaps_rollup or /proc/PID/status")?;
             Ok(line.trim().trim_end_matches(" kB").parse::<u64>()? * 1024)
         };
         Ok(Memory {
@@ -312,10 +332,10 @@
         lines.into_iter().rev().collect::<Vec<_>>().join(" / ")
     }
 
-    /// Tells it to leave and waits; one that does not is killed.
+    /// Sends SIGTERM and waits for the end; a server that does not end in time is killed.
     fn stop(&self) {
         if self.is_running() {
-            // Not waited for yet, so the number is still its own.
+            // The process has not been waited for, so the system cannot have reused its process id.
             let _ = kill(Pid::from_raw(self.id as i32), Signal::SIGTERM);
         }
         let give_up_at = Instant::now() + END_TIMEOUT;
--- a/crates/hazelspur-simulator/src/path/rounds.rs
+++ b/crates/hazelspur-simulator/src/path/rounds.rs
@@ -1,4 +1,5 @@
-//! The rounds of `path`: small and large tables in turn, each with a fresh server under each rate.
+//! Runs the rounds of `path`: each starts a new server with the small tables, then one with the large tables,
+//! and measures each at all rates.
 
 use crate::path::command::{LARGE, MAX_DIRECT_DURATION, PathArguments, SETTLING_PERIOD, SMALL, WARM_UP};
 use crate::path::figures::added_latency;
@@ -14,15 +15,18 @@
 use std::sync::Arc;
 use std::time::Duration as StdDuration;
 
-/// How long the last answers of a play are waited for: longer than any request's timeout.
+/// Timeout for the last answers of a run, longer than the timeout of any request.
 const LAST_ANSWER_TIMEOUT: StdDuration = StdDuration::from_millis(3200);
-/// The greatest share answered otherwise than by a run, where times are those of runs.
+/// Greatest share of requests rejected, unknown or failed at which latency and CPU time still count as those
+/// of requests that the worker ran.
 const MAX_NOT_RUN_SHARE: f64 = 0.01;
 
-/// One size of tables under one rate, over all rounds.
+/// Result of one table size at one rate, over all rounds.
 pub(super) struct RateResult {
     pub(super) counts: OutcomeCounts,
+    /// Latency added by the server, in microseconds.
     pub(super) added_us: Histogram<u64>,
+    /// CPU time of the server less that of an idle server.
     pub(super) cpu: StdDuration,
 }
 
@@ -37,24 +41,29 @@
         self.cpu.as_secs_f64() * 1e6 / self.counts.planned.max(1) as f64
     }
 
-    /// Whether nearly all requests were run, or had no answer at all, which counts in the latency.
+    /// Returns whether nearly all requests were run by the worker. Requests without an answer count as run,
+    /// because the latency contains them.
     pub(super) fn nearly_all_ran(&self) -> bool {
         let OutcomeCounts { refused, unknown, failed, .. } = self.counts;
         self.counts.share_of_planned(refused + unknown + failed) <= MAX_NOT_RUN_SHARE
     }
 }
 
-/// One size of tables, over all rounds.
+/// Result of one table size, over all rounds.
 pub(super) struct SizeResult {
-    /// "small" and "large" are the sizes that are asked for by default; others go by their figures.
+    /// Name of the size in the saved points: "small" and "large" for the default sizes, otherwise the size
+    /// itself.
     pub(super) case: String,
     pub(super) size: TableSize,
+    /// Results in the order of `--rates`.
     pub(super) by_rate: Vec<RateResult>,
+    /// CPU share of the idle server in each round.
     pub(super) idle_cpu_shares: Vec<f64>,
-    /// CPU of a request in each round, in microseconds.
+    /// CPU time of a request in each round, in microseconds.
     pub(super) cpu_us_per_request_by_round: Vec<f64>,
+    /// Memory at the end of the last round.
     pub(super) memory: Memory,
-    /// CPU of the whole lives of its servers, by their clock and by `/proc/PID/stat`.
+    /// CPU time of its servers over their whole lives: from the CPU clock, and from `/proc/PID/stat`.
     pub(super) lifetime_cpu: [StdDuration; 2],
 }
 
@@ -89,12 +98,13 @@
     }
 }
 
+/// Result of direct runs against the worker test double at one rate, over all rounds.
 pub(super) struct DirectResult {
     pub(super) latency_us: Histogram<u64>,
     pub(super) send_delay_us: Histogram<u64>,
 }
 
-/// Plays all rounds, prints the tables, and saves the points.
+/// Runs all rounds, prints the tables, and saves the points.
 pub(super) fn measure_path(arguments: &PathArguments) -> anyhow::Result<()> {
     let large = TableSize { request_classes: arguments.request_classes, tenants: arguments.tenants };
     let count = arguments.rates.len();
@@ -111,7 +121,7 @@
     arguments.save(path_points(arguments, &size_results))
 }
 
-/// A fresh server of one size under each of the rates.
+/// Measures a new server of one table size at each rate and adds the results.
 fn run_round(
     arguments: &PathArguments,
     size_result: &mut SizeResult,
@@ -164,7 +174,8 @@
     Ok(())
 }
 
-/// The same arrivals, without a server between this tool and a stand-in worker.
+/// Runs the same plan, at most `MAX_DIRECT_DURATION` long, directly against a worker test double without a
+/// server.
 fn run_direct(
     arguments: &PathArguments,
     size: TableSize,
--- a/crates/hazelspur-simulator/src/path/tables.rs
+++ b/crates/hazelspur-simulator/src/path/tables.rs
@@ -1,4 +1,4 @@
-//! The tables that `path` prints.
+//! Formats the tables that `path` prints.
 
 use crate::path::command::PathArguments;
 use crate::path::figures::quantile_ms;
@@ -7,10 +7,10 @@
 use comfy_table::{Table, presets};
 use hazelspur::Duration;
 
-/// How much one request's CPU may grow from small to large tables.
+/// Greatest allowed ratio of a request's CPU time with large tables to that with small tables.
 const MAX_LOOKUP_RATIO: f64 = 1.2;
 
-/// An empty table in Markdown with this header.
+/// Returns an empty Markdown table with this header.
 pub(super) fn table(header: &[&str]) -> Table {
     let mut table = Table::new();
     table.load_style(presets::ASCII_MARKDOWN);
@@ -18,10 +18,10 @@
     table
 }
 
-/// All tables of a finished `path`, as text.
+/// Returns all tables of a finished `path` as text.
 ///
 /// # Errors
-/// Where a plan cannot be made.
+/// Returns an error if the arrivals cannot be planned.
 pub(super) fn path_tables(
     arguments: &PathArguments,
     size_results: &[SizeResult; 2],
--- a/crates/hazelspur-simulator/src/path/wires.rs
+++ b/crates/hazelspur-simulator/src/path/wires.rs
@@ -1,5 +1,5 @@
-//! How a request is said and its answer read: as a gateway says it to a server, and as a server says it to a
-//! runtime. The second one tells what the stand-in runtime and this tool take by themselves.
+//! Wire protocols of the load generator: from a gateway to a server, and from a server to a worker. The
+//! second one measures the time that the worker test double and the load generator take by themselves.
 
 use crate::path::load::{Answer, Message, WireProtocol};
 use crate::path::plan::{Arrival, request_class_name, tenant_name};
@@ -8,9 +8,9 @@
 
 /// Timeout of a request at its gateway, in ms.
 const REQUEST_TIMEOUT_MS: u64 = 2000;
-/// Memory of a request, in kB.
+/// Memory that a request asks for, in kB.
 const REQUEST_MEMORY_KB: f64 = 24.5;
-/// Different callers that the requests are said to be from.
+/// Number of distinct callers that the requests name in turn.
 const CALLERS: usize = 64;
 
 /// Error code of a rejected request.
@@ -19,24 +19,25 @@
 const UNKNOWN_REQUEST_CLASS_CODE: i64 = -32601;
 /// Error code of invalid parameters.
 const INVALID_PARAMETERS_CODE: i64 = -32602;
-/// Message for an unknown tenant.
+/// Error message of an unknown tenant, which shares its code with other invalid parameters.
 const UNKNOWN_TENANT_MESSAGE: &str = "owner is not known";
 
-/// JSON-RPC lines to a server. Request ids carry `play`, so that those of two plays differ.
+/// JSON-RPC lines to a server. The `run` number is part of each request id, so that the ids of two runs
+/// differ.
 #[derive(Clone, Debug)]
 pub struct GatewayProtocol {
     run: u32,
-    /// The body of all requests, base64.
+    /// Body of every request, in base64.
     data: String,
 }
 
 impl GatewayProtocol {
-    /// Bodies of `body_bytes`, rounded down to whole threes.
+    /// Returns the protocol for one run, with bodies of `body_bytes`, rounded down to a multiple of 3.
     pub fn new(run: u32, body_bytes: usize) -> Self {
         Self { run, data: "aGF6".repeat(body_bytes / 3) }
     }
 
-    /// What an answer says, shown to people.
+    /// Returns a readable description of an answer line: "answered", or the kind with error code and message.
     pub fn describe(line: &[u8]) -> String {
         let message: Value = serde_json::from_slice(line).unwrap_or(Value::Null);
         let (code, text) = (message["error"]["code"].as_i64(), message["error"]["message"].as_str());
@@ -85,14 +86,14 @@
                     answer == Answer::Acked && line["result"]["data"].as_str() != Some(&self.data);
                 Message::Answer(id as usize - 1, if body_differs { Answer::Failed } else { answer })
             }
-            // A farewell, or an error about the connection itself: it closes.
+            // A goodbye message, or an error of the connection itself: the server closes the connection.
             None => Message::Closing,
         };
         Some((end, message))
     }
 }
 
-/// The runtime's lines, as a server says them.
+/// Protocol that a server speaks to its worker. The `run` number is part of each request id.
 #[derive(Clone, Debug)]
 pub struct WorkerProtocol {
     run: u32,
@@ -100,7 +101,7 @@
 }
 
 impl WorkerProtocol {
-    /// A wire for the requests of one play.
+    /// Returns the protocol for one run, with bodies of `body_bytes`, rounded down to a multiple of 3.
     pub fn new(run: u32, body_bytes: usize) -> Self {
         Self { run, body: b"haz".repeat(body_bytes / 3) }
     }
--- a/crates/hazelspur-simulator/tests/path.rs
+++ b/crates/hazelspur-simulator/tests/path.rs
@@ -1,4 +1,5 @@
-//! What `path` plays and works out, without a server's process.
+//! Tests of the `path` study without a server process: plans, the load generator, wire protocols, and saved
+//! points.
 
 use expect_test::expect;
 use hazelspur::Duration;
@@ -22,7 +23,8 @@
 const SIZE: TableSize = TableSize { request_classes: 8700, tenants: 42_000 };
 
 fn plan(size: TableSize, rate: f64, secs: f64, seed: u64) -> Vec<Arrival> {
-    arrivals(size, DistinctEntries::default(), rate, Duration::from_secs(secs), seed).expect("a plan")
+    arrivals(size, DistinctEntries::default(), rate, Duration::from_secs(secs), seed)
+        .expect("the rate and length are valid")
 }
 
 #[test]
@@ -30,15 +32,15 @@
     let shown: Vec<String> = plan(SIZE, 148.0, 10.0, 1)
         .iter()
         .take(6)
-        .map(|a| format!("{} us: op type {}, tenant {}", a.at.us(), a.request_class, a.tenant))
+        .map(|a| format!("{} us: request class {}, tenant {}", a.at.us(), a.request_class, a.tenant))
         .collect();
     expect![[r#"
-        2695 us: op type 3628, tenant 1215
-        6837 us: op type 2188, tenant 25216
-        11384 us: op type 2467, tenant 7594
-        34559 us: op type 927, tenant 28551
-        41670 us: op type 6660, tenant 2758
-        51705 us: op type 5559, tenant 6322"#]]
+        2695 us: request class 3628, tenant 1215
+        6837 us: request class 2188, tenant 25216
+        11384 us: request class 2467, tenant 7594
+        34559 us: request class 927, tenant 28551
+        41670 us: request class 6660, tenant 2758
+        51705 us: request class 5559, tenant 6322"#]]
     .assert_eq(&shown.join("\n"));
     assert_eq!(plan(SIZE, 148.0, 10.0, 1), plan(SIZE, 148.0, 10.0, 1));
     assert_ne!(plan(SIZE, 148.0, 10.0, 1), plan(SIZE, 148.0, 10.0, 2));
@@ -51,7 +53,8 @@
     let all = at(SIZE);
     assert_eq!(all, at(small));
     assert!(all.is_sorted());
-    // Five standard deviations around the mean, and of exponential gaps 1 in e is over the mean.
+    // The count is within five standard deviations of the mean, and a share of 1/e of exponential gaps
+    // exceeds the mean.
     let expected = 296.0 * 60.0;
     assert!((all.len() as f64 - expected).abs() < 5.0 * expected.sqrt(), "{}", all.len());
     let mean = 1e6 / 296.0;
@@ -64,7 +67,8 @@
     let small = TableSize { request_classes: 87, tenants: 420 };
     assert_eq!(count_distinct(&plan(small, 300.0, 60.0, 1)), (87, 420));
     let distinct = DistinctEntries { request_classes: Some(10), tenants: Some(1) };
-    let few = arrivals(SIZE, distinct, 300.0, Duration::from_secs(5.0), 1).expect("a plan");
+    let few =
+        arrivals(SIZE, distinct, 300.0, Duration::from_secs(5.0), 1).expect("the rate and length are valid");
     assert_eq!(count_distinct(&few), (10, 1));
     assert_eq!(few.iter().map(|a| (a.request_class, a.tenant)).max(), Some((8699, 41_999)));
     assert_eq!(few.iter().map(|a| a.request_class).min(), Some(0));
@@ -77,19 +81,25 @@
     let at = |port| SocketAddr::from(([127, 0, 0, 1], port));
     let addresses = ServerAddresses { listen: at(1), worker: at(2), registry: at(3) };
     let text = configuration(SIZE, addresses, 810, 7);
-    let all: serde_json::Value = serde_json::from_str(&text).expect("JSON");
+    let all: serde_json::Value = serde_json::from_str(&text).expect("the configuration is JSON");
     let names = |list: &str| -> Vec<String> {
-        let list = all["settings"][list].as_array().expect("a list");
-        list.iter().map(|entry| entry["name"].as_str().expect("a name").to_string()).collect()
+        let list = all["settings"][list].as_array().expect("the setting is a list");
+        list.iter().map(|entry| entry["name"].as_str().expect("the entry has a name").to_string()).collect()
     };
     for (list, expected) in [("lanes", 8700), ("orgs", 42_000)] {
         let names = names(list);
         assert_eq!((names.len(), names.iter().collect::<BTreeSet<_>>().len()), (expected, expected));
     }
-    assert!(all["settings"]["lanes"].as_array().expect("a list").iter().all(|l| l["semantics"] == "safe"));
+    assert!(
+        all["settings"]["lanes"]
+            .as_array()
+            .expect("the setting is a list")
+            .iter()
+            .all(|l| l["semantics"] == "safe")
+    );
     let smallest = TableSize { request_classes: 1, tenants: 1 };
     let text = configuration(smallest, addresses, 810, 7);
-    let all: serde_json::Value = serde_json::from_str(&text).expect("JSON");
+    let all: serde_json::Value = serde_json::from_str(&text).expect("the configuration is JSON");
     expect![[r#"
         {
           "control": "127.0.0.1:3",
@@ -147,7 +157,7 @@
           },
           "stop_ms": 400
         }"#]]
-    .assert_eq(&serde_json::to_string_pretty(&all).expect("it was read"));
+    .assert_eq(&serde_json::to_string_pretty(&all).expect("the value is valid JSON"));
 }
 
 #[test]
@@ -159,10 +169,11 @@
     }
 }
 
-/// Lines in, and what becomes of each on its connection: an answer, or nothing.
+/// Starts a server that calls `answer` with the number and text of each line. It sends the returned text,
+/// sends nothing for `None`, and closes the connection for an empty text.
 fn start_peer(answer: impl Fn(usize, &str) -> Option<String> + Send + Sync + 'static) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a place");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+    let address = listener.local_addr().expect("the listener has an address");
     let (answer, count) = (Arc::new(answer), Arc::new(AtomicUsize::new(0)));
     spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -184,7 +195,7 @@
 }
 
 fn acked(line: &str) -> String {
-    let request: serde_json::Value = serde_json::from_str(line).expect("a line of JSON");
+    let request: serde_json::Value = serde_json::from_str(line).expect("the request line is JSON");
     format!(
         "{{\"jsonrpc\":\"2.0\",\"id\":{},\"result\":{{\"data\":{}}}}}\n",
         request["id"], request["params"]["data"]
@@ -192,7 +203,7 @@
 }
 
 fn error(line: &str, code: i32, message: &str) -> String {
-    let request: serde_json::Value = serde_json::from_str(line).expect("a line of JSON");
+    let request: serde_json::Value = serde_json::from_str(line).expect("the request line is JSON");
     let id = &request["id"];
     format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"error\":{{\"code\":{code},\"message\":\"{message}\"}}}}\n")
 }
@@ -205,13 +216,13 @@
 ) -> LoadResult {
     let protocol: Arc<dyn WireProtocol> = Arc::new(GatewayProtocol::new(1, 30));
     run_plan(&protocol, address, plan, connections, StdDuration::from_millis(last_answer_timeout_ms))
-        .expect("it is played")
+        .expect("the run succeeds")
 }
 
 #[test]
 fn slow_answer_raises_latency_of_requests_waiting_behind_it() {
-    // One connection that is read in order: what arrives in the 300 ms waits for them too, fewer than may be
-    // open, and its latency counts from its own time.
+    // The server reads one connection in order, so requests that arrive during the pause of 300 ms wait for
+    // its end. They are fewer than may be open, and the latency of each counts from its own arrival.
     let slow = start_peer(|number, line| {
         if number == 60 {
             std::thread::sleep(StdDuration::from_millis(300));
@@ -222,7 +233,7 @@
     let result = run_from_gateway(slow, &plan, 1, 2000);
     assert_eq!((result.counts.acked, result.counts.planned), (plan.len(), plan.len()));
     let mut direct = latency_histogram();
-    direct.record(200).expect("in bounds");
+    direct.record(200).expect("the value is within the histogram bounds");
     let added = added_latency(&result.latency_us, &direct);
     assert_eq!(added.len(), plan.len() as u64);
     assert!(quantile_ms(&added, 0.999) >= 299.0, "{}", quantile_ms(&added, 0.999));
@@ -235,11 +246,12 @@
 #[test]
 fn added_latency_subtracts_only_the_direct_median() {
     let (mut through_server, mut direct) = (latency_histogram(), latency_histogram());
-    (0..1000u64).for_each(|i| through_server.record(500 + i % 7).expect("in bounds"));
-    through_server.record(90_000).expect("in bounds");
-    (0..99u64).for_each(|_| direct.record(200).expect("in bounds"));
-    // A slow one straight to the runtime makes no later one faster.
-    direct.record(80_000).expect("in bounds");
+    (0..1000u64)
+        .for_each(|i| through_server.record(500 + i % 7).expect("the value is within the histogram bounds"));
+    through_server.record(90_000).expect("the value is within the histogram bounds");
+    (0..99u64).for_each(|_| direct.record(200).expect("the value is within the histogram bounds"));
+    // A single slow direct request does not reduce the latency that is added.
+    direct.record(80_000).expect("the value is within the histogram bounds");
     let added = added_latency(&through_server, &direct);
     assert_eq!((added.value_at_quantile(0.5), added.len()), (303, 1001));
     assert!((89_700..90_000).contains(&added.max()), "{}", added.max());
@@ -260,7 +272,7 @@
         ..OutcomeCounts::default()
     };
     assert_eq!(counts, expected);
-    // They are in the histogram with the time until the end, not left out of it.
+    // Unanswered requests are in the histogram with the time until the end of the run.
     assert_eq!(latency_us.len(), plan.len() as u64);
     assert!(quantile_ms(&latency_us, 0.5) >= 100.0);
 }
@@ -273,7 +285,7 @@
         2 => Some(error(line, -32601, "no such method")),
         3 => Some(error(line, -32602, "owner is not known")),
         4 => Some(error(line, -32602, "ts is no time")),
-        // The connection ends.
+        // An empty answer closes the connection.
         _ => Some(String::new()),
     });
     let plan = plan(SIZE, 200.0, 0.6, 5);
@@ -289,7 +301,7 @@
 
 #[test]
 fn run_without_a_listener_is_an_error() {
-    let reserved = ReservedAddress::on(Ipv4Addr::LOCALHOST).expect("a free port");
+    let reserved = ReservedAddress::on(Ipv4Addr::LOCALHOST).expect("a loopback port can be reserved");
     let unused_address = reserved.address();
     let protocol: Arc<dyn WireProtocol> = Arc::new(GatewayProtocol::new(1, 30));
     assert!(
@@ -304,7 +316,7 @@
     let protocol: Arc<dyn WireProtocol> = Arc::new(WorkerProtocol::new(9, 201));
     let plan = plan(SIZE, 300.0, 0.5, 2);
     let result =
-        run_plan(&protocol, worker.address, &plan, 1, StdDuration::from_secs(2)).expect("it is played");
+        run_plan(&protocol, worker.address, &plan, 1, StdDuration::from_secs(2)).expect("the run succeeds");
     assert_eq!((result.counts.acked, result.counts.planned), (plan.len(), plan.len()));
 }
 
@@ -312,7 +324,7 @@
 fn incomplete_message_waits_and_different_body_fails() {
     let (gateway, worker) = (GatewayProtocol::new(1, 6), WorkerProtocol::new(3, 6));
     let shown = |protocol: &dyn WireProtocol, bytes: &str| match protocol.decode_message(bytes.as_bytes()) {
-        None => "not whole".to_string(),
+        None => "incomplete".to_string(),
         Some((used, Message::Answer(number, answer))) => format!("{used}: {number} {answer:?}"),
         Some((used, Message::Closing)) => format!("{used}: closing"),
         Some((used, Message::Other)) => format!("{used}: other"),
@@ -330,13 +342,13 @@
         shown(&worker, "end 1 0000000200000007 complete 0 6\r\nhazhaz\r\n"),
     ];
     expect![[r#"
-        not whole
+        incomplete
         38: 4 Acked
         34: 4 Failed
         38: closing
         51: closing
         17: other
-        not whole
+        incomplete
         45: 7 Acked
         36: 7 Failed
         45: other"#]]
@@ -366,9 +378,10 @@
     assert_eq!(other.clone().merged_with(Some(old)), other);
     let file = std::env::temp_dir().join(format!("hazelspur-path-test-{}.json", std::process::id()));
     let _ = std::fs::remove_file(&file);
-    merged.clone().save(&file).expect("it is written");
-    new.save(&file).expect("it is written again");
-    let read: Study = serde_json::from_slice(&std::fs::read(&file).expect("a file")).expect("its form");
-    std::fs::remove_file(&file).expect("it is there");
+    merged.clone().save(&file).expect("the study is written");
+    new.save(&file).expect("the study is merged into the file");
+    let read: Study = serde_json::from_slice(&std::fs::read(&file).expect("the file is readable"))
+        .expect("the file is a study");
+    std::fs::remove_file(&file).expect("the file exists");
     assert_eq!((read.command, read.points), ("path; path --cost".to_string(), kept));
 }
