--- a/crates/hazelspur-simulator/src/cli/mod.rs
+++ b/crates/hazelspur-simulator/src/cli/mod.rs
@@ -41,7 +41,7 @@
     /// Measures the combined load of servers that follow the same rule: load reports, subsets, time slots.
     Sums(sums::SumsArguments),
     /// Measures what one real server adds to a request and what it costs, by the size of its settings.
-    Path(path::command::Asked),
+    Path(path::command::PathArguments),
 }
 
 impl CommandLine {
--- a/crates/hazelspur-simulator/src/path/rounds.rs
+++ b/crates/hazelspur-simulator/src/path/rounds.rs
@@ -1,160 +1,192 @@
-//! The rounds of `path`: small and large tables in turn, each with a fresh server under each rate.
+//! Runs the rounds of `path`: each starts a new server with the small tables, then one with the large tables,
+//! and measures each at all rates.
 
-use crate::path::command::{Asked, LARGE, MAX_STRAIGHT, SETTLE, SMALL, WARM_UP};
-use crate::path::figures::added;
-use crate::path::load::{Played, Tally, Wire, histogram, play};
+use crate::path::command::{LARGE, MAX_DIRECT_DURATION, PathArguments, SETTLING_PERIOD, SMALL, WARM_UP};
+use crate::path::figures::added_latency;
+use crate::path::load::{LoadResult, OutcomeCounts, WireProtocol, latency_histogram, run_plan};
 use crate::path::plan::{Arrival, TableSize};
 use crate::path::points::path_points;
-use crate::path::process::{Memory, runtime};
+use crate::path::process::{Memory, start_worker};
 use crate::path::tables::path_tables;
-use crate::path::wires::{GatewayWire, RuntimeWire};
+use crate::path::wires::{GatewayProtocol, WorkerProtocol};
 use anyhow::Context;
 use hazelspur::Duration;
 use hdrhistogram::Histogram;
 use std::sync::Arc;
 use std::time::Duration as StdDuration;
 
-/// How long the last answers of a play are waited for: longer than any request's timeout.
+/// Timeout for the last answers of a run, longer than the timeout of any request.
 const LAST_ANSWER_TIMEOUT: StdDuration = StdDuration::from_millis(3200);
-/// The greatest share answered otherwise than by a run, where times are those of runs.
-const MAX_SHARE_NOT_RUN: f64 = 0.01;
+/// Greatest share of requests rejected, unknown or failed at which latency and CPU time still count as those
+/// of requests that the worker ran.
+const MAX_NOT_RUN_SHARE: f64 = 0.01;
 
-/// One size of tables under one rate, over all rounds.
-pub(super) struct Cell {
-    pub(super) tally: Tally,
+/// Result of one table size at one rate, over all rounds.
+pub(super) struct RateResult {
+    pub(super) counts: OutcomeCounts,
+    /// Latency added by the server, in microseconds.
     pub(super) added_us: Histogram<u64>,
+    /// CPU time of the server less that of an idle server.
     pub(super) cpu: StdDuration,
 }
 
-impl Default for Cell {
+impl Default for RateResult {
     fn default() -> Self {
-        Self { tally: Tally::default(), added_us: histogram(), cpu: StdDuration::ZERO }
+        Self { counts: OutcomeCounts::default(), added_us: latency_histogram(), cpu: StdDuration::ZERO }
     }
 }
 
-impl Cell {
-    pub(super) fn cpu_us_per_op(&self) -> f64 {
-        self.cpu.as_secs_f64() * 1e6 / self.tally.planned.max(1) as f64
+impl RateResult {
+    pub(super) fn cpu_us_per_request(&self) -> f64 {
+        self.cpu.as_secs_f64() * 1e6 / self.counts.planned.max(1) as f64
     }
 
-    /// Whether nearly all requests were run, or had no answer at all, which counts in the latency.
-    pub(super) fn ran(&self) -> bool {
-        let Tally { refused, unknown, failed, .. } = self.tally;
-        self.tally.share(refused + unknown + failed) <= MAX_SHARE_NOT_RUN
+    /// Returns whether nearly all requests were run by the worker. Requests without an answer count as run,
+    /// because the latency contains them.
+    pub(super) fn nearly_all_ran(&self) -> bool {
+        let OutcomeCounts { refused, unknown, failed, .. } = self.counts;
+        self.counts.share_of_planned(refused + unknown + failed) <= MAX_NOT_RUN_SHARE
     }
 }
 
-/// One size of tables, over all rounds.
-pub(super) struct Side {
-    /// "small" and "large" are the sizes that are asked for by default; others go by their figures.
+/// Result of one table size, over all rounds.
+pub(super) struct SizeResult {
+    /// Name of the size in the saved points: "small" and "large" for the default sizes, otherwise the size
+    /// itself.
     pub(super) case: String,
     pub(super) size: TableSize,
-    pub(super) cells: Vec<Cell>,
-    pub(super) rest: Vec<f64>,
-    /// CPU of a request in each round, in microseconds.
-    pub(super) rounds: Vec<f64>,
+    /// Results in the order of `--rates`.
+    pub(super) by_rate: Vec<RateResult>,
+    /// CPU share of the idle server in each round.
+    pub(super) idle_cpu_shares: Vec<f64>,
+    /// CPU time of a request in each round, in microseconds.
+    pub(super) cpu_us_per_request_by_round: Vec<f64>,
+    /// Memory at the end of the last round.
     pub(super) memory: Memory,
-    /// CPU of the whole lives of its servers, by their clock and by `/proc/PID/stat`.
-    pub(super) cpu: [StdDuration; 2],
+    /// CPU time of its servers over their whole lives: from the CPU clock, and from `/proc/PID/stat`.
+    pub(super) lifetime_cpu: [StdDuration; 2],
 }
 
-impl Side {
+impl SizeResult {
     fn new(size: TableSize, rates: usize) -> Self {
-        let cells = (0..rates).map(|_| Cell::default()).collect();
+        let by_rate = (0..rates).map(|_| RateResult::default()).collect();
         let case = match size {
             SMALL => "small".into(),
             LARGE => "large".into(),
             other => other.to_string(),
         };
-        let (rest, rounds) = (Vec::new(), Vec::new());
-        Self { case, size, cells, rest, rounds, memory: Memory::default(), cpu: Default::default() }
+        let (idle_cpu_shares, cpu_us_per_request_by_round) = (Vec::new(), Vec::new());
+        Self {
+            case,
+            size,
+            by_rate,
+            idle_cpu_shares,
+            cpu_us_per_request_by_round,
+            memory: Memory::default(),
+            lifetime_cpu: Default::default(),
+        }
     }
 
-    pub(super) fn cpu_us_per_op(&self) -> f64 {
-        let cpu: StdDuration = self.cells.iter().map(|cell| cell.cpu).sum();
-        let requests: usize = self.cells.iter().map(|cell| cell.tally.planned).sum();
+    pub(super) fn cpu_us_per_request(&self) -> f64 {
+        let cpu: StdDuration = self.by_rate.iter().map(|rate_result| rate_result.cpu).sum();
+        let requests: usize = self.by_rate.iter().map(|rate_result| rate_result.counts.planned).sum();
         cpu.as_secs_f64() * 1e6 / requests.max(1) as f64
     }
 
-    pub(super) fn ran(&self) -> bool {
-        self.cells.iter().all(Cell::ran)
+    pub(super) fn nearly_all_ran(&self) -> bool {
+        self.by_rate.iter().all(RateResult::nearly_all_ran)
     }
 }
 
-pub(super) struct Straight {
+/// Result of direct runs against the worker test double at one rate, over all rounds.
+pub(super) struct DirectResult {
     pub(super) latency_us: Histogram<u64>,
-    pub(super) late_us: Histogram<u64>,
+    pub(super) send_delay_us: Histogram<u64>,
 }
 
-/// Plays all rounds, prints the tables, and saves the points.
-pub(super) fn path(asked: &Asked) -> anyhow::Result<()> {
-    let large = TableSize { request_classes: asked.request_classes, tenants: asked.tenants };
-    let count = asked.rates.len();
-    let mut sides = [Side::new(asked.small, count), Side::new(large, count)];
-    let straight = || Straight { latency_us: histogram(), late_us: histogram() };
-    let mut straights: Vec<Straight> = asked.rates.iter().map(|_| straight()).collect();
-    for round in 0..asked.rounds {
-        for side in &mut sides {
-            turn(asked, side, &mut straights, round)
-                .with_context(|| format!("{} tables, round {}", side.size, round + 1))?;
+/// Runs all rounds, prints the tables, and saves the points.
+pub(super) fn measure_path(arguments: &PathArguments) -> anyhow::Result<()> {
+    let large = TableSize { request_classes: arguments.request_classes, tenants: arguments.tenants };
+    let count = arguments.rates.len();
+    let mut size_results = [SizeResult::new(arguments.small, count), SizeResult::new(large, count)];
+    let empty = || DirectResult { latency_us: latency_histogram(), send_delay_us: latency_histogram() };
+    let mut direct_results: Vec<DirectResult> = arguments.rates.iter().map(|_| empty()).collect();
+    for round in 0..arguments.rounds {
+        for size_result in &mut size_results {
+            run_round(arguments, size_result, &mut direct_results, round)
+                .with_context(|| format!("{} tables, round {}", size_result.size, round + 1))?;
         }
     }
-    println!("{}", path_tables(asked, &sides, &straights)?);
-    asked.save(path_points(asked, &sides))
+    println!("{}", path_tables(arguments, &size_results, &direct_results)?);
+    arguments.save(path_points(arguments, &size_results))
 }
 
-/// A fresh server of one size under each of the rates.
-fn turn(asked: &Asked, side: &mut Side, straights: &mut [Straight], round: u32) -> anyhow::Result<()> {
-    let server = asked.start(side.size)?;
-    server.until_serving()?;
-    let mut plays = 0;
-    let mut next = || {
-        plays += 1;
-        plays
+/// Measures a new server of one table size at each rate and adds the results.
+fn run_round(
+    arguments: &PathArguments,
+    size_result: &mut SizeResult,
+    direct_results: &mut [DirectResult],
+    round: u32,
+) -> anyhow::Result<()> {
+    let server = arguments.start(size_result.size)?;
+    server.wait_until_serving()?;
+    let mut runs = 0;
+    let mut next_run = || {
+        runs += 1;
+        runs
     };
-    let through = |play_no: u32, plan: &[Arrival]| -> anyhow::Result<Played> {
-        let wire: Arc<dyn Wire> = Arc::new(GatewayWire::new(play_no, asked.body_bytes));
-        play(&wire, server.address, plan, asked.connections, LAST_ANSWER_TIMEOUT)
+    let through_server = |run: u32, plan: &[Arrival]| -> anyhow::Result<LoadResult> {
+        let protocol: Arc<dyn WireProtocol> = Arc::new(GatewayProtocol::new(run, arguments.body_bytes));
+        run_plan(&protocol, server.address, plan, arguments.connections, LAST_ANSWER_TIMEOUT)
     };
-    let warm = asked.rates.iter().copied().fold(0.0, f64::max);
-    through(next(), &asked.plan(side.size, warm, WARM_UP, u64::MAX)?)?;
-    std::thread::sleep(SETTLE);
-    let rest = server.rest_share(StdDuration::from_secs_f64(asked.rest_seconds))?;
-    side.rest.push(rest);
-    let (mut used, mut requests) = (0.0, 0);
-    for (i, rate) in asked.rates.iter().enumerate() {
-        let part = (u64::from(round) << 8) | i as u64;
-        let plan = asked.plan(
-            side.size,
+    let max_rate = arguments.rates.iter().copied().fold(0.0, f64::max);
+    through_server(next_run(), &arguments.plan(size_result.size, max_rate, WARM_UP, u64::MAX)?)?;
+    std::thread::sleep(SETTLING_PERIOD);
+    let idle_cpu_share = server.idle_cpu_share(StdDuration::from_secs_f64(arguments.rest_seconds))?;
+    size_result.idle_cpu_shares.push(idle_cpu_share);
+    let (mut cpu_s, mut requests) = (0.0, 0);
+    for (i, rate) in arguments.rates.iter().enumerate() {
+        let seed_offset = (u64::from(round) << 8) | i as u64;
+        let plan = arguments.plan(
+            size_result.size,
             *rate,
-            Duration::from_secs(asked.seconds / f64::from(asked.rounds)),
-            part,
+            Duration::from_secs(arguments.seconds / f64::from(arguments.rounds)),
+            seed_offset,
         )?;
-        let usual = straight(asked, side.size, *rate, part)?;
-        straights[i].latency_us.add(&usual.latency_us)?;
-        straights[i].late_us.add(&usual.late_us)?;
-        let from = server.cpu()?;
-        let played = through(next(), &plan)?;
-        let cpu = (server.cpu()? - from).as_secs_f64() - rest * played.took.as_secs_f64();
-        used += cpu;
-        requests += played.tally.planned;
-        let cell = &mut side.cells[i];
-        cell.cpu += StdDuration::from_secs_f64(cpu.max(0.0));
-        cell.tally.add(&played.tally);
-        cell.added_us.add(added(&played.latency_us, &usual.latency_us))?;
+        let direct = run_direct(arguments, size_result.size, *rate, seed_offset)?;
+        direct_results[i].latency_us.add(&direct.latency_us)?;
+        direct_results[i].send_delay_us.add(&direct.send_delay_us)?;
+        let cpu_before = server.cpu_time()?;
+        let result = through_server(next_run(), &plan)?;
+        let cpu =
+            (server.cpu_time()? - cpu_before).as_secs_f64() - idle_cpu_share * result.duration.as_secs_f64();
+        cpu_s += cpu;
+        requests += result.counts.planned;
+        let rate_result = &mut size_result.by_rate[i];
+        rate_result.cpu += StdDuration::from_secs_f64(cpu.max(0.0));
+        rate_result.counts.add(&result.counts);
+        rate_result.added_us.add(added_latency(&result.latency_us, &direct.latency_us))?;
     }
-    side.rounds.push(used * 1e6 / f64::from(u32::try_from(requests)?.max(1)));
-    side.memory = server.memory()?;
-    side.cpu[0] += server.cpu()?;
-    side.cpu[1] += server.cpu_by_stat()?;
+    size_result.cpu_us_per_request_by_round.push(cpu_s * 1e6 / f64::from(u32::try_from(requests)?.max(1)));
+    size_result.memory = server.memory()?;
+    size_result.lifetime_cpu[0] += server.cpu_time()?;
+    size_result.lifetime_cpu[1] += server.cpu_time_by_stat()?;
     Ok(())
 }
 
-/// The same arrivals, without a server between this tool and a stand-in runtime.
-fn straight(asked: &Asked, size: TableSize, rate: f64, part: u64) -> anyhow::Result<Played> {
-    let length = Duration::from_secs((asked.seconds / f64::from(asked.rounds)).min(MAX_STRAIGHT.secs()));
-    let plan = asked.plan(size, rate, length, part)?;
-    let runtime = runtime(asked.run_ms);
-    let wire: Arc<dyn Wire> = Arc::new(RuntimeWire::new(1, asked.body_bytes));
-    play(&wire, runtime.address, &plan, 1, LAST_ANSWER_TIMEOUT)
+/// Runs the same plan, at most `MAX_DIRECT_DURATION` long, directly against a worker test double without a
+/// server.
+fn run_direct(
+    arguments: &PathArguments,
+    size: TableSize,
+    rate: f64,
+    seed_offset: u64,
+) -> anyhow::Result<LoadResult> {
+    let length = Duration::from_secs(
+        (arguments.seconds / f64::from(arguments.rounds)).min(MAX_DIRECT_DURATION.secs()),
+    );
+    let plan = arguments.plan(size, rate, length, seed_offset)?;
+    let worker = start_worker(arguments.run_ms);
+    let protocol: Arc<dyn WireProtocol> = Arc::new(WorkerProtocol::new(1, arguments.body_bytes));
+    run_plan(&protocol, worker.address, &plan, 1, LAST_ANSWER_TIMEOUT)
 }
