--- a/crates/hazelspur-fleet/src/datagram/error.rs
+++ b/crates/hazelspur-fleet/src/datagram/error.rs
@@ -18,8 +18,8 @@
     Foreign,
     /// The datagram was sent too long ago, or the sender's clock differs too much.
     Stale,
-    /// The sequence number was received before, or the generation has ended. `Membership::receive` names
-    /// further cases.
+    /// The sequence number was received before, the generation has ended, or one of the other cases applies
+    /// that `Membership::receive` lists.
     Replayed,
 }
 
--- a/crates/hazelspur-fleet/src/hash.rs
+++ b/crates/hazelspur-fleet/src/hash.rs
@@ -10,8 +10,8 @@
 /// Number of bits of the mantissa of an `f64`, implicit bit included.
 const MANTISSA_BITS: u32 = 53;
 
-/// Hashes a name for a topic, which is the purpose of the choice. With another `round`, the hashes of the
-/// same names have another order.
+/// Hashes the name of a member or site for a choice. `topic` names the subject of the choice, such as the
+/// shared dependency. The hashes of the same names are in another order for another topic or `round`.
 pub(crate) fn hash(topic: &str, name: &str, round: u64) -> u64 {
     let mut bytes = Vec::with_capacity(topic.len() + NAME_CAPACITY);
     bytes.extend_from_slice(topic.as_bytes());
--- a/crates/hazelspur-fleet/src/membership/local_health.rs
+++ b/crates/hazelspur-fleet/src/membership/local_health.rs
@@ -57,7 +57,7 @@
 pub(super) struct LocalHealth {
     /// The probe period.
     period: Duration,
-    /// Zero for full health, at most `MAX_MULTIPLIER` - 1.
+    /// Local health score, from 0 for full health to `MAX_MULTIPLIER` - 1.
     score: u32,
     /// Time of the last datagram from another member. The time of suspensions is added to it.
     last_received: Timestamp,
--- a/crates/hazelspur-fleet/src/membership/rejoin.rs
+++ b/crates/hazelspur-fleet/src/membership/rejoin.rs
@@ -1,7 +1,7 @@
 //! Probes of addresses and members from which this process hears nothing, so that the two sides of a healed
 //! partition find each other: dead members in each period, and seed addresses at which no member is known to
-//! run (all of them in each period while this process joins or is isolated, otherwise one of them now and
-//! then).
+//! run (all of them in each period while this process joins or is isolated, otherwise a random one every
+//! `SEED_PROBE_PERIODS`).
 
 use super::local_health::LocalStatus;
 use super::state::Membership;
@@ -9,7 +9,8 @@
 use crate::datagram::Body;
 use std::net::SocketAddr;
 
-/// Periods between two probes of seed addresses at which no member is known to run.
+/// Number of periods from one probe of a seed address at which no member is known to run to the next, unless
+/// this process joins or is isolated.
 const SEED_PROBE_PERIODS: u64 = 10;
 /// Maximum number of additional dead members probed in a period after some have recovered.
 const MAX_EXTRA_REJOIN_PROBES: usize = 7;
--- a/crates/hazelspur-fleet/src/membership/state.rs
+++ b/crates/hazelspur-fleet/src/membership/state.rs
@@ -88,7 +88,7 @@
     pub(super) status: LocalStatus,
     pub(super) members: MemberTable,
     pub(super) gossip_queue: GossipQueue,
-    /// Members to probe in the current round, in reverse order.
+    /// Members still to probe in the current round; the last one is probed next.
     pub(super) probe_order: Vec<MemberName>,
     /// The probe of the current period; `None` once it is answered.
     pub(super) probe: Option<Probe>,
--- a/crates/hazelspur-fleet/src/node.rs
+++ b/crates/hazelspur-fleet/src/node.rs
@@ -56,7 +56,7 @@
 pub struct LimitShare {
     /// Name of the limit.
     pub limit: LimitName,
-    /// The share.
+    /// Amount of the limit that this server may use, and until when.
     pub share: QuotaShare,
 }
 
--- a/crates/hazelspur-fleet/src/subset.rs
+++ b/crates/hazelspur-fleet/src/subset.rs
@@ -24,8 +24,8 @@
     item: T,
 }
 
-/// Selects up to `count` members for a topic, which is the purpose of the selection, best first. Another
-/// `round` gives another order.
+/// Selects up to `count` members, best first. `topic` names the subject of the selection, such as the shared
+/// dependency. Another topic or `round` gives another order.
 pub fn select(
     topic: &str,
     round: u64,
@@ -48,7 +48,7 @@
 }
 
 /// Selects up to `count` members like `select`, but takes one member of each site in turn, so that the
-/// selection represents all sites.
+/// selection represents all sites and no site decides for another.
 pub fn select_across_sites(
     topic: &str,
     round: u64,
--- a/crates/hazelspur-fleet/src/time_slots.rs
+++ b/crates/hazelspur-fleet/src/time_slots.rs
@@ -34,7 +34,7 @@
     }
 
     /// Returns the start of the next slot of `server` for `topic`, at or after `now` by the wall clock and
-    /// within two periods. The topic is the purpose of the action.
+    /// within two periods. `topic` names the subject of the action, such as the shared dependency.
     pub fn next_slot(&self, server: MemberName, topic: &str, now: Timestamp) -> Timestamp {
         let current = now.us() / self.period.us();
         let slot = self.slot_start(server, topic, current);
--- a/src/admission/session_admission.rs
+++ b/src/admission/session_admission.rs
@@ -22,7 +22,8 @@
     first.map(|request| request.id)
 }
 
-/// Returns the first received request that has found no token within its early period.
+/// Returns the first received request that has found no token within its early period
+/// ([`late_rejection::early_period`]).
 pub(crate) fn first_without_token(requests: &RequestTable, now: Timestamp) -> Option<Rejection> {
     let wait_by_next_tick = |request: &Request| now + TIMER_TICK - request.sent_at;
     let request = requests.first_received(|request| {
--- a/src/config/catalog.rs
+++ b/src/config/catalog.rs
@@ -92,7 +92,7 @@
     /// `server.cores`.
     ///
     /// # Errors
-    /// The first key or entry that is missing, duplicated or out of its bounds.
+    /// Returns an error for the first key or entry that is missing, duplicated or out of its bounds.
     pub fn from_flat(settings: FlatSettings) -> Result<Self, ConfigError> {
         let mut catalog = Self::default();
         let other_settings = read_flat_entries(&mut catalog, settings)?;
@@ -103,7 +103,7 @@
     /// call (`server.skip_worth`) move to their request classes.
     ///
     /// # Errors
-    /// Too many keys, or a number that is out of range.
+    /// Returns an error if there are too many keys or a number is out of range.
     pub fn complete(mut self, mut settings: FlatSettings) -> Result<Self, ConfigError> {
         settings.check()?;
         for id in 0..self.request_classes.len() {
--- a/src/config/change_check.rs
+++ b/src/config/change_check.rs
@@ -24,7 +24,7 @@
     /// Checks whether a change may apply as a whole.
     ///
     /// # Errors
-    /// The first rule that the change breaks, with the key at fault.
+    /// Returns an error for the first rule that the change breaks, with the key at fault.
     pub fn check(&self, now: Timestamp, change: &Change) -> Result<(), ConfigError> {
         check_edit_count(change)?;
         change.settings.iter().try_for_each(check_setting_edit)?;
--- a/src/config/difference.rs
+++ b/src/config/difference.rs
@@ -71,7 +71,7 @@
         self.request_classes.record(id, &class)?;
         let old = id.and_then(|id| in_force.get(id));
         if let Some(old) = old {
-            // Comes from `server.skip_worth`, which needs a restart to change.
+            // The degraded value comes from `server.skip_worth`, which needs a restart to change.
             class.degraded_value = old.degraded_value;
         }
         if old.is_some_and(|old| **old == class) {
@@ -124,7 +124,7 @@
     /// Compares a newer file whose entries were already read.
     ///
     /// # Errors
-    /// The first invalid entry or key, or too many differences.
+    /// Returns an error for the first invalid entry or key, or if there are too many differences.
     pub fn compare_gathered(
         in_force: &'a Catalog,
         entries: GatheredEntries,
@@ -140,7 +140,7 @@
     /// Ends the comparison with the newer file's settings other than request classes and tenants.
     ///
     /// # Errors
-    /// A setting that is out of range, or too many settings or differences.
+    /// Returns an error if a setting is out of range or there are too many settings or differences.
     pub fn complete(mut self, settings: &FlatSettings) -> Result<Change, ConfigError> {
         settings.check()?;
         self.remove_absent_request_classes()?;
--- a/src/config/entries.rs
+++ b/src/config/entries.rs
@@ -97,7 +97,7 @@
 /// texts.
 ///
 /// # Errors
-/// A missing key, an invalid value, or a rejection by the visitor.
+/// Returns an error if a key is missing, a value is invalid or the visitor rejects the entry.
 pub fn read_entry(
     visitor: &mut impl EntryVisitor,
     table: EntryKind,
@@ -123,7 +123,8 @@
 /// all other keys.
 ///
 /// # Errors
-/// Too many entries, an index that is left out, an invalid entry, or a rejection by the visitor.
+/// Returns an error if there are too many entries, an index is left out, an entry is invalid or the visitor
+/// rejects one.
 pub fn read_flat_entries(
     visitor: &mut impl EntryVisitor,
     settings: FlatSettings,
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -168,7 +168,7 @@
         name: String,
     },
     /// A change removes every entry in force of a table. The file is probably another installation's.
-    #[error("settings.{}: no entry in force is left, as in another installation's file", table.wire_key())]
+    #[error("settings.{}: no entry in force is left; likely another installation's file", table.wire_key())]
     RemovesAllEntries {
         /// Table of the entries.
         table: EntryKind,
--- a/src/controller/inputs.rs
+++ b/src/controller/inputs.rs
@@ -107,8 +107,8 @@
         sent_at + (objective.min(timeout) - since_first_attempt)
     }
 
-    /// Returns the factor on the value of a tenant's request by this server's part of the tenant's quota; 1
-    /// without a quota.
+    /// Records a request of a tenant and returns the factor that this server's part of the tenant's quota
+    /// puts on the value of the request; 1 without a quota.
     fn quota_factor(&mut self, now: Timestamp, tenant: TenantId) -> f64 {
         let fleet_quota_per_s = self.catalog.borrow().tenant(tenant).and_then(|tenant| tenant.quota_per_s);
         let Some(fleet_quota_per_s) = fleet_quota_per_s else { return 1.0 };
@@ -214,8 +214,8 @@
         self.pending_decisions.push_back(Decision::SetHealth { active: false, cached: true });
     }
 
-    /// Sets a figure on which the servers of the fleet agreed; `None` clears a figure that is no longer
-    /// known.
+    /// Sets a guidance value on which the servers of the fleet agreed; `None` clears a value that is no
+    /// longer known.
     pub fn set_guidance(&mut self, now: Timestamp, key: GuidanceKey, value: Option<f64>) {
         self.refill_budgets(now);
         self.guidance.set(key, value);
--- a/src/controller/rules.rs
+++ b/src/controller/rules.rs
@@ -136,8 +136,8 @@
         self.reject(now, rejection)
     }
 
-    /// Runs the first runnable request in queue order while the concurrency, the memory and the waiting calls
-    /// allow it.
+    /// Runs the first runnable request in queue order, if the bounds on concurrent runs, the free memory and
+    /// the number of runs that wait for calls allow it.
     pub(super) fn run_next(&mut self, now: Timestamp) -> Option<Decision> {
         if !self.concurrency(now).allows_another_run(&self.requests) || self.are_calls_backed_up() {
             return None;
@@ -188,7 +188,7 @@
         Some(Decision::AdvertiseCapacity(value))
     }
 
-    /// Sets the idle timeout of connections when the cheapest one changes. Evaluated once per timer tick.
+    /// Sets the idle timeout of connections when the cheapest timeout changes. Evaluated once per timer tick.
     pub(super) fn set_idle_timeout(&mut self) -> Option<Decision> {
         if self.next_tick.is_some() {
             return None;
--- a/src/dependency/call_budget.rs
+++ b/src/dependency/call_budget.rs
@@ -15,7 +15,7 @@
 pub(crate) const MEAN_USE_OF_SHARE: f64 = 0.45;
 /// Fraction of the call time within the overload tolerance that may be saved up.
 const MAX_SAVED_SHARE: f64 = 0.3;
-/// Usual latencies that the budget must cover for a call to start.
+/// Number of usual latencies that the budget must cover for a call to start.
 const LATENCIES_PER_CALL: f64 = 2.0;
 /// Share of the largest budget that suffices for a call to start, whatever its usual latency.
 const SUFFICIENT_SHARE_OF_MAX_SAVED: f64 = 0.8;
--- a/src/dependency/call_start.rs
+++ b/src/dependency/call_start.rs
@@ -10,10 +10,10 @@
 use crate::scheduling::{TIMER_TICK, queue_order};
 use crate::{Duration, RequestId, Timestamp};
 
-/// Maximum number of concurrent calls over the mean concurrency. All servers meet a slow phase at the same
-/// time and must not spend all their saved call time at once.
+/// Ratio of the maximum number of concurrent calls to the mean concurrency. All servers meet a slow phase at
+/// the same time and must not spend all their saved call time at once.
 const MAX_CONCURRENCY_FACTOR: f64 = 2.0;
-/// Number of concurrent calls that is allowed to any server.
+/// Number of concurrent calls that every server may have, however small its share is.
 const MIN_CONCURRENCY: f64 = 1.0;
 /// Timeout of an attempt that may be retried, in usual call latencies: a lost reply must not block its run.
 const RETRYABLE_TIMEOUT_LATENCIES: f64 = 8.0;
--- a/src/idle_connections.rs
+++ b/src/idle_connections.rs
@@ -1,15 +1,17 @@
 //! The idle timeout of client connections.
 //!
-//! An open connection costs some of the cores and a place in a table; a new one costs work once. The timeout
-//! chosen is the one that would have cost least for the last requests. It guards against tables full of
-//! clients that do not come back. While all cores are taken, all connections are kept: a full table turns
-//! connection attempts away unread, which stops retry storms. This does harm where most clients are new.
+//! An open connection takes core time and a table entry for as long as it is open; a new one costs work once.
+//! The timeout chosen is the one that would have cost least for the last requests. It guards against tables
+//! full of clients that do not come back. While all cores are taken, all connections are kept: a full table
+//! turns connection attempts away unread, which stops retry storms. This does harm where most clients are
+//! new.
 
 use crate::Duration;
 use crate::arrivals::{Arrival, RecentArrivals};
 use crate::statistics::SAMPLE_CAPACITY;
 
-/// Time in which an open connection costs as much as a new one while all cores are free, in seconds.
+/// Time after which an idle open connection has cost as much as opening a new one, in seconds, while all
+/// cores are free.
 const CONNECTION_COST_S: f64 = 20.0;
 /// Share of ticks with all cores taken from which all connections are kept.
 const KEEP_ALL_CORE_SATURATION: f64 = 0.5;
--- a/src/load_signal.rs
+++ b/src/load_signal.rs
@@ -67,7 +67,8 @@
 }
 
 impl AdvertisedCapacity {
-    /// Returns the rounded figure if it must be advertised: it has changed, and a request has been received.
+    /// Returns the rounded figure if it differs from the one advertised last. The first figure is held back
+    /// until there is a request.
     pub(crate) fn update(&mut self, value: f64, has_requests: bool) -> Option<f64> {
         let value = (value * ADVERTISED_STEPS_PER_UNIT).round() / ADVERTISED_STEPS_PER_UNIT;
         if self.last == Some(value) || (self.last.is_none() && !has_requests) {
--- a/src/memory.rs
+++ b/src/memory.rs
@@ -6,7 +6,7 @@
 use crate::request_table::RequestTable;
 use crate::scheduling::queue_order;
 
-/// Share of the worker process's memory that is used.
+/// Share of the worker process's memory that requests and stored keys may use.
 const USABLE_SHARE: f64 = 0.92;
 
 /// Memory in use and its limit, in kB.
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -15,7 +15,7 @@
     Unreachable,
     /// Loss of the connection before a reply came.
     ConnectionLost,
-    /// Removal of the run from the cores.
+    /// Preemption: the run was taken off the cores.
     Preempted,
     /// Cancellation before the start; nothing ran.
     NeverStarted,
--- a/src/recently_seen.rs
+++ b/src/recently_seen.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug)]
 pub struct RecentlySeen<K, V, const CAPACITY: usize> {
     entries: BTreeMap<K, Entry<V>>,
-    /// Number of uses so far, which orders them.
+    /// Number of uses so far. It orders the uses in place of their times.
     use_count: u64,
 }
 
--- a/src/rejection.rs
+++ b/src/rejection.rs
@@ -19,12 +19,12 @@
     UnknownClass,
     /// Deadline at most one timer tick away (`scheduling/expiry.rs`).
     DeadlineReached,
-    /// Stop of the server so near that all requests must be answered (`scheduling/expiry.rs`).
+    /// Imminent stop of the server, before which all requests are answered (`scheduling/expiry.rs`).
     ServerStops,
     /// End of the latency objective at most one timer tick away, after which a run has no value
     /// (`scheduling/expiry.rs`).
     ObjectiveReached,
-    /// Excess of the memory limit by the last request in queue order (`memory.rs`).
+    /// Memory limit exceeded, for which the last request in queue order is rejected (`memory.rs`).
     MemoryLimit,
     /// No memory left for the idempotency key (`idempotency.rs`).
     KeyMemoryLimit,
--- a/src/request.rs
+++ b/src/request.rs
@@ -21,7 +21,7 @@
     pub id: RequestId,
     /// Request class.
     pub class: RequestClassId,
-    /// Tenant on whose quota the request counts.
+    /// Tenant whose quota the request counts against.
     pub tenant: TenantId,
     /// Session to which the request belongs; `None` if it names none.
     pub session: Option<SessionKey>,
@@ -127,7 +127,8 @@
     pub(crate) expected_run_s: f64,
     /// Run queue to which the request belongs.
     pub(crate) run_length: RunLength,
-    /// Rank in the queue, in half octaves of value per expected work; a higher rank runs first.
+    /// Rank in the queue, by value per expected work in steps of half an octave (two for each doubling); a
+    /// higher rank runs first.
     pub(crate) rank: f64,
     /// Original that this request retries; `None` if it is no retry or counts as an original.
     pub(crate) retry_of: Option<RequestId>,
@@ -147,7 +148,7 @@
     pub(crate) awaits_response: bool,
     /// Start of the run.
     pub(crate) started_at: Timestamp,
-    /// Time from the request of each finished call of the run to its end, in total.
+    /// Total time of the run's finished calls, each from its request to its end.
     pub(crate) time_in_calls: Duration,
     /// Progress of the current dependency call, or of the last one.
     pub(crate) call: CallProgress,
--- a/src/scheduling/expiry.rs
+++ b/src/scheduling/expiry.rs
@@ -14,7 +14,7 @@
 pub(crate) struct ExpiryRule {
     /// Present time.
     pub(crate) now: Timestamp,
-    /// Whether the stop of the server is so near that all requests must be answered.
+    /// Whether the server stops so soon that all requests must be answered now.
     pub(crate) is_stopping: bool,
     /// Whether the runtime can take a request off the cores.
     pub(crate) can_preempt: bool,
--- a/src/scheduling/late_rejection.rs
+++ b/src/scheduling/late_rejection.rs
@@ -2,8 +2,9 @@
 //! queue order.
 //!
 //! A rejected request costs little and can go to another server; one that runs in vain takes the cores from
-//! others. In its early period a request needs slack beyond its estimated wait. Most rejections therefore
-//! come early, not later when requests of higher rank overtake it.
+//! others. In its early period, the first [`EARLY_SHARE_OF_TIMEOUT`] of its request timeout, a request needs
+//! slack beyond its estimated wait. Most rejections therefore come early, not later when requests of higher
+//! rank overtake it.
 
 use crate::rejection::{Rejection, RejectionReason};
 use crate::request::{Request, RequestState};
--- a/src/scheduling/queue_order.rs
+++ b/src/scheduling/queue_order.rs
@@ -17,7 +17,7 @@
     pub(crate) priority_weight: f64,
     /// Whether the session of the request is active.
     pub(crate) has_active_session: bool,
-    /// Share of the value that remains by the quota of the tenant, from 0 to 1.
+    /// Share of the value that the tenant's quota leaves, from 0 to 1.
     pub(crate) quota_factor: f64,
     /// Expected run time, in seconds.
     pub(crate) expected_run_s: f64,
--- a/src/scheduling/slowdown.rs
+++ b/src/scheduling/slowdown.rs
@@ -1,8 +1,8 @@
 //! The slowdown factor: the actual run time over the expected run time at present.
 //!
-//! Guards against a slow or hung server, whose queue would be late before its first late response, and
-//! against rejecting for long after it has recovered, since the profile of a class learns only from runs of
-//! that class. Limitation: many small requests in a row can make a server appear fast.
+//! Guards against a slow or hung server, whose whole queue would be late by the time of the first late
+//! response, and against rejecting for long after it has recovered, since the profile of a class learns only
+//! from runs of that class. Limitation: many small requests in a row can make a server appear fast.
 
 use crate::Timestamp;
 use crate::request::Request;
