--- a/crates/hazelspur-server/src/clock.rs
+++ b/crates/hazelspur-server/src/clock.rs
@@ -7,8 +7,8 @@
 //! `input_watermark` is the time up to which all input has been read and reported; the event loop advances
 //! it. Invariant: no timeout ends and no decision is made for a time later than the watermark. A result that
 //! is in a socket when its deadline passes therefore meets the deadline, also if the process was suspended
-//! meanwhile. Receipts, leases and permissions to run use `now` instead, so that those that arrive late count
-//! as late.
+//! meanwhile. Receipts and permissions to run use `now` instead, and leases `monotonic`, so that whatever
+//! arrives late counts as late.
 
 use hazelspur::{Duration, Timeline, Timestamp};
 use std::cell::{Cell, OnceCell};
@@ -36,7 +36,7 @@
 
 /// Error of a future that was not complete before its timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("timed out")]
+#[error("timeout expired before the operation completed")]
 pub struct TimedOut;
 
 /// Time up to which all input has been read and reported, and the tasks that wait for it.
@@ -44,7 +44,7 @@
 struct InputWatermark {
     /// Time at which the current turn of the event loop began.
     turn_start: Cell<Timestamp>,
-    /// Time at which the last turn began whose input has been reported.
+    /// Watermark: the start of the latest turn whose input has been reported.
     time: Cell<Timestamp>,
     /// Number of turns whose input has been reported; wraps around.
     completed_turns: Cell<u64>,
--- a/crates/hazelspur-server/src/config/command.rs
+++ b/crates/hazelspur-server/src/config/command.rs
@@ -1,8 +1,8 @@
 //! The command line.
 //!
 //! Exit statuses: 0 after an orderly shutdown or a successful command; 1 when the server failed; 2 for a
-//! fault in the command line, the configuration or the operator's file, and for a `fleet` command without an
-//! answer.
+//! fault in the command line, the configuration or the operator's file, and for a `fleet` command that gets
+//! no answer.
 
 use clap::builder::PossibleValue;
 use clap::{Args, Parser, Subcommand, ValueEnum};
--- a/crates/hazelspur-server/src/config/fleet_keys.rs
+++ b/crates/hazelspur-server/src/config/fleet_keys.rs
@@ -102,7 +102,8 @@
     pub limit: LimitName,
     /// Amount that all servers together may use.
     pub total: f64,
-    /// Fraction of `total` that is guaranteed: of it, each server always has one part in `most`.
+    /// Fraction of `total` that is guaranteed. It is divided by `most`, and each server may always use one
+    /// such part.
     #[serde(rename = "floor", default = "default_guaranteed_fraction")]
     pub guaranteed_fraction: f64,
     /// Time for which work started under a lease may continue after the lease has ended, in seconds.
--- a/crates/hazelspur-server/src/config/operator/checks.rs
+++ b/crates/hazelspur-server/src/config/operator/checks.rs
@@ -7,7 +7,8 @@
 use garde::Validate;
 use hazelspur::Catalog;
 
-/// The most unsettled deliveries of all queues together. With 10 KiB stored for each they take 80 MiB.
+/// The most unsettled deliveries of all queues together. At most 10 KiB are stored for each, so that all take
+/// at most 80 MiB.
 const MAX_UNSETTLED: usize = 8192;
 
 /// Checks the decoded file and returns the first fault. Request classes are checked if there is a catalog.
--- a/crates/hazelspur-server/src/config/operator/operator_config.rs
+++ b/crates/hazelspur-server/src/config/operator/operator_config.rs
@@ -23,13 +23,14 @@
     /// The fleet that the server belongs to; without it the server works alone.
     #[garde(dive)]
     pub fleet: Option<Fleet>,
-    /// The permissions of a reload.
+    /// The arguments of `reload(...)`; the default if the file does not call it.
     #[serde(default)]
     #[garde(skip)]
     pub reload: ReloadConfig,
 }
 
-/// The arguments of `reload(...)`: what a SIGHUP may change besides the addresses of upstream endpoints.
+/// The arguments of `reload(...)`: what a SIGHUP may change besides the addresses of upstream endpoints and
+/// brokers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReloadConfig {
--- a/crates/hazelspur-server/src/config/operator/queue.rs
+++ b/crates/hazelspur-server/src/config/operator/queue.rs
@@ -89,10 +89,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum SettleOrder {
-    /// Before its run.
+    /// The delivery is settled before its request runs.
     #[default]
     Before,
-    /// After its run.
+    /// The delivery is settled after its request has run.
     After,
 }
 
--- a/crates/hazelspur-server/src/config/operator/script.rs
+++ b/crates/hazelspur-server/src/config/operator/script.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// A range of lines, from 0.
+/// A range of lines, numbered from 0.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LineRange {
     /// The first line.
--- a/crates/hazelspur-server/src/fleet/query.rs
+++ b/crates/hazelspur-server/src/fleet/query.rs
@@ -12,7 +12,7 @@
 
 /// Time to wait for an answer to one attempt.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
-/// The most attempts to send a query.
+/// The most times that one query is sent.
 const MAX_ATTEMPTS: u32 = 5;
 /// The most members that are accepted; no server's member list is longer.
 const MAX_MEMBERS: usize = 8192;
@@ -22,8 +22,8 @@
 /// An error of a query.
 #[derive(Debug, Error)]
 pub enum FleetQueryError {
-    /// The key file was not read.
-    #[error("fleet.key_file: not read")]
+    /// The installation's key is absent: `Fleet::read_key` was not called.
+    #[error("fleet.key_file: the installation's key was not loaded from the file")]
     NoKey,
     /// No socket can be bound to the server's own address.
     #[error("cannot bind {address}: {source}")]
@@ -113,7 +113,7 @@
         let address = socket.local_addr().map_err(FleetQueryError::Socket)?;
         socket.set_read_timeout(Some(ANSWER_TIMEOUT)).map_err(FleetQueryError::Socket)?;
         let sender = MemberUpdate {
-            name: MemberName::new(OPERATOR_NAME).expect("a short name"),
+            name: MemberName::new(OPERATOR_NAME).expect("`OPERATOR_NAME` is a valid member name"),
             site: fleet.site,
             address,
             generation: Generation(0),
--- a/crates/hazelspur-server/src/fleet/transport.rs
+++ b/crates/hazelspur-server/src/fleet/transport.rs
@@ -24,8 +24,8 @@
 
 /// The most datagrams that are read before timers and other tasks run.
 const MAX_READS_PER_STEP: usize = 64;
-/// Lower bound of a datagram's share of the socket's buffer, in bytes, as an empty one also takes space
-/// there.
+/// Fewest bytes that are counted for one datagram: even an empty one takes more than this of the socket's
+/// buffer.
 const MIN_DATAGRAM_CHARGE: usize = 256;
 /// Longest time between two steps, so that load reports and log lines are not late.
 const MAX_IDLE: Duration = Duration::from_ms(250);
@@ -45,8 +45,8 @@
     /// The server's name is not a valid member name.
     #[error("name: not 1 to 31 visible ASCII characters")]
     InvalidName,
-    /// The key file was not read.
-    #[error("fleet.key_file: not read")]
+    /// The installation's key is absent: `Fleet::read_key` was not called.
+    #[error("fleet.key_file: the installation's key was not loaded from the file")]
     NoKey,
     /// The quota configuration is invalid.
     #[error("fleet.{key}: {0}", key = .0.key())]
--- a/crates/hazelspur-server/src/ingress/amqp/channels.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/channels.rs
@@ -14,8 +14,8 @@
 const MIN_REOPEN_DELAY: Duration = Duration::from_ms(1000);
 /// Maximum delay after the loss of a channel.
 const MAX_REOPEN_DELAY: Duration = Duration::from_ms(30_000);
-/// Time after the cancellation of the consumers at which the connection to a removed broker is closed,
-/// although deliveries are unsettled.
+/// Time after the cancellation of the consumers at which the connection to a removed broker is closed, even
+/// if deliveries are still unsettled.
 const BROKER_REMOVAL_TIMEOUT: Duration = Duration::from_ms(5000);
 
 /// Next attempt to open a channel.
--- a/crates/hazelspur-server/src/ingress/amqp/connection.rs
+++ b/crates/hazelspur-server/src/ingress/amqp/connection.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 
-/// Number of unwritten output bytes from which on no input is read from the broker.
+/// Number of unwritten output bytes at or above which no input is read from the broker.
 const MAX_UNWRITTEN_BYTES: usize = 256 * 1024;
 /// Minimum wait for an event.
 const MIN_WAIT: Duration = Duration::from_ms(1);
@@ -170,7 +170,7 @@
     fn connection_over(&self, connection: &BrokerConnection, was_open: bool) -> ConnectionFailure {
         let stale = connection.protocol.stale_settlements();
         if stale > 0 {
-            log::error!(count = stale; "settlements of tags that were not open dropped");
+            log::error!(count = stale; "dropped settlements whose delivery tags were not open");
         }
         self.disconnected();
         self.carry_out_actions(None);
--- a/crates/hazelspur-server/src/ingress/gateway/connection_task.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/connection_task.rs
@@ -1,8 +1,9 @@
 //! The task of one gateway's connection, from accept to close.
 //!
 //! In the stages `Open` and `GoodbyeSent` it reads and submits requests. In `Closing` it answers all open
-//! requests, then reads once more without waiting and answers what has arrived (a final read). In `ShutDown`
-//! the write side is shut down and input is discarded until the peer closes or a limit is reached.
+//! requests and then makes final reads: it reads without waiting and answers what has arrived, until no
+//! complete line is found or `MAX_FINAL_READS` is reached. In `ShutDown` the write side is shut down and
+//! input is discarded until the peer closes or a limit is reached.
 
 use super::connection::{GatewayConnection, Stage};
 use super::server::{ConnectionId, GatewayServer};
@@ -17,7 +18,7 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 
-/// Number of queued output bytes from which on a connection is not read.
+/// Number of queued output bytes at or above which a connection is not read.
 const MAX_QUEUED_BYTES: usize = 64 * 1024;
 /// Pause of reading after a protocol error, so that a flood of errors does not use up the processor.
 const PROTOCOL_ERROR_PAUSE: Duration = Duration::from_ms(50);
--- a/crates/hazelspur-server/src/ingress/gateway/reputation.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/reputation.rs
@@ -5,7 +5,7 @@
 use super::error::ProtocolError;
 use std::cell::Cell;
 
-/// Number of protocol errors from which on a client is blocked. Does not apply once the worker knows a
+/// Number of protocol errors at which a client is blocked. Does not apply once the worker knows a
 /// request of this connection, because the other requests of such a gateway must be answered.
 const MAX_PROTOCOL_ERRORS: u32 = 4;
 
@@ -30,7 +30,7 @@
         self.sent_valid_input.set(true);
     }
 
-    /// Returns whether the worker has known a request of the connection.
+    /// Returns whether the worker has accepted a request of the connection.
     pub(super) fn is_known_to_worker(&self) -> bool {
         self.known_to_worker.get()
     }
--- a/crates/hazelspur-server/src/logging.rs
+++ b/crates/hazelspur-server/src/logging.rs
@@ -14,7 +14,7 @@
 
 /// The interval for which lines are counted, in milliseconds.
 const INTERVAL_MS: u64 = 10_000;
-/// The most lines in an interval. Lines below the level `info` are written beyond it.
+/// The most lines in an interval. Lines below the level `info` are written even beyond this bound.
 const MAX_LINES_PER_INTERVAL: u64 = 400;
 /// The longest message with its key-values, in characters, in the text format.
 const MAX_LINE_LENGTH: usize = 1000;
@@ -26,7 +26,7 @@
     printer: Box<dyn Log>,
     /// The number of the current interval, counted from the Unix epoch.
     interval: AtomicU64,
-    /// Lines in the current interval, with those over the bound.
+    /// Lines in the current interval, including those over the bound.
     lines_in_interval: AtomicU64,
     /// Lines dropped since the last report because standard error was not writable.
     unwritten_lines: AtomicU64,
@@ -47,7 +47,7 @@
         lines_in_interval: AtomicU64::new(0),
         unwritten_lines: AtomicU64::new(0),
     };
-    log::set_boxed_logger(Box::new(logger)).expect("the only logger");
+    log::set_boxed_logger(Box::new(logger)).expect("no other logger is installed");
     // The default panic hook would block until standard error is read.
     std::panic::set_hook(Box::new(|panic| log::error!(what:% = panic; "panic")));
 }
--- a/crates/hazelspur-server/src/process/server.rs
+++ b/crates/hazelspur-server/src/process/server.rs
@@ -173,12 +173,12 @@
             self.config.seed,
             started_at,
         ));
-        log::info!(cold = !is_warm, up_ms = uptime.us() / 1000; "worker ready, requests admitted");
+        log::info!(cold = !is_warm, up_ms = uptime.us() / 1000; "worker state known, requests admitted");
     }
 }
 
-/// Creates the store of idempotency keys and shared reads. It keeps entries for the longest time that a
-/// client may wait for a response.
+/// Creates the store of idempotency keys and shared reads. After its window a key is kept for the longest
+/// time that a client may wait for a response, since a retry may be received that late.
 fn deduplication(config: &ServerConfig, catalog: &Catalog) -> Deduplication {
     let receipt_delay = catalog.max_request_timeout().scaled(MAX_TIMEOUT_FACTOR) + MAX_OVERDUE;
     let max_bytes = config.max_memory_bytes / RESULT_MEMORY_DIVISOR;
--- a/crates/hazelspur-server/src/process/shutdown.rs
+++ b/crates/hazelspur-server/src/process/shutdown.rs
@@ -13,7 +13,7 @@
 /// Shortest time for closing connections. It applies if the notice was handled so late that the stop is near
 /// or past: received requests are then still answered, although the process may be killed meanwhile.
 const MIN_ENDING_TIME: Duration = Duration::from_ms(100);
-/// Delay between the sending and the handling of a notice from which on it is logged, in milliseconds.
+/// Shortest delay between the sending and the handling of a notice that is logged, in milliseconds.
 const LOGGED_DELAY_MS: u64 = 60;
 /// Microseconds in a millisecond.
 const US_PER_MS: u64 = 1000;
--- a/crates/hazelspur-server/src/process/standstill.rs
+++ b/crates/hazelspur-server/src/process/standstill.rs
@@ -3,7 +3,8 @@
 //!
 //! Input: the times at which the event loop ran. Output: the length of each standstill, and the earliest time
 //! at which a signal that is handled now can have been sent. That time is needed because a signal carries no
-//! time and the platform counts from its sending.
+//! time and the platform counts from its sending. Everything that the loop handled before that time was
+//! handled without the signal.
 
 use crate::clock::pause;
 use hazelspur::{Duration, Timestamp};
--- a/crates/hazelspur-server/src/request/deduplication.rs
+++ b/crates/hazelspur-server/src/request/deduplication.rs
@@ -79,10 +79,11 @@
     pub owner: Owner,
     /// Time at which the client sent the request.
     pub sent_at: Timestamp,
-    /// Body, in which a retry must equal its original.
+    /// Body; a retry must have the same body as its original.
     pub body: Rc<[u8]>,
-    /// Whether the worker has already accepted a request of the same connection. Only such connections share
-    /// reads, since any client can name a subject.
+    /// Whether the sender is trusted: the worker has already accepted a request of the same connection, or
+    /// the request came from a broker's queue. Only trusted senders share reads, since any client can name a
+    /// subject.
     pub trusted: bool,
 }
 
--- a/crates/hazelspur-server/src/request/dispatcher.rs
+++ b/crates/hazelspur-server/src/request/dispatcher.rs
@@ -147,7 +147,7 @@
         self.leases_expired.set(true);
     }
 
-    /// Returns whether leases were expired here since the last call.
+    /// Returns whether an expiry of leases was applied since the last call.
     pub fn take_leases_expired(&self) -> bool {
         self.leases_expired.take()
     }
--- a/crates/hazelspur-server/src/request/lifecycle.rs
+++ b/crates/hazelspur-server/src/request/lifecycle.rs
@@ -25,7 +25,7 @@
 
 /// Shared objects that the tasks of requests use.
 pub struct Services {
-    /// Owner of the controller.
+    /// Dispatcher, which owns the controller.
     pub dispatcher: Rc<Dispatcher>,
     /// Link to the worker process.
     pub worker: Rc<WorkerLink>,
@@ -35,9 +35,9 @@
 
 /// Properties of a received request, without its body.
 pub struct ReceivedRequest {
-    /// Request class.
+    /// Id of the request class.
     pub request_class: RequestClassId,
-    /// Tenant.
+    /// Id of the tenant that the request belongs to.
     pub tenant: TenantId,
     /// Session; `None` if the request belongs to none.
     pub session: Option<SessionKey>,
@@ -63,7 +63,7 @@
 pub struct RequestLifecycle {
     /// Shared objects that the request's task uses.
     pub services: Rc<Services>,
-    /// Id.
+    /// Id of the request.
     pub request: RequestId,
     /// Class as it was configured when the request was received.
     pub class: Rc<RequestClass>,
@@ -83,16 +83,16 @@
 
 /// Stage of a request.
 enum State {
-    /// Wait for the controller's decision, the first one or the one after a preemption.
+    /// Waiting for the controller's decision, the first one or the one after a preemption.
     Queued,
-    /// Wait for the completion of the original attempt, whose response this request gets too.
+    /// Waiting for the completion of the original attempt, whose response this request gets too.
     AwaitingOriginal,
-    /// Wait for the worker link, after the controller decided the run. The ingress has not been asked for
+    /// Waiting for the worker link, after the controller decided the run. The ingress has not been asked for
     /// its permission and nothing was sent, so that the request can still be rejected or expire.
     AwaitingWorker,
-    /// Run in the worker.
+    /// Running in the worker.
     Running(Run),
-    /// End of the request.
+    /// Finished: nothing is left to do.
     Finished,
 }
 
@@ -188,8 +188,9 @@
         }
     }
 
-    /// Ends a request whose run was decided and not started. It is rejected, or failed if an earlier run of
-    /// it was preempted.
+    /// Ends a request whose run was decided but not started. The controller counts it as running, so the end
+    /// of the run is reported too. The request is rejected, since it is known not to have run, or failed if
+    /// an earlier run of it was preempted.
     fn end_unstarted(&mut self) -> State {
         self.report_run_finished(Outcome::NeverStarted);
         if self.may_have_run {
--- a/crates/hazelspur-server/src/request/responder.rs
+++ b/crates/hazelspur-server/src/request/responder.rs
@@ -20,8 +20,8 @@
 pub trait ResponseSink {
     /// Sends the result of a request that succeeded.
     fn success(&mut self, result: &[u8]);
-    /// Rejects a request that never ran. The client may retry after `retry_after`, with
-    /// `do_not_retry_elsewhere` only at this server.
+    /// Rejects a request that never ran. The client may retry after `retry_after`; with
+    /// `do_not_retry_elsewhere` set it must not retry at another server.
     fn rejected(&mut self, retry_after: Duration, do_not_retry_elsewhere: bool);
     /// Fails a request that may have run.
     fn failed(&mut self);
@@ -42,8 +42,8 @@
     fn known_to_worker(&mut self) {}
 }
 
-/// Sender of the final response, which ignores any further response. Fails the request if it is dropped
-/// before.
+/// Sender of the final response, which ignores any further response. If it is dropped before the request has
+/// ended, it fails the request.
 pub struct Responder {
     sink: Box<dyn ResponseSink>,
     dispatcher: Rc<Dispatcher>,
--- a/crates/hazelspur-server/src/upstream/dependency.rs
+++ b/crates/hazelspur-server/src/upstream/dependency.rs
@@ -15,8 +15,8 @@
 use tokio::net::TcpStream;
 use tokio::sync::Semaphore;
 
-/// Idle time from which a connection is not reused. The dependency closes connections after 10 s without a
-/// call.
+/// Idle time at which a connection is no longer reused. The dependency closes connections after 10 s without
+/// a call.
 const MAX_IDLE_TIME: Duration = Duration::from_ms(5000);
 /// Divisor of the number of connections that gives the maximum number of idle ones.
 const IDLE_CONNECTIONS_DIVISOR: usize = 4;
@@ -59,7 +59,7 @@
     pub request: RequestId,
     /// Timeout, from the wait for a connection to the reply.
     pub timeout: Duration,
-    /// Body.
+    /// Body of the call.
     pub body: &'a [u8],
     /// Whether the call needs a new connection. The reset of a stale idle connection cannot be told from a
     /// reset after the call took effect, so calls that must not run twice need a new one, and so do repeated
--- a/crates/hazelspur-server/src/upstream/registry.rs
+++ b/crates/hazelspur-server/src/upstream/registry.rs
@@ -37,8 +37,8 @@
     RandomInterval { min: Duration::from_ms(125), max: Duration::from_ms(375) };
 /// Timeout of the first connection attempt of a report.
 const FIRST_CONNECT_TIMEOUT: Duration = Duration::from_ms(10_000);
-/// Timeout of each further connection attempt, which starts this long after the previous one and runs beside
-/// the first. An attempt that was started during an outage notices the end of the outage only late.
+/// Timeout of each further connection attempt, and the pause before it. Further attempts run beside the
+/// first, since an attempt that was started during an outage notices the end of the outage only late.
 const FURTHER_CONNECT_TIMEOUT: Duration = Duration::from_ms(700);
 /// Initial timeout of the reply, doubled after each timeout.
 const INITIAL_REPLY_TIMEOUT: Duration = Duration::from_ms(700);
--- a/crates/hazelspur-server/src/upstream/worker/replay.rs
+++ b/crates/hazelspur-server/src/upstream/worker/replay.rs
@@ -1,5 +1,5 @@
-//! Detection of the end of a replay. The worker replays its unseen notices to each new connection, then
-//! answers a gauge query with a tag that names the connection.
+//! Detection of the end of a replay. The worker replays to each new connection the notices that this server
+//! has not received, then answers a gauge query with a tag that names the connection.
 
 use std::cell::Cell;
 use tokio::sync::Notify;
@@ -7,7 +7,7 @@
 /// Prefix of the tag of the gauge query that ends a replay, before the number of the connection.
 const TAG_PREFIX: &str = "link";
 
-/// State of the replay of the latest connection.
+/// State of the replay of the latest connection. Answers for earlier connections do not end it.
 #[derive(Default)]
 pub(super) struct Replay {
     /// Number of the latest connection; zero before the first.
