--- a/crates/hazelspur-fault-harness/src/endings/checker.rs
+++ b/crates/hazelspur-fault-harness/src/endings/checker.rs
@@ -1,6 +1,6 @@
-//! Checks the evidence of one run against the rules of the service. The evidence comes from the clients, the test
-//! doubles and the operating system. From the log of the server only its errors and its count of lost deliveries are
-//! used.
+//! Checks the evidence of one run against the rules of the service. The evidence comes from the clients, the
+//! test doubles and the operating system. From the log of the server only its errors and its count of lost
+//! deliveries are used.
 
 use super::client::{Answer, Connection, Sent};
 use super::plan::{Class, GRACE_PERIOD_MS};
@@ -9,8 +9,8 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Longest time from the writing of a request to the close of its connection for which the two may have crossed on
-/// the way, in milliseconds.
+/// Longest time from the writing of a request to the close of its connection for which the two may have
+/// crossed on the way, in milliseconds.
 const MAX_CROSSING_MS: u64 = 50;
 /// Tolerance added to each time limit for the delay of sockets, in milliseconds.
 const TOLERANCE_MS: u64 = 50;
@@ -66,7 +66,8 @@
     pub queue_breaches: Vec<String>,
     /// Exit of the process and its use of resources.
     pub end: End,
-    /// Time from the restart of the server until it was ready; `None` if it did not become ready or was not restarted.
+    /// Time from the restart of the server until it was ready; `None` if it did not become ready or was not
+    /// restarted.
     pub ready_after: Option<Duration>,
     /// Log of the server.
     pub log: String,
@@ -143,8 +144,8 @@
         }
     }
 
-    /// Returns whether a request without an answer may have crossed the close of its connection, so that the server
-    /// never read it.
+    /// Returns whether a request without an answer may have crossed the close of its connection, so that the
+    /// server never read it.
     fn crossed_close(&self, connection: &Connection, sent: &Sent) -> bool {
         // A close by the kill counts as well: `Rule::End` covers the kill.
         connection.closed_ms.is_some_and(|closed| closed <= sent.sent_ms + MAX_CROSSING_MS)
--- a/crates/hazelspur-fault-harness/src/endings/client.rs
+++ b/crates/hazelspur-fault-harness/src/endings/client.rs
@@ -1,5 +1,5 @@
-//! One connection of a client: sends the messages of its plan until the server closes the connection, and records
-//! each answer and the close with the earliest time at which it can have arrived.
+//! One connection of a client: sends the messages of its plan until the server closes the connection, and
+//! records each answer and the close with the earliest time at which it can have arrived.
 
 use super::plan::{Class, Client, Message};
 use hazelspur_test_doubles::arrival::ArrivalReader;
@@ -54,7 +54,8 @@
     pub connected: bool,
     /// Requests and health checks in order of their ids, which count from 1.
     pub sent: Vec<Sent>,
-    /// Earliest time at which the server can have closed the connection, in Unix milliseconds; `None` if it did not.
+    /// Earliest time at which the server can have closed the connection, in Unix milliseconds; `None` if it
+    /// did not.
     pub closed_ms: Option<u64>,
     /// Whether the connection ended with an error, such as a reset.
     pub reset: bool,
@@ -102,7 +103,8 @@
     ) + "\n"
 }
 
-/// Returns the texts of all messages of a client, in the order of its plan. The ids of the messages count from 1.
+/// Returns the texts of all messages of a client, in the order of its plan. The ids of the messages count
+/// from 1.
 fn pieces(context: &RunContext, client_index: usize, client: &Client) -> Vec<TextPiece> {
     let mut pieces = Vec::new();
     for (index, send) in client.sends.iter().enumerate() {
@@ -176,7 +178,8 @@
     let sent_ms = now_ms();
     let is_written = stream.write_all(piece.text.as_bytes()).is_ok();
     if let Some(sent) = piece.completed {
-        // The position in `sent` is the id of the message minus 1, so one that could not be written takes its place too.
+        // The position in `sent` is the id of the message minus 1, so one that could not be written takes its
+        // place too.
         let sent_ms = if is_written { sent_ms } else { u64::MAX };
         connection.sent.push(Sent { sent_ms, ..sent });
     }
--- a/crates/hazelspur-fault-harness/src/endings/command.rs
+++ b/crates/hazelspur-fault-harness/src/endings/command.rs
@@ -1,5 +1,5 @@
-//! The subcommand `endings`: runs the plans of many seeds, shows the progress, writes a report for each seed that fails,
-//! and prints a summary.
+//! The subcommand `endings`: runs the plans of many seeds, shows the progress, writes a report for each seed
+//! that fails, and prints a summary.
 
 use super::checker::{Breach, Evidence, Rule};
 use super::client::Answer;
@@ -96,7 +96,8 @@
 }
 
 impl Options {
-    /// Runs the plans of all seeds and prints the summary. Returns whether all runs were completed and all rules held.
+    /// Runs the plans of all seeds and prints the summary. Returns whether all runs were completed and all
+    /// rules held.
     ///
     /// # Errors
     /// Returns an error if an option is out of its bounds, names a missing file or folder, or if SIGINT cannot be
@@ -177,8 +178,8 @@
     }
 }
 
-/// Returns the parts that can be left out of a failing plan so that it still fails; tries them one by one, from the
-/// last one.
+/// Returns the parts that can be left out of a failing plan so that it still fails; tries them one by one,
+/// from the last one.
 fn shrunk(program: &Path, plan: &Plan) -> Vec<usize> {
     let mut without = Vec::new();
     for part in (0..plan.part_count()).rev().take(MAX_SHRINKING_RUNS) {
@@ -232,7 +233,8 @@
         }
     }
 
-    /// Returns whether all seeds were run, all rules held, and nine of ten restarted servers were ready in time.
+    /// Returns whether all seeds were run, all rules held, and nine of ten restarted servers were ready in
+    /// time.
     fn passed(&self, seeds: u64) -> bool {
         let in_time = self.ready_in_time * 10 >= self.restarted * 9;
         self.played == seeds && self.failed.is_empty() && self.not_played.is_empty() && in_time
--- a/crates/hazelspur-fault-harness/src/endings/instants.rs
+++ b/crates/hazelspur-fault-harness/src/endings/instants.rs
@@ -1,5 +1,5 @@
-//! Counts the requests that met one of the critical instants of a shutdown. A soak in which no request meets an
-//! instant has not tested the behaviour of the server at it.
+//! Counts the requests that met one of the critical instants of a shutdown. A soak in which no request meets
+//! an instant has not tested the behaviour of the server at it.
 
 use super::checker::Evidence;
 use super::client::{Answer, Sent};
--- a/crates/hazelspur-fault-harness/src/endings/plan.rs
+++ b/crates/hazelspur-fault-harness/src/endings/plan.rs
@@ -1,6 +1,6 @@
-//! The events of one run: clients, their messages, signals and faults. A plan is generated from a seed, and the same
-//! seed always gives the same plan. Times (`at_ms`) are in milliseconds relative to the first SIGTERM, which is the
-//! shutdown notice; times before it are negative.
+//! The events of one run: clients, their messages, signals and faults. A plan is generated from a seed, and
+//! the same seed always gives the same plan. Times (`at_ms`) are in milliseconds relative to the first
+//! SIGTERM, which is the shutdown notice; times before it are negative.
 
 use hazelspur::pcg::Pcg;
 use std::fmt;
@@ -9,8 +9,8 @@
 pub const GRACE_PERIOD_MS: i64 = 300;
 /// Time from the start of a run to the first SIGTERM, in milliseconds.
 pub const LEAD_MS: i64 = 400;
-/// Possible times from SIGTERM to SIGKILL, in milliseconds. The shortest leaves 420 ms between the end of the grace
-/// period and the last close of a connection.
+/// Possible times from SIGTERM to SIGKILL, in milliseconds. The shortest leaves 420 ms between the end of the
+/// grace period and the last close of a connection.
 const STOP_MS: [i64; 4] = [900, 1200, 1500, 2400];
 /// Shortest time from the end of a suspension to the kill, in milliseconds.
 const SUSPENSION_END_BEFORE_KILL_MS: i64 = 300;
@@ -18,11 +18,12 @@
 const CLIENTS: u32 = 8;
 /// Number of clients that stay idle until about the time at which the server closes their connection.
 const IDLE_CLIENTS: u32 = 3;
-/// Number of clients that send shortly before and shortly after the begin of the early suspension, which half of the
-/// runs have.
+/// Number of clients that send shortly before and shortly after the begin of the early suspension, which half
+/// of the runs have.
 const CLIENTS_AROUND_SUSPENSION: u32 = 3;
-/// Earliest and latest time at which the server closes an idle connection, in milliseconds from the end of the grace
-/// period. The close follows the goodbye message, which goes out within one round of the server's maintenance.
+/// Earliest and latest time at which the server closes an idle connection, in milliseconds from the end of
+/// the grace period. The close follows the goodbye message, which goes out within one round of the server's
+/// maintenance.
 const IDLE_CLOSE_AFTER_GRACE_MS: [i64; 2] = [400, 520];
 /// Number of clients in a run with a crowd; a server has enough file descriptors for all of them.
 const CROWD_CLIENTS: u32 = 60;
@@ -56,8 +57,8 @@
     pub at_ms: i64,
     /// Kind of the message, with the class of a request.
     pub message: Message,
-    /// Number of the idempotency key; requests with the same one must take effect once. Only requests of class `Book`
-    /// use it.
+    /// Number of the idempotency key; requests with the same one must take effect once. Only requests of
+    /// class `Book` use it.
     pub key: u32,
 }
 
@@ -130,14 +131,15 @@
 /// Client with one connection, which it uses until the server closes it.
 #[derive(Clone, Debug)]
 pub struct Client {
-    /// Time of connecting, in milliseconds from the first SIGTERM; after it the server may refuse the connection.
+    /// Time of connecting, in milliseconds from the first SIGTERM; after it the server may refuse the
+    /// connection.
     pub at_ms: i64,
     /// Messages in order of time.
     pub sends: Vec<Send>,
     /// Pause before each read, in milliseconds; 0 for a client that reads without delay.
     pub read_pause_ms: u64,
-    /// Whether the client still sends its due messages after the server has closed the connection, like a client that
-    /// has not received the close yet.
+    /// Whether the client still sends its due messages after the server has closed the connection, like a
+    /// client that has not received the close yet.
     pub sends_after_close: bool,
 }
 
@@ -193,8 +195,8 @@
         Client { at_ms, sends, read_pause_ms, sends_after_close: false }
     }
 
-    /// Returns a client whose connection is idle from before the shutdown notice, and which sends a request at about
-    /// the time at which the server closes the connection.
+    /// Returns a client whose connection is idle from before the shutdown notice, and which sends a request
+    /// at about the time at which the server closes the connection.
     fn idle_client(&mut self) -> Client {
         let at_ms = self.time_ms(-LEAD_MS, 0);
         let class = self.class();
@@ -225,7 +227,8 @@
 
     fn send(&mut self, from_ms: i64, stop_ms: i64) -> Send {
         // Two times in five the message is sent at about the end of the grace period or the close of an idle
-        // connection, and one time in five shortly before the kill: uniform times would rarely hit these instants.
+        // connection, and one time in five shortly before the kill: uniform times would rarely hit these
+        // instants.
         let at_ms = match self.below(5) {
             0 => self.time_ms(GRACE_PERIOD_MS - 40, GRACE_PERIOD_MS + 120),
             // The server closes idle connections at about this time, after the goodbye message.
--- a/crates/hazelspur-fault-harness/src/endings/run.rs
+++ b/crates/hazelspur-fault-harness/src/endings/run.rs
@@ -1,5 +1,6 @@
-//! Executes one plan: starts the test doubles, the server and its clients, carries out the steps of the plan, and
-//! collects the evidence until the server has ended. Then the server is restarted to see whether it becomes ready.
+//! Executes one plan: starts the test doubles, the server and its clients, carries out the steps of the plan,
+//! and collects the evidence until the server has ended. Then the server is restarted to see whether it
+//! becomes ready.
 
 use super::checker::Evidence;
 use super::client::{self, Connection, RunContext};
@@ -94,8 +95,8 @@
         }
     }
 
-    /// Returns the breaches found by the checker of the broker, once the broker and the worker have read everything
-    /// that the server wrote.
+    /// Returns the breaches found by the checker of the broker, once the broker and the worker have read
+    /// everything that the server wrote.
     fn queue_breaches(&self, log: &str) -> Vec<String> {
         self.broker
             .wait_until(SETTLING_TIMEOUT, |state| !state.has_consumer("orders") && state.unsettled() == 0);
@@ -104,8 +105,8 @@
         breaches(&self.broker.state(), &self.worker.state(), &self.expected, lost)
     }
 
-    /// Carries out the operations of the plan at their times. Returns the times just before and just after the first
-    /// SIGTERM was sent.
+    /// Carries out the operations of the plan at their times. Returns the times just before and just after
+    /// the first SIGTERM was sent.
     fn play_timeline(
         &self,
         server: &mut Server,
@@ -173,8 +174,8 @@
     after_ms: u64,
 }
 
-/// Executes a plan with the server `program` and returns the evidence. If `interrupted` is set, the server is not
-/// restarted after its end.
+/// Executes a plan with the server `program` and returns the evidence. If `interrupted` is set, the server is
+/// not restarted after its end.
 ///
 /// # Errors
 /// Returns an error if a test double or a file cannot be set up, or if the server does not become ready.
@@ -229,8 +230,8 @@
     Ok(evidence)
 }
 
-/// Starts the server again at once, with the same name and address, and returns the time until it is ready; `None` if
-/// it does not become ready. The new process is then killed.
+/// Starts the server again at once, with the same name and address, and returns the time until it is ready;
+/// `None` if it does not become ready. The new process is then killed.
 fn restart(program: &Path, environment: &TestEnvironment, plan: &Plan) -> anyhow::Result<Option<Duration>> {
     let mut server = Server::start(program, &environment.folder, environment.addresses(), plan)?;
     let ready_after = server.wait_until_serving().ok();
--- a/crates/hazelspur-fault-harness/src/endings/server.rs
+++ b/crates/hazelspur-fault-harness/src/endings/server.rs
@@ -1,5 +1,5 @@
-//! The server process under test: writes its configuration, starts it, sends it signals, records its resource usage
-//! and waits for its exit.
+//! The server process under test: writes its configuration, starts it, sends it signals, records its resource
+//! usage and waits for its exit.
 
 use super::plan::{FileChange, GRACE_PERIOD_MS, Plan};
 use anyhow::Context;
@@ -81,8 +81,8 @@
 }
 
 impl Server {
-    /// Writes the files of the server into `folder` and starts `program` with them. The log is appended to the file
-    /// `log` there.
+    /// Writes the files of the server into `folder` and starts `program` with them. The log is appended to
+    /// the file `log` there.
     ///
     /// # Errors
     /// Returns an error if a file cannot be written or the process cannot be started.
@@ -163,7 +163,8 @@
         self.end.memory_kb = self.end.memory_kb.max(memory_kb.unwrap_or(0));
     }
 
-    /// Waits for the exit of the process until `kill_ms`, in Unix milliseconds, and kills it if it still runs then.
+    /// Waits for the exit of the process until `kill_ms`, in Unix milliseconds, and kills it if it still runs
+    /// then.
     ///
     /// # Errors
     /// Returns an error if the status of the process or its folder for temporary files cannot be read.
--- a/crates/hazelspur-fault-harness/src/endings/timeline.rs
+++ b/crates/hazelspur-fault-harness/src/endings/timeline.rs
@@ -1,8 +1,8 @@
-//! Turns the steps of a plan into the operations on the server and its peers, in order of time. A step that lasts
-//! becomes two operations, its begin and its end.
+//! Turns the steps of a plan into the operations on the server and its peers, in order of time. A step that
+//! lasts becomes two operations, its begin and its end.
 //!
-//! Invariant: the time of an operation depends only on its own step, so that a step ends at its planned time even while
-//! another step lasts longer.
+//! Invariant: the time of an operation depends only on its own step, so that a step ends at its planned time
+//! even while another step lasts longer.
 
 use super::plan::{Action, FileChange, Plan};
 
@@ -36,7 +36,8 @@
     pub operation: Operation,
 }
 
-/// Counter of the open spans of one kind. Overlapping spans act as a single one, from the first begin to the last end.
+/// Counter of the open spans of one kind. Overlapping spans act as a single one, from the first begin to the
+/// last end.
 #[derive(Debug, Default)]
 pub struct OverlappingSpans {
     open_count: u32,
@@ -56,8 +57,8 @@
     }
 }
 
-/// Returns all operations of a plan in order of time; at equal times the end of a span comes last. None is later than
-/// the kill, which does not wait for a step to end.
+/// Returns all operations of a plan in order of time; at equal times the end of a span comes last. None is
+/// later than the kill, which does not wait for a step to end.
 pub fn timeline(plan: &Plan) -> Vec<TimedOperation> {
     let mut operations = Vec::new();
     let mut add = |at_ms, operation| operations.push(TimedOperation { at_ms, operation });
--- a/crates/hazelspur-fault-harness/src/lightweight/command.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/command.rs
@@ -1,5 +1,5 @@
-//! The subcommand `hollow`: runs one fleet size after the other, prints a table, and writes the measured figures to a
-//! file.
+//! The subcommand `hollow`: runs one fleet size after the other, prints a table, and writes the measured
+//! figures to a file.
 
 use super::{Outcome, Plan, figures, process_usage, run};
 use anyhow::Context;
@@ -31,7 +31,8 @@
     /// Number of lightweight members in each process.
     #[arg(long, default_value_t = 200)]
     per_process: usize,
-    /// Seconds from the start to the end of the measuring window; a run takes longer if the members agree late.
+    /// Seconds from the start to the end of the measuring window; a run takes longer if the members agree
+    /// late.
     #[arg(long, default_value_t = 60)]
     seconds: u64,
     /// Length of the measuring window at the end of a run, in seconds.
@@ -58,7 +59,8 @@
     /// File for the measured figures; figures of other sizes or seeds that it holds stay.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Revision of the measured sources, for the file of figures; by default the commit that git reports here.
+    /// Revision of the measured sources, for the file of figures; by default the commit that git reports
+    /// here.
     #[arg(long)]
     text: Option<String>,
     /// Server program; by default `hazelspur-server` in the folder of this program.
@@ -149,8 +151,8 @@
     }
 }
 
-/// Appends a text to the existing ones unless it is there already: several runs, such as one for each size, may write
-/// one file.
+/// Appends a text to the existing ones unless it is there already: several runs, such as one for each size,
+/// may write one file.
 fn joined(existing: &Value, new: String) -> String {
     match existing.as_str() {
         Some(old) if old.split("; ").any(|old| old == new) => old.into(),
--- a/crates/hazelspur-fault-harness/src/lightweight/figures.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/figures.rs
@@ -1,14 +1,17 @@
-//! Computes the figures of a measuring window from the readings at its begin and end: traffic, CPU and memory of each
-//! member, by role. Prints them as a table and as points of the JSON file.
+//! Computes the figures of a measuring window from the readings at its begin and end: traffic, CPU and memory
+//! of each member, by role. Prints them as a table and as points of the JSON file.
 //!
-//! A lightweight member counts the datagrams that it sends and receives. The figures of a real member are estimates:
-//! - Sent datagrams follow from the sequence numbers in its datagrams, and sent bytes from the mean length of those that
+//! A lightweight member counts the datagrams that it sends and receives. The figures of a real member are
+//! estimates:
+//! - Sent datagrams follow from the sequence numbers in its datagrams, and sent bytes from the mean length of
+//!   those that
 //!   lightweight members received.
-//! - Received traffic follows from the traffic that lightweight members sent to it, scaled up as if real members sent as
+//! - Received traffic follows from the traffic that lightweight members sent to it, scaled up as if real
+//!   members sent as
 //!   much. The allocator is an exception: it is taken to send a real member as much as each lightweight one.
 //!
-//! To compare the two kinds, the traffic that lightweight members received is also counted by sender, in the same way
-//! for real and lightweight senders.
+//! To compare the two kinds, the traffic that lightweight members received is also counted by sender, in the
+//! same way for real and lightweight senders.
 
 use super::member::{Counters, Received, Traffic};
 use super::process_usage::ProcessUsage;
@@ -139,8 +142,8 @@
             let find = |all: &BTreeMap<SocketAddr, Traffic>| all.get(&address).copied().unwrap_or_default();
             find(&sent_after).since(find(&sent_before))
         };
-        // Sent by a real member: datagrams by sequence number, at the mean length of those that lightweight members
-        // received from it.
+        // Sent by a real member: datagrams by sequence number, at the mean length of those that lightweight
+        // members received from it.
         let sent = |index: usize| {
             let (seen, sequence_advance) = seen_from(index);
             let mean = if seen.datagrams == 0 { 0.0 } else { seen.bytes as f64 / seen.datagrams as f64 };
@@ -158,8 +161,8 @@
                 () if index < fleet.voter_count() => Role::Voter,
                 () => Role::Real,
             };
-            // The other real members are taken to send as much as lightweight ones, and the allocator as much as it
-            // sends to each lightweight member.
+            // The other real members are taken to send as much as lightweight ones, and the allocator as much
+            // as it sends to each lightweight member.
             let from_lightweight = Rates::of(sent_to(index), seconds);
             let grants = allocator_index
                 .filter(|allocator| *allocator != index)
@@ -233,10 +236,11 @@
         self.with_role(role).map(figure).reduce(f64::max)
     }
 
-    /// Returns the relative differences of the datagrams and bytes of a lightweight member from those of a real one, as
-    /// fractions of the latter. Both are counted as lightweight members receive them, per receiver; a lightweight sender
-    /// has one receiver fewer, since it does not send to itself. `None` if there is no real member other than voters and
-    /// allocator, if it sent nothing, or if there are fewer than two lightweight members.
+    /// Returns the relative differences of the datagrams and bytes of a lightweight member from those of a
+    /// real one, as fractions of the latter. Both are counted as lightweight members receive them, per
+    /// receiver; a lightweight sender has one receiver fewer, since it does not send to itself. `None` if
+    /// there is no real member other than voters and allocator, if it sent nothing, or if there are fewer
+    /// than two lightweight members.
     pub fn difference(&self) -> Option<(f64, f64)> {
         let receivers = self.with_role(Role::Lightweight).count() as f64;
         let relative_difference = |figure: MemberFigure| {
@@ -251,8 +255,8 @@
     }
 }
 
-/// Returns the mean CPU share, resident and anonymous memory of each member of a process; NaN if the process does not
-/// run.
+/// Returns the mean CPU share, resident and anonymous memory of each member of a process; NaN if the process
+/// does not run.
 fn mean_usage(
     before: Option<ProcessUsage>,
     after: Option<ProcessUsage>,
--- a/crates/hazelspur-fault-harness/src/lightweight/fleet_queries.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/fleet_queries.rs
@@ -1,5 +1,5 @@
-//! Queries real members for their view of the fleet, with the datagrams of the operator's command, all of them
-//! concurrently.
+//! Queries real members for their view of the fleet, with the datagrams of the operator's command, all of
+//! them concurrently.
 
 use super::{INSTALLATION, KEY};
 use hazelspur::Timestamp;
@@ -52,8 +52,8 @@
         })
     }
 
-    /// Returns the local status and the estimated fleet size that each server reports; `None` for a server that does
-    /// not answer within the timeout.
+    /// Returns the local status and the estimated fleet size that each server reports; `None` for a server
+    /// that does not answer within the timeout.
     pub fn statuses(
         &mut self,
         servers: &[SocketAddr],
@@ -70,8 +70,8 @@
         answers
     }
 
-    /// Returns the status of all other members that each server reports, by name; `None` for a server whose list does
-    /// not arrive completely within the timeout.
+    /// Returns the status of all other members that each server reports, by name; `None` for a server whose
+    /// list does not arrive completely within the timeout.
     pub fn member_lists(
         &mut self,
         servers: &[SocketAddr],
@@ -101,9 +101,9 @@
         allocator
     }
 
-    /// Sends each server one query after the other, until the timeout. `next` gets the index of the server and returns
-    /// its first query without an answer, and each further one from the answer to the one before; `None` ends the
-    /// queries to the server.
+    /// Sends each server one query after the other, until the timeout. `next` gets the index of the server
+    /// and returns its first query without an answer, and each further one from the answer to the one before;
+    /// `None` ends the queries to the server.
     fn exchange(
         &mut self,
         servers: &[SocketAddr],
--- a/crates/hazelspur-fault-harness/src/lightweight/member.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/member.rs
@@ -1,10 +1,10 @@
-//! One process of lightweight members. A lightweight member is the state machine with which a server takes part in the
-//! fleet (`FleetNode`), with a UDP socket of its own and driven like in a server, but without the rest of the server.
-//! Hundreds of them share one event loop.
+//! One process of lightweight members. A lightweight member is the state machine with which a server takes
+//! part in the fleet (`FleetNode`), with a UDP socket of its own and driven like in a server, but without the
+//! rest of the server. Hundreds of them share one event loop.
 //!
-//! The harness starts its own program for this. The process reads one JSON line with its [`Task`] from its standard
-//! input and one [`Order`] from each further line, answers each line with [`Counters`] on its standard output, and ends
-//! when its input ends.
+//! The harness starts its own program for this. The process reads one JSON line with its [`Task`] from its
+//! standard input and one [`Order`] from each further line, answers each line with [`Counters`] on its
+//! standard output, and ends when its input ends.
 
 use super::{Fleet, INSTALLATION, KEY};
 use hazelspur::pcg::Pcg;
@@ -61,8 +61,8 @@
     Count,
 }
 
-/// Counters of the process, the answer to each line of the input; empty in the answers to the first line and to
-/// [`Order::Start`].
+/// Counters of the process, the answer to each line of the input; empty in the answers to the first line and
+/// to [`Order::Start`].
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Counters {
     /// Counters of each member of the process.
--- a/crates/hazelspur-fault-harness/src/lightweight/mod.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/mod.rs
@@ -1,14 +1,16 @@
-//! Runs a fleet of a few real servers and many lightweight members, and measures the cost of a member by the size of its
-//! fleet, at sizes for which one machine can't run enough real servers. A lightweight member runs the state machine of a
-//! server and exchanges real datagrams; hundreds of them share a process. The subcommand, its flags and the printed
-//! figures call them hollow members.
+//! Runs a fleet of a few real servers and many lightweight members, and measures the cost of a member by the
+//! size of its fleet, at sizes for which one machine can't run enough real servers. A lightweight member runs
+//! the state machine of a server and exchanges real datagrams; hundreds of them share a process. The
+//! subcommand, its flags and the printed figures call them hollow members.
 //!
-//! Each run has a network of its own in 127.0.0.0/8, ends every process that it started, and uses at most a hundred
-//! processes and half of the memory of the machine.
+//! Each run has a network of its own in 127.0.0.0/8, ends every process that it started, and uses at most a
+//! hundred processes and half of the memory of the machine.
 //!
 //! - `member`: a process of lightweight members; `processes`: starts and ends processes;
-//! - `fleet_queries`: queries real members for their views of the fleet; `process_usage`: limits and usage of processes;
-//! - `figures`: the figures of a measuring window, as a table and as points; `command`: the subcommand `hollow`.
+//! - `fleet_queries`: queries real members for their views of the fleet; `process_usage`: limits and usage of
+//!   processes;
+//! - `figures`: the figures of a measuring window, as a table and as points; `command`: the subcommand
+//!   `hollow`.
 
 pub mod command;
 pub mod figures;
@@ -51,8 +53,8 @@
 pub const STOP_MS: u64 = 1500;
 /// Sites: two regions of three zones each.
 pub const SITES: [&str; 6] = ["r1-a", "r1-b", "r1-c", "r2-a", "r2-b", "r2-c"];
-/// Highest number of members of a run. The setting `most` of the fleet is twice its number of members, and at most
-/// 4,096.
+/// Highest number of members of a run. The setting `most` of the fleet is twice its number of members, and at
+/// most 4,096.
 pub const MAX_MEMBERS: usize = 2048;
 /// Highest number of real servers.
 pub const MAX_REAL_SERVERS: usize = 90;
@@ -92,10 +94,11 @@
 const QUERY_TIMEOUT: StdDuration = StdDuration::from_millis(500);
 /// Timeout of queries for the member lists of all servers.
 const MEMBER_LISTS_TIMEOUT: StdDuration = StdDuration::from_secs(10);
-/// Longest wait for an answer or the exit of a process of lightweight members; the first answer comes once all its
-/// sockets are bound.
+/// Longest wait for an answer or the exit of a process of lightweight members; the first answer comes once
+/// all its sockets are bound.
 const PROCESS_ANSWER_TIMEOUT: StdDuration = StdDuration::from_secs(20);
-/// Time added to the longest duration of a run for the lifetime of a process of lightweight members, in seconds.
+/// Time added to the longest duration of a run for the lifetime of a process of lightweight members, in
+/// seconds.
 const LIFETIME_MARGIN_S: u64 = 60;
 /// Number of runs that this process has begun; part of the choice of the network of each run.
 static RUNS: AtomicU32 = AtomicU32::new(0);
@@ -115,7 +118,8 @@
     pub per_process: usize,
     /// Time over which the starts of the members are spread.
     pub spread: StdDuration,
-    /// Longest time until all real members show all members as alive; after it the run goes on without agreement.
+    /// Longest time until all real members show all members as alive; after it the run goes on without
+    /// agreement.
     pub agree_within: StdDuration,
     /// Shortest time from agreement to the measuring window.
     pub settle: StdDuration,
@@ -149,7 +153,8 @@
         own.max(per_lightweight_process).max(SERVER_DESCRIPTORS)
     }
 
-    /// Checks the parameters against their limits. `limit` is the number of file descriptors that a process may have.
+    /// Checks the parameters against their limits. `limit` is the number of file descriptors that a process
+    /// may have.
     ///
     /// # Errors
     /// Returns an error that names the flag, its value and its limit.
@@ -180,8 +185,8 @@
     }
 }
 
-/// Names, sites, addresses and roles of all members. They follow from a few numbers, so that all processes of a run
-/// derive the same ones. Members are identified by an index from 0.
+/// Names, sites, addresses and roles of all members. They follow from a few numbers, so that all processes of
+/// a run derive the same ones. Members are identified by an index from 0.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Fleet {
     /// Second byte of the network, 127.`net`.0.0/16.
@@ -199,8 +204,8 @@
 }
 
 impl Fleet {
-    /// Returns the name of a member. All names have the same length, so that the datagrams of real and lightweight
-    /// members have comparable lengths.
+    /// Returns the name of a member. All names have the same length, so that the datagrams of real and
+    /// lightweight members have comparable lengths.
     pub fn name(&self, index: usize) -> String {
         format!("{}{index:04}", if index < self.real { 'n' } else { 'h' })
     }
@@ -231,7 +236,8 @@
         self.members * 2
     }
 
-    /// Returns the number of concurrent calls that the dependency serves, which is also the total of the shared limit.
+    /// Returns the number of concurrent calls that the dependency serves, which is also the total of the
+    /// shared limit.
     pub fn call_slots(&self) -> f64 {
         self.members as f64 * 2.0
     }
@@ -262,8 +268,8 @@
         StdDuration::from_millis(u64::from(drawn) % self.spread_ms.max(1))
     }
 
-    /// Returns the configuration of a lightweight member, equal to the one that a server derives from the operator's
-    /// file of the real members.
+    /// Returns the configuration of a lightweight member, equal to the one that a server derives from the
+    /// operator's file of the real members.
     pub fn node_config(&self, index: usize) -> NodeConfig {
         NodeConfig {
             installation: Installation::new(INSTALLATION).expect("a short name"),
@@ -329,9 +335,11 @@
     pub real: usize,
     /// Number of processes, including the harness itself.
     pub processes: usize,
-    /// Time from the start until every real member showed all members as alive; `None` if that did not happen.
+    /// Time from the start until every real member showed all members as alive; `None` if that did not
+    /// happen.
     pub agreed_after: Option<StdDuration>,
-    /// Names of the members that at least one real member did not show as alive when agreement was reached or given up.
+    /// Names of the members that at least one real member did not show as alive when agreement was reached or
+    /// given up.
     pub missing: BTreeSet<String>,
     /// Names of the members that at least one real member did not show as alive at the end of the window.
     pub missing_at_end: BTreeSet<String>,
@@ -345,7 +353,8 @@
     pub process_ids: Vec<u32>,
 }
 
-/// Executes a plan. `observe` gets each snapshot of the fleet until the members agree, and may end this wait early.
+/// Executes a plan. `observe` gets each snapshot of the fleet until the members agree, and may end this wait
+/// early.
 ///
 /// # Errors
 /// Returns an error if the plan or the memory use exceeds a limit, if a process does not start, exits early or does not
@@ -479,8 +488,8 @@
         })
     }
 
-    /// Starts the real members, each after its delay, and waits until all of them show all members as alive. Returns the
-    /// time from the start; `None` if the wait timed out or was ended by `observe`.
+    /// Starts the real members, each after its delay, and waits until all of them show all members as alive.
+    /// Returns the time from the start; `None` if the wait timed out or was ended by `observe`.
     fn start_until_agreed(
         &mut self,
         began: Instant,
--- a/crates/hazelspur-fault-harness/src/lightweight/process_usage.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/process_usage.rs
@@ -39,8 +39,8 @@
     Some(ProcessUsage { cpu: cpu(id)?, resident_bytes, anonymous_bytes })
 }
 
-/// Returns the resident memory of a process in bytes; `None` if it has ended. Reads `/proc/PID/status`, which costs
-/// less than the `smaps_rollup` that [`usage`] reads.
+/// Returns the resident memory of a process in bytes; `None` if it has ended. Reads `/proc/PID/status`, which
+/// costs less than the `smaps_rollup` that [`usage`] reads.
 pub fn resident_bytes(id: u32) -> Option<u64> {
     bytes_after(&std::fs::read_to_string(format!("/proc/{id}/status")).ok()?, "VmRSS:")
 }
@@ -48,8 +48,8 @@
 /// Returns the CPU time of a process so far, from `/proc/PID/stat`, with a resolution of one clock tick.
 fn cpu(id: u32) -> Option<Duration> {
     let text = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
-    // The name in parentheses may hold any character, so the fields are counted from its end: field 3 (state) has
-    // index 0, field 14 (utime) index 11 and field 15 (stime) index 12.
+    // The name in parentheses may hold any character, so the fields are counted from its end: field 3 (state)
+    // has index 0, field 14 (utime) index 11 and field 15 (stime) index 12.
     let fields: Vec<&str> = text.rsplit_once(')')?.1.split_whitespace().collect();
     let ticks = fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
     let ticks_per_s = sysconf(SysconfVar::CLK_TCK).ok()??;
@@ -62,7 +62,8 @@
     Some((bytes_after(&text, "Rss:")?, bytes_after(&text, "Anonymous:")?))
 }
 
-/// Returns the number of datagrams that the kernel has dropped so far at UDP sockets bound in 127.`net`.0.0/16.
+/// Returns the number of datagrams that the kernel has dropped so far at UDP sockets bound in
+/// 127.`net`.0.0/16.
 pub fn udp_drops(net: u8) -> u64 {
     let text = std::fs::read_to_string("/proc/net/udp").unwrap_or_default();
     let is_in_net = |local: &str| local.get(4..8) == Some(&format!("{net:02X}7F"));
--- a/crates/hazelspur-fault-harness/src/lightweight/processes.rs
+++ b/crates/hazelspur-fault-harness/src/lightweight/processes.rs
@@ -1,5 +1,5 @@
-//! The processes of one run: real servers with their test doubles, and processes of lightweight members. A process is
-//! killed when the value that holds it is dropped.
+//! The processes of one run: real servers with their test doubles, and processes of lightweight members. A
+//! process is killed when the value that holds it is dropped.
 
 use super::member::{Counters, Order, Task};
 use super::{Fleet, INSTALLATION, KEY, Plan, QUOTA_LEASE_S, SHARED_LIMIT, STOP_MS, WORKER_CORES};
@@ -171,8 +171,8 @@
         Ok(())
     }
 
-    /// Stops the requests and all servers. Returns the number of requests that succeeded and the number of attempts that
-    /// were sent.
+    /// Stops the requests and all servers. Returns the number of requests that succeeded and the number of
+    /// attempts that were sent.
     ///
     /// # Errors
     /// Returns an error if a server had to be killed or did not exit with status 0.
@@ -231,7 +231,8 @@
 }
 
 impl LightweightProcess {
-    /// Starts the process and sends it its task, without waiting. Its first answer means that all sockets are bound.
+    /// Starts the process and sends it its task, without waiting. Its first answer means that all sockets are
+    /// bound.
     ///
     /// # Errors
     /// Returns an error if the process cannot be started or its input cannot be written.
--- a/crates/hazelspur-fault-harness/tests/endings.rs
+++ b/crates/hazelspur-fault-harness/tests/endings.rs
@@ -1,5 +1,5 @@
-//! Tests of the soak `endings`: its checker finds a planted fault for each rule, its plans are repeatable and keep their
-//! time limits, and its options are validated. No server is started.
+//! Tests of the soak `endings`: its checker finds a planted fault for each rule, its plans are repeatable and
+//! keep their time limits, and its options are validated. No server is started.
 
 use hazelspur_fault_harness::endings::checker::{Evidence, Rule};
 use hazelspur_fault_harness::endings::client::{Answer, Connection, Sent};
@@ -10,8 +10,8 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// Time at which SIGTERM was sent, in Unix milliseconds. The grace period ends 300 ms later; with the tolerance of the
-/// checker, 350 ms later.
+/// Time at which SIGTERM was sent, in Unix milliseconds. The grace period ends 300 ms later; with the
+/// tolerance of the checker, 350 ms later.
 const NOTICE_MS: u64 = 10_000;
 
 fn sent(request: &str, at_ms: u64) -> Sent {
@@ -25,8 +25,9 @@
     }
 }
 
-/// Returns the evidence of a run in which all rules hold: request a was sent before the shutdown notice and ran,
-/// request b was sent after the grace period and was rejected, request c crossed the close of the connection.
+/// Returns the evidence of a run in which all rules hold: request a was sent before the shutdown notice and
+/// ran, request b was sent after the grace period and was rejected, request c crossed the close of the
+/// connection.
 fn evidence_without_breach() -> Evidence {
     let late_request =
         Sent { answers: vec![(Answer::Rejected, NOTICE_MS + 500)], ..sent("b", NOTICE_MS + 480) };
@@ -82,7 +83,8 @@
     assert_eq!(broken_rules(|run| run.connections[0].closed_ms = None), [Rule::OneResponse]);
 }
 
-/// Guards against a server that reads a request after it has closed the connection and still forwards it to the worker.
+/// Guards against a server that reads a request after it has closed the connection and still forwards it to
+/// the worker.
 #[test]
 fn unanswered_request_that_crossed_the_close_and_ran_is_found() {
     assert_eq!(
@@ -175,8 +177,8 @@
     assert!(crowds > 4 && queues > 8, "{crowds} of 49 seeds have a crowd, {queues} have queued messages");
 }
 
-/// Guards against steps that are carried out one after the other: a suspension then waits for the end of an earlier,
-/// longer one and lasts until after the kill.
+/// Guards against steps that are carried out one after the other: a suspension then waits for the end of an
+/// earlier, longer one and lasts until after the kill.
 #[test]
 fn step_ends_on_time_while_another_step_lasts_longer() {
     let steps = [
--- a/crates/hazelspur-fault-harness/tests/hollow.rs
+++ b/crates/hazelspur-fault-harness/tests/hollow.rs
@@ -1,6 +1,6 @@
-//! Tests of a small fleet of real and lightweight members, which the printed figures call hollow. Waits are for events,
-//! with generous timeouts. The server program is the one in the folder of the harness, where a test of the whole
-//! workspace puts it; if it is missing there, it is built first.
+//! Tests of a small fleet of real and lightweight members, which the printed figures call hollow. Waits are
+//! for events, with generous timeouts. The server program is the one in the folder of the harness, where a
+//! test of the whole workspace puts it; if it is missing there, it is built first.
 
 use hazelspur_fault_harness::lightweight::figures::{Role, describe, points};
 use hazelspur_fault_harness::lightweight::{FleetSnapshot, Outcome, Plan, run};
--- a/crates/hazelspur-fleet/src/membership/list_sync.rs
+++ b/crates/hazelspur-fleet/src/membership/list_sync.rs
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Begins a new read and marks the list as incomplete, because members may have come and gone several times.
+    /// Begins a new read and marks the list as incomplete, because members may have come and gone several
+    /// times.
     pub(super) fn restart(&mut self) {
         self.is_complete = false;
         self.is_reading = true;
--- a/crates/hazelspur-server/benches/queues.rs
+++ b/crates/hazelspur-server/benches/queues.rs
@@ -19,8 +19,8 @@
 const BATCH_TIMEOUT: Duration = Duration::from_secs(240);
 /// Number of deliveries, or of JSON-RPC requests, in one measurement of the processor time.
 const COST_REQUESTS: u64 = 20_000;
-/// Number of requests that a gateway sends at a time; it waits for their responses before the next burst. With
-/// four connections at most 64 requests are open, while the prefetch window allows 32 deliveries.
+/// Number of requests that a gateway sends at a time; it waits for their responses before the next burst.
+/// With four connections at most 64 requests are open, while the prefetch window allows 32 deliveries.
 const BURST_REQUESTS: u64 = 16;
 /// Number of connections in the measurement of the processor time.
 const COST_CONNECTIONS: usize = 4;
--- a/crates/hazelspur-server/src/ingress/gateway/eviction.rs
+++ b/crates/hazelspur-server/src/ingress/gateway/eviction.rs
@@ -19,8 +19,8 @@
 }
 
 impl GatewayServer {
-    /// Frees places for connections. If no place is left, idle connections that have got the goodbye message or
-    /// are closing are closed at once; if that does not suffice, open idle connections are evicted.
+    /// Frees places for connections. If no place is left, idle connections that have got the goodbye message
+    /// or are closing are closed at once; if that does not suffice, open idle connections are evicted.
     pub(super) fn evict(&self, reason: EvictionReason) {
         let connections = self.connections.borrow();
         let exhausted = reason == EvictionReason::DescriptorsExhausted;
--- a/crates/hazelspur-test-doubles/src/lib.rs
+++ b/crates/hazelspur-test-doubles/src/lib.rs
@@ -2,9 +2,9 @@
 //! gateways.
 //!
 //! They are written from public specifications and the platform's documentation and use none of the server's
-//! own code, so that a mistake in it can't cancel out. A script makes the broker misbehave. Each double counts
-//! what happened, and `checker` reports which rules were broken. All buffers are bounded, and no privileges
-//! are needed.
+//! own code, so that a mistake in it can't cancel out. A script makes the broker misbehave. Each double
+//! counts what happened, and `checker` reports which rules were broken. All buffers are bounded, and no
+//! privileges are needed.
 
 pub mod arrival;
 pub mod broker;
